--- a/bench/causes.py
+++ b/bench/causes.py
@@ -80,17 +80,22 @@
         cls, plan = settings.classes[event.cls], settings.plans[event.plan]
         return cls.worth * plan.price * event.units / settings.usual_units
 
-    def answer(self, settings: api.Settings, event: api.Arrived, why: api.Reason | None, how: str,
-               now: float) -> None:
+    def answer(
+        self, settings: api.Settings, event: api.Arrived, why: api.Reason | None, how: str, now: float
+    ) -> None:
         plan = settings.plans[event.plan]
         within = not plan.limit or self.level(now, plan, event.volume) >= event.units
         told = {
-            "class": settings.classes[event.cls].name, "plan": settings.plans[event.plan].name,
-            "code": why.code.name.lower() if why else how, "place": (why.place if why else "") or "-",
+            "class": settings.classes[event.cls].name,
+            "plan": settings.plans[event.plan].name,
+            "code": why.code.name.lower() if why else how,
+            "place": (why.place if why else "") or "-",
             "node": "idle" if why is not None and not (why.out or why.queued) else "busy",
             "units": "heavy" if event.units > settings.usual_units else "usual",
-            "try": "repeat" if event.repeat else "first", "shard": "new" if event.shard is None else "own",
-            "limit": "within" if within else "beyond"}
+            "try": "repeat" if event.repeat else "first",
+            "shard": "new" if event.shard is None else "own",
+            "limit": "within" if within else "beyond",
+        }
         self.lost[(how, *(told[key] for key in self.keys))].add(self.worth(settings, event))
 
 
@@ -136,8 +141,9 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("tap", type=Path)
     parser.add_argument("--by", default="class,plan,code", help=f"of {','.join(KEYS)}")
     parser.add_argument("--from", dest="first", type=float, default=0.0, help="s of the day")
@@ -152,9 +158,11 @@
     if not account.taken.requests:
         print(f"{asked.tap}: no requests between {asked.first} and {asked.last} s", file=sys.stderr)
         return 2
-    print(f"{account.taken.requests} requests taken, worth {account.taken.worth:.0f}; "
-          f"{account.differs} replies differ from the recorded ones")
-    for row, count in sorted(account.lost.items(), key=lambda item: -item[1].worth)[:asked.most]:
+    print(
+        f"{account.taken.requests} requests taken, worth {account.taken.worth:.0f}; "
+        f"{account.differs} replies differ from the recorded ones"
+    )
+    for row, count in sorted(account.lost.items(), key=lambda item: -item[1].worth)[: asked.most]:
         print(f"{count.worth / account.taken.worth:7.2%} {count.requests:6d}  {' '.join(row)}")
     return account.differs > 0
 
--- a/bench/fleet/__main__.py
+++ b/bench/fleet/__main__.py
@@ -1,8 +1,8 @@
 """Plays days of a modelled fleet and prints what was served, refused and why.
 
-    python -m bench.fleet                                 # every day, 60 hosts, seeds 1 to 3
-    python -m bench.fleet --day herd --hosts 200 --seeds 5
-    python -m bench.fleet --hosts 3,20,60,200 --plot found/fleet.png
+python -m bench.fleet                                 # every day, 60 hosts, seeds 1 to 3
+python -m bench.fleet --day herd --hosts 200 --seeds 5
+python -m bench.fleet --hosts 3,20,60,200 --plot found/fleet.png
 """
 
 from __future__ import annotations
@@ -49,8 +49,10 @@
 
 def zone(fleet: Fleet) -> None:
     """A zone's nodes are lost for 5 s and come back cold; one of eight others is slow."""
+
     def lose(node: Node) -> None:
         node.up = False
+
     for node in fleet.nodes:
         if node.zone == 1:
             fleet.clock.at(8.0, lose, node)
@@ -72,18 +74,23 @@
         found[name] = fleet.service()
         found[name + " fallen"] = fleet.fallen
         if kind is Fleet:
-            found |= {"asks": len(fleet.asks), "attempts": fleet.attempts / len(fleet.asks),
-                      "handshakes": fleet.handshakes / len(fleet.asks),
-                      "messages": fleet.messages / len(fleet.asks),
-                      "reasons": fleet.reasons, "judged": fleet.judged,
-                      "cpu": (time.process_time() - began) / len(fleet.asks) * 1e6,
-                      "ends": Counter(ask.ended for ask in fleet.asks)}
+            found |= {
+                "asks": len(fleet.asks),
+                "attempts": fleet.attempts / len(fleet.asks),
+                "handshakes": fleet.handshakes / len(fleet.asks),
+                "messages": fleet.messages / len(fleet.asks),
+                "reasons": fleet.reasons,
+                "judged": fleet.judged,
+                "cpu": (time.process_time() - began) / len(fleet.asks) * 1e6,
+                "ends": Counter(ask.ended for ask in fleet.asks),
+            }
     return found
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--day", choices=sorted(DAYS), action="append")
     parser.add_argument("--hosts", default="60")
     parser.add_argument("--seeds", type=int, default=3)
@@ -95,40 +102,58 @@
     days, sizes = asked.day or list(DAYS), [int(size) for size in asked.hosts.split(",")]
     rows: dict[tuple[str, int], list[dict[str, object]]] = {}
     with ProcessPoolExecutor() as pool:
-        runs = [pool.submit(play, day, seed, size, asked.load, asked.stretch)
-                for day in days for size in sizes for seed in range(1, asked.seeds + 1)]
+        runs = [
+            pool.submit(play, day, seed, size, asked.load, asked.stretch)
+            for day in days
+            for size in sizes
+            for seed in range(1, asked.seeds + 1)
+        ]
         for run in runs:
             found = run.result()
             rows.setdefault((str(found["day"]), int(str(found["hosts"]))), []).append(found)
     print("day    hosts  module (each seed)  all-seeing  fallen  att/ask  handsh/ask  msg/ask  us/ask")
     for (day, size), each in rows.items():
+
         def mean(key: str, each: list[dict[str, object]] = each) -> float:
             return statistics.mean(float(str(one[key])) for one in each)
+
         seeds = " ".join(f"{float(str(one['module'])):.3f}" for one in each)
-        print(f"{day:6s} {size:5d}  {mean('module'):.3f} ({seeds})  {mean('all-seeing'):.3f}  "
-              f"{mean('module fallen'):.1f}  {mean('attempts'):.2f}  {mean('handshakes'):.2f}  "
-              f"{mean('messages'):.2f}  "
-              f"{mean('cpu'):.0f}")
+        print(
+            f"{day:6s} {size:5d}  {mean('module'):.3f} ({seeds})  {mean('all-seeing'):.3f}  "
+            f"{mean('module fallen'):.1f}  {mean('attempts'):.2f}  {mean('handshakes'):.2f}  "
+            f"{mean('messages'):.2f}  "
+            f"{mean('cpu'):.0f}"
+        )
         if asked.reasons:
             total: Counter[tuple[str, str]] = Counter()
             for one in each:
                 total.update(one["reasons"])  # type: ignore[call-overload]
             asks = sum(int(str(one["asks"])) for one in each)
-            print("       " + ", ".join(f"{how} {code.lower()} {count / asks:.3f}"
-                                        for (how, code), count in total.most_common(12)))
+            print(
+                "       "
+                + ", ".join(
+                    f"{how} {code.lower()} {count / asks:.3f}" for (how, code), count in total.most_common(12)
+                )
+            )
             judged: Counter[tuple[str, str, str]] = Counter()
             for one in each:
                 judged.update(one["judged"])  # type: ignore[call-overload]
-            print("       " + ", ".join(f"{' '.join(key).lower()} {count / asks:.3f}"
-                                        for key, count in judged.most_common(12)))
+            print(
+                "       "
+                + ", ".join(
+                    f"{' '.join(key).lower()} {count / asks:.3f}" for key, count in judged.most_common(12)
+                )
+            )
     if asked.plot:
         draw(rows, asked.plot)
 
 
 def draw(rows: dict[tuple[str, int], list[dict[str, object]]], path: Path) -> None:
     import matplotlib
+
     matplotlib.use("Agg")
     from matplotlib import pyplot
+
     figure, axes = pyplot.subplots(figsize=(7, 4))
     for day in sorted({day for day, _ in rows}):
         sizes = sorted(size for other, size in rows if other == day)
--- a/bench/fleet/hosts.py
+++ b/bench/fleet/hosts.py
@@ -16,8 +16,12 @@
 from finchrack import interface as api
 from finchrack.decide import Scheduler
 
-OUTCOMES = {"served": api.Outcome.SERVED, "error": api.Outcome.ERROR, "full": api.Outcome.FULL,
-            "refused": api.Outcome.CONNECT_FAILED}
+OUTCOMES = {
+    "served": api.Outcome.SERVED,
+    "error": api.Outcome.ERROR,
+    "full": api.Outcome.FULL,
+    "refused": api.Outcome.CONNECT_FAILED,
+}
 IDLE = 12.0  # s that a host keeps a connection
 DOWN = 4.0  # s that a killed host is away
 
@@ -82,8 +86,9 @@
                     self.clock.at(self.clock.now + delay, self.timer, self.lives, token)
 
     def know(self) -> None:
-        self.lender.know((room.key(name, node.born * 1000), node.born)
-                         for name, node in self.listed.items() if node.born)
+        self.lender.know(
+            (room.key(name, node.born * 1000), node.born) for name, node in self.listed.items() if node.born
+        )
 
     def ask_room(self, name: str, units: float) -> None:
         key = room.key(name, self.listed[name].born * 1000)
@@ -115,8 +120,18 @@
         cls = self.fleet.settings.classes[ask.cls]
         left = cls.deadline - (self.clock.now - ask.came)
         self.open[self.serial] = ask, self.clock.now + left
-        self.push(api.Arrived(self.serial, ask.cls, ask.volume.plan, ask.volume.name, ask.units, ask.shard,
-                              len(ask.volume.hosts), left - 0.05))
+        self.push(
+            api.Arrived(
+                self.serial,
+                ask.cls,
+                ask.volume.plan,
+                ask.volume.name,
+                ask.units,
+                ask.shard,
+                len(ask.volume.hosts),
+                left - 0.05,
+            )
+        )
 
     def end(self, request: int, how: str, why: api.Reason | None, after: float = 0.0) -> None:
         ask, _ = self.open.pop(request)
@@ -147,6 +162,7 @@
                 ask.volume.used[period] = ask.volume.used.get(period, 0.0) + ask.units
             back = self.clock.now + fleet.dice.uniform(*HOP)
             self.clock.at(back, self.answered, life, request, number, how, now, use, load)
+
         if fleet.cut(self.number, node):
             pass  # it says nothing
         else:
@@ -159,14 +175,25 @@
             number += 1
         return number
 
-    def answered(self, life: int, request: int, number: int, how: str, sent: float, use: float | None,
-                 load: float) -> None:
+    def answered(
+        self, life: int, request: int, number: int, how: str, sent: float, use: float | None, load: float
+    ) -> None:
         if life != self.lives or not self.up or not self.tries.get((request, number)):
             return
         node, self.tries[request, number] = self.tries[request, number], ""
         closed = how in ("served", "timeout") or request not in self.open
-        self.push(api.AttemptEnded(request, number, node, OUTCOMES.get(how, api.Outcome.TIMEOUT), closed,
-                                   self.clock.now - sent, use, load={"busy_reqs": load} if load else {}))
+        self.push(
+            api.AttemptEnded(
+                request,
+                number,
+                node,
+                OUTCOMES.get(how, api.Outcome.TIMEOUT),
+                closed,
+                self.clock.now - sent,
+                use,
+                load={"busy_reqs": load} if load else {},
+            )
+        )
         if request in self.open and closed:
             self.end(request, "served" if how == "served" else "failed", None)
         if closed:
@@ -289,6 +316,7 @@
 
         def answer(how: str) -> None:
             ask.ended, ask.took = ("served" if how == "served" else "failed"), self.clock.now - ask.came
+
         node.take(ask, ask.tries == 0, answer)
 
 
--- a/bench/fleet/world.py
+++ b/bench/fleet/world.py
@@ -174,8 +174,9 @@
 class World:
     """All that is not a host."""
 
-    def __init__(self, seed: int, hosts: int, nodes: int, load: float, stretch: float,
-                 seconds: float) -> None:
+    def __init__(
+        self, seed: int, hosts: int, nodes: int, load: float, stretch: float, seconds: float
+    ) -> None:
         self.dice, self.clock = random.Random(seed), Clock()
         self.hosts, self.stretch, self.seconds, self.load = hosts, stretch, seconds, load
         self.fallen, self.asks = 0, list[Ask]()
@@ -196,8 +197,13 @@
         plan = 0 if pick < 0.6 else 1 if pick < 0.88 else 2
         greedy = dice.uniform(1.5, 3) if dice.random() < 0.25 else 1.0
         rate = PLANS[plan][1] * self._base() * greedy * self.load
-        return Volume(f"{number:016x}", plan, dice.sample(range(nodes), min(dice.randint(2, 6), nodes)),
-                      dice.sample(range(self.hosts), min(dice.randint(1, 3), self.hosts)), rate)
+        return Volume(
+            f"{number:016x}",
+            plan,
+            dice.sample(range(nodes), min(dice.randint(2, 6), nodes)),
+            dice.sample(range(self.hosts), min(dice.randint(1, 3), self.hosts)),
+            rate,
+        )
 
     def _base(self) -> float:
         return 6.7 / self.stretch
@@ -207,17 +213,36 @@
 
     def _settings(self) -> api.Settings:
         s, base = self.stretch, self._base()
-        classes = (api.RequestClass("read", 0.15 * s, 0.75 * s, api.Effect.SAFE, 3.0, 0.1),
-                   api.RequestClass("write", 0.2 * s, 1.2 * s, api.Effect.UNSAFE, 2.0, 0.1, writes=True),
-                   api.RequestClass("export", 0.75 * s, 2.5 * s, api.Effect.SAFE, 1.0, 0.2))
-        plans = tuple(api.Plan(name, size * base, size * base * part, weight, price)
-                      for name, (_, size, part, weight, price) in zip("abc", PLANS, strict=True))
+        classes = (
+            api.RequestClass("read", 0.15 * s, 0.75 * s, api.Effect.SAFE, 3.0, 0.1),
+            api.RequestClass("write", 0.2 * s, 1.2 * s, api.Effect.UNSAFE, 2.0, 0.1, writes=True),
+            api.RequestClass("export", 0.75 * s, 2.5 * s, api.Effect.SAFE, 1.0, 0.2),
+        )
+        plans = tuple(
+            api.Plan(name, size * base, size * base * part, weight, price)
+            for name, (_, size, part, weight, price) in zip("abc", PLANS, strict=True)
+        )
         return api.Settings(
-            schedulers=self.hosts, classes=classes, plans=plans, max_attempts=3, tick=0.001,
-            answer_grace=0.005, cold_units=34.0 / s, fall_window=FALL, start_capacity=COLD,
-            warm_after=WARM, drain_grace=2.0, fall_multiple=FALLS_AT,
-            retry_advice=1.0, max_units=8.0, usual_units=2.06, share_worth=0.4, spare_worth=0.05,
-            meter_period=METER, shards=len(self.nodes))
+            schedulers=self.hosts,
+            classes=classes,
+            plans=plans,
+            max_attempts=3,
+            tick=0.001,
+            answer_grace=0.005,
+            cold_units=34.0 / s,
+            fall_window=FALL,
+            start_capacity=COLD,
+            warm_after=WARM,
+            drain_grace=2.0,
+            fall_multiple=FALLS_AT,
+            retry_advice=1.0,
+            max_units=8.0,
+            usual_units=2.06,
+            share_worth=0.4,
+            spare_worth=0.05,
+            meter_period=METER,
+            shards=len(self.nodes),
+        )
 
     def _program(self, volume: Volume) -> None:
         """Several requests in a row, most for the same piece of data; then a pause."""
--- a/bench/many/__main__.py
+++ b/bench/many/__main__.py
@@ -40,7 +40,7 @@
 
 
 async def _join(rig: Rig) -> None:
-    names = list(rig.disks)[:round(0.6 * len(rig.disks))]
+    names = list(rig.disks)[: round(0.6 * len(rig.disks))]
     await asyncio.gather(*(rig.replace(name, 0.3) for name in names))
 
 
@@ -51,8 +51,14 @@
     rig.discovery.most = float("inf")
 
 
-DAYS = {"herd": _herd, "all": _all, "stall": _stall, "join": _join, "refused": _refused,
-        "sick": _herd}  # sick: one node in eight is ten times slower from 3 s before
+DAYS = {
+    "herd": _herd,
+    "all": _all,
+    "stall": _stall,
+    "join": _join,
+    "refused": _refused,
+    "sick": _herd,
+}  # sick: one node in eight is ten times slower from 3 s before
 
 
 MEMORY = {"off": (False,), "on": (True,), "both": (False, True)}
@@ -65,8 +71,9 @@
     return before, max(after.values(), default=0)
 
 
-async def play(day: str, brokers: int, nodes: int, seed: int, load: float, stretch: float,
-               memory: bool = False) -> dict[str, Any]:
+async def play(
+    day: str, brokers: int, nodes: int, seed: int, load: float, stretch: float, memory: bool = False
+) -> dict[str, Any]:
     loop = asyncio.get_running_loop()
     async with Rig(brokers, nodes, seed, load, stretch, memory=memory) as rig:
         late = 0.0
@@ -77,6 +84,7 @@
                 due = loop.time() + 0.02
                 await asyncio.sleep(0.02)
                 late = max(late, loop.time() - due)
+
         watching = asyncio.create_task(watch())
         start = loop.time()
         running = asyncio.create_task(rig.clients.run(WARM + BEFORE + AFTER))
@@ -90,43 +98,70 @@
         watching.cancel()
         begin, end = start + WARM, start + WARM + BEFORE + AFTER
         before = rig.clients.service(begin, fault)
-        windows = [(at, rig.clients.service(at, at + STEP))
-                   for at in (fault + STEP * n for n in range(int((end - fault) / STEP)))]
+        windows = [
+            (at, rig.clients.service(at, at + STEP))
+            for at in (fault + STEP * n for n in range(int((end - fault) / STEP)))
+        ]
         # Guard: half a second holds too few requests; one window below the mark tells nothing.
-        back = next((at for at, _ in windows if at + SPAN <= end
-                     and rig.clients.service(at, at + SPAN) >= BACK * before), None)
+        back = next(
+            (
+                at
+                for at, _ in windows
+                if at + SPAN <= end and rig.clients.service(at, at + SPAN) >= BACK * before
+            ),
+            None,
+        )
         sent_to = [each for disk in rig.disks.values() for each in disk.book]
         sent = [each.at for disk in rig.disks.values() for each in disk.book]
         shook = [at for broker in rig.brokers for link in broker.nodes.values() for at in link.at]
         ran = Counter(each.id for disk in rig.disks.values() for each in disk.book if each.ran and each.write)
         return {
-            "day": day, "brokers": brokers, "nodes": nodes, "seed": seed, "load": load, "stretch": stretch,
-            "memory": memory, "asked": len(rig.clients.book), "before": round(before, 4),
+            "day": day,
+            "brokers": brokers,
+            "nodes": nodes,
+            "seed": seed,
+            "load": load,
+            "stretch": stretch,
+            "memory": memory,
+            "asked": len(rig.clients.book),
+            "before": round(before, 4),
             "fault_s": round(over - fault, 3),
             "ready_s": round(max(0.0, *(broker.ready_at[-1] - fault for broker in rig.brokers)), 3),
             "back_s": None if back is None else round(back - fault, 3),
-            "refused": [round(rig.clients.refused(*span), 4)
-                        for span in ((begin, fault), (over + 3.0, over + 6.0))],
+            "refused": [
+                round(rig.clients.refused(*span), 4) for span in ((begin, fault), (over + 3.0, over + 6.0))
+            ],
             "service": [round(service, 3) for _, service in windows],
-            "handshakes": peaks(shook, begin, fault, end), "attempts": peaks(sent, begin, fault, end),
+            "handshakes": peaks(shook, begin, fault, end),
+            "attempts": peaks(sent, begin, fault, end),
             "calls": peaks([at for at, _, _ in rig.discovery.calls], begin, fault, end),
-            "sick": [sum(each.node in sick for each in sent_to if first <= each.at - fault < first + 1.0)
-                     for first in range(-3, 6)] if sick else [],
+            "sick": [
+                sum(each.node in sick for each in sent_to if first <= each.at - fault < first + 1.0)
+                for first in range(-3, 6)
+            ]
+            if sick
+            else [],
             "soon_s": round(rig.clients.service(over, over + 3.0), 4),  # service in the 3 s behind the fault
             "last_s": round(rig.clients.service(end - 3.0, end), 4),  # service in the last 3 s
             "statuses": {str(status): count for status, count in rig.clients.statuses.items()},
             "writes_twice": sum(count > 1 for count in ran.values()),
-            "late_ms": round(late * 1000, 1)}
+            "late_ms": round(late * 1000, 1),
+        }
 
 
 def draw(found: list[dict[str, Any]], path: Path) -> None:
     import matplotlib
+
     matplotlib.use("Agg")
     from matplotlib import pyplot
+
     figure, axes = pyplot.subplots(figsize=(7, 4))
     for each in found:
-        axes.plot([STEP * n for n in range(len(each["service"]))], each["service"],
-                  label=f"{each['day']}, {each['brokers']} brokers, seed {each['seed']}")
+        axes.plot(
+            [STEP * n for n in range(len(each["service"]))],
+            each["service"],
+            label=f"{each['day']}, {each['brokers']} brokers, seed {each['seed']}",
+        )
     axes.set_xlabel("s from the fault")
     axes.set_ylabel("served within the aim")
     axes.legend(fontsize=6)
@@ -135,17 +170,26 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--day", choices=sorted(DAYS), action="append")
     parser.add_argument("--brokers", type=int, default=20)
     parser.add_argument("--nodes", type=int, default=12)
     parser.add_argument("--load", type=float, default=1.0, help="of what the volumes are sized for, or more")
-    parser.add_argument("--stretch", type=float, default=1.0, help="of work, aims and rates; the platform's "
-                                                                   "larger fleets have some 8")
+    parser.add_argument(
+        "--stretch",
+        type=float,
+        default=1.0,
+        help="of work, aims and rates; the platform's larger fleets have some 8",
+    )
     parser.add_argument("--seed", type=int, action="append")
-    parser.add_argument("--memory", choices=("off", "on", "both"), default="off",
-                        help="whether brokers keep what they learned; both: each seed without it, then with")
+    parser.add_argument(
+        "--memory",
+        choices=("off", "on", "both"),
+        default="off",
+        help="whether brokers keep what they learned; both: each seed without it, then with",
+    )
     parser.add_argument("--json", type=Path)
     parser.add_argument("--plot", type=Path)
     asked = parser.parse_args()
@@ -154,14 +198,18 @@
         for seed, memory in itertools.product(asked.seed or [1], MEMORY[asked.memory]):
             each = asyncio.run(play(day, asked.brokers, asked.nodes, seed, asked.load, asked.stretch, memory))
             found.append(each)
-            print(f"{day:8s} seed {seed}{' with memory' * memory}: {each['before']:.3f} before, "
-                  f"fault {each['fault_s']:.1f} s, "
-                  f"last ready {each['ready_s']:.1f} s, back {each['back_s']} s; "
-                  f"refused {each['refused'][0]:.2f}, {each['refused'][1]:.2f}; "
-                  f"writes twice {each['writes_twice']}; late {each['late_ms']} ms; a second, before and "
-                  "at most after: " + ", ".join(
-                      f"{name} {each[name][0]:.1f} {each[name][1]}"
-                      for name in ("handshakes", "attempts", "calls")))
+            print(
+                f"{day:8s} seed {seed}{' with memory' * memory}: {each['before']:.3f} before, "
+                f"fault {each['fault_s']:.1f} s, "
+                f"last ready {each['ready_s']:.1f} s, back {each['back_s']} s; "
+                f"refused {each['refused'][0]:.2f}, {each['refused'][1]:.2f}; "
+                f"writes twice {each['writes_twice']}; late {each['late_ms']} ms; a second, before and "
+                "at most after: "
+                + ", ".join(
+                    f"{name} {each[name][0]:.1f} {each[name][1]}"
+                    for name in ("handshakes", "attempts", "calls")
+                )
+            )
             print("         " + " ".join(f"{service:.2f}" for service in each["service"]))
     if asked.json:
         asked.json.parent.mkdir(parents=True, exist_ok=True)
--- a/bench/many/links.py
+++ b/bench/many/links.py
@@ -85,8 +85,9 @@
             return _reset(writer)
         self._open |= {writer, far_writer}
         try:
-            await asyncio.gather(self._pump(reader, far_writer, self.there),
-                                 self._pump(far_reader, writer, self.back))
+            await asyncio.gather(
+                self._pump(reader, far_writer, self.there), self._pump(far_reader, writer, self.back)
+            )
         except OSError:
             _reset(writer)
             _reset(far_writer)
--- a/bench/many/rig.py
+++ b/bench/many/rig.py
@@ -54,11 +54,15 @@
         self.path, self.operator = self.folder / "config.json", self.folder / "operator.toml"
         if rig.memory:
             (self.folder / "kept").mkdir()
-            self.operator.write_text(f'[memory]\nenabled = true\nfolder = "{self.folder / "kept"}"\n'
-                                     "interval_ms = 500\n")
+            self.operator.write_text(
+                f'[memory]\nenabled = true\nfolder = "{self.folder / "kept"}"\ninterval_ms = 500\n'
+            )
         self.raw = copy.deepcopy(rig.raw) | {
-            "name": self.name, "listen": "127.0.0.1:0", "seed": f"{rig.seed * 1000 + number:x}",
-            "discovery": f"127.0.0.1:{discovery}"}
+            "name": self.name,
+            "listen": "127.0.0.1:0",
+            "seed": f"{rig.seed * 1000 + number:x}",
+            "discovery": f"127.0.0.1:{discovery}",
+        }
         self.front = Link(f"clients to {self.name}", lambda: ("127.0.0.1", self.port))
         self.nodes: dict[str, Link] = {}
         self.port = 1  # where nobody listens, until it serves
@@ -73,10 +77,20 @@
         self.path.write_text(json.dumps(self.raw | {"known": known or self.rig.discovery.list(self.name)}))
         self._serves.clear()
         self._process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "cherrycove", cwd=ROOT, stdout=asyncio.subprocess.DEVNULL,
-            stderr=asyncio.subprocess.PIPE, preexec_fn=_with_parent,
-            env=os.environ | {"RELAY_CONFIG": str(self.path), "TMPDIR": str(self.folder),
-                              "CHERRYCOVE_OPERATOR": str(self.operator)})
+            sys.executable,
+            "-m",
+            "cherrycove",
+            cwd=ROOT,
+            stdout=asyncio.subprocess.DEVNULL,
+            stderr=asyncio.subprocess.PIPE,
+            preexec_fn=_with_parent,
+            env=os.environ
+            | {
+                "RELAY_CONFIG": str(self.path),
+                "TMPDIR": str(self.folder),
+                "CHERRYCOVE_OPERATOR": str(self.operator),
+            },
+        )
         self._reading = asyncio.create_task(self._read(self._process))
         async with asyncio.timeout(READY_TIME):
             await self._serves.wait()
@@ -112,9 +126,18 @@
 class Rig:
     """``async with Rig(...) as rig``: everything started, all brokers ready."""
 
-    def __init__(self, brokers: int, nodes: int, seed: int = 1, load: float = 1.0, stretch: float = 1.0,
-                 work: float = 0.02, calls_a_second: float = float("inf"), memory: bool = False,
-                 **settings: Any) -> None:
+    def __init__(
+        self,
+        brokers: int,
+        nodes: int,
+        seed: int = 1,
+        load: float = 1.0,
+        stretch: float = 1.0,
+        work: float = 0.02,
+        calls_a_second: float = float("inf"),
+        memory: bool = False,
+        **settings: Any,
+    ) -> None:
         self.memory = memory  # whether each broker has a folder that lasts, and keeps what it learned there
         self.seed, self.dice = seed, random.Random(seed)
         self.raw = json.loads((ROOT / "examples/config.json").read_text(encoding="utf-8"))
@@ -122,8 +145,9 @@
         self.raw["settings"] |= {"balancers": brokers} | settings
         self.raw["settings"]["familyInfo"]["nShards"] = nodes
         _stretch(self.raw["settings"], stretch)
-        self.disks = {f"d{n}": DiskNode(f"d{n}", n, random.Random(seed * 100 + n), work * stretch)
-                      for n in range(nodes)}
+        self.disks = {
+            f"d{n}": DiskNode(f"d{n}", n, random.Random(seed * 100 + n), work * stretch) for n in range(nodes)
+        }
         self.discovery = Discovery(calls_a_second)
         self.discovery.address = lambda broker, node: f"127.0.0.1:{self._of[broker].nodes[node].port}"
         self.brokers: list[Process] = []
@@ -151,8 +175,12 @@
                     broker.nodes[disk.name] = await link.start()
             await asyncio.gather(*(broker.start() for broker in self.brokers))
             self.clients = Clients(
-                self.raw["settings"], [broker.front.port for broker in self.brokers], self.dice,
-                volumes(self.raw["settings"], self._count, len(self.disks), self.dice), self._load)
+                self.raw["settings"],
+                [broker.front.port for broker in self.brokers],
+                self.dice,
+                volumes(self.raw["settings"], self._count, len(self.disks), self.dice),
+                self._load,
+            )
         except BaseException:
             await self.__aexit__()
             raise
@@ -189,7 +217,7 @@
 
     async def herd(self, part: float, away: float) -> list[Process]:
         """Kill this part of the brokers at once; each starts again after so many seconds, all within one."""
-        struck = self.brokers[:round(part * len(self.brokers))]
+        struck = self.brokers[: round(part * len(self.brokers))]
         await asyncio.gather(*(broker.kill() for broker in struck))
         await asyncio.sleep(away)
         await asyncio.gather(*(broker.start() for broker in struck))
@@ -197,14 +225,14 @@
 
     def sicken(self, part: float, times: float) -> list[str]:
         """This part of the nodes, at least one, is so many times slower from now on; 1: well again."""
-        names = list(self.disks)[-max(round(part * len(self.disks)), 1):]
+        names = list(self.disks)[-max(round(part * len(self.disks)), 1) :]
         for name in names:
             self.disks[name].slower = times
         return names
 
     def stall(self, part: float, going: bool) -> list[Process]:
         """Stop this part of the brokers where they stand, or let them go on."""
-        struck = self.brokers[:round(part * len(self.brokers))]
+        struck = self.brokers[: round(part * len(self.brokers))]
         for broker in struck:
             broker.signal(signal.SIGCONT if going else signal.SIGSTOP)
         return struck
--- a/bench/many/stands.py
+++ b/bench/many/stands.py
@@ -42,8 +42,17 @@
 class DiskNode:
     """A node with so many cores, a queue and a cold start; every request that reaches it is in its book."""
 
-    def __init__(self, name: str, shard: int, dice: random.Random, work: float, cores: int = 2,
-                 places: int = 64, cold: float = 0.2, warm_after: float = 8.0) -> None:
+    def __init__(
+        self,
+        name: str,
+        shard: int,
+        dice: random.Random,
+        work: float,
+        cores: int = 2,
+        places: int = 64,
+        cold: float = 0.2,
+        warm_after: float = 8.0,
+    ) -> None:
         self.name, self.shard, self.cores, self.places = name, shard, cores, places
         self.work, self.cold, self.warm_after = work, cold, warm_after
         self.life, self.started = 0, -inf  # of its last start, on the loop's clock
@@ -91,8 +100,17 @@
                 await reader.readexactly(int(headers.get("content-length", 0)))
                 id = headers.get("x-request-id", "")
                 full = len(self._queue) >= self.places
-                self.book.append(Sent(loop.time(), self.name, life, id,
-                                      headers.get("idempotency-key", ""), first.startswith("PUT"), not full))
+                self.book.append(
+                    Sent(
+                        loop.time(),
+                        self.name,
+                        life,
+                        id,
+                        headers.get("idempotency-key", ""),
+                        first.startswith("PUT"),
+                        not full,
+                    )
+                )
                 if full:
                     writer.write(b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
                     continue
@@ -144,26 +162,38 @@
 
     def tell(self, name: str, shard: int, status: str, since_ms: float = 0.0) -> None:
         self.index += 1
-        self._entries[name] = {"name": name, "group": shard, "status": status, "zone": "a", "type": "m",
-                               "weight": 1.0, "since_ms": since_ms}
+        self._entries[name] = {
+            "name": name,
+            "group": shard,
+            "status": status,
+            "zone": "a",
+            "type": "m",
+            "weight": 1.0,
+            "since_ms": since_ms,
+        }
         self._told[name] = self.index
         self._news.set()
         self._news = asyncio.Event()
 
     def list(self, broker: str, since: int = 0) -> dict[str, Any]:
         """What a broker is told that knows the list as it was at ``since``; 0: the whole of it."""
-        entries = [entry | {"address": self.address(broker, name)} for name, entry in self._entries.items()
-                   if self._told[name] > since and (since or entry["status"] != "removed")]
+        entries = [
+            entry | {"address": self.address(broker, name)}
+            for name, entry in self._entries.items()
+            if self._told[name] > since and (since or entry["status"] != "removed")
+        ]
         return {"index": self.index, "snapshot": not since, "endpoints": entries}
 
     async def listen(self, broker: str) -> int:
         """An address for this broker alone; its port."""
+
         async def serve(reader: asyncio.StreamReader, writer: Writer) -> None:
             with contextlib.suppress(EOFError, OSError, asyncio.CancelledError):
                 while True:
                     first, _ = await head(reader)
                     await self._answer(broker, first.split(" ")[1], writer)
             writer.close()
+
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         self._servers.append(server)
         port: int = server.sockets[0].getsockname()[1]
@@ -211,12 +241,13 @@
     them ask for up to three times the rate that they are sized for."""
     plans, made = settings["policies"], []
     for number in range(6 * shards):
-        plan = plans[dice.choices(range(len(plans)), [0.6, 0.28, 0.12][:len(plans)])[0]]
+        plan = plans[dice.choices(range(len(plans)), [0.6, 0.28, 0.12][: len(plans)])[0]]
         greedy = dice.uniform(1.5, 3.0) if dice.random() < 0.25 else 1.0
         through = dice.sample(range(brokers), min(dice.randint(1, 3), brokers))
         at = dice.sample(range(shards), min(dice.randint(2, 6), shards))
-        made.append(Volume(f"{number:016x}", plan["name"], tuple(through), tuple(at),
-                           plan["nominal"] * greedy))
+        made.append(
+            Volume(f"{number:016x}", plan["name"], tuple(through), tuple(at), plan["nominal"] * greedy)
+        )
     return made
 
 
@@ -266,12 +297,18 @@
             await asyncio.wait(self._tasks, timeout=10.0)
 
     def _ask(self) -> None:
-        cls = self.dice.choices(self.settings["classes"], [0.6, 0.3, 0.1][:len(self.settings["classes"])])[0]
+        cls = self.dice.choices(self.settings["classes"], [0.6, 0.3, 0.1][: len(self.settings["classes"])])[0]
         volume = self.dice.choices(self.volumes, [each.rate for each in self.volumes])[0]
         broker = volume.brokers[0] if self.dice.random() < 0.7 else self.dice.choice(volume.brokers)
         units = min(1 + int(self.dice.expovariate(1 / 1.3)), self.settings["familyInfo"]["maxUnits"])
-        asked = Asked(asyncio.get_running_loop().time(), cls["name"], broker,
-                      self.dice.choice(volume.shards), volume, units)
+        asked = Asked(
+            asyncio.get_running_loop().time(),
+            cls["name"],
+            broker,
+            self.dice.choice(volume.shards),
+            volume,
+            units,
+        )
         self.book.append(asked)
         task = asyncio.create_task(self._see_through(asked, cls))
         self._tasks.add(task)
@@ -295,11 +332,16 @@
         loop, asked.status = asyncio.get_running_loop(), 0
         self._serial += 1
         body = b"b" * 200 if cls["idempotency"] != "pure" else b""
-        fields = {"Host": "service.internal", "X-Request-Id": f"{self._serial:016x}", "X-Class": cls["name"],
-                  "Tier": asked.volume.plan, "Cookie": f"object={self._serial % 997:016x}",
-                  "X-Deadline-Ms": str(max(int((deadline - loop.time()) * 1000), 1)),
-                  "IO-Info": f"volume={asked.volume.name},units={asked.units},shard={asked.shard},"
-                             f"hosts={len(asked.volume.brokers)}"}
+        fields = {
+            "Host": "service.internal",
+            "X-Request-Id": f"{self._serial:016x}",
+            "X-Class": cls["name"],
+            "Tier": asked.volume.plan,
+            "Cookie": f"object={self._serial % 997:016x}",
+            "X-Deadline-Ms": str(max(int((deadline - loop.time()) * 1000), 1)),
+            "IO-Info": f"volume={asked.volume.name},units={asked.units},shard={asked.shard},"
+            f"hosts={len(asked.volume.brokers)}",
+        }
         if cls["idempotency"] == "token":
             fields["Idempotency-Key"] = f"k{id(asked):x}"
         if body:
@@ -311,8 +353,11 @@
         try:
             async with asyncio.timeout_at(deadline):
                 idle = self._idle.setdefault(asked.broker, [])
-                reader, writer = idle.pop() if idle else await asyncio.open_connection(
-                    "127.0.0.1", self.ports[asked.broker])
+                reader, writer = (
+                    idle.pop()
+                    if idle
+                    else await asyncio.open_connection("127.0.0.1", self.ports[asked.broker])
+                )
                 writer.write(text)
                 first, headers = await head(reader)
                 data = await reader.readexactly(int(headers.get("content-length", 0)))
--- a/bench/rules/__main__.py
+++ b/bench/rules/__main__.py
@@ -1,9 +1,9 @@
 """Plays deployments drawn from seeds and prints each broken rule with the seed that plays it again.
 
-    python -m bench.rules                         # 300 deployments, seeds 0 to 299
-    python -m bench.rules --seeds 20000
-    python -m bench.rules --seed 4711             # one, with its settings and all that is broken there
-    python -m bench.rules --mutants               # takes guards out of the module one at a time
+python -m bench.rules                         # 300 deployments, seeds 0 to 299
+python -m bench.rules --seeds 20000
+python -m bench.rules --seed 4711             # one, with its settings and all that is broken there
+python -m bench.rules --mutants               # takes guards out of the module one at a time
 """
 
 from __future__ import annotations
@@ -36,14 +36,16 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--seeds", type=int, default=300)
     parser.add_argument("--first", type=int, default=0)
     parser.add_argument("--seed", type=int)
     parser.add_argument("--mutants", action="store_true")
-    parser.add_argument("--until-broken", action="store_true",
-                        help="one process, to the first that breaks one")
+    parser.add_argument(
+        "--until-broken", action="store_true", help="one process, to the first that breaks one"
+    )
     asked = parser.parse_args()
     seeds = range(asked.first, asked.first + asked.seeds)
     if asked.seed is not None:
@@ -70,8 +72,10 @@
             if broken:
                 rule, words = broken[0]
                 print(f"seed {seed}: {rule}: {words} ({len(broken)} in all)")
-    print(f"{len(seeds)} deployments in {time.monotonic() - began:.1f} s; "
-          f"{sum(total.values())} broken: {dict(total)}")
+    print(
+        f"{len(seeds)} deployments in {time.monotonic() - began:.1f} s; "
+        f"{sum(total.values())} broken: {dict(total)}"
+    )
     return total.total() > 0
 
 
--- a/bench/rules/checker.py
+++ b/bench/rules/checker.py
@@ -130,8 +130,12 @@
                 if taken is None:
                     self._break("own", now, f"refused {request}, which it was never given")
                 elif not self._harmless(taken):
-                    self._break("refusal", now, f"{taken.cls.effect.value}/{taken.cls.group.value} request "
-                                f"{request} refused though an attempt may have run")
+                    self._break(
+                        "refusal",
+                        now,
+                        f"{taken.cls.effect.value}/{taken.cls.group.value} request "
+                        f"{request} refused though an attempt may have run",
+                    )
                 if taken is not None:
                     self._answer(taken, now, "refused")
             case api.Fail(request):
@@ -213,8 +217,14 @@
         for other in self._chains[host, taken.event.key]:
             if other is taken:
                 return
-            rests = max((each.ended for each in other.tries if each.outcome in (
-                api.Outcome.TIMEOUT, api.Outcome.RESET, api.Outcome.CANCELLED)), default=-inf)
+            rests = max(
+                (
+                    each.ended
+                    for each in other.tries
+                    if each.outcome in (api.Outcome.TIMEOUT, api.Outcome.RESET, api.Outcome.CANCELLED)
+                ),
+                default=-inf,
+            )
             if other.answered is None or other.out or now < rests + self.settings.order_settle - ROUNDING:
                 return self._break("order", now, f"sent {taken.event.request} ahead of its turn")
 
@@ -260,8 +270,12 @@
             most = self._most[node.id, node.started] = max(self._most[node.id, node.started], done)
             total -= s.fall_multiple * most
         if total > (2 * (bears + s.schedulers * s.max_units) if lots else bears) + ROUNDING:
-            self._break("cold", now, f"{total:.1f} units sent to {node.id}, {now - node.started:.2f} s old, "
-                                     f"which bears {bears:.1f}")
+            self._break(
+                "cold",
+                now,
+                f"{total:.1f} units sent to {node.id}, {now - node.started:.2f} s old, "
+                f"which bears {bears:.1f}",
+            )
 
     def over(self, now: float) -> None:
         """The day has ended; whatever has no answer by now is lost."""
--- a/bench/rules/mutants.py
+++ b/bench/rules/mutants.py
@@ -27,38 +27,105 @@
 
 
 MUTANTS = (
-    Mutant("a cell is one shard's", "repeats.py",
-           "return (node.shard, node.life) == (ran.shard, ran.life)", "return True", "duplicate", 18),
-    Mutant("another life is another node", "repeats.py",
-           "return (node.shard, node.life) == (ran.shard, ran.life)",
-           "return node.shard == ran.shard", "duplicate", 18),
+    Mutant(
+        "a cell is one shard's",
+        "repeats.py",
+        "return (node.shard, node.life) == (ran.shard, ran.life)",
+        "return True",
+        "duplicate",
+        18,
+    ),
+    Mutant(
+        "another life is another node",
+        "repeats.py",
+        "return (node.shard, node.life) == (ran.shard, ran.life)",
+        "return node.shard == ran.shard",
+        "duplicate",
+        18,
+    ),
     Mutant("repeats within their window", "repeats.py", "or when > ran.until", "", "duplicate", 16),
-    Mutant("repeats within their zone", "repeats.py", "return node.zone == ran.zone", "return True",
-           "duplicate", 27),
-    Mutant("refused only where harmless", "repeats.py",
-           "return ran is None or cls.effect is Effect.SAFE or (", "return True or (", "refusal", 0),
-    Mutant("no send once a node drains", "decide.py",
-           "node.id, node.lost = None, self.members.lost(node.shard)",
-           "node.lost = self.members.lost(node.shard)", "drain", 0),
-    Mutant("the limit's even part", "state.py",
-           "self.plan.limit / self.hosts * part, self.plan.burst / self.hosts * part",
-           "self.plan.limit, self.plan.burst", "limit", 7),
-    Mutant("the limit's store fills from the start", "decide.py", "* PERIOD, self.started, hosts)",
-           "* PERIOD, -1e9, hosts)", "limit", 9),
+    Mutant(
+        "repeats within their zone",
+        "repeats.py",
+        "return node.zone == ran.zone",
+        "return True",
+        "duplicate",
+        27,
+    ),
+    Mutant(
+        "refused only where harmless",
+        "repeats.py",
+        "return ran is None or cls.effect is Effect.SAFE or (",
+        "return True or (",
+        "refusal",
+        0,
+    ),
+    Mutant(
+        "no send once a node drains",
+        "decide.py",
+        "node.id, node.lost = None, self.members.lost(node.shard)",
+        "node.lost = self.members.lost(node.shard)",
+        "drain",
+        0,
+    ),
+    Mutant(
+        "the limit's even part",
+        "state.py",
+        "self.plan.limit / self.hosts * part, self.plan.burst / self.hosts * part",
+        "self.plan.limit, self.plan.burst",
+        "limit",
+        7,
+    ),
+    Mutant(
+        "the limit's store fills from the start",
+        "decide.py",
+        "* PERIOD, self.started, hosts)",
+        "* PERIOD, -1e9, hosts)",
+        "limit",
+        9,
+    ),
     Mutant("room on cold nodes", "cold.py", "if not self.cold(node, now):", "if True:", "cold", 17),
     Mutant("what a cold node has earned", "cold.py", "EARNED = 0.5", "EARNED = 5.0", "cold", 30),
-    Mutant("the key's turn", "decide.py", "request.waits_turn = len(chain) > 1",
-           "request.waits_turn = False", "order", 6),
-    Mutant("the budget of further attempts", "decide.py",
-           "self.extras.total(self.now) + 1 <= spare + ratio * self.arrived.total(self.now)", "True",
-           "budget", 2),
-    Mutant("as many attempts as may be", "decide.py",
-           "last = request.attempts >= self.settings.max_attempts", "last = False", "attempts", 1),
-    Mutant("an answer in time", "decide.py",
-           "self.agenda.at(end, self._retry, request)\n        self.agenda.at(self.now + HALF",
-           "self.agenda.at(self.now + HALF", "answer", 22),
-    Mutant("half of its time", "decide.py", "if not request.done and not request.attempts:",
-           "if False:", "half", 1),
+    Mutant(
+        "the key's turn",
+        "decide.py",
+        "request.waits_turn = len(chain) > 1",
+        "request.waits_turn = False",
+        "order",
+        6,
+    ),
+    Mutant(
+        "the budget of further attempts",
+        "decide.py",
+        "self.extras.total(self.now) + 1 <= spare + ratio * self.arrived.total(self.now)",
+        "True",
+        "budget",
+        2,
+    ),
+    Mutant(
+        "as many attempts as may be",
+        "decide.py",
+        "last = request.attempts >= self.settings.max_attempts",
+        "last = False",
+        "attempts",
+        1,
+    ),
+    Mutant(
+        "an answer in time",
+        "decide.py",
+        "self.agenda.at(end, self._retry, request)\n        self.agenda.at(self.now + HALF",
+        "self.agenda.at(self.now + HALF",
+        "answer",
+        22,
+    ),
+    Mutant(
+        "half of its time",
+        "decide.py",
+        "if not request.done and not request.attempts:",
+        "if False:",
+        "half",
+        1,
+    ),
 )
 
 
@@ -66,16 +133,29 @@
     """The first of these seeds that finds a rule broken, and the rule; "none"."""
     with tempfile.TemporaryDirectory() as folder:
         for package in PACKAGES:
-            shutil.copytree(ROOT / package, Path(folder) / package,
-                            ignore=shutil.ignore_patterns("__pycache__"))
+            shutil.copytree(
+                ROOT / package, Path(folder) / package, ignore=shutil.ignore_patterns("__pycache__")
+            )
         file = Path(folder) / "finchrack" / mutant.file
         text = file.read_text(encoding="utf-8")
         if text.count(mutant.guard) != 1:
             raise ValueError(f"{file.name} does not hold the guard of {mutant.name!r} just once")
         file.write_text(text.replace(mutant.guard, mutant.instead), encoding="utf-8")
         done = subprocess.run(
-            [sys.executable, "-m", "bench.rules", "--until-broken", "--first", str(seeds.start),
-             "--seeds", str(len(seeds))], cwd=folder, capture_output=True, text=True)
+            [
+                sys.executable,
+                "-m",
+                "bench.rules",
+                "--until-broken",
+                "--first",
+                str(seeds.start),
+                "--seeds",
+                str(len(seeds)),
+            ],
+            cwd=folder,
+            capture_output=True,
+            text=True,
+        )
         if done.returncode not in (0, 1) or not done.stdout:
             raise RuntimeError(done.stderr)
         return done.stdout.strip()
--- a/bench/rules/play.py
+++ b/bench/rules/play.py
@@ -19,8 +19,14 @@
 
 HOP = 0.0005  # s to a node and back
 DOWN = (0.02, 0.5)  # s that a dead node or host is away
-KINDS = (api.Outcome.SERVED, api.Outcome.ERROR, api.Outcome.FULL, api.Outcome.CONNECT_FAILED,
-         api.Outcome.RESET, None)  # None: silence
+KINDS = (
+    api.Outcome.SERVED,
+    api.Outcome.ERROR,
+    api.Outcome.FULL,
+    api.Outcome.CONNECT_FAILED,
+    api.Outcome.RESET,
+    None,
+)  # None: silence
 AT_ONCE = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED)
 
 
@@ -162,11 +168,17 @@
         day, s = self.day, self.day.settings
         closed = request not in self.open or outcome is api.Outcome.SERVED
         event = api.AttemptEnded(
-            request, number, name, outcome, closed, self.clock.now - sent,
+            request,
+            number,
+            name,
+            outcome,
+            closed,
+            self.clock.now - sent,
             day.dice.uniform(0.0, 2.0) if s.meter_period and day.dice.random() < 0.5 else None,
             units * day.dice.random() if s.tells_elsewhere else 0.0,
             # Some answers lack the report that the settings promise.
-            {each: day.dice.uniform(0.0, 1.0) for each in s.load_names} if request % 5 else {})
+            {each: day.dice.uniform(0.0, 1.0) for each in s.load_names} if request % 5 else {},
+        )
         day.checker.ended(self.number, self.clock.now, event)
         if outcome is api.Outcome.SERVED:
             self.open.pop(request, None)
@@ -194,9 +206,12 @@
         if dice.random() < 0.5:
             return self.noted
         return replace(
-            self.noted, nodes=tuple(replace(node, threshold=1000.0, sent=0.0, service=1e-6, slot=-1)
-                                    for node in self.noted.nodes),
-            volumes=tuple(replace(each, credits=1000.0) for each in self.noted.volumes))
+            self.noted,
+            nodes=tuple(
+                replace(node, threshold=1000.0, sent=0.0, service=1e-6, slot=-1) for node in self.noted.nodes
+            ),
+            volumes=tuple(replace(each, credits=1000.0) for each in self.noted.volumes),
+        )
 
 
 class Day:
@@ -217,9 +232,12 @@
             for _ in range(2 if of.twins and shard % 2 else 1):
                 self._born(shard, None)
         self.homes = [[self.dice.randrange(of.nodes) for _ in range(3)] for _ in range(of.volumes)]
-        self.sets = [self.dice.sample(range(of.settings.schedulers),
-                                      self.dice.randint(1, min(3, of.settings.schedulers)))
-                     for _ in range(of.volumes)]
+        self.sets = [
+            self.dice.sample(
+                range(of.settings.schedulers), self.dice.randint(1, min(3, of.settings.schedulers))
+            )
+            for _ in range(of.volumes)
+        ]
         self.hosts = [Host(self, number) for number in range(of.settings.schedulers)]
 
     def play(self) -> list[tuple[str, str]]:
@@ -251,8 +269,9 @@
             units = float(dice.randint(1, int(s.max_units)))
             key = f"{volume}-{dice.randrange(4)}" if dice.random() < 0.8 else None
             budget = s.classes[cls].deadline * dice.choice((1.0, 1.0, 1.0, dice.random()))
-            event = api.Arrived(0, cls, volume % len(s.plans), f"v{volume}", units, shard,
-                                len(self.sets[volume]), budget, key)
+            event = api.Arrived(
+                0, cls, volume % len(s.plans), f"v{volume}", units, shard, len(self.sets[volume]), budget, key
+            )
             self.clock.at(self.clock.now + 0.002 * number, self.bring, event, dice.choice(self.sets[volume]))
         self.clock.at(self.clock.now + dice.expovariate(1 / self.of.gap), self.ask, volume)
 
@@ -268,8 +287,9 @@
         """A refused client's repeat: a new request with what is left of its time."""
         left = event.budget - after - 0.05
         if left > 0.02 and self.dice.random() < self.of.retries:
-            self.clock.at(self.clock.now + max(after, 0.01), self.bring,
-                          replace(event, budget=left, repeat=True), host)
+            self.clock.at(
+                self.clock.now + max(after, 0.01), self.bring, replace(event, budget=left, repeat=True), host
+            )
 
     def lend(self, host: Host, name: str, units: float) -> None:
         """What peers lend of a node's room within the rule's window, by datagrams of which some are lost."""
@@ -279,8 +299,9 @@
             return
         book.add(now, units)
         if self.dice.random() >= 0.1:
-            self.clock.at(now + self.dice.uniform(0.001, 0.02), host.push,
-                          api.RoomLent(name, units, s.fall_window / 2))
+            self.clock.at(
+                now + self.dice.uniform(0.001, 0.02), host.push, api.RoomLent(name, units, s.fall_window / 2)
+            )
 
     def news(self, *nodes: api.Node) -> None:
         self.version += 1
--- a/bench/serve_cost.py
+++ b/bench/serve_cost.py
@@ -41,9 +41,25 @@
     loop, back = asyncio.get_running_loop(), Back()
     cls = number % len(core.settings.classes)
     for first in range(0, requests, 20):
-        await asyncio.gather(*(core.serve(
-            Request(cls, 0, f"{first % 7:016x}", 1.0, 0, 1, loop.time() + 0.5, f"{each:016x}",
-                    id=f"{number:08x}{each:08x}"), back) for each in range(first, first + 20)))
+        await asyncio.gather(
+            *(
+                core.serve(
+                    Request(
+                        cls,
+                        0,
+                        f"{first % 7:016x}",
+                        1.0,
+                        0,
+                        1,
+                        loop.time() + 0.5,
+                        f"{each:016x}",
+                        id=f"{number:08x}{each:08x}",
+                    ),
+                    back,
+                )
+                for each in range(first, first + 20)
+            )
+        )
 
 
 async def measure(pairs: int, requests: int, bound: int) -> list[tuple[float, float]]:
@@ -60,7 +76,7 @@
         await batch(core, requests, 0)
     for pair in range(pairs):
         costs = [0.0, 0.0]
-        for place in ((0, 1) if pair % 2 else (1, 0)):
+        for place in (0, 1) if pair % 2 else (1, 0):
             gc.collect()
             began = time.process_time()
             await batch(cores[place], requests, pair + 1)
@@ -88,11 +104,14 @@
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     for each in range(requests):
         cls, volume = ("claim-read", "claim-export")[each % 2], f"{(number + each) % 40:016x}"
-        writer.write((f"GET /{cls}/x HTTP/1.1\r\nHost: x\r\nX-Request-Id: {number:08x}{each:08x}\r\n"
-                      f"X-Class: {cls}\r\nTier: priority\r\nCookie: object={each:016x}\r\n"
-                      "X-Deadline-Ms: 2500\r\n"
-                      f"IO-Info: volume={volume},units=1,shard={each % 2},hosts=1\r\n\r\n"
-                      ).encode())
+        writer.write(
+            (
+                f"GET /{cls}/x HTTP/1.1\r\nHost: x\r\nX-Request-Id: {number:08x}{each:08x}\r\n"
+                f"X-Class: {cls}\r\nTier: priority\r\nCookie: object={each:016x}\r\n"
+                "X-Deadline-Ms: 2500\r\n"
+                f"IO-Info: volume={volume},units=1,shard={each % 2},hosts=1\r\n\r\n"
+            ).encode()
+        )
         head = await reader.readuntil(b"\r\n\r\n")
         length = int(head.lower().partition(b"content-length: ")[2].partition(b"\r")[0])
         await reader.readexactly(length)
@@ -116,14 +135,23 @@
             whole |= {"listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:9", "admin": "127.0.0.1:0"}
             whole["known"]["endpoints"] = [
                 {"name": f"d{shard}", "address": address, "group": shard, "status": "up"}
-                for shard in range(2)]
+                for shard in range(2)
+            ]
             Path(folder, f"{place}.json").write_text(json.dumps(whole))
             on = str(bool(place) is not first_on).lower()
             Path(folder, f"{place}.toml").write_text(f"[why]\nenabled = {on}\nbytes = {bound}\n")
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "cherrycove", stderr=asyncio.subprocess.PIPE,
-                env=os.environ | {"RELAY_CONFIG": f"{folder}/{place}.json", "TMPDIR": folder,
-                                  "CHERRYCOVE_OPERATOR": f"{folder}/{place}.toml"})
+                sys.executable,
+                "-m",
+                "cherrycove",
+                stderr=asyncio.subprocess.PIPE,
+                env=os.environ
+                | {
+                    "RELAY_CONFIG": f"{folder}/{place}.json",
+                    "TMPDIR": folder,
+                    "CHERRYCOVE_OPERATOR": f"{folder}/{place}.toml",
+                },
+            )
             assert process.stderr is not None
             while b"calls.serves" not in (line := await process.stderr.readline()):
                 assert line, "a broker did not start"
@@ -131,7 +159,7 @@
         try:
             for pair in range(pairs + 1):
                 costs = [0.0, 0.0]
-                for place in ((0, 1) if pair % 2 else (1, 0)):
+                for place in (0, 1) if pair % 2 else (1, 0):
                     process, port = started[place]
                     before = cpu(process.pid)
                     await asyncio.gather(*(client(port, requests // 8, pair * 8 + each) for each in range(8)))
@@ -152,14 +180,17 @@
     middle = statistics.median(differences)
     print(f"| {what}, record off | {off:.0f} us of CPU a request |")
     print(f"| {what}, record on, {bound >> 10} KiB | {on:.0f} us |")
-    print(f"| difference, median of {len(found)} (quartiles) | {middle:.0f} us "
-          f"({differences[len(found) // 4]:.0f} to {differences[-1 - len(found) // 4]:.0f}), "
-          f"{100 * middle / off:.1f}% |")
+    print(
+        f"| difference, median of {len(found)} (quartiles) | {middle:.0f} us "
+        f"({differences[len(found) // 4]:.0f} to {differences[-1 - len(found) // 4]:.0f}), "
+        f"{100 * middle / off:.1f}% |"
+    )
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(
-        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--pairs", type=int, default=5)
     parser.add_argument("--rounds", type=int, default=7)
     parser.add_argument("--requests", type=int, default=1600)
--- a/bench/why.py
+++ b/bench/why.py
@@ -42,25 +42,65 @@
         ident, volume, cls = f"{dice.getrandbits(64):016x}", dice.choice(volumes), dice.randrange(3)
         if dice.random() < refused:
             why = Reason(Code.NO_CREDIT, node, "lane", 4.0, 4, 2, -3.0, 0.02, -0.01, 0.6, number // 800)
-            made.append(Story(ident, volume, ended, 0.15, "refused", Code.NO_CREDIT, "http", cls, 0, 2.0, 1,
-                              why=why, object=number))
+            made.append(
+                Story(
+                    ident,
+                    volume,
+                    ended,
+                    0.15,
+                    "refused",
+                    Code.NO_CREDIT,
+                    "http",
+                    cls,
+                    0,
+                    2.0,
+                    1,
+                    why=why,
+                    object=number,
+                )
+            )
         else:
             took = dice.lognormvariate(-3.8, 0.5)
-            sent = Reason(Code.CREDIT, node, "", 4.0, dice.randrange(4), 0, 3.0, 0.02, 0.15, 0.5,
-                          number // 800)
-            made.append(Story(ident, volume, ended, took, "served", Own.SERVED, "http", cls, 0, 2.0, 1,
-                              tries=[Try(node, sent, 0.002, took, Ending.SERVED)]))
+            sent = Reason(
+                Code.CREDIT, node, "", 4.0, dice.randrange(4), 0, 3.0, 0.02, 0.15, 0.5, number // 800
+            )
+            made.append(
+                Story(
+                    ident,
+                    volume,
+                    ended,
+                    took,
+                    "served",
+                    Own.SERVED,
+                    "http",
+                    cls,
+                    0,
+                    2.0,
+                    1,
+                    tries=[Try(node, sent, 0.002, took, Ending.SERVED)],
+                )
+            )
     return made
 
 
 def ended(story: Story) -> Ended:
     """The same as the core tells it."""
-    request = Request(story.cls or 0, story.plan or 0, story.volume, story.units, story.shard, 1, 0.0,
-                      "7f3a9c21e0b4d655", id=story.id)
+    request = Request(
+        story.cls or 0,
+        story.plan or 0,
+        story.volume,
+        story.units,
+        story.shard,
+        1,
+        0.0,
+        "7f3a9c21e0b4d655",
+        id=story.id,
+    )
     came = story.ended - story.took
-    tries = [Attempt(0, 0, each.node, "", 0.0, came + each.at, why=each.why, took=each.took,
-                     ending=each.ending)
-             for each in story.tries]
+    tries = [
+        Attempt(0, 0, each.node, "", 0.0, came + each.at, why=each.why, took=each.took, ending=each.ending)
+        for each in story.tries
+    ]
     verdict = Verdict.SERVED if story.verdict == "served" else Verdict.REFUSED
     return Ended(came, story.ended, verdict, why=story.why, request=request, tries=tries)
 
@@ -123,11 +163,13 @@
 
 def main() -> None:
     parser = argparse.ArgumentParser(
-        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--records", type=int, default=60_000, help="inserts for each figure")
     parser.add_argument("--bound", type=int, default=2 << 20, help="bytes of the record")
-    parser.add_argument("--million", type=int, default=5,
-                        help="million inserts of the run that is watched by RSS")
+    parser.add_argument(
+        "--million", type=int, default=5, help="million inserts of the run that is watched by RSS"
+    )
     given = parser.parse_args()
     whole_file = json.loads((Path(__file__).parent.parent / "examples/config.json").read_text())
     settings = config.read_platform(whole_file, {}).settings
@@ -138,6 +180,7 @@
         if not sketches:
             made.sketches = None
         return made
+
     for name, refused in (("served", 0.0), ("refused", 1.0)):
         sample = stories(given.records, refused)
         each = len(pack(sample[0], {}))
@@ -173,8 +216,12 @@
         assert full.find(ident, now)
         times.append(time.perf_counter_ns() - began)
     times.sort()
-    rows.append(("look-up by id in a full record",
-                 f"median {times[1000] / 1000:.0f} us, 99% {times[1980] / 1000:.0f} us"))
+    rows.append(
+        (
+            "look-up by id in a full record",
+            f"median {times[1000] / 1000:.0f} us, 99% {times[1980] / 1000:.0f} us",
+        )
+    )
     rate = full.kept.count / 300
     rows.append(("every refusal of 5 minutes is held up to", f"{rate:.0f} a second"))
     assert PLAIN.size <= 64
--- a/cherrycove/__main__.py
+++ b/cherrycove/__main__.py
@@ -63,6 +63,7 @@
             if late.is_set():
                 return
             importlib.import_module(name)
+
     thread = threading.Thread(target=load)
     thread.start()
     thread.join(most)
@@ -75,8 +76,18 @@
     # second left its clients without connections.
     # No part of this program speaks TLS; reading the system's certificates costs 60 ms and 2 MB.
     os.environ.setdefault("SSL_CERT_FILE", os.devnull)
-    _load("asyncio", "ssl", "multidict", "yarl", "aiohttp.http_parser", "aiohttp.connector", "aiohttp.client",
-          "aiohttp.web", "cherrycove.config", "finchrack.decide")
+    _load(
+        "asyncio",
+        "ssl",
+        "multidict",
+        "yarl",
+        "aiohttp.http_parser",
+        "aiohttp.connector",
+        "aiohttp.client",
+        "aiohttp.web",
+        "cherrycove.config",
+        "finchrack.decide",
+    )
 
 from cherrycove import admin, config, consul, events, nbd, store
 from cherrycove.core import Core, NodeList
@@ -104,8 +115,13 @@
         self.life = Life(platform.sockets, platform.memory_mb)
         budget = self.life.budget()
         self.pool = back.Pool(platform.dial_timeout, platform.conn_idle, most=budget.nodes)
-        self.front = front.Front(self.core, self.pool, most_connections=budget.clients,
-                                 crowd=platform.sockets // 6, most_bytes=budget.bytes)
+        self.front = front.Front(
+            self.core,
+            self.pool,
+            most_connections=budget.clients,
+            crowd=platform.sockets // 6,
+            most_bytes=budget.bytes,
+        )
         self.stop = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
         self._watch: asyncio.Task[None] | None = None  # of the platform's discovery
@@ -114,9 +130,15 @@
         self._consul: consul.Consul | None = None
         self._gossip: store.Gossip | None = None
         self._desk = admin.Desk(self._call)
-        self.succession = Succession(platform.name, self.core, self, self.life,
-                                     Place(platform.name, platform.listen), lambda: self._book,
-                                     remembers=operator.memory is not None)
+        self.succession = Succession(
+            platform.name,
+            self.core,
+            self,
+            self.life,
+            Place(platform.name, platform.listen),
+            lambda: self._book,
+            remembers=operator.memory is not None,
+        )
         self._book: Book | None = None
         self._tracer: Tracer | None = None
         self._peers: peers.Peers | None = None
@@ -125,14 +147,22 @@
         self._memory: Keeper | None = None
         if operator.memory is not None:
             from cherrycove.memory.keeper import Keeper
-            self._memory = Keeper(self.core, operator.memory.folder, operator.memory.interval, platform.name,
-                                  mine=lambda: self.life.keeps)
+
+            self._memory = Keeper(
+                self.core,
+                operator.memory.folder,
+                operator.memory.interval,
+                platform.name,
+                mine=lambda: self.life.keeps,
+            )
         if operator.why is not None:
             from cherrycove.why.book import Book
+
             self._book = Book(platform.settings, operator.why.bytes, asyncio.get_running_loop().time())
             self.core.recorder = self._book
             if operator.why.spans:
                 from cherrycove.why import spans
+
                 sampler = spans.Sampler(operator.why.sampled, operator.why.spans_a_second, platform.seed)
                 path = Path(operator.why.spans)
                 self._tracer = spans.Tracer(platform.settings, path, sampler, platform.name)
@@ -163,8 +193,9 @@
         port = await (self.front.accept(given[0]) if given else self.front.listen(*platform.listen))
         log.info("broker.serves", name=platform.name, host=platform.listen[0], port=port)
         if operator.consul is not None:
-            self._consul = consul.Consul(self.core, operator.consul, platform.zones, platform.name,
-                                         (platform.listen[0], port))
+            self._consul = consul.Consul(
+                self.core, operator.consul, platform.zones, platform.name, (platform.listen[0], port)
+            )
             self._run(self._consul.watch())
             if operator.consul.register:
                 self._run(self._consul.keep_registered())
@@ -262,10 +293,12 @@
         if self._tracer is not None and self._book is not None:
             self._book.flush()
             await asyncio.to_thread(self._tracer.close)
-        log.info("broker.ended", **{name.replace(" ", "_"): count
-                                    for name, count in self.core.counts.items()})
-        log.info("broker.attempts", **{ending.name.lower(): count
-                                       for ending, count in self.core.endings.items()})
+        log.info(
+            "broker.ended", **{name.replace(" ", "_"): count for name, count in self.core.counts.items()}
+        )
+        log.info(
+            "broker.attempts", **{ending.name.lower(): count for ending, count in self.core.endings.items()}
+        )
 
     async def _call(self, call: admin.Call) -> str:
         if call.word == "stats":
@@ -280,6 +313,7 @@
         if self._book is None:
             return ["NO there is no record: [why] in the operator's file is not enabled"]
         from cherrycove.why import ask  # only where somebody asks
+
         try:
             question = ask.parse(list(asked))
         except ask.AskError as error:
@@ -310,6 +344,7 @@
 
         def told(news: NodeList) -> None:
             gossip.tell(store.remember(kept, news))
+
         for key, (version, value) in setup.entries.items():
             kept.put(key, value, version)
         self.core.on_list = told
@@ -335,6 +370,7 @@
     def end() -> None:
         told.append(loop.time())  # Guard: the kill counts from here, however long the start still takes
         broker.stop.set()
+
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, end)
     await broker.start()
@@ -366,8 +402,10 @@
     try:
         asyncio.run(run(platform, operator, heard))
     except ModuleNotFoundError as error:
-        print(f"cherrycove: cannot start: {error.name} is not installed; traces need requirements-tools.txt",
-              file=sys.stderr)
+        print(
+            f"cherrycove: cannot start: {error.name} is not installed; traces need requirements-tools.txt",
+            file=sys.stderr,
+        )
         return 1
     except OSError as error:
         print(f"cherrycove: cannot start: {error}", file=sys.stderr)
--- a/cherrycove/admin.py
+++ b/cherrycove/admin.py
@@ -63,10 +63,17 @@
 
 def report(figures: Figures, parts: Mapping[str, int] | None = None) -> str:
     """The figures, a line each, those of parts that are on behind them, and the line that ends them."""
-    lines = [f"{word}.{cls}:{counts[verdict]}|c" for verdict, word in PASSED.items()
-             for cls, counts in figures.answers.items()]
-    lines += [f"upstream_tries:{figures.tries}|c", f"in_progress:{figures.open}|g",
-              f"known_disk_nodes:{figures.known}|g", f"skipped_disk_nodes:{figures.skipped}|g"]
+    lines = [
+        f"{word}.{cls}:{counts[verdict]}|c"
+        for verdict, word in PASSED.items()
+        for cls, counts in figures.answers.items()
+    ]
+    lines += [
+        f"upstream_tries:{figures.tries}|c",
+        f"in_progress:{figures.open}|g",
+        f"known_disk_nodes:{figures.known}|g",
+        f"skipped_disk_nodes:{figures.skipped}|g",
+    ]
     lines += [f"{name}:{count}|c" for name, count in (parts or {}).items()]
     return "\n".join([f"broker.{line}" for line in lines] + ["END"])
 
@@ -87,7 +94,8 @@
         listener = socket.create_server((host, port))
         # Guard: the loop accepts as many at a time as it queues; calls that wait are many more.
         self._server = await asyncio.get_running_loop().create_server(
-            lambda: _Caller(self), sock=listener, backlog=MOST_CALLERS)
+            lambda: _Caller(self), sock=listener, backlog=MOST_CALLERS
+        )
         listener.listen(128)
         bound: int = listener.getsockname()[1]
         return bound
--- a/cherrycove/cli/call.py
+++ b/cherrycove/cli/call.py
@@ -24,8 +24,10 @@
     text = given or os.environ.get("RELAY_ADMIN") or _configured()
     host, _, port = (text or "").rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ValueError(f"the operators' address must be HOST:PORT, not {text!r}: give --admin, or set "
-                         "RELAY_ADMIN or RELAY_CONFIG")
+        raise ValueError(
+            f"the operators' address must be HOST:PORT, not {text!r}: give --admin, or set "
+            "RELAY_ADMIN or RELAY_CONFIG"
+        )
     return host.strip("[]"), int(port)
 
 
--- a/cherrycove/cli/commands.py
+++ b/cherrycove/cli/commands.py
@@ -15,8 +15,10 @@
 
 NO, USAGE, NOBODY = 1, 2, 3
 ADMIN = click.option(
-    "--admin", metavar="HOST:PORT",
-    help="The broker's operators' address; else RELAY_ADMIN, else that of the file that RELAY_CONFIG names.")
+    "--admin",
+    metavar="HOST:PORT",
+    help="The broker's operators' address; else RELAY_ADMIN, else that of the file that RELAY_CONFIG names.",
+)
 JSON = click.option("--json", "as_json", is_flag=True, help="For a program: JSON.")
 
 
@@ -68,12 +70,16 @@
 
 @main.command("check-config")
 @click.option("--platform", type=click.Path(dir_okay=False), help="The platform's file; else RELAY_CONFIG.")
-@click.option("--operator", type=click.Path(dir_okay=False),
-              help="The operator's file; else CHERRYCOVE_OPERATOR, else deploy/operator.toml.")
+@click.option(
+    "--operator",
+    type=click.Path(dir_okay=False),
+    help="The operator's file; else CHERRYCOVE_OPERATOR, else deploy/operator.toml.",
+)
 @JSON
 def check_config(platform: str | None, operator: str | None, as_json: bool) -> None:
     """Read both configurations as the broker would, and say what they turn on or what is wrong."""
     from cherrycove import config  # the broker's own reading, with all that it imports
+
     env = dict(os.environ) | ({"RELAY_CONFIG": platform} if platform else {})
     path = Path(operator or env.get("CHERRYCOVE_OPERATOR", "deploy/operator.toml"))
     if operator and not path.exists():
@@ -85,15 +91,32 @@
         if as_json:
             click.echo(json.dumps({"ok": False, "error": str(error)}))
         _end(str(error), USAGE)
-    parts = {"nbd": found.nbd, "consul": found.consul, "store": found.store, "why": found.why,
-             "memory": found.memory}
+    parts = {
+        "nbd": found.nbd,
+        "consul": found.consul,
+        "store": found.store,
+        "why": found.why,
+        "memory": found.memory,
+    }
     on = [name for name, part in parts.items() if part is not None]
     if as_json:
-        click.echo(json.dumps({"ok": True, "name": told.name, "listen": list(told.listen), "on": on,
-                               "admin": list(told.admin) if told.admin else None, "log": found.log.form}))
+        click.echo(
+            json.dumps(
+                {
+                    "ok": True,
+                    "name": told.name,
+                    "listen": list(told.listen),
+                    "on": on,
+                    "admin": list(told.admin) if told.admin else None,
+                    "log": found.log.form,
+                }
+            )
+        )
         return
-    click.echo(f"{told.name} would serve on {told.listen[0]}:{told.listen[1]}; on beside that: "
-               f"{', '.join(on) or 'nothing'}")
+    click.echo(
+        f"{told.name} would serve on {told.listen[0]}:{told.listen[1]}; on beside that: "
+        f"{', '.join(on) or 'nothing'}"
+    )
 
 
 @main.command()
@@ -169,14 +192,24 @@
 @click.option("--out", type=click.Path(file_okay=False), help="With report: the folder for the pages.")
 @ADMIN
 @JSON
-def why(id: str, volume: str | None, since: str | None, only: str | None, most: str | None, summary: bool,
-        out: str | None, admin: str | None, as_json: bool) -> None:
+def why(
+    id: str,
+    volume: str | None,
+    since: str | None,
+    only: str | None,
+    most: str | None,
+    summary: bool,
+    out: str | None,
+    admin: str | None,
+    as_json: bool,
+) -> None:
     """Why a recent request went where it went, or was refused or failed."""
     broker = _Broker(admin)
     if out is not None:
         if id != "report":
             raise click.UsageError("--out goes with report")
         from cherrycove.why import report  # templates and plots
+
         path = report.write(Path(out), broker.ask, since or "1h")
         click.echo(str(path))
         return
@@ -197,6 +230,7 @@
 
     def _group(self) -> click.Group:
         from cherrycove.cli.memory import memory
+
         return memory
 
     def list_commands(self, ctx: click.Context) -> list[str]:
--- a/cherrycove/cli/memory.py
+++ b/cherrycove/cli/memory.py
@@ -19,12 +19,27 @@
 from cherrycove.memory.passing import moment
 
 NO, USAGE = 1, 2
-FILE = click.option("--file", "given", type=click.Path(dir_okay=False),
-                    help="The memory; else that of the broker of this environment, by RELAY_CONFIG and "
-                         "CHERRYCOVE_OPERATOR.")
+FILE = click.option(
+    "--file",
+    "given",
+    type=click.Path(dir_okay=False),
+    help="The memory; else that of the broker of this environment, by RELAY_CONFIG and CHERRYCOVE_OPERATOR.",
+)
 JSON = click.option("--json", "as_json", is_flag=True, help="For a program: JSON.")
-NODE = ("id", "has_start", "started_ago_s", "latency_s", "heard_ago_s", "threshold", "overload", "failures",
-        "rests_s", "lot", "sent_units", "sent_ago_s")
+NODE = (
+    "id",
+    "has_start",
+    "started_ago_s",
+    "latency_s",
+    "heard_ago_s",
+    "threshold",
+    "overload",
+    "failures",
+    "rests_s",
+    "lot",
+    "sent_units",
+    "sent_ago_s",
+)
 VOLUME = ("name", "credits", "refilled_ago_s", "beyond_ago_s")
 
 
@@ -83,18 +98,28 @@
     if as_json:
         click.echo(json.dumps(rows | {"nodes": nodes, "volumes": volumes}))
         return
-    age = "of unknown age: the clock was set back" if rows["absence_s"] is None else \
-        f"{rows['absence_s']:.1f} s old"
-    click.echo(f"{where}: of broker {rows.get('broker')}, deployment {rows.get('deployment')}, written "
-               f"{datetime.fromtimestamp(rows['wall'], UTC).isoformat(timespec='seconds')}, {age}, "
-               f"{'whole' if rows.get('whole') else 'of a life that went on'}")
-    click.echo("longest waits: " + (" ".join(
-        f"{name}={longest:g}s" for name, longest in rows.get("budgets", {}).items()) or "none"))
+    age = (
+        "of unknown age: the clock was set back"
+        if rows["absence_s"] is None
+        else f"{rows['absence_s']:.1f} s old"
+    )
+    click.echo(
+        f"{where}: of broker {rows.get('broker')}, deployment {rows.get('deployment')}, written "
+        f"{datetime.fromtimestamp(rows['wall'], UTC).isoformat(timespec='seconds')}, {age}, "
+        f"{'whole' if rows.get('whole') else 'of a life that went on'}"
+    )
+    click.echo(
+        "longest waits: "
+        + (" ".join(f"{name}={longest:g}s" for name, longest in rows.get("budgets", {}).items()) or "none")
+    )
     for node in nodes:
         marks = ("overloaded " if node["overload"] else "") + (
-            f"failed {node['failures']} times in a row " if node["failures"] else "")
-        click.echo(f"node {node['id']}: {node['latency_s'] * 1000:.0f} ms, L {node['threshold']:.1f}, "
-                   f"{marks}{node['sent_units']:g} units sent in the window")
+            f"failed {node['failures']} times in a row " if node["failures"] else ""
+        )
+        click.echo(
+            f"node {node['id']}: {node['latency_s'] * 1000:.0f} ms, L {node['threshold']:.1f}, "
+            f"{marks}{node['sent_units']:g} units sent in the window"
+        )
     for volume in volumes:
         click.echo(f"volume {volume['name']}: {volume['credits']:.1f} units of credit")
 
@@ -112,11 +137,24 @@
     except figures.UnusableError as error:
         _end(f"{where}: {error}", NO, as_json)
     if as_json:
-        click.echo(json.dumps({"ok": True, "file": str(where), "absence_s": absence, "whole": told.whole,
-                               "nodes": len(told.nodes), "volumes": len(told.volumes), "aside": dict(aside)}))
+        click.echo(
+            json.dumps(
+                {
+                    "ok": True,
+                    "file": str(where),
+                    "absence_s": absence,
+                    "whole": told.whole,
+                    "nodes": len(told.nodes),
+                    "volumes": len(told.volumes),
+                    "aside": dict(aside),
+                }
+            )
+        )
         return
-    click.echo(f"{where}: {len(told.nodes)} nodes and {len(told.volumes)} volumes would be taken up after "
-               f"{absence:.1f} s" + (f"; left aside: {dict(aside)}" if aside.total() else ""))
+    click.echo(
+        f"{where}: {len(told.nodes)} nodes and {len(told.volumes)} volumes would be taken up after "
+        f"{absence:.1f} s" + (f"; left aside: {dict(aside)}" if aside.total() else "")
+    )
 
 
 @memory.command()
--- a/cherrycove/codes.py
+++ b/cherrycove/codes.py
@@ -32,8 +32,13 @@
 
 
 BY_STATUS: Mapping[int, Own] = {
-    400: Own.MALFORMED, 404: Own.NO_PATH, 408: Own.BODY_SLOW, 409: Own.ID_OPEN, 413: Own.TOO_LONG,
-    503: Own.NO_ROOM}
+    400: Own.MALFORMED,
+    404: Own.NO_PATH,
+    408: Own.BODY_SLOW,
+    409: Own.ID_OPEN,
+    413: Own.TOO_LONG,
+    503: Own.NO_ROOM,
+}
 
 AnyCode = Code | Own
 
--- a/cherrycove/config.py
+++ b/cherrycove/config.py
@@ -25,8 +25,20 @@
 
 log = Log("cherrycove.config")
 
-TOP = {"admin", "discovery", "known", "limits", "listen", "name", "peer_listen", "peers", "peers_all", "seed",
-       "settings", "tier"}  # keys of the platform's file
+TOP = {
+    "admin",
+    "discovery",
+    "known",
+    "limits",
+    "listen",
+    "name",
+    "peer_listen",
+    "peers",
+    "peers_all",
+    "seed",
+    "settings",
+    "tier",
+}  # keys of the platform's file
 MOST_LIMIT = 1 << 30  # descriptors, or MB: no machine has more
 SERVICE = re.compile(r"[A-Za-z0-9._-]{1,128}", re.ASCII)
 
@@ -163,11 +175,13 @@
     sockets = limits.get("sockets", 1024) if isinstance(limits, dict) else 1024
     if type(sockets) is not int or not 64 <= sockets <= MOST_LIMIT:
         raise ConfigError(
-            f"limits.sockets must be a whole number from 64 to {MOST_LIMIT}, not {sockets!r:.80}")
+            f"limits.sockets must be a whole number from 64 to {MOST_LIMIT}, not {sockets!r:.80}"
+        )
     memory = limits.get("memory_mb", 192) if isinstance(limits, dict) else 192
     if type(memory) not in (int, float) or not 0 < memory <= MOST_LIMIT:
         raise ConfigError(
-            f"limits.memory_mb must be a number above 0, up to {MOST_LIMIT}, not {memory!r:.80}")
+            f"limits.memory_mb must be a number above 0, up to {MOST_LIMIT}, not {memory!r:.80}"
+        )
     try:
         seed = int(str(raw.get("seed", "")), 16)
     except ValueError:
@@ -178,12 +192,21 @@
     host_port(discovery, "discovery")
     return Platform(
         name=str(raw.get("name") or env.get("RELAY_NAME") or "broker"),
-        listen=host_port(raw.get("listen") or env.get("RELAY_LISTEN"), "listen"), discovery=str(discovery),
-        seed=seed, sockets=sockets, memory_mb=memory, settings=module, zones=places,
-        dial_timeout=_seconds(settings, "dialTimeoutNs"), conn_idle=_seconds(settings, "connIdleNs"),
-        known=known, admin=host_port(admin, "admin") if admin else None, tier=tier,
+        listen=host_port(raw.get("listen") or env.get("RELAY_LISTEN"), "listen"),
+        discovery=str(discovery),
+        seed=seed,
+        sockets=sockets,
+        memory_mb=memory,
+        settings=module,
+        zones=places,
+        dial_timeout=_seconds(settings, "dialTimeoutNs"),
+        conn_idle=_seconds(settings, "connIdleNs"),
+        known=known,
+        admin=host_port(admin, "admin") if admin else None,
+        tier=tier,
         unknown=(*known_settings.unknown(settings), *sorted(raw.keys() - TOP)),
-        unmet=tuple(known_settings.unmet(settings)))
+        unmet=tuple(known_settings.unmet(settings)),
+    )
 
 
 def tell(platform: Platform) -> None:
@@ -203,8 +226,11 @@
         raise ConfigError(f"peers must be a list of {brokers} addresses, one for each broker of the settings")
     if type(number) is not int or not 0 <= number < brokers:
         raise ConfigError(f"settings.me must be a number from 0 to {brokers - 1}, not {number!r}")
-    return Tier(number, host_port(raw["peer_listen"], "peer_listen"),
-                tuple(host_port(peer, "peers") for peer in peers))
+    return Tier(
+        number,
+        host_port(raw["peer_listen"], "peer_listen"),
+        tuple(host_port(peer, "peers") for peer in peers),
+    )
 
 
 class _Table:
@@ -280,9 +306,14 @@
 
 def read_operator(raw: dict[str, Any], settings: Settings) -> Operator:
     top = _Table(raw, "")
-    found = Operator(nbd=_nbd(top.table("nbd"), settings), consul=_consul(top.table("consul")),
-                     store=_store(top.table("store")), why=_why(top.table("why")), log=_log(top.table("log")),
-                     memory=_memory(top.table("memory")))
+    found = Operator(
+        nbd=_nbd(top.table("nbd"), settings),
+        consul=_consul(top.table("consul")),
+        store=_store(top.table("store")),
+        why=_why(top.table("why")),
+        log=_log(top.table("log")),
+        memory=_memory(top.table("memory")),
+    )
     top.done()
     return found
 
@@ -291,8 +322,12 @@
     table.switch()
     names = [cls.name for cls in settings.classes]
     classes = table.table("classes")
-    words = {"read": nbd.Command.READ, "write": nbd.Command.WRITE, "trim": nbd.Command.TRIM,
-             "flush": nbd.Command.FLUSH}
+    words = {
+        "read": nbd.Command.READ,
+        "write": nbd.Command.WRITE,
+        "trim": nbd.Command.TRIM,
+        "flush": nbd.Command.FLUSH,
+    }
     places = {command: classes.choice(word, names) for word, command in words.items()}
     classes.done()
     for word in ("write", "trim"):
@@ -301,13 +336,15 @@
             raise ConfigError(f"{classes.name(word)} must name a class that never runs twice")
     nodes, exports = table.table("nodes"), table.table("exports")
     setup = nbd.Setup(
-        listen=table.address("listen"), classes=places,
+        listen=table.address("listen"),
+        classes=places,
         exports={name: _export(name, exports.table(name), settings) for name in exports.names()},
         unit_bytes=table.number("unit_bytes", 512, 1 << 30, 8192),
         node_port=table.number("node_port", 1, 65535, 10809),
         nodes={name: nodes.address(name) for name in nodes.names()},
         connections=table.number("connections", 1, 512, 64),
-        pipeline=table.number("pipeline", 1, 128, 16))
+        pipeline=table.number("pipeline", 1, 128, 16),
+    )
     table.done()
     return None if table.off else setup
 
@@ -319,11 +356,15 @@
     if not (table.off or HEX16.fullmatch(volume)):
         raise ConfigError(f"{table.name('volume')} must be 16 hex digits, not {volume!r}")
     export = nbd.Export(
-        name=name, volume=volume, shard=table.number("shard", 0, 1 << 30),
+        name=name,
+        volume=volume,
+        shard=table.number("shard", 0, 1 << 30),
         plan=table.choice("plan", [plan.name for plan in settings.plans]),
         size=table.number("size", nbd.LEAST_BLOCK, (1 << 63) - 1),
         hosts=table.number("hosts", 1, settings.schedulers, 1),
-        read_only=table.take("read_only", bool, False), description=table.take("description", str, ""))
+        read_only=table.take("read_only", bool, False),
+        description=table.take("description", str, ""),
+    )
     if export.size % nbd.LEAST_BLOCK and not table.off:
         raise ConfigError(f"{table.name('size')} must be a multiple of {nbd.LEAST_BLOCK}")
     table.done()
@@ -333,9 +374,12 @@
 def _consul(table: _Table) -> consul.Setup | None:
     table.switch()
     setup = consul.Setup(
-        agent=table.address("agent", "127.0.0.1:8500"), service=table.take("service", str),
-        wait=table.number("wait_s", 1, 600, 30), register=table.take("register", str, ""),
-        ttl=table.number("ttl_s", 1, 3600, 10))
+        agent=table.address("agent", "127.0.0.1:8500"),
+        service=table.take("service", str),
+        wait=table.number("wait_s", 1, 600, 30),
+        register=table.take("register", str, ""),
+        ttl=table.number("ttl_s", 1, 3600, 10),
+    )
     if not (table.off or SERVICE.fullmatch(setup.service)):
         raise ConfigError(f"{table.name('service')} must be a service's name, not {setup.service!r}")
     table.done()
@@ -348,9 +392,11 @@
     rows = table.table("config")
     entries = {f"config/{key}": _entry(rows.table(key)) for key in rows.names()}
     setup = store.Setup(
-        listen=table.address("listen"), entries=entries,
+        listen=table.address("listen"),
+        entries=entries,
         peers=() if table.off else tuple(host_port(peer, table.name("peers")) for peer in peers),
-        interval=table.number("interval_ms", 10, 600_000, 1000) / 1000)
+        interval=table.number("interval_ms", 10, 600_000, 1000) / 1000,
+    )
     table.done()
     if table.off:
         return None
@@ -364,8 +410,9 @@
 
 def _log(table: _Table) -> LogSetup:
     levels, forms = ["DEBUG", "INFO", "WARNING", "ERROR"], list(events.FORMS)
-    setup = LogSetup(forms[table.choice("form", forms, "human")],
-                     levels[table.choice("level", levels, "INFO")])
+    setup = LogSetup(
+        forms[table.choice("form", forms, "human")], levels[table.choice("level", levels, "INFO")]
+    )
     table.done()
     return setup
 
@@ -373,9 +420,11 @@
 def _why(table: _Table) -> Why | None:
     table.switch()
     setup = Why(
-        bytes=table.number("bytes", 192 << 10, 1 << 30, 2 << 20), spans=table.take("spans", str, ""),
+        bytes=table.number("bytes", 192 << 10, 1 << 30, 2 << 20),
+        spans=table.take("spans", str, ""),
         sampled=float(table.take("sampled", float, 0.0)),
-        spans_a_second=table.number("spans_a_second", 0, 10_000, 20))
+        spans_a_second=table.number("spans_a_second", 0, 10_000, 20),
+    )
     if not (table.off or 0 <= setup.sampled <= 1):
         raise ConfigError(f"{table.name('sampled')} must lie between 0 and 1, not {setup.sampled}")
     table.done()
@@ -384,8 +433,9 @@
 
 def _memory(table: _Table) -> Memory | None:
     table.switch()
-    setup = Memory(folder=table.take("folder", str),
-                   interval=table.number("interval_ms", 50, 600_000, 1000) / 1000)
+    setup = Memory(
+        folder=table.take("folder", str), interval=table.number("interval_ms", 50, 600_000, 1000) / 1000
+    )
     table.done()
     if not (table.off or Path(setup.folder).is_absolute()):
         # Guard: another working directory would be another memory.
--- a/cherrycove/consul.py
+++ b/cherrycove/consul.py
@@ -44,11 +44,14 @@
 def _state(checks: Any) -> NodeState:
     """Passing (or with a warning) is up; maintenance or critical takes no new work."""
     if not isinstance(checks, list) or not all(
-            isinstance(check, dict) and check.get("Status") in STATES for check in checks):
+        isinstance(check, dict) and check.get("Status") in STATES for check in checks
+    ):
         raise HealthError("its checks are malformed")
-    ill = any(check["Status"] in ("critical", "maintenance") or
-              str(check.get("CheckID", "")).startswith(("_node_maintenance", "_service_maintenance"))
-              for check in checks)
+    ill = any(
+        check["Status"] in ("critical", "maintenance")
+        or str(check.get("CheckID", "")).startswith(("_node_maintenance", "_service_maintenance"))
+        for check in checks
+    )
     return NodeState.DRAINING if ill else NodeState.UP
 
 
@@ -63,15 +66,32 @@
         weight = float((service.get("Weights") or {}).get("Passing", 1))
     except (KeyError, TypeError, AttributeError, ValueError, OverflowError) as error:
         raise HealthError(f"it lacks or misstates {error}") from None
-    if not (isinstance(name, str) and name and isinstance(host, str) and host and type(port) is int
-            and 0 < port < 65536 and shard >= 0 and 0 <= since < 1e18 and 0 <= weight < 1e9):
+    if not (
+        isinstance(name, str)
+        and name
+        and isinstance(host, str)
+        and host
+        and type(port) is int
+        and 0 < port < 65536
+        and shard >= 0
+        and 0 <= since < 1e18
+        and 0 <= weight < 1e9
+    ):
         raise HealthError("a value is out of range")
-    return Member(name, f"{host}:{port}", shard, zones.get(zone, 0) if isinstance(zone, str) else 0, weight,
-                  since, _state(raw.get("Checks")))
-
-
-def parse_health(text: bytes | str, zones: Mapping[str, int], before: Mapping[str, Member], version: int
-                 ) -> NodeList:
+    return Member(
+        name,
+        f"{host}:{port}",
+        shard,
+        zones.get(zone, 0) if isinstance(zone, str) else 0,
+        weight,
+        since,
+        _state(raw.get("Checks")),
+    )
+
+
+def parse_health(
+    text: bytes | str, zones: Mapping[str, int], before: Mapping[str, Member], version: int
+) -> NodeList:
     """The service's instances as a whole node list, or HealthError.
 
     One instance that is registered wrongly must not blind the broker to the others: it is left out, or, if it
@@ -107,8 +127,9 @@
 class Consul:
     """Talks to one agent."""
 
-    def __init__(self, core: Core, setup: Setup, zones: Mapping[str, int], name: str,
-                 listen: tuple[str, int]) -> None:
+    def __init__(
+        self, core: Core, setup: Setup, zones: Mapping[str, int], name: str, listen: tuple[str, int]
+    ) -> None:
         self._core, self._setup, self._zones = core, setup, zones
         self._name, self._listen = name, listen
         host, port = setup.agent
@@ -116,7 +137,8 @@
         self._leaving, self._entry = False, asyncio.Lock()  # held while the own entry is being changed
         self._session = aiohttp.ClientSession(
             cookie_jar=aiohttp.DummyCookieJar(),
-            timeout=aiohttp.ClientTimeout(total=setup.wait * 17 / 16 + SLACK, sock_connect=SLACK))
+            timeout=aiohttp.ClientTimeout(total=setup.wait * 17 / 16 + SLACK, sock_connect=SLACK),
+        )
 
     async def close(self) -> None:
         await self._session.close()
@@ -143,8 +165,11 @@
                 continue
             if set(news.members) != set(before.values()) or self._core.version is None:
                 version += 1
-                log.info("nodes.listed", version=news.version,
-                         nodes=" ".join(f"{m.name}:{m.state.value}" for m in news.members))
+                log.info(
+                    "nodes.listed",
+                    version=news.version,
+                    nodes=" ".join(f"{m.name}:{m.state.value}" for m in news.members),
+                )
                 self._core.update(news)
             self._core.silent = False
             if not told:
@@ -155,8 +180,17 @@
         """Register this broker and keep its TTL check passing, until it is deregistered."""
         check = f"service:{self._name}"
         host, port = self._listen
-        entry = {"ID": self._name, "Name": self._setup.register, "Address": host, "Port": port, "Check": {
-            "CheckID": check, "TTL": f"{self._setup.ttl:g}s", "DeregisterCriticalServiceAfter": "10m"}}
+        entry = {
+            "ID": self._name,
+            "Name": self._setup.register,
+            "Address": host,
+            "Port": port,
+            "Check": {
+                "CheckID": check,
+                "TTL": f"{self._setup.ttl:g}s",
+                "DeregisterCriticalServiceAfter": "10m",
+            },
+        }
         registered = False
         while True:
             status = "passing" if self._core.ready else "critical"
--- a/cherrycove/core.py
+++ b/cherrycove/core.py
@@ -114,8 +114,10 @@
     def putting_back(self, name: str, returned_ms: float) -> Maintenance:
         if name not in self.out:
             return self
-        return Maintenance({k: v for k, v in self.out.items() if k != name},
-                           {**self.back, name: (self.out[name], returned_ms)})
+        return Maintenance(
+            {k: v for k, v in self.out.items() if k != name},
+            {**self.back, name: (self.out[name], returned_ms)},
+        )
 
     def joined(self, told: Member) -> Member:
         """What holds for a node of which discovery told this."""
@@ -325,8 +327,10 @@
         ticket = self._take(request)
         answer: Answer | None = None
         # Guard: a client's late retry may bring less time than the last resort takes; the module decides.
-        latest = max(request.deadline - LAST_RESORT * ticket.margin,
-                     self._loop.time() + DECISION_TICKS * self.settings.tick)
+        latest = max(
+            request.deadline - LAST_RESORT * ticket.margin,
+            self._loop.time() + DECISION_TICKS * self.settings.tick,
+        )
         try:
             async with asyncio.timeout_at(latest) as ticket.limit:
                 while answer is None:
@@ -356,14 +360,24 @@
             if answer.reply is not None and answer.reply.relay is not None:
                 begun, relay, answer = answer, answer.reply.relay, None
                 ending = await relay()
-                answer = begun if ending is Ending.SERVED else Answer(
-                    Verdict.FAILED, cause=ending, own=Own.BROKE_OFF)
+                answer = (
+                    begun
+                    if ending is Ending.SERVED
+                    else Answer(Verdict.FAILED, cause=ending, own=Own.BROKE_OFF)
+                )
         finally:
             self._finish(ticket, answer)
         return answer
 
-    def turned_away(self, cls: int | None, verdict: Verdict = Verdict.FAILED, own: Own = Own.MALFORMED,
-                    id: str = "", volume: str = "", front: str = "http") -> None:
+    def turned_away(
+        self,
+        cls: int | None,
+        verdict: Verdict = Verdict.FAILED,
+        own: Own = Own.MALFORMED,
+        id: str = "",
+        volume: str = "",
+        front: str = "http",
+    ) -> None:
         """A front has answered a request of this class by itself: it is not one that the core could take."""
         if cls is not None:
             self._answers[self.settings.classes[cls].name][verdict] += 1
@@ -374,14 +388,30 @@
     def find(self, id: str) -> list[Ended]:
         """The open requests of this id."""
         now = self._loop.time()
-        return [Ended(ticket.came, now, None, why=None, request=ticket.request, tries=list(ticket.tries),
-                      first=ticket.first[0], rivals=ticket.first[1])
-                for ticket in self._tickets.values() if ticket.request.id == id and not ticket.over]
+        return [
+            Ended(
+                ticket.came,
+                now,
+                None,
+                why=None,
+                request=ticket.request,
+                tries=list(ticket.tries),
+                first=ticket.first[0],
+                rivals=ticket.first[1],
+            )
+            for ticket in self._tickets.values()
+            if ticket.request.id == id and not ticket.over
+        ]
 
     def figures(self) -> Figures:
         used = self._scheduler.in_use()
-        return Figures(self._answers, self._tries, self._open, len(self._members),
-                       sum(name not in used for name in self._members))
+        return Figures(
+            self._answers,
+            self._tries,
+            self._open,
+            len(self._members),
+            sum(name not in used for name in self._members),
+        )
 
     async def pick(self, ticket: _Ticket) -> Attempt | Answer:
         """The next step of a request: an attempt to carry out, or its final refusal or failure."""
@@ -407,9 +437,19 @@
             ticket.cause, ticket.current = reply.ending, None
             if ticket.request.upload and ticket.limit is not None and not ticket.limit.expired():
                 ticket.limit.reschedule(self._loop.time() + ticket.wait)
-        self._push(api.AttemptEnded(
-            attempt.request, attempt.number, attempt.node, OUTCOMES[reply.ending], closed,
-            attempt.took, reply.use, reply.elsewhere, reply.load))
+        self._push(
+            api.AttemptEnded(
+                attempt.request,
+                attempt.number,
+                attempt.node,
+                OUTCOMES[reply.ending],
+                closed,
+                attempt.took,
+                reply.use,
+                reply.elsewhere,
+                reply.load,
+            )
+        )
 
     def tick(self) -> None:
         """Hand the module what has happened since the last tick and carry out what it says."""
@@ -445,8 +485,11 @@
         for member in news.members:
             if member.state is api.NodeState.GONE:
                 self._members.pop(member.name, None)
-        back = {name: times for name, times in self.maintenance.back.items()
-                if name in self._members and self._members[name].since_ms == times[0]}
+        back = {
+            name: times
+            for name, times in self.maintenance.back.items()
+            if name in self._members and self._members[name].since_ms == times[0]
+        }
         self.maintenance = replace(self.maintenance, back=back)
         self._tell(news.version, kind, news.members)
         self._hurry()
@@ -470,9 +513,16 @@
                 attempt.scope.reschedule(min(attempt.expires, latest))
 
     def _tell(self, version: int, kind: api.ListKind, members: Iterable[Member]) -> None:
-        self._push(api.NodesListed(version, kind, tuple(
-            api.Node(m.name, m.shard, m.zone, m.weight, self._clock(m.since_ms), m.state)
-            for m in map(self.maintenance.joined, members))))
+        self._push(
+            api.NodesListed(
+                version,
+                kind,
+                tuple(
+                    api.Node(m.name, m.shard, m.zone, m.weight, self._clock(m.since_ms), m.state)
+                    for m in map(self.maintenance.joined, members)
+                ),
+            )
+        )
 
     def maintain(self, state: Maintenance) -> None:
         """From now on these nodes are out, and those back."""
@@ -533,8 +583,9 @@
     @property
     def ready(self) -> bool:
         """Whether there is a node to send to."""
-        return any(self.maintenance.joined(member).state is api.NodeState.UP
-                   for member in self._members.values())
+        return any(
+            self.maintenance.joined(member).state is api.NodeState.UP for member in self._members.values()
+        )
 
     @property
     def open_requests(self) -> int:
@@ -568,9 +619,21 @@
         self._open += 1
         self._idle.clear()
         self.counts["taken"] += 1
-        self._push(api.Arrived(ticket.id, request.cls, request.plan, request.volume, request.units,
-                               request.shard, request.hosts, wait - margin, request.key, request.repeat,
-                               request.upload))
+        self._push(
+            api.Arrived(
+                ticket.id,
+                request.cls,
+                request.plan,
+                request.volume,
+                request.units,
+                request.shard,
+                request.hosts,
+                wait - margin,
+                request.key,
+                request.repeat,
+                request.upload,
+            )
+        )
         return ticket
 
     def _finish(self, ticket: _Ticket, answer: Answer | None) -> None:
@@ -590,9 +653,18 @@
         self._over.append(ticket.id)
         if self.recorder is not None:
             own = Own.CLIENT_GONE if answer is None else answer.own
-            self.recorder.ended(Ended(
-                ticket.came, self._loop.time(), answer.verdict if answer else None, own,
-                answer.why if answer else None, ticket.request, ticket.tries, *ticket.first))
+            self.recorder.ended(
+                Ended(
+                    ticket.came,
+                    self._loop.time(),
+                    answer.verdict if answer else None,
+                    own,
+                    answer.why if answer else None,
+                    ticket.request,
+                    ticket.tries,
+                    *ticket.first,
+                )
+            )
 
     async def _carry_out(self, attempt: Attempt, backend: Backend) -> Reply:
         try:
@@ -641,8 +713,14 @@
                 # No deployment of ours lets the module probe: settings say so, and it asks for none.
                 self._push(api.ProbeEnded(node, api.Outcome.MOOT, 0.0))
 
-    def _send(self, request: int, node: str, timeout: float | None, why: api.Reason | None = None,
-              within: float = inf) -> None:
+    def _send(
+        self,
+        request: int,
+        node: str,
+        timeout: float | None,
+        why: api.Reason | None = None,
+        within: float = inf,
+    ) -> None:
         ticket, now = self._tickets.get(request), self._loop.time()
         member = self._members.get(node)  # none: it has gone, and no longer has an address
         number = ticket.attempts if ticket else 0
@@ -651,8 +729,19 @@
             expires = inf  # the client's time has not begun; the backend sees to it that the body moves on
         wait = min(expires - now, ticket.wait if ticket else 0.0)
         life = f"{node}@{member.since_ms if member else 0}"
-        attempt = Attempt(request, number, node, member.address if member else "", expires, now, wait, life,
-                          on_written=self._written, why=why, write_by=now + within)
+        attempt = Attempt(
+            request,
+            number,
+            node,
+            member.address if member else "",
+            expires,
+            now,
+            wait,
+            life,
+            on_written=self._written,
+            why=why,
+            write_by=now + within,
+        )
         if ticket is not None:
             ticket.attempts += 1
             if self.recorder is not None:
@@ -681,8 +770,9 @@
             ticket.limit.reschedule(now + ticket.wait - LAST_RESORT * ticket.margin)
         self._push(api.Uploaded(ticket.id))
 
-    def _decided(self, request: int, verdict: Verdict, why: api.Reason | None,
-                 retry_after: float = 0.0) -> None:
+    def _decided(
+        self, request: int, verdict: Verdict, why: api.Reason | None, retry_after: float = 0.0
+    ) -> None:
         ticket = self._tickets.get(request)
         if ticket is not None:
             self._give(ticket, Answer(verdict, retry_after=retry_after, cause=ticket.cause, why=why))
--- a/cherrycove/events.py
+++ b/cherrycove/events.py
@@ -34,8 +34,9 @@
     def __init__(self, name: str) -> None:
         self._logger = logging.getLogger(name)
 
-    def _write(self, level: int, event: str, fields: dict[str, Any],
-               exc_info: BaseException | bool | None = None) -> None:
+    def _write(
+        self, level: int, event: str, fields: dict[str, Any], exc_info: BaseException | bool | None = None
+    ) -> None:
         if self._logger.isEnabledFor(level):
             whole = (_bound.get() or {}) | fields
             self._logger.log(level, event, exc_info=exc_info, extra={"fields": whole})
@@ -65,8 +66,13 @@
     if said and all("!" <= each <= "~" and each not in "\"'=\\" for each in said):
         return said
     escaped = "".join(
-        each if " " <= each <= "~" and each not in "\"\\" else each.encode("unicode_escape").decode()
-        if each not in "\"\\" else "\\" + each for each in said)
+        each
+        if " " <= each <= "~" and each not in '"\\'
+        else each.encode("unicode_escape").decode()
+        if each not in '"\\'
+        else "\\" + each
+        for each in said
+    )
     return f'"{escaped}"'
 
 
@@ -86,14 +92,16 @@
     from pythonjsonlogger.json import JsonFormatter
 
     class Json(JsonFormatter):
-        def add_fields(self, log_data: dict[str, Any], record: logging.LogRecord,
-                       message_dict: dict[str, Any]) -> None:
+        def add_fields(
+            self, log_data: dict[str, Any], record: logging.LogRecord, message_dict: dict[str, Any]
+        ) -> None:
             log_data["time"] = self.formatTime(record, "%Y-%m-%dT%H:%M:%S") + f".{int(record.msecs):03d}"
             log_data["level"], log_data["logger"] = record.levelname, record.name
             log_data["event"] = record.getMessage()
             log_data.update(getattr(record, "fields", {}))
             if record.exc_info:
                 log_data["trace"] = self.formatException(record.exc_info)
+
     return Json(json_default=str, json_ensure_ascii=True)
 
 
--- a/cherrycove/fleet/datagram.py
+++ b/cherrycove/fleet/datagram.py
@@ -48,17 +48,21 @@
     if isinstance(message, Ask):
         units = min(-int(-message.units * UNIT // 1), MOST)
         return HEAD.pack(MAGIC, ASK, message.sender, message.life) + ASK_BODY.pack(
-            message.serial, message.node, units)
+            message.serial, message.node, units
+        )
     return HEAD.pack(MAGIC, LOAN, message.sender, message.life) + LOAN_BODY.pack(
-        message.to_life, message.serial, min(int(message.units * UNIT), MOST),
-        min(int(message.wait * 1000), MOST))
+        message.to_life,
+        message.serial,
+        min(int(message.units * UNIT), MOST),
+        min(int(message.wait * 1000), MOST),
+    )
 
 
 def parse(data: bytes) -> Ask | Loan:
     """A datagram, or DatagramError. Source: this page's own form, above."""
     try:
         magic, kind, sender, life = HEAD.unpack_from(data)
-        rest = data[HEAD.size:]
+        rest = data[HEAD.size :]
         if magic == MAGIC and kind == ASK:
             serial, node, units = ASK_BODY.unpack(rest)
             return Ask(sender, life, serial, node, units / UNIT)
--- a/cherrycove/fleet/peers.py
+++ b/cherrycove/fleet/peers.py
@@ -92,8 +92,10 @@
             return
         if isinstance(message, datagram.Ask):
             units, wait = self._lend(message.node, message.units)
-            self._send(message.sender, datagram.Loan(self._number, self._life, message.life, message.serial,
-                                                     units, wait))
+            self._send(
+                message.sender,
+                datagram.Loan(self._number, self._life, message.life, message.serial, units, wait),
+            )
         elif message.to_life == self._life:
             self._lent(message.sender, message.serial, message.units, message.wait)
 
@@ -104,8 +106,11 @@
         if self._known == self._core.lists:
             return
         self._known = self._core.lists
-        starts = {room.key(m.name, m.since_ms): (m.name, at) for m in self._core.members
-                  if (at := self._core.started(m)) is not None}
+        starts = {
+            room.key(m.name, m.since_ms): (m.name, at)
+            for m in self._core.members
+            if (at := self._core.started(m)) is not None
+        }
         self._names = {node: name for node, (name, _) in starts.items()}
         self._lender.know((node, at) for node, (_, at) in starts.items())
 
--- a/cherrycove/http1/back.py
+++ b/cherrycove/http1/back.py
@@ -97,7 +97,7 @@
                 return self.data_received(rest)
         elif self._left is not None:
             self._should_close |= len(data) > self._left  # before its body's end gives the connection back
-            own, self._left = data[:self._left], max(self._left - len(data), 0)
+            own, self._left = data[: self._left], max(self._left - len(data), 0)
             super().data_received(own)
         else:
             end = (self._seam + data)[-4:]
@@ -190,14 +190,18 @@
         trace.on_request_headers_sent.append(self._headers_sent)
         trace.on_request_chunk_sent.append(self._chunk_sent)
         # Guard: a node closes what stood idle for conn_idle, and what is written to it then is lost.
-        self._connector = Connector(rest, min(conn_idle * 0.4, 15.0), limit=most, happy_eyeballs_delay=None,
-                                    use_dns_cache=False)
+        self._connector = Connector(
+            rest, min(conn_idle * 0.4, 15.0), limit=most, happy_eyeballs_delay=None, use_dns_cache=False
+        )
         self._session = aiohttp.ClientSession(
             connector=self._connector,
-            cookie_jar=aiohttp.DummyCookieJar(), auto_decompress=False, trace_configs=[trace],
+            cookie_jar=aiohttp.DummyCookieJar(),
+            auto_decompress=False,
+            trace_configs=[trace],
             skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding", "Content-Type"),
             read_bufsize=PIECE // 2,
-            timeout=aiohttp.ClientTimeout(total=None, connect=dial_timeout, sock_connect=dial_timeout))
+            timeout=aiohttp.ClientTimeout(total=None, connect=dial_timeout, sock_connect=dial_timeout),
+        )
         # Guard: the library sends a GET or PUT again by itself when a kept connection turns out to be dead.
         # That is a second copy which nobody decided; it has no public switch.
         self._session._retry_connection = False
@@ -213,8 +217,9 @@
         if call is not None and call.bare:
             call.written()
 
-    async def _chunk_sent(self, session: Any, context: SimpleNamespace,
-                          params: aiohttp.TraceRequestChunkSentParams) -> None:
+    async def _chunk_sent(
+        self, session: Any, context: SimpleNamespace, params: aiohttp.TraceRequestChunkSentParams
+    ) -> None:
         call: Call | None = context.trace_request_ctx
         if call is not None:
             call.count(len(params.chunk))
@@ -223,8 +228,13 @@
         answer: aiohttp.ClientResponse | None = None
         try:
             answer = await self._session.request(
-                call.method, URL(f"http://{address}{call.target}", encoded=True), headers=headers,
-                data=call.payload(headers), allow_redirects=False, trace_request_ctx=call)
+                call.method,
+                URL(f"http://{address}{call.target}", encoded=True),
+                headers=headers,
+                data=call.payload(headers),
+                allow_redirects=False,
+                trace_request_ctx=call,
+            )
             reply = await _reply(answer, call.relay)
             if reply.relay is not None:
                 answer = None  # it is the relay's now
@@ -317,8 +327,14 @@
         ending = Ending.TURNED_AWAY if status == 503 else Ending.NOT_ITS
     else:
         ending = Ending.NODE_ERROR
-    reply = Reply(ending, body, headers.get("Content-Type", ""), parse_use(headers.get("Volume-Load")),
-                  parse_elsewhere(headers.get("Other-Hosts")), parse_load(headers.get("X-Load")))
+    reply = Reply(
+        ending,
+        body,
+        headers.get("Content-Type", ""),
+        parse_use(headers.get("Volume-Load")),
+        parse_elsewhere(headers.get("Other-Hosts")),
+        parse_load(headers.get("X-Load")),
+    )
     if whole or ending is not Ending.SERVED:
         return reply
     return replace(reply, relay=partial(relay, Rest(answer), reply))
@@ -330,8 +346,16 @@
 class Call:
     """One client's request as the back sends it; the core's Backend."""
 
-    def __init__(self, pool: Pool, method: str, target: str, request_id: str, body: bytes | Upload,
-                 relay: Relay, idempotency_key: str = "") -> None:
+    def __init__(
+        self,
+        pool: Pool,
+        method: str,
+        target: str,
+        request_id: str,
+        body: bytes | Upload,
+        relay: Relay,
+        idempotency_key: str = "",
+    ) -> None:
         self.method, self.target, self.relay = method, target, relay
         self.sent = self.begun = False  # the last byte; the first of a body that comes in pieces
         self.fault: BodyError | None = None  # the client's, in such a body
@@ -392,4 +416,5 @@
         self.sent, self._left = False, len(self._body) if isinstance(self._body, bytes) else 0
         wait = max(int(attempt.wait * 1000), 1)
         return await self._pool.exchange(
-            self, attempt.address, {**self._unchanged, "X-Deadline-Ms": str(wait)})
+            self, attempt.address, {**self._unchanged, "X-Deadline-Ms": str(wait)}
+        )
--- a/cherrycove/http1/front.py
+++ b/cherrycove/http1/front.py
@@ -51,7 +51,6 @@
 clients_log.addFilter(_own_fault)
 
 
-
 def _id(request: web.BaseRequest) -> str:
     """What the client calls it, were it the right one or not."""
     return request.headers.get("X-Request-Id", "")[:128]
@@ -86,12 +85,21 @@
     """The library's server, bounded: past the bound, a connection without a request gives way to a new one.
     Those that say nothing give first, the longest so, then those that have sent a part of a head."""
 
-    def __init__(self, handle: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]], most: int,
-                 crowd: int) -> None:
+    def __init__(
+        self, handle: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]], most: int, crowd: int
+    ) -> None:
         # Guard: by itself the library waits an hour for a head, and reads on after an error for ten seconds.
-        super().__init__(handle, handler_cancellation=True, access_log=None, tcp_keepalive=False,
-                         auto_decompress=False, keepalive_timeout=IDLE_TIME, lingering_time=0.0,
-                         logger=clients_log, read_bufsize=PIECE // 2)
+        super().__init__(
+            handle,
+            handler_cancellation=True,
+            access_log=None,
+            tcp_keepalive=False,
+            auto_decompress=False,
+            keepalive_timeout=IDLE_TIME,
+            lingering_time=0.0,
+            logger=clients_log,
+            read_bufsize=PIECE // 2,
+        )
         self._most, self._crowd = most, crowd
         # Each by their coming into it, with the time.
         self._silent: dict[web.RequestHandler, float] = {}  # nothing has come yet
@@ -221,7 +229,8 @@
         """Start to accept from a socket that another process may have opened, and may accept from too."""
         # Guard: the loop accepts as many at a time as it queues; a crowd would take all descriptors.
         self._server = await asyncio.get_running_loop().create_server(
-            self._web, sock=given, backlog=ACCEPTED_AT_ONCE)
+            self._web, sock=given, backlog=ACCEPTED_AT_ONCE
+        )
         given.listen(MOST_WAITING)
         self.listener, self._draining, self._parting = given, False, False
         bound: int = given.getsockname()[1]
@@ -333,8 +342,9 @@
         except TimeoutError:
             return await self._refuse(request, cls)
         except (RequestError, ValueError) as error:
-            return self._turn_away(request, cls, getattr(error, "status", 400), f"{error}\n",
-                                   whole=not request.body_exists)
+            return self._turn_away(
+                request, cls, getattr(error, "status", 400), f"{error}\n", whole=not request.body_exists
+            )
         try:
             return await self._take(request, cls, head, waited)
         finally:
@@ -358,13 +368,15 @@
         own, why = Own.NO_ROOM, "no room for its body now"
         if self._given_up:
             own, why = Own.ENDING, "this process ends"
-        response = self._turn_away(request, cls, 503, f"refused: {why}\n", whole=False,
-                                   verdict=Verdict.REFUSED, own=own)
+        response = self._turn_away(
+            request, cls, 503, f"refused: {why}\n", whole=False, verdict=Verdict.REFUSED, own=own
+        )
         await self._leave(request, response)
         return response
 
-    async def _take(self, request: web.BaseRequest, cls: int, head: Head, waited: float
-                    ) -> web.StreamResponse:
+    async def _take(
+        self, request: web.BaseRequest, cls: int, head: Head, waited: float
+    ) -> web.StreamResponse:
         try:
             async with self._until_given_up(request):
                 body = await taken(request)
@@ -375,18 +387,39 @@
             return self._turn_away(request, cls, status, f"{error}\n", whole=not request.body_exists)
         if head.id in self._open:
             # Guard: sent on, it would be a second copy of a request that is still out.
-            return self._turn_away(request, cls, 409, "a request with this X-Request-Id is open\n",
-                                   whole=isinstance(body, bytes))
+            return self._turn_away(
+                request, cls, 409, "a request with this X-Request-Id is open\n", whole=isinstance(body, bytes)
+            )
         self._open.add(head.id)
         relayed: list[web.StreamResponse] = []
-        call = Call(self._pool, request.method, origin(request.raw_path), head.id, body,
-                    partial(self._relay, request, relayed), head.idempotency_key)
+        call = Call(
+            self._pool,
+            request.method,
+            origin(request.raw_path),
+            head.id,
+            body,
+            partial(self._relay, request, relayed),
+            head.idempotency_key,
+        )
         flows = isinstance(body, Upload)  # its time has not begun
         deadline = asyncio.get_running_loop().time() + head.budget - (0.0 if flows else waited)
         try:
             answer = await self._core.serve(
-                Request(head.cls, head.plan, head.volume, head.units, head.shard, head.hosts, deadline,
-                        head.key, head.repeat, flows, head.id), call)
+                Request(
+                    head.cls,
+                    head.plan,
+                    head.volume,
+                    head.units,
+                    head.shard,
+                    head.hosts,
+                    deadline,
+                    head.key,
+                    head.repeat,
+                    flows,
+                    head.id,
+                ),
+                call,
+            )
         finally:
             self._open.discard(head.id)
         if relayed:
@@ -398,8 +431,9 @@
             await self._leave(request, response)
         return response
 
-    async def _relay(self, request: web.BaseRequest, relayed: list[web.StreamResponse], rest: Rest,
-                     reply: Reply) -> Ending:
+    async def _relay(
+        self, request: web.BaseRequest, relayed: list[web.StreamResponse], rest: Rest, reply: Reply
+    ) -> Ending:
         """Pass on a long answer. Whatever breaks it closes the connection ahead of its framed end."""
         response = web.StreamResponse(headers=self._headers(reply.kind or "application/octet-stream"))
         relayed.append(response)
@@ -423,8 +457,9 @@
             self._flowing.discard(flowing)
             self.room.leave(FLOW)
 
-    async def _pump(self, request: web.BaseRequest, response: web.StreamResponse, rest: Rest,
-                    reply: Reply) -> Ending:
+    async def _pump(
+        self, request: web.BaseRequest, response: web.StreamResponse, rest: Rest, reply: Reply
+    ) -> Ending:
         async with aclosing(rest.pieces()) as pieces:
             await response.prepare(request)
             if reply.body:
@@ -454,8 +489,16 @@
                 while await request.content.readany():
                     pass
 
-    def _turn_away(self, request: web.BaseRequest, cls: int, status: int, why: str, whole: bool = True,
-                   verdict: Verdict = Verdict.FAILED, own: Own | None = None) -> web.Response:
+    def _turn_away(
+        self,
+        request: web.BaseRequest,
+        cls: int,
+        status: int,
+        why: str,
+        whole: bool = True,
+        verdict: Verdict = Verdict.FAILED,
+        own: Own | None = None,
+    ) -> web.Response:
         self._core.turned_away(cls, verdict, own or BY_STATUS.get(status, Own.MALFORMED), _id(request))
         response = self._response(status, why, whole=whole)
         advice = min(ROOM_TIME, self._core.settings.retry_advice)
@@ -480,8 +523,13 @@
 
     def _response(self, status: int, body: str | bytes, kind: str = "", whole: bool = True) -> web.Response:
         data = body.encode() if isinstance(body, str) else body
-        response = web.Response(status=status, body=data, headers=self._headers(
-            kind or ("text/plain" if isinstance(body, str) else "application/octet-stream")))
+        response = web.Response(
+            status=status,
+            body=data,
+            headers=self._headers(
+                kind or ("text/plain" if isinstance(body, str) else "application/octet-stream")
+            ),
+        )
         # Guard: clients that ask once and stay would leave the others no place until their time is up.
         if self._parting or not whole or self._web.crowded:
             response.force_close()
--- a/cherrycove/http1/parse.py
+++ b/cherrycove/http1/parse.py
@@ -118,13 +118,18 @@
         raise RequestError("Idempotency-Key is missing")
     hosts = max(min(int(_matched(WHOLE, info["hosts"], "hosts")), names.brokers), 1)
     return Head(
-        cls=cls, plan=plan, volume=_matched(HEX16, info["volume"], "volume"), units=units,
-        shard=None if shard < 0 else shard, hosts=hosts,
+        cls=cls,
+        plan=plan,
+        volume=_matched(HEX16, info["volume"], "volume"),
+        units=units,
+        shard=None if shard < 0 else shard,
+        hosts=hosts,
         budget=int(_matched(WHOLE, _field(headers, "X-Deadline-Ms"), "X-Deadline-Ms")) / 1000,
         key=_matched(HEX16, _cookie(_field(headers, "Cookie"), "object"), "the cookie object"),
         id=_matched(REQUEST_ID, _field(headers, "X-Request-Id"), "X-Request-Id"),
         repeat=headers.get("X-Retry") == "1",
-        idempotency_key="" if repeat_key is None else _matched(REPEAT_KEY, repeat_key, "Idempotency-Key"))
+        idempotency_key="" if repeat_key is None else _matched(REPEAT_KEY, repeat_key, "Idempotency-Key"),
+    )
 
 
 def _entry(raw: Any, zones: Mapping[str, int]) -> Member:
@@ -142,12 +147,23 @@
         raise ListError("an entry has a value of the wrong type")
     host, _, port = address.rpartition(":")
     if state is not NodeState.GONE and not (
-            host and re.fullmatch(r"[0-9A-Za-z.\[\]:_-]+", host) and WHOLE.fullmatch(port)
-            and 0 < int(port) < 65536 and shard >= 0):
+        host
+        and re.fullmatch(r"[0-9A-Za-z.\[\]:_-]+", host)
+        and WHOLE.fullmatch(port)
+        and 0 < int(port) < 65536
+        and shard >= 0
+    ):
         raise ListError("an entry has no usable address or group")
     zone = raw.get("zone")
-    return Member(name, address, shard, zones.get(zone, 0) if isinstance(zone, str) else 0,
-                  float(weight), float(since), state)
+    return Member(
+        name,
+        address,
+        shard,
+        zones.get(zone, 0) if isinstance(zone, str) else 0,
+        float(weight),
+        float(since),
+        state,
+    )
 
 
 def parse_list(text: bytes | str, zones: Mapping[str, int]) -> NodeList:
--- a/cherrycove/http1/watch.py
+++ b/cherrycove/http1/watch.py
@@ -36,8 +36,10 @@
             query = f"?since={core.version}&timeout_ms={int(WATCH_WAIT * 1000)}" if known else ""
             try:
                 url = URL(f"http://{address}/api/targets{query}", encoded=True)
-                async with (asyncio.timeout(WATCH_WAIT + WATCH_SLACK if known else WHOLE_WAIT),
-                            session.get(url, allow_redirects=False) as answer):
+                async with (
+                    asyncio.timeout(WATCH_WAIT + WATCH_SLACK if known else WHOLE_WAIT),
+                    session.get(url, allow_redirects=False) as answer,
+                ):
                     if answer.status != 200:
                         raise ListError(f"status {answer.status}")
                     news = parse_list(await answer.read(), zones)
--- a/cherrycove/life/handover.py
+++ b/cherrycove/life/handover.py
@@ -45,8 +45,15 @@
 
 
 def pack_member(member: Member) -> list[Any]:
-    return [member.name, member.address, member.shard, member.zone, member.weight, member.since_ms,
-            member.state.value]
+    return [
+        member.name,
+        member.address,
+        member.shard,
+        member.zone,
+        member.weight,
+        member.since_ms,
+        member.state.value,
+    ]
 
 
 def parse_member(raw: Any) -> Member:
@@ -55,8 +62,13 @@
         member = Member(name, address, shard, zone, float(weight), float(since), NodeState(state))
     except (TypeError, ValueError):
         raise HandoverError("an entry of the node list is malformed") from None
-    if not (isinstance(name, str) and name and isinstance(address, str)
-            and type(shard) is int and type(zone) is int):
+    if not (
+        isinstance(name, str)
+        and name
+        and isinstance(address, str)
+        and type(shard) is int
+        and type(zone) is int
+    ):
         raise HandoverError("an entry of the node list is malformed")
     return member
 
@@ -144,8 +156,13 @@
 class Place:
     """The broker's directory. Without one (it cannot be made) there is nobody to meet and nothing is kept."""
 
-    def __init__(self, name: str, listen: tuple[str, int], root: str | None = None,
-                 on_coming: Callable[[], None] = lambda: None) -> None:
+    def __init__(
+        self,
+        name: str,
+        listen: tuple[str, int],
+        root: str | None = None,
+        on_coming: Callable[[], None] = lambda: None,
+    ) -> None:
         self.path = Path(directory(name, *listen, root))
         self.changing = asyncio.Lock()  # held by whoever changes what is out, until it is kept or given up
         self.coming = 0  # processes that have announced themselves and not asked yet
@@ -264,9 +281,12 @@
             peer.close()
             raise
 
-    async def await_successor(self, take: Callable[[Message], tuple[Message, list[socket.socket]] | None],
-                              link: Callable[[Link], Awaitable[None]],
-                              dropped: Callable[[], object] = lambda: None) -> None:
+    async def await_successor(
+        self,
+        take: Callable[[Message], tuple[Message, list[socket.socket]] | None],
+        link: Callable[[Link], Awaitable[None]],
+        dropped: Callable[[], object] = lambda: None,
+    ) -> None:
         """Be found by the next process: ``take`` gives the state and the sockets, or None if it has to ask
         again; ``link`` keeps the link; ``dropped`` is called if it was lost before that."""
 
@@ -295,6 +315,7 @@
             finally:
                 self._talks.discard(talk)
                 writer.close()
+
         own = f"{os.getpid()}.sock"
         if self._server is not None:
             self._server.close()  # found under a name that another has taken since
--- a/cherrycove/life/herald.py
+++ b/cherrycove/life/herald.py
@@ -24,6 +24,7 @@
     root = root or os.environ.get("TMPDIR")
     if not root:
         from tempfile import gettempdir  # with all that it imports, a tenth of what comes before the word
+
         root = gettempdir()
     return os.path.join(root, f"cherrycove-{identity}")
 
--- a/cherrycove/life/stages.py
+++ b/cherrycove/life/stages.py
@@ -100,8 +100,14 @@
 
     def budget(self) -> Budget:
         clients, nodes = self._descriptors()
-        return Budget(1.0 if self.alone else SHARED, clients, nodes, self._bytes(), self._places(),
-                      self.alone and not self.ending)
+        return Budget(
+            1.0 if self.alone else SHARED,
+            clients,
+            nodes,
+            self._bytes(),
+            self._places(),
+            self.alone and not self.ending,
+        )
 
     def _descriptors(self) -> tuple[int, int]:
         """While another process lives, clients move from one to the other. Guard: with no descriptor left,
--- a/cherrycove/life/succession.py
+++ b/cherrycove/life/succession.py
@@ -60,8 +60,16 @@
 class Succession:
     """One process's part of it."""
 
-    def __init__(self, broker: str, core: Core, doors: Doors, life: Life, place: handover.Place,
-                 record: Callable[[], Record | None] = lambda: None, remembers: bool = False) -> None:
+    def __init__(
+        self,
+        broker: str,
+        core: Core,
+        doors: Doors,
+        life: Life,
+        place: handover.Place,
+        record: Callable[[], Record | None] = lambda: None,
+        remembers: bool = False,
+    ) -> None:
         self._remembers = remembers  # whether what was learned is handed over, and taken up
         self._broker, self._core, self._doors, self._record = broker, core, doors, record
         self.life, self.place = life, place
@@ -119,8 +127,9 @@
             self.apply()
 
     async def await_successor(self) -> None:
-        await self.place.await_successor(self._hand_over, lambda link: self._follow(link, heir=True),
-                                         self.life.heir_gone)
+        await self.place.await_successor(
+            self._hand_over, lambda link: self._follow(link, heir=True), self.life.heir_gone
+        )
 
     # What both do.
 
@@ -199,8 +208,12 @@
         self.life.followed()
         self._core.share(self.life.budget().part)
         members = [handover.pack_member(member) for member in self._core.members]
-        state = {"version": self._core.version, "members": members, "sent": self._core.sent(),
-                 "maintenance": handover.pack_maintenance(self._core.maintenance)}
+        state = {
+            "version": self._core.version,
+            "members": members,
+            "sent": self._core.sent(),
+            "maintenance": handover.pack_maintenance(self._core.maintenance),
+        }
         if self._remembers:
             state["memory"] = rows_of(self._core, self._broker, whole=True)
         return state, self._handed or self._doors.listeners()
--- a/cherrycove/memory/figures.py
+++ b/cherrycove/memory/figures.py
@@ -53,8 +53,13 @@
 
 def deployment(settings: Settings) -> str:
     """What tells one deployment from another: names and sizes, not aims that an operator may tune."""
-    told = ([each.name for each in settings.classes], [each.name for each in settings.plans],
-            settings.shards, settings.usual_units, settings.max_units)
+    told = (
+        [each.name for each in settings.classes],
+        [each.name for each in settings.plans],
+        settings.shards,
+        settings.usual_units,
+        settings.max_units,
+    )
     return hashlib.blake2b(repr(told).encode(), digest_size=8).hexdigest()
 
 
@@ -63,17 +68,42 @@
 
     def age(when: float) -> float:
         return now - when if -inf < when <= now else NEVER
+
     known = [each for each in told.nodes if each.heard > -inf or each.failures or each.sent]
     known.sort(key=lambda each: (not each.failures, -each.heard))  # what restrains most comes first
-    nodes = [[each.id, each.started is not None, _ago(each.started, now), each.service, age(each.heard),
-              each.threshold, each.overload, each.failures, max(each.resting_until - now, 0.0), each.slot,
-              each.sent, age(each.sent_at)] for each in known[:MOST_NODES]]
-    volumes = [[each.name, each.credits, age(each.at), age(each.beyond)]
-               for each in sorted(told.volumes, key=lambda each: each.credits)[:MOST_VOLUMES]]
-    return {"form": FORM, "deployment": deployment(settings), "broker": broker, "whole": whole,
-            "wall": moment.wall, "boot": moment.boot, "up": moment.up,
-            "budgets": {settings.classes[cls].name: longest for cls, longest in told.budgets.items()},
-            "nodes": nodes, "volumes": volumes}
+    nodes = [
+        [
+            each.id,
+            each.started is not None,
+            _ago(each.started, now),
+            each.service,
+            age(each.heard),
+            each.threshold,
+            each.overload,
+            each.failures,
+            max(each.resting_until - now, 0.0),
+            each.slot,
+            each.sent,
+            age(each.sent_at),
+        ]
+        for each in known[:MOST_NODES]
+    ]
+    volumes = [
+        [each.name, each.credits, age(each.at), age(each.beyond)]
+        for each in sorted(told.volumes, key=lambda each: each.credits)[:MOST_VOLUMES]
+    ]
+    return {
+        "form": FORM,
+        "deployment": deployment(settings),
+        "broker": broker,
+        "whole": whole,
+        "wall": moment.wall,
+        "boot": moment.boot,
+        "up": moment.up,
+        "budgets": {settings.classes[cls].name: longest for cls, longest in told.budgets.items()},
+        "nodes": nodes,
+        "volumes": volumes,
+    }
 
 
 def _ago(started: float | None, now: float) -> float:
@@ -88,8 +118,9 @@
     return Moment(float(wall), boot, float(up))  # type: ignore[arg-type]
 
 
-def unpack(rows: Any, now: float, moment: Moment, settings: Settings, broker: str
-           ) -> tuple[Recalled, float, Counter[str]]:
+def unpack(
+    rows: Any, now: float, moment: Moment, settings: Settings, broker: str
+) -> tuple[Recalled, float, Counter[str]]:
     """What may be taken up of these rows at ``now`` (on the clock of the times it is to have), the absence
     (s), and how many entries were left aside, by reason. UnusableError where none of it is of use."""
     if not isinstance(rows, dict):
@@ -136,15 +167,32 @@
     """LookupError: too old."""
     (name, has_start, ago, service, heard, threshold, overload, failures, rests, slot, sent, last) = row
     figures = (ago, service, threshold, failures, rests, sent)
-    if not (_name(name) and type(has_start) is bool and type(overload) is bool and type(slot) is int
-            and all(_number(each, 0.0) for each in figures) and type(failures) is int
-            and _number(heard, NEVER) and _number(last, NEVER)):
+    if not (
+        _name(name)
+        and type(has_start) is bool
+        and type(overload) is bool
+        and type(slot) is int
+        and all(_number(each, 0.0) for each in figures)
+        and type(failures) is int
+        and _number(heard, NEVER)
+        and _number(last, NEVER)
+    ):
         raise ValueError("a node's row")
     if now - written + max(heard, 0.0) > MOST_AGE:
         raise LookupError
     return NodeMemory(
-        name, written - ago if has_start else None, service, _when(heard, written), max(threshold, 1.0),
-        overload, failures, written + rests, slot, sent, _when(last, written))
+        name,
+        written - ago if has_start else None,
+        service,
+        _when(heard, written),
+        max(threshold, 1.0),
+        overload,
+        failures,
+        written + rests,
+        slot,
+        sent,
+        _when(last, written),
+    )
 
 
 def _volume(row: Any, written: float, now: float) -> VolumeMemory:
--- a/cherrycove/memory/file.py
+++ b/cherrycove/memory/file.py
@@ -53,10 +53,10 @@
         raise UnusableError("it is no memory of this program")
     if form != FORMAT:
         raise UnusableError(f"its format is {form}; this program reads {FORMAT}")
-    told, body = data[HEAD.size:HEAD.size + SUM], data[HEAD.size + SUM:]
+    told, body = data[HEAD.size : HEAD.size + SUM], data[HEAD.size + SUM :]
     if len(body) != length:
         raise UnusableError("it is cut short" if len(body) < length else "something stands behind its end")
-    if told != _sum(data[:HEAD.size], body):
+    if told != _sum(data[: HEAD.size], body):
         raise UnusableError("its checksum does not hold")
     try:
         return msgpack.unpackb(body, strict_map_key=True)
@@ -99,7 +99,7 @@
         try:
             left = memoryview(data)
             while left:  # a short write is no error to the system
-                left = left[os.write(number, left):]
+                left = left[os.write(number, left) :]
             os.fsync(number)
         finally:
             os.close(number)
--- a/cherrycove/memory/keeper.py
+++ b/cherrycove/memory/keeper.py
@@ -45,6 +45,7 @@
             failed = error
         with contextlib.suppress(RuntimeError):  # the loop has ended meanwhile
             loop.call_soon_threadsafe(tell, value, failed)
+
     try:
         threading.Thread(target=run, name="memory", daemon=True).start()
     except RuntimeError as error:
@@ -56,8 +57,9 @@
 class Keeper:
     """One broker's memory. ``mine`` says whether this process is the one that writes it."""
 
-    def __init__(self, core: Core, folder: str, interval: float, broker: str,
-                 mine: Callable[[], bool]) -> None:
+    def __init__(
+        self, core: Core, folder: str, interval: float, broker: str, mine: Callable[[], bool]
+    ) -> None:
         self._core, self._interval, self._broker, self._mine = core, interval, broker, mine
         self._path = file.path(folder, broker)
         self._writing = threading.Lock()
@@ -95,10 +97,12 @@
 
     async def _clear(self) -> None:
         """Guard: each life that is killed as it writes leaves a file; a thousand lives left a thousand."""
+
         def clear() -> None:
             for each in self._path.parent.glob(f".{self._path.name}.*"):
                 if each.name.rpartition(".")[2] != str(os.getpid()):
                     each.unlink(missing_ok=True)
+
         try:
             if self._mine():
                 await beside(clear, READ_TIME)
@@ -112,6 +116,7 @@
         def write() -> None:
             with self._writing:  # Guard: the last write of a life must not be undone by the one before it
                 file.write(self._path, file.frame(rows))
+
         try:
             # Guard: a write that hangs is waited for, however long: a second would hang beside it.
             await beside(write, most)
@@ -134,4 +139,3 @@
 
     def figures(self) -> dict[str, int]:
         return {f"memory_{name}": self.counts[name] for name in ("written", "not_written", "unusable")}
-
--- a/cherrycove/memory/passing.py
+++ b/cherrycove/memory/passing.py
@@ -37,17 +37,26 @@
 
 def rows_of(core: Core, broker: str, whole: bool) -> figures.Rows:
     """What this process knows now. ``whole``: it will send nothing any more."""
-    return figures.pack(core.remember(), asyncio.get_running_loop().time(), moment(), core.settings, broker,
-                        whole)
+    return figures.pack(
+        core.remember(), asyncio.get_running_loop().time(), moment(), core.settings, broker, whole
+    )
 
 
 def take_up(core: Core, rows: Any, broker: str, source: str, sent_is_told: bool = False) -> None:
     """Hand the module what may be taken up of these rows; UnusableError if that is nothing. ``sent_is_told``:
     the module knows what was sent to cold nodes from elsewhere, and must not count it twice."""
     told, absence, aside = figures.unpack(
-        rows, asyncio.get_running_loop().time(), moment(), core.settings, broker)
+        rows, asyncio.get_running_loop().time(), moment(), core.settings, broker
+    )
     if sent_is_told:
         told = replace(told, nodes=tuple(replace(node, sent=0.0) for node in told.nodes))
-    log.info("memory.taken_up", source=source, absence=round(absence, 3), nodes=len(told.nodes),
-             volumes=len(told.volumes), whole=told.whole, aside=sum(aside.values()))
+    log.info(
+        "memory.taken_up",
+        source=source,
+        absence=round(absence, 3),
+        nodes=len(told.nodes),
+        volumes=len(told.volumes),
+        whole=told.whole,
+        aside=sum(aside.values()),
+    )
     core.recall(told)
--- a/cherrycove/nbd.py
+++ b/cherrycove/nbd.py
@@ -94,8 +94,9 @@
     length: int
 
     def pack(self) -> bytes:
-        return struct.pack(">IHHQQI", REQUEST, self.flags, self.command, self.cookie, self.offset,
-                           self.length)
+        return struct.pack(
+            ">IHHQQI", REQUEST, self.flags, self.command, self.cookie, self.offset, self.length
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -147,7 +148,7 @@
     """The export's name and the kinds of information asked for."""
     try:
         (size,) = struct.unpack_from(">I", data)
-        name = data[4:4 + size].decode()
+        name = data[4 : 4 + size].decode()
         (count,) = struct.unpack_from(">H", data, 4 + size)
         wanted = list(struct.unpack_from(f">{count}H", data, 6 + size))
     except (struct.error, UnicodeDecodeError):
@@ -207,15 +208,19 @@
             errno, size = struct.unpack_from(">IH", body)
             if not errno or len(body) != 6 + size + 8 * (chunk.kind == ERROR_OFFSET):
                 raise ProtocolError("an error chunk is malformed")
-            self.errno, self.message = errno, body[6:6 + size].decode(errors="replace")
+            self.errno, self.message = errno, body[6 : 6 + size].decode(errors="replace")
         elif chunk.kind != NONE or body or not chunk.flags & DONE:
             raise ProtocolError(f"an unknown or malformed chunk of type {chunk.kind}")
 
     def _place(self, offset: int, data: bytes) -> None:
         start = offset - self.call.offset
         end = start + len(data)
-        if self.call.command != Command.READ or start < 0 or end > self.call.length or any(
-                start < there and first < end for first, there in self.pieces):
+        if (
+            self.call.command != Command.READ
+            or start < 0
+            or end > self.call.length
+            or any(start < there and first < end for first, there in self.pieces)
+        ):
             raise ProtocolError("data that was not asked for, or twice")
         self.data = self.data or bytearray(self.call.length)
         self.data[start:end] = data
@@ -493,7 +498,8 @@
         """Start to accept, from a socket that another process opened if there is one."""
         self.listener = given or listener(*self._setup.listen)
         self._server = await asyncio.get_running_loop().create_server(
-            lambda: _Protocol(self._accept), sock=self.listener)
+            lambda: _Protocol(self._accept), sock=self.listener
+        )
         port: int = self.listener.getsockname()[1]
         return port
 
@@ -548,8 +554,9 @@
             self._sessions.discard(task)
             writer.close()
 
-    async def _handshake(self, reader: asyncio.StreamReader,
-                         writer: asyncio.StreamWriter) -> tuple[Export, bool] | None:
+    async def _handshake(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> tuple[Export, bool] | None:
         writer.write(greeting())
         (flags,) = await _unpack(reader, ">I")
         if flags & ~(FIXED_NEWSTYLE | NO_ZEROES) or not flags & FIXED_NEWSTYLE:
@@ -590,8 +597,9 @@
             writer.write(option_reply(Option.LIST, SERVER, struct.pack(">I", len(text)) + text))
         writer.write(option_reply(Option.LIST, ACK))
 
-    def _inform(self, writer: asyncio.StreamWriter, number: int, data: bytes,
-                structured: bool) -> Export | None:
+    def _inform(
+        self, writer: asyncio.StreamWriter, number: int, data: bytes, structured: bool
+    ) -> Export | None:
         try:
             name, wanted = parse_go(data)
         except ProtocolError as error:
@@ -602,8 +610,10 @@
             kind = ERR_SHUTDOWN if name in self._setup.exports else ERR_UNKNOWN
             writer.write(option_reply(number, kind))
             return None
-        told = [struct.pack(">HQH", INFO_EXPORT, export.size, export.flags(structured)),
-                struct.pack(">HIII", INFO_BLOCK_SIZE, LEAST_BLOCK, USUAL_BLOCK, MOST_BLOCK)]
+        told = [
+            struct.pack(">HQH", INFO_EXPORT, export.size, export.flags(structured)),
+            struct.pack(">HIII", INFO_BLOCK_SIZE, LEAST_BLOCK, USUAL_BLOCK, MOST_BLOCK),
+        ]
         if INFO_DESCRIPTION in wanted:
             told.append(struct.pack(">H", INFO_DESCRIPTION) + export.description.encode())
         writer.write(b"".join(option_reply(number, INFO, each) for each in told) + option_reply(number, ACK))
@@ -613,8 +623,9 @@
 class _Protocol(asyncio.StreamReaderProtocol):
     """Tells a session that its client has gone even while the session does not read."""
 
-    def __init__(self, accept: Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
-                 ) -> None:
+    def __init__(
+        self, accept: Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+    ) -> None:
         self.on_gone: Callable[[], None] | None = None
         super().__init__(asyncio.StreamReader(limit=2 * MOST_BLOCK), accept)
 
@@ -635,8 +646,16 @@
 class _Session:
     """The transmission phase of one client."""
 
-    def __init__(self, core: Core, pool: Pool, setup: Setup, export: Export, structured: bool,
-                 reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    def __init__(
+        self,
+        core: Core,
+        pool: Pool,
+        setup: Setup,
+        export: Export,
+        structured: bool,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+    ) -> None:
         self._core, self._pool, self._setup = core, pool, setup
         self._export, self._structured = export, structured
         self._reader, self._writer = reader, writer
@@ -716,17 +735,33 @@
         message = "not a command that this export takes"
         if errno is not None or payload is None:
             if call.command in self._setup.classes:
-                self._core.turned_away(self._setup.classes[Command(call.command)], own=Own.BAD_COMMAND,
-                                       id=self._id(call), volume=self._export.volume, front="nbd")
+                self._core.turned_away(
+                    self._setup.classes[Command(call.command)],
+                    own=Own.BAD_COMMAND,
+                    id=self._id(call),
+                    volume=self._export.volume,
+                    front="nbd",
+                )
         else:
             settings, command = self._core.settings, Command(call.command)
             cls, export = self._setup.classes[command], self._export
             deadline = asyncio.get_running_loop().time() + settings.classes[cls].deadline
             job = Job(self._pool, export, call, payload)
             answer = await self._core.serve(
-                Request(cls, export.plan, export.volume, self._setup.units(call, settings.max_units),
-                        export.shard, export.hosts, deadline,
-                        f"{export.volume}/{call.offset // MOST_BLOCK}", id=self._id(call), front="nbd"), job)
+                Request(
+                    cls,
+                    export.plan,
+                    export.volume,
+                    self._setup.units(call, settings.max_units),
+                    export.shard,
+                    export.hosts,
+                    deadline,
+                    f"{export.volume}/{call.offset // MOST_BLOCK}",
+                    id=self._id(call),
+                    front="nbd",
+                ),
+                job,
+            )
             errno, message = _told(answer, job)
             if errno is None and answer.reply is not None:
                 data = answer.reply.body
@@ -763,5 +798,3 @@
     if answer.cause is Ending.NODE_ERROR and job.errno in PASSED_ON:
         return Errno(job.errno), "the node refuses the command"
     return Errno.EIO, "failed: it may have taken effect"
-
-
--- a/cherrycove/store.py
+++ b/cherrycove/store.py
@@ -67,7 +67,7 @@
         at, parts = struct.calcsize(">3sBQ?"), []
         for _ in range(3):
             size = data[at]
-            parts.append(data[at + 1:at + 1 + size].decode())
+            parts.append(data[at + 1 : at + 1 + size].decode())
             at += 1 + size
     except (struct.error, IndexError, UnicodeDecodeError):
         raise EntryError("the entry is cut short or not text") from None
@@ -97,8 +97,11 @@
 
     def items(self, prefix: str = "") -> dict[str, Entry]:
         """What is there, deleted entries left out."""
-        return {key: entry for key, entry in sorted(self._entries.items())
-                if key.startswith(prefix) and entry.value is not None}
+        return {
+            key: entry
+            for key, entry in sorted(self._entries.items())
+            if key.startswith(prefix) and entry.value is not None
+        }
 
     def put(self, key: str, value: str | None, counter: int | None = None) -> Entry | None:
         """Write, or delete with None; the entry if it won. Without a counter it goes over what is there."""
@@ -139,7 +142,7 @@
             self.counts["malformed"] += 1
             return []
         mine = self.digest(ANSWER)
-        differ = {i for i in range(BUCKETS) if mine[4 + 8 * i:12 + 8 * i] != data[4 + 8 * i:12 + 8 * i]}
+        differ = {i for i in range(BUCKETS) if mine[4 + 8 * i : 12 + 8 * i] != data[4 + 8 * i : 12 + 8 * i]}
         ours = [entry for key, entry in self._entries.items() if _bucket(key) in differ]
         self._random.shuffle(ours)
         pushed = [entry.pack() for entry in ours[:MOST_PUSHED]]
@@ -153,8 +156,12 @@
     """Write a node list as discovery told it. Its version is the counter, so that the newest list wins."""
     if news.version <= 0:
         return []
-    rows: dict[str, str | None] = {f"node/{m.name}": None if m.state is NodeState.GONE else json.dumps(
-        [m.state.value, m.address, m.shard, m.since_ms], separators=(",", ":")) for m in news.members}
+    rows: dict[str, str | None] = {
+        f"node/{m.name}": None
+        if m.state is NodeState.GONE
+        else json.dumps([m.state.value, m.address, m.shard, m.since_ms], separators=(",", ":"))
+        for m in news.members
+    }
     if news.full:
         rows = {**dict.fromkeys(store.items("node/")), **rows}
     written = []
@@ -215,7 +222,8 @@
         loop = asyncio.get_running_loop()
         # Shared, for the time in which one process of the broker replaces another.
         self._transport, _ = await loop.create_datagram_endpoint(
-            lambda: self, local_addr=self._setup.listen, reuse_port=True)
+            lambda: self, local_addr=self._setup.listen, reuse_port=True
+        )
         for peer in self._setup.peers:  # a restart catches up from whoever answers
             self._send(self._store.digest(), peer)
         self._next()
--- a/cherrycove/tier/batch/http_api.py
+++ b/cherrycove/tier/batch/http_api.py
@@ -39,9 +39,7 @@
         self._client = client
         self._views = views
 
-    async def handle(
-        self, request: web.BaseRequest, body: bytes, route: Route | None
-    ) -> web.StreamResponse:
+    async def handle(self, request: web.BaseRequest, body: bytes, route: Route | None) -> web.StreamResponse:
         """Answer one request whose body is read. ``route`` is the batch route that it matches, if any."""
         method, path = request.method, request.path
         if path.startswith(LOTS_PREFIX) and method == "GET":
@@ -145,5 +143,3 @@
     answer = ANSWERS[failure.kind]
     headers = {} if answer.retry_after_s is None else {"Retry-After": str(answer.retry_after_s)}
     return web.Response(status=answer.status, text=failure.detail, headers=headers)
-
-
--- a/cherrycove/tier/cli/retire.py
+++ b/cherrycove/tier/cli/retire.py
@@ -28,9 +28,7 @@
         KEEPER_OPTION,
         TIMEOUT_OPTION,
         option("status", None, "Only ask how far it is."),
-        option(
-            "duration", None, "Seconds that it may take.", flag=False, default=str(DEFAULT_DURATION_S)
-        ),
+        option("duration", None, "Seconds that it may take.", flag=False, default=str(DEFAULT_DURATION_S)),
         JSON_OPTION,
     ]
 
--- a/cherrycove/tier/controlplane/machines.py
+++ b/cherrycove/tier/controlplane/machines.py
@@ -58,9 +58,7 @@
     def record_initial(self, replicas: Iterable[Replica]) -> None:
         """The stores that begin the store group."""
         for one in replicas:
-            machine = StoreMachine(
-                node_name=one.node_name, ip=host_of(one.address), store_id=one.member_id
-            )
+            machine = StoreMachine(node_name=one.node_name, ip=host_of(one.address), store_id=one.member_id)
             self._merge(machine)
 
     def record(self, machine: StoreMachine, revision: int) -> bool:
--- a/cherrycove/tier/dataplane/admission/limits.py
+++ b/cherrycove/tier/dataplane/admission/limits.py
@@ -29,9 +29,7 @@
 def note_served(state: BrokerState, kind: str, latency_s: float) -> None:
     """The first event of a request came ``latency_s`` after its send."""
     state.node.window.served += 1
-    state.node.window.latencies.setdefault(kind, []).append(
-        max(latency_s, LEAST_LATENCY_S)
-    )
+    state.node.window.latencies.setdefault(kind, []).append(max(latency_s, LEAST_LATENCY_S))
 
 
 def close_window(state: BrokerState, classes: Sequence[RequestClass], now: float) -> None:
--- a/cherrycove/tier/dataplane/headers.py
+++ b/cherrycove/tier/dataplane/headers.py
@@ -33,9 +33,7 @@
 
 def end_to_end(headers: CIMultiDictProxy[str] | CIMultiDict[str]) -> CIMultiDict[str]:
     """The fields that are passed on: all but those that concern one connection."""
-    named = {
-        name.strip().lower() for value in headers.getall("Connection", ()) for name in value.split(",")
-    }
+    named = {name.strip().lower() for value in headers.getall("Connection", ()) for name in value.split(",")}
     dropped = _ONE_CONNECTION | named
     return CIMultiDict((name, value) for name, value in headers.items() if name.lower() not in dropped)
 
--- a/cherrycove/tier/dataplane/ingress.py
+++ b/cherrycove/tier/dataplane/ingress.py
@@ -90,9 +90,7 @@
     """The library's server; each new connection gets the time-outs in force."""
 
     def __init__(self, ingress: Ingress) -> None:
-        super().__init__(
-            ingress.handle, request_factory=ingress.make_request, handler_cancellation=True
-        )
+        super().__init__(ingress.handle, request_factory=ingress.make_request, handler_cancellation=True)
         self._ingress = ingress
 
     def __call__(self) -> web.RequestHandler:
--- a/cherrycove/tier/dataplane/items.py
+++ b/cherrycove/tier/dataplane/items.py
@@ -188,9 +188,7 @@
                 return self.dead_lettered()
         return None
 
-    async def _collect(
-        self, answer: BrokerAnswer, grant: Grant, patience: asyncio.Timeout
-    ) -> ItemOutcome:
+    async def _collect(self, answer: BrokerAnswer, grant: Grant, patience: asyncio.Timeout) -> ItemOutcome:
         """Take all events to the stream's own end."""
         loop, splitter = asyncio.get_running_loop(), EventSplitter()
         while piece := await answer.chunk():
@@ -204,9 +202,7 @@
                 self._take(event)
         if splitter.pending.strip():
             raise AnswerBrokenError(BreakReason.GARBLED, "the stream ends within an event")
-        return ItemOutcome(
-            ItemState.COMPLETED, text=b"\n".join(self.data), failed_attempts=self.failed
-        )
+        return ItemOutcome(ItemState.COMPLETED, text=b"\n".join(self.data), failed_attempts=self.failed)
 
     def _take(self, event: Event) -> None:
         """Keep the event if it is the next one; ``AnswerBrokenError`` where one before it is missing."""
--- a/cherrycove/tier/logs.py
+++ b/cherrycove/tier/logs.py
@@ -26,9 +26,7 @@
         self._program = program
         self._node = node
 
-    def add_fields(
-        self, log_data: LogData, record: logging.LogRecord, message_dict: dict[str, Any]
-    ) -> None:
+    def add_fields(self, log_data: LogData, record: logging.LogRecord, message_dict: dict[str, Any]) -> None:
         """Fill ``log_data`` in the order in which the fields are read best."""
         log_data["time"] = _utc(record.created)
         log_data["level"] = record.levelname.lower()
--- a/cherrycove/tier/membership/exchange.py
+++ b/cherrycove/tier/membership/exchange.py
@@ -95,5 +95,3 @@
 
     def _own_record(self) -> MemberRecord:
         return self._beliefs.own.member.record()
-
-
--- a/cherrycove/tier/programs/keeper.py
+++ b/cherrycove/tier/programs/keeper.py
@@ -29,9 +29,7 @@
         self._group, self._fresh = open_group(PROGRAM, settings, self._state, self._server, self._client)
         self._server.identify(lambda: self._group.identity.member_id)
         self._views = Views()
-        self._keeper = Keeper(
-            settings, self._group, self._state, self._server, self._client, self._views
-        )
+        self._keeper = Keeper(settings, self._group, self._state, self._server, self._client, self._views)
         self._puller = Puller(settings, self._client, self._views, self._announce)
 
     async def start(self) -> None:
@@ -63,9 +61,7 @@
         ]
 
     def _announce(self) -> Announcement:
-        return describe(
-            PROGRAM, self._settings, self._group, self._fresh, self._incarnation, self._leaving
-        )
+        return describe(PROGRAM, self._settings, self._group, self._fresh, self._incarnation, self._leaving)
 
 
 def assemble(settings: Settings) -> KeeperProgram:
--- a/cherrycove/tier/programs/store.py
+++ b/cherrycove/tier/programs/store.py
@@ -53,9 +53,7 @@
         self._puller.reload(settings)
 
     def _announce(self) -> Announcement:
-        return describe(
-            PROGRAM, self._settings, self._group, self._fresh, self._incarnation, self._leaving
-        )
+        return describe(PROGRAM, self._settings, self._group, self._fresh, self._incarnation, self._leaving)
 
 
 def assemble(settings: Settings) -> StoreProgram:
--- a/cherrycove/tier/protocol/sessions.py
+++ b/cherrycove/tier/protocol/sessions.py
@@ -40,9 +40,7 @@
         self._factory = partial(connection, loop=self._loop)  # type: ignore[assignment]
 
 
-def client_session(
-    connector: aiohttp.TCPConnector | None = None, **settings: Any
-) -> aiohttp.ClientSession:
+def client_session(connector: aiohttp.TCPConnector | None = None, **settings: Any) -> aiohttp.ClientSession:
     """A session that keeps no cookies and never sends a request a second time by itself; call it within
     the event loop. ``settings`` are further ones of ``aiohttp.ClientSession``."""
     session = aiohttp.ClientSession(
--- a/cherrycove/tier/replication/group.py
+++ b/cherrycove/tier/replication/group.py
@@ -169,9 +169,7 @@
             storage.close()
             details = {"group": self._name, "member": self._identity.member_id, "reason": str(error)}
             _log.error("disk_damaged", extra=details)
-        self._identity = attrs.evolve(
-            self._identity, member_id=self._runtime.renew_identity(self._directory)
-        )
+        self._identity = attrs.evolve(self._identity, member_id=self._runtime.renew_identity(self._directory))
         storage = self._runtime.open_storage(self._directory, self._disk_limit)
         return storage.recover(), storage
 
--- a/cherrycove/tier/simulation/control/batch_load.py
+++ b/cherrycove/tier/simulation/control/batch_load.py
@@ -175,9 +175,7 @@
         world = self._world
         if isinstance(outcome, Ok):
             places = world.holders_of_job(request.job_id)
-            world.jobs.accepted(
-                process.life.name, request.job_id, world.now, places, world.copies_wanted()
-            )
+            world.jobs.accepted(process.life.name, request.job_id, world.now, places, world.copies_wanted())
         elif outcome.err_value.certain:
             world.jobs.refused(request.job_id)
 
--- a/cherrycove/tier/simulation/world.py
+++ b/cherrycove/tier/simulation/world.py
@@ -249,9 +249,7 @@
         """Whoever runs at the address of ``member_id`` answers that it has another disk."""
         replica = self._at(asker.address)
         if replica is not None and replica.identity.member_id == asker.member_id:
-            self.on_replica(
-                replica, replica.life, lambda machine: machine.disk_replaced(member_id, self.now)
-            )
+            self.on_replica(replica, replica.life, lambda machine: machine.disk_replaced(member_id, self.now))
 
     # Clients and the plane above
 
--- a/cherrycove/why/ask.py
+++ b/cherrycove/why/ask.py
@@ -108,8 +108,9 @@
         return now >= self._due
 
 
-async def answer(question: Question, book: Book, now: Callable[[], float],
-                 still_open: Callable[[str], list[Ended]]) -> list[str]:
+async def answer(
+    question: Question, book: Book, now: Callable[[], float], still_open: Callable[[str], list[Ended]]
+) -> list[str]:
     """The answer's lines, the first of them YES or NO. ``now`` is the machine's monotonic clock."""
     wall = time.time()
     pace = _Pace()
@@ -125,9 +126,9 @@
             break
         found.append(story)
         if len(found) > 4 * question.most:  # the newest are wanted, and rings are walked one behind the other
-            found = sorted(found, key=lambda each: each.ended)[-question.most:]
+            found = sorted(found, key=lambda each: each.ended)[-question.most :]
     more = len(found) > question.most
-    found = sorted(found, key=lambda each: each.ended)[-question.most:]
+    found = sorted(found, key=lambda each: each.ended)[-question.most :]
     said = [line for story in found for line in _say(question, book, story, now(), wall)]
     shown = f"the last {len(found)} of more" if more else str(len(found))
     return [f"YES {shown} requests{stopped}", *said, *_gaps(book, now(), wall)]
@@ -142,8 +143,9 @@
             yield story
 
 
-def _say(question: Question, book: Book, story: Story, now: float, wall: float,
-         still_open: bool = False) -> list[str]:
+def _say(
+    question: Question, book: Book, story: Story, now: float, wall: float, still_open: bool = False
+) -> list[str]:
     if question.json:
         return [json.dumps(words.fields(story, book.settings, now, wall, still_open))]
     return words.lines(story, book.settings, now, wall, still_open)
@@ -179,13 +181,18 @@
 def _gaps(book: Book, now: float, wall: float) -> list[str]:
     """What the record no longer holds."""
     said = [f"# the record begins at {words.when(book.start, now, wall)}"]
-    names = {"kept": "refused, failed, retried or left", "plain": "served at once",
-             "former": "handed over by the process before this one"}
+    names = {
+        "kept": "refused, failed, retried or left",
+        "plain": "served at once",
+        "former": "handed over by the process before this one",
+    }
     for gap in book.gaps():
         if gap.lost:
             since = words.when(gap.whole_since or now, now, wall)
-            said.append(f"# {gap.held} held, {gap.lost} given up of those {names[gap.ring]}; "
-                        f"all since {since} are here")
+            said.append(
+                f"# {gap.held} held, {gap.lost} given up of those {names[gap.ring]}; "
+                f"all since {since} are here"
+            )
     if book.former_lost:
         said.append(f"# {book.former_lost} pieces from the process before this one did not come")
     return said
@@ -201,13 +208,15 @@
         whole["reasons"].append({"verdict": verdict, "code": code_of(number).name.lower(), "count": count})
     await pace.over()
     for (volume, number), count, error in book.sketches.volumes(since).top(10):
-        whole["volumes"].append({"volume": volume, "code": code_of(number).name.lower(), "count": count,
-                                 "error": error})
+        whole["volumes"].append(
+            {"volume": volume, "code": code_of(number).name.lower(), "count": count, "error": error}
+        )
     await pace.over()
     for (node, cls), sketch in sorted(book.sketches.latency(since).items()):
         ms = {f"p{part}_ms": round(sketch.get_quantile_value(part / 100) * 1000, 1) for part in (50, 95, 99)}
-        whole["nodes"].append({"node": node, "class": book.settings.classes[cls].name,
-                               "count": int(sketch.count), **ms})
+        whole["nodes"].append(
+            {"node": node, "class": book.settings.classes[cls].name, "count": int(sketch.count), **ms}
+        )
         await pace.over()
     for minute in book.sketches.minutes(since):
         totals = dict.fromkeys(VERDICTS, 0)
@@ -219,11 +228,19 @@
         return ["YES", json.dumps(whole), *_gaps(book, now, wall)]
     said = ["YES"]
     said += [f"reason {row['verdict']} {row['code']}: {row['count']}" for row in whole["reasons"]]
-    said += [f"volume {words.plain(row['volume']) or 'unknown'} {row['code']}: {row['count']}"
-             + (f" (at most {row['error']} too many)" if row["error"] else "") for row in whole["volumes"]]
-    said += [f"node {words.plain(row['node'])} {row['class']}: {row['count']} served, "
-             f"half within {row['p50_ms']} ms, 95% within {row['p95_ms']} ms, 99% within {row['p99_ms']} ms"
-             for row in whole["nodes"]]
-    said += [f"minute {row['minute']}: {row['served']} served, {row['refused']} refused, "
-             f"{row['failed']} failed, {row['gone']} left" for row in whole["minutes"]]
+    said += [
+        f"volume {words.plain(row['volume']) or 'unknown'} {row['code']}: {row['count']}"
+        + (f" (at most {row['error']} too many)" if row["error"] else "")
+        for row in whole["volumes"]
+    ]
+    said += [
+        f"node {words.plain(row['node'])} {row['class']}: {row['count']} served, "
+        f"half within {row['p50_ms']} ms, 95% within {row['p95_ms']} ms, 99% within {row['p99_ms']} ms"
+        for row in whole["nodes"]
+    ]
+    said += [
+        f"minute {row['minute']}: {row['served']} served, {row['refused']} refused, "
+        f"{row['failed']} failed, {row['gone']} left"
+        for row in whole["minutes"]
+    ]
     return [*said, *_gaps(book, now, wall)]
--- a/cherrycove/why/book.py
+++ b/cherrycove/why/book.py
@@ -49,7 +49,6 @@
 VERDICTS = {Verdict.SERVED: "served", Verdict.REFUSED: "refused", Verdict.FAILED: "failed"}
 
 
-
 @dataclass(frozen=True, slots=True)
 class Gaps:
     """What a ring has given up, told with every answer."""
@@ -121,8 +120,13 @@
     def footprint(self) -> int:
         """Bytes that it holds or may come to hold, by exact sizes of its arrays and the bounds of the
         rest."""
-        return (sum(ring.footprint() for _, ring in self.rings()) + NAMES + OWN + self.seen.footprint()
-                + (self.sketches.footprint() if self.sketches else 0))
+        return (
+            sum(ring.footprint() for _, ring in self.rings())
+            + NAMES
+            + OWN
+            + self.seen.footprint()
+            + (self.sketches.footprint() if self.sketches else 0)
+        )
 
     def rings(self) -> list[tuple[str, Ring]]:
         own = [("kept", self.kept), ("plain", self.plain)]
@@ -130,8 +134,10 @@
 
     def gaps(self) -> list[Gaps]:
         self.flush()
-        return [Gaps(name, ring.count, ring.lost, ring.lost_until if ring.lost else None)
-                for name, ring in self.rings()]
+        return [
+            Gaps(name, ring.count, ring.lost, ring.lost_until if ring.lost else None)
+            for name, ring in self.rings()
+        ]
 
     # What the core tells.
 
@@ -150,15 +156,40 @@
         usual = request is not None and not ended.own and not request.repeat and self.on_story is None
         if usual and request is not None and ended.verdict is Verdict.SERVED and len(tries) == 1:
             attempt = tries[0]
-            self._pending.append((
-                request.id, request.volume, ended.at, ended.at - ended.came, request.front, request.cls,
-                request.plan, request.units, request.shard, attempt.node, attempt.why,
-                attempt.began - ended.came, attempt.took))
+            self._pending.append(
+                (
+                    request.id,
+                    request.volume,
+                    ended.at,
+                    ended.at - ended.came,
+                    request.front,
+                    request.cls,
+                    request.plan,
+                    request.units,
+                    request.shard,
+                    attempt.node,
+                    attempt.why,
+                    attempt.began - ended.came,
+                    attempt.took,
+                )
+            )
         elif usual and request is not None and why is not None and not tries:
-            self._pending.append((
-                request.id, request.volume, ended.at, ended.at - ended.came, request.front, request.cls,
-                request.plan, request.units, request.shard, ended.verdict is Verdict.FAILED, why,
-                _thing(request.key)))
+            self._pending.append(
+                (
+                    request.id,
+                    request.volume,
+                    ended.at,
+                    ended.at - ended.came,
+                    request.front,
+                    request.cls,
+                    request.plan,
+                    request.units,
+                    request.shard,
+                    ended.verdict is Verdict.FAILED,
+                    why,
+                    _thing(request.key),
+                )
+            )
         else:
             self._pending.append(story_of(ended))
         if len(self._pending) >= BATCH:
@@ -175,17 +206,46 @@
             else:
                 self._unsent(*each)
 
-    def _served(self, id: str, volume: str, at: float, took: float, front: str, cls: int, plan: int,
-                units: float, shard: int | None, node: str, why: Reason, began: float, lasted: float) -> None:
+    def _served(
+        self,
+        id: str,
+        volume: str,
+        at: float,
+        took: float,
+        front: str,
+        cls: int,
+        plan: int,
+        units: float,
+        shard: int | None,
+        node: str,
+        why: Reason,
+        began: float,
+        lasted: float,
+    ) -> None:
         """What by far the most are: served at the first attempt."""
         number = self.nodes.numbers.get(node)
         record = None
         if number is not None:
-            record = pack_plain(id, volume, at, took, front, cls, plan, units, shard, number, why,
-                                max(began, 0.0), lasted)
+            record = pack_plain(
+                id, volume, at, took, front, cls, plan, units, shard, number, why, max(began, 0.0), lasted
+            )
         if record is None:
-            return self.add(Story(id, volume, at, took, "served", Own.SERVED, front, cls, plan, units, shard,
-                                  tries=[Try(node, why, max(began, 0.0), lasted, Ending.SERVED)]))
+            return self.add(
+                Story(
+                    id,
+                    volume,
+                    at,
+                    took,
+                    "served",
+                    Own.SERVED,
+                    front,
+                    cls,
+                    plan,
+                    units,
+                    shard,
+                    tries=[Try(node, why, max(began, 0.0), lasted, Ending.SERVED)],
+                )
+            )
         self.counts["served"] += 1
         hashed = hash(id)
         self.seen.add(hashed, at)
@@ -194,18 +254,47 @@
             self.sketches.ended(at, "served", Own.SERVED, volume)
             self.sketches.answered(at, node, cls, lasted)
 
-    def _unsent(self, id: str, volume: str, at: float, took: float, front: str, cls: int, plan: int,
-                units: float, shard: int | None, failed: bool, why: Reason, thing: int) -> None:
+    def _unsent(
+        self,
+        id: str,
+        volume: str,
+        at: float,
+        took: float,
+        front: str,
+        cls: int,
+        plan: int,
+        units: float,
+        shard: int | None,
+        failed: bool,
+        why: Reason,
+        thing: int,
+    ) -> None:
         """What most of the others are: given up on before it was sent."""
         number = self.nodes.numbers.get(why.node, NO_NODE)
         verdict = "failed" if failed else "refused"
         record = None
         if number != NO_NODE or not why.node:
-            record = pack_unsent(id, volume, at, took, front, cls, plan, units, shard, failed, number, why,
-                                 thing)
+            record = pack_unsent(
+                id, volume, at, took, front, cls, plan, units, shard, failed, number, why, thing
+            )
         if record is None:
-            return self.add(Story(id, volume, at, took, verdict, why.code, front, cls, plan, units, shard,
-                                  why=why, object=thing))
+            return self.add(
+                Story(
+                    id,
+                    volume,
+                    at,
+                    took,
+                    verdict,
+                    why.code,
+                    front,
+                    cls,
+                    plan,
+                    units,
+                    shard,
+                    why=why,
+                    object=thing,
+                )
+            )
         self.counts[verdict] += 1
         hashed = hash(id)
         self.seen.add(hashed, at)
@@ -254,8 +343,9 @@
                     found.append(other)
         return sorted(found, key=lambda other: other.ended)
 
-    def walk(self, since: float, volume: str = "", only: frozenset[str] = frozenset(),
-             now: float = 0.0) -> Iterator[Story | None]:
+    def walk(
+        self, since: float, volume: str = "", only: frozenset[str] = frozenset(), now: float = 0.0
+    ) -> Iterator[Story | None]:
         """All that ended from then on and fits; None for each that does not, so that a caller may pause."""
         self.flush()
         for _, ring in self.rings():
@@ -293,6 +383,7 @@
                 story = self.read(ring, at, now)
                 if story is not None and story.ended >= since:
                     yield story
+
         stories = merge(*(of(ring) for _, ring in self.rings()), key=lambda story: story.ended)
         names = {name: place for place, name in enumerate(self.nodes.names)}
         batch: list[bytes] = []
@@ -312,8 +403,11 @@
         if self.former is None:
             return 0
         names, records = piece.get("nodes"), piece.get("records")
-        if not (isinstance(names, list) and all(isinstance(name, str) for name in names)
-                and isinstance(records, str)):
+        if not (
+            isinstance(names, list)
+            and all(isinstance(name, str) for name in names)
+            and isinstance(records, str)
+        ):
             raise PackError("a piece lacks its names or records")
         try:
             data = bytes.fromhex(records)
@@ -322,7 +416,7 @@
         at = taken = 0
         while at + HEAD.size <= len(data):
             story = unpack(data, at, now, names)
-            at += int.from_bytes(data[at:at + 2], "little")
+            at += int.from_bytes(data[at : at + 2], "little")
             for each in story.tries:
                 self.nodes.number(each.node, story.ended)
             if story.why is not None:
@@ -352,11 +446,31 @@
     code: AnyCode = Own(ended.own) if ended.own else ended.why.code if ended.why else Own.NOTHING
     if not ended.own and ended.verdict is Verdict.SERVED:
         code = Own.SERVED
-    tries = [Try(each.node, each.why, max(each.began - ended.came, 0.0), each.took, each.ending)
-             for each in ended.tries if each.why is not None]
+    tries = [
+        Try(each.node, each.why, max(each.began - ended.came, 0.0), each.took, each.ending)
+        for each in ended.tries
+        if each.why is not None
+    ]
     if request is None:
-        return Story(ended.id, ended.volume, ended.at, ended.at - ended.came, verdict, code, ended.front,
-                     ended.cls)
-    return Story(request.id, request.volume, ended.at, ended.at - ended.came, verdict, code, request.front,
-                 request.cls, request.plan, request.units, request.shard, request.repeat, ended.first,
-                 ended.rivals, tries, ended.why, _thing(request.key))
+        return Story(
+            ended.id, ended.volume, ended.at, ended.at - ended.came, verdict, code, ended.front, ended.cls
+        )
+    return Story(
+        request.id,
+        request.volume,
+        ended.at,
+        ended.at - ended.came,
+        verdict,
+        code,
+        request.front,
+        request.cls,
+        request.plan,
+        request.units,
+        request.shard,
+        request.repeat,
+        ended.first,
+        ended.rivals,
+        tries,
+        ended.why,
+        _thing(request.key),
+    )
--- a/cherrycove/why/pack.py
+++ b/cherrycove/why/pack.py
@@ -102,35 +102,76 @@
     names = number or {}
     id_hex, volume_hex = HEX16.fullmatch(story.id), HEX16.fullmatch(story.volume)
     tries = story.tries[:MOST_TRIES]
-    flags = (VERDICTS.index(story.verdict) | bool(id_hex) << 2 | story.repeat << 3
-             | FRONTS.index(story.front) << 4 | (story.verdict != "served") << 5 | bool(volume_hex) << 6
-             | bool(story.first) << 7)
+    flags = (
+        VERDICTS.index(story.verdict)
+        | bool(id_hex) << 2
+        | story.repeat << 3
+        | FRONTS.index(story.front) << 4
+        | (story.verdict != "served") << 5
+        | bool(volume_hex) << 6
+        | bool(story.first) << 7
+    )
     cls, plan = (NO_CLASS if each is None else each for each in (story.cls, story.plan))
     shard = NO_SHARD if story.shard is None else min(story.shard, NO_SHARD)
-    head = (flags, len(tries), 0, 0, int(story.ended * 1000) & MASK, _ms(story.took), story.code, cls, plan,
-            _half(story.units), shard)
+    head = (
+        flags,
+        len(tries),
+        0,
+        0,
+        int(story.ended * 1000) & MASK,
+        _ms(story.took),
+        story.code,
+        cls,
+        plan,
+        _half(story.units),
+        shard,
+    )
     packed = [_try(each, names) for each in tries]
     if id_hex and volume_hex and len(tries) == 1 and story.verdict == "served" and not story.first:
         return PLAIN.pack(PLAIN.size, *head, int(story.id, 16), int(story.volume, 16), *packed[0])
-    parts = [struct.pack("<Q", int(story.id, 16)) if id_hex else _text(story.id),
-             struct.pack("<Q", int(story.volume, 16)) if volume_hex else _text(story.volume)]
+    parts = [
+        struct.pack("<Q", int(story.id, 16)) if id_hex else _text(story.id),
+        struct.pack("<Q", int(story.volume, 16)) if volume_hex else _text(story.volume),
+    ]
     parts += [TRY.pack(*each) for each in packed]
     if story.verdict != "served":
         why = story.why or _NONE
-        parts.append(END.pack(
-            names.get(why.node, NO_NODE), PLACES.index(why.place), _half(why.threshold), min(why.out, 255),
-            min(why.queued, 255), _half(why.credits), _ms(why.wait),
-            max(-32768, min(int(why.left * 1000), 32767)), _ms(why.refill), why.epoch & MASK,
-            story.object & MASK))
+        parts.append(
+            END.pack(
+                names.get(why.node, NO_NODE),
+                PLACES.index(why.place),
+                _half(why.threshold),
+                min(why.out, 255),
+                min(why.queued, 255),
+                _half(why.credits),
+                _ms(why.wait),
+                max(-32768, min(int(why.left * 1000), 32767)),
+                _ms(why.refill),
+                why.epoch & MASK,
+                story.object & MASK,
+            )
+        )
     if story.first:
         parts.append(bytes((min(story.rivals, 255),)) + _text(story.first))
     body = b"".join(parts)
     return HEAD.pack(HEAD.size + len(body), *head) + body
 
 
-def pack_plain(id: str, volume: str, ended: float, took: float, front: str, cls: int, plan: int,
-               units: float, shard: int | None, node: int, why: Reason, at: float,
-               lasted: float) -> bytes | None:
+def pack_plain(
+    id: str,
+    volume: str,
+    ended: float,
+    took: float,
+    front: str,
+    cls: int,
+    plan: int,
+    units: float,
+    shard: int | None,
+    node: int,
+    why: Reason,
+    at: float,
+    lasted: float,
+) -> bytes | None:
     """The record of a request served at its first attempt, as ``pack`` makes it; None where a field does not
     fit as it is. By far the most are such, and this takes a third of the time."""
     if not (HEX16.fullmatch(id) and HEX16.fullmatch(volume)):
@@ -138,37 +179,100 @@
     code, _, _, level, out, queued, credits, wait, *_ = why
     try:
         return PLAIN.pack(
-            PLAIN.size, 0x44 if front == "http" else 0x54, 1, 0, 0, int(ended * 1000) & MASK,
-            int(took * 1000 + 0.5), 64, cls, plan, units, NO_SHARD if shard is None else shard,
-            int(id, 16), int(volume, 16), node, code, _SERVED, int(at * 1000 + 0.5), int(lasted * 1000 + 0.5),
-            level, out, queued, credits, int(wait * 1000 + 0.5) if wait > 0 else 0)
+            PLAIN.size,
+            0x44 if front == "http" else 0x54,
+            1,
+            0,
+            0,
+            int(ended * 1000) & MASK,
+            int(took * 1000 + 0.5),
+            64,
+            cls,
+            plan,
+            units,
+            NO_SHARD if shard is None else shard,
+            int(id, 16),
+            int(volume, 16),
+            node,
+            code,
+            _SERVED,
+            int(at * 1000 + 0.5),
+            int(lasted * 1000 + 0.5),
+            level,
+            out,
+            queued,
+            credits,
+            int(wait * 1000 + 0.5) if wait > 0 else 0,
+        )
     except (struct.error, OverflowError):
         return None
 
 
-def pack_unsent(id: str, volume: str, ended: float, took: float, front: str, cls: int, plan: int,
-                units: float, shard: int | None, failed: bool, node: int, why: Reason,
-                thing: int) -> bytes | None:
+def pack_unsent(
+    id: str,
+    volume: str,
+    ended: float,
+    took: float,
+    front: str,
+    cls: int,
+    plan: int,
+    units: float,
+    shard: int | None,
+    failed: bool,
+    node: int,
+    why: Reason,
+    thing: int,
+) -> bytes | None:
     """The record of a request that the module gave up on unsent, likewise."""
     if not (HEX16.fullmatch(id) and HEX16.fullmatch(volume)):
         return None
     code, _, place, level, out, queued, credits, wait, left, refill, epoch = why
     try:
         return UNSENT.pack(
-            UNSENT.size, (0x65 if front == "http" else 0x75) + failed, 0, 0, 0, int(ended * 1000) & MASK,
-            int(took * 1000 + 0.5), code, cls, plan, units, NO_SHARD if shard is None else shard,
-            int(id, 16), int(volume, 16), node, 1 if place == "lane" else 2 if place else 0, level, out,
-            queued, credits, int(wait * 1000 + 0.5) if wait > 0 else 0, int(left * 1000),
-            int(refill * 1000 + 0.5) if refill > 0 else 0, epoch & MASK, thing)
+            UNSENT.size,
+            (0x65 if front == "http" else 0x75) + failed,
+            0,
+            0,
+            0,
+            int(ended * 1000) & MASK,
+            int(took * 1000 + 0.5),
+            code,
+            cls,
+            plan,
+            units,
+            NO_SHARD if shard is None else shard,
+            int(id, 16),
+            int(volume, 16),
+            node,
+            1 if place == "lane" else 2 if place else 0,
+            level,
+            out,
+            queued,
+            credits,
+            int(wait * 1000 + 0.5) if wait > 0 else 0,
+            int(left * 1000),
+            int(refill * 1000 + 0.5) if refill > 0 else 0,
+            epoch & MASK,
+            thing,
+        )
     except (struct.error, OverflowError, ValueError):
         return None
 
 
 def _try(each: Try, names: dict[str, int]) -> tuple[object, ...]:
     why = each.why
-    return (names.get(each.node, NO_NODE), why.code,
-            NO_ENDING if each.ending is None else _PLACE[each.ending], _ms(each.at), _ms(each.took),
-            _half(why.threshold), min(why.out, 255), min(why.queued, 255), _half(why.credits), _ms(why.wait))
+    return (
+        names.get(each.node, NO_NODE),
+        why.code,
+        NO_ENDING if each.ending is None else _PLACE[each.ending],
+        _ms(each.at),
+        _ms(each.took),
+        _half(why.threshold),
+        min(why.out, 255),
+        min(why.queued, 255),
+        _half(why.credits),
+        _ms(why.wait),
+    )
 
 
 _PLACE = {ending: place for place, ending in enumerate(ENDINGS)}
@@ -183,8 +287,9 @@
     return place + TRY.size * data[at + 3]
 
 
-def unpack(data: bytes | bytearray | memoryview, at: int, now: float,
-           nodes: list[str] | None = None) -> Story:
+def unpack(
+    data: bytes | bytearray | memoryview, at: int, now: float, nodes: list[str] | None = None
+) -> Story:
     """The story there, which ended at most 49 days before ``now``; PackError if there is none."""
     try:
         return _unpack(data, at, now, nodes or [])
@@ -196,7 +301,7 @@
     size, flags, count, _, _, ended, took, number, cls, plan, units, shard = HEAD.unpack_from(data, at)
     if size < HEAD.size or at + size > len(data):
         raise PackError("its size is wrong")
-    whole, place = bytes(data[at:at + size]), HEAD.size
+    whole, place = bytes(data[at : at + size]), HEAD.size
 
     def name(is_hex: int) -> str:
         nonlocal place
@@ -208,29 +313,60 @@
         place += 1 + length
         if place > size:
             raise PackError("a name goes beyond it")
-        return whole[place - length:place].decode("utf-8", "surrogateescape")
+        return whole[place - length : place].decode("utf-8", "surrogateescape")
 
     def node(number: int) -> str:
         return nodes[number] if number < len(nodes) else ""
+
     now_ms = int(now * 1000)
-    story = Story(name(flags & 4), name(flags & 64), (now_ms - ((now_ms - ended) & MASK)) / 1000, took / 1000,
-                  VERDICTS[flags & 3], code(number), FRONTS[flags >> 4 & 1],
-                  None if cls == NO_CLASS else cls, None if plan == NO_CLASS else plan, units,
-                  None if shard == NO_SHARD else shard, bool(flags & 8))
+    story = Story(
+        name(flags & 4),
+        name(flags & 64),
+        (now_ms - ((now_ms - ended) & MASK)) / 1000,
+        took / 1000,
+        VERDICTS[flags & 3],
+        code(number),
+        FRONTS[flags >> 4 & 1],
+        None if cls == NO_CLASS else cls,
+        None if plan == NO_CLASS else plan,
+        units,
+        None if shard == NO_SHARD else shard,
+        bool(flags & 8),
+    )
     for _ in range(count):
-        (where, number, ending, began, lasted, level, out, queued, credits,
-         wait) = TRY.unpack_from(whole, place)
+        (where, number, ending, began, lasted, level, out, queued, credits, wait) = TRY.unpack_from(
+            whole, place
+        )
         place += TRY.size
         why = Reason(Code(number), node(where), "", level, out, queued, credits, wait / 1000)
-        story.tries.append(Try(node(where), why, began / 1000, lasted / 1000,
-                               None if ending == NO_ENDING else ENDINGS[ending]))
+        story.tries.append(
+            Try(
+                node(where),
+                why,
+                began / 1000,
+                lasted / 1000,
+                None if ending == NO_ENDING else ENDINGS[ending],
+            )
+        )
     if flags & 32:
-        (where, stood, level, out, queued, credits, wait, left, refill, epoch,
-         story.object) = END.unpack_from(whole, place)
+        (where, stood, level, out, queued, credits, wait, left, refill, epoch, story.object) = (
+            END.unpack_from(whole, place)
+        )
         place += END.size
         if isinstance(story.code, Code):
-            story.why = Reason(story.code, node(where), PLACES[stood & ~CLAIMED], level, out, queued, credits,
-                               wait / 1000, left / 1000, refill / 1000, epoch)
+            story.why = Reason(
+                story.code,
+                node(where),
+                PLACES[stood & ~CLAIMED],
+                level,
+                out,
+                queued,
+                credits,
+                wait / 1000,
+                left / 1000,
+                refill / 1000,
+                epoch,
+            )
     if flags & 128:
         story.rivals = whole[place]
         place += 1
--- a/cherrycove/why/report.py
+++ b/cherrycove/why/report.py
@@ -46,8 +46,9 @@
         draw(axes, whole)
         figure.savefig(out / name, metadata={"Date": None})
         pyplot.close(figure)
-    environment = Environment(loader=PackageLoader("cherrycove.why", "templates"), autoescape=True,
-                              undefined=StrictUndefined)
+    environment = Environment(
+        loader=PackageLoader("cherrycove.why", "templates"), autoescape=True, undefined=StrictUndefined
+    )
     template = environment.get_template("report.html")
     page = template.render(whole=whole, last=last, since=since, plots=list(plots))
     path = out / "index.html"
@@ -73,8 +74,9 @@
     for part, mark in ((50, "o"), (95, "^"), (99, "x")):
         axes.plot(range(len(names)), [row[f"p{part}_ms"] for row in whole["nodes"]], mark, label=f"{part}%")
     # Guard: a name with a dollar would be read as a formula.
-    axes.set_xticks(range(len(names)), [name.replace("$", r"\$") for name in names], rotation=45, ha="right",
-                    fontsize=7)
+    axes.set_xticks(
+        range(len(names)), [name.replace("$", r"\$") for name in names], rotation=45, ha="right", fontsize=7
+    )
     axes.set(ylabel="ms", title="Latency of served attempts by node and class")
     if names:
         axes.set_yscale("log")
--- a/cherrycove/why/retries.py
+++ b/cherrycove/why/retries.py
@@ -31,7 +31,7 @@
             continue
         end = end_at(data, at)
         stands = data[end + 2]
-        if stands & CLAIMED or int.from_bytes(data[end + _OBJECT_AT:end + END.size], "little") != thing:
+        if stands & CLAIMED or int.from_bytes(data[end + _OBJECT_AT : end + END.size], "little") != thing:
             continue
         if unpack(data, at, now).volume == volume:
             found, rivals = at, rivals + 1
