--- a/cherrycove/why/ring.py
+++ b/cherrycove/why/ring.py
@@ -47,8 +47,9 @@
 
     def footprint(self) -> int:
         """Bytes that it holds, whatever it has taken in."""
-        return OWN + sum(map(sys.getsizeof, (self._data, self._ids, self._volumes, self._mark_at,
-                                             self._mark_when)))
+        return OWN + sum(
+            map(sys.getsizeof, (self._data, self._ids, self._volumes, self._mark_at, self._mark_when))
+        )
 
     def add(self, record: bytes, id_hash: int, volume_hash: int, ended: float) -> int:
         """Take in a record; its position. One that is larger than a quarter of the ring is refused (0)."""
@@ -60,13 +61,13 @@
         if at + need > self.size or not self.head & MASK:
             self._free(self.size - at)
             if self.size - at >= 2:
-                self._data[at:at + 2] = b"\0\0"  # the rest of this lap is empty
+                self._data[at : at + 2] = b"\0\0"  # the rest of this lap is empty
             self.head += self.size - at
             at = 0
         if self.head + need - self.tail > self.size:
             self._free(need)
         place, data, ids, volumes = self.head, self._data, self._ids, self._volumes
-        data[at:at + need] = record
+        data[at : at + need] = record
         by_id, by_volume = id_hash & self._mask, volume_hash & self._mask
         LINKS.pack_into(data, at + LINKS_AT, ids[by_id], volumes[by_volume])
         ids[by_id] = volumes[by_volume] = place & MASK
@@ -99,10 +100,10 @@
             self.lost_until = self._when(last)
 
     def _size(self, at: int) -> int:
-        return int.from_bytes(self._data[at:at + 2], "little") if self.size - at >= 2 else 0
+        return int.from_bytes(self._data[at : at + 2], "little") if self.size - at >= 2 else 0
 
     def _when(self, at: int) -> float:
-        low = int.from_bytes(self._data[at + ENDED_AT:at + ENDED_AT + 4], "little")
+        low = int.from_bytes(self._data[at + ENDED_AT : at + ENDED_AT + 4], "little")
         return (self._last_ms - ((self._last_ms - low) & MASK)) / 1000
 
     def _position(self, link: int) -> int:
@@ -155,4 +156,4 @@
         return self._data
 
     def record(self, at: int) -> bytes:
-        return bytes(self._data[at:at + self._size(at)])
+        return bytes(self._data[at : at + self._size(at)])
--- a/cherrycove/why/sketches.py
+++ b/cherrycove/why/sketches.py
@@ -127,10 +127,15 @@
         for (node, cls), sketch in minute.latency.items():
             store = sketch._store
             series.append([node, cls, store.offset, [int(count) for count in store.bins]])
-        packed: bytes = self._msgpack.packb([
-            [[*key, count] for key, count in minute.counts.items()],
-            [[*key, count, error] for key, count, error in minute.volumes.top(TABLE)], minute.volumes.total,
-            series, minute.unsketched])
+        packed: bytes = self._msgpack.packb(
+            [
+                [[*key, count] for key, count in minute.counts.items()],
+                [[*key, count, error] for key, count, error in minute.volumes.top(TABLE)],
+                minute.volumes.total,
+                series,
+                minute.unsketched,
+            ]
+        )
         self._packed.append((minute.number, packed))
         self._bytes += len(packed) + EACH
         while self._packed and (self._bytes > self._room or len(self._packed) >= self._most):
--- a/cherrycove/why/spans.py
+++ b/cherrycove/why/spans.py
@@ -96,8 +96,10 @@
 def in_hex(message: Any) -> Any:
     """Protobuf's JSON has bytes in base64; OTLP's has its ids in hex."""
     if isinstance(message, dict):
-        return {key: base64.b64decode(value).hex() if key in IDS else in_hex(value)
-                for key, value in message.items()}
+        return {
+            key: base64.b64decode(value).hex() if key in IDS else in_hex(value)
+            for key, value in message.items()
+        }
     return [in_hex(each) for each in message] if isinstance(message, list) else message
 
 
@@ -107,8 +109,9 @@
     def __init__(self, settings: Settings, path: Path, sampler: Sampler, name: str) -> None:
         self.sampler, self.lines = sampler, Lines(path)
         self._settings = settings
-        self._provider = TracerProvider(resource=Resource({"service.name": "cherrycove",
-                                                           "service.instance.id": name}))
+        self._provider = TracerProvider(
+            resource=Resource({"service.name": "cherrycove", "service.instance.id": name})
+        )
         self._provider.add_span_processor(BatchSpanProcessor(self.lines, schedule_delay_millis=1000))
         self._tracer = self._provider.get_tracer("cherrycove.why")
         self._offset = time.time() - time.monotonic()
@@ -118,19 +121,36 @@
             return
         came = story.ended - story.took
         cls = self._settings.classes[story.cls].name if story.cls is not None else "request"
-        span = self._tracer.start_span(cls, kind=SpanKind.SERVER, start_time=self._ns(came), attributes={
-            "cherrycove.request": words.plain(story.id), "cherrycove.volume": words.plain(story.volume),
-            "cherrycove.verdict": story.verdict, "cherrycove.code": story.code.name.lower(),
-            "cherrycove.why": words.reason(story), "cherrycove.front": story.front,
-            "cherrycove.first": words.plain(story.first)})
+        span = self._tracer.start_span(
+            cls,
+            kind=SpanKind.SERVER,
+            start_time=self._ns(came),
+            attributes={
+                "cherrycove.request": words.plain(story.id),
+                "cherrycove.volume": words.plain(story.volume),
+                "cherrycove.verdict": story.verdict,
+                "cherrycove.code": story.code.name.lower(),
+                "cherrycove.why": words.reason(story),
+                "cherrycove.front": story.front,
+                "cherrycove.first": words.plain(story.first),
+            },
+        )
         for number, each in enumerate(story.tries, 1):
             child = self._tracer.start_span(
-                f"attempt {number}", context=set_span_in_context(span), kind=SpanKind.CLIENT,
-                start_time=self._ns(came + each.at), attributes={
-                    "cherrycove.node": each.node, "cherrycove.code": each.why.code.name.lower(),
+                f"attempt {number}",
+                context=set_span_in_context(span),
+                kind=SpanKind.CLIENT,
+                start_time=self._ns(came + each.at),
+                attributes={
+                    "cherrycove.node": each.node,
+                    "cherrycove.code": each.why.code.name.lower(),
                     "cherrycove.ending": each.ending.value if each.ending else "still out",
-                    "cherrycove.threshold": each.why.threshold, "cherrycove.out": each.why.out,
-                    "cherrycove.queued": each.why.queued, "cherrycove.credits": each.why.credits})
+                    "cherrycove.threshold": each.why.threshold,
+                    "cherrycove.out": each.why.out,
+                    "cherrycove.queued": each.why.queued,
+                    "cherrycove.credits": each.why.credits,
+                },
+            )
             self._end(child, each.ending is Ending.SERVED, came + each.at + each.took)
         self._end(span, story.verdict == "served", story.ended)
 
--- a/cherrycove/why/words.py
+++ b/cherrycove/why/words.py
@@ -67,8 +67,10 @@
 
 ENDED: dict[AnyCode, Callable[[str, Reason], str]] = {
     Code.NO_CREDIT: lambda volume, why: f"volume {volume} {_credit(why)} and {_at_node(why)}",
-    Code.OVER_LIMIT: lambda volume, why: f"volume {volume} was over its plan's limit; it would have waited "
-                                         f"{_ms(why.wait)}, with {_ms(why.left)} of its aim left",
+    Code.OVER_LIMIT: lambda volume, why: (
+        f"volume {volume} was over its plan's limit; it would have waited "
+        f"{_ms(why.wait)}, with {_ms(why.left)} of its aim left"
+    ),
     Code.NODE_BUSY: lambda volume, why: f"it waited in the queue while {_at_node(why)}; {_expected(why)}",
     Code.NODE_SLOW: lambda volume, why: f"{_node(why)} answers too slowly now: {_expected(why)}",
     Code.NODE_RESTS: lambda volume, why: f"nobody answers at {_node(why)}, or it turns requests away",
@@ -77,8 +79,9 @@
     Code.DRAINED: lambda volume, why: "the disk node that holds its shard was drained or taken out",
     Code.PLACES: lambda volume, why: f"too many requests were open here, and volume {volume} {_credit(why)}",
     Code.HALF_TIME: _half,
-    Code.NOT_THERE: lambda volume, why: f"it could not be sent to {_node(why)}, or that said it was over "
-                                        "or not its to serve",
+    Code.NOT_THERE: lambda volume, why: (
+        f"it could not be sent to {_node(why)}, or that said it was over or not its to serve"
+    ),
     Code.MAY_HAVE_RUN: lambda volume, why: "an attempt may have run, and its class must not run twice",
     Code.LAST_ATTEMPT: lambda volume, why: "it had all the attempts that it may have",
     Code.NO_TIME: lambda volume, why: "too little of its time was left for an attempt",
@@ -116,8 +119,7 @@
     sent = why(each.why) if why else each.why.code.name.lower()
     ending = each.ending.value if each.ending else "still out"
     node = plain(each.node) or "a node no longer named"
-    return (f"attempt {number} after {_ms(each.at)} to {node}: {sent}; "
-            f"{ending} after {_ms(each.took)}")
+    return f"attempt {number} after {_ms(each.at)} to {node}: {sent}; {ending} after {_ms(each.took)}"
 
 
 def when(ended: float, now: float, wall: float) -> str:
@@ -134,8 +136,10 @@
     if still_open:
         said = [f"{what} is open since {_ms(story.took)}"]
     else:
-        said = [f"{when(story.ended, now, wall)} {what} {SAID[story.verdict]} after {_ms(story.took)}: "
-                f"{reason(story)}"]
+        said = [
+            f"{when(story.ended, now, wall)} {what} {SAID[story.verdict]} after {_ms(story.took)}: "
+            f"{reason(story)}"
+        ]
     if story.first:
         rivals = f" (one of {story.rivals} that it could repeat)" if story.rivals > 1 else ""
         said.append(f"  its client's retry of {plain(story.first)}{rivals}")
@@ -146,24 +150,52 @@
 def _numbers(why: Reason | None) -> dict[str, Any] | None:
     if why is None:
         return None
-    return {"code": why.code.name.lower(), "node": why.node, "place": why.place, "threshold": why.threshold,
-            "out": why.out, "queued": why.queued, "credits": why.credits, "wait_ms": round(why.wait * 1000),
-            "left_ms": round(why.left * 1000), "refill_ms": round(why.refill * 1000), "epoch": why.epoch}
-
-
-def fields(story: Story, settings: Settings, now: float, wall: float,
-           still_open: bool = False) -> dict[str, Any]:
+    return {
+        "code": why.code.name.lower(),
+        "node": why.node,
+        "place": why.place,
+        "threshold": why.threshold,
+        "out": why.out,
+        "queued": why.queued,
+        "credits": why.credits,
+        "wait_ms": round(why.wait * 1000),
+        "left_ms": round(why.left * 1000),
+        "refill_ms": round(why.refill * 1000),
+        "epoch": why.epoch,
+    }
+
+
+def fields(
+    story: Story, settings: Settings, now: float, wall: float, still_open: bool = False
+) -> dict[str, Any]:
     """A request for a program; times in ms, ``ended`` in UTC."""
     return {
-        "id": story.id, "volume": story.volume, "front": story.front, "open": still_open,
-        "ended": None if still_open else when(story.ended, now, wall), "took_ms": round(story.took * 1000),
+        "id": story.id,
+        "volume": story.volume,
+        "front": story.front,
+        "open": still_open,
+        "ended": None if still_open else when(story.ended, now, wall),
+        "took_ms": round(story.took * 1000),
         "verdict": None if still_open else story.verdict,
-        "code": story.code.name.lower(), "why": _numbers(story.why), "sentence": reason(story),
+        "code": story.code.name.lower(),
+        "why": _numbers(story.why),
+        "sentence": reason(story),
         "class": settings.classes[story.cls].name if story.cls is not None else None,
         "plan": settings.plans[story.plan].name if story.plan is not None else None,
-        "units": story.units, "shard": story.shard, "retry": story.repeat, "first": story.first or None,
+        "units": story.units,
+        "shard": story.shard,
+        "retry": story.repeat,
+        "first": story.first or None,
         "rivals": story.rivals,
-        "attempts": [{"number": number, "node": each.node, "at_ms": round(each.at * 1000),
-                      "took_ms": round(each.took * 1000),
-                      "ending": each.ending.value if each.ending else None,
-                      "why": _numbers(each.why)} for number, each in enumerate(story.tries, 1)]}
+        "attempts": [
+            {
+                "number": number,
+                "node": each.node,
+                "at_ms": round(each.at * 1000),
+                "took_ms": round(each.took * 1000),
+                "ending": each.ending.value if each.ending else None,
+                "why": _numbers(each.why),
+            }
+            for number, each in enumerate(story.tries, 1)
+        ],
+    }
--- a/examples/nbd_copy.py
+++ b/examples/nbd_copy.py
@@ -1,6 +1,6 @@
 """Writes one block to an NBD export, flushes, reads it back and says whether it is the same.
 
-    python examples/nbd_copy.py HOST:PORT EXPORT
+python examples/nbd_copy.py HOST:PORT EXPORT
 """
 
 from __future__ import annotations
@@ -28,8 +28,11 @@
         print(f"the export {export} is not to be had: {reply[0]:#x}")
         return 1
     block = bytes(range(256)) * 16
-    steps = [(nbd.Command.WRITE, 0, len(block), block), (nbd.Command.FLUSH, 0, 0, b""),
-             (nbd.Command.READ, 0, len(block), b"")]
+    steps = [
+        (nbd.Command.WRITE, 0, len(block), block),
+        (nbd.Command.FLUSH, 0, 0, b""),
+        (nbd.Command.READ, 0, len(block), b""),
+    ]
     same = False
     for cookie, (command, offset, length, payload) in enumerate(steps, 1):
         call = nbd.Call(command, 0, cookie, offset, length)
--- a/examples/toy_broker.py
+++ b/examples/toy_broker.py
@@ -141,9 +141,7 @@
             return await wire.head(request, "421 Misdirected Request", Content_Length="0")
         if self.running >= self.slots:
             self.rejected += 1
-            return await wire.head(
-                request, "503 Service Unavailable", Content_Length="0", Not_Executed="1"
-            )
+            return await wire.head(request, "503 Service Unavailable", Content_Length="0", Not_Executed="1")
         self.received.append(request)
         async with self._arrival:
             self._arrival.notify_all()
--- a/examples/toy_node.py
+++ b/examples/toy_node.py
@@ -35,8 +35,11 @@
     async def http(self, request: web.BaseRequest) -> web.Response:
         self.open += 1
         await asyncio.sleep(self.delay)
-        print(f"{self.name}: {request.method} {request.raw_path} id={request.headers.get('X-Request-Id')} "
-              f"wait={request.headers.get('X-Deadline-Ms')} ms", flush=True)
+        print(
+            f"{self.name}: {request.method} {request.raw_path} id={request.headers.get('X-Request-Id')} "
+            f"wait={request.headers.get('X-Deadline-Ms')} ms",
+            flush=True,
+        )
         if request.method == "PUT":
             self.objects[request.path.partition("/")[2]] = await request.read()
         path = request.path.split("/", 2)[-1]
@@ -66,11 +69,11 @@
                 print(f"{self.name}: NBD {name} {call.offset}+{call.length}", flush=True)
                 end = call.offset + call.length
                 if call.command == nbd.Command.READ:
-                    data = bytes(self.disk[call.offset:end])
+                    data = bytes(self.disk[call.offset : end])
                     writer.write(nbd.data_chunk(call.cookie, call.offset, data).pack())
                     continue
                 if call.command == nbd.Command.WRITE:
-                    self.disk[call.offset:end] = payload
+                    self.disk[call.offset : end] = payload
                 writer.write(nbd.simple_reply(call.cookie))
         except (EOFError, OSError, ValueError, nbd.ProtocolError):
             pass
@@ -95,8 +98,9 @@
 async def main() -> None:
     parser = argparse.ArgumentParser(description=(__doc__ or "").split("\n")[0])
     parser.add_argument("--delay-ms", type=float, default=10.0, help="time that each request takes")
-    parser.add_argument("--drain", action="append", default=[], metavar="NODE",
-                        help="list this node as draining")
+    parser.add_argument(
+        "--drain", action="append", default=[], metavar="NODE", help="list this node as draining"
+    )
     options = parser.parse_args()
 
     async def serve(handler: object, address: str) -> None:
--- a/finchrack/controller.py
+++ b/finchrack/controller.py
@@ -21,8 +21,11 @@
     window = node.window
     held_due = sum(1 for r in node.held() if r.due <= window_end)
     demand = (node.out + held_due + window.new_due) / window.served
-    room = min((cls.aim - window.mean_wait(cls.name)) / percentile(window.latencies[cls.name], SLOWEST)
-               for cls in classes if cls.name in window.latencies)
+    room = min(
+        (cls.aim - window.mean_wait(cls.name)) / percentile(window.latencies[cls.name], SLOWEST)
+        for cls in classes
+        if cls.name in window.latencies
+    )
     ceiling = node.threshold * (quick if window.most_out >= node.threshold else min(quick, 1.0))
     if node.overload and demand <= ROOM:
         node.overload, node.threshold = False, max(room, demand) * window.most_out
--- a/finchrack/decide.py
+++ b/finchrack/decide.py
@@ -123,8 +123,10 @@
     def _recalled(self, event: api.Recalled) -> None:
         self.former = Former(event)
         self.room.recalled(event.whole)
-        self.budgets = {cls: max(self.budgets.get(cls, 0.0), event.budgets.get(cls, 0.0))
-                        for cls in range(len(self.settings.classes))}
+        self.budgets = {
+            cls: max(self.budgets.get(cls, 0.0), event.budgets.get(cls, 0.0))
+            for cls in range(len(self.settings.classes))
+        }
         for node in self.nodes.values():
             self._meet(node)
 
@@ -133,8 +135,9 @@
 
     def remember(self) -> api.Recalled:
         """What the next life of this host may take up."""
-        return taken_down(self.nodes.values(), self.volumes, self.budgets, self.epoch, self.now,
-                          self.window_end - PERIOD)
+        return taken_down(
+            self.nodes.values(), self.volumes, self.budgets, self.epoch, self.now, self.window_end - PERIOD
+        )
 
     def sent(self) -> dict[str, float]:
         """What each node was sent within the window of the rule on cold nodes, in units."""
@@ -158,7 +161,8 @@
         if volume is None:
             # Guard: this may be a restart whose former life spent the burst: the store fills from the start.
             volume = self.volumes[event.volume] = Volume(
-                event.volume, plan, (plan.reserve or plan.usual) / hosts * PERIOD, self.started, hosts)
+                event.volume, plan, (plan.reserve or plan.usual) / hosts * PERIOD, self.started, hosts
+            )
             volume.share(self.now, self.room.part)
             self.former.charge(volume, self.epoch, self.now)
         volume.asked_at = self.now
@@ -169,8 +173,20 @@
         end = self.now + event.budget - 2 * self.settings.tick  # leaves time for an answer
         heavy = max(event.units / self.settings.usual_units, 1.0)  # Guard: it is no evidence of a slow node
         shard = self.placed.where(event.key, event.shard)
-        request = Request(event.request, cls, volume, event.units, heavy, shard, event.key, due, end,
-                          event.budget, event.upload, fresh=event.shard is None)
+        request = Request(
+            event.request,
+            cls,
+            volume,
+            event.units,
+            heavy,
+            shard,
+            event.key,
+            due,
+            end,
+            event.budget,
+            event.upload,
+            fresh=event.shard is None,
+        )
         self.requests[request.id] = request
         self.agenda.at(end, self._retry, request)
         self.agenda.at(self.now + HALF * event.budget, self._halfway, request)
@@ -253,10 +269,18 @@
         Guard: one that may have run goes only where a repeat is dropped, though any node would take it."""
         nodes = (node for node in self.nodes.values() if node.id)
         allowed = [node for node in nodes if self._may_repeat(request, self.now, node)]
-        return min(allowed, default=None, key=lambda node: (
-            self._cold(node), node.failures > 0 or self.now < node.resting_until,
-            (node.out + node.waiting + 1) / node.threshold * max(self._expected(node), self.settings.tick),
-            self.random.random()))
+        return min(
+            allowed,
+            default=None,
+            key=lambda node: (
+                self._cold(node),
+                node.failures > 0 or self.now < node.resting_until,
+                (node.out + node.waiting + 1)
+                / node.threshold
+                * max(self._expected(node), self.settings.tick),
+                self.random.random(),
+            ),
+        )
 
     def _keeps_up(self, node: NodeQueue) -> bool:
         return node.id is not None and not (node.overload or node.failures or self._cold(node))
@@ -291,7 +315,7 @@
         excess = len(self.requests) - self.places
         if excess > 0:
             held = [r for volume in self.volumes.values() for lane in volume.lanes.values() for r in lane]
-            for request in sorted(held, key=lambda r: (r.cls.worth, r.due))[:int(excess)]:
+            for request in sorted(held, key=lambda r: (r.cls.worth, r.due))[: int(excess)]:
                 self._give_up(request, api.Code.PLACES)
 
     def _halfway(self, request: Request) -> None:
@@ -484,20 +508,32 @@
     def _may_try_again(self, request: Request, node: NodeQueue) -> bool:
         """The rules on repeats and on further attempts, looked at when one would be sent."""
         spare, ratio = self.settings.extra_spare, self.settings.extra_ratio
-        return self._may_repeat(request, self.now, node) and (spare is None or (
-            self.extras.total(self.now) + 1 <= spare + ratio * self.arrived.total(self.now)))
+        return self._may_repeat(request, self.now, node) and (
+            spare is None or (self.extras.total(self.now) + 1 <= spare + ratio * self.arrived.total(self.now))
+        )
 
     def _reason(self, request: Request, node: NodeQueue, code: api.Code, wait: float) -> api.Reason:
-        return api.Reason(code, node.id or "", request.place, node.threshold, node.out, node.waiting,
-                          request.volume.credits, wait, request.due - self.now, self.window_end - self.now,
-                          self.epoch)
+        return api.Reason(
+            code,
+            node.id or "",
+            request.place,
+            node.threshold,
+            node.out,
+            node.waiting,
+            request.volume.credits,
+            wait,
+            request.due - self.now,
+            self.window_end - self.now,
+            self.epoch,
+        )
 
     def _give_up(self, request: Request, code: api.Code | None = None, wait: float = 0.0) -> None:
         """Guard: a refusal says that a new try does no harm; where that is not known, the request fails.
         It tells the client to keep away until what stands before it, here or at the node, will be gone."""
         node = request.node if request.place == "queue" and request.node else self._node(request.shard)
-        why = self._reason(request, node, code or request.held_by(node, self._cold(node)),
-                           max(wait, self._latency(node)))
+        why = self._reason(
+            request, node, code or request.held_by(node, self._cold(node)), max(wait, self._latency(node))
+        )
         node = self._node(request.shard)
         if request.shard is not None and not self._keeps_up(node):
             wait = inf
@@ -542,8 +578,12 @@
         for node in self.nodes.values():
             # Guard: nothing served is a stall, not overload; with too few answers the window goes on.
             if sum(map(len, node.window.latencies.values())) >= SAMPLES:
-                set_threshold(node, self.settings.classes, self.window_end, quick / max(
-                    node.service, self.settings.tick))
+                set_threshold(
+                    node,
+                    self.settings.classes,
+                    self.window_end,
+                    quick / max(node.service, self.settings.tick),
+                )
                 node.window = Window(most_out=node.out)
             self._touch(node)
 
--- a/finchrack/evidence.py
+++ b/finchrack/evidence.py
@@ -66,8 +66,14 @@
     return one is other if one is None or other is None else abs(one - other) < SAME_START
 
 
-def taken_down(nodes: Iterable[NodeQueue], volumes: Mapping[str, Volume], budgets: Mapping[int, float],
-               epoch: int, now: float, refilled: float) -> Recalled:
+def taken_down(
+    nodes: Iterable[NodeQueue],
+    volumes: Mapping[str, Volume],
+    budgets: Mapping[int, float],
+    epoch: int,
+    now: float,
+    refilled: float,
+) -> Recalled:
     """What the next life may know, in this one's clock; ``refilled`` is when the present period began."""
     kept = []
     for each in volumes.values():
@@ -76,12 +82,23 @@
         # One with a whole refill is as one unknown.
         if each.epoch >= 0 and (credits < each.full or beyond > -inf):
             kept.append(VolumeMemory(each.name, min(credits, each.full), refilled, beyond))
-    return Recalled(tuple(_node(node, now) for node in nodes if node.id is not None), tuple(kept),
-                    dict(budgets))
+    return Recalled(
+        tuple(_node(node, now) for node in nodes if node.id is not None), tuple(kept), dict(budgets)
+    )
 
 
 def _node(node: NodeQueue, now: float) -> NodeMemory:
     sent = node.recent.total(now)
     return NodeMemory(
-        node.id or "", node.started, node.service, node.heard, node.threshold, node.overload, node.failures,
-        node.resting_until, node.slot, sent, node.recent.last() if sent else -inf)
+        node.id or "",
+        node.started,
+        node.service,
+        node.heard,
+        node.threshold,
+        node.overload,
+        node.failures,
+        node.resting_until,
+        node.slot,
+        sent,
+        node.recent.last() if sent else -inf,
+    )
--- a/finchrack/interface.py
+++ b/finchrack/interface.py
@@ -90,8 +90,12 @@
         if not isinstance(self.group, Group):
             raise ValueError(f"class {self.name}.group is unknown: {self.group!r}")
         _positive(f"class {self.name}", aim=self.aim, deadline=self.deadline)
-        _not_negative(f"class {self.name}", worth=self.worth, late_worth=self.late_worth,
-                      repeat_window=self.repeat_window)
+        _not_negative(
+            f"class {self.name}",
+            worth=self.worth,
+            late_worth=self.late_worth,
+            repeat_window=self.repeat_window,
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -109,8 +113,15 @@
 
     def __post_init__(self) -> None:
         _positive(f"plan {self.name}", usual=self.usual)
-        _not_negative(f"plan {self.name}", reserve=self.reserve, weight=self.weight, price=self.price,
-                      limit=self.limit, burst=self.burst, slack=self.slack)
+        _not_negative(
+            f"plan {self.name}",
+            reserve=self.reserve,
+            weight=self.weight,
+            price=self.price,
+            limit=self.limit,
+            burst=self.burst,
+            slack=self.slack,
+        )
         if self.limit and not self.burst:
             raise ValueError(f"plan {self.name}.burst must be above 0 where the plan has a limit")
 
@@ -156,15 +167,31 @@
         for name, value in (("classes", self.classes), ("plans", self.plans)):
             if not value:
                 raise ValueError(f"{name} must not be empty")
-        _positive("settings", tick=self.tick, fall_window=self.fall_window,
-                  start_capacity=self.start_capacity, usual_units=self.usual_units, max_units=self.max_units)
-        _not_negative("settings", answer_grace=self.answer_grace, cold_units=self.cold_units,
-                      warm_after=self.warm_after, drain_grace=self.drain_grace,
-                      order_settle=self.order_settle, extra_ratio=self.extra_ratio,
-                      extra_window=self.extra_window, ask_within=self.ask_within,
-                      retry_advice=self.retry_advice, share_worth=self.share_worth,
-                      spare_worth=self.spare_worth, meter_period=self.meter_period, shards=self.shards,
-                      fall_multiple=self.fall_multiple)
+        _positive(
+            "settings",
+            tick=self.tick,
+            fall_window=self.fall_window,
+            start_capacity=self.start_capacity,
+            usual_units=self.usual_units,
+            max_units=self.max_units,
+        )
+        _not_negative(
+            "settings",
+            answer_grace=self.answer_grace,
+            cold_units=self.cold_units,
+            warm_after=self.warm_after,
+            drain_grace=self.drain_grace,
+            order_settle=self.order_settle,
+            extra_ratio=self.extra_ratio,
+            extra_window=self.extra_window,
+            ask_within=self.ask_within,
+            retry_advice=self.retry_advice,
+            share_worth=self.share_worth,
+            spare_worth=self.spare_worth,
+            meter_period=self.meter_period,
+            shards=self.shards,
+            fall_multiple=self.fall_multiple,
+        )
         if self.start_capacity > 1:
             raise ValueError(f"settings.start_capacity must be at most 1, not {self.start_capacity}")
         if self.extra_spare is not None:
@@ -328,8 +355,22 @@
     load: Mapping[str, float] = field(default_factory=dict)
 
 
-Event = (Arrived | Uploaded | AttemptEnded | StreamStarted | Lapsed | NodesListed | Shared | Recalled
-         | RoomPooled | RoomLent | Places | ListUnavailable | TimerFired | ProbeEnded)
+Event = (
+    Arrived
+    | Uploaded
+    | AttemptEnded
+    | StreamStarted
+    | Lapsed
+    | NodesListed
+    | Shared
+    | Recalled
+    | RoomPooled
+    | RoomLent
+    | Places
+    | ListUnavailable
+    | TimerFired
+    | ProbeEnded
+)
 
 
 # Actions, from the module to the caller, carried out in the order given.
--- a/finchrack/known.py
+++ b/finchrack/known.py
@@ -39,15 +39,26 @@
 _KINDS: dict[type, str] = {
     str: "discovery classes[].group classes[].idempotency classes[].name policies[].name",
     bool: "classes[].serialByKey familyInfo.countsOthers limits.cancel limits.mayTell limits.probing "
-          "limits.retryAfter limits.secondCopies",
+    "limits.retryAfter limits.secondCopies",
     list: "classes familyInfo.writes feedback.names policies zones",
-    dict: "familyInfo feedback guarantees limits classes[] policies[]"}
+    dict: "familyInfo feedback guarantees limits classes[] policies[]",
+}
 _KIND = {path: kind for kind, names in _KINDS.items() for path in names.split()}
 _WORDS = {str: "text", bool: "true or false", list: "a list", dict: "an object"}
 MOST = 1e100  # of any figure
-_ABOVE_0 = frozenset([
-    "balancers", "tickNs", "classes[].aimNs", "classes[].deadlineNs", "familyInfo.maxUnits",
-    "familyInfo.usualUnits", "limits.connIdleNs", "limits.dialTimeoutNs", "limits.maxAttempts"])
+_ABOVE_0 = frozenset(
+    [
+        "balancers",
+        "tickNs",
+        "classes[].aimNs",
+        "classes[].deadlineNs",
+        "familyInfo.maxUnits",
+        "familyInfo.usualUnits",
+        "limits.connIdleNs",
+        "limits.dialTimeoutNs",
+        "limits.maxAttempts",
+    ]
+)
 
 
 def misfit(info: Any, path: str = "", place: str = "") -> str | None:
@@ -63,8 +74,9 @@
             return f"{place} must be above 0"
     each: list[tuple[str, str, Any]] = []
     if isinstance(info, dict):
-        each = [(f"{path}.{name}".strip("."), f"{place}.{name}".strip("."), value)
-                for name, value in info.items()]
+        each = [
+            (f"{path}.{name}".strip("."), f"{place}.{name}".strip("."), value) for name, value in info.items()
+        ]
     elif isinstance(info, list):
         each = [(f"{path}[]", f"{place}[{number}]", value) for number, value in enumerate(info)]
     return next((found for name, where, value in each if (found := misfit(value, name, where))), None)
--- a/finchrack/repeats.py
+++ b/finchrack/repeats.py
@@ -56,5 +56,4 @@
 
 def may_refuse(cls: RequestClass, ran: Ran | None) -> bool:
     """Whether a client that asks again does no harm: its new try may go to any node, at any time."""
-    return ran is None or cls.effect is Effect.SAFE or (
-        cls.effect is Effect.KEYED and cls.group is Group.ALL)
+    return ran is None or cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and cls.group is Group.ALL)
--- a/finchrack/state.py
+++ b/finchrack/state.py
@@ -284,4 +284,4 @@
 
     def summary(self) -> str:
         marks = "!" * self.overload + "?" * (self.failures > 0) + "-" * (self.id is None)
-        return (f"{self.shard}:{self.threshold:.1f}{marks}/{self.out}/{self.waiting}/{len(self.lanes)}")
+        return f"{self.shard}:{self.threshold:.1f}{marks}/{self.out}/{self.waiting}/{len(self.lanes)}"
--- a/finchrack/wire.py
+++ b/finchrack/wire.py
@@ -11,9 +11,16 @@
 NS = 1e-9
 _EFFECTS = {"pure": api.Effect.SAFE, "token": api.Effect.KEYED, "side_effect": api.Effect.UNSAFE}
 _GROUPS = {"all": api.Group.ALL, "zone": api.Group.ZONE, "cell": api.Group.SHARD}
-_OUTCOMES = {"S": api.Outcome.SERVED, "E": api.Outcome.ERROR, "F": api.Outcome.FULL, "T": api.Outcome.TIMEOUT,
-             "C": api.Outcome.CONNECT_FAILED, "R": api.Outcome.RESET, "X": api.Outcome.CANCELLED,
-             "N": api.Outcome.MOOT}
+_OUTCOMES = {
+    "S": api.Outcome.SERVED,
+    "E": api.Outcome.ERROR,
+    "F": api.Outcome.FULL,
+    "T": api.Outcome.TIMEOUT,
+    "C": api.Outcome.CONNECT_FAILED,
+    "R": api.Outcome.RESET,
+    "X": api.Outcome.CANCELLED,
+    "N": api.Outcome.MOOT,
+}
 _STATES = {"up": api.NodeState.UP, "draining": api.NodeState.DRAINING, "removed": api.NodeState.GONE}
 _KINDS = {"update": api.ListKind.CHANGES, "replace": api.ListKind.FULL, "restored": api.ListKind.RESTORED}
 
@@ -94,28 +101,45 @@
 def node(line: str) -> api.Node:
     pairs = fields(line)
     started = _number(pairs, "sinceNs", 0.0)
-    return api.Node(id=_text(pairs, "server"), shard=_whole(pairs, "pod"),
-                    zone=int(_number(pairs, "site", 0.0)), weight=_number(pairs, "weight", 1.0),
-                    started=started * NS if started > 0 else None,
-                    state=_named(_STATES, pairs.get("condition"), "condition"))
+    return api.Node(
+        id=_text(pairs, "server"),
+        shard=_whole(pairs, "pod"),
+        zone=int(_number(pairs, "site", 0.0)),
+        weight=_number(pairs, "weight", 1.0),
+        started=started * NS if started > 0 else None,
+        state=_named(_STATES, pairs.get("condition"), "condition"),
+    )
 
 
 def _arrival(pairs: Fields, sheets: Sheets) -> api.Event:
     shard = int(_number(pairs, "slotNo"))
     return api.Arrived(
-        request=_whole(pairs, "handle"), cls=_whole(pairs, "class"), plan=_whole(pairs, "contract"),
-        volume=_text(pairs, "disk"), units=_number(pairs, "quotaUnits"), shard=None if shard < 0 else shard,
-        hosts=int(_number(pairs, "hosts")), budget=_number(pairs, "budgetNs") * NS, key=pairs.get("blockKey"),
-        repeat=pairs.get("resent") == "1")
+        request=_whole(pairs, "handle"),
+        cls=_whole(pairs, "class"),
+        plan=_whole(pairs, "contract"),
+        volume=_text(pairs, "disk"),
+        units=_number(pairs, "quotaUnits"),
+        shard=None if shard < 0 else shard,
+        hosts=int(_number(pairs, "hosts")),
+        budget=_number(pairs, "budgetNs") * NS,
+        key=pairs.get("blockKey"),
+        repeat=pairs.get("resent") == "1",
+    )
 
 
 def _reply(pairs: Fields, sheets: Sheets) -> api.Event:
     use = _number(pairs, "seenUse", 0.0)
     return api.AttemptEnded(
-        request=_whole(pairs, "handle"), attempt=_whole(pairs, "trial"), node=_text(pairs, "server"),
-        outcome=_named(_OUTCOMES, pairs.get("code"), "code"), closed=pairs.get("complete") == "1",
-        latency=_number(pairs, "latencyNs", 0.0) * NS, use=(use - 1) / 100 if use >= 1 else None,
-        elsewhere=_number(pairs, "elsewhere", 0.0), load=_load(pairs))
+        request=_whole(pairs, "handle"),
+        attempt=_whole(pairs, "trial"),
+        node=_text(pairs, "server"),
+        outcome=_named(_OUTCOMES, pairs.get("code"), "code"),
+        closed=pairs.get("complete") == "1",
+        latency=_number(pairs, "latencyNs", 0.0) * NS,
+        use=(use - 1) / 100 if use >= 1 else None,
+        elsewhere=_number(pairs, "elsewhere", 0.0),
+        load=_load(pairs),
+    )
 
 
 def _sheet(pairs: Fields, sheets: Sheets) -> tuple[api.Node, ...]:
@@ -128,18 +152,29 @@
 def _members(pairs: Fields, sheets: Sheets) -> api.Event:
     if pairs.get("form") == "unavailable":
         return api.ListUnavailable()
-    return api.NodesListed(version=int(_number(pairs, "rev", 0.0)),
-                           kind=_named(_KINDS, pairs.get("form"), "form"), nodes=_sheet(pairs, sheets))
+    return api.NodesListed(
+        version=int(_number(pairs, "rev", 0.0)),
+        kind=_named(_KINDS, pairs.get("form"), "form"),
+        nodes=_sheet(pairs, sheets),
+    )
 
 
 def _echo(pairs: Fields, sheets: Sheets) -> api.Event:
-    return api.ProbeEnded(node=_text(pairs, "server"), outcome=_named(_OUTCOMES, pairs.get("code"), "code"),
-                          latency=_number(pairs, "latencyNs", 0.0) * NS, load=_load(pairs))
+    return api.ProbeEnded(
+        node=_text(pairs, "server"),
+        outcome=_named(_OUTCOMES, pairs.get("code"), "code"),
+        latency=_number(pairs, "latencyNs", 0.0) * NS,
+        load=_load(pairs),
+    )
 
 
 def _first(pairs: Fields, sheets: Sheets) -> api.Event:
-    return api.StreamStarted(request=_whole(pairs, "handle"), attempt=_whole(pairs, "trial"),
-                             node=_text(pairs, "server"), latency=_number(pairs, "latencyNs", 0.0) * NS)
+    return api.StreamStarted(
+        request=_whole(pairs, "handle"),
+        attempt=_whole(pairs, "trial"),
+        node=_text(pairs, "server"),
+        latency=_number(pairs, "latencyNs", 0.0) * NS,
+    )
 
 
 def _timer(pairs: Fields, sheets: Sheets) -> api.Event:
@@ -151,8 +186,14 @@
 
 
 EVENTS: Mapping[str, Callable[[Fields, Sheets], api.Event]] = {
-    "ARRIVAL": _arrival, "REPLY": _reply, "MEMBERS": _members, "ECHO": _echo, "FIRST": _first,
-    "TIMER": _timer, "LAPSED": _lapsed}
+    "ARRIVAL": _arrival,
+    "REPLY": _reply,
+    "MEMBERS": _members,
+    "ECHO": _echo,
+    "FIRST": _first,
+    "TIMER": _timer,
+    "LAPSED": _lapsed,
+}
 
 
 def settings(text: str) -> api.Settings:
@@ -168,33 +209,64 @@
         writes = family.get("writes", [])
         classes = tuple(
             api.RequestClass(
-                name=str(c["name"]), aim=c["aimNs"] * NS, deadline=c["deadlineNs"] * NS,
-                effect=_named(_EFFECTS, c["idempotency"], "idempotency"), worth=c["gain"],
-                late_worth=c.get("lateValue", 0.0), group=_named(_GROUPS, c.get("group", "all"), "group"),
-                repeat_window=c.get("windowNs", 0) * NS, ordered=bool(c.get("serialByKey")),
-                writes=bool(writes[place]) if place < len(writes) else False)
-            for place, c in enumerate(info["classes"]))
+                name=str(c["name"]),
+                aim=c["aimNs"] * NS,
+                deadline=c["deadlineNs"] * NS,
+                effect=_named(_EFFECTS, c["idempotency"], "idempotency"),
+                worth=c["gain"],
+                late_worth=c.get("lateValue", 0.0),
+                group=_named(_GROUPS, c.get("group", "all"), "group"),
+                repeat_window=c.get("windowNs", 0) * NS,
+                ordered=bool(c.get("serialByKey")),
+                writes=bool(writes[place]) if place < len(writes) else False,
+            )
+            for place, c in enumerate(info["classes"])
+        )
         plans = tuple(
-            api.Plan(name=str(p["name"]), usual=p["nominal"], reserve=p["floorRate"], weight=p["parts"],
-                     price=p["valueFactor"], limit=p["ceilingRate"], burst=p["burst"], slack=p["capSlack"])
-            for p in info["policies"])
+            api.Plan(
+                name=str(p["name"]),
+                usual=p["nominal"],
+                reserve=p["floorRate"],
+                weight=p["parts"],
+                price=p["valueFactor"],
+                limit=p["ceilingRate"],
+                burst=p["burst"],
+                slack=p["capSlack"],
+            )
+            for p in info["policies"]
+        )
         return api.Settings(
-            schedulers=info["balancers"], classes=classes, plans=plans,
-            max_attempts=limits["maxAttempts"], tick=info["tickNs"] * NS,
-            answer_grace=rules["graceToAnswerNs"] * NS, cold_units=family["coldBears"],
-            fall_window=rules["fallNs"] * NS, start_capacity=rules["startCapacity"],
-            warm_after=rules["warmAfterNs"] * NS, drain_grace=rules["drainGraceNs"] * NS,
-            order_settle=rules.get("orderSettleNs", 0) * NS, extra_spare=rules.get("spareAttempts"),
-            extra_ratio=rules.get("extraRatio", 0.0), extra_window=rules.get("lookBackNs", 0) * NS,
-            list_on_request=info["discovery"] == "on_request", ask_within=rules.get("askWithinNs", 0) * NS,
-            second_copies=bool(limits.get("secondCopies")), may_cancel=bool(limits.get("cancel")),
+            schedulers=info["balancers"],
+            classes=classes,
+            plans=plans,
+            max_attempts=limits["maxAttempts"],
+            tick=info["tickNs"] * NS,
+            answer_grace=rules["graceToAnswerNs"] * NS,
+            cold_units=family["coldBears"],
+            fall_window=rules["fallNs"] * NS,
+            start_capacity=rules["startCapacity"],
+            warm_after=rules["warmAfterNs"] * NS,
+            drain_grace=rules["drainGraceNs"] * NS,
+            order_settle=rules.get("orderSettleNs", 0) * NS,
+            extra_spare=rules.get("spareAttempts"),
+            extra_ratio=rules.get("extraRatio", 0.0),
+            extra_window=rules.get("lookBackNs", 0) * NS,
+            list_on_request=info["discovery"] == "on_request",
+            ask_within=rules.get("askWithinNs", 0) * NS,
+            second_copies=bool(limits.get("secondCopies")),
+            may_cancel=bool(limits.get("cancel")),
             may_probe=bool(limits.get("probing")),
             retry_advice=limits["maxRetryAfterNs"] * NS if limits.get("retryAfter") else 0.0,
-            max_units=family["maxUnits"], usual_units=family["usualUnits"], share_worth=family["withinShare"],
-            spare_worth=family["beyondShare"], meter_period=family.get("meterNs", 0) * NS,
-            tells_elsewhere=bool(family.get("countsOthers")), shards=family.get("nShards", 0),
+            max_units=family["maxUnits"],
+            usual_units=family["usualUnits"],
+            share_worth=family["withinShare"],
+            spare_worth=family["beyondShare"],
+            meter_period=family.get("meterNs", 0) * NS,
+            tells_elsewhere=bool(family.get("countsOthers")),
+            shards=family.get("nShards", 0),
             load_names=tuple(info["feedback"]["names"]),
-            fall_multiple=rules.get("fallMultiple", 1.0))
+            fall_multiple=rules.get("fallMultiple", 1.0),
+        )
     except KeyError as error:
         raise WireError(f"info lacks {error.args[0]!r}") from None
     except (TypeError, AttributeError) as error:
--- a/finchrack/wirehost.py
+++ b/finchrack/wirehost.py
@@ -45,8 +45,9 @@
                 replies.append(wire.fault(who, f"{type(error).__name__}: {error}"))
         return replies
 
-    def _read(self, line: str, rows: Iterator[str], pending: dict[int, list[Event]],
-              replies: list[str]) -> None:
+    def _read(
+        self, line: str, rows: Iterator[str], pending: dict[int, list[Event]], replies: list[str]
+    ) -> None:
         word = line.partition(" ")[0]
         pairs = wire.fields(line)
         if word == "SHEET":
--- a/tests/confined.py
+++ b/tests/confined.py
@@ -16,8 +16,16 @@
 import sys
 from typing import Any
 
-PROGRAMS = ("os.fork", "os.forkpty", "os.exec", "os.posix_spawn", "os.spawn", "os.system", "subprocess.Popen",
-            "ctypes.dlopen")
+PROGRAMS = (
+    "os.fork",
+    "os.forkpty",
+    "os.exec",
+    "os.posix_spawn",
+    "os.spawn",
+    "os.system",
+    "subprocess.Popen",
+    "ctypes.dlopen",
+)
 
 
 def refuse(event: str, arguments: tuple[Any, ...]) -> None:
--- a/tests/support.py
+++ b/tests/support.py
@@ -50,19 +50,23 @@
 
 def spoiled(message: bytes) -> st.SearchStrategy[bytes]:
     """Garbage: out of nothing, or the message with bytes changed, lost or doubled."""
+
     def spoil(seed: int) -> bytes:
         dice, data = random.Random(seed), bytearray(message)
         for _ in range(dice.randint(1, 4)):
             at = dice.randrange(len(data) + 1)
-            data[at:at + dice.randint(0, 3)] = dice.randbytes(dice.randint(0, 3))
-        return bytes(data[:dice.randint(1, len(data))] if data and dice.random() < 0.3 else data)
+            data[at : at + dice.randint(0, 3)] = dice.randbytes(dice.randint(0, 3))
+        return bytes(data[: dice.randint(1, len(data))] if data and dice.random() < 0.3 else data)
+
     return st.one_of(st.binary(max_size=80), st.integers(0, 1 << 32).map(spoil))
 
 
 def run(coroutine: Coroutine[Any, Any, Any]) -> Any:
     """To its end, or to a failure should something wait for what never comes."""
+
     async def bounded() -> Any:
         return await asyncio.wait_for(coroutine, 60)
+
     return asyncio.run(bounded())
 
 
@@ -101,8 +105,11 @@
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
                 headers = {k.lower(): v for k, _, v in (line.partition(": ") for line in head[1:] if line)}
-                body = await (chunks(reader) if "transfer-encoding" in headers
-                              else reader.readexactly(int(headers.get("content-length", 0))))
+                body = await (
+                    chunks(reader)
+                    if "transfer-encoding" in headers
+                    else reader.readexactly(int(headers.get("content-length", 0)))
+                )
                 method, target, _ = head[0].split(" ")
                 async with self.arrived:
                     self.seen.append({"method": method, "target": target, "body": body, **headers})
@@ -118,8 +125,9 @@
         finally:
             writer.close()
 
-    async def _step(self, step: str, reader: asyncio.StreamReader, writer: Writer,
-                    headers: dict[str, str]) -> bool:
+    async def _step(
+        self, step: str, reader: asyncio.StreamReader, writer: Writer, headers: dict[str, str]
+    ) -> bool:
         if step.startswith("held "):
             await self.release.wait()
             step = step.removeprefix("held ")
@@ -138,8 +146,11 @@
         status, _, extra = step.partition(" ")
         status, data = ("200" if status == "ok" else status), f"data of {headers['x-request-id']}".encode()
         more = f"{extra}\r\n" if extra else ""
-        writer.write(f"HTTP/1.1 {status} X\r\nVolume-Load: 40\r\nX-Load: {{\"inflight\":3}}\r\n{more}"
-                     f"Content-Length: {len(data)}\r\n\r\n".encode() + data)
+        writer.write(
+            f'HTTP/1.1 {status} X\r\nVolume-Load: 40\r\nX-Load: {{"inflight":3}}\r\n{more}'
+            f"Content-Length: {len(data)}\r\n\r\n".encode()
+            + data
+        )
         return True
 
 
@@ -200,8 +211,9 @@
         await self.pool.close()
 
     def list(self, state: NodeState = NodeState.UP) -> None:
-        self.core.update(NodeList(1, True, tuple(
-            Member(m.name, m.address, m.shard, state=state) for m in self.members)))
+        self.core.update(
+            NodeList(1, True, tuple(Member(m.name, m.address, m.shard, state=state) for m in self.members))
+        )
 
     async def nbd(self, setup: nbd.Setup) -> tuple[nbd.Front, int]:
         pool = nbd.Pool(setup, self.platform.dial_timeout, 32)
@@ -224,21 +236,36 @@
 async def answer(reader: asyncio.StreamReader) -> tuple[int, dict[str, str], bytes]:
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     headers = {k.lower(): v for k, _, v in (line.partition(": ") for line in head[1:] if line)}
-    body = chunks(reader) if "transfer-encoding" in headers else reader.readexactly(
-        int(headers["content-length"]))
+    body = (
+        chunks(reader)
+        if "transfer-encoding" in headers
+        else reader.readexactly(int(headers["content-length"]))
+    )
     return int(head[0].split()[1]), headers, await body
 
 
-def message(cls: str = "claim-read", method: str = "GET", shard: int = 0, ms: int = 20_000, id: str = "a1",
-            body: bytes = b"", path: str = "/x?q=%20a&b", **extra: str) -> bytes:
+def message(
+    cls: str = "claim-read",
+    method: str = "GET",
+    shard: int = 0,
+    ms: int = 20_000,
+    id: str = "a1",
+    body: bytes = b"",
+    path: str = "/x?q=%20a&b",
+    **extra: str,
+) -> bytes:
     """A client's request; ``extra`` replaces headers by their names with _ for -; "" leaves one out."""
-    headers = {"Host": "service.internal", "X-Request-Id": id, "X-Class": cls, "Tier": "basic",
-               "Cookie": "object=7f3a9c21e0b4d655", "X-Deadline-Ms": str(ms),
-               "IO-Info": f"volume=00000003b4d60021,units=2,shard={shard},hosts=1"}
+    headers = {
+        "Host": "service.internal",
+        "X-Request-Id": id,
+        "X-Class": cls,
+        "Tier": "basic",
+        "Cookie": "object=7f3a9c21e0b4d655",
+        "X-Deadline-Ms": str(ms),
+        "IO-Info": f"volume=00000003b4d60021,units=2,shard={shard},hosts=1",
+    }
     if body:
         headers["Content-Length"] = str(len(body))
     headers |= {name.replace("_", "-"): value for name, value in extra.items()}
     lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items() if value)
     return f"{method} /{cls}{path} HTTP/1.1\r\n{lines}\r\n".encode() + body
-
-
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -17,6 +17,7 @@
 async def desk() -> tuple[admin.Desk, int]:
     async def answer(call: admin.Call) -> str:
         return STATS if call.word == "stats" else f"YES {call.word} {call.node}"
+
     made = admin.Desk(answer)
     return made, await made.listen("127.0.0.1", 0)
 
@@ -38,6 +39,7 @@
         made, port = await desk()
         assert await call(port, *pieces) == b"YES maint-on s-5be2a07c\n"
         await made.close()
+
     run(story())
 
 
@@ -54,6 +56,7 @@
 
 def test_what_is_no_whole_call_gets_a_no() -> None:
     """A line cut off may name another node than was meant; an endless one would be kept in memory."""
+
     async def story() -> None:
         made, port = await desk()
         for line in (b"\n", b"maint-on\n", b"maint-on a b\n", b"stats now\n", b"\xff\0\n", b"x" * 9000):
@@ -64,6 +67,7 @@
         assert (await reader.read()).startswith(b"NO ")
         writer.close()
         await made.close()
+
     run(story())
 
 
@@ -78,6 +82,7 @@
         for _, writer in held:
             writer.close()
         await made.close()
+
     run(story())
 
 
@@ -88,11 +93,13 @@
         made, port = await desk()
         assert not await call(port, b"stat") and not made._callers
         await made.close()
+
     run(story())
 
 
 def test_the_figures_count_every_answer_once_and_gauges_return() -> None:
     """Also what a front answers by itself; each class is told from the start, so that a sum never jumps."""
+
     async def story() -> None:
         node = await Node("ok", "500", "hang").start()
         async with World(node) as world:
@@ -110,4 +117,5 @@
             assert "broker.passed.claim-write:1|c" in lines and "broker.bad_gateway.claim-write:2|c" in lines
             assert "broker.bad_gateway.claim-read:1|c" in lines and "broker.in_progress:0|g" in lines
             assert "broker.dropped.claim-export:0|c" in lines and lines[-1] == "END"
+
     run(story())
--- a/tests/test_causes.py
+++ b/tests/test_causes.py
@@ -18,13 +18,23 @@
     """Six requests of a volume with a small limit at one node that answers; as the bench writes it."""
     info = json.loads((Path(__file__).parent.parent / "examples/config.json").read_text())["settings"]
     info["policies"][0] |= {"ceilingRate": 2.0, "burst": 4.0, "capSlack": 0.0}
-    batches = [[
-        f"SYNC simTimeNs={SECOND}", f"ENLIST schedulerId=0 entropy=5 info={json.dumps(info)}",
-        "SHEET table=0 entries=1", "SERVER weight=1 kind=0 site=0 pod=0 server=a condition=up",
-        "MEMBERS schedulerId=0 rev=1 form=restored table=0"]]
-    batches.append([f"SYNC simTimeNs={4 * SECOND}"] + [
-        f"ARRIVAL schedulerId=0 handle={n} class=0 contract=0 blockKey=0 budgetNs={SECOND // 2} disk=v "
-        "quotaUnits=2 slotNo=0 hosts=1" for n in range(6)])
+    batches = [
+        [
+            f"SYNC simTimeNs={SECOND}",
+            f"ENLIST schedulerId=0 entropy=5 info={json.dumps(info)}",
+            "SHEET table=0 entries=1",
+            "SERVER weight=1 kind=0 site=0 pod=0 server=a condition=up",
+            "MEMBERS schedulerId=0 rev=1 form=restored table=0",
+        ]
+    ]
+    batches.append(
+        [f"SYNC simTimeNs={4 * SECOND}"]
+        + [
+            f"ARRIVAL schedulerId=0 handle={n} class=0 contract=0 blockKey=0 budgetNs={SECOND // 2} disk=v "
+            "quotaUnits=2 slotNo=0 hosts=1"
+            for n in range(6)
+        ]
+    )
     host, text = Host(sys.stderr), ""
     for batch in batches:
         reply = host.batch(batch)
@@ -39,13 +49,14 @@
     account = Account(("plan", "code", "limit"))
     replay(tap(tmp_path), account)
     assert account.differs == 0 and account.taken.requests == 6
-    (row, count), = account.lost.items()
+    ((row, count),) = account.lost.items()
     assert row == ("refused", "basic", "over_limit", "beyond") and count.requests == 4
     assert count.worth == pytest.approx(account.taken.worth * 4 / 6)
 
 
-def test_a_tap_of_another_module_is_told(tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
-                                         capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_tap_of_another_module_is_told(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
     path = tap(tmp_path)
     path.write_text(path.read_text().replace("REJECT", "END_FAILED", 1))
     monkeypatch.setattr(sys, "argv", ["causes", str(path)])
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -53,7 +53,8 @@
 
     async def command(self, *words: str) -> click.testing.Result:
         return await asyncio.to_thread(
-            click.testing.CliRunner().invoke, main, [*words, "--admin", self.place])
+            click.testing.CliRunner().invoke, main, [*words, "--admin", self.place]
+        )
 
 
 def test_staff_ask_a_broker_in_service() -> None:
@@ -75,6 +76,7 @@
             assert (await desk.command("status")).exit_code == 1
             for wrong in (["why", "--since", "x"], ["why", "report"], ["why", "a b"], ["nothing"]):
                 assert (await desk.command(*wrong)).exit_code in (1, 2), wrong
+
     run(tale())
 
 
@@ -95,10 +97,13 @@
     told = runner.invoke(main, ["check-config", "--platform", EXAMPLE, "--operator", str(path), "--json"])
     assert told.exit_code == 0 and json.loads(told.output)["on"] == ["why"]
     assert json.loads(told.output)["log"] == "json"
-    for text, key in (("[why]\nenabled = true\nbytes = 5\n", "why.bytes"),
-                      ("[log]\nform = 'x'\n", "log.form"),
-                      ("[why]\nenabled = true\nsampled = 2.0\n", "why.sampled"),
-                      ("[log]\nfrom = 'x'\n", "log.from"), ("[", "TOML")):
+    for text, key in (
+        ("[why]\nenabled = true\nbytes = 5\n", "why.bytes"),
+        ("[log]\nform = 'x'\n", "log.form"),
+        ("[why]\nenabled = true\nsampled = 2.0\n", "why.sampled"),
+        ("[log]\nfrom = 'x'\n", "log.from"),
+        ("[", "TOML"),
+    ):
         path.write_text(text)
         wrong = runner.invoke(main, ["check-config", "--platform", EXAMPLE, "--operator", str(path)])
         assert wrong.exit_code == 2 and str(path) in wrong.output, text
@@ -127,6 +132,7 @@
             await reader.readline()
             writer.write(said)
             writer.close()
+
         server = await asyncio.start_server(answer, "127.0.0.1", 0)
         place = server.sockets[0].getsockname()[:2]
         if said:
@@ -137,18 +143,26 @@
         for line in ("a\nb", "\u00e9"):
             with pytest.raises(ValueError):
                 call(place, line)
+
     run(tale())
 
 
 def test_the_report_escapes_what_clients_named(tmp_path: Path) -> None:
     book = Book(PLATFORM.settings, SKETCHED, 0.0)
     for number in range(40):
-        book.add(story("<script>alert(1)</script>" if number % 2 else f"r{number}", 10.0 + number * 3,
-                       "refused" if number % 3 else "served", volume="$<b>$" if number % 5 else HEX))
+        book.add(
+            story(
+                "<script>alert(1)</script>" if number % 2 else f"r{number}",
+                10.0 + number * 3,
+                "refused" if number % 3 else "served",
+                volume="$<b>$" if number % 5 else HEX,
+            )
+        )
 
     def asked(line: str) -> list[str]:
         question = ask.parse(line.split()[1:])
         return run(ask.answer(question, book, lambda: 140.0, lambda _: []))  # type: ignore[no-any-return]
+
     path = report.write(tmp_path / "out", asked, "1h")
     page = path.read_text()
     assert "&lt;script&gt;" in page and "<script>" not in page and "<b>" not in page
@@ -165,20 +179,36 @@
 def test_a_trace_holds_the_tree_of_attempts_in_the_published_form(tmp_path: Path) -> None:
     path = tmp_path / "traces.jsonl"
     tracer = spans.Tracer(PLATFORM.settings, path, spans.Sampler(0.0, 5.0, 1), "n0")
-    failed = story("a1", 50.0, "failed", code=Code.MAY_HAVE_RUN, tries=[
-        Try("d0", Reason(Code.CREDIT, "d0"), 0.001, 0.004, Ending.TURNED_AWAY),
-        Try("d0", Reason(Code.AGAIN, "d0"), 0.006, 0.01, Ending.BROKEN)])
+    failed = story(
+        "a1",
+        50.0,
+        "failed",
+        code=Code.MAY_HAVE_RUN,
+        tries=[
+            Try("d0", Reason(Code.CREDIT, "d0"), 0.001, 0.004, Ending.TURNED_AWAY),
+            Try("d0", Reason(Code.AGAIN, "d0"), 0.006, 0.01, Ending.BROKEN),
+        ],
+    )
     tracer.tell(failed)
     tracer.tell(story("b2", 50.0, "served"))
     tracer.close()
     lines = map(json.loads, path.read_text().splitlines())
-    found = [span for line in lines for resource in line["resourceSpans"]
-             for scope in resource["scopeSpans"] for span in scope["spans"]]
+    found = [
+        span
+        for line in lines
+        for resource in line["resourceSpans"]
+        for scope in resource["scopeSpans"]
+        for span in scope["spans"]
+    ]
     assert len(found) == 3
     root = next(span for span in found if not span.get("parentSpanId"))
     children = sorted((span for span in found if span is not root), key=lambda s: s["startTimeUnixNano"])
-    assert all(child["parentSpanId"] == root["spanId"] and child["traceId"] == root["traceId"]
-               and len(child["traceId"]) == 32 for child in children)
+    assert all(
+        child["parentSpanId"] == root["spanId"]
+        and child["traceId"] == root["traceId"]
+        and len(child["traceId"]) == 32
+        for child in children
+    )
     assert int(root["startTimeUnixNano"]) <= int(children[0]["startTimeUnixNano"])
     assert int(children[1]["endTimeUnixNano"]) <= int(root["endTimeUnixNano"])
     told = {each["key"]: each["value"] for each in children[1]["attributes"]}
@@ -194,7 +224,8 @@
 
 
 def test_a_file_that_cannot_be_written_is_said_once_and_costs_traces_alone(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     said: list[str] = []
     monkeypatch.setattr(events.Log, "warning", lambda self, event, **fields: said.append(event))
     tracer = spans.Tracer(PLATFORM.settings, tmp_path, spans.Sampler(1.0, 50.0, 1), "n0")  # a folder
@@ -203,5 +234,3 @@
         tracer._provider.force_flush()
     tracer.close()
     assert said == ["why.spans_not_written"] and tracer.lines.dropped == 2
-
-
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -55,12 +55,14 @@
 @fuzz
 @given(st.integers(0, 1 << 32), st.integers(2, 12), st.floats(0.5, 8.0))
 def test_all_hosts_together_stay_within_the_multiple_of_what_was_done(
-        seed: int, hosts: int, rate: float) -> None:
+    seed: int, hosts: int, rate: float
+) -> None:
     """A node that does ``rate`` units a second, and hosts that send whatever they may: beside lots and even
     parts, in no window do they send more than the multiple of what it can do."""
     dice = random.Random(seed)
-    settings = Rig(1, schedulers=hosts, cold_units=0.5, fall_multiple=MULTIPLE, max_units=MOST,
-                   warm_after=30.0).settings
+    settings = Rig(
+        1, schedulers=hosts, cold_units=0.5, fall_multiple=MULTIPLE, max_units=MOST, warm_after=30.0
+    ).settings
     rooms = [ColdRoom(settings, random.Random(dice.random())) for _ in range(hosts)]
     span, now = settings.fall_window, 0.0
     views = []
--- a/tests/test_confined.py
+++ b/tests/test_confined.py
@@ -26,8 +26,10 @@
         whole = raw() | {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "admin": "127.0.0.1:0"}
         whole["known"]["endpoints"][0] |= {"name": "d0", "address": f"127.0.0.1:{node.port}"}
         # One of a tier that lends room; a peer that answers nothing.
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer, \
-                socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as own:
+        with (
+            socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer,
+            socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as own,
+        ):
             peer.bind(("127.0.0.1", 0))
             own.bind(("127.0.0.1", 0))
             whole["peers"] = [f"127.0.0.1:{each.getsockname()[1]}" for each in (own, peer)]
@@ -52,6 +54,7 @@
             assert (await answer(reader))[0] == 503  # taken before, answered before the end
             writer.close()
             await broker.end()
+
     run(story())
 
 
@@ -66,10 +69,17 @@
 
 def test_what_is_refused_there_is_refused_here() -> None:
     """The first test would prove nothing under hooks that let things pass."""
-    acts = ("os.fork()", "subprocess.Popen(['true'])", "os.system('true')",
-            "os.posix_spawn('/bin/true', ['x'], {})", "os.execv('/bin/true', ['x'])",
-            "socket.socket(socket.AF_INET6)", "os.sendfile(1, 0, 0, 1)",
-            "socket.socket(socket.AF_UNIX).connect('/nowhere')", "ctypes.CDLL(None)")
+    acts = (
+        "os.fork()",
+        "subprocess.Popen(['true'])",
+        "os.system('true')",
+        "os.posix_spawn('/bin/true', ['x'], {})",
+        "os.execv('/bin/true', ['x'])",
+        "socket.socket(socket.AF_INET6)",
+        "os.sendfile(1, 0, 0, 1)",
+        "socket.socket(socket.AF_UNIX).connect('/nowhere')",
+        "ctypes.CDLL(None)",
+    )
     script = f"""
 import ctypes, os, socket, subprocess, confined
 confined.confine()
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -18,31 +18,53 @@
 
 
 def instance(name: str, status: str = "passing", check: str = "service:x", **meta: str) -> dict[str, Any]:
-    return {"Node": {"Node": "m", "Address": "127.0.0.9"},
-            "Service": {"ID": name, "Service": "disk-node", "Address": "", "Port": 5000,
-                        "Meta": {"shard": "1", "zone": "room-b", "since_ms": "7000"} | meta,
-                        "Weights": {"Passing": 2, "Warning": 1}},
-            "Checks": [{"CheckID": "serfHealth", "Status": "passing"}, {"CheckID": check, "Status": status}]}
+    return {
+        "Node": {"Node": "m", "Address": "127.0.0.9"},
+        "Service": {
+            "ID": name,
+            "Service": "disk-node",
+            "Address": "",
+            "Port": 5000,
+            "Meta": {"shard": "1", "zone": "room-b", "since_ms": "7000"} | meta,
+            "Weights": {"Passing": 2, "Warning": 1},
+        },
+        "Checks": [{"CheckID": "serfHealth", "Status": "passing"}, {"CheckID": check, "Status": status}],
+    }
 
 
 def test_health_becomes_node_states() -> None:
     known = {"bad": Member("bad", "127.0.0.1:1", 0)}
-    text = json.dumps([
-        instance("up"), instance("warned", "warning"), instance("ill", "critical"),
-        instance("kept", "critical", "_service_maintenance:kept"), instance("off", "maintenance"),
-        instance("bad", shard="none"), instance("new-bad", shard="-3")])
+    text = json.dumps(
+        [
+            instance("up"),
+            instance("warned", "warning"),
+            instance("ill", "critical"),
+            instance("kept", "critical", "_service_maintenance:kept"),
+            instance("off", "maintenance"),
+            instance("bad", shard="none"),
+            instance("new-bad", shard="-3"),
+        ]
+    )
     news = consul.parse_health(text, PLATFORM.zones, known, 9)
     states = {member.name: member.state for member in news.members}
     up, draining = NodeState.UP, NodeState.DRAINING
-    assert states == {"up": up, "warned": up, "ill": draining, "kept": draining, "off": draining,
-                      "bad": draining}
+    assert states == {
+        "up": up,
+        "warned": up,
+        "ill": draining,
+        "kept": draining,
+        "off": draining,
+        "bad": draining,
+    }
     assert news.full and news.version == 9
     assert news.members[0] == Member("up", "127.0.0.9:5000", 1, 1, 2.0, 7000.0)
 
 
 def test_an_index_that_falls_or_is_none_starts_over() -> None:
-    assert [consul.next_index(last, text) for last, text in [
-        (0, "5"), (5, "5"), (5, "4"), (5, "0"), (5, None), (5, "x")]] == [5, 5, 0, 0, 0, 0]
+    assert [
+        consul.next_index(last, text)
+        for last, text in [(0, "5"), (5, "5"), (5, "4"), (5, "0"), (5, None), (5, "x")]
+    ] == [5, 5, 0, 0, 0, 0]
 
 
 @fuzz
@@ -53,8 +75,9 @@
     except consul.HealthError as error:
         assert str(error)
     else:
-        assert all(m.name and m.shard >= 0 and 0 < int(m.address.rpartition(":")[2]) < 65536
-                   for m in news.members)
+        assert all(
+            m.name and m.shard >= 0 and 0 < int(m.address.rpartition(":")[2]) < 65536 for m in news.members
+        )
 
 
 class Agent:
@@ -97,9 +120,14 @@
 
 def test_the_watch_follows_and_survives_errors_and_a_reset() -> None:
     async def story() -> None:
-        agent = Agent((200, "10", [instance("a")]), (500, None, b""), (200, "11", b"{"),
-                      (200, "12", [instance("a", "critical")]), (200, "3", [instance("a"), instance("b")]),
-                      (200, "4", [instance("b")]))
+        agent = Agent(
+            (200, "10", [instance("a")]),
+            (500, None, b""),
+            (200, "11", b"{"),
+            (200, "12", [instance("a", "critical")]),
+            (200, "3", [instance("a"), instance("b")]),
+            (200, "4", [instance("b")]),
+        )
         async with World() as world:
             setup = consul.Setup(await agent.start(), "disk-node")
             client = consul.Consul(world.core, setup, PLATFORM.zones, "n0", ("127.0.0.1", 1))
@@ -111,6 +139,7 @@
             task.cancel()
             await client.close()
         await agent.runner.cleanup()
+
     run(story())
 
 
@@ -131,11 +160,13 @@
         assert agent.put[0][1]["Port"] == 5000 and agent.put[0][1]["Check"]["TTL"] == "1s"
         assert agent.put[1][1] == {"Status": "critical"}  # it has no node to send to
         await agent.runner.cleanup()
+
     run(story())
 
 
 def test_the_own_entry_is_not_made_again_behind_its_end() -> None:
     """An agent that was asked to forget the broker knows no check of it; told so, it registered again."""
+
     async def story() -> None:
         agent = Agent()
         async with World() as world:
@@ -153,6 +184,7 @@
         paths = [path.removeprefix("/v1/agent/") for path, _ in agent.put]
         assert paths == ["service/register", *["check/update/service:n0"] * 2, "service/deregister/n0"]
         await agent.runner.cleanup()
+
     run(story())
 
 
@@ -164,8 +196,9 @@
         agent = Agent()
         agent.hold = asyncio.Event()
         setup = consul.Setup(await agent.start(), "disk-node", register="broker")
-        broker = main.Broker(config.read_platform(raw() | {"listen": "127.0.0.1:0"}, {}),
-                             config.Operator(consul=setup))
+        broker = main.Broker(
+            config.read_platform(raw() | {"listen": "127.0.0.1:0"}, {}), config.Operator(consul=setup)
+        )
         broker._consul = consul.Consul(broker.core, setup, {}, "n0", ("127.0.0.1", 1))
         lingers, go = asyncio.Event(), asyncio.Event()
         told, put = [], broker._consul._put  # type: list[str], Any
@@ -173,11 +206,13 @@
         async def tell(path: str, body: Any) -> None:
             await put(path, body)
             told.append(path)
+
         monkeypatch.setattr(broker._consul, "_put", tell)
 
         async def linger(*_: object, **__: object) -> None:
             lingers.set()
             await go.wait()
+
         monkeypatch.setattr(broker.front, "linger", linger)
         ending = asyncio.create_task(broker.end())
         await lingers.wait()
@@ -186,6 +221,7 @@
 
         async def close() -> None:
             closes.set()
+
         monkeypatch.setattr(broker.front, "close", close)
         go.set()
         await closes.wait()
@@ -193,4 +229,5 @@
         await ending
         assert told == ["/agent/service/deregister/n0"]
         await agent.runner.cleanup()
+
     run(story())
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -74,20 +74,28 @@
 def test_every_ending_has_its_outcome_and_only_the_sure_ones_never_ran() -> None:
     assert set(OUTCOMES) == set(Ending)
     assert {e for e in Ending if OUTCOMES[e].never_ran} == {
-        Ending.TURNED_AWAY, Ending.CONNECT_REFUSED, Ending.CONNECT_TIMEOUT, Ending.BROKEN_UNSENT,
-        Ending.EXPIRED, Ending.NOT_STARTED, Ending.NOT_ITS}
+        Ending.TURNED_AWAY,
+        Ending.CONNECT_REFUSED,
+        Ending.CONNECT_TIMEOUT,
+        Ending.BROKEN_UNSENT,
+        Ending.EXPIRED,
+        Ending.NOT_STARTED,
+        Ending.NOT_ITS,
+    }
     assert [e for e in Ending if OUTCOMES[e] is Outcome.SERVED] == [Ending.SERVED]
 
 
 @fuzz
-@given(st.lists(st.sampled_from([e for e in Ending if e is not Ending.TIMED_OUT]), max_size=4),
-       st.sampled_from([READ, WRITE]))
+@given(
+    st.lists(st.sampled_from([e for e in Ending if e is not Ending.TIMED_OUT]), max_size=4),
+    st.sampled_from([READ, WRITE]),
+)
 def test_any_run_of_endings_ends_in_one_answer(endings: list[Ending], cls: int) -> None:
     async def story() -> None:
         core = core_with(config.read_platform(raw(1), {}))
         backend = Scripted(core, *endings)
         found = await core.serve(request(cls, 0.7), backend)
-        ended = [*endings, Ending.SERVED][:len(backend.made)]
+        ended = [*endings, Ending.SERVED][: len(backend.made)]
         assert len(ended) <= PLATFORM.settings.max_attempts and not core.open_requests
         assert (found.verdict is Verdict.SERVED) == (ended[-1:] == [Ending.SERVED])
         ran = [e for e in ended if not OUTCOMES[e].never_ran]
@@ -95,6 +103,7 @@
             assert len(ran) <= 1 and (found.verdict is not Verdict.REFUSED or not ran)
         assert core.counts["taken"] == 1 == core.counts[found.verdict.value]
         assert sum(core.endings.values()) == len(backend.made)
+
     run(story())
 
 
@@ -109,6 +118,7 @@
             assert (await core.serve(request(READ), backend)).verdict is Verdict.SERVED
         sizes = [len(kept) for kept in vars(core).values() if isinstance(kept, dict | list | set)]
         assert max(sizes) <= 12, sizes
+
     run(story())
 
 
@@ -120,18 +130,21 @@
         assert found.verdict is Verdict.FAILED and core.endings == {Ending.TIMED_OUT: 1}
         made = backend.made[0]  # what the client still waits when it is sent is at most what it waited before
         assert asked.deadline - made.expires >= MARGIN_PART * (asked.deadline - made.began) - 1e-9
+
     run(story())
 
 
 @pytest.mark.parametrize("wait", [0.055, 0.4, 0.75])
 def test_the_margin_leaves_a_client_in_a_hurry_most_of_its_time(wait: float) -> None:
     """50 ms kept back from one who waits 55 left the module 5 to work with: it refused them all."""
+
     async def story() -> None:
         core = core_with()
         backend, asked = Scripted(core, Ending.SERVED), request(READ, wait)
         assert (await core.serve(asked, backend)).verdict is Verdict.SERVED
         kept = asked.deadline - backend.made[0].expires
         assert abs(kept - min(MARGIN, MARGIN_PART * wait)) < 0.001
+
     run(story())
 
 
@@ -141,11 +154,13 @@
             async def attempt(self, attempt: Attempt) -> Reply:
                 self.made.append(attempt)
                 return await asyncio.Event().wait() and Reply(Ending.SERVED)  # type: ignore[return-value]
+
         core = core_with()
         backend = Waiting(core)
         found = await core.serve(request(WRITE, 0.3), backend)
         assert found.verdict is Verdict.REFUSED and core.endings == {Ending.EXPIRED: 1}  # it never ran
         assert not core._scheduler.nodes[0].failures
+
     run(story())
 
 
@@ -154,6 +169,7 @@
         core, backend = core_with(), Scripted(core_with())
         found = await core.serve(request(WRITE, 0.001), backend)
         assert found.verdict is Verdict.REFUSED and found.retry_after > 0 and not backend.made
+
     run(story())
 
 
@@ -163,6 +179,7 @@
         backend = Scripted(core)
         for wait in (10_000.0, PLATFORM.settings.classes[READ].deadline):
             assert (await core.serve(request(READ, wait), backend)).verdict is Verdict.SERVED
+
     run(story())
 
 
@@ -172,6 +189,7 @@
         core._scheduler.handle = lambda now, events: 1 / 0  # type: ignore
         found = await core.serve(request(READ, 0.2), Scripted(core))
         assert found.verdict is Verdict.REFUSED and not core.open_requests  # nothing of it was sent
+
     run(story())
 
 
@@ -186,6 +204,7 @@
         await asyncio.gather(task, return_exceptions=True)
         assert not backend.made and core.endings == {Ending.NOT_STARTED: 1}
         assert (await core.serve(request(READ), backend)).verdict is Verdict.SERVED
+
     run(story())
 
 
@@ -197,6 +216,7 @@
         backend = Scripted(core)
         assert (await core.serve(request(READ, 0.3), backend)).verdict is Verdict.REFUSED
         assert not backend.made and not core.ready
+
     run(story())
 
 
@@ -212,11 +232,13 @@
         assert not core.ready and core.figures().skipped == 1
         core.update(NodeList(6, False, (Member("d0", "here", 0),)))
         assert (await core.serve(request(READ), Scripted(core))).verdict is Verdict.SERVED
+
     run(story())
 
 
 def test_a_node_that_is_put_back_is_cold_from_then_until_its_start_is_told() -> None:
     """Discovery tells of the restart seconds late; sent all its work, a cold node falls over."""
+
     async def story() -> None:
         core = core_with()
         node = core._scheduler._node(0)
@@ -234,6 +256,7 @@
         core.maintain(core.maintenance.putting_back("d0", now))  # its restart was told while it was out
         core.tick()
         assert node.started == core._clock(now - 1000)
+
     run(story())
 
 
@@ -251,10 +274,19 @@
             assert str(error)
 
 
-@pytest.mark.parametrize(("change", "word"), [
-    ({"seed": "xyz"}, "seed"), ({"listen": "nowhere"}, "listen"), ({"known": []}, "known"),
-    ({"settings": {}}, "settings"), ({"limits": {"sockets": 3}}, "sockets"), ({"discovery": 5}, "discovery"),
-    ({"limits": {"memory_mb": "1"}}, "memory_mb"), ({"admin": "nowhere"}, "admin")])
+@pytest.mark.parametrize(
+    ("change", "word"),
+    [
+        ({"seed": "xyz"}, "seed"),
+        ({"listen": "nowhere"}, "listen"),
+        ({"known": []}, "known"),
+        ({"settings": {}}, "settings"),
+        ({"limits": {"sockets": 3}}, "sockets"),
+        ({"discovery": 5}, "discovery"),
+        ({"limits": {"memory_mb": "1"}}, "memory_mb"),
+        ({"admin": "nowhere"}, "admin"),
+    ],
+)
 def test_what_is_wrong_is_named(change: dict[str, object], word: str) -> None:
     with pytest.raises(config.ConfigError, match=word):
         config.read_platform(copy.deepcopy(RAW) | change, {})
@@ -268,24 +300,38 @@
     path.write_text(text)
     found = config.operator(path, PLATFORM.settings)
     assert found.nbd and found.consul and found.store and found.nbd.exports["claims"].size == 1 << 30
-    for old, new, word in [('write = "claim-write"', 'write = "claim-read"', "never runs twice"),
-                           ("pipeline = 16", "pipelines = 16", "pipeline"),
-                           ("size = 1073741824", "size = 5", "size"),
-                           ('plan = "basic"', 'plan = "b"', "plan"), ("ttl_s = 10", "ttl_s = 0", "ttl_s"),
-                           ("peers = []", 'peers = ["x"]', "peers"), ("[nbd]", "[nbd", "expected|Expected")]:
+    for old, new, word in [
+        ('write = "claim-write"', 'write = "claim-read"', "never runs twice"),
+        ("pipeline = 16", "pipelines = 16", "pipeline"),
+        ("size = 1073741824", "size = 5", "size"),
+        ('plan = "basic"', 'plan = "b"', "plan"),
+        ("ttl_s = 10", "ttl_s = 0", "ttl_s"),
+        ("peers = []", 'peers = ["x"]', "peers"),
+        ("[nbd]", "[nbd", "expected|Expected"),
+    ]:
         path.write_text(text.replace(old, new))
         with pytest.raises(config.ConfigError, match=word):
             config.operator(path, PLATFORM.settings)
 
 
-@pytest.mark.parametrize(("text", "key"), [
-    ("[why]\nenabld = true", "why.enabld"), ("[store]\npeerz = []", "store.peerz"),
-    ("[consul]\nservce = 'x'", "consul.servce"), ("[nbd]\nlisten_on = 'x'", "nbd.listen_on"),
-    ("[nbd.exports.a]\nsise = 5", "nbd.exports.a.sise"), ("[nbd.classes]\nreed = 'x'", "nbd.classes.reed"),
-    ("[store.config.a]\nversoin = 1", "store.config.a.versoin"), ("[why]\nenabled = 'yes'", "why.enabled"),
-    ("[store]\npeers = 'x'", "store.peers"), ("[whyy]\nenabled = true", "whyy")])
+@pytest.mark.parametrize(
+    ("text", "key"),
+    [
+        ("[why]\nenabld = true", "why.enabld"),
+        ("[store]\npeerz = []", "store.peerz"),
+        ("[consul]\nservce = 'x'", "consul.servce"),
+        ("[nbd]\nlisten_on = 'x'", "nbd.listen_on"),
+        ("[nbd.exports.a]\nsise = 5", "nbd.exports.a.sise"),
+        ("[nbd.classes]\nreed = 'x'", "nbd.classes.reed"),
+        ("[store.config.a]\nversoin = 1", "store.config.a.versoin"),
+        ("[why]\nenabled = 'yes'", "why.enabled"),
+        ("[store]\npeers = 'x'", "store.peers"),
+        ("[whyy]\nenabled = true", "whyy"),
+    ],
+)
 def test_a_part_that_is_off_is_held_to_the_names_and_types_of_its_keys(
-        text: str, key: str, tmp_path: Path) -> None:
+    text: str, key: str, tmp_path: Path
+) -> None:
     """A misspelt switch passed unseen, and what the operator meant to turn on stayed off."""
     path = tmp_path / "operator.toml"
     path.write_text(text)
@@ -295,8 +341,10 @@
 
 def test_a_part_that_is_off_may_leave_things_out_and_name_what_this_deployment_lacks(tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
-    path.write_text("[consul]\nenabled = false\n[store]\n[store.config.a]\nversion = 1\nvalue = 'x'\n"
-                    "[nbd.classes]\nread = 'another'\n[nbd.exports.a]\nplan = 'another'\nhosts = 999\n")
+    path.write_text(
+        "[consul]\nenabled = false\n[store]\n[store.config.a]\nversion = 1\nvalue = 'x'\n"
+        "[nbd.classes]\nread = 'another'\n[nbd.exports.a]\nplan = 'another'\nhosts = 999\n"
+    )
     assert config.operator(path, PLATFORM.settings) == config.Operator()
 
 
@@ -307,8 +355,13 @@
         whole["known"]["endpoints"][0]["address"] = f"127.0.0.1:{node.port}"
         (tmp_path / "config.json").write_text(json.dumps(whole))
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "cherrycove", cwd=ROOT, stderr=asyncio.subprocess.PIPE,
-            env=os.environ | {"TMPDIR": str(tmp_path), "RELAY_CONFIG": str(tmp_path / "config.json")})
+            sys.executable,
+            "-m",
+            "cherrycove",
+            cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE,
+            env=os.environ | {"TMPDIR": str(tmp_path), "RELAY_CONFIG": str(tmp_path / "config.json")},
+        )
         assert process.stderr is not None
         try:
             while b" broker.serves " not in (line := await process.stderr.readline()):
@@ -325,11 +378,13 @@
         finally:
             if process.returncode is None:
                 process.kill()
+
     run(story())
 
 
 def test_sighup_moves_the_watch_and_whatever_the_file_holds_ends_nothing(tmp_path: Path) -> None:
     """Unhandled, SIGHUP ends the process: every request it held is lost."""
+
     async def story() -> None:
         node = await Node("hang").start()
         whole = raw()
@@ -339,8 +394,13 @@
         path = tmp_path / "config.json"
         path.write_text(json.dumps(whole))
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "cherrycove", cwd=ROOT, stderr=asyncio.subprocess.PIPE,
-            env=os.environ | {"TMPDIR": str(tmp_path), "RELAY_CONFIG": str(path)})
+            sys.executable,
+            "-m",
+            "cherrycove",
+            cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE,
+            env=os.environ | {"TMPDIR": str(tmp_path), "RELAY_CONFIG": str(path)},
+        )
         assert process.stderr is not None
         try:
             while b" broker.serves " not in (line := await process.stderr.readline()):
@@ -367,11 +427,13 @@
         finally:
             if process.returncode is None:
                 process.kill()
+
     run(story())
 
 
 def test_clients_that_never_stop_asking_do_not_keep_a_broker_from_its_end(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Held up until SIGKILL, it would lose what it has open."""
     monkeypatch.setattr(leaving, "LONGEST", 0.9)
 
@@ -384,9 +446,11 @@
             while True:
                 broker.front.last_request = asyncio.get_running_loop().time()
                 await asyncio.sleep(0.01)
+
         asking = asyncio.create_task(ask())
         await broker.end()
         asking.cancel()
+
     run(story())
 
 
@@ -412,4 +476,5 @@
         time.sleep(0.06)  # the loop is held up, as by another process on its core
         await asyncio.sleep(0.005)
         assert core._scheduler.places < 96
+
     run(story())
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -123,6 +123,7 @@
 @pytest.mark.parametrize("sends", WAITS)
 def test_a_client_that_leaves_while_it_waits_for_the_module_is_not_sent_on(sends: str, how: str) -> None:
     """While a connection's buffer is full nobody reads it, and its end was not seen."""
+
     async def story() -> None:
         node = await Node().start()
         async with World(node) as world:
@@ -134,6 +135,7 @@
             await until(lambda: world.core.counts["client gone"])
             held.free()
             await nothing_came(world, node)
+
     run(story())
 
 
@@ -152,6 +154,7 @@
             world.front.room.leave(world.front.room.most)
             assert world.core.counts["taken"] == 0
             await nothing_came(world, node)
+
     run(story())
 
 
@@ -167,6 +170,7 @@
             await until(lambda: not world.front._web.connected)
             assert world.core.counts["taken"] == 0
             await nothing_came(world, node)
+
     run(story())
 
 
@@ -186,6 +190,7 @@
             busy.release.set()
             assert (await first)[0] == 200
             await nothing_came(world, node, shard=1)
+
     run(story())
 
 
@@ -205,6 +210,7 @@
             filler.close()
             await node.start(at=late)
             await nothing_came(world, node)
+
     run(story())
 
 
@@ -223,6 +229,7 @@
             await until(lambda: world.core.counts["client gone"])
             held.free()
             await nothing_came(world, node, before=("gone",))
+
     run(story())
 
 
@@ -242,12 +249,14 @@
                     transport.abort()  # its end is seen in this turn of the loop
                 if first == "leaving":
                     give(ticket, step)
+
             world.core._give = cross  # type: ignore[method-assign]
             _, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(message(id="gone"))
             await until(lambda: world.core.counts["client gone"])
             await nothing_came(world, node)
             writer.close()
+
     run(story())
 
 
@@ -261,17 +270,20 @@
             await until(lambda: world.core.counts["client gone"] or world.core.counts["taken"])
             await until(lambda: not world.front._web.connected)
             await nothing_came(world, node)
+
     run(story())
 
 
 def test_what_is_left_of_a_request_when_its_client_leaves_is_not_sent(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Closed in good order, a connection sent on what the node had not taken yet, whenever it did."""
     made = back.NodeConnection.connection_made
 
     def narrow(self: back.NodeConnection, transport: Any) -> None:
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         made(self, transport)
+
     monkeypatch.setattr(back.NodeConnection, "connection_made", narrow)
 
     async def story() -> None:
@@ -284,8 +296,12 @@
         async with World(node) as world:
             _, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(message("claim-write", "PUT", id="gone", body=b"x" * 60_000))
-            await until(lambda: any(each.transport and each.transport.get_write_buffer_size()
-                                    for each in world.pool._connector._acquired))
+            await until(
+                lambda: any(
+                    each.transport and each.transport.get_write_buffer_size()
+                    for each in world.pool._connector._acquired
+                )
+            )
             await leave(writer, "close")
             await until(lambda: world.core.counts["client gone"])
             connection, _ = listener.accept()
@@ -296,11 +312,13 @@
             assert got.startswith(b"PUT /claim-write") and got.count(b"x") < 60_000
             connection.close()
             listener.close()
+
     run(story())
 
 
 def test_an_nbd_client_that_leaves_while_its_commands_wait_is_not_sent_on(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """With its pipeline full nobody reads it; what it sent beyond fills the buffer ahead of its end."""
     made: list[Any] = []
     connected = nbd._Protocol.connection_made
@@ -308,6 +326,7 @@
     def connect(self: Any, transport: Any) -> None:
         made.append(transport)
         connected(self, transport)
+
     monkeypatch.setattr(nbd._Protocol, "connection_made", connect)
 
     async def story() -> None:
@@ -326,6 +345,7 @@
             await until(lambda: world.core.counts["client gone"] == 2)
             held.free()
             assert not block.seen and world.core.open_requests == 0
+
     run(story())
 
 
@@ -343,6 +363,7 @@
             closing = asyncio.create_task(world.front.close())  # its first step comes before the loop reads
             assert await answered(client) == 200
             await closing
+
     run(story())
 
 
@@ -355,6 +376,7 @@
             closing = asyncio.create_task(world.front.close())
             assert [await answered(client) for client in clients] == [200] * 9
             await closing
+
     run(story())
 
 
@@ -372,12 +394,14 @@
             assert (await answer(reader))[0] == 200
             await closing
             writer.close()
+
     run(story())
 
 
 @pytest.mark.parametrize("waits_for", ["room", "body"])
 def test_what_is_not_taken_in_when_all_is_given_up_is_refused_at_once(
-        waits_for: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    waits_for: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(front, "ROOM_TIME", 1e6)
     monkeypatch.setattr(body, "BODY_TIME", 1e6)
 
@@ -394,11 +418,13 @@
             status, headers, _ = await answer(reader)
             assert status == 503 and float(headers["retry-after"]) > 0 and not node.seen
             writer.close()
+
     run(story())
 
 
 def test_an_answer_whose_node_stands_still_within_it_does_not_hold_up_the_end(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """The process was killed over it, 10 s before the answer would have been given up."""
     monkeypatch.setattr(back, "STALL_TIME", 1e6)
 
@@ -408,6 +434,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + b"x" * 100_000)
             await reader.read()
             writer.close()
+
         server = await asyncio.start_server(stall, "127.0.0.1", 0)
         async with World() as world:
             world.members = [Member("d0", f"127.0.0.1:{server.sockets[0].getsockname()[1]}", 0)]
@@ -422,6 +449,7 @@
                 assert await reader.read() == b""  # 100,000 bytes short, as its client can tell
                 await ends
                 assert not world.core.open_requests and not world.front.room.held
+
     run(story())
 
 
@@ -441,6 +469,7 @@
                 assert (await answer(reader))[0] == 503
                 await ends
                 assert not world.front._web.connected
+
     run(story())
 
 
@@ -454,6 +483,7 @@
             world.front.room.take(world.front.room.most)
             status, _, _ = await world.ask(cls="claim-write", method="PUT", body=b"x" * 900, ms=200)
             assert status == 503 and not node.seen
+
     run(story())
 
 
@@ -465,18 +495,21 @@
         async with World(await Node().start()) as world:
             world.front.room.take(world.front.room.most)
             waits = asyncio.create_task(
-                world.ask(cls="claim-write", method="PUT", body=b"x" * 900, id="waits"))
+                world.ask(cls="claim-write", method="PUT", body=b"x" * 900, id="waits")
+            )
             await until(lambda: world.front.room._waiting)
             try:
                 assert (await world.ask(id="reads"))[2] == b"data of reads" and not waits.done()
             finally:
                 world.front.room.leave(world.front.room.most)
             assert (await waits)[2] == b"data of waits"
+
     run(story())
 
 
 def test_what_waited_for_room_has_so_much_less_time() -> None:
     """Its time was counted from when it had room, and its answer came later than its client waited."""
+
     async def story() -> None:
         loop = asyncio.get_running_loop()
         clock, shift = loop.time, [0.0]
@@ -490,6 +523,7 @@
             world.front.room.leave(world.front.room.most)
             assert (await asks)[0] == 200
             assert int(node.seen[0]["x-deadline-ms"]) <= 19_600
+
     run(story())
 
 
@@ -503,6 +537,7 @@
             world.front.room.take(world.front.room.most)
             status, headers, _ = await world.ask(cls="claim-write", method="PUT", body=b"x" * 900)
             assert status == 503 and "retry-after" not in headers
+
     run(story())
 
 
@@ -529,6 +564,7 @@
                 web._crowd, web._idle[handler] = 0, 0.0
                 web.begin(handler_like(web))
             assert await answered(client) == 200
+
     run(story())
 
 
@@ -553,10 +589,19 @@
 
     async def start(self) -> None:
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "cherrycove", cwd=ROOT, stderr=asyncio.subprocess.PIPE,
+            sys.executable,
+            "-m",
+            "cherrycove",
+            cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE,
             preexec_fn=_with_parent,
-            env=os.environ | {"RELAY_CONFIG": str(self.path), "TMPDIR": str(self.folder),
-                              "CHERRYCOVE_OPERATOR": str(self.folder / "none.toml")})
+            env=os.environ
+            | {
+                "RELAY_CONFIG": str(self.path),
+                "TMPDIR": str(self.folder),
+                "CHERRYCOVE_OPERATOR": str(self.folder / "none.toml"),
+            },
+        )
 
     async def read_by_process(self, before: Callable[[], object] = lambda: None) -> None:
         """Once the process reads its file: ``before``, then what the file holds."""
@@ -566,6 +611,7 @@
             with contextlib.suppress(OSError):
                 numbers.append(os.open(self.path, os.O_WRONLY | os.O_NONBLOCK))
             return bool(numbers)
+
         await until(reader_is_there)
         # Guard: seen to come and to go, or the next one to write meets the same reader.
         await until(lambda: str(self.path) in opened(self.process.pid))
@@ -600,11 +646,13 @@
             broker.path.unlink()
             broker.path.write_text(json.dumps(broker.raw))  # what is read again
             broker.process.send_signal(signal.SIGHUP)
+
         await broker.read_by_process(again)
         await broker.says("config.read_again")
         broker.process.send_signal(signal.SIGTERM)
         await broker.says("broker.ended")
         assert await broker.process.wait() == 0
+
     run(story())
 
 
@@ -615,6 +663,7 @@
         with contextlib.suppress(BrokenPipeError):  # it may have ended by then
             await broker.read_by_process(lambda: broker.process.send_signal(signal.SIGTERM))
         assert await broker.process.wait() == 0
+
     run(story())
 
 
@@ -637,6 +686,7 @@
         broker.process.send_signal(signal.SIGTERM)
         await broker.says("broker.ended")
         assert await broker.process.wait() == 0
+
     run(story())
 
 
@@ -651,7 +701,8 @@
 
 
 def test_the_kill_counts_from_the_signal_though_the_start_takes_longer(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def story() -> None:
         go, began = asyncio.Event(), []  # type: asyncio.Event, list[float]
 
@@ -661,6 +712,7 @@
 
         async def end(self: main.Broker, at: float) -> None:
             began.append(at)
+
         monkeypatch.setattr(main.Broker, "start", start)
         monkeypatch.setattr(main.Broker, "end", end)
         monkeypatch.setattr(main.signal, "pthread_sigmask", lambda *_: None)
@@ -671,6 +723,7 @@
         def make(self: main.Broker, *given: Any) -> None:
             made(self, *given)
             stop.append(self.stop)
+
         monkeypatch.setattr(main.Broker, "__init__", make)
         running = asyncio.create_task(main.run(platform, config.Operator(), []))
         await until(lambda: stop)
@@ -682,6 +735,7 @@
         go.set()
         await running
         assert began and began[0] <= latest
+
     run(story())
 
 
@@ -710,7 +764,8 @@
 
 @pytest.mark.parametrize("second", [True, False])
 def test_a_second_answer_that_comes_late_is_not_taken_for_that_to_the_next_request(
-        second: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+    second: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """It crossed the next request on its way, if that went out at once over the same connection."""
     clock, rests = [100.0], []  # type: list[float], list[float]
     for module in (back, connector):
@@ -727,6 +782,7 @@
             await until(lambda: not connection.is_connected())
         else:
             node.last = b""
+
     monkeypatch.setattr(back.Connector, "_let_rest", let_rest)
 
     async def story() -> None:
@@ -738,11 +794,13 @@
             clock[0] += back.REST_TIME / 4
             assert (await world.ask(id="next"))[2] == b"to next"
             assert rests == [pytest.approx(back.REST_TIME * 3 / 4)] and node.connections == 1 + second
+
     run(story())
 
 
 def test_a_place_is_passed_on_by_one_that_leaves_while_its_connection_rests(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Woken for the place and gone without a word, it left the next to wait for good."""
     monkeypatch.setattr(connector.random, "shuffle", lambda keys: None)  # who has waited longest is woken
     rests = asyncio.Event()
@@ -750,6 +808,7 @@
     async def let_rest(*_: object) -> None:
         rests.set()
         await asyncio.Event().wait()
+
     monkeypatch.setattr(back.Connector, "_let_rest", let_rest)
 
     async def story() -> None:
@@ -770,6 +829,7 @@
             await leave(writer, "close")
             assert (await last)[2] == b"data of last"
             assert [each["x-request-id"] for each in busy.seen] == ["first"]
+
     run(story())
 
 
@@ -789,6 +849,7 @@
                     writer.write(step)
         except (EOFError, OSError):
             writer.close()
+
     server = await asyncio.start_server(tell, "127.0.0.1", 0)
     return f"127.0.0.1:{server.sockets[0].getsockname()[1]}", asked
 
@@ -813,12 +874,14 @@
             assert not world.core.ready
             assert ["since" in await asked.get() for _ in range(3)] == [False, True, True]
             watching.cancel()
+
     run(story())
 
 
 @pytest.mark.parametrize("known", [False, True])
 def test_a_silent_watch_ends_within_what_its_silence_may_take(known: bool) -> None:
     """The library rounds limits of over 5 s up to whole seconds: 6 s were up to 7."""
+
     async def story() -> None:
         loop = asyncio.get_running_loop()
         clock = loop.time
@@ -830,21 +893,27 @@
             for _ in range(1 + known):
                 await asked.get()
             began = loop.time()
-            ends = min(timer.when() for timer in loop._scheduled  # type: ignore[attr-defined]
-                       if not timer.cancelled() and timer.when() > began + 3.0)
+            ends = min(
+                timer.when()
+                for timer in loop._scheduled  # type: ignore[attr-defined]
+                if not timer.cancelled() and timer.when() > began + 3.0
+            )
             assert ends <= began + (6.0 if known else 4.0)
             watching.cancel()
+
     run(story())
 
 
 def test_a_discovery_that_tells_changes_for_the_whole_list_is_not_asked_without_a_pause(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     waits: list[float] = []
     asleep = asyncio.sleep
 
     async def sleep(delay: float, *_: object) -> None:
         waits.append(delay)
         await asleep(0)
+
     monkeypatch.setattr(watch.asyncio, "sleep", sleep)
 
     async def story() -> None:
@@ -855,6 +924,7 @@
                 await asked.get()
             assert len(waits) >= 5 and not world.core.ready
             watching.cancel()
+
     run(story())
 
 
@@ -862,16 +932,19 @@
 @pytest.mark.parametrize("sign", [1, -1])
 def test_a_figure_that_no_float_holds_leaves_the_list_as_it_was(figure: str, sign: int) -> None:
     """It ended the watch, and with it the broker."""
+
     async def story() -> None:
         entry = {"name": "d9", "address": "127.0.0.1:1", "group": 0, "status": "up", figure: sign * 10**400}
         spoilt = json.dumps({"index": 2, "snapshot": True, "endpoints": [entry]}).encode()
         address, asked = await telling(
-            told(1), b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(spoilt) + spoilt, told(3))
+            told(1), b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(spoilt) + spoilt, told(3)
+        )
         async with World() as world:
             watching = asyncio.create_task(watch.watch(world.core, address, {}))
             await until(lambda: watching.done() or world.core.version == 3)
             assert not watching.done() and [m.name for m in world.core.members] == ["d0"]
             watching.cancel()
+
     run(story())
 
 
@@ -894,4 +967,5 @@
             busy.release.set()
             assert (await first)[0] == 200 and (await second)[0] == 503
             assert not node.seen and not node.scraps
+
     run(story())
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -23,8 +23,10 @@
 from cherrycove import config
 from finchrack import known
 
-SITES = {path.stem: tomllib.loads(path.read_text(encoding="utf-8"))
-         for path in sorted((ROOT / "deploy/sites").glob("*/*.toml"))}
+SITES = {
+    path.stem: tomllib.loads(path.read_text(encoding="utf-8"))
+    for path in sorted((ROOT / "deploy/sites").glob("*/*.toml"))
+}
 EFFECTS = {"safe": "pure", "keyed": "token", "unsafe": "side_effect"}
 MS = 1_000_000  # ns
 
@@ -32,31 +34,59 @@
 def settings(site: dict[str, Any]) -> dict[str, Any]:
     """A site's figures as the platform tells a broker of them."""
     whole, allow, rules = copy.deepcopy(RAW["settings"]), site["allow"], site["rules"]
-    whole["classes"] = [{
-        "name": cls["name"], "aimNs": cls["aim_ms"] * MS, "deadlineNs": cls["deadline_ms"] * MS,
-        "gain": cls["worth"], "lateValue": cls["late_worth"], "idempotency": EFFECTS[cls["effect"]],
-        "group": cls.get("group", "all"), "windowNs": cls.get("window_ms", 5000) * MS, "stream": False,
-    } for cls in site["class"]]
+    whole["classes"] = [
+        {
+            "name": cls["name"],
+            "aimNs": cls["aim_ms"] * MS,
+            "deadlineNs": cls["deadline_ms"] * MS,
+            "gain": cls["worth"],
+            "lateValue": cls["late_worth"],
+            "idempotency": EFFECTS[cls["effect"]],
+            "group": cls.get("group", "all"),
+            "windowNs": cls.get("window_ms", 5000) * MS,
+            "stream": False,
+        }
+        for cls in site["class"]
+    ]
     whole["policies"] = []
     for tenant, plan in zip(site["tenant"], site["fam"]["plan"], strict=True):
         rate = 10.0 * plan["size"]
         limit = rate * plan.get("limit", 0.0)
         burst = max(limit * max(plan.get("burst_s", [0.0])), 8.0 * site["fam"]["most_units"] * bool(limit))
-        whole["policies"].append({
-            "name": tenant["name"], "nominal": rate, "floorRate": rate * plan["reserve"],
-            "parts": plan["weight"], "valueFactor": plan["price"], "ceilingRate": limit, "burst": burst,
-            "capSlack": site["fam"]["slack"] * burst})
+        whole["policies"].append(
+            {
+                "name": tenant["name"],
+                "nominal": rate,
+                "floorRate": rate * plan["reserve"],
+                "parts": plan["weight"],
+                "valueFactor": plan["price"],
+                "ceilingRate": limit,
+                "burst": burst,
+                "capSlack": site["fam"]["slack"] * burst,
+            }
+        )
     whole["familyInfo"] |= {
-        "writes": [cls["write"] for cls in site["class"]], "maxUnits": site["fam"]["most_units"],
-        "meterNs": int(site["fam"]["meter_s"] * 1000) * MS, "countsOthers": site["fam"]["tells"] == "both"}
-    whole["guarantees"] |= {"drainGraceNs": rules["drain_grace_ms"] * MS, "fallNs": rules["fall_ms"] * MS,
-                            "fallMultiple": rules["fall_multiple"]}
+        "writes": [cls["write"] for cls in site["class"]],
+        "maxUnits": site["fam"]["most_units"],
+        "meterNs": int(site["fam"]["meter_s"] * 1000) * MS,
+        "countsOthers": site["fam"]["tells"] == "both",
+    }
+    whole["guarantees"] |= {
+        "drainGraceNs": rules["drain_grace_ms"] * MS,
+        "fallNs": rules["fall_ms"] * MS,
+        "fallMultiple": rules["fall_multiple"],
+    }
     whole["limits"] |= {
-        "cancel": allow["cancel"], "probing": allow["probes"], "mayTell": allow["peers"],
-        "secondCopies": allow["second_copies"], "retryAfter": allow["retry_after"],
-        "maxAttempts": allow["max_attempts"], "maxRetryAfterNs": site["clients"]["max_retry_after_ms"] * MS,
+        "cancel": allow["cancel"],
+        "probing": allow["probes"],
+        "mayTell": allow["peers"],
+        "secondCopies": allow["second_copies"],
+        "retryAfter": allow["retry_after"],
+        "maxAttempts": allow["max_attempts"],
+        "maxRetryAfterNs": site["clients"]["max_retry_after_ms"] * MS,
         "dialTimeoutNs": site["tier"][0]["conn"]["connect_timeout_ms"] * MS,
-        "connIdleNs": site["tier"][0]["conn"]["idle_s"] * 1000 * MS}
+        "connIdleNs": site["tier"][0]["conn"]["idle_s"] * 1000 * MS,
+    }
     whole["zones"], whole["feedback"] = site["net"]["zones"], {"how": "none", "names": []}
     whole["clients"] = {"marksRetry": site["clients"]["marks_retry"]}
     return whole
@@ -72,10 +102,20 @@
         day = draw(seed)
         drawn = day.settings
         theirs = replace(
-            whole, schedulers=drawn.schedulers, shards=drawn.shards, cold_units=drawn.cold_units,
-            warm_after=drawn.warm_after, start_capacity=drawn.start_capacity, tick=drawn.tick,
-            plans=tuple(replace(plan, burst=max(plan.burst, 2 * whole.max_units * drawn.schedulers)
-                                if plan.limit else 0.0) for plan in whole.plans))
+            whole,
+            schedulers=drawn.schedulers,
+            shards=drawn.shards,
+            cold_units=drawn.cold_units,
+            warm_after=drawn.warm_after,
+            start_capacity=drawn.start_capacity,
+            tick=drawn.tick,
+            plans=tuple(
+                replace(
+                    plan, burst=max(plan.burst, 2 * whole.max_units * drawn.schedulers) if plan.limit else 0.0
+                )
+                for plan in whole.plans
+            ),
+        )
         if words := Day(replace(day, settings=theirs)).play():
             broken[seed] = words
     assert not broken
@@ -90,29 +130,48 @@
         del whole["admin"]
         for cls in whole["settings"]["classes"]:  # a busy machine is no fault of the broker's
             cls["aimNs"], cls["deadlineNs"] = 40 * cls["aimNs"], 40 * cls["deadlineNs"]
-        whole["known"]["endpoints"] = [whole["known"]["endpoints"][0] | {
-            "address": f"127.0.0.1:{node.port}", "zone": site["net"]["zones"][0]}]
+        whole["known"]["endpoints"] = [
+            whole["known"]["endpoints"][0]
+            | {"address": f"127.0.0.1:{node.port}", "zone": site["net"]["zones"][0]}
+        ]
         path = tmp_path / "config.json"
         path.write_text(json.dumps(whole))
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "cherrycove", cwd=ROOT, stderr=asyncio.subprocess.PIPE,
-            env=os.environ | {"RELAY_CONFIG": str(path), "TMPDIR": str(tmp_path),
-                              "CHERRYCOVE_OPERATOR": str(tmp_path / "none.toml")})
+            sys.executable,
+            "-m",
+            "cherrycove",
+            cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE,
+            env=os.environ
+            | {
+                "RELAY_CONFIG": str(path),
+                "TMPDIR": str(tmp_path),
+                "CHERRYCOVE_OPERATOR": str(tmp_path / "none.toml"),
+            },
+        )
         assert process.stderr is not None
         while b"broker.serves " not in (line := await process.stderr.readline()):
             assert line and b"ERROR" not in line
         port = int(line.rpartition(b"port=")[2])
         for number, cls in enumerate(site["class"]):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(message(cls["name"], "PUT" if cls["write"] else "GET", id=f"c{number}",
-                                 body=b"x" * 100 * cls["write"], Tier=site["tenant"][0]["name"],
-                                 **({"Idempotency_Key": f"k{number}"} if cls["effect"] == "keyed" else {})))
+            writer.write(
+                message(
+                    cls["name"],
+                    "PUT" if cls["write"] else "GET",
+                    id=f"c{number}",
+                    body=b"x" * 100 * cls["write"],
+                    Tier=site["tenant"][0]["name"],
+                    **({"Idempotency_Key": f"k{number}"} if cls["effect"] == "keyed" else {}),
+                )
+            )
             status, _, data = await answer(reader)
             assert (status, data) == (200, f"data of c{number}".encode()), cls["name"]
             writer.close()
         process.send_signal(signal.SIGTERM)
         await process.stderr.read()
         assert await process.wait() == 0
+
     run(story())
 
 
@@ -121,8 +180,9 @@
     path = "".join("[]" if isinstance(each, int) else f".{each}" for each in at).removeprefix(".")
     if path in known.READ:
         yield at, path
-    for key, value in (info.items() if isinstance(info, dict) else
-                       enumerate(info) if isinstance(info, list) else ()):
+    for key, value in (
+        info.items() if isinstance(info, dict) else enumerate(info) if isinstance(info, list) else ()
+    ):
         yield from places(value, (*at, key))
 
 
@@ -146,11 +206,14 @@
             assert str(found.value).startswith(f"{path}: {place}"), (place, wrong)
 
 
-@pytest.mark.parametrize(("at", "wrong"), [
-    ("limits.sockets", 10**19), ("limits.memory_mb", 10**400), ("limits.memory_mb", float("inf"))],
-    ids=["sockets", "memory", "infinite"])
-def test_a_limit_past_all_machines_is_named_with_its_file_and_reason(at: str, wrong: float, tmp_path: Path
-                                                                     ) -> None:
+@pytest.mark.parametrize(
+    ("at", "wrong"),
+    [("limits.sockets", 10**19), ("limits.memory_mb", 10**400), ("limits.memory_mb", float("inf"))],
+    ids=["sockets", "memory", "infinite"],
+)
+def test_a_limit_past_all_machines_is_named_with_its_file_and_reason(
+    at: str, wrong: float, tmp_path: Path
+) -> None:
     whole, path = copy.deepcopy(RAW), tmp_path / "config.json"
     whole["limits"][at.partition(".")[2]] = wrong
     path.write_text(json.dumps(whole))
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -76,7 +76,9 @@
     node.resting_until = rig.now + 5
     rig.scheduler._new_period(None)
     assert {name: volume.credits > spent[name] for name, volume in rig.scheduler.volumes.items()} == {
-        "a": True, "b": True}
+        "a": True,
+        "b": True,
+    }
 
 
 def test_spare_room_lets_a_volume_pass_its_credit() -> None:
@@ -167,8 +169,12 @@
 def step(rig: Rig, node: NodeQueue, window: Window) -> None:
     """The controller's, at this window's end."""
     node.window = window
-    set_threshold(node, rig.settings.classes, rig.scheduler.window_end,
-                  MEAN_CEILING * rig.scheduler.aim / node.service if node.service else inf)
+    set_threshold(
+        node,
+        rig.settings.classes,
+        rig.scheduler.window_end,
+        MEAN_CEILING * rig.scheduler.aim / node.service if node.service else inf,
+    )
 
 
 def test_overload_jumps_to_the_ceiling_and_is_left_when_less_is_due() -> None:
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -23,8 +23,11 @@
 def test_the_page_for_staff_has_every_event_and_no_other() -> None:
     sources = [path.read_text() for path in (ROOT / "cherrycove").rglob("*.py")]
     written = {event for text in sources for event in CALL.findall(text)}
-    calls = [call for text in sources
-             for call in re.findall(r"\blog\.(?:info|warning|error|exception|critical)\(", text)]
+    calls = [
+        call
+        for text in sources
+        for call in re.findall(r"\blog\.(?:info|warning|error|exception|critical)\(", text)
+    ]
     assert sum(len(CALL.findall(text)) for text in sources) == len(calls)  # each names its event as it stands
     page = (ROOT / "docs/on-call.md").read_text().partition("## Answers")[0]
     rows = re.findall(r"^\| (`.*?) \|", page, re.M)
@@ -54,8 +57,9 @@
 
 
 @pytest.mark.parametrize("form", events.FORMS)
-def test_lines_of_a_request_carry_its_id_and_attempt(form: str, lines: io.StringIO,
-                                                     monkeypatch: pytest.MonkeyPatch) -> None:
+def test_lines_of_a_request_carry_its_id_and_attempt(
+    form: str, lines: io.StringIO, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Two at once: what is bound for one must not show in the other's lines."""
     events.start(form, stream=lines)
 
@@ -66,9 +70,11 @@
             async def talkative(call: object, address: str, headers: dict[str, str]) -> Reply:
                 events.Log("cherrycove.test").info("test.event", sent=headers["X-Request-Id"])
                 return await exchange(call, address, headers)  # type: ignore[arg-type]
+
             monkeypatch.setattr(world.pool, "exchange", talkative)
             await asyncio.gather(world.ask(id="a1"), world.ask(id="b2"))
             events.Log("cherrycove.test").info("test.outside")
+
     run(story())
     said = [line for line in lines.getvalue().splitlines() if "test." in line]
     assert len(said) == 3
--- a/tests/test_fleet_room.py
+++ b/tests/test_fleet_room.py
@@ -20,8 +20,16 @@
 from cherrycove.fleet.room import LENT, VALID, Borrower, Lender, borne, key, lender
 from finchrack.interface import AskRoom, Node, RoomLent, RoomPooled
 
-SETTINGS = replace(PLATFORM.settings, schedulers=5, cold_units=4.0, fall_window=3.0, start_capacity=0.18,
-                   warm_after=17.0, max_units=8.0, usual_units=2.0)
+SETTINGS = replace(
+    PLATFORM.settings,
+    schedulers=5,
+    cold_units=4.0,
+    fall_window=3.0,
+    start_capacity=0.18,
+    warm_after=17.0,
+    max_units=8.0,
+    usual_units=2.0,
+)
 NODE = key("s-1", 1000.0)
 
 
@@ -90,10 +98,12 @@
 
 
 @fuzz
-@given(st.integers(0, 0xFFFF), st.integers(0, 0xFFFFFFFF), st.floats(0, 100),
-       st.binary(min_size=8, max_size=8))
+@given(
+    st.integers(0, 0xFFFF), st.integers(0, 0xFFFFFFFF), st.floats(0, 100), st.binary(min_size=8, max_size=8)
+)
 def test_datagrams_keep_what_they_carry_and_are_small(
-        number: int, life: int, units: float, node: bytes) -> None:
+    number: int, life: int, units: float, node: bytes
+) -> None:
     ask = datagram.parse(datagram.pack(datagram.Ask(number, life, 7, node, units)))
     assert isinstance(ask, datagram.Ask) and (ask.sender, ask.life, ask.node) == (number, life, node)
     assert units <= ask.units < units + 0.07
@@ -147,8 +157,11 @@
         since = float(round(time.time() * 1000))
         names = {lender(key(f"n{i}", since), 2): f"n{i}" for i in range(20)}
         for core in cores:
-            core.update(NodeList(1, True, tuple(Member(n, "127.0.0.1:1", i, since_ms=since)
-                                                for i, n in names.items())))
+            core.update(
+                NodeList(
+                    1, True, tuple(Member(n, "127.0.0.1:1", i, since_ms=since) for i, n in names.items())
+                )
+            )
         lent: asyncio.Queue[tuple[str, float]] = asyncio.Queue()
         cores[0].room_lent = lambda node, units, time: lent.put_nowait((node, units))  # type: ignore[method-assign]
         sides[0]._ask(names[0], 1.0)  # of its own books
@@ -156,7 +169,8 @@
         sides[0]._ask(names[1], 1.0)
         assert await lent.get() == (names[1], 1.0) and sides[1].counts["lent"] == 1
         stranger, _ = await loop.create_datagram_endpoint(
-            asyncio.DatagramProtocol, local_addr=("127.0.0.1", 0))
+            asyncio.DatagramProtocol, local_addr=("127.0.0.1", 0)
+        )
         for data in (datagram.pack(datagram.Ask(0, 1, 1, key(names[1], since), 1.0)), b"x", b"x" * 300):
             stranger.sendto(data, places[1])
         while sum(sides[1].counts[name] for name in ("forged", "malformed")) < 3:
@@ -165,6 +179,7 @@
         stranger.close()
         for side in sides:
             side.close()
+
     run(story())
 
 
@@ -182,6 +197,7 @@
         while side._transport is None:
             await asyncio.sleep(0.001)
         side.close()
+
     run(story())
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -43,8 +43,12 @@
         self.path = self.folder / f"{id(self)}.json"
         self.path.write_text(json.dumps(self.whole))
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, *self.program, cwd=ROOT, stderr=asyncio.subprocess.PIPE,
-            env=os.environ | {"RELAY_CONFIG": str(self.path), "TMPDIR": str(self.folder)} | self.env)
+            sys.executable,
+            *self.program,
+            cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE,
+            env=os.environ | {"RELAY_CONFIG": str(self.path), "TMPDIR": str(self.folder)} | self.env,
+        )
         self.port = int((await self.line("broker.serves ")).rpartition("=")[2])
         self.admin = int((await self.line("calls.serves port=")).rpartition("=")[2])
         return self
@@ -82,8 +86,11 @@
     """Keeps a connection between two requests for as long as a test may take: how long another process needs
     to start says nothing about the one in service."""
 
-    program = ("-c", "import runpy; from cherrycove.http1 import front; front.IDLE_TIME = 60.0; "
-                     "runpy.run_module('cherrycove', run_name='__main__')")
+    program = (
+        "-c",
+        "import runpy; from cherrycove.http1 import front; front.IDLE_TIME = 60.0; "
+        "runpy.run_module('cherrycove', run_name='__main__')",
+    )
 
 
 def free_port() -> int:
@@ -103,6 +110,7 @@
 
 def test_a_second_process_takes_the_place_of_the_first_and_nobody_is_turned_away(tmp_path: Path) -> None:
     """It ended with the address in use; a socket of its own would drop the first one's queue."""
+
     async def story() -> None:
         node = await Node("ok", "held ok").start()
         whole = settings(node)
@@ -134,12 +142,14 @@
                 for each in (writer, holder, asker):
                     each.close()
                 await second.end()
+
     run(story())
 
 
 @pytest.mark.parametrize("point", ["before it asked", "while it is handed the sockets", "once it serves"])
 def test_should_the_successor_die_the_process_in_service_goes_on(point: str, tmp_path: Path) -> None:
     """Killed between its operators' line and its word to the former process, that one had stopped nothing."""
+
     async def story() -> None:
         whole = settings(await Node().start())
         async with Process(whole, tmp_path) as first:
@@ -162,11 +172,13 @@
             assert body == b"data of after" and "connection" not in headers  # and it goes on keeping them
             writer.close()
             await first.end()
+
     run(story())
 
 
 def test_a_successor_takes_up_what_the_process_in_service_knows(tmp_path: Path) -> None:
     """Where a memory is on; of the file, which is older, it reads nothing."""
+
     async def story() -> None:
         whole = settings(await Node().start())
         memory = f'[memory]\nenabled = true\nfolder = "{tmp_path}"\n'
@@ -181,11 +193,13 @@
                 await first.end()
                 await second.line("handover.other_ended")
                 await second.end()
+
     run(story())
 
 
 def test_a_third_process_waits_until_the_first_has_ended(tmp_path: Path) -> None:
     """Three shared what is one broker's: a half each."""
+
     async def story() -> None:
         node = await Node("hang").start()
         whole = settings(node)
@@ -206,11 +220,13 @@
                 await second.end()
                 await third.end()
                 holder.close()
+
     run(story())
 
 
 def test_a_process_whose_successor_died_is_found_by_the_next(tmp_path: Path) -> None:
     """That one had taken its name, and the next served beside it from a socket of its own."""
+
     async def story() -> None:
         whole = settings(await Node().start())
         async with Process(whole, tmp_path) as first:
@@ -223,6 +239,7 @@
                 await first.end()
                 await last.line("handover.other_ended")
                 await last.end()
+
     run(story())
 
 
@@ -242,12 +259,14 @@
         elder.process.send_signal(signal.SIGTERM)
         assert await elder.process.wait() == 0
         next(each for each in both if each is not elder).process.kill()
+
     run(story())
 
 
 @pytest.mark.parametrize("how", ["a process that hangs as it starts", "two that live on"])
-def test_no_process_waits_for_ever_to_start(how: str, tmp_path: Path,
-                                            monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_process_waits_for_ever_to_start(
+    how: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(handover, "BUSY_TIME", 0.1)
 
     async def story() -> None:
@@ -264,6 +283,7 @@
             await other.close()
         for each in (place, other):
             each.leave()
+
     run(story())
 
 
@@ -272,7 +292,8 @@
 
 
 def test_two_processes_together_leave_clients_the_places_that_one_leaves_them(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Each held a quarter of the descriptors with open requests, and together more than clients have."""
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     monkeypatch.setattr(places, "FULL", 1e9)  # a busy machine makes this process late, and its bound lower
@@ -285,14 +306,16 @@
         def most(broker: main.Broker) -> float:
             broker.core.tick()
             return broker.core._scheduler.places
+
         first, second = (main.Broker(platform, main.config.Operator()) for _ in range(2))
         await first.start()
         assert most(first) == 40
         # One that is only about to start takes the core from this one; what waits unread holds places too.
         (tmp_path / "config.json").write_text(json.dumps(whole))
         monkeypatch.setenv("RELAY_CONFIG", str(tmp_path / "config.json"))
-        monkeypatch.setattr(first.succession.place, "on_coming",
-                            lambda: (first.succession.came(), changed.set()))
+        monkeypatch.setattr(
+            first.succession.place, "on_coming", lambda: (first.succession.came(), changed.set())
+        )
         changed, coming = asyncio.Event(), herald.announce()
         assert coming is not None
         await changed.wait()
@@ -309,8 +332,9 @@
             await asyncio.sleep(0.01)
         told = asyncio.Event()
         bound = second.succession.bound
-        monkeypatch.setattr(second.succession, "bound",
-                            lambda: (bound(), second.life.beside is not None and told.set()))
+        monkeypatch.setattr(
+            second.succession, "bound", lambda: (bound(), second.life.beside is not None and told.set())
+        )
         await second.start()
         assert most(first) == 20  # it has handed over before the other says yes
         await told.wait()
@@ -325,12 +349,14 @@
         assert most(second) == 40 and most(first) == 20
         await second.end()
         ending.cancel()
+
     run(story())
 
 
 @pytest.mark.parametrize("left", ["nothing", "a file", "a socket of the dead", "one that never answers"])
 def test_whatever_lies_in_the_directory_a_process_starts_and_can_be_found(
-        left: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    left: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(handover, "ANSWER_TIME", 0.2)
 
     async def story() -> None:
@@ -357,6 +383,7 @@
 
             async def took(message: handover.Message) -> None:
                 assert message["tell"] == 1
+
             await place.await_successor(lambda hello: (STATE, [front]), keep)
             met = await handover.Place("n0", ("h", 1), str(deep)).meet({"hello": 1})
             assert met is not None and met[1] == STATE
@@ -369,23 +396,30 @@
             await place.close()
             await following
         stale.close()
+
     run(story())
 
 
 def test_a_successor_lost_in_the_middle_of_the_answer_leaves_the_place_free(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Claimed for good, it was handed to nobody any more."""
+
     def broken(*_: object) -> None:
         raise OSError("gone")
 
     async def story() -> None:
         life, place = stages.Life(1024, 80.0), handover.Place("n0", ("h", 1), str(tmp_path))
         monkeypatch.setattr(socket, "send_fds", broken)
-        await place.await_successor(lambda hello: (life.followed(), (STATE, []))[1],  # type: ignore
-                                    lambda link: link.follow(None), life.heir_gone)  # type: ignore
+        await place.await_successor(
+            lambda hello: (life.followed(), (STATE, []))[1],  # type: ignore
+            lambda link: link.follow(None),
+            life.heir_gone,
+        )  # type: ignore
         assert await handover.Place("n0", ("h", 1), str(tmp_path)).meet({}) is None
         assert life.may_be_followed() and life.budget().part == 1.0
         await place.close()
+
     run(story())
 
 
@@ -396,6 +430,7 @@
         assert await place.meet({}) is None
         await place.await_successor(lambda hello: (STATE, []), lambda link: link.follow(None))  # type: ignore
         await place.close()
+
     run(story())
 
 
@@ -413,6 +448,7 @@
 
 def test_two_processes_send_a_cold_node_what_one_may() -> None:
     """Each with the whole of the broker's part, together they push it over."""
+
     def units(shared: api.Shared) -> float:
         rig = Rig(cold_units=80.0)
         rig.wait(2.0)  # an earlier life's sends are past
@@ -425,6 +461,7 @@
                     rig.answers[request] = rig.sends[-1]
                     rig.end(request)
         return rig.scheduler.sent()["n0"]
+
     whole, half = units(api.Shared(1.0)), units(api.Shared(0.5))
     assert whole / 2 - 2 <= half <= whole / 2
     assert units(api.Shared(0.5, {"n0": 12.0})) <= half - 10  # what the other sent of late counts too
@@ -462,6 +499,7 @@
             async with Process(whole, tmp_path) as third:  # from the file alone
                 assert "broker.skipped_disk_nodes:1|g" in await third.call("stats")
                 await third.end()
+
     run(story())
 
 
@@ -478,8 +516,9 @@
     assert not run(place.save(state))
 
 
-def test_a_disk_that_takes_its_time_holds_nothing_else_up(tmp_path: Path,
-                                                          monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_disk_that_takes_its_time_holds_nothing_else_up(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Requests waited 0.25 s for it, and clients ran out of connections."""
     gate, replace = threading.Event(), os.replace
 
@@ -494,6 +533,7 @@
         saving = asyncio.create_task(place.save(Maintenance({"d0": 5.0})))
         asyncio.get_running_loop().call_later(0.05, gate.set)
         assert await saving and place.load() == Maintenance({"d0": 5.0})
+
     run(story())
 
 
@@ -505,11 +545,13 @@
     def make() -> threading.Event:
         made.append(event())
         return made[-1]
+
     seen: list[str] = []
 
     def slow(name: str) -> None:
         seen.append(name)
         assert made[0].wait(20)
+
     monkeypatch.setattr(main.threading, "Event", make)
     monkeypatch.setattr(main.importlib, "import_module", slow)
     main._load("first", "second", most=0.05)
@@ -518,12 +560,17 @@
 
 def test_a_process_imports_at_low_priority_and_then_works_at_its_own() -> None:
     """Else the process that it replaces has half a core for the time of its start."""
+
     async def story() -> None:
-        script = ("import os, sys, importlib; import cherrycove.__main__ as m; at = []; "
-                  "m.importlib.import_module = lambda name: at.append(os.getpriority(os.PRIO_PROCESS, 0)); "
-                  "m._load('x'); print(at[0] - os.getpriority(os.PRIO_PROCESS, 0))")
+        script = (
+            "import os, sys, importlib; import cherrycove.__main__ as m; at = []; "
+            "m.importlib.import_module = lambda name: at.append(os.getpriority(os.PRIO_PROCESS, 0)); "
+            "m._load('x'); print(at[0] - os.getpriority(os.PRIO_PROCESS, 0))"
+        )
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-c", script, cwd=ROOT, stdout=asyncio.subprocess.PIPE)
+            sys.executable, "-c", script, cwd=ROOT, stdout=asyncio.subprocess.PIPE
+        )
         said, _ = await process.communicate()
         assert int(said) > 0
+
     run(story())
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -30,33 +30,42 @@
             assert (await world.ask(path="//../%2e?a=%41&&b+c%20", id="r2"))[::2] == (200, b"data of r2")
         first, second = node.seen
         assert (first["method"], first["target"], first["body"]) == (
-            "PUT", "/claim-write/x?q=%20a&b", WRITE["body"])
+            "PUT",
+            "/claim-write/x?q=%20a&b",
+            WRITE["body"],
+        )
         assert first["x-request-id"] == "W-1" and 0 < int(first["x-deadline-ms"]) <= 20_000
         assert second["target"] == "/claim-read//../%2e?a=%41&&b+c%20"
         assert world.core.counts["served"] == 2 and not world.core.open_requests
+
     run(story())
 
 
-@pytest.mark.parametrize(("script", "sends", "status", "ending"), [
-    ("drop", 1, 500, Ending.BROKEN),
-    ("cut", 1, 500, Ending.CUT_SHORT),
-    ("unframed", 1, 500, Ending.SPOILT),  # nobody can tell that it is whole
-    ("500", 1, 500, Ending.NODE_ERROR),
-    ("503", 1, 500, Ending.NODE_ERROR),  # without its word that it did not run, it may have
-    ("503 X-Not-Run: 1", 2, 200, Ending.TURNED_AWAY),
-    ("504 X-Not-Run: 1", 1, 503, Ending.NOT_ITS),  # asked again it would say the same
-])
-def test_a_write_is_sent_again_only_if_it_never_ran(script: str, sends: int, status: int,
-                                                    ending: Ending) -> None:
+@pytest.mark.parametrize(
+    ("script", "sends", "status", "ending"),
+    [
+        ("drop", 1, 500, Ending.BROKEN),
+        ("cut", 1, 500, Ending.CUT_SHORT),
+        ("unframed", 1, 500, Ending.SPOILT),  # nobody can tell that it is whole
+        ("500", 1, 500, Ending.NODE_ERROR),
+        ("503", 1, 500, Ending.NODE_ERROR),  # without its word that it did not run, it may have
+        ("503 X-Not-Run: 1", 2, 200, Ending.TURNED_AWAY),
+        ("504 X-Not-Run: 1", 1, 503, Ending.NOT_ITS),  # asked again it would say the same
+    ],
+)
+def test_a_write_is_sent_again_only_if_it_never_ran(
+    script: str, sends: int, status: int, ending: Ending
+) -> None:
     async def story() -> None:
         node = await Node(script).start()
         async with World(node) as world:
             assert (await world.ask(**WRITE))[0] == status
             assert len(node.seen) == sends and world.core.endings[ending] == 1
+
     run(story())
 
 
-GOOD = b"HTTP/1.1 200 OK\r\nX-Load: {\"inflight\":1}\r\nContent-Length: 4\r\n\r\ngood"
+GOOD = b'HTTP/1.1 200 OK\r\nX-Load: {"inflight":1}\r\nContent-Length: 4\r\n\r\ngood'
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\ngoo\r\n1\r\nd\r\n0\r\n\r\n"
 AHEAD = b"HTTP/1.1 102 Wait\r\n\r\nHTTP/1.1 103 Hints\r\nLink: a\r\n\r\n"
 BEHIND = [GOOD, CHUNKED, b"\0\x01noise\r\n\r\n", b"HTTP/1.1 20", b"x"]
@@ -78,6 +87,7 @@
                     await asyncio.sleep(0)
             await reader.read()
         writer.close()
+
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     async with World() as world:
         world.members = [Member("d0", f"127.0.0.1:{server.sockets[0].getsockname()[1]}", 0)]
@@ -96,17 +106,28 @@
     assert run(exchanges(*pieces)) == ([(200, b"good"), (200, b"2nd!")], 2 if behind else 1)
 
 
-@pytest.mark.parametrize("spoilt", [
-    b"\0noise\r\n\r\n", b"HTTP/1.1 200 OK\r\nno colon\r\n\r\n", b"HTTP/1.1 200 OK\r\nX: " + b"x" * 70_000,
-    b"HTTP/1.1 200 OK\r\n" + b"X: x\r\n" * 9000, b"HTTP/1.1 100 Wait\r\n\r\n" * 9000,
-    GOOD.replace(b": 4", b": -4"), GOOD.replace(b": 4", b": 3\r\nContent-Length: 4"),
-    GOOD.replace(b": 4", b": 3000000000") + b"x" * 9000, CHUNKED.replace(b"1\r\nd", b"zz\r\nd"),
-    GOOD.replace(b"X-Load", b"Transfer-Encoding: chunked\r\nX-Load")])
+@pytest.mark.parametrize(
+    "spoilt",
+    [
+        b"\0noise\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nno colon\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nX: " + b"x" * 70_000,
+        b"HTTP/1.1 200 OK\r\n" + b"X: x\r\n" * 9000,
+        b"HTTP/1.1 100 Wait\r\n\r\n" * 9000,
+        GOOD.replace(b": 4", b": -4"),
+        GOOD.replace(b": 4", b": 3\r\nContent-Length: 4"),
+        GOOD.replace(b": 4", b": 3000000000") + b"x" * 9000,
+        CHUNKED.replace(b"1\r\nd", b"zz\r\nd"),
+        GOOD.replace(b"X-Load", b"Transfer-Encoding: chunked\r\nX-Load"),
+    ],
+)
 def test_a_spoilt_answer_fails_one_write_at_once(spoilt: bytes) -> None:
     """Its connection stays open: what waits for its end, or trusts it again, waits for nothing."""
     for cut in (len(spoilt), len(spoilt) - 9, 40):
         assert run(exchanges(spoilt[:cut], spoilt[cut:])) == (
-            [(500, b"failed: it may have taken effect\n"), (200, b"2nd!")], 2)
+            [(500, b"failed: it may have taken effect\n"), (200, b"2nd!")],
+            2,
+        )
 
 
 def test_an_unreadable_load_report_is_no_report_and_the_answer_counts() -> None:
@@ -118,6 +139,7 @@
 @pytest.mark.parametrize("fields", [WRITE, {}], ids=["PUT", "GET"])
 def test_the_library_sends_nothing_again_by_itself(fields: dict[str, object]) -> None:
     """A kept connection that drops under a second request: aiohttp would quietly send that once more."""
+
     async def story() -> None:
         node = await Node("ok", "drop", "hang").start()
         async with World(node) as world:
@@ -125,6 +147,7 @@
             await world.ask(**fields, ms=400)
             assert world.core.endings[Ending.BROKEN] == 1  # seen by the core, not hidden from it
             assert len(node.seen) == sum(world.core.endings.values())
+
     run(story())
 
 
@@ -136,6 +159,7 @@
             status, headers, _ = await world.ask(**WRITE, ms=300)
             assert status == 503 and 0 < float(headers["retry-after"]) <= 1
             assert set(world.core.endings) == {Ending.CONNECT_REFUSED}
+
     run(story())
 
 
@@ -146,6 +170,7 @@
             assert (await world.ask(**WRITE, ms=300))[0] == 504
             await node.hung_up.wait()
             assert len(node.seen) == 1 and world.core.endings == {Ending.TIMED_OUT: 1}
+
     run(story())
 
 
@@ -160,6 +185,7 @@
             await node.hung_up.wait()
             await world.core.idle()
             assert world.core.counts["client gone"] == 1 and world.core.endings == {Ending.GIVEN_UP: 1}
+
     run(story())
 
 
@@ -173,16 +199,25 @@
             assert not world.core.endings
             world.list()
             assert (await world.ask())[0] == 200
+
     run(story())
 
 
-BAD = [({name: ""}, 400) for name in (
-    "X_Request_Id", "X_Class", "Tier", "Cookie", "X_Deadline_Ms", "IO_Info")]
-BAD += [({"Tier": "gold"}, 400), ({"X_Class": "claim-write"}, 400), ({"X_Deadline_Ms": "-5"}, 400),
-        ({"IO_Info": "volume=00000003b4d60021,units=99,shard=0,hosts=1"}, 400), ({"method": "POST"}, 400),
-        ({"IO_Info": "volume=00000003b4d60021,units=1,shard=999,hosts=1"}, 400),
-        ({"IO_Info": "volume=b4,units=1,shard=0,hosts=1"}, 400), ({"Cookie": "object=xyz"}, 400),
-        ({"cls": "nothing"}, 404), ({"method": "PUT", "Content_Length": "33554433"}, 413)]
+BAD = [
+    ({name: ""}, 400) for name in ("X_Request_Id", "X_Class", "Tier", "Cookie", "X_Deadline_Ms", "IO_Info")
+]
+BAD += [
+    ({"Tier": "gold"}, 400),
+    ({"X_Class": "claim-write"}, 400),
+    ({"X_Deadline_Ms": "-5"}, 400),
+    ({"IO_Info": "volume=00000003b4d60021,units=99,shard=0,hosts=1"}, 400),
+    ({"method": "POST"}, 400),
+    ({"IO_Info": "volume=00000003b4d60021,units=1,shard=999,hosts=1"}, 400),
+    ({"IO_Info": "volume=b4,units=1,shard=0,hosts=1"}, 400),
+    ({"Cookie": "object=xyz"}, 400),
+    ({"cls": "nothing"}, 404),
+    ({"method": "PUT", "Content_Length": "33554433"}, 413),
+]
 
 
 def test_bad_input_never_reaches_the_module() -> None:
@@ -196,6 +231,7 @@
             assert world.core.counts["taken"] == 0
             assert (await world.ask(method="PUT", cls="claim-write", body=b"x" * 65536))[0] == 200
             assert len(node.seen[0]["body"]) == 65536
+
     run(story())
 
 
@@ -206,12 +242,13 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             for body in (WRITE["body"], b"x" * 100_000):
                 whole = message(**{**WRITE, "body": body}, Expect="100-continue")
-                writer.write(whole[:-len(body)])
+                writer.write(whole[: -len(body)])
                 assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
                 writer.write(body)
                 assert (await answer(reader))[0] == 200
             assert [len(seen["body"]) for seen in node.seen] == [len(WRITE["body"]), 100_000]
             writer.close()
+
     run(story())
 
 
@@ -228,18 +265,26 @@
             whole = message(cls="claim-write", method="PUT", body=LONG)
             if framing == "chunks":
                 head = message(cls="claim-write", method="PUT", Transfer_Encoding="chunked")
-                whole = head + b"".join(b"%x;x=y\r\n%b\r\n" % (len(LONG[i:i + 70_000]), LONG[i:i + 70_000])
-                                        for i in range(0, len(LONG), 70_000)) + b"0\r\nTrailer: t\r\n\r\n"
+                whole = (
+                    head
+                    + b"".join(
+                        b"%x;x=y\r\n%b\r\n" % (len(LONG[i : i + 70_000]), LONG[i : i + 70_000])
+                        for i in range(0, len(LONG), 70_000)
+                    )
+                    + b"0\r\nTrailer: t\r\n\r\n"
+                )
             assert (await world.ask(*data.draw(cuts(whole))))[0] == 200
             assert [seen["body"] for seen in node.seen] == [LONG]
             figures = world.core.figures()
             assert figures.tries == 1 and figures.open == 0
+
     run(story())
 
 
 @pytest.mark.parametrize("end", ["stops", "leaves"])
 def test_a_long_body_that_breaks_off_is_sent_once_and_may_have_run(
-        end: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    end: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Its first pieces are gone, and only the node knows what it makes of them."""
     monkeypatch.setattr(body, "BODY_TIME", 0.2)
 
@@ -248,8 +293,9 @@
         async with World(node) as world:
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(message(cls="claim-write", method="PUT", body=LONG)[:200_000])
-            while not world.core._tries and not any(t.current and t.current.begun
-                                                    for t in world.core._tickets.values()):
+            while not world.core._tries and not any(
+                t.current and t.current.begun for t in world.core._tickets.values()
+            ):
                 await asyncio.sleep(0.01)
             if end == "stops":
                 status, headers, _ = await answer(reader)
@@ -259,6 +305,7 @@
             ending = {"stops": Ending.CLIENT_BROKE, "leaves": Ending.GIVEN_UP}[end]
             assert world.core.endings == {ending: 1} and not node.seen and not world.core.figures().tries
             assert not world.core._scheduler.nodes[0].failures  # none of it was the node's fault
+
     run(story())
 
 
@@ -270,35 +317,42 @@
             assert (await world.ask(**fields))[0] == 503 and len(node.seen) == 1
             world.list(NodeState.DRAINING)
             assert (await world.ask(**fields, ms=300))[0] == 503 and len(node.seen) == 1
+
     run(story())
 
 
 def test_a_long_bodys_time_counts_from_its_last_byte() -> None:
     """Else what a slow client needs to send would be its node's latency, and late."""
+
     async def story() -> None:
         node = await Node().start()
         async with World(node) as world:
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             whole = message(cls="claim-write", method="PUT", body=LONG, ms=500)
             for at in range(0, len(whole), 60_000):
-                writer.write(whole[at:at + 60_000])
+                writer.write(whole[at : at + 60_000])
                 await asyncio.sleep(0.15)  # in all more than the 0.5 s that the client waits
             assert (await answer(reader))[0] == 200
             assert world.core._scheduler.nodes[0].service < 0.15
             writer.close()
+
     run(story())
 
 
 HEAD = b"HTTP/1.1 200 OK\r\n"
-FORMS = {"length": HEAD + b"Content-Length: %d\r\n\r\n" % len(LONG) + LONG,
-         "chunks": HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
-         + b"".join(b"%x\r\n%b\r\n" % (40_960, LONG[i:i + 40_960]) for i in range(0, 286_720, 40_960))
-         + b"%x\r\n%b\r\n0\r\nTrailer: t\r\n\r\n" % (len(LONG) - 286_720, LONG[286_720:]),
-         "close": HEAD + b"Connection: close\r\n\r\n" + LONG}
+FORMS = {
+    "length": HEAD + b"Content-Length: %d\r\n\r\n" % len(LONG) + LONG,
+    "chunks": HEAD
+    + b"Transfer-Encoding: chunked\r\n\r\n"
+    + b"".join(b"%x\r\n%b\r\n" % (40_960, LONG[i : i + 40_960]) for i in range(0, 286_720, 40_960))
+    + b"%x\r\n%b\r\n0\r\nTrailer: t\r\n\r\n" % (len(LONG) - 286_720, LONG[286_720:]),
+    "close": HEAD + b"Connection: close\r\n\r\n" + LONG,
+}
 
 
 async def told(*pieces: bytes, reset: bool = False) -> tuple[World, bytes]:
     """All that a client reads whose node answers with these pieces and then hangs up."""
+
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         for piece in pieces:
@@ -309,6 +363,7 @@
             linger = struct.pack("ii", 1, 0)
             writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
         writer.close()
+
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     async with World() as world:
         world.members = [Member("d0", f"127.0.0.1:{server.sockets[0].getsockname()[1]}", 0)]
@@ -350,6 +405,7 @@
 @pytest.mark.parametrize("form", ["chunks", "close"])
 def test_an_answer_that_comes_slowly_is_passed_on_as_it_comes(form: str) -> None:
     """Held until 64 KiB had come, long answers were late and their node looked slow."""
+
     async def story() -> None:
         seen = asyncio.Event()
 
@@ -359,6 +415,7 @@
             await seen.wait()
             writer.write(FORMS[form][20_000:])
             writer.close()
+
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         async with World() as world:
             world.members = [Member("d0", f"127.0.0.1:{server.sockets[0].getsockname()[1]}", 0)]
@@ -372,6 +429,7 @@
             assert await body_of(begun + rest) == LONG
             writer.close()
         server.close()
+
     run(story())
 
 
@@ -387,6 +445,7 @@
 
 def test_what_a_client_does_not_take_is_not_read_from_its_node() -> None:
     """32 MB in memory for each client that stalls would be the end of the process."""
+
     async def story() -> None:
         sent = 0
 
@@ -400,6 +459,7 @@
                     await writer.drain()
                     sent += 100_000
             writer.close()
+
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         async with World() as world:
             world.members = [Member("d0", f"127.0.0.1:{server.sockets[0].getsockname()[1]}", 0)]
@@ -415,6 +475,7 @@
             assert whole[0] == 200 and whole[2] == bytes(32_000_000)
             writer.close()
         server.close()
+
     run(story())
 
 
@@ -423,9 +484,13 @@
         node = await Node().start()
         async with World(node) as world:
             write = {"cls": "claim-write", "method": "PUT"}
-            for extra in ({"Content_Length": "4", "Transfer_Encoding": "chunked"}, {"Content_Length": "-4"},
-                          {"Transfer_Encoding": "chunked", "Content_Length": "4"},
-                          {"Transfer_Encoding": "gzip, chunked"}, {"Content_Length": "9" * 30}):
+            for extra in (
+                {"Content_Length": "4", "Transfer_Encoding": "chunked"},
+                {"Content_Length": "-4"},
+                {"Transfer_Encoding": "chunked", "Content_Length": "4"},
+                {"Transfer_Encoding": "gzip, chunked"},
+                {"Content_Length": "9" * 30},
+            ):
                 whole = message(**write, **extra) + b"4\r\nabcd\r\n0\r\n\r\n"
                 assert (await world.ask(whole))[0] == 400, extra
             assert (await world.ask(message(body=b"a read has none")))[0] == 400
@@ -433,12 +498,14 @@
             status, headers, _ = await world.ask(message(**write, Content_Length="60000000"))
             assert status == 413 and headers["connection"] == "close"
             assert not node.seen and not world.core.counts["taken"]
+
     run(story())
 
 
 @pytest.mark.parametrize("kept", range(0, len(message(**WRITE)), 41))
 def test_a_request_that_never_ends_gets_an_error_or_a_close(
-        kept: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    kept: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """By itself the library waits an hour for a head, and for ever for a body."""
     monkeypatch.setattr(front, "IDLE_TIME", 0.05)
     monkeypatch.setattr(body, "BODY_TIME", 0.05)
@@ -451,11 +518,13 @@
             assert said.startswith(b"HTTP/1.1 408 ") if b"\r\n\r\n" in message(**WRITE)[:kept] else not said
             assert not world.core.counts["taken"]
             writer.close()
+
     run(story())
 
 
 def test_a_silent_crowd_takes_no_place_from_those_who_ask() -> None:
     """Held connections used up all descriptors; then nobody was accepted any more."""
+
     async def story() -> None:
         node = await Node("hang").start()
         async with World(node) as world:
@@ -471,11 +540,13 @@
             assert (await answer(held))[0] == 503 and (await world.ask(id="after"))[0] == 200
             for _, writer in [*crowd, (held, owner)]:
                 writer.close()
+
     run(story())
 
 
 def test_clients_that_ask_once_and_stay_leave_the_others_a_place() -> None:
     """Clients hold a third of the descriptors at most; past half of that, answers close their connection."""
+
     async def story() -> None:
         async with World(await Node().start()) as world:
             kept = [await asyncio.open_connection("127.0.0.1", world.port) for _ in range(30)]
@@ -492,11 +563,13 @@
             assert "connection" not in (await world.ask())[1]  # those who say nothing take nobody's place
             for _, writer in silent:
                 writer.close()
+
     run(story())
 
 
 def test_kept_connections_to_nodes_count_against_their_bound() -> None:
     """The library bounds those in use alone; kept ones took the descriptors that accepting needs."""
+
     async def story() -> None:
         nodes = [await Node().start() for _ in range(6)]
         platform = config.read_platform(raw(familyInfo=RAW["settings"]["familyInfo"] | {"nShards": 6}), {})
@@ -505,11 +578,13 @@
             for shard in [*range(6), *range(6)]:
                 assert (await world.ask(shard=shard, id=f"s{shard}"))[0] == 200
                 assert sum(map(len, world.pool._connector._conns.values())) <= 3
+
     run(story())
 
 
 def test_those_who_say_nothing_give_way_before_half_a_head() -> None:
     """A crowd that only connects pushed out those who were writing their request."""
+
     async def story() -> None:
         async with World(await Node().start()) as world:
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
@@ -521,6 +596,7 @@
             assert (await answer(reader))[0] == 200
             for _, each in [*crowd, (reader, writer)]:
                 each.close()
+
     run(story())
 
 
@@ -528,12 +604,14 @@
 @given(st.lists(st.tuples(st.integers(1, 9), st.integers(0, 3)), max_size=30))
 def test_room_is_never_passed_and_nobody_waits_beside_it(steps: list[tuple[int, int]]) -> None:
     """Bodies that each stay within their own bound took more together than the process may have."""
+
     async def story() -> None:
         room, inside = body.Room(10), []  # type: body.Room, list[int]
 
         async def enter(size: int) -> None:
             await room.enter(size)
             inside.append(size)
+
         tasks = []
         for size, leaving in steps:
             tasks.append(asyncio.create_task(enter(size)))
@@ -549,11 +627,13 @@
         while inside:
             room.leave(inside.pop())
         assert room.held == 0 and not room._waiting
+
     run(story())
 
 
 def test_a_body_without_room_is_refused_unread_and_later_ones_are_served(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(front, "ROOM_TIME", 0.1)
 
     async def story() -> None:
@@ -567,6 +647,7 @@
             assert (await world.ask())[0] == 200  # what has no body needs no room
             world.front.room.leave(90)
             assert (await world.ask(**WRITE))[0] == 200 and world.front.room.held == 0
+
     run(story())
 
 
@@ -576,6 +657,7 @@
         async with World(node) as world:
             whole = message().replace(b"GET /", b"GET http://service.internal/", 1)
             assert (await world.ask(whole))[0] == 200 and node.seen[0]["target"] == "/claim-read/x?q=%20a&b"
+
     run(story())
 
 
@@ -589,6 +671,7 @@
         if len(waits) == 9:
             raise asyncio.CancelledError
         await asleep(0)
+
     monkeypatch.setattr(watch.asyncio, "sleep", sleep)
 
     async def story() -> None:
@@ -596,6 +679,7 @@
             with contextlib.suppress(asyncio.CancelledError):
                 await watch.watch(world.core, "127.0.0.1:9", PLATFORM.zones)
             monkeypatch.undo()  # the world's end has pauses of its own
+
     run(story())
     assert waits[0] <= 0.1 and all(0.5 <= wait <= 1.0 for wait in waits[5:])
     assert len(set(waits[5:])) > 1  # each at a time of its own
@@ -603,6 +687,7 @@
 
 def test_a_head_on_a_kept_connection_has_its_own_time() -> None:
     """Counted from the answer before, a slow head that began late was cut off in its middle."""
+
     async def story() -> None:
         async with World(await Node().start()) as world:
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
@@ -621,6 +706,7 @@
             writer.write(message(id="second")[30:])
             assert (await answer(reader))[0] == 200
             writer.close()
+
     run(story())
 
 
@@ -633,6 +719,7 @@
             assert (await world.ask(**WRITE, id="W"))[0] == 409 and len(node.seen) == 1
             assert (await first)[0] == 504
             assert (await world.ask(**WRITE, id="W"))[0] == 200  # nobody else has it now
+
     run(story())
 
 
@@ -647,6 +734,7 @@
             # is no trace, and whether it is told depends on the level that other tests left behind.
             told = [each for each in caplog.records if each.name != "asyncio" and each.levelname != "INFO"]
             assert not told
+
     run(story())
 
 
@@ -658,6 +746,7 @@
         async with World(node) as world:
             assert (await world.ask(*pieces))[0] == 200
             assert [seen["body"] for seen in node.seen] == [WRITE["body"]]
+
     run(story())
 
 
@@ -675,6 +764,7 @@
             writer.close()
             assert (await world.ask(id="after"))[::2] == (200, b"data of after")
             assert world.core.counts["taken"] - 1 >= len(node.seen) - 1
+
     run(story())
 
 
@@ -705,8 +795,13 @@
 def test_the_watch_keeps_the_old_list_over_garbage_and_asks_again() -> None:
     async def story() -> None:
         node, asked = await Node().start(), []
-        drained = json.dumps({"index": 7, "snapshot": False, "endpoints": [
-            {**RAW["known"]["endpoints"][0], "name": "d0", "status": "draining"}]}).encode()
+        drained = json.dumps(
+            {
+                "index": 7,
+                "snapshot": False,
+                "endpoints": [{**RAW["known"]["endpoints"][0], "name": "d0", "status": "draining"}],
+            }
+        ).encode()
         script = [b"{", drained[:-9], b"[]", drained]
 
         async def tell(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -716,6 +811,7 @@
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
             await reader.read()
             writer.close()
+
         server = await asyncio.start_server(tell, "127.0.0.1", 0)
         async with World(node) as world:
             address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
@@ -727,6 +823,7 @@
             assert [url.split(b"&")[0] for url in asked] == [b"/api/targets?since=1"] * 4
             task.cancel()
         server.close()
+
     run(story())
 
 
@@ -750,4 +847,5 @@
             assert (status, headers["connection"], data) == (200, "close", b"data of held")
             await closing
             writer.close()
+
     run(story())
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -17,7 +17,8 @@
 @fuzz
 @given(st.floats(0.05, 60), st.floats(0, 4), st.floats(0, 4), st.booleans(), st.booleans())
 def test_every_answer_is_out_before_the_kill(
-        longest: float, since: float, quiet: float, replaced: bool, connected: bool) -> None:
+    longest: float, since: float, quiet: float, replaced: bool, connected: bool
+) -> None:
     times = Timetable.of(longest)
     assert times.kill <= min(longest, 3.0) + 0.7 and times.kill - times.give_up >= 0.3 - 1e-9
     assert 0 <= times.parts_at(replaced) <= times.stop <= times.give_up < times.cut < times.gone < times.kill
@@ -30,7 +31,8 @@
 
 
 def test_without_a_successor_connections_stay_open_and_what_is_held_has_its_answer(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Told to close behind each answer, clients found nobody until the next process was started."""
     monkeypatch.setattr(leaving, "LONGEST", 1.0)
 
@@ -59,11 +61,13 @@
             assert not await reader.read() and not await held.read()
             writer.close()
             holder.close()
+
     run(story())
 
 
 def test_a_connection_that_is_idle_when_the_process_leaves_stays_a_way_in(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Closed for having no request for a while, it left its client without a broker at this address."""
     monkeypatch.setattr(front, "IDLE_TIME", 0.2)
 
@@ -78,6 +82,7 @@
                 await asyncio.sleep(0.0 if number else 0.5)
             lingering.cancel()
             writer.close()
+
     run(story())
 
 
@@ -94,6 +99,7 @@
             await lingering  # long before `stop`, though whoever asked was connected
             await world.front.close()
             writer.close()
+
     run(story())
 
 
@@ -103,4 +109,5 @@
             world.core.give_up()
             status, headers, _ = await world.ask(ms=60_000)
             assert status == 503 and float(headers["retry-after"]) > 0  # it was never sent
+
     run(story())
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -33,6 +33,7 @@
         while piece := await reader.read(1 << 16):
             writer.write(piece)
         writer.close()
+
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     return server, server.sockets[0].getsockname()[1]
 
@@ -61,6 +62,7 @@
         assert link.opened == 2
         await link.close()
         server.close()
+
     run(story())
 
 
@@ -75,6 +77,7 @@
         assert await reader.read() == data
         await link.close()
         server.close()
+
     run(story())
 
 
@@ -93,8 +96,9 @@
         transport, far = await loop.create_datagram_endpoint(Far, local_addr=("127.0.0.1", 0))
         way = Way(lost=0.2, twice=0.2, late=0.05)
         relay = await Datagrams(transport.get_extra_info("sockname"), way, random.Random(3)).start()
-        near, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol,
-                                                      remote_addr=("127.0.0.1", relay.port))
+        near, _ = await loop.create_datagram_endpoint(
+            asyncio.DatagramProtocol, remote_addr=("127.0.0.1", relay.port)
+        )
         for number in range(200):
             near.sendto(b"%d" % number)
             await asyncio.sleep(0)
@@ -106,6 +110,7 @@
         for each in (transport, near):
             each.close()
         relay.close()
+
     run(story())
 
 
@@ -122,6 +127,7 @@
             assert rig.clients.statuses[200] > 0
             for broker in rig.brokers:
                 assert b" 200 " in await exchange(broker.front.port, message(id=f"after-{broker.name}"))
+
     run(story())
 
 
@@ -134,12 +140,14 @@
 @pytest.mark.parametrize("requests", [1, 30])
 def test_a_broker_that_stood_still_sends_nothing_to_a_node_drained_meanwhile(requests: int) -> None:
     """What its clients sent while it stood still lies before it together with the news."""
+
     async def story() -> None:
         async with Rig(1, 2) as rig:
             broker, disk = rig.brokers[0], rig.disks["d0"]
             assert b" 200 " in await exchange(broker.front.port, message(id="before"))
-            open_now = [await asyncio.open_connection("127.0.0.1", broker.front.port)
-                        for _ in range(requests)]
+            open_now = [
+                await asyncio.open_connection("127.0.0.1", broker.front.port) for _ in range(requests)
+            ]
             for number, (reader, writer) in enumerate(open_now):
                 writer.write(message(id=f"first{number}"))
                 assert b" 200 " in await answer(reader)
@@ -155,6 +163,7 @@
                 writer.close()
             assert b" 503 " in await exchange(broker.front.port, message(id="behind"))
             assert len(disk.book) == sent
+
     run(story())
 
 
@@ -171,4 +180,5 @@
             assert b" 500 " in await asking and [each.id for each in disk.book] == ["w"]
             broker.signal(signal.SIGTERM)
             assert await broker.ended() == 0
+
     run(story())
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -44,9 +44,13 @@
 
 HERE = Moment(1e9, "boot", 500.0)
 TOLD = Recalled(
-    (NodeMemory("n0", 40.0, 0.25, 98.0, 3.0, True, 2, 100.5, 7, 12.0, 99.0),
-     NodeMemory("n1", None, 0.1, 60.0, 4.0)),
-    (VolumeMemory("v", -3.5, 99.5, 99.0), VolumeMemory("w", 1.0, 99.5)), {0: 3.0})
+    (
+        NodeMemory("n0", 40.0, 0.25, 98.0, 3.0, True, 2, 100.5, 7, 12.0, 99.0),
+        NodeMemory("n1", None, 0.1, 60.0, 4.0),
+    ),
+    (VolumeMemory("v", -3.5, 99.5, 99.0), VolumeMemory("w", 1.0, 99.5)),
+    {0: 3.0},
+)
 
 
 def rows(moment: Moment = HERE, whole: bool = False) -> Any:
@@ -70,13 +74,22 @@
     assert told.whole and told.budgets == {0: 3.0}
 
 
-@pytest.mark.parametrize(("changes", "moment", "why"), [
-    ({"form": figures.FORM + 1}, HERE, "form"), ({"form": None}, HERE, "form"),
-    ({"deployment": "another"}, HERE, "another deployment"), ({"broker": "c"}, HERE, "another broker"),
-    ({"up": "x"}, HERE, "when"), ({"up": 10 ** 400}, HERE, "when"), ({"wall": float("nan")}, HERE, "when"),
-    ({}, Moment(HERE.wall - 3600.0, "next boot", 1.0), "set back")])
+@pytest.mark.parametrize(
+    ("changes", "moment", "why"),
+    [
+        ({"form": figures.FORM + 1}, HERE, "form"),
+        ({"form": None}, HERE, "form"),
+        ({"deployment": "another"}, HERE, "another deployment"),
+        ({"broker": "c"}, HERE, "another broker"),
+        ({"up": "x"}, HERE, "when"),
+        ({"up": 10**400}, HERE, "when"),
+        ({"wall": float("nan")}, HERE, "when"),
+        ({}, Moment(HERE.wall - 3600.0, "next boot", 1.0), "set back"),
+    ],
+)
 def test_rows_that_are_not_for_this_broker_or_of_no_known_age_count_for_nothing(
-        changes: dict[str, Any], moment: Moment, why: str) -> None:
+    changes: dict[str, Any], moment: Moment, why: str
+) -> None:
     with pytest.raises(UnusableError, match=why):
         taken(rows() | changes, moment)
 
@@ -101,14 +114,20 @@
 JSONLIKE = st.recursive(
     st.none() | st.booleans() | st.integers(-5, 1 << 70) | st.floats() | st.text(max_size=5),
     lambda inner: st.lists(inner, max_size=13) | st.dictionaries(st.text(max_size=3), inner, max_size=3),
-    max_leaves=30)
+    max_leaves=30,
+)
 
 
 @fuzz
-@given(st.sampled_from(["nodes", "volumes", "budgets", "wall", "whole", "boot"]), JSONLIKE,
-       st.integers(0, 12), JSONLIKE)
+@given(
+    st.sampled_from(["nodes", "volumes", "budgets", "wall", "whole", "boot"]),
+    JSONLIKE,
+    st.integers(0, 12),
+    JSONLIKE,
+)
 def test_spoilt_rows_are_left_aside_and_what_is_taken_up_is_sound(
-        key: str, value: Any, place: int, figure: Any) -> None:
+    key: str, value: Any, place: int, figure: Any
+) -> None:
     raw = json.loads(json.dumps(rows()))
     raw["nodes"][0][min(place, 11)] = figure
     raw["volumes"][0][min(place, 3)] = figure
@@ -146,7 +165,8 @@
 
 @pytest.mark.parametrize("call", ["write", "fsync", "replace"])
 def test_a_failed_write_leaves_the_former_file_and_nothing_beside_it(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str
+) -> None:
     where = file.path(tmp_path, "b")
     file.write(where, file.frame(rows()))
     real = os.write
@@ -155,6 +175,7 @@
         if call == "write" and len(arguments[1]) > 100:
             return real(arguments[0], arguments[1][:100])  # a short write; the next finds the disk full
         raise OSError(errno.ENOSPC, "full")
+
     monkeypatch.setattr(os, call, full)
     with pytest.raises(OSError, match="full"):
         file.write(where, file.frame(rows(whole=True)))
@@ -176,15 +197,18 @@
 
 def test_a_writer_killed_at_any_moment_leaves_a_whole_file(tmp_path: Path) -> None:
     """Twenty lives of a writer, each killed as it writes files of changing length."""
-    program = ("import random, sys\nfrom pathlib import Path\nfrom cherrycove.memory import file\n"
-               "where, number = Path(sys.argv[1]), 0\n"
-               "while True:\n    number += 1\n"
-               "    file.write(where, file.frame([number, 'x' * random.randint(0, 200_000), number]))\n"
-               "    print(number, flush=True)\n")
+    program = (
+        "import random, sys\nfrom pathlib import Path\nfrom cherrycove.memory import file\n"
+        "where, number = Path(sys.argv[1]), 0\n"
+        "while True:\n    number += 1\n"
+        "    file.write(where, file.frame([number, 'x' * random.randint(0, 200_000), number]))\n"
+        "    print(number, flush=True)\n"
+    )
     where, dice = tmp_path / "b.memory", random.Random(5)
     for _ in range(20):
-        with subprocess.Popen([sys.executable, "-c", program, str(where)], cwd=ROOT,
-                              stdout=subprocess.PIPE) as writer:
+        with subprocess.Popen(
+            [sys.executable, "-c", program, str(where)], cwd=ROOT, stdout=subprocess.PIPE
+        ) as writer:
             assert writer.stdout is not None and writer.stdout.readline()
             for _ in range(dice.randint(0, 9)):
                 writer.stdout.readline()
@@ -212,8 +236,10 @@
 
 
 def test_evidence_of_another_start_or_of_another_node_is_none() -> None:
-    for told in (NodeMemory("n0", 50.0, 0.2, 99.9, 1.0, failures=5, resting_until=101.0),
-                 NodeMemory("x", None, 0.2, 99.9, 1.0)):
+    for told in (
+        NodeMemory("n0", 50.0, 0.2, 99.9, 1.0, failures=5, resting_until=101.0),
+        NodeMemory("x", None, 0.2, 99.9, 1.0),
+    ):
         rig = recalled(Rig(1), told)
         assert rig.scheduler.nodes[0].failures == 0 and rig.scheduler.nodes[0].heard == -inf
 
@@ -238,6 +264,7 @@
 
 def test_what_a_volume_had_overdrawn_is_paid_back_before_it_is_let_go_again() -> None:
     """At a node with no spare room, so that credit alone decides."""
+
     def let_go(told: tuple[VolumeMemory, ...]) -> int:
         rig = Rig(1)
         for number in range(8):
@@ -245,6 +272,7 @@
         recalled(rig, volumes=told)
         rig.arrive(volume="v", units=2.0)
         return len(rig.scheduler.volumes["v"].lanes)
+
     assert let_go(()) == 0
     assert let_go((VolumeMemory("v", -5.0, 100.0),)) == 1
     assert let_go((VolumeMemory("v", 1000.0, 100.0),)) == 0
@@ -372,11 +400,13 @@
                 assert f" whole={whole} " in await said(broker, "memory.taken_up", since)
                 assert file.read(kept(broker))["whole"] is False
                 await broker.kill()
+
     run(story())
 
 
 @pytest.mark.parametrize(
-    "how", ["lost", "torn", "of another", "of yesterday", "a pipe", "no folder", "of a later form"])
+    "how", ["lost", "torn", "of another", "of yesterday", "a pipe", "no folder", "of a later form"]
+)
 def test_whatever_lies_there_a_broker_serves(how: str) -> None:
     async def story() -> None:
         async with Fleet(1, 1, memory=True) as rig:
@@ -414,15 +444,18 @@
                 await said(broker, "memory.written_again", since)
             broker.signal(signal.SIGTERM)
             assert await broker.ended() == 0
+
     run(story())
 
 
 def test_staff_look_at_a_memory_check_it_and_throw_it_away(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     where = tmp_path / "m.memory"
 
     def command(*words: str) -> click.testing.Result:
         return click.testing.CliRunner().invoke(main, ["memory", words[0], "--file", str(where), *words[1:]])
+
     assert command("show").exit_code == 1 and command("check").exit_code == 1
     file.write(where, file.frame(rows(replace(HERE, boot="gone", wall=time.time()))))
     shown = json.loads(command("show", "--json").stdout)
--- a/tests/test_module_limits.py
+++ b/tests/test_module_limits.py
@@ -5,8 +5,15 @@
 
 FOLDER = Path(__file__).parent.parent / "finchrack"
 SOURCE = FOLDER / "decide.py"
-PURE = [SOURCE, FOLDER / "state.py", FOLDER / "repeats.py", FOLDER / "cold.py",
-        FOLDER / "objects.py", FOLDER / "controller.py", FOLDER / "evidence.py"]
+PURE = [
+    SOURCE,
+    FOLDER / "state.py",
+    FOLDER / "repeats.py",
+    FOLDER / "cold.py",
+    FOLDER / "objects.py",
+    FOLDER / "controller.py",
+    FOLDER / "evidence.py",
+]
 
 
 def test_lines_are_few_and_narrow() -> None:
--- a/tests/test_nbd.py
+++ b/tests/test_nbd.py
@@ -23,12 +23,22 @@
 
 def setup(*nodes: BlockNode, **more: Any) -> nbd.Setup:
     """As the operator's file would say it; shard i is held by the i-th node."""
-    table = {"enabled": True, "listen": "127.0.0.1:0", "classes": {
-        "read": "claim-read", "write": "claim-write", "trim": "claim-write", "flush": "claim-write"},
+    table = {
+        "enabled": True,
+        "listen": "127.0.0.1:0",
+        "classes": {
+            "read": "claim-read",
+            "write": "claim-write",
+            "trim": "claim-write",
+            "flush": "claim-write",
+        },
         "nodes": {f"d{i}": f"127.0.0.1:{node.port}" for i, node in enumerate(nodes)},
-        "exports": {"claims": {"volume": VOLUME, "shard": 0, "plan": "basic", "size": 1 << 20},
-                    "scans": {"volume": VOLUME, "shard": 0, "plan": "basic", "size": 1 << 20,
-                              "read_only": True}}, **more}
+        "exports": {
+            "claims": {"volume": VOLUME, "shard": 0, "plan": "basic", "size": 1 << 20},
+            "scans": {"volume": VOLUME, "shard": 0, "plan": "basic", "size": 1 << 20, "read_only": True},
+        },
+        **more,
+    }
     found = config.read_operator({"nbd": table}, PLATFORM.settings).nbd
     assert found is not None
     return found
@@ -62,16 +72,23 @@
                 async with self.arrived:
                     self.seen.append((Command(call.command), payload))
                     self.arrived.notify_all()
-                if not await self._step(self.script.pop(0) if self.script else "ok", call, payload, reader,
-                                        writer):
+                if not await self._step(
+                    self.script.pop(0) if self.script else "ok", call, payload, reader, writer
+                ):
                     return
         except (EOFError, OSError):
             pass
         finally:
             writer.close()
 
-    async def _step(self, step: str, call: Call, payload: bytes, reader: asyncio.StreamReader,
-                    writer: asyncio.StreamWriter) -> bool:
+    async def _step(
+        self,
+        step: str,
+        call: Call,
+        payload: bytes,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+    ) -> bool:
         if step == "drop":
             return False
         if step.isdigit():
@@ -79,7 +96,7 @@
             return True
         end = call.offset + call.length
         if call.command == Command.WRITE:
-            self.disk[call.offset:end] = payload
+            self.disk[call.offset : end] = payload
         if call.command != Command.READ:
             done = nbd.simple_reply(call.cookie)
             writer.write(done[:7] if step == "stall" else done)
@@ -87,7 +104,9 @@
             middle, data = call.offset + call.length // 2, self.disk
             writer.write(nbd.data_chunk(call.cookie, middle, bytes(data[middle:end]), 0).pack())
             if step != "stall":
-                writer.write(nbd.data_chunk(call.cookie, call.offset, bytes(data[call.offset:middle])).pack())
+                writer.write(
+                    nbd.data_chunk(call.cookie, call.offset, bytes(data[call.offset : middle])).pack()
+                )
         if step == "stall":
             await reader.read(1)
             self.hung_up.set()
@@ -123,8 +142,9 @@
         assert (await client.option(Option.GO, nbd.go(name)))[-1][0] == nbd.ACK
         return client
 
-    def send(self, command: int, offset: int = 0, length: int = 0, payload: bytes = b"",
-             flags: int = 0) -> int:
+    def send(
+        self, command: int, offset: int = 0, length: int = 0, payload: bytes = b"", flags: int = 0
+    ) -> int:
         cookie = len(self.calls) + 1
         self.calls[cookie] = call = Call(command, flags, cookie, offset, length or len(payload))
         self.writer.write(call.pack() + payload)
@@ -133,8 +153,9 @@
     async def reply(self, cookie: int) -> Gathered:
         return await nbd.read_reply(self.reader, self.calls[cookie], self.structured)
 
-    async def do(self, command: int, offset: int = 0, length: int = 0, payload: bytes = b"",
-                 flags: int = 0) -> tuple[int, bytes]:
+    async def do(
+        self, command: int, offset: int = 0, length: int = 0, payload: bytes = b"", flags: int = 0
+    ) -> tuple[int, bytes]:
         reply = await self.reply(self.send(command, offset, length, payload, flags))
         return reply.errno, bytes(reply.data)
 
@@ -146,7 +167,9 @@
             client = await Client.connect(port)
             assert await client.option(77, b"what") == [(nbd.ERR_UNSUP, b"")]
             assert [data[4:] for kind, data in await client.option(Option.LIST) if kind == nbd.SERVER] == [
-                b"claims", b"scans"]
+                b"claims",
+                b"scans",
+            ]
             assert (await client.option(Option.INFO, nbd.go("none")))[0][0] == nbd.ERR_UNKNOWN
             assert (await client.option(Option.INFO, b"\0\0\0\x09"))[0][0] == nbd.ERR_INVALID
             plain = await client.option(Option.INFO, nbd.go("claims", [nbd.INFO_BLOCK_SIZE]))
@@ -163,6 +186,7 @@
             late = await Client.connect(port)
             assert (await late.option(Option.GO, nbd.go("claims")))[0][0] == nbd.ERR_SHUTDOWN
             await front.close()
+
     run(story())
 
 
@@ -178,13 +202,17 @@
             assert await client.do(Command.FLUSH) == (0, b"")
             assert await client.do(Command.TRIM, 0, 1 << 20) == (0, b"")
             order = [client.send(Command.READ, 512 * i, 512) for i in range(20)]  # past the pipelining bound
-            magics = [await nbd._unpack(client.reader, ">I") and await client.reader.readexactly(
-                12 + 512 if not structured else 16 + 8 + 512) for _ in order]
+            magics = [
+                await nbd._unpack(client.reader, ">I")
+                and await client.reader.readexactly(12 + 512 if not structured else 16 + 8 + 512)
+                for _ in order
+            ]
             assert sorted(int.from_bytes(m[4:12], "big") for m in magics) == order
             client.send(Command.DISC)
             assert not await client.reader.read()
             assert world.core.counts == {"taken": 24, "served": 24} and len(node.seen) == 24
             await front.close()
+
     run(story())
 
 
@@ -195,28 +223,36 @@
             client, reader = await Client.mounted(port), await Client.mounted(port, "scans")
             big = 1 << 20
             for errno, args in [
-                    (Errno.EINVAL, (Command.READ, 0, 0)), (Errno.EINVAL, (Command.READ, 0, 65536 + 512)),
-                    (Errno.EINVAL, (Command.READ, big, 512)), (Errno.EINVAL, (Command.READ, 3, 512)),
-                    (Errno.ENOSPC, (Command.WRITE, big, 0, BLOCK)),
-                    (Errno.EINVAL, (Command.TRIM, 0, big + 512)),
-                    (Errno.EINVAL, (Command.WRITE, 0, 0, BLOCK, 1)), (Errno.EINVAL, (9, 0, 512)),
-                    (Errno.EINVAL, (Command.WRITE, 0, 0, bytes(300_000))),
-                    (Errno.EINVAL, (Command.FLUSH, 0, 512))]:
+                (Errno.EINVAL, (Command.READ, 0, 0)),
+                (Errno.EINVAL, (Command.READ, 0, 65536 + 512)),
+                (Errno.EINVAL, (Command.READ, big, 512)),
+                (Errno.EINVAL, (Command.READ, 3, 512)),
+                (Errno.ENOSPC, (Command.WRITE, big, 0, BLOCK)),
+                (Errno.EINVAL, (Command.TRIM, 0, big + 512)),
+                (Errno.EINVAL, (Command.WRITE, 0, 0, BLOCK, 1)),
+                (Errno.EINVAL, (9, 0, 512)),
+                (Errno.EINVAL, (Command.WRITE, 0, 0, bytes(300_000))),
+                (Errno.EINVAL, (Command.FLUSH, 0, 512)),
+            ]:
                 assert (await client.do(*args))[0] == errno, args
             assert (await reader.do(Command.WRITE, 0, 0, BLOCK))[0] == Errno.EPERM
             assert not world.core.counts
             client.writer.write(b"\0" * 28)  # no magic: nothing that follows can be trusted
             assert not await client.reader.read()
             await front.close()
+
     run(story())
 
 
-@pytest.mark.parametrize(("script", "flags", "errno", "sends"), [
-    ("drop", NODE_FLAGS, Errno.EIO, 1),  # it may have run: never again
-    ("stall", NODE_FLAGS, Errno.EIO, 1),
-    ("28", NODE_FLAGS, Errno.ENOSPC, 1),  # the node's own word
-    ("ok", NODE_FLAGS & ~nbd.MULTI_CONN, Errno.ENOMEM, 0),  # no flush could cover it: refused, harmless
-])
+@pytest.mark.parametrize(
+    ("script", "flags", "errno", "sends"),
+    [
+        ("drop", NODE_FLAGS, Errno.EIO, 1),  # it may have run: never again
+        ("stall", NODE_FLAGS, Errno.EIO, 1),
+        ("28", NODE_FLAGS, Errno.ENOSPC, 1),  # the node's own word
+        ("ok", NODE_FLAGS & ~nbd.MULTI_CONN, Errno.ENOMEM, 0),  # no flush could cover it: refused, harmless
+    ],
+)
 def test_a_write_has_one_final_reply_and_one_run(script: str, flags: int, errno: int, sends: int) -> None:
     async def story() -> None:
         node = await BlockNode(script, flags=flags).start()
@@ -229,6 +265,7 @@
             client.send(Command.DISC)
             assert not await client.reader.read()  # and nothing came behind the final reply
             await front.close()
+
     run(story())
 
 
@@ -244,6 +281,7 @@
             assert not await client.reader.read()
             assert world.core.endings == {Ending.TIMED_OUT: 1}
             await front.close()
+
     run(story())
 
 
@@ -257,6 +295,7 @@
             world.core.update(NodeList(2, True, (Member("d0", "127.0.0.1:1", 0, since_ms=1e6),)))
             assert [(await client.do(Command.FLUSH))[0] for _ in range(2)] == [Errno.EIO, 0]
             await front.close()
+
     run(story())
 
 
@@ -275,20 +314,28 @@
             await world.core.idle()
             assert len(node.seen) == 1 and world.core.counts == {"taken": 1, "client gone": 1}
             await front.close()
+
     run(story())
 
 
 def test_both_wires_through_one_core_keep_the_same_accounts() -> None:
     """Clients of both kinds, nodes that stall, drop and err: one answer each, no write twice."""
+
     async def story() -> None:
         dice = random.Random(7)
         steps = ["ok", "stall", "drop", "ok", "5"] + dice.choices(["ok"] * 7 + ["drop", "5"], k=60)
-        blocks, files = await BlockNode(*steps).start(), await Node(*[
-            {"stall": "hang", "5": "500"}.get(step, step) for step in steps]).start()
+        blocks, files = (
+            await BlockNode(*steps).start(),
+            await Node(*[{"stall": "hang", "5": "500"}.get(step, step) for step in steps]).start(),
+        )
         async with World(blocks_place := Node(), files, platform=config.read_platform(raw(3), {})) as world:
             assert blocks_place.port == 0  # shard 0 is reached by NBD alone
-            front, port = await world.nbd(setup(blocks, exports={"claims": {
-                "volume": VOLUME, "shard": 0, "plan": "priority", "size": 1 << 20}}))
+            front, port = await world.nbd(
+                setup(
+                    blocks,
+                    exports={"claims": {"volume": VOLUME, "shard": 0, "plan": "priority", "size": 1 << 20}},
+                )
+            )
             verdicts: list[str] = []
 
             async def mount(number: int) -> None:
@@ -303,9 +350,17 @@
 
             async def browse(number: int) -> None:
                 for turn in range(5):
-                    status, _, _ = await world.ask(cls="claim-write", method="PUT", shard=1, ms=3500,
-                                                   Tier="priority", body=b"claim", id=f"{number}-{turn}")
+                    status, _, _ = await world.ask(
+                        cls="claim-write",
+                        method="PUT",
+                        shard=1,
+                        ms=3500,
+                        Tier="priority",
+                        body=b"claim",
+                        id=f"{number}-{turn}",
+                    )
                     verdicts.append({200: "served", 503: "refused"}.get(status, "failed"))
+
             await asyncio.gather(*map(mount, range(4)), *map(browse, range(4)))
             await front.close()
             await world.core.idle()
@@ -319,16 +374,28 @@
         assert {v: verdicts.count(v) for v in set(verdicts)}.keys() <= {"served", "refused", "failed"}
         for verdict in ("served", "refused", "failed"):
             assert 0 <= counts[verdict] - verdicts.count(verdict) <= served_unread
-        never_sent = sum(world.core.endings[each] for each in Ending if each in (
-            Ending.NOT_STARTED, Ending.CONNECT_REFUSED, Ending.CONNECT_TIMEOUT, Ending.BROKEN_UNSENT,
-            Ending.EXPIRED))
+        never_sent = sum(
+            world.core.endings[each]
+            for each in Ending
+            if each
+            in (
+                Ending.NOT_STARTED,
+                Ending.CONNECT_REFUSED,
+                Ending.CONNECT_TIMEOUT,
+                Ending.BROKEN_UNSENT,
+                Ending.EXPIRED,
+            )
+        )
         assert len(writes) <= sum(world.core.endings.values()) <= len(writes) + never_sent + gone
+
     run(story())
 
 
 CALL = Call(Command.READ, 0, 5, 4096, 1024)
-CHUNKS = (nbd.data_chunk(5, 4608, BLOCK[:512], 0).pack() + nbd.Chunk(
-    nbd.DONE, nbd.OFFSET_HOLE, 5, struct.pack(">QI", 4096, 512)).pack())
+CHUNKS = (
+    nbd.data_chunk(5, 4608, BLOCK[:512], 0).pack()
+    + nbd.Chunk(nbd.DONE, nbd.OFFSET_HOLE, 5, struct.pack(">QI", 4096, 512)).pack()
+)
 
 
 @fuzz
@@ -340,6 +407,7 @@
         assert await nbd.read_call(feed(call)) == CALL
         number, data = await nbd.read_option(feed(option))
         assert number == Option.GO and nbd.parse_go(data) == ("claims", [0, 3])
+
     run(story())
 
 
@@ -359,6 +427,7 @@
         except ProtocolError:
             return
         assert nbd.go(name, wanted) == data
+
     run(story())
 
 
@@ -378,6 +447,5 @@
             client = await Client.mounted(port)
             assert (await client.do(Command.READ, 0, 512))[0] == 0
             await front.close()
-    run(story())
-
 
+    run(story())
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -26,12 +26,17 @@
         step = dice.choice([0.0, 0.6, 0.6, 0.95]) if busy else dice.random()
         if step < 0.55:
             volume = f"v{dice.randrange(20 if busy else 4)}"
-            rig.arrive(volume=volume, shard=0 if busy else dice.choice([0, 0, 1, 2, 3]),
-                       cls=dice.randrange(2), plan=dice.randrange(2), units=dice.choice([1.0, 2.0, 8.0]),
-                       budget=dice.choice([3.0, 3.0, 0.5]))
+            rig.arrive(
+                volume=volume,
+                shard=0 if busy else dice.choice([0, 0, 1, 2, 3]),
+                cls=dice.randrange(2),
+                plan=dice.randrange(2),
+                units=dice.choice([1.0, 2.0, 8.0]),
+                budget=dice.choice([3.0, 3.0, 0.5]),
+            )
         elif step < 0.8 and rig.out:
             outcome = dice.choice([api.Outcome.SERVED] * 6 + ([] if busy else list(api.Outcome)))
-            rig.end(dice.choice(sorted(rig.out)), outcome, dice.choice([0.01, 0.05, 0.5, 1.0][2 * busy:]))
+            rig.end(dice.choice(sorted(rig.out)), outcome, dice.choice([0.01, 0.05, 0.5, 1.0][2 * busy :]))
         elif step < 0.85:
             place = dice.randrange(3)
             state = dice.choice(list(api.NodeState))
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -27,8 +27,9 @@
 )
 from finchrack.interface import Node as Entry
 
-KEYED = RequestClass("keyed", aim=1.0, deadline=3.0, effect=Effect.KEYED, group=Group.SHARD,
-                     repeat_window=2.5, writes=True)
+KEYED = RequestClass(
+    "keyed", aim=1.0, deadline=3.0, effect=Effect.KEYED, group=Group.SHARD, repeat_window=2.5, writes=True
+)
 
 
 def rig(cls: RequestClass, nodes: int = 6) -> Rig:
@@ -108,6 +109,7 @@
 
 def test_a_repeat_that_cannot_leave_within_its_window_is_called_off_unsent() -> None:
     """A connection to the node may take a quarter of a second to come up."""
+
     async def story() -> None:
         class Slow:
             def __init__(self) -> None:
@@ -120,6 +122,7 @@
                     return Reply(Ending.NODE_ERROR)
                 await asyncio.Event().wait()  # its connection never comes up
                 raise AssertionError
+
         platform = keyed_platform(window_s=1.0)
         core = Core(platform.settings, 1)
         core.update(NodeList(1, True, (Member("d0", "127.0.0.1:1", 0),)))
@@ -130,6 +133,7 @@
         assert answer.verdict is Verdict.FAILED and answer.cause is Ending.EXPIRED
         assert len(backend.made) == 2 and loop.time() < began + 20.0  # not at the end of its client's time
         assert backend.made[1].write_by <= began + 1.5
+
     run(story())
 
 
@@ -144,6 +148,7 @@
                 wrote(attempt)
                 assert attempt.scope is not None
                 told.append((attempt.scope.when() or 0.0) - attempt.expires)
+
             Attempt.wrote = watched  # type: ignore[method-assign]
             try:
                 ask = {"cls": "claim-write", "method": "PUT", "body": b"b", "Idempotency_Key": "k"}
@@ -151,6 +156,7 @@
             finally:
                 Attempt.wrote = wrote  # type: ignore[method-assign]
             assert len(told) == 2 and told[1] == pytest.approx(0.0, abs=1e-6)
+
     run(story())
 
 
@@ -170,16 +176,18 @@
         node = await Node("500").start()
         async with World(node, platform=keyed_platform()) as world:
             write = {"cls": "claim-write", "method": "PUT", "body": b"b"}
-            assert (await world.ask(**write, id="w1", Idempotency_Key="a b/\"c\"-7"))[0] == 200
+            assert (await world.ask(**write, id="w1", Idempotency_Key='a b/"c"-7'))[0] == 200
             assert (await world.ask(id="r1", Idempotency_Key="own"))[0] == 200
             assert [seen.get("idempotency-key") for seen in node.seen] == ['a b/"c"-7'] * 2 + ["own"]
             assert [seen["x-request-id"] for seen in node.seen] == ["w1", "w1", "r1"]
             assert (await world.ask(id="r2"))[0] == 200 and "idempotency-key" not in node.seen[-1]
+
     run(story())
 
 
 def test_a_clients_own_repeat_passes_with_the_key_of_its_first_try() -> None:
     """Its id is new; to the node it is the key that tells a repeat."""
+
     async def story() -> None:
         node = await Node("503 X-Not-Run: 1", "503 X-Not-Run: 1", "503 X-Not-Run: 1").start()
         async with World(node, platform=keyed_platform()) as world:
@@ -188,6 +196,7 @@
             assert (await world.ask(**ask, id="w2", X_Retry="1"))[0] == 200
             assert {seen["idempotency-key"] for seen in node.seen} == {"k-1"}
             assert [seen["x-request-id"] for seen in node.seen] == ["w1", "w1", "w1", "w2"]
+
     run(story())
 
 
@@ -199,22 +208,41 @@
         async with Process(whole, tmp_path) as process:
             reader, writer = await asyncio.open_connection("127.0.0.1", process.port)
             body = bytes(range(256)) * 8
-            writer.write(message("claim-write", "PUT", body=body, id="Ab~1", path="//../%2e?a=%41&&b+c%20",
-                                 Idempotency_Key="Q w/\"e\";7"))
+            writer.write(
+                message(
+                    "claim-write",
+                    "PUT",
+                    body=body,
+                    id="Ab~1",
+                    path="//../%2e?a=%41&&b+c%20",
+                    Idempotency_Key='Q w/"e";7',
+                )
+            )
             status, _, data = await answer(reader)
             writer.close()
             assert (status, data) == (200, b"data of Ab~1")
-            seen, = node.seen
+            (seen,) = node.seen
             assert (seen["method"], seen["target"], seen["body"]) == (
-                "PUT", "/claim-write//../%2e?a=%41&&b+c%20", body)
-            assert (seen["x-request-id"], seen["idempotency-key"]) == ("Ab~1", "Q w/\"e\";7")
+                "PUT",
+                "/claim-write//../%2e?a=%41&&b+c%20",
+                body,
+            )
+            assert (seen["x-request-id"], seen["idempotency-key"]) == ("Ab~1", 'Q w/"e";7')
             await process.end()
+
     run(story())
 
 
-@pytest.mark.parametrize("lines", [b"", b"Idempotency-Key: a\r\nIdempotency-Key: b\r\n",
-                                   b"Idempotency-Key: \r\n", b"Idempotency-Key: \xc3\xa9\r\n",
-                                   b"Idempotency-Key: " + b"k" * 257 + b"\r\n"])
+@pytest.mark.parametrize(
+    "lines",
+    [
+        b"",
+        b"Idempotency-Key: a\r\nIdempotency-Key: b\r\n",
+        b"Idempotency-Key: \r\n",
+        b"Idempotency-Key: \xc3\xa9\r\n",
+        b"Idempotency-Key: " + b"k" * 257 + b"\r\n",
+    ],
+)
 def test_a_keyed_request_without_one_clear_key_is_malformed(lines: bytes) -> None:
     async def story() -> None:
         node = await Node().start()
@@ -222,20 +250,29 @@
             whole = message("claim-write", "PUT", body=b"b")
             assert (await world.ask(whole.replace(b"Host:", lines + b"Host:", 1)))[0] == 400
             assert not node.seen and not world.core.counts["taken"]
+
     run(story())
 
 
 def test_what_the_shard_served_through_other_brokers_reaches_the_module(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     told: list[AttemptEnded] = []
     push = Core._push
-    monkeypatch.setattr(Core, "_push", lambda self, event: (
-        told.append(event) if isinstance(event, AttemptEnded) else None, push(self, event))[1])
+    monkeypatch.setattr(
+        Core,
+        "_push",
+        lambda self, event: (
+            told.append(event) if isinstance(event, AttemptEnded) else None,
+            push(self, event),
+        )[1],
+    )
 
     async def story() -> None:
         node = await Node("ok Other-Hosts: 12", "ok Other-Hosts: many", "ok").start()
         async with World(node) as world:
             for _ in range(3):
                 assert (await world.ask())[0] == 200
+
     run(story())
     assert [event.elsewhere for event in told] == [12.0, 0.0, 0.0]
--- a/tests/test_return.py
+++ b/tests/test_return.py
@@ -49,6 +49,7 @@
             for broker in rig.brokers:
                 await serves(broker, f"after-{broker.name}-")
             nothing_twice_or_foreign(rig)
+
     run(story())
 
 
@@ -68,6 +69,7 @@
             for broker in rig.brokers:
                 await serves(broker, f"after-{broker.name}-")
             nothing_twice_or_foreign(rig)
+
     run(story())
 
 
@@ -84,11 +86,13 @@
             await broker.start()
             assert b" 200 " in await exchange(broker.front.port, message(id="at-once"))
             assert discovery == "refuses" or rig.discovery.answered["n0"] == before
+
     run(story())
 
 
 def test_an_old_list_is_left_for_the_first_that_discovery_tells() -> None:
     """It came back with the list of before; a node had been drained meanwhile."""
+
     async def story() -> None:
         async with Rig(1, 2, memory=True) as rig:
             broker, disk = rig.brokers[0], rig.disks["d0"]
@@ -103,11 +107,13 @@
             for number in range(5):
                 assert b" 503 " in await exchange(broker.front.port, message(id=f"behind{number}"))
             assert len(disk.book) == sent
+
     run(story())
 
 
 def test_a_node_replaced_in_the_absence_is_cold_and_its_room_counts_as_used() -> None:
     """The memory is of the node before; the room of the one that is there an earlier life may have used."""
+
     async def story() -> None:
         async with Rig(1, 1, memory=True) as rig:
             broker, disk = rig.brokers[0], rig.disks["d0"]
@@ -123,11 +129,13 @@
             window = rig.raw["settings"]["guarantees"]["fallNs"] * 1e-9
             first = next(each.at for each in disk.book if each.life == 1)
             assert first >= began + window
+
     run(story())
 
 
 def test_lives_together_send_a_limited_volume_no_more_than_its_limit() -> None:
     """Three lives that each began with a whole burst would have sent three."""
+
     async def story() -> None:
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -141,16 +149,22 @@
                     await broker.kill()
                     await broker.start()
                 for turn in range(8):
-                    await asyncio.gather(*(exchange(broker.front.port, message(id=f"l{life}-{turn}-{number}"))
-                                           for number in range(20)))
+                    await asyncio.gather(
+                        *(
+                            exchange(broker.front.port, message(id=f"l{life}-{turn}-{number}"))
+                            for number in range(20)
+                        )
+                    )
                     await asyncio.sleep(0.1)
             sent = 2.0 * len(disk.book)
             assert 0 < sent <= burst + limit * (loop.time() - began)
+
     run(story())
 
 
 def test_a_memory_of_the_future_and_one_with_lies_do_no_harm() -> None:
     """A clock set back an hour between lives; then a file that praises a node which is dead."""
+
     async def story() -> None:
         async with Rig(1, 2, memory=True) as rig:
             broker = rig.brokers[0]
@@ -175,4 +189,5 @@
             assert b" 503 " in await exchange(broker.front.port, message(id="dead", shard=1, ms=700))
             attempts = [line for line in broker.lines[since:] if "module.failed" in line]
             assert not attempts
+
     run(story())
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -29,8 +29,9 @@
     """An object of settings that notes which of its names are looked up."""
 
     def __init__(self, raw: dict[str, Any], at: str, seen: set[str]) -> None:
-        super().__init__({key: self._wrap(value, f"{at}.{key}" if at else key, seen)
-                          for key, value in raw.items()})
+        super().__init__(
+            {key: self._wrap(value, f"{at}.{key}" if at else key, seen) for key, value in raw.items()}
+        )
         self.at, self.seen = at, seen
 
     @classmethod
@@ -52,8 +53,11 @@
     seen: set[str] = set()
     settings = raw()["settings"] | {"me": 0}
     settings["limits"]["mayTell"] = True
-    whole = raw() | {"settings": Noted(settings, "", seen), "peers": ["127.0.0.1:1"],
-                     "peer_listen": "127.0.0.1:1"}
+    whole = raw() | {
+        "settings": Noted(settings, "", seen),
+        "peers": ["127.0.0.1:1"],
+        "peer_listen": "127.0.0.1:1",
+    }
     loads = wire.json.loads
     monkeypatch.setattr(wire.json, "loads", lambda text: Noted(loads(text), "", seen))
     monkeypatch.setattr(config.json, "dumps", lambda value: wire.json.JSONEncoder().encode(dict(value)))
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -40,7 +40,7 @@
 
     def put(self, number: int, **changes: object) -> State:
         fresh = self.processes[number]._replace(**changes)  # type: ignore[arg-type]
-        return self._replace(processes=(*self.processes[:number], fresh, *self.processes[number + 1:]))
+        return self._replace(processes=(*self.processes[:number], fresh, *self.processes[number + 1 :]))
 
     def send(self, *messages: tuple[int, int, str]) -> State:
         return self._replace(way=(*self.way, *(each for each in messages if self.processes[each[1]].alive)))
@@ -83,8 +83,12 @@
                 asks = state.put(number, alive=True, phase="asking", elder=other)
                 yield f"{number} asks {other}", asks.send((number, other, "hello"))
             elif not any(what == "gone" for _, _, what in state.way):
-                yield f"{number} finds nobody", told(state.put(number, alive=True, phase="told"), number,
-                                                     "serving")[0]._replace(found=number)
+                yield (
+                    f"{number} finds nobody",
+                    told(state.put(number, alive=True, phase="told"), number, "serving")[0]._replace(
+                        found=number
+                    ),
+                )
             break
     for number, each in enumerate(state.processes):
         if not each.alive:
@@ -106,11 +110,13 @@
         if (source, target) in seen:
             continue
         seen.add((source, target))
-        rest = state._replace(way=state.way[:place] + state.way[place + 1:])
+        rest = state._replace(way=state.way[:place] + state.way[place + 1 :])
         yield f"{target} reads {what} of {source}", read(rest, source, target, what)
         if what == "serving" and state.twice:
-            yield f"{target} reads {what} of {source}, to come again", read(
-                state._replace(twice=0), source, target, what)
+            yield (
+                f"{target} reads {what} of {source}, to come again",
+                read(state._replace(twice=0), source, target, what),
+            )
 
 
 def read(state: State, source: int, target: int, what: str) -> State:
@@ -158,8 +164,11 @@
         elder = state.processes[each.elder] if each.elder >= 0 else None
         if each.phase == "told" and elder and elder.alive and elder.life.accepts and not elder.life.ending:
             return "yes too early"
-    if not state.way and any(not each.life.ending for each in sending) and not any(
-            each.life.accepts for each in sending):
+    if (
+        not state.way
+        and any(not each.life.ending for each in sending)
+        and not any(each.life.accepts for each in sending)
+    ):
         return "nobody accepts"
     if not state.way and sum(each.life.accepts and not each.life.ending for each in sending) > 1:
         return "two accept"
@@ -207,18 +216,22 @@
     """It counts itself alone as soon as it has handed over."""
 
 
-@pytest.mark.parametrize(("what", "instead", "rule"), [
-    ("followed", _at_once, "two budgets"),
-    ("met", _at_once, "two budgets"),
-    ("may_be_followed", lambda life: True, "two budgets"),
-    ("heir_gone", _never_again, "nobody accepts"),
-    ("heir_serves", lambda life: False, "two memories"),
-    ("heir_serves", _heir_serves_always, "handed over what it had not"),
-    ("keeps", property(lambda life: True), "two memories"),
-    ("serving", _at_once, "nobody accepts"),
-])
-def test_a_change_of_the_machine_is_found_out(what: str, instead: Callable[..., object], rule: str,
-                                              monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize(
+    ("what", "instead", "rule"),
+    [
+        ("followed", _at_once, "two budgets"),
+        ("met", _at_once, "two budgets"),
+        ("may_be_followed", lambda life: True, "two budgets"),
+        ("heir_gone", _never_again, "nobody accepts"),
+        ("heir_serves", lambda life: False, "two memories"),
+        ("heir_serves", _heir_serves_always, "handed over what it had not"),
+        ("keeps", property(lambda life: True), "two memories"),
+        ("serving", _at_once, "nobody accepts"),
+    ],
+)
+def test_a_change_of_the_machine_is_found_out(
+    what: str, instead: Callable[..., object], rule: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(Life, what, instead)
     assert play()[1] == rule
 
