--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -20,14 +20,17 @@
 SAMPLE = Entry("config/log_level", 7, "n1", "INFO")
 
 
-def rounds(brokers: list[Store], dice: random.Random, count: int, loss: float = 0.0,
-           apart: tuple[Store, ...] = ()) -> None:
+def rounds(
+    brokers: list[Store], dice: random.Random, count: int, loss: float = 0.0, apart: tuple[Store, ...] = ()
+) -> None:
     """Anti-entropy over a network that loses datagrams, and all between ``apart`` and the others."""
+
     def carry(data: bytes, source: Store, target: Store) -> None:
         assert len(data) <= 256
         if dice.random() >= loss and (source in apart) == (target in apart):
             for reply in target.receive(data):
                 carry(reply, target, source)
+
     for _ in range(count):
         for broker in brokers:
             carry(broker.digest(), broker, dice.choice([each for each in brokers if each is not broker]))
@@ -99,6 +102,7 @@
                 value = json.dumps([state.value, member.address, 0, since])
                 store.restrict(core, Entry(f"node/{name}", version, "n9", value))
                 return core.members[0].state
+
             draining = NodeState.DRAINING
             assert heard(5, draining) is NodeState.UP  # discovery speaks: it is the one to tell
             core.list_unavailable()
@@ -109,6 +113,7 @@
             assert heard(6, NodeState.UP) is draining and not core.ready
             core.update(NodeList(6, True, (member,)))  # its own list's word
             assert core.ready
+
     run(story())
 
 
@@ -133,4 +138,5 @@
             await asyncio.sleep(0.01)
         first.close()
         second.close()
+
     run(story())
--- a/tests/test_why.py
+++ b/tests/test_why.py
@@ -30,29 +30,56 @@
 SETTINGS = PLATFORM.settings
 HEX = "7f3a9c21e0b4d655"
 SENT = Reason(Code.CREDIT, "s-1", "", 4.0, 1, 0, 2.5, 0.021, 0.0, 0.0, 0)
-NAMES = st.one_of(st.integers(0, 2**64 - 1).map(lambda n: f"{n:016x}"),
-                  st.text(max_size=40),
-                  st.sampled_from(["", "A" * 16, "\x1b[31m", "<b>", "a\nYES", "\udc80"]))
+NAMES = st.one_of(
+    st.integers(0, 2**64 - 1).map(lambda n: f"{n:016x}"),
+    st.text(max_size=40),
+    st.sampled_from(["", "A" * 16, "\x1b[31m", "<b>", "a\nYES", "\udc80"]),
+)
 HALVES = st.sampled_from([0.0, 0.5, -3.0, 4.0, 12.25])
 MS = st.integers(0, 60_000).map(lambda n: n / 1000)
 
 
 def reasons(codes: range, **fixed: Any) -> st.SearchStrategy[Reason]:
-    return st.builds(Reason, st.sampled_from([c for c in Code if int(c) in codes]),
-                     st.sampled_from(["s-1", "s-2"]), threshold=HALVES, out=st.integers(0, 255),
-                     queued=st.integers(0, 255), credits=HALVES,
-                     wait=MS, **fixed)
-
-
-TRIES = st.builds(lambda why, at, took, ending: Try(why.node, why, at, took, ending),
-                  reasons(range(1, 6), place=st.just(""), left=st.just(0.0), refill=st.just(0.0),
-                          epoch=st.just(0)), MS, MS, st.sampled_from([*Ending, None]))
+    return st.builds(
+        Reason,
+        st.sampled_from([c for c in Code if int(c) in codes]),
+        st.sampled_from(["s-1", "s-2"]),
+        threshold=HALVES,
+        out=st.integers(0, 255),
+        queued=st.integers(0, 255),
+        credits=HALVES,
+        wait=MS,
+        **fixed,
+    )
+
+
+TRIES = st.builds(
+    lambda why, at, took, ending: Try(why.node, why, at, took, ending),
+    reasons(range(1, 6), place=st.just(""), left=st.just(0.0), refill=st.just(0.0), epoch=st.just(0)),
+    MS,
+    MS,
+    st.sampled_from([*Ending, None]),
+)
 STORIES = st.builds(
-    Story, NAMES, NAMES, st.integers(0, 10**7).map(lambda n: n / 1000), MS,
-    st.sampled_from(["served", "refused", "failed", "gone"]), st.sampled_from([*Own, *Code]),
-    st.sampled_from(["http", "nbd"]), st.sampled_from([None, 0, 2]), st.sampled_from([None, 1]), HALVES,
-    st.sampled_from([None, 0, 7]), st.booleans(), NAMES, st.integers(0, 255), st.lists(TRIES, max_size=3),
-    st.none(), st.integers(0, 2**32 - 1))
+    Story,
+    NAMES,
+    NAMES,
+    st.integers(0, 10**7).map(lambda n: n / 1000),
+    MS,
+    st.sampled_from(["served", "refused", "failed", "gone"]),
+    st.sampled_from([*Own, *Code]),
+    st.sampled_from(["http", "nbd"]),
+    st.sampled_from([None, 0, 2]),
+    st.sampled_from([None, 1]),
+    HALVES,
+    st.sampled_from([None, 0, 7]),
+    st.booleans(),
+    NAMES,
+    st.integers(0, 255),
+    st.lists(TRIES, max_size=3),
+    st.none(),
+    st.integers(0, 2**32 - 1),
+)
 NODES = {"s-1": 0, "s-2": 1}
 
 
@@ -61,13 +88,33 @@
     tries = [Try("s-1", SENT, 0.001, 0.02, Ending.SERVED)] if verdict == "served" else []
     if isinstance(code, Code):
         more.setdefault("why", Reason(code))
-    return Story(id, more.pop("volume", HEX), ended, 0.02, verdict, code, cls=0, plan=0, units=2.0, shard=0,
-                 tries=more.pop("tries", tries), **more)
+    return Story(
+        id,
+        more.pop("volume", HEX),
+        ended,
+        0.02,
+        verdict,
+        code,
+        cls=0,
+        plan=0,
+        units=2.0,
+        shard=0,
+        tries=more.pop("tries", tries),
+        **more,
+    )
 
 
 @fuzz
-@given(STORIES, reasons(range(16, 31), place=st.sampled_from(["", "lane", "queue"]), left=MS, refill=MS,
-                        epoch=st.integers(0, 2**32 - 1)))
+@given(
+    STORIES,
+    reasons(
+        range(16, 31),
+        place=st.sampled_from(["", "lane", "queue"]),
+        left=MS,
+        refill=MS,
+        epoch=st.integers(0, 2**32 - 1),
+    ),
+)
 def test_a_story_is_read_as_it_was_written(told: Story, why: Reason) -> None:
     if told.verdict == "served":
         told = replace(told, object=0)
@@ -101,12 +148,13 @@
         told = story(f"{ident}" + "x" * length, now, volume=f"v{volume}")
         assert ring.add(pack(told), ident, volume, now)
         model.append((ident, volume, told))
-    held = model[len(model) - ring.count:]
+    held = model[len(model) - ring.count :]
     assert ring.lost == len(model) - len(held) and ring.footprint() <= 6000
     assert ring.lost_until == (model[ring.lost - 1][2].ended if ring.lost else 0.0)
 
     def read(places: Any) -> list[Story]:
         return [unpack(ring.data, at, now) for at in places]
+
     assert read(ring.since(0.0)) == [told for _, _, told in held]
     for ident in range(10):
         mine = [told for i, _, told in held if i == ident]
@@ -162,10 +210,22 @@
         before = tracemalloc.get_traced_memory()[0]
         for number in range(books.BATCH - 1):
             why = SENT._replace(epoch=number + 1000)
-            tries = [Attempt(number, turn, "s-1", "127.0.0.1:5000", 9.0, 1.0 + number, why=why,
-                             took=0.125 + number) for turn in range(3)]
-            book.ended(Ended(1.0 + number, 2.0 + number, Verdict.FAILED, request=request(f"id-{number}"),
-                             tries=tries, why=Reason(Code.LAST_ATTEMPT, "s-1", epoch=number + 1000)))
+            tries = [
+                Attempt(
+                    number, turn, "s-1", "127.0.0.1:5000", 9.0, 1.0 + number, why=why, took=0.125 + number
+                )
+                for turn in range(3)
+            ]
+            book.ended(
+                Ended(
+                    1.0 + number,
+                    2.0 + number,
+                    Verdict.FAILED,
+                    request=request(f"id-{number}"),
+                    tries=tries,
+                    why=Reason(Code.LAST_ATTEMPT, "s-1", epoch=number + 1000),
+                )
+            )
         assert len(book._pending) == books.BATCH - 1 and not book.kept.count
         assert tracemalloc.get_traced_memory()[0] - before <= books.BATCH * books.WAITING
     finally:
@@ -245,8 +305,9 @@
     assert book.came(request("c2", repeat=True), 10.6) == ("", 0)  # no try is repeated twice
 
 
-@pytest.mark.parametrize("other", [
-    {"verdict": "served"}, {"volume": "0000000000000002"}, {"object": 1}, {"cls": 1}, {"at": 500.0}])
+@pytest.mark.parametrize(
+    "other", [{"verdict": "served"}, {"volume": "0000000000000002"}, {"object": 1}, {"cls": 1}, {"at": 500.0}]
+)
 def test_what_is_not_its_first_try_is_not_joined(other: dict[str, Any]) -> None:
     book = Book(SETTINGS, LEAST, 0.0)
     told = replace(story("first", 10.0, other.get("verdict", "refused")), object=retry_of(request()))
@@ -263,8 +324,9 @@
     assert retries.claim(ring, HEX, 0, 9, 10.1, 5.0) == ("r9", 1)
 
 
-async def asked(book: Book, *arguments: str, now: float = 400.0,
-                still: list[Ended] | None = None) -> list[str]:
+async def asked(
+    book: Book, *arguments: str, now: float = 400.0, still: list[Ended] | None = None
+) -> list[str]:
     return await ask.answer(ask.parse(list(arguments)), book, lambda: now, lambda _: still or [])
 
 
@@ -275,15 +337,31 @@
     book.add(story(ident or "x", 10.0, volume=volume))
     for line in run(asked(book, "--since", "1h", now=11.0)):
         assert line.isascii() and line.isprintable()
-    rows = [json.loads(line) for line in run(asked(book, "--json", "--since", "1h", now=11.0))
-            if line.startswith("{")]
-    assert [row["id"] for row in rows] == [(ident or "x").encode("utf-8", "surrogateescape")[:255].decode(
-        "utf-8", "surrogateescape")]
-
-
-@pytest.mark.parametrize("line", [
-    "a b", "--since 5", "--since 5y", "--only lost", "--most 0", "--most x", "--nothing", "--volume",
-    "a --summary", "a --only refused"])
+    rows = [
+        json.loads(line)
+        for line in run(asked(book, "--json", "--since", "1h", now=11.0))
+        if line.startswith("{")
+    ]
+    assert [row["id"] for row in rows] == [
+        (ident or "x").encode("utf-8", "surrogateescape")[:255].decode("utf-8", "surrogateescape")
+    ]
+
+
+@pytest.mark.parametrize(
+    "line",
+    [
+        "a b",
+        "--since 5",
+        "--since 5y",
+        "--only lost",
+        "--most 0",
+        "--most x",
+        "--nothing",
+        "--volume",
+        "a --summary",
+        "a --only refused",
+    ],
+)
 def test_what_is_no_question_is_told_so(line: str) -> None:
     with pytest.raises(ask.AskError) as said:
         ask.parse(line.split())
@@ -292,12 +370,14 @@
 
 def test_questions_choose_by_volume_time_and_verdict() -> None:
     book = Book(SETTINGS, LEAST, 0.0)
-    for number, (volume, kind) in enumerate([("1", "refused"), ("2", "refused"), ("1", "failed"),
-                                             ("1", "served"), ("1", "refused")]):
+    for number, (volume, kind) in enumerate(
+        [("1", "refused"), ("2", "refused"), ("1", "failed"), ("1", "served"), ("1", "refused")]
+    ):
         book.add(story(f"r{number}", 100.0 + number * 10, kind, volume=volume * 16))
 
     def ids(*arguments: str) -> list[str]:
         return [line.split()[1] for line in run(asked(book, *arguments, now=150.0)) if line.startswith("20")]
+
     assert ids("--volume", "1" * 16) == ["r0", "r2", "r3", "r4"]
     assert ids("--volume", "1" * 16, "--only", "refused,failed", "--since", "35s") == ["r2", "r4"]
     assert ids("--only", "refused") == ["r0", "r1", "r4"]
@@ -306,7 +386,8 @@
 
 
 def test_a_question_over_a_full_record_gives_the_loop_back_between_slices(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     book = Book(SETTINGS, 2 << 20, 0.0)
     for number in range(40_000):
         book.add(story(f"{number:016x}", number / 1000))
@@ -315,6 +396,7 @@
     def step() -> float:
         clock[0] += 0.0005
         return clock[0]
+
     monkeypatch.setattr(ask._Pace.__init__, "__defaults__", (step,))
 
     async def story_() -> int:
@@ -325,6 +407,7 @@
             turns += 1
         assert "stopped" in (await task)[0]
         return turns
+
     assert run(story_()) >= ask.ANSWER_TIME / ask.SLICE / 4
 
 
--- a/tests/test_why_loopback.py
+++ b/tests/test_why_loopback.py
@@ -29,8 +29,13 @@
 from finchrack.interface import Code, NodeState
 
 MEANS = {  # what a node's step may look like from the broker
-    "ok": {Ending.SERVED}, "500": {Ending.NODE_ERROR}, "503 X-Not-Run: 1": {Ending.TURNED_AWAY},
-    "drop": {Ending.BROKEN}, "cut": {Ending.CUT_SHORT}, "hang": {Ending.TIMED_OUT, Ending.GIVEN_UP}}
+    "ok": {Ending.SERVED},
+    "500": {Ending.NODE_ERROR},
+    "503 X-Not-Run: 1": {Ending.TURNED_AWAY},
+    "drop": {Ending.BROKEN},
+    "cut": {Ending.CUT_SHORT},
+    "hang": {Ending.TIMED_OUT, Ending.GIVEN_UP},
+}
 VERDICTS = {200: "served", 429: "refused", 503: "refused"}
 BLOCK_SHARD = 3
 
@@ -42,23 +47,29 @@
         super().__init__(*script)
         self.log, self.name = log, name
 
-    async def _step(self, step: str, reader: asyncio.StreamReader, writer: Writer,
-                    headers: dict[str, str]) -> bool:
+    async def _step(
+        self, step: str, reader: asyncio.StreamReader, writer: Writer, headers: dict[str, str]
+    ) -> bool:
         self.log.append((headers["x-request-id"], self.name, step))
         return await super()._step(step, reader, writer, headers)
 
 
-async def browse(world: World, dice: random.Random, number: int, seen: dict[str, str],
-                 firsts: dict[str, str]) -> None:
+async def browse(
+    world: World, dice: random.Random, number: int, seen: dict[str, str], firsts: dict[str, str]
+) -> None:
     """One client: requests of all kinds, marked retries of what was refused, some hung up, some malformed."""
     for turn in range(14):
         ident = f"{number:08x}{turn:08x}"
         cls = dice.choice(["claim-read", "claim-write", "claim-export"])
         fields: dict[str, Any] = {
-            "cls": cls, "method": "PUT" if cls == "claim-write" else "GET", "id": ident,
-            "Tier": dice.choice(["basic", "priority"]), "ms": 6000,
+            "cls": cls,
+            "method": "PUT" if cls == "claim-write" else "GET",
+            "id": ident,
+            "Tier": dice.choice(["basic", "priority"]),
+            "ms": 6000,
             "Cookie": f"object={number:08x}{turn:08x}",
-            "IO_Info": f"volume={dice.randrange(3):016x},units=2,shard={dice.randrange(3)},hosts=1"}
+            "IO_Info": f"volume={dice.randrange(3):016x},units=2,shard={dice.randrange(3)},hosts=1",
+        }
         kind = dice.random()
         if kind < 0.07:
             status, _, _ = await world.ask(**fields | {"Tier": "no such plan"})
@@ -84,8 +95,12 @@
     client = await Client.mounted(port)
     for turn in range(10):
         command = dice.choice([Command.READ, Command.WRITE])
-        errno, _ = await client.do(command, 512 * turn, 512 if command == Command.READ else 0,
-                                   b"x" * 512 if command == Command.WRITE else b"")
+        errno, _ = await client.do(
+            command,
+            512 * turn,
+            512 if command == Command.READ else 0,
+            b"x" * 512 if command == Command.WRITE else b"",
+        )
         seen.append((len(client.calls), {0: "served", Errno.ENOMEM: "refused"}.get(errno, "failed")))
     client.writer.close()
 
@@ -103,8 +118,20 @@
             members = [Member(f"d{i}", f"127.0.0.1:{node.port}", i) for i, node in enumerate(nodes)]
             members.append(Member("d3", f"127.0.0.1:{block.port}", BLOCK_SHARD))
             world.core.update(NodeList(1, True, tuple(members)))
-            front, port = await world.nbd(setup(block, nodes={"d3": f"127.0.0.1:{block.port}"}, exports={
-                "claims": {"volume": VOLUME, "shard": BLOCK_SHARD, "plan": "priority", "size": 1 << 20}}))
+            front, port = await world.nbd(
+                setup(
+                    block,
+                    nodes={"d3": f"127.0.0.1:{block.port}"},
+                    exports={
+                        "claims": {
+                            "volume": VOLUME,
+                            "shard": BLOCK_SHARD,
+                            "plan": "priority",
+                            "size": 1 << 20,
+                        }
+                    },
+                )
+            )
             seen: dict[str, str] = {}
             firsts: dict[str, str] = {}
             mounted: list[tuple[int, str]] = []
@@ -112,21 +139,33 @@
             async def staff() -> None:
                 """A drain, then another node under its shard; a ban, undone."""
                 await nodes[0].until(8)
-                world.core.update(NodeList(2, False, (
-                    Member("d0", members[0].address, 0, state=NodeState.DRAINING),)))
+                world.core.update(
+                    NodeList(2, False, (Member("d0", members[0].address, 0, state=NodeState.DRAINING),))
+                )
                 await asyncio.sleep(0.3)
-                world.core.update(NodeList(3, False, (
-                    Member("d0", "", 0, state=NodeState.GONE),
-                    Member("fresh", f"127.0.0.1:{fresh.port}", 0))))
+                world.core.update(
+                    NodeList(
+                        3,
+                        False,
+                        (
+                            Member("d0", "", 0, state=NodeState.GONE),
+                            Member("fresh", f"127.0.0.1:{fresh.port}", 0),
+                        ),
+                    )
+                )
                 world.core.maintain(Maintenance({"d1": 0.0}))
                 await asyncio.sleep(0.2)
                 world.core.maintain(Maintenance())
+
             await asyncio.gather(
-                staff(), *(browse(world, random.Random(seed * 100 + n), n, seen, firsts) for n in range(8)),
-                *(mount(port, random.Random(seed * 100 + n), mounted) for n in range(2)))
+                staff(),
+                *(browse(world, random.Random(seed * 100 + n), n, seen, firsts) for n in range(8)),
+                *(mount(port, random.Random(seed * 100 + n), mounted) for n in range(2)),
+            )
             await world.core.idle()
             while world.core.open_requests or any(
-                    not book.find(ident, 0.0) and verdict != "?" for ident, verdict in seen.items()):
+                not book.find(ident, 0.0) and verdict != "?" for ident, verdict in seen.items()
+            ):
                 await asyncio.sleep(0.01)
             now = asyncio.get_running_loop().time()
             for ident, verdict in seen.items():
@@ -134,11 +173,15 @@
             for again, first in firsts.items():
                 found = book.find(again, now)[0]
                 assert found.repeat and found.first == first  # objects are each client's own
-            told = Counter((int(each.id.rpartition(":")[2], 16), each.verdict)
-                           for each in book.walk(0.0, now=now) if each is not None and each.front == "nbd")
+            told = Counter(
+                (int(each.id.rpartition(":")[2], 16), each.verdict)
+                for each in book.walk(0.0, now=now)
+                if each is not None and each.front == "nbd"
+            )
             assert told == Counter(mounted)
             assert {"refused", "failed", "served"} <= set(seen.values())
             await front.close()
+
     run(story())
 
 
@@ -149,9 +192,18 @@
     told = found[0]
     assert verdict in ("?", told.verdict), (ident, verdict, told)
     # A node may have seen nothing of an attempt that was given up on its way; else order and place agree.
-    reached = [each for each in told.tries if each.ending not in (
-        Ending.NOT_STARTED, Ending.CONNECT_REFUSED, Ending.CONNECT_TIMEOUT, Ending.BROKEN_UNSENT,
-        Ending.EXPIRED)]
+    reached = [
+        each
+        for each in told.tries
+        if each.ending
+        not in (
+            Ending.NOT_STARTED,
+            Ending.CONNECT_REFUSED,
+            Ending.CONNECT_TIMEOUT,
+            Ending.BROKEN_UNSENT,
+            Ending.EXPIRED,
+        )
+    ]
     left = told.verdict == "gone"
     if not left or len(reached) == len(log):
         assert [each.node for each in reached] == [node for _, node, _ in log], (told, log)
@@ -181,6 +233,7 @@
             assert (await world.ask(id="a1", ms=300))[0] == 503  # nothing of it was sent
             found = book.find("a1", asyncio.get_running_loop().time())[0]
             assert found.code is Own.LAST_RESORT and found.verdict == "refused" and not found.tries
+
     run(story())
 
 
@@ -192,7 +245,10 @@
             assert (await world.ask(id="a1", cls="claim-write", method="PUT", body=b"x"))[0] == 500
             found = book.find("a1", asyncio.get_running_loop().time())
             assert [(each.verdict, each.code) for each in found] == [
-                ("failed", Code.MAY_HAVE_RUN), ("served", Own.SERVED)]
+                ("failed", Code.MAY_HAVE_RUN),
+                ("served", Own.SERVED),
+            ]
+
     run(story())
 
 
@@ -207,6 +263,7 @@
             said = await ask.answer(ask.parse(["--since", "1m"]), book, loop.time, world.core.find)
             ids = [line.split()[1] for line in said if line.startswith("1970")]
             assert ids == ["a1", "a2"]
+
     run(story())
 
 
@@ -220,6 +277,7 @@
 def test_the_successor_answers_for_the_process_it_replaced(tmp_path: Path) -> None:
     """A real upgrade: what the first process decided is asked of the second, while the first drains and
     after."""
+
     async def story() -> None:
         (tmp_path / "operator.toml").write_text("[why]\nenabled = true\n")
         whole = settings(await Node("ok", "500").start())
@@ -246,19 +304,23 @@
                     assert await second.process.wait() == 0
         finally:
             del os.environ["CHERRYCOVE_OPERATOR"]
+
     run(story())
 
 
 def test_without_a_record_nothing_of_it_is_imported() -> None:
     """Start time and memory of a process whose record is off must not grow."""
+
     async def story() -> None:
-        script = ("import sys, cherrycove.__main__; print(sorted(name for name in sys.modules if name in "
-                  "('ddsketch', 'msgpack', 'click', 'jinja2', 'matplotlib', 'numpy') "
-                  "or name.startswith('cherrycove.why.') and name != 'cherrycove.codes'))")
+        script = (
+            "import sys, cherrycove.__main__; print(sorted(name for name in sys.modules if name in "
+            "('ddsketch', 'msgpack', 'click', 'jinja2', 'matplotlib', 'numpy') "
+            "or name.startswith('cherrycove.why.') and name != 'cherrycove.codes'))"
+        )
         process = await asyncio.create_subprocess_exec(
-            os.sys.executable, "-c", script, cwd=ROOT, stdout=asyncio.subprocess.PIPE)  # type: ignore[attr-defined]
+            os.sys.executable, "-c", script, cwd=ROOT, stdout=asyncio.subprocess.PIPE
+        )  # type: ignore[attr-defined]
         said, _ = await process.communicate()
         assert said.strip() == b"[]"
-    run(story())
-
 
+    run(story())
--- a/tests/tier/links.py
+++ b/tests/tier/links.py
@@ -196,9 +196,7 @@
             far_writer.transport.abort()
 
 
-async def _pump(
-    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, flow: Flow, alter: Alter
-) -> None:
+async def _pump(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, flow: Flow, alter: Alter) -> None:
     """Pass on what is read, and then its end."""
     while piece := await reader.read(PIECE_BYTES):
         await flow.passes()
--- a/tests/tier/test_batch_http.py
+++ b/tests/tier/test_batch_http.py
@@ -256,9 +256,7 @@
     async def scene(tier: Tier, frontend: Frontend) -> None:
         group = tier.nodes[0].group
         group.gate = asyncio.Event()
-        submit = asyncio.create_task(
-            frontend.exchange("POST", "/jobs/1", submission("a"), Request_Id="j1")
-        )
+        submit = asyncio.create_task(frontend.exchange("POST", "/jobs/1", submission("a"), Request_Id="j1"))
         store, asked_again = tier.nodes[0].store, asyncio.Event()
         propose = store._submits.propose
 
--- a/tests/tier/test_batch_leases.py
+++ b/tests/tier/test_batch_leases.py
@@ -163,8 +163,11 @@
     proxy.running.clear()
     table.add_job(terms("hopeless", *"abcd", due=11.5), earlier_term=False)
     table.add_job(terms("hopeful", *"abcd", due=12.5), earlier_term=False)
-    assert proxy.granted(10.0, capacity=4) == [*keys("hopeful", "a", "b"), *keys("hopeless", "a"),
-                                               *keys("hopeful", "c")]
+    assert proxy.granted(10.0, capacity=4) == [
+        *keys("hopeful", "a", "b"),
+        *keys("hopeless", "a"),
+        *keys("hopeful", "c"),
+    ]
 
 
 def test_ended_and_unknown_jobs_and_items_with_result_are_revoked() -> None:
--- a/tests/tier/test_configuration.py
+++ b/tests/tier/test_configuration.py
@@ -11,12 +11,25 @@
 from cherrycove.tier.errors import ErrorKind
 
 ROUTE: dict[str, Any] = {
-    "name": "chat", "hostname": "a.example", "pathPrefix": "/chat/", "routeKind": "streaming",
-    "timeoutMs": 3000, "targetLatencyMs": 300, "priority": 0, "service": "model", "maxAttempts": 2,
-    "sessionAffinity": True, "resumable": True, "gap_aim_ms": 300,
+    "name": "chat",
+    "hostname": "a.example",
+    "pathPrefix": "/chat/",
+    "routeKind": "streaming",
+    "timeoutMs": 3000,
+    "targetLatencyMs": 300,
+    "priority": 0,
+    "service": "model",
+    "maxAttempts": 2,
+    "sessionAffinity": True,
+    "resumable": True,
+    "gap_aim_ms": 300,
 }
 JOBS: dict[str, Any] = {
-    **ROUTE, "name": "jobs", "pathPrefix": "/jobs/", "routeKind": "batch", "retentionS": 40,
+    **ROUTE,
+    "name": "jobs",
+    "pathPrefix": "/jobs/",
+    "routeKind": "batch",
+    "retentionS": 40,
 }
 SERVICE: dict[str, Any] = {"name": "model", "healthCheckPath": "/health", "connectionLimit": 290}
 
--- a/tests/tier/test_dataplane_wire.py
+++ b/tests/tier/test_dataplane_wire.py
@@ -184,9 +184,7 @@
 
 
 REFUSED = b"HTTP/1.1 503 Full\r\nRequest-Id: %s\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
-FAILED = (
-    b"HTTP/1.1 500 Early\r\nRequest-Id: %s\r\nResponse-Signature: s\r\nContent-Length: 3\r\n\r\nwhy"
-)
+FAILED = b"HTTP/1.1 500 Early\r\nRequest-Id: %s\r\nResponse-Signature: s\r\nContent-Length: 3\r\n\r\nwhy"
 
 
 @pytest.mark.parametrize("heads", ((FAILED,), (REFUSED, FAILED)))
@@ -428,9 +426,7 @@
             connection.connection_made(StubTransport(unsent))
             connection.set_response_params()
             connection.expect("r1")
-            connection.data_received(
-                b"HTTP/1.1 500 Early\r\nRequest-Id: r1\r\nContent-Length: 3\r\n\r\nwhy"
-            )
+            connection.data_received(b"HTTP/1.1 500 Early\r\nRequest-Id: r1\r\nContent-Length: 3\r\n\r\nwhy")
             await connection.read()
             assert connection.should_close == bool(unsent)
 
--- a/tests/tier/test_distribution_puller.py
+++ b/tests/tier/test_distribution_puller.py
@@ -48,9 +48,7 @@
 
 
 def members(epoch: int, *keepers: int) -> TopicUpdate:
-    announced = [
-        Announcement(node_name=f"m{one}", program="keeper", ip=f"10.0.0.{one}") for one in keepers
-    ]
+    announced = [Announcement(node_name=f"m{one}", program="keeper", ip=f"10.0.0.{one}") for one in keepers]
     return TopicUpdate(
         version=TopicVersion(topic="members", epoch=epoch, sequence=1), members=MemberList(members=announced)
     )
--- a/tests/tier/test_links_cut_stores.py
+++ b/tests/tier/test_links_cut_stores.py
@@ -62,8 +62,10 @@
             assert (await operator.settle(tier.keepers, change(configuration(1), 0))).status == 200
             await tier.ready()
             near, far = tier.proxies
-            jobs = {name: (tier_client.new_id(), [tier_client.new_id() for _ in range(ITEMS)])
-                    for name in ("before", "near", "far")}
+            jobs = {
+                name: (tier_client.new_id(), [tier_client.new_id() for _ in range(ITEMS)])
+                for name in ("before", "near", "far")
+            }
             await tier_client.submit(near.frontend, *jobs["before"])
             lost = (await tier.store_leader()).node_name
             others = {daemon.node_name for daemon in tier.daemons} - {lost, near.node_name}
@@ -78,8 +80,9 @@
                 await until_known(far, f"/api/items/{job_id}?instanceId={items[0]}")
             assert await submitted(near, *jobs["near"]) in UNSURE
             gate.set()
-            listed = {name: await tier_client.results(far.frontend, jobs[name][0])
-                      for name in ("before", "far")}
+            listed = {
+                name: await tier_client.results(far.frontend, jobs[name][0]) for name in ("before", "far")
+            }
 
             tier.links.join({lost, near.node_name}, {*others, operator.name})
             await tier_client.submit(near.frontend, *jobs["near"])
--- a/tests/tier/test_links_frozen.py
+++ b/tests/tier/test_links_frozen.py
@@ -27,8 +27,10 @@
             tier.freeze_machine(lost.name)
             overtaken = change(configuration(7, mark="overtaken"), 1)
             reads = [line.send(READ) for line in lines[:2]]
-            orders = [line.send(order) for line, order in
-                      zip(lines[2:], (overtaken, change(configuration(8), 1)), strict=True)]
+            orders = [
+                line.send(order)
+                for line, order in zip(lines[2:], (overtaken, change(configuration(8), 1)), strict=True)
+            ]
             taken = change(configuration(7, mark="taken"), 1)
             assert (await operator.settle(others, taken)).status == 200
             tier.thaw_machine(lost.name)
--- a/tests/tier/test_links_orders.py
+++ b/tests/tier/test_links_orders.py
@@ -127,8 +127,10 @@
                 pair = [tier.keepers[turn % 3], tier.keepers[(turn + 1 + turn // 3) % 3]]
                 sent = list(zip(operators, pair, orders, strict=True))
                 firsts = await send_at_once(tier, sent)
-                answers = [answer if answer.clear else await operator.settle([keeper], order)
-                           for answer, (operator, keeper, order) in zip(firsts, sent, strict=True)]
+                answers = [
+                    answer if answer.clear else await operator.settle([keeper], order)
+                    for answer, (operator, keeper, order) in zip(firsts, sent, strict=True)
+                ]
                 assert sorted(answer.status for answer in answers) == [200, 412]
                 won = [answer.status for answer in answers].index(200)
                 for keeper in tier.keepers:
--- a/tests/tier/test_replication_machine.py
+++ b/tests/tier/test_replication_machine.py
@@ -533,9 +533,7 @@
         tell()
 
 
-def preliminary_vote(
-    granted: bool, campaign: int, commit_index: int = 1, commit_epoch: int = 0
-) -> Message:
+def preliminary_vote(granted: bool, campaign: int, commit_index: int = 1, commit_epoch: int = 0) -> Message:
     reply = VoteReply(preliminary=True, epoch=2, granted=granted, campaign=campaign)
     reply.commit_index = commit_index
     reply.commit_epoch = commit_epoch
--- a/tests/tier/test_tier_cli.py
+++ b/tests/tier/test_tier_cli.py
@@ -341,9 +341,7 @@
     changed["routes"].append({"name": "r-2"})
     server = stand_in(Scripted(200, json.dumps(changed).encode()))
     outcome = run("config diff", f"{configuration_file} --keeper {server.address}")
-    assert outcome == Run(
-        FAILED, '~ routes.r-1.timeoutMs: 5000 -> 3000\n- routes.r-2: {"name": "r-2"}\n', ""
-    )
+    assert outcome == Run(FAILED, '~ routes.r-1.timeoutMs: 5000 -> 3000\n- routes.r-2: {"name": "r-2"}\n', "")
 
 
 def test_lists_without_different_names_are_compared_whole() -> None:
