--- /dev/null
+++ b/tests/golden_broker.py
@@ -0,0 +1,311 @@
+"""The one place where the golden tests of the storage broker touch its code.
+
+Golden data under tests/data/broker/ is written in a vocabulary of its own: a value of a type in ``TYPES`` is
+``{"name": [fields in order]}``, a member of an enumeration ``"=kind.name"``, an infinity ``"=inf"``. A rename
+in the code changes this module alone, never the data; a change of the data is a change of behaviour.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import dataclasses
+import json
+from collections.abc import Callable, Mapping
+from enum import Enum
+from math import isinf
+from pathlib import Path
+from typing import Any, NamedTuple
+
+from cherrycove import codes, consul, core, nbd, store
+from cherrycove.fleet import datagram
+from cherrycove.life import handover, herald
+from cherrycove.memory import figures, file
+from cherrycove.why import pack as record
+from finchrack import interface as api
+
+DATA = Path(__file__).parent / "data/broker"
+Plain = Any  # what JSON holds
+
+# Golden name: type in the code, golden names of its fields in their order.
+TYPES: Mapping[str, tuple[type, str]] = {
+    "settings": (
+        api.Settings,
+        "schedulers classes plans max_attempts tick answer_grace cold_units fall_window start_capacity"
+        " warm_after drain_grace order_settle extra_spare extra_ratio extra_window list_on_request ask_within"
+        " second_copies may_cancel may_probe retry_advice max_units usual_units share_worth spare_worth"
+        " meter_period tells_elsewhere shards fall_multiple load_names",
+    ),
+    "class": (
+        api.RequestClass,
+        "name aim deadline effect worth late_worth group repeat_window ordered writes",
+    ),
+    "plan": (api.Plan, "name usual reserve weight price limit burst slack"),
+    "arrived": (api.Arrived, "request class plan volume units shard hosts budget key repeat upload"),
+    "uploaded": (api.Uploaded, "request"),
+    "attempt_ended": (
+        api.AttemptEnded,
+        "request attempt node outcome closed latency use elsewhere load",
+    ),
+    "stream_started": (api.StreamStarted, "request attempt node latency"),
+    "lapsed": (api.Lapsed, "request"),
+    "node": (api.Node, "id shard zone weight started state"),
+    "nodes_listed": (api.NodesListed, "version kind nodes"),
+    "shared": (api.Shared, "part sent"),
+    "node_memory": (
+        api.NodeMemory,
+        "id started service heard threshold overload failures resting_until slot sent sent_at",
+    ),
+    "volume_memory": (api.VolumeMemory, "name credits at beyond"),
+    "recalled": (api.Recalled, "nodes volumes budgets whole"),
+    "room_pooled": (api.RoomPooled, "lent"),
+    "room_lent": (api.RoomLent, "node units time"),
+    "places": (api.Places, "most"),
+    "list_unavailable": (api.ListUnavailable, ""),
+    "timer_fired": (api.TimerFired, "token"),
+    "probe_ended": (api.ProbeEnded, "node outcome latency load"),
+    "reason": (
+        api.Reason,
+        "code node place threshold out queued credits wait left refill epoch",
+    ),
+    "send": (api.Send, "request node timeout why within"),
+    "refuse": (api.Refuse, "request retry_after why"),
+    "fail": (api.Fail, "request why"),
+    "cancel": (api.Cancel, "request attempt why"),
+    "set_timer": (api.SetTimer, "token delay"),
+    "probe": (api.Probe, "node"),
+    "ask_room": (api.AskRoom, "node units"),
+    "watch": (api.Watch, ""),
+    "note": (api.Note, "text"),
+    "member": (core.Member, "name address shard zone weight since_ms state"),
+    "node_list": (core.NodeList, "version full members"),
+    "maintenance": (core.Maintenance, "out back"),
+    "moment": (figures.Moment, "wall boot up"),
+    "ask": (datagram.Ask, "sender life serial node units"),
+    "loan": (datagram.Loan, "sender life to_life serial units wait"),
+    "entry": (store.Entry, "key counter writer value"),
+    "attempt": (record.Try, "node why at took ending"),
+    "story": (
+        record.Story,
+        "id volume ended took verdict code front class plan units shard repeat first rivals attempts why"
+        " object",
+    ),
+    "nbd_call": (nbd.Call, "command flags cookie offset length"),
+    "nbd_chunk": (nbd.Chunk, "flags kind cookie data"),
+}
+EVENTS = [
+    "arrived",
+    "uploaded",
+    "attempt_ended",
+    "stream_started",
+    "lapsed",
+    "nodes_listed",
+    "shared",
+    "recalled",
+    "room_pooled",
+    "room_lent",
+    "places",
+    "list_unavailable",
+    "timer_fired",
+    "probe_ended",
+]
+ACTIONS = ["send", "refuse", "fail", "cancel", "set_timer", "probe", "ask_room", "watch", "note"]
+# Golden name: enumeration in the code, golden names of its members in their order.
+ENUMS: Mapping[str, tuple[type[Enum], str]] = {
+    "effect": (api.Effect, "safe keyed unsafe"),
+    "group": (api.Group, "all zone shard"),
+    "outcome": (api.Outcome, "served error full timeout connect_failed reset cancelled moot"),
+    "state": (api.NodeState, "up draining gone"),
+    "kind": (api.ListKind, "changes full restored"),
+    "ending": (
+        core.Ending,
+        "served node_error turned_away connect_refused connect_timeout broken_unsent broken cut_short spoilt"
+        " timed_out client_broke expired given_up not_started not_its",
+    ),
+}
+
+_NAME_OF = {kind: name for name, (kind, _) in TYPES.items()}
+_MEMBER_NAMES = {
+    member: f"={kind}.{name}"
+    for kind, (members, names) in ENUMS.items()
+    for member, name in zip(members, names.split(), strict=True)
+}
+_MEMBERS = {name: member for member, name in _MEMBER_NAMES.items()}
+
+
+def field_names(kind: type) -> tuple[str, ...]:
+    """The fields of a data class or named tuple, in their order."""
+    if dataclasses.is_dataclass(kind):
+        return tuple(each.name for each in dataclasses.fields(kind))
+    names: tuple[str, ...] = kind._fields  # type: ignore[attr-defined]
+    return names
+
+
+def to_plain(value: Any) -> Plain:
+    """A value of the code in the vocabulary of the golden data."""
+    name = _NAME_OF.get(type(value))
+    if name is not None:
+        return {name: [to_plain(getattr(value, each)) for each in field_names(type(value))]}
+    if isinstance(value, api.Code | codes.Own):
+        return f"=code.{int(value)}"
+    if isinstance(value, Enum):
+        return _MEMBER_NAMES[value]
+    if isinstance(value, bytes):
+        return f"=hex.{value.hex()}"
+    if isinstance(value, float) and isinf(value):
+        return "=inf" if value > 0 else "=-inf"
+    if isinstance(value, Mapping):
+        return {"=map": [[to_plain(key), to_plain(each)] for key, each in value.items()]}
+    if isinstance(value, list | tuple):
+        return [to_plain(each) for each in value]
+    return value
+
+
+def from_plain(plain: Plain) -> Any:
+    """The code's value; sequences come as tuples, but for a story's attempts, which are a list there."""
+    if isinstance(plain, list):
+        return tuple(from_plain(each) for each in plain)
+    if isinstance(plain, dict):
+        ((name, fields),) = plain.items()
+        if name == "=map":
+            return {from_plain(key): from_plain(each) for key, each in fields}
+        kind, names = TYPES[name]
+        assert len(names.split()) == len(field_names(kind)), f"{name} has other fields than the golden data"
+        values = [from_plain(each) for each in fields]
+        return kind(
+            *[list(each) if name == "story" and each and type(each) is tuple else each for each in values]
+        )
+    if isinstance(plain, str) and plain.startswith("="):
+        kind, _, rest = plain[1:].partition(".")
+        if kind == "code":
+            return codes.code(int(rest))
+        if kind == "hex":
+            return bytes.fromhex(rest)
+        return float(kind) if kind in ("inf", "-inf") else _MEMBERS[plain]
+    return plain
+
+
+# Codecs: plain to bytes, bytes to plain.
+
+
+class Codec(NamedTuple):
+    encode: Callable[[Any], bytes]  # of the code's value
+    decode: Callable[[bytes], Any]  # to the code's value
+
+
+NODES = ["d0", "d1", "d2"]  # names that records refer to by place
+RECORDS_AT = 1000.0  # s, when they are read
+
+
+async def _fed(data: bytes, read: Callable[[asyncio.StreamReader], Any]) -> Any:
+    reader = asyncio.StreamReader()
+    reader.feed_data(data)
+    reader.feed_eof()
+    return await read(reader)
+
+
+def _read_option_reply(data: bytes) -> tuple[int, int, bytes]:
+    number = int.from_bytes(data[8:12], "big")
+    kind, body = asyncio.run(_fed(data, lambda reader: nbd.read_option_reply(reader, number)))
+    return number, kind, body
+
+
+MESSAGES: Mapping[str, Codec] = {
+    "fleet_datagram": Codec(datagram.pack, datagram.parse),
+    "store_entry": Codec(lambda entry: entry.pack(), store.parse_entry),
+    "why_record": Codec(
+        lambda story: record.pack(story, {name: place for place, name in enumerate(NODES)}),
+        lambda data: record.unpack(data, 0, RECORDS_AT, NODES),
+    ),
+    "handover_member": Codec(
+        lambda member: json.dumps(handover.pack_member(member)).encode(),
+        lambda data: handover.parse_member(json.loads(data)),
+    ),
+    "nbd_call": Codec(
+        lambda call: call.pack(), lambda data: asyncio.run(_fed(data, lambda each: nbd.read_call(each)))
+    ),
+    "nbd_option": Codec(
+        lambda value: nbd.option(*value), lambda data: asyncio.run(_fed(data, nbd.read_option))
+    ),
+    "nbd_option_reply": Codec(lambda value: nbd.option_reply(*value), _read_option_reply),
+    "nbd_go": Codec(lambda value: nbd.go(*value), nbd.parse_go),
+}
+# Only written by this program, or read by it as part of a larger exchange.
+WRITTEN: Mapping[str, Callable[..., bytes]] = {
+    "herald_coming": lambda: herald.COMING,
+    "nbd_greeting": nbd.greeting,
+    "nbd_simple_reply": nbd.simple_reply,
+    "nbd_error_chunk": lambda *values: nbd.error_chunk(*values).pack(),
+    "nbd_data_chunk": lambda *values: nbd.data_chunk(*values).pack(),
+    "directory": lambda *values: herald.directory(*values).encode(),
+    "memory_path": lambda *values: str(file.path(*values)).encode(),
+    "node_key": lambda *values: _node_key(*values),
+}
+
+
+def _node_key(name: str, since_ms: float) -> bytes:
+    from cherrycove.fleet import room
+
+    return room.key(name, since_ms) + bytes([room.lender(room.key(name, since_ms), 40)])
+
+
+# Files.
+
+
+def write_memory(
+    told: api.Recalled, now: float, moment: figures.Moment, settings: api.Settings, broker: str, whole: bool
+) -> bytes:
+    """A memory file's bytes."""
+    return file.frame(figures.pack(told, now, moment, settings, broker, whole))
+
+
+def read_memory(
+    where: Path, now: float, moment: figures.Moment, settings: api.Settings, broker: str
+) -> tuple[api.Recalled, float, int]:
+    """What a later process takes up of it, the absence (s), and how many entries it leaves aside."""
+    told, absence, aside = figures.unpack(file.read(where), now, moment, settings, broker)
+    return told, absence, sum(aside.values())
+
+
+MAINTENANCE_FILE = handover.MAINTENANCE
+
+
+def write_maintenance(state: core.Maintenance, root: Path) -> bytes:
+    """The bytes of the maintenance file that a broker keeps under ``root``."""
+    place = handover.Place("n1", ("127.0.0.1", 8080), str(root))
+    assert asyncio.run(place.save(state))
+    return (place.path / MAINTENANCE_FILE).read_bytes()
+
+
+def read_maintenance(data: bytes, root: Path) -> core.Maintenance:
+    """What a broker takes from such a file."""
+    place = handover.Place("n1", ("127.0.0.1", 8080), str(root))
+    (place.path / MAINTENANCE_FILE).write_bytes(data)
+    return place.load()
+
+
+# The shared map.
+
+
+def store_exchange(news: core.NodeList, config: Mapping[str, str]) -> list[str]:
+    """All datagrams, in hex, by which a second broker learns the map of a first."""
+    first, second, said = store.Store("n1"), store.Store("n2"), []
+    for key, value in config.items():
+        first.put(key, value, 5)
+    store.remember(first, news)
+    second.put("config/mine", "kept", 2)
+    waiting = [("n2", second.digest())]
+    while waiting:
+        writer, data = waiting.pop(0)
+        said.append(f"{writer} {data.hex()}")
+        reader = first if writer == "n2" else second
+        waiting += [(reader.name, each) for each in reader.receive(data)]
+    said += [f"{key}={entry.value}" for key, entry in second.items().items()]
+    return said
+
+
+# Consul.
+
+
+def read_health(text: str, zones: Mapping[str, int], before: tuple[core.Member, ...]) -> core.NodeList:
+    """An answer of the health API as a node list."""
+    return consul.parse_health(text, zones, {member.name: member for member in before}, 3)
--- /dev/null
+++ b/tests/test_golden_broker.py
@@ -0,0 +1,77 @@
+"""What the storage broker reads, writes, sends and decides stays as it was when the golden data were written.
+
+The data were made by tests/make_golden_broker.py. They are never rewritten to make a test pass: a difference
+says that a file, a message or a decision has changed, which breaks a deployment that is upgraded in service.
+"""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+from typing import Any
+
+import golden_broker as golden
+import make_golden_broker as make
+import pytest
+
+MESSAGES = json.loads((golden.DATA / "messages.json").read_text())
+WRITTEN = json.loads((golden.DATA / "written.json").read_text())
+
+
+def test_the_golden_files_are_the_ones_that_are_tested() -> None:
+    assert {each.name for each in golden.DATA.iterdir()} == set(make.FILES)
+
+
+@pytest.mark.parametrize("name", make.FILES)
+def test_a_golden_file_is_made_again_to_the_byte(name: str) -> None:
+    made = make.FILES[name]()
+    assert (made.encode() if isinstance(made, str) else made) == (golden.DATA / name).read_bytes()
+
+
+@pytest.mark.parametrize("place", range(len(MESSAGES)))
+def test_a_message_is_read_and_written_as_before(place: int) -> None:
+    kind, plain, data, read = MESSAGES[place]
+    codec = golden.MESSAGES[kind]
+    assert golden.to_plain(codec.decode(bytes.fromhex(data))) == read
+    assert codec.encode(golden.from_plain(plain)).hex() == data
+
+
+def test_every_type_of_the_golden_vocabulary_has_the_fields_that_it_had() -> None:
+    for name, (kind, fields) in golden.TYPES.items():
+        assert len(golden.field_names(kind)) == len(fields.split()), name
+
+
+@pytest.mark.parametrize("place", range(len(WRITTEN)))
+def test_a_message_is_written_as_before(place: int) -> None:
+    kind, plain, data = WRITTEN[place]
+    assert golden.WRITTEN[kind](*golden.from_plain(plain)).hex() == data
+
+
+def test_the_memory_file_is_taken_up() -> None:
+    """Two seconds later on a clock that shows 7 s: all times are older by these two seconds."""
+    data = (golden.DATA / "n1.memory").read_bytes()
+    told, absence, aside = json.loads(make.memory_read(data))
+    assert (absence, aside) == (2.0, 0)
+    nodes, volumes, budgets, whole = told["recalled"]
+    # d1, heard 42 s ago, comes behind the node that failed; the one that was never heard of is not kept.
+    assert nodes == [
+        {"node_memory": ["d0", -55.0, 0.25, 3.0, 3.5, True, 2, 5.5, 7, 12.0, 4.0]},
+        {"node_memory": ["d1", None, 0.125, -35.0, 4.0, False, 0, 5.0, -1, 0.0, "=-inf"]},
+    ]
+    assert volumes == [
+        {"volume_memory": ["00000000000000aa", -3.5, 4.5, 4.0]},
+        {"volume_memory": ["w", 1.25, 4.5, "=-inf"]},
+    ]
+    assert budgets == {"=map": [[0, 3.0], [1, 2.5]]} and whole is False
+
+
+def test_the_maintenance_file_is_taken_up(tmp_path: Path) -> None:
+    state = golden.read_maintenance((golden.DATA / "maintenance.json").read_bytes(), tmp_path)
+    assert golden.to_plain(state) == make.MAINTENANCE
+
+
+def test_a_second_broker_has_the_map_of_the_first() -> None:
+    lines: list[Any] = (golden.DATA / "store.txt").read_text().splitlines()
+    kept = dict(line.split("=", 1) for line in lines if "=" in line)
+    assert kept["config/mine"] == "kept" and kept["config/7"] == "x" * 7 and "node/d2" not in kept
+    assert json.loads(kept["node/d0"]) == ["up", "127.0.0.1:7001", 0, 1700000000123.0]
