--- a/bench/tier_catch_up.py
+++ b/bench/tier_catch_up.py
@@ -88,7 +88,7 @@
 
 
 def _primary(nodes: list[Node]) -> Node | None:
-    return next((node for node in nodes if node.group.confirmed()), None)
+    return next((node for node in nodes if node.group.is_confirmed_primary()), None)
 
 
 async def _fill(nodes: list[Node], size: int) -> None:
--- a/bench/tier_proxies.py
+++ b/bench/tier_proxies.py
@@ -20,8 +20,8 @@
 from google.protobuf.message import Message
 from result import Ok, Result
 
+from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.distribution.puller import Puller
-from cherrycove.tier.distribution.views import Views
 from cherrycove.tier.errors import Failure
 from cherrycove.tier.protocol.control_pb2 import Announcement
 from cherrycove.tier.protocol.interface import Caller, Reply
@@ -78,7 +78,7 @@
         document = settings_of(self._daemon, seeds, tier.platform.address, tier.sizes)
         settings = parse_settings(yaml.safe_dump(document))
         self._client = RpcClient()
-        self.views = Views()
+        self.views = ClusterView()
         self._puller = Puller(settings, CountingCaller(self._client, traffic), self.views, self._announcement)
 
     async def start(self) -> None:
--- a/bench/tier_worlds.py
+++ b/bench/tier_worlds.py
@@ -44,14 +44,14 @@
     world.network = NetworkConditions(slow_share=0.0, loss=0.0, doubled=0.0)
     for replica in world.replicas:
         world.start(replica)
-    while world.confirmed() is None:
+    while world.confirmed_primary() is None:
         world.run_until(world.now + STEP_S)
     faults = Faults(world, Random(seed), emptied_keeps_identity=False)
     for replica in world.replicas:
         faults.kill(replica, RESTART_S)
     world.run_until(world.now + RESTART_S)
     began = world.now
-    while world.confirmed() is None and world.now - began < LIMIT_S:
+    while world.confirmed_primary() is None and world.now - began < LIMIT_S:
         world.run_until(world.now + STEP_S)
     return world.now - began
 
--- a/cherrycove/tier/batch/client.py
+++ b/cherrycove/tier/batch/client.py
@@ -8,7 +8,7 @@
 from google.protobuf.message import Message
 from result import Err, Ok, Result
 
-from cherrycove.tier.distribution.views import Views
+from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol import batch_pb2 as pb
 from cherrycove.tier.protocol.interface import Caller
@@ -31,7 +31,7 @@
 class PrimaryFinder:
     """Where the primary of the stores may be, best guess first."""
 
-    def __init__(self, views: Views, settings: Settings) -> None:
+    def __init__(self, views: ClusterView, settings: Settings) -> None:
         self._views = views
         self._settings = settings
         self._confirmed = ""  # address that answered as primary last
@@ -70,7 +70,7 @@
 class BatchClient:
     """Typed calls of the batch plane."""
 
-    def __init__(self, client: Caller, views: Views, settings: Settings) -> None:
+    def __init__(self, client: Caller, views: ClusterView, settings: Settings) -> None:
         self._client = client
         self._finder = PrimaryFinder(views, settings)
 
--- a/cherrycove/tier/batch/http_api.py
+++ b/cherrycove/tier/batch/http_api.py
@@ -12,10 +12,10 @@
 from result import Err
 
 from cherrycove.tier.batch.client import BatchClient
-from cherrycove.tier.batch.interface import LONGEST_CALL_S
+from cherrycove.tier.batch.interface import MAX_CALL_S
 from cherrycove.tier.batch.submission import parse_submission
 from cherrycove.tier.configuration import Route
-from cherrycove.tier.distribution.views import Views
+from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ANSWERS, ErrorKind, Failure
 from cherrycove.tier.protocol import batch_pb2 as pb
 
@@ -25,7 +25,7 @@
 READ_BUDGET_S = 1.0  # beyond the time that a read may be held
 END_BUDGET_S = 2.0
 DEADLINE_SHARE = 0.9  # of the client's deadline, so that the answer still reaches it
-MAX_WAIT_MS = int((LONGEST_CALL_S - READ_BUDGET_S) * 1000)
+MAX_WAIT_MS = int((MAX_CALL_S - READ_BUDGET_S) * 1000)
 MAX_PAGE_BYTES = 1_000_000
 PAGE_ENVELOPE_BYTES = 200
 MAX_CURSOR = 2**32 - 1
@@ -35,7 +35,7 @@
 class BatchApi:
     """Handles requests on batch routes, and calls under ``/api/lots/`` and ``/api/items/``."""
 
-    def __init__(self, client: BatchClient, views: Views) -> None:
+    def __init__(self, client: BatchClient, views: ClusterView) -> None:
         self._client = client
         self._views = views
 
--- a/cherrycove/tier/batch/interface.py
+++ b/cherrycove/tier/batch/interface.py
@@ -11,7 +11,7 @@
 from cherrycove.tier.protocol.batch_pb2 import LeasedItem
 
 ROUTE_REMOVED = "route_removed"  # reason for which an item is dead-lettered
-LONGEST_CALL_S = 3.0  # that a client's call for a batch job is held
+MAX_CALL_S = 3.0  # that a client's call for a batch job is held
 
 
 class ItemState(Enum):
@@ -36,7 +36,7 @@
 class ItemExecutor(Protocol):
     """Runs items at model brokers; implemented by ``cherrycove.tier.dataplane``."""
 
-    def free_places(self) -> int:
+    def free_slots(self) -> int:
         """How many further items could be started now without harming live requests."""
 
     async def run_item(
--- a/cherrycove/tier/batch/store.py
+++ b/cherrycove/tier/batch/store.py
@@ -31,7 +31,7 @@
 from cherrycove.tier.batch.removed_routes import jobs_of_removed_routes
 from cherrycove.tier.batch.replies import item_result, lease_reply, read_reply
 from cherrycove.tier.batch.signals import ResultSignals
-from cherrycove.tier.distribution.views import Views
+from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol import batch_pb2 as pb
 from cherrycove.tier.protocol.interface import CallRegistry
@@ -53,7 +53,7 @@
 Reply = Result[Message, Failure]
 
 
-class BatchStore:
+class BatchStoreService:
     """The batch plane of one store; registers its calls at ``server``."""
 
     def __init__(
@@ -66,7 +66,7 @@
         clock: Callable[[], float] = time.monotonic,
         wall_clock: Callable[[], float] = time.time,
         times: LeaseTimes | None = None,
-        views: Views | None = None,
+        views: ClusterView | None = None,
     ) -> None:
         self._settings = settings
         self._group = group
@@ -74,7 +74,7 @@
         self._clock = clock
         self._wall_clock = wall_clock
         self._times = times or LeaseTimes()
-        self._views = views or Views()
+        self._views = views or ClusterView()
         self._table: LeaseTable | None = None
         self._ages = JobAges()
         self._signals = ResultSignals()
@@ -151,7 +151,7 @@
     async def _read(self, request: pb.ReadRequest) -> Reply:
         deadline = self._clock() + min(request.wait_ms / 1000.0, MAX_READ_WAIT_S)
         while True:
-            if not self._group.confirmed():
+            if not self._group.is_confirmed_primary():
                 return self._not_primary()
             job = self._state.jobs.get(request.job_id)
             if job is None:
@@ -162,7 +162,7 @@
             await self._signals.wait(request.job_id, remaining)
 
     async def _body(self, request: pb.BodyRequest) -> Reply:
-        if not self._group.confirmed():
+        if not self._group.is_confirmed_primary():
             return self._not_primary()
         body = self._state.body(ItemKey(request.job_id, request.item_id))
         if body is None:
@@ -170,7 +170,7 @@
         return Ok(pb.BodyReply(body=body))
 
     async def _end(self, request: pb.EndRequest) -> Reply:
-        if not self._group.confirmed():
+        if not self._group.is_confirmed_primary():
             return self._not_primary()
         job = self._state.jobs.get(request.job_id)
         if job is None:
@@ -251,7 +251,7 @@
 
     def _current_table(self) -> LeaseTable | None:
         """The leases of this term, begun anew when it is first seen; None while this store does not lead."""
-        if not self._group.confirmed():
+        if not self._group.is_confirmed_primary():
             return None
         if self._table is None or self._table.epoch != self._group.epoch:
             self._table = LeaseTable(self._group.epoch, self._clock(), self._times)
@@ -293,7 +293,7 @@
         crowded = self._state.stored_bytes > self._room_bytes() * CROWDED_FRACTION
         jobs = [self._state.jobs[job_id] for job_id in old if job_id in self._state.jobs]
         forgotten = [job.job_id for job in jobs if job.ended or (crowded and job.done)]
-        if forgotten and self._group.confirmed():
+        if forgotten and self._group.is_confirmed_primary():
             await self._group.propose(forget_command(forgotten), PROPOSE_TIMEOUT_S)
 
 
--- a/cherrycove/tier/batch/worker.py
+++ b/cherrycove/tier/batch/worker.py
@@ -18,7 +18,7 @@
 from cherrycove.tier.batch.interface import ROUTE_REMOVED, ItemExecutor, ItemOutcome, ItemState
 from cherrycove.tier.batch.jobs import ItemKey
 from cherrycove.tier.batch.leases import RENEWAL_INTERVAL_S
-from cherrycove.tier.distribution.views import Views
+from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ErrorKind
 from cherrycove.tier.protocol import batch_pb2 as pb
 from cherrycove.tier.settings import Settings
@@ -63,7 +63,7 @@
         settings: Settings,
         client: BatchClient,
         executor: ItemExecutor,
-        views: Views,
+        views: ClusterView,
         incarnation: str,
         *,
         clock: Callable[[], float] = time.monotonic,
@@ -172,7 +172,7 @@
             return 0
         if sum(run.unreported_bytes for run in self._runs.values()) > MAX_UNREPORTED_BYTES:
             return 0
-        return max(0, min(self._executor.free_places(), MAX_CAPACITY))
+        return max(0, min(self._executor.free_slots(), MAX_CAPACITY))
 
     def _batch_routes(self) -> list[str]:
         configuration = self._views.configuration
--- a/cherrycove/tier/cli/storage.py
+++ b/cherrycove/tier/cli/storage.py
@@ -13,8 +13,8 @@
 from cherrycove.tier.cli.command import CommandError, ExitCode, Outcome, Problem, TierCommand
 from cherrycove.tier.storage.files import DamagedStorageError
 from cherrycove.tier.storage.identity import IDENTITY_FILE, open_identity
+from cherrycove.tier.storage.replica_storage import RecoveredState, ReplicaStorage
 from cherrycove.tier.storage.segments import segment_names
-from cherrycove.tier.storage.store import RecoveredState, ReplicaStorage
 
 DIRECTORY_ARGUMENT = argument("directory", "Folder of one replica (dataDirectory/keeper or .../store).")
 
--- a/cherrycove/tier/controlplane/settlement.py
+++ b/cherrycove/tier/controlplane/barrier_proposer.py
@@ -9,7 +9,7 @@
 from cherrycove.tier.replication.interface import Group
 
 
-class Settlement:
+class BarrierProposer:
     """Proposes commands one at a time, and knows whether the outcome of the last one is open.
 
     Before anything else is decided, a barrier is committed: an entry in the same log behind the open one, so
--- a/cherrycove/tier/controlplane/broker_changes.py
+++ b/cherrycove/tier/controlplane/broker_changes.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from cherrycove.tier.distribution.views import Broker
+from cherrycove.tier.distribution.cluster_view import Broker
 from cherrycove.tier.protocol.control_pb2 import BrokerEntry, BrokerList
 
 
--- a/cherrycove/tier/controlplane/broker_list.py
+++ b/cherrycove/tier/controlplane/broker_discovery.py
@@ -15,7 +15,7 @@
 
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol.control_pb2 import BrokerEntry, BrokerList
-from cherrycove.tier.protocol.sessions import KeptConnector, client_session
+from cherrycove.tier.protocol.sessions import NoRetryConnector, client_session
 from cherrycove.tier.settings import Settings
 
 READS_PER_DRAIN = 5.0  # the list is read so often within bounds.drain_ms
@@ -140,7 +140,7 @@
     async def read(self) -> Result[BrokerList, Failure]: ...
 
 
-class BrokerListReader:
+class BrokerDiscoveryClient:
     """Calls the platform."""
 
     def __init__(self, settings: Settings) -> None:
@@ -150,7 +150,7 @@
 
     async def start(self) -> None:
         timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
-        connector = KeptConnector(limit=1, keepalive_timeout=10.0)
+        connector = NoRetryConnector(limit=1, keepalive_timeout=10.0)
         self._session = client_session(connector, timeout=timeout)
 
     async def stop(self) -> None:
--- a/cherrycove/tier/controlplane/broker_reading.py
+++ b/cherrycove/tier/controlplane/broker_watcher.py
@@ -8,8 +8,8 @@
 from result import Err
 
 from cherrycove.tier.controlplane.broker_changes import AbsenceCheck
-from cherrycove.tier.controlplane.broker_list import BrokerListReader, BrokerReader, ReadPacing
-from cherrycove.tier.controlplane.term import Term
+from cherrycove.tier.controlplane.broker_discovery import BrokerDiscoveryClient, BrokerReader, ReadPacing
+from cherrycove.tier.controlplane.leadership_period import LeadershipPeriod
 from cherrycove.tier.controlplane.topics import ControlTopics
 from cherrycove.tier.protocol.control_pb2 import BrokerList
 from cherrycove.tier.settings import Settings
@@ -20,16 +20,20 @@
 _log = logging.getLogger(__name__)
 
 
-class BrokerReading:
+class BrokerWatcher:
     """One reader of the platform's list: the primary keeper."""
 
     def __init__(
-        self, settings: Settings, term: Term, topics: ControlTopics, reader: BrokerReader | None = None
+        self,
+        settings: Settings,
+        term: LeadershipPeriod,
+        topics: ControlTopics,
+        reader: BrokerReader | None = None,
     ) -> None:
         """``reader`` stands in for the one that calls the platform."""
         self._term = term
         self._topics = topics
-        self._reader = reader or BrokerListReader(settings)
+        self._reader = reader or BrokerDiscoveryClient(settings)
         self._pacing = ReadPacing(settings)
         self._absences = AbsenceCheck()
         self._inherited = BrokerList()
--- a/cherrycove/tier/controlplane/configuration_decisions.py
+++ b/cherrycove/tier/controlplane/configuration_decisions.py
@@ -10,8 +10,8 @@
 from result import Err, Ok, Result
 
 from cherrycove.tier.configuration import parse_configuration
+from cherrycove.tier.controlplane.barrier_proposer import BarrierProposer
 from cherrycove.tier.controlplane.leadership import Leadership
-from cherrycove.tier.controlplane.settlement import Settlement
 from cherrycove.tier.controlplane.state import AcceptOutcome, ControlState, content_digest
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol.keeper_pb2 import AcceptConfiguration, Command
@@ -32,7 +32,7 @@
     """
 
     def __init__(self, group: Group, state: ControlState, leadership: Leadership) -> None:
-        self._settlement = Settlement(group)
+        self._settlement = BarrierProposer(group)
         self._state = state
         self._leadership = leadership
         self._lock = asyncio.Lock()
@@ -69,7 +69,7 @@
 
     def _check(self, body: bytes, base_version: int) -> Result[AcceptConfiguration | None, Failure]:
         """The command to commit, or None when exactly this document was taken already. Does not wait."""
-        if not self._leadership.confirmed():
+        if not self._leadership.is_confirmed_primary():
             return Err(self._leadership.refusal())
         parsed = parse_configuration(body)
         digest = content_digest(body)
--- a/cherrycove/tier/controlplane/keeper.py
+++ b/cherrycove/tier/controlplane/controller.py
@@ -10,21 +10,21 @@
 from result import Ok, Result
 
 from cherrycove.tier.controlplane.broker_changes import broker_entry
-from cherrycove.tier.controlplane.broker_list import BrokerReader
-from cherrycove.tier.controlplane.broker_reading import BrokerReading
+from cherrycove.tier.controlplane.broker_discovery import BrokerReader
+from cherrycove.tier.controlplane.broker_watcher import BrokerWatcher
 from cherrycove.tier.controlplane.configuration_decisions import ConfigurationDecisions
-from cherrycove.tier.controlplane.group_wishes import GroupWishes
+from cherrycove.tier.controlplane.controller_group import ControllerGroupMembership
 from cherrycove.tier.controlplane.leadership import Leadership
+from cherrycove.tier.controlplane.leadership_period import LeadershipPeriod, LeadershipPeriodAuthority
 from cherrycove.tier.controlplane.operator_api import OperatorApi
-from cherrycove.tier.controlplane.register import REMEMBERED_S, Register
-from cherrycove.tier.controlplane.retirement import Retirement
+from cherrycove.tier.controlplane.process_registry import REMEMBERED_S, ProcessRegistry
+from cherrycove.tier.controlplane.retirement import RetirementService
 from cherrycove.tier.controlplane.state import ControlState
-from cherrycove.tier.controlplane.store_group import StoreFleet, full_size
-from cherrycove.tier.controlplane.store_maintenance import StoreMaintenance
-from cherrycove.tier.controlplane.term import Term, TermAuthority
+from cherrycove.tier.controlplane.store_group import StoreInventory, full_size
+from cherrycove.tier.controlplane.store_group_reconciler import StoreGroupReconciler
 from cherrycove.tier.controlplane.topics import ControlTopics
+from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.distribution.publisher import Publisher
-from cherrycove.tier.distribution.views import Views
 from cherrycove.tier.errors import Failure
 from cherrycove.tier.protocol.control_pb2 import Announcement, BrokerList, MemberList, PullRequest, Replica
 from cherrycove.tier.protocol.interface import Caller, CallRegistry
@@ -42,7 +42,7 @@
 _log = logging.getLogger(__name__)
 
 
-class Keeper:
+class Controller:
     """Assembles the control plane of one machine."""
 
     def __init__(
@@ -52,7 +52,7 @@
         state: ControlState,
         server: CallRegistry,
         client: Caller,
-        views: Views | None = None,
+        views: ClusterView | None = None,
         reader: BrokerReader | None = None,
     ) -> None:
         """The caller starts and stops ``server`` and ``client``; ``state`` is the group's state machine.
@@ -62,19 +62,19 @@
         self._settings = settings
         self._group = group
         self._state = state
-        self._views = Views() if views is None else views
+        self._views = ClusterView() if views is None else views
         self._leadership = Leadership(group, self._views)
-        self._term = Term(group, self._begin_term, self._end_term)
+        self._term = LeadershipPeriod(group, self._begin_term, self._end_term)
         self._term_began = 0.0
         self._members_due_at = 0.0
-        self._register = Register()
-        self._publisher = Publisher(TermAuthority(self._term, self._leadership), self._on_pull)
+        self._register = ProcessRegistry()
+        self._publisher = Publisher(LeadershipPeriodAuthority(self._term, self._leadership), self._on_pull)
         self._topics = ControlTopics(self._publisher, state)
-        self._wishes = GroupWishes(settings, group, state)
-        self._stores = StoreMaintenance(settings, group, state, self._term, client, self._fleet)
-        self._brokers = BrokerReading(settings, self._term, self._topics, reader)
+        self._wishes = ControllerGroupMembership(settings, group, state)
+        self._stores = StoreGroupReconciler(settings, group, state, self._term, client, self._fleet)
+        self._brokers = BrokerWatcher(settings, self._term, self._topics, reader)
         decisions = ConfigurationDecisions(group, state, self._leadership)
-        retirement = Retirement(
+        retirement = RetirementService(
             group, state, self._leadership, self._fleet, self._stores_heard, full_size(settings)
         )
         self.operator_api = OperatorApi(self._leadership, state, decisions, retirement)
@@ -123,10 +123,10 @@
     def _stores_heard(self) -> bool:
         return self._term.holds() and _now() - self._term_began >= STORES_HEARD_S
 
-    def _fleet(self) -> StoreFleet:
+    def _fleet(self) -> StoreInventory:
         recent = _now() - self._term_began < REMEMBERED_S
         machines = self._state.machines
-        return StoreFleet(
+        return StoreInventory(
             alive=self._register.alive(_now(), "store"),
             remembered=self._register.remembered("store"),
             initial=self._state.initial_stores,
@@ -164,7 +164,7 @@
             self._register.resume(now)
             self._topics.publish_state()
             return
-        self._register = Register()
+        self._register = ProcessRegistry()
         self._stores.begin_term()
         inherited = BrokerList()
         if now - self._views.last_contact < SEED_AGE_S:
--- a/cherrycove/tier/controlplane/group_wishes.py
+++ b/cherrycove/tier/controlplane/controller_group.py
@@ -4,15 +4,15 @@
 
 from collections.abc import Iterable
 
-from cherrycove.tier.controlplane.machines import stands_on
-from cherrycove.tier.controlplane.register import Registration
+from cherrycove.tier.controlplane.machines import is_on_machine
+from cherrycove.tier.controlplane.process_registry import Registration
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.protocol.control_pb2 import Announcement
 from cherrycove.tier.replication.interface import Group, MemberIdentity
 from cherrycove.tier.settings import Settings
 
 
-class GroupWishes:
+class ControllerGroupMembership:
     """Standbys come from the announcements; who must leave comes from the replicated state alone."""
 
     def __init__(self, settings: Settings, group: Group, state: ControlState) -> None:
@@ -39,7 +39,7 @@
         standing = {
             member.member_id
             for member in self._group.members
-            if any(stands_on(order, member.node_name, member.address) for order in orders)
+            if any(is_on_machine(order, member.node_name, member.address) for order in orders)
         }
         self._group.retire(frozenset(names | disks | standing))
 
--- a/cherrycove/tier/controlplane/leadership.py
+++ b/cherrycove/tier/controlplane/leadership.py
@@ -6,7 +6,7 @@
 
 from result import Err, Ok, Result
 
-from cherrycove.tier.distribution.views import Views
+from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.replication.interface import Group
 
@@ -19,7 +19,7 @@
 class Leadership:
     """The group's leadership as the publisher and the operator's interface need it."""
 
-    def __init__(self, group: Group, views: Views) -> None:
+    def __init__(self, group: Group, views: ClusterView) -> None:
         """``views`` tells which keeper answered this process as the primary, and when."""
         self._group = group
         self._views = views
@@ -31,8 +31,8 @@
     def epoch(self) -> int:
         return self._group.epoch
 
-    def confirmed(self) -> bool:
-        return self._group.confirmed()
+    def is_confirmed_primary(self) -> bool:
+        return self._group.is_confirmed_primary()
 
     def primary_address(self) -> str:
         """RPC address of the keeper that leads, by the newest evidence; empty while that is too old.
@@ -44,7 +44,7 @@
         now = asyncio.get_running_loop().time()
         group, views = self._group, self._views
         primary = group.primary
-        listed = group.identity.member_id in group.listed()
+        listed = group.identity.member_id in group.voting_member_ids()
         if primary is None and listed and views.last_contact - self._primary_since < WITHOUT_HEARTBEATS_S:
             return ""
         heard_at, address = views.last_contact, views.primary_address
@@ -71,7 +71,7 @@
         A caller that awaits anything afterwards must ask ``confirmed`` again before it refuses for good."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
-        while not self._group.confirmed():
+        while not self._group.is_confirmed_primary():
             if self.primary_address() or loop.time() >= deadline:
                 return Err(self.refusal())
             await asyncio.sleep(POLL_S)
--- a/cherrycove/tier/controlplane/term.py
+++ b/cherrycove/tier/controlplane/leadership_period.py
@@ -11,7 +11,7 @@
 _log = logging.getLogger(__name__)
 
 
-class Term:
+class LeadershipPeriod:
     """The present term: an epoch in which this replica is the confirmed primary. A lost lease pauses it."""
 
     def __init__(self, group: Group, on_begin: Callable[[int], None], on_end: Callable[[], None]) -> None:
@@ -28,7 +28,7 @@
 
     def update(self) -> None:
         """Compare with the group, and begin or end the term."""
-        epoch = self._group.epoch if self._group.confirmed() else None
+        epoch = self._group.epoch if self._group.is_confirmed_primary() else None
         if epoch == self._epoch:
             return
         self._epoch = epoch
@@ -41,16 +41,20 @@
 
     def holds(self) -> bool:
         """Whether this replica still leads in the epoch of the last update."""
-        return self._epoch is not None and self._epoch == self._group.epoch and self._group.confirmed()
+        return (
+            self._epoch is not None
+            and self._epoch == self._group.epoch
+            and self._group.is_confirmed_primary()
+        )
 
 
-class TermAuthority:
+class LeadershipPeriodAuthority:
     """The leadership as the publisher asks for it: each question brings what is published up to date.
 
     A lease can begin to hold without a change that the group reports. Without the update, a pull that was
     held meanwhile would be answered with what was published in an earlier term."""
 
-    def __init__(self, term: Term, leadership: Leadership) -> None:
+    def __init__(self, term: LeadershipPeriod, leadership: Leadership) -> None:
         self._term = term
         self._leadership = leadership
 
@@ -58,7 +62,7 @@
     def epoch(self) -> int:
         return self._leadership.epoch
 
-    def confirmed(self) -> bool:
+    def is_confirmed_primary(self) -> bool:
         self._term.update()
         return self._term.holds()
 
--- a/cherrycove/tier/controlplane/machines.py
+++ b/cherrycove/tier/controlplane/machines.py
@@ -27,7 +27,7 @@
     return machine.ip in order.ips
 
 
-def stands_on(order: RetireOrder, node_name: str, address: str) -> bool:
+def is_on_machine(order: RetireOrder, node_name: str, address: str) -> bool:
     """Whether a member of a group is a process of the machine that ``order`` names.
 
     The first members of the keepers' group have no node name: their address tells."""
--- a/cherrycove/tier/controlplane/operator_api.py
+++ b/cherrycove/tier/controlplane/operator_api.py
@@ -10,7 +10,7 @@
 
 from cherrycove.tier.controlplane.configuration_decisions import MAX_VERSION, ConfigurationDecisions
 from cherrycove.tier.controlplane.leadership import Leadership
-from cherrycove.tier.controlplane.retirement import Retirement
+from cherrycove.tier.controlplane.retirement import RetirementService
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.errors import ErrorKind, Failure
 
@@ -30,7 +30,7 @@
         leadership: Leadership,
         state: ControlState,
         decisions: ConfigurationDecisions,
-        retirement: Retirement,
+        retirement: RetirementService,
     ) -> None:
         self._leadership = leadership
         self._state = state
@@ -115,7 +115,7 @@
 
     def _refused(self, request: web.Request, failure: Failure) -> web.Response:
         """A refusal for good, which only the confirmed primary may give."""
-        confirmed = self._leadership.confirmed()
+        confirmed = self._leadership.is_confirmed_primary()
         return self._failed(request, failure if confirmed else self._leadership.refusal())
 
     def _failed(self, request: web.Request, failure: Failure) -> web.Response:
--- a/cherrycove/tier/controlplane/register.py
+++ b/cherrycove/tier/controlplane/process_registry.py
@@ -38,7 +38,7 @@
         return now - self.heard_at < timeout
 
 
-class Register:
+class ProcessRegistry:
     """Processes by machine and program. Times are monotonic seconds."""
 
     def __init__(self) -> None:
--- a/cherrycove/tier/controlplane/retirement.py
+++ b/cherrycove/tier/controlplane/retirement.py
@@ -8,11 +8,11 @@
 
 from result import Err, Ok, Result
 
+from cherrycove.tier.controlplane.barrier_proposer import BarrierProposer
 from cherrycove.tier.controlplane.leadership import Leadership
 from cherrycove.tier.controlplane.machines import same_machine
-from cherrycove.tier.controlplane.settlement import Settlement
 from cherrycove.tier.controlplane.state import ControlState
-from cherrycove.tier.controlplane.store_group import StoreFleet, retire_command
+from cherrycove.tier.controlplane.store_group import StoreInventory, retire_command
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol.keeper_pb2 import Command, Retire
 from cherrycove.tier.replication.interface import Group
@@ -25,7 +25,7 @@
     COMPLETED = "completed"
 
 
-class Retirement:
+class RetirementService:
     """Only the confirmed primary decides; nothing is refused for good before the stores could be heard."""
 
     def __init__(
@@ -33,12 +33,12 @@
         group: Group,
         state: ControlState,
         leadership: Leadership,
-        fleet: Callable[[], StoreFleet],
+        fleet: Callable[[], StoreInventory],
         stores_heard: Callable[[], bool],
         group_size: int,
     ) -> None:
         """``fleet`` is the present view; ``stores_heard`` tells whether all stores had time to announce."""
-        self._settlement = Settlement(group)
+        self._settlement = BarrierProposer(group)
         self._state = state
         self._leadership = leadership
         self._fleet = fleet
@@ -80,7 +80,7 @@
 
     def _check(self, node_name: str) -> Result[Retire | None, Failure]:
         """The command to commit, or None when the order is in force already. Does not wait."""
-        if not self._leadership.confirmed():
+        if not self._leadership.is_confirmed_primary():
             return Err(self._leadership.refusal())
         fleet = self._fleet()
         machine = fleet.machine(node_name)
@@ -92,7 +92,7 @@
             return Ok(retire_command(machine))
         return Err(self._refusal(node_name, fleet))
 
-    def _refusal(self, node_name: str, fleet: StoreFleet) -> Failure:
+    def _refusal(self, node_name: str, fleet: StoreInventory) -> Failure:
         if not self._stores_heard() or not fleet.remembered:
             return Failure(ErrorKind.UNAVAILABLE, "the stores have not announced themselves yet")
         if not fleet.knows(node_name):
@@ -102,7 +102,7 @@
         return Failure(ErrorKind.CONFLICT, "too few storage machines would remain")
 
     def state(self, node_name: str) -> Result[RetireState, Failure]:
-        if not self._leadership.confirmed():
+        if not self._leadership.is_confirmed_primary():
             return Err(self._leadership.refusal())
         order = self._state.retire_orders.get(node_name)
         if order is None:
--- a/cherrycove/tier/controlplane/emptying.py
+++ b/cherrycove/tier/controlplane/retirement_check.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from cherrycove.tier.controlplane.machines import stands_on
+from cherrycove.tier.controlplane.machines import is_on_machine
 from cherrycove.tier.protocol.keeper_pb2 import RetireOrder, StoreMembersReply
 from cherrycove.tier.replication.interface import CommittedMembers
 
@@ -25,7 +25,7 @@
 
 
 @attrs.frozen
-class CommittedList:
+class CommittedMembership:
     """A member list that its group has committed, from the primary under a valid lease."""
 
     members: tuple[GroupMember, ...]
@@ -33,14 +33,14 @@
     revision: int | None = None  # of the orders that its primary knows; None: all, the orders are its state
 
     @staticmethod
-    def of_keepers(committed: CommittedMembers) -> CommittedList:
+    def of_keepers(committed: CommittedMembers) -> CommittedMembership:
         members = (GroupMember(one.member_id, one.node_name, one.address) for one in committed.members)
-        return CommittedList(tuple(members), committed.excluded)
+        return CommittedMembership(tuple(members), committed.excluded)
 
     @staticmethod
-    def of_stores(reply: StoreMembersReply) -> CommittedList:
+    def of_stores(reply: StoreMembersReply) -> CommittedMembership:
         members = (GroupMember(one.member_id, one.node_name, one.address) for one in reply.members)
-        return CommittedList(tuple(members), frozenset(reply.excluded), reply.revision)
+        return CommittedMembership(tuple(members), frozenset(reply.excluded), reply.revision)
 
     def on_machine(self, order: RetireOrder, disks: Iterable[str]) -> list[str]:
         """Ids of members that stand on the machine of ``order``, or on one of its ``disks``."""
@@ -48,12 +48,12 @@
         return [
             one.member_id
             for one in self.members
-            if one.member_id in known or stands_on(order, one.node_name, one.address)
+            if one.member_id in known or is_on_machine(order, one.node_name, one.address)
         ]
 
 
 def obstacle(
-    order: RetireOrder, keepers: CommittedList, stores: CommittedList, group_size: int
+    order: RetireOrder, keepers: CommittedMembership, stores: CommittedMembership, group_size: int
 ) -> str | None:
     """What keeps the machine of ``order`` from being taken away; None if nothing does.
 
@@ -74,7 +74,7 @@
 
 
 def _obstacle_in(
-    group: str, committed: CommittedList, order: RetireOrder, disks: Collection[str]
+    group: str, committed: CommittedMembership, order: RetireOrder, disks: Collection[str]
 ) -> str | None:
     if committed.revision is not None and committed.revision < order.revision:
         return f"the {group} group's primary does not know the order yet"
--- a/cherrycove/tier/controlplane/store_group.py
+++ b/cherrycove/tier/controlplane/store_group.py
@@ -7,7 +7,7 @@
 import attrs
 
 from cherrycove.tier.controlplane.machines import same_machine
-from cherrycove.tier.controlplane.register import Registration
+from cherrycove.tier.controlplane.process_registry import Registration
 from cherrycove.tier.protocol.control_pb2 import Announcement, Replica
 from cherrycove.tier.protocol.keeper_pb2 import (
     Command,
@@ -29,7 +29,7 @@
     return 2 * settings.fault_tolerance.machine_failures + 1
 
 
-class GroupForming:
+class StoreGroupBootstrap:
     """Chooses the initial replicas of the store group. Times are monotonic seconds."""
 
     def __init__(self, settings: Settings) -> None:
@@ -95,7 +95,7 @@
 
 
 @attrs.frozen
-class StoreFleet:
+class StoreInventory:
     """The stores as the primary keeper sees them at one moment."""
 
     alive: Sequence[Registration]
@@ -145,7 +145,7 @@
         return len((names | self.awaited) - set(self.orders) - {node_name})
 
 
-def record_updates(fleet: StoreFleet) -> list[Command]:
+def record_updates(fleet: StoreInventory) -> list[Command]:
     """The command that records machines that are new, or have another address or disk; an open order learns
     from it as well."""
     changed = [
@@ -164,7 +164,7 @@
     return merged != known
 
 
-def order_updates(fleet: StoreFleet) -> list[Command]:
+def order_updates(fleet: StoreInventory) -> list[Command]:
     """Commands that bring the retire orders up to date with what the stores announced.
 
     - An open order without a disk, or whose machine lost its disk meanwhile, takes on the present disk.
--- a/cherrycove/tier/controlplane/store_maintenance.py
+++ b/cherrycove/tier/controlplane/store_group_reconciler.py
@@ -8,17 +8,17 @@
 
 from result import Err
 
-from cherrycove.tier.controlplane.emptying import CommittedList, obstacle
+from cherrycove.tier.controlplane.leadership_period import LeadershipPeriod
+from cherrycove.tier.controlplane.retirement_check import CommittedMembership, obstacle
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.controlplane.store_group import (
-    GroupForming,
-    StoreFleet,
+    StoreGroupBootstrap,
+    StoreInventory,
     full_size,
     order_updates,
     record_updates,
 )
 from cherrycove.tier.controlplane.store_members import StoreMembersReader
-from cherrycove.tier.controlplane.term import Term
 from cherrycove.tier.protocol.interface import Caller
 from cherrycove.tier.protocol.keeper_pb2 import Command, FormStoreGroup, Retired, RetireOrder
 from cherrycove.tier.replication.interface import Group
@@ -30,7 +30,7 @@
 _log = logging.getLogger(__name__)
 
 
-class StoreMaintenance:
+class StoreGroupReconciler:
     """Acts only in a term that holds; every change is a command of the replicated state."""
 
     def __init__(
@@ -38,9 +38,9 @@
         settings: Settings,
         group: Group,
         state: ControlState,
-        term: Term,
+        term: LeadershipPeriod,
         client: Caller,
-        fleet: Callable[[], StoreFleet],
+        fleet: Callable[[], StoreInventory],
     ) -> None:
         """``group`` is the keepers' own; ``fleet`` tells what the stores announced to this primary."""
         self._settings = settings
@@ -49,12 +49,12 @@
         self._term = term
         self._fleet = fleet
         self._reader = StoreMembersReader(client)
-        self._forming = GroupForming(settings)
+        self._forming = StoreGroupBootstrap(settings)
         self._obstacles: dict[str, str] = {}
 
     def begin_term(self) -> None:
         """What was gathered in an earlier term counts no more."""
-        self._forming = GroupForming(self._settings)
+        self._forming = StoreGroupBootstrap(self._settings)
         self._obstacles = {}
 
     async def step(self) -> None:
@@ -88,12 +88,12 @@
         reply = await self._reader.read(self._store_addresses())
         if isinstance(reply, Err):
             return
-        stores = CommittedList.of_stores(reply.ok_value)
+        stores = CommittedMembership.of_stores(reply.ok_value)
         for order in self._open_orders():
             committed = self._group.committed_members()
             if committed is None or not self._term.holds():
                 return
-            keepers = CommittedList.of_keepers(committed)
+            keepers = CommittedMembership.of_keepers(committed)
             hindrance = obstacle(order, keepers, stores, full_size(self._settings))
             self._note(order, hindrance or "")
             if hindrance is None:
--- a/cherrycove/tier/controlplane/store_members.py
+++ b/cherrycove/tier/controlplane/store_members.py
@@ -6,7 +6,7 @@
 
 from result import Err, Ok, Result
 
-from cherrycove.tier.distribution.views import Views
+from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol.control_pb2 import Replica
 from cherrycove.tier.protocol.interface import Caller, CallRegistry
@@ -20,7 +20,7 @@
 class StoreMembersService:
     """Answers at a store, only while it leads under a valid lease and no change of members is open."""
 
-    def __init__(self, group: Group, views: Views) -> None:
+    def __init__(self, group: Group, views: ClusterView) -> None:
         self._group = group
         self._views = views
 
--- a/cherrycove/tier/controlplane/topics.py
+++ b/cherrycove/tier/controlplane/topics.py
@@ -5,7 +5,7 @@
 import logging
 
 from cherrycove.tier.controlplane.broker_changes import same_brokers
-from cherrycove.tier.controlplane.register import MemberListChanges
+from cherrycove.tier.controlplane.process_registry import MemberListChanges
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.distribution.publisher import Publisher
 from cherrycove.tier.distribution.topics import BROKERS, CONFIGURATION, MEMBERS, STORE_GROUP
--- a/cherrycove/tier/dataplane/admission/broker_state.py
+++ b/cherrycove/tier/dataplane/admission/broker_state.py
@@ -11,7 +11,7 @@
 from cherrycove.tier.dataplane.admission.health import Health
 from cherrycove.tier.dataplane.admission.interface import Ticket
 from cherrycove.tier.dataplane.admission.load import LoadEstimate
-from cherrycove.tier.distribution.views import Broker
+from cherrycove.tier.distribution.cluster_view import Broker
 from finchrack.state import PERIOD, NodeQueue, Recent
 
 START_L = 4.0  # of a broker that nothing is known of
--- a/cherrycove/tier/dataplane/admission/interface.py
+++ b/cherrycove/tier/dataplane/admission/interface.py
@@ -10,7 +10,7 @@
 
 from cherrycove.tier.configuration import Configuration
 from cherrycove.tier.dataplane.prompt import NO_PROMPT, Prompt
-from cherrycove.tier.distribution.views import Broker
+from cherrycove.tier.distribution.cluster_view import Broker
 from finchrack.state import Request
 
 
--- a/cherrycove/tier/dataplane/admission/scheduler.py
+++ b/cherrycove/tier/dataplane/admission/scheduler.py
@@ -149,7 +149,7 @@
             self._refuse_if_hopeless(ticket, ahead, now)
         return self._taken()
 
-    def free_places(self, now: float) -> int:
+    def free_slots(self, now: float) -> int:
         """How many batch items this proxy could start now, besides those that wait here."""
         if self._held:
             return 0
--- a/cherrycove/tier/dataplane/gate.py
+++ b/cherrycove/tier/dataplane/gate.py
@@ -21,7 +21,7 @@
 )
 from cherrycove.tier.dataplane.admission.scheduler import Scheduler
 from cherrycove.tier.dataplane.headers import InstanceLoad
-from cherrycove.tier.distribution.views import Broker, Views
+from cherrycove.tier.distribution.cluster_view import Broker, ClusterView
 
 
 @attrs.define(eq=False)
@@ -48,7 +48,7 @@
 class Gate:
     """Lets exchanges wait for admission, and carries out what it decides."""
 
-    def __init__(self, views: Views, rng: random.Random) -> None:
+    def __init__(self, views: ClusterView, rng: random.Random) -> None:
         self._views = views
         self._rng = rng
         self._scheduler: Scheduler | None = None
@@ -98,9 +98,9 @@
             if not ticket.batch:
                 ticket.end = min(ticket.end, at)
 
-    def free_places(self) -> int:
+    def free_slots(self) -> int:
         """How many batch items could be started now."""
-        return self._admission.free_places(self._now()) if self._scheduler is not None else 0
+        return self._admission.free_slots(self._now()) if self._scheduler is not None else 0
 
     @property
     def _admission(self) -> Scheduler:
--- a/cherrycove/tier/dataplane/ingress.py
+++ b/cherrycove/tier/dataplane/ingress.py
@@ -17,7 +17,7 @@
 from aiohttp.http import HttpProcessingError, RawRequestMessage
 from aiohttp.streams import StreamReader
 
-from cherrycove.tier.batch.interface import LONGEST_CALL_S
+from cherrycove.tier.batch.interface import MAX_CALL_S
 from cherrycove.tier.configuration import ClientLimits, Route
 from cherrycove.tier.dataplane.arrivals import Arrivals
 from cherrycove.tier.dataplane.batch_calls import BATCH_KIND, BATCH_PATHS, batch_route, is_batch_call
@@ -25,7 +25,7 @@
 from cherrycove.tier.dataplane.drain import DrainDeadline, LongestLately
 from cherrycove.tier.dataplane.headers import REQUEST_ID
 from cherrycove.tier.dataplane.relay import own_answer
-from cherrycove.tier.distribution.views import Views
+from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.settings import Settings
 
 BACKLOG = 1024  # connections to be accepted
@@ -109,7 +109,7 @@
     """Takes clients' requests on the frontend address."""
 
     def __init__(
-        self, settings: Settings, views: Views, dispatcher: Dispatcher, drain: DrainDeadline
+        self, settings: Settings, views: ClusterView, dispatcher: Dispatcher, drain: DrainDeadline
     ) -> None:
         self._settings = settings
         self._views = views
@@ -217,7 +217,7 @@
         self, api: BatchApi, request: web.BaseRequest, body: bytes, route: Route | None
     ) -> web.StreamResponse:
         now = asyncio.get_running_loop().time()
-        if not self._drain.takes(now, now + LONGEST_CALL_S, 0.0):
+        if not self._drain.takes(now, now + MAX_CALL_S, 0.0):
             return self._leaving(request)
         try:
             async with self._drain.limit():
--- a/cherrycove/tier/dataplane/items.py
+++ b/cherrycove/tier/dataplane/items.py
@@ -31,7 +31,7 @@
     Outgoing,
     Upstream,
 )
-from cherrycove.tier.distribution.views import Views
+from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.protocol.batch_pb2 import LeasedItem
 
 PAUSE_S = 0.1  # after a send without progress; doubles up to the longest
@@ -45,14 +45,14 @@
 class BrokerItemExecutor:
     """Sends items through admission to brokers and collects what they generate."""
 
-    def __init__(self, views: Views, gate: Gate, upstream: Upstream, rng: random.Random) -> None:
+    def __init__(self, views: ClusterView, gate: Gate, upstream: Upstream, rng: random.Random) -> None:
         self._views = views
         self._gate = gate
         self._upstream = upstream
         self._rng = rng
 
-    def free_places(self) -> int:
-        return self._gate.free_places()
+    def free_slots(self) -> int:
+        return self._gate.free_slots()
 
     async def run_item(
         self, item: LeasedItem, may_send: Callable[[], bool], record_failures: RecordFailures
--- a/cherrycove/tier/dataplane/plane.py
+++ b/cherrycove/tier/dataplane/plane.py
@@ -14,7 +14,7 @@
 from cherrycove.tier.dataplane.items import BrokerItemExecutor
 from cherrycove.tier.dataplane.readiness import Readiness
 from cherrycove.tier.dataplane.upstream import Upstream
-from cherrycove.tier.distribution.views import Views
+from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.settings import Settings
 
 _log = logging.getLogger(__name__)
@@ -28,7 +28,7 @@
 class DataPlane:
     """Serves live requests and runs batch items on one machine."""
 
-    def __init__(self, settings: Settings, views: Views, rng: random.Random) -> None:
+    def __init__(self, settings: Settings, views: ClusterView, rng: random.Random) -> None:
         self._settings = settings
         self._views = views
         self._draining = False
--- a/cherrycove/tier/dataplane/upstream.py
+++ b/cherrycove/tier/dataplane/upstream.py
@@ -28,7 +28,7 @@
     InstanceLoad,
     instance_load,
 )
-from cherrycove.tier.distribution.views import Broker
+from cherrycove.tier.distribution.cluster_view import Broker
 from cherrycove.tier.protocol.sessions import client_session
 
 CONNECT_TIMEOUT_S = 0.25
--- a/cherrycove/tier/distribution/views.py
+++ b/cherrycove/tier/distribution/cluster_view.py
@@ -25,7 +25,7 @@
 
 
 @attrs.define
-class Views:
+class ClusterView:
     """The newest of every topic. ``configuration`` is None until the first one has come."""
 
     configuration: Configuration | None = None
--- a/cherrycove/tier/distribution/keeper_choice.py
+++ b/cherrycove/tier/distribution/controller_selector.py
@@ -11,7 +11,7 @@
 EARLIER_KEPT = 16  # keepers that were once known and are no longer listed
 
 
-class KeeperChoice:
+class ControllerSelector:
     """Follows the primary hint and rotates over the known keepers on failure."""
 
     def __init__(self, seeds: Iterable[str]) -> None:
--- a/cherrycove/tier/distribution/publisher.py
+++ b/cherrycove/tier/distribution/publisher.py
@@ -23,7 +23,7 @@
     @property
     def epoch(self) -> int: ...
 
-    def confirmed(self) -> bool: ...
+    def is_confirmed_primary(self) -> bool: ...
 
     def primary_address(self) -> str:
         """RPC address of another replica that leads; empty while unknown."""
@@ -68,7 +68,7 @@
         return Err(self._not_primary())
 
     def _leads(self) -> bool:
-        return not self._closed and self._authority.confirmed()
+        return not self._closed and self._authority.is_confirmed_primary()
 
     def _not_primary(self) -> Failure:
         return Failure(ErrorKind.NOT_PRIMARY, "not the primary keeper", self._authority.primary_address())
--- a/cherrycove/tier/distribution/puller.py
+++ b/cherrycove/tier/distribution/puller.py
@@ -10,10 +10,10 @@
 from result import Err, Ok
 
 from cherrycove.tier.configuration import parse_configuration
-from cherrycove.tier.distribution.keeper_choice import MAX_PAUSE_S, KeeperChoice
+from cherrycove.tier.distribution.cluster_view import Broker, ClusterView
+from cherrycove.tier.distribution.controller_selector import MAX_PAUSE_S, ControllerSelector
 from cherrycove.tier.distribution.publisher import PULL_CALL
 from cherrycove.tier.distribution.topics import VersionVector
-from cherrycove.tier.distribution.views import Broker, Views
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol.control_pb2 import (
     Announcement,
@@ -32,13 +32,13 @@
 _log = logging.getLogger(__name__)
 
 
-class ViewUpdater:
+class ClusterViewUpdater:
     """Applies updates of topics to the views. Within one life no topic goes back.
 
     The vector tells what the views hold: it advances with an update that was applied and with no other, so
     one that could not be read comes again with every pull until it, or a newer one, can be."""
 
-    def __init__(self, views: Views) -> None:
+    def __init__(self, views: ClusterView) -> None:
         self._views = views
         self.vector = VersionVector()
         self.unusable = False  # the last updates held one that is newer and could not be read
@@ -114,7 +114,7 @@
         self,
         settings: Settings,
         client: Caller,
-        views: Views,
+        views: ClusterView,
         announce: Callable[[], Announcement],
     ) -> None:
         """``announce`` describes this process at the time of each pull."""
@@ -122,8 +122,8 @@
         self._client = client
         self._views = views
         self._announce = announce
-        self._updater = ViewUpdater(views)
-        self._choice = KeeperChoice(_seeds(settings))
+        self._updater = ClusterViewUpdater(views)
+        self._choice = ControllerSelector(_seeds(settings))
         self._task: asyncio.Task[None] | None = None
         self._call: asyncio.Task[None] | None = None
         self._restart = False
--- a/cherrycove/tier/exploration/copying.py
+++ b/cherrycove/tier/exploration/copying.py
@@ -17,14 +17,14 @@
 import attrs
 from google.protobuf.message import Message
 
-from cherrycove.tier.replication.effects import WriteEntries, WritePromise, WriteSnapshot
+from cherrycove.tier.replication.effects import WriteEntries, WriteHardState, WriteSnapshot
 
 Copier = Callable[[Any, dict[int, Any]], Any]
 Canonical = Callable[[Any, dict[int, int]], Any]
 
 # Counters that only name writes in order; they differ without a difference in behaviour.
 _IGNORED_FIELDS = frozenset({"ticket", "_tickets"})
-_WRITES = (WriteEntries, WritePromise, WriteSnapshot)
+_WRITES = (WriteEntries, WriteHardState, WriteSnapshot)
 _PLAIN = (int, str, bytes, float, bool, type(None))
 _numbers: dict[Any, int] = {}  # of values met so far, which stand for them in canonical forms
 _copiers: dict[type, Copier] = {}
--- a/cherrycove/tier/exploration/decision_group.py
+++ b/cherrycove/tier/exploration/decision_group.py
@@ -83,11 +83,11 @@
     def members(self) -> tuple[MemberIdentity, ...]:
         return ()
 
-    def confirmed(self) -> bool:
+    def is_confirmed_primary(self) -> bool:
         return self._log.lease and self._log.primary == self._place
 
     async def propose(self, command: bytes, timeout_s: float) -> Result[object, Failure]:
-        if not self.confirmed():
+        if not self.is_confirmed_primary():
             return Err(Failure(ErrorKind.NOT_PRIMARY, "does not lead"))
         entry = self._log.append(command)
         future = self.proposals.add(entry.index, entry.epoch)
@@ -106,7 +106,7 @@
     def committed_members(self) -> None:
         """Members are not asked for here."""
 
-    def listed(self) -> frozenset[str]:
+    def voting_member_ids(self) -> frozenset[str]:
         return frozenset()
 
     def retire(self, names: frozenset[str]) -> None:
--- a/cherrycove/tier/exploration/decision_model.py
+++ b/cherrycove/tier/exploration/decision_model.py
@@ -19,7 +19,7 @@
 from cherrycove.tier.controlplane import configuration_decisions
 from cherrycove.tier.controlplane.configuration_decisions import DECISION_TIMEOUT_S, ConfigurationDecisions
 from cherrycove.tier.controlplane.leadership import Leadership
-from cherrycove.tier.distribution.views import Views
+from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.exploration.copying import digest
 from cherrycove.tier.exploration.decision_group import NOBODY, KeeperGroup, SharedLog
@@ -75,12 +75,12 @@
 _parse = lru_cache(maxsize=None)(parse_configuration)
 
 
-class Keeper:
+class Controller:
     """One keeper's process."""
 
     def __init__(self, log: SharedLog, place: int) -> None:
         self.group = KeeperGroup(log, place)
-        leadership = Leadership(self.group, Views())
+        leadership = Leadership(self.group, ClusterView())
         self.decisions = ConfigurationDecisions(self.group, self.group.state, leadership)
         self.group.learn()
 
@@ -144,7 +144,7 @@
         self._left = attrs.asdict(budget)
         self._sends = {order.name: budget.sends for order in orders}
         self._log = SharedLog()
-        self._keepers = [Keeper(self._log, place) for place in range(keepers)]
+        self._keepers = [Controller(self._log, place) for place in range(keepers)]
         self._attempts: list[Attempt] = []
         self._acknowledged: set[str] = set()
         self._refused: set[str] = set()  # orders that were not sent again since they were refused
@@ -230,7 +230,7 @@
             self._left["crashes"] -= 1
             self._cancel(event.place)
             self._loop.run_until_idle()
-            self._keepers[event.place] = Keeper(self._log, event.place)
+            self._keepers[event.place] = Controller(self._log, event.place)
             if self._log.primary == event.place:
                 self._log.primary = NOBODY  # it leads again only in a new epoch
                 self._log.lease = False
@@ -259,7 +259,7 @@
             require(not took_effect(order, history), f"{name} took effect after it was refused")
         check_together(self._orders, self._acknowledged)
         for keeper in self._keepers:
-            if keeper.group.confirmed():
+            if keeper.group.is_confirmed_primary():
                 newest = keeper.group.state.configuration
                 check_newest(self._orders, self._acknowledged, newest.version, newest.document)
 
@@ -296,7 +296,7 @@
         )
         return digest(content)
 
-    def _keeper_key(self, keeper: Keeper) -> Any:
+    def _keeper_key(self, keeper: Controller) -> Any:
         waiting = keeper.group.proposals._waiting
         proposals = [(index, waiting[index].epoch, waiting[index].future.done()) for index in sorted(waiting)]
         return keeper.group.applied, proposals, _flags(keeper.decisions)
@@ -311,7 +311,7 @@
     for name, field in sorted(vars(value).items()):
         if isinstance(field, bool):
             found.append((name, field))
-        elif type(field).__name__ == "Settlement":
+        elif type(field).__name__ == "BarrierProposer":
             found.extend(_flags(field))
     return found
 
--- a/cherrycove/tier/exploration/group_model.py
+++ b/cherrycove/tier/exploration/group_model.py
@@ -93,7 +93,7 @@
         )
 
     def with_primaries(self, history: History, nodes: tuple[Node, ...], now: int) -> History:
-        return with_primaries(history, nodes, lambda node: self.reactions.confirmed(node, now))
+        return with_primaries(history, nodes, lambda node: self.reactions.is_confirmed_primary(node, now))
 
     def steps(self, state: World) -> Iterator[WorldStep]:
         return (step for step in self._all_steps(state) if not beyond_bounds(step.state))
--- a/cherrycove/tier/exploration/mutations.py
+++ b/cherrycove/tier/exploration/mutations.py
@@ -12,8 +12,8 @@
 import attrs
 from result import Ok, Result
 
+from cherrycove.tier.controlplane.barrier_proposer import BarrierProposer
 from cherrycove.tier.controlplane.leadership import Leadership
-from cherrycove.tier.controlplane.settlement import Settlement
 from cherrycove.tier.controlplane.state import AcceptOutcome, ControlState
 from cherrycove.tier.errors import Failure
 from cherrycove.tier.exploration import group_model
@@ -23,7 +23,7 @@
 from cherrycove.tier.replication.interface import MemberIdentity
 from cherrycove.tier.replication.membership_policy import GroupView, Step, next_step
 from cherrycove.tier.simulation.mutations import MUTATIONS as SIMULATION_MUTATIONS
-from cherrycove.tier.storage.promises import Promise
+from cherrycove.tier.storage.hard_state import HardState
 
 Patches = Iterator[Any]
 
@@ -31,7 +31,7 @@
 def _vote_twice_in_an_epoch() -> Patches:
     def vote(elections: Any, sender: MemberIdentity, request: VoteRequest, now: float) -> None:
         core = elections._core
-        core.write_promise(Promise(core.promise.epoch, sender.member_id, core.promise.committed))
+        core.write_hard_state(HardState(core.promise.epoch, sender.member_id, core.promise.committed))
         elections._owed = (sender, request)
 
     yield mock.patch.object(Elections, "_vote", vote)
@@ -52,7 +52,7 @@
     def forgetful(view: GroupView) -> Step | None:
         return next_step(attrs.evolve(view, excluded=frozenset()))
 
-    yield mock.patch("cherrycove.tier.replication.recruiting.next_step", forgetful)
+    yield mock.patch("cherrycove.tier.replication.learners.next_step", forgetful)
 
 
 def _emptied_keeps_identity() -> Patches:
@@ -64,14 +64,14 @@
 
 
 def _decide_without_lease() -> Patches:
-    yield mock.patch.object(Leadership, "confirmed", lambda leadership: True)
+    yield mock.patch.object(Leadership, "is_confirmed_primary", lambda leadership: True)
 
 
 def _no_barrier() -> Patches:
     async def settle(settlement: Any, timeout_s: float) -> Result[None, Failure]:
         return Ok(None)
 
-    yield mock.patch.object(Settlement, "settle", settle)
+    yield mock.patch.object(BarrierProposer, "settle", settle)
 
 
 def _base_checked_once() -> Patches:
@@ -98,7 +98,7 @@
         await asyncio.sleep(0)
         return waiting.result() if waiting.done() else Ok(AcceptOutcome.ACCEPTED)
 
-    yield mock.patch.object(Settlement, "propose", propose)
+    yield mock.patch.object(BarrierProposer, "propose", propose)
 
 
 def _uncertain_taken_as_certain() -> Patches:
--- a/cherrycove/tier/exploration/node.py
+++ b/cherrycove/tier/exploration/node.py
@@ -8,15 +8,15 @@
 
 from cherrycove.tier.exploration.copying import canonical, copy_graph, digest
 from cherrycove.tier.replication.core import Role
-from cherrycove.tier.replication.effects import Write, WriteEntries, WritePromise
+from cherrycove.tier.replication.effects import Write, WriteEntries, WriteHardState
 from cherrycove.tier.replication.interface import MemberIdentity
+from cherrycove.tier.replication.learners import MembershipRequests
 from cherrycove.tier.replication.machine import ReplicaMachine
-from cherrycove.tier.replication.recruiting import Wishes
 from cherrycove.tier.replication.timing import Timing
 from cherrycove.tier.storage.entries import Entry
-from cherrycove.tier.storage.promises import Promise
+from cherrycove.tier.storage.hard_state import HardState
+from cherrycove.tier.storage.replica_storage import RecoveredState
 from cherrycove.tier.storage.snapshots import Snapshot
-from cherrycove.tier.storage.store import RecoveredState
 
 CHUNK_BYTES = 1  # of a snapshot in one message, so that one comes in parts
 KEPT_ENTRIES = 0  # before a snapshot, so that whoever lacks one of them needs the snapshot
@@ -26,7 +26,7 @@
 class Disk:
     """What is durable."""
 
-    promise: Promise = Promise()
+    promise: HardState = HardState()
     snapshot: Snapshot | None = None
     entries: tuple[Entry, ...] = ()
 
@@ -43,7 +43,7 @@
 
     def after(self, write: Write) -> Disk:
         """With ``write`` done."""
-        if isinstance(write, WritePromise):
+        if isinstance(write, WriteHardState):
             return attrs.evolve(self, promise=write.promise)
         if isinstance(write, WriteEntries):
             return attrs.evolve(self, entries=self._joined(write.entries))
@@ -90,7 +90,7 @@
     """A running replica. Copied before every event, and never changed afterwards."""
 
     machine: ReplicaMachine
-    wishes: Wishes
+    wishes: MembershipRequests
     reader: DiskReader
 
     def copied(self) -> Process:
@@ -126,7 +126,7 @@
         """With a new process that has recovered from the disk; its first effects are not taken yet."""
         recovered = RecoveredState(self.disk.promise, self.disk.snapshot, list(self.disk.entries))
         reader = DiskReader(self.disk)
-        wishes = Wishes()
+        wishes = MembershipRequests()
         machine = ReplicaMachine(
             self.identity,
             faults,
--- a/cherrycove/tier/exploration/reactions.py
+++ b/cherrycove/tier/exploration/reactions.py
@@ -146,14 +146,14 @@
             self._letters[key] = known
         return known
 
-    def confirmed(self, node: Node, now: int) -> bool:
+    def is_confirmed_primary(self, node: Node, now: int) -> bool:
         """Whether the process leads under a valid lease."""
         if not node.leads:
             return False
         key = (node, now)
         known = self._confirmed.get(key)
         if known is None:
-            known = node.process is not None and node.process.machine.confirmed(now * QUANTUM_S)
+            known = node.process is not None and node.process.machine.is_confirmed_primary(now * QUANTUM_S)
             self._confirmed[key] = known
         return known
 
--- a/cherrycove/tier/programs/keeper.py
+++ b/cherrycove/tier/programs/controller.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from cherrycove.tier.controlplane.keeper import Keeper
+from cherrycove.tier.controlplane.controller import Controller
 from cherrycove.tier.controlplane.state import ControlState
+from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.distribution.puller import Puller
-from cherrycove.tier.distribution.views import Views
 from cherrycove.tier.programs.process import new_incarnation
 from cherrycove.tier.programs.replica import describe, open_group
 from cherrycove.tier.protocol.control_pb2 import Announcement
@@ -16,7 +16,7 @@
 PROGRAM = "keeper"
 
 
-class KeeperProgram:
+class ControllerProgram:
     """Assembles the control plane of one machine."""
 
     def __init__(self, settings: Settings) -> None:
@@ -28,8 +28,8 @@
         self._leaving = False
         self._group, self._fresh = open_group(PROGRAM, settings, self._state, self._server, self._client)
         self._server.identify(lambda: self._group.identity.member_id)
-        self._views = Views()
-        self._keeper = Keeper(settings, self._group, self._state, self._server, self._client, self._views)
+        self._views = ClusterView()
+        self._keeper = Controller(settings, self._group, self._state, self._server, self._client, self._views)
         self._puller = Puller(settings, self._client, self._views, self._announce)
 
     async def start(self) -> None:
@@ -64,5 +64,5 @@
         return describe(PROGRAM, self._settings, self._group, self._fresh, self._incarnation, self._leaving)
 
 
-def assemble(settings: Settings) -> KeeperProgram:
-    return KeeperProgram(settings)
+def assemble(settings: Settings) -> ControllerProgram:
+    return ControllerProgram(settings)
--- a/cherrycove/tier/programs/proxy.py
+++ b/cherrycove/tier/programs/proxy.py
@@ -9,8 +9,8 @@
 from cherrycove.tier.batch.http_api import BatchApi
 from cherrycove.tier.batch.worker import BatchWorker
 from cherrycove.tier.dataplane import DataPlane
+from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.distribution.puller import Puller
-from cherrycove.tier.distribution.views import Views
 from cherrycove.tier.programs.process import new_incarnation
 from cherrycove.tier.protocol.control_pb2 import Announcement
 from cherrycove.tier.protocol.rpc import RpcClient
@@ -27,7 +27,7 @@
         self._client = RpcClient()
         self._incarnation = new_incarnation()
         self._leaving = False
-        self._views = Views()
+        self._views = ClusterView()
         self._puller = Puller(settings, self._client, self._views, self._announce)
         self._data_plane = DataPlane(settings, self._views, random.Random())
         batch_client = BatchClient(self._client, self._views, settings)
--- a/cherrycove/tier/programs/replica.py
+++ b/cherrycove/tier/programs/replica.py
@@ -44,7 +44,7 @@
     program: str, settings: Settings, group: ReplicatedGroup, fresh: bool, incarnation: str, leaving: bool
 ) -> Announcement:
     """What a replica tells the keepers of itself."""
-    primary = group.confirmed()
+    primary = group.is_confirmed_primary()
     return Announcement(
         node_name=settings.node_name,
         program=program,
@@ -56,7 +56,7 @@
         first_start=settings.first_start and fresh,
         group_primary=primary,
         group_epoch=group.epoch,
-        group_members=sorted(group.listed()) if primary else [],
+        group_members=sorted(group.voting_member_ids()) if primary else [],
         leaving=leaving,
     )
 
--- a/cherrycove/tier/programs/store.py
+++ b/cherrycove/tier/programs/store.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from cherrycove.tier.batch.jobs import JobsState
-from cherrycove.tier.batch.store import BatchStore
+from cherrycove.tier.batch.store import BatchStoreService
+from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.distribution.puller import Puller
-from cherrycove.tier.distribution.views import Views
 from cherrycove.tier.programs.process import new_incarnation
 from cherrycove.tier.programs.replica import describe, open_group
 from cherrycove.tier.programs.store_membership import StoreMembership
@@ -28,8 +28,8 @@
         self._leaving = False
         self._group, self._fresh = open_group(PROGRAM, settings, self._state, self._server, self._client)
         self._server.identify(lambda: self._group.identity.member_id)
-        self._views = Views()
-        self._store = BatchStore(settings, self._group, self._state, self._server, views=self._views)
+        self._views = ClusterView()
+        self._store = BatchStoreService(settings, self._group, self._state, self._server, views=self._views)
         self._puller = Puller(settings, self._client, self._views, self._announce)
         self._membership = StoreMembership(settings, self._group, self._views, self._server)
 
--- a/cherrycove/tier/programs/store_membership.py
+++ b/cherrycove/tier/programs/store_membership.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from cherrycove.tier.controlplane.store_members import StoreMembersService
-from cherrycove.tier.distribution.views import Views
+from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.programs.replica import identity_of, standby_of
 from cherrycove.tier.protocol.interface import CallRegistry
 from cherrycove.tier.replication.group import ReplicatedGroup
@@ -17,7 +17,7 @@
     """Passes on to the store group what the keepers tell, and tells the keepers the group's members."""
 
     def __init__(
-        self, settings: Settings, group: ReplicatedGroup, views: Views, server: CallRegistry
+        self, settings: Settings, group: ReplicatedGroup, views: ClusterView, server: CallRegistry
     ) -> None:
         self._settings = settings
         self._group = group
--- a/cherrycove/tier/protocol/rpc.py
+++ b/cherrycove/tier/protocol/rpc.py
@@ -29,7 +29,7 @@
 
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol.interface import Handler, Reply
-from cherrycove.tier.protocol.sessions import KeptConnection, KeptConnector, client_session
+from cherrycove.tier.protocol.sessions import NoRetryConnection, NoRetryConnector, client_session
 
 KIND_HEADER = "X-Error-Kind"
 PRIMARY_HEADER = "X-Primary"
@@ -127,7 +127,7 @@
     """What came on a connection is not the reply to the call that was sent over it."""
 
 
-class CallConnection(KeptConnection):
+class CallConnection(NoRetryConnection):
     """The library's connection, which takes the reply to the call that was sent last, and nothing else.
 
     The library puts whatever comes into one queue, where a second or late reply would be the next call's.
@@ -171,7 +171,7 @@
         self._numbers = itertools.count(1)
 
     async def start(self) -> None:
-        connector = KeptConnector(CallConnection, limit=0, keepalive_timeout=KEEP_ALIVE_S)
+        connector = NoRetryConnector(CallConnection, limit=0, keepalive_timeout=KEEP_ALIVE_S)
         self._session = client_session(connector, request_class=CallRequest, auto_decompress=False)
 
     async def stop(self) -> None:
--- a/cherrycove/tier/protocol/sessions.py
+++ b/cherrycove/tier/protocol/sessions.py
@@ -21,7 +21,7 @@
 REPEATS_SWITCH = "_retry_connection"  # the library has no public one
 
 
-class KeptConnection(ResponseHandler):
+class NoRetryConnection(ResponseHandler):
     """The library's connection, which is not used again once something has come that nobody asked for."""
 
     def is_connected(self) -> bool:
@@ -32,10 +32,10 @@
         return not self.should_close and not unread(self.transport)
 
 
-class KeptConnector(aiohttp.TCPConnector):
+class NoRetryConnector(aiohttp.TCPConnector):
     """The library's pool, with connections of a class of ours."""
 
-    def __init__(self, connection: type[KeptConnection] = KeptConnection, **settings: Any) -> None:
+    def __init__(self, connection: type[NoRetryConnection] = NoRetryConnection, **settings: Any) -> None:
         super().__init__(**settings)
         self._factory = partial(connection, loop=self._loop)  # type: ignore[assignment]
 
@@ -44,7 +44,7 @@
     """A session that keeps no cookies and never sends a request a second time by itself; call it within
     the event loop. ``settings`` are further ones of ``aiohttp.ClientSession``."""
     session = aiohttp.ClientSession(
-        connector=connector or KeptConnector(), cookie_jar=aiohttp.DummyCookieJar(), **settings
+        connector=connector or NoRetryConnector(), cookie_jar=aiohttp.DummyCookieJar(), **settings
     )
     if not hasattr(session, REPEATS_SWITCH):
         raise RuntimeError(f"aiohttp has no {REPEATS_SWITCH}: its own repeats cannot be stopped")
--- a/cherrycove/tier/replication/backup.py
+++ b/cherrycove/tier/replication/backup.py
@@ -95,7 +95,7 @@
         return min(self._verified, self._core.synced_index)
 
     def _reply(self, receiver: MemberIdentity, accepted: bool, sent_us: int, last_index: int = 0) -> None:
-        if not self._core.promise_durable:
+        if not self._core.is_hard_state_durable:
             return  # a promise that could be forgotten is not acted on
         match_index = self._match_index()
         if accepted:
@@ -112,7 +112,7 @@
     def receive_chunk(self, sender: MemberIdentity, chunk: SnapshotChunk, now: float) -> None:
         self._sent_us = max(self._sent_us, chunk.sent_us)
         received = self._collect(chunk, now)
-        if self._core.promise_durable:
+        if self._core.is_hard_state_durable:
             reply = SnapshotReply(sent_us=chunk.sent_us, index=chunk.index, received=received)
             self._core.send(sender, Message(snapshot_reply=reply))
 
--- a/cherrycove/tier/replication/core.py
+++ b/cherrycove/tier/replication/core.py
@@ -10,15 +10,15 @@
 import attrs
 
 from cherrycove.tier.protocol.replication_pb2 import Message
-from cherrycove.tier.replication.effects import Effects, Outgoing, WriteEntries, WritePromise, WriteSnapshot
+from cherrycove.tier.replication.effects import Effects, Outgoing, WriteEntries, WriteHardState, WriteSnapshot
 from cherrycove.tier.replication.interface import MemberIdentity
 from cherrycove.tier.replication.log import MembersAt, Membership, ReplicatedLog, decode_members
 from cherrycove.tier.replication.quorums import Electorate
 from cherrycove.tier.replication.timing import Timing
 from cherrycove.tier.storage.entries import Entry
-from cherrycove.tier.storage.promises import Promise
+from cherrycove.tier.storage.hard_state import HardState
+from cherrycove.tier.storage.replica_storage import RecoveredState
 from cherrycove.tier.storage.snapshots import Snapshot
-from cherrycove.tier.storage.store import RecoveredState
 
 CHUNK_BYTES = 1024 * 1024  # of a snapshot in one message
 INITIAL_EPOCH = 0  # of the entry with the initial members, which counts as committed
@@ -50,7 +50,7 @@
 
     ticket: int
     started: float
-    promise: Promise | None = None
+    promise: HardState | None = None
     snapshot: SnapshotHeader | None = None
     last_index: int = 0  # highest index that will be synced by it and was not replaced since
 
@@ -172,9 +172,9 @@
         return self.promise.epoch
 
     def adopt_epoch(self, epoch: int, voted_for: str = "") -> None:
-        """Promise a newer epoch, with a vote or without, and lead or stand no longer."""
+        """HardState a newer epoch, with a vote or without, and lead or stand no longer."""
         if epoch > self.promise.epoch:
-            self.write_promise(Promise(epoch, voted_for, self.promise.committed))
+            self.write_hard_state(HardState(epoch, voted_for, self.promise.committed))
             self.primary = None
             self.effects.changed = True
             self.role = Role.BACKUP
@@ -202,11 +202,11 @@
         self._tickets += 1
         return self._tickets
 
-    def write_promise(self, promise: Promise) -> None:
+    def write_hard_state(self, promise: HardState) -> None:
         self.promise = promise
         ticket = self._ticket()
         self.pending.append(PendingWrite(ticket, 0.0, promise=promise))
-        self.effects.writes.append(WritePromise(ticket, promise))
+        self.effects.writes.append(WriteHardState(ticket, promise))
 
     def append(self, entries: Sequence[Entry], now: float) -> None:
         """Add entries to the log; where the first one's index is taken, it replaces what stands there."""
@@ -239,7 +239,7 @@
                 self.log.compact(write.snapshot.index, self._kept_entries)
 
     @property
-    def promise_durable(self) -> bool:
+    def is_hard_state_durable(self) -> bool:
         """Whether this replica may act on its newest promise towards others."""
         return (self.durable_promise.epoch, self.durable_promise.voted_for) == (
             self.promise.epoch,
@@ -271,7 +271,7 @@
 
     def _note_members_committed(self) -> None:
         """After a restart, this replica must know that the list before has no say any more."""
-        self.write_promise(attrs.evolve(self.promise, committed=self.log.newest_members.index))
+        self.write_hard_state(attrs.evolve(self.promise, committed=self.log.newest_members.index))
         self.effects.changed = True
 
     # Snapshots
--- a/cherrycove/tier/replication/effects.py
+++ b/cherrycove/tier/replication/effects.py
@@ -7,16 +7,16 @@
 from cherrycove.tier.protocol.replication_pb2 import Message
 from cherrycove.tier.replication.interface import MemberIdentity
 from cherrycove.tier.storage.entries import Entry
-from cherrycove.tier.storage.promises import Promise
+from cherrycove.tier.storage.hard_state import HardState
 from cherrycove.tier.storage.snapshots import Snapshot
 
 
 @attrs.frozen
-class WritePromise:
+class WriteHardState:
     """Store the promise, behind all earlier writes."""
 
     ticket: int
-    promise: Promise
+    promise: HardState
 
 
 @attrs.frozen
@@ -37,7 +37,7 @@
     required: bool  # it came from the primary, and later entries need it; else it may be skipped
 
 
-Write = WritePromise | WriteEntries | WriteSnapshot
+Write = WriteHardState | WriteEntries | WriteSnapshot
 
 
 @attrs.frozen
--- a/cherrycove/tier/replication/elections.py
+++ b/cherrycove/tier/replication/elections.py
@@ -42,7 +42,7 @@
 from cherrycove.tier.protocol.replication_pb2 import Message, VoteReply, VoteRequest
 from cherrycove.tier.replication.core import ReplicaCore, Role
 from cherrycove.tier.replication.interface import MemberIdentity
-from cherrycove.tier.storage.promises import Promise
+from cherrycove.tier.storage.hard_state import HardState
 
 NEVER = float("-inf")
 NO_LIFE = 0  # of a replica that does not run any more
@@ -131,11 +131,11 @@
         return self._campaigns
 
     def stand(self, now: float, handed_over: bool = False, lives: dict[str, int] | None = None) -> None:
-        """Promise a new epoch to itself; votes are asked for when that is synced. ``lives``: of all other
+        """HardState a new epoch to itself; votes are asked for when that is synced. ``lives``: of all other
         replicas, when none of them follows a primary."""
         core = self._core
         epoch = core.epoch + 1
-        core.write_promise(Promise(epoch, core.identity.member_id, core.promise.committed))
+        core.write_hard_state(HardState(epoch, core.identity.member_id, core.promise.committed))
         core.become(Role.CANDIDATE, None)
         core.effects.changed = True
         self._campaign = Campaign(self._next_campaign(), False, epoch, now, handed_over, lives=lives or {})
@@ -144,7 +144,7 @@
     def written(self, now: float) -> None:
         """The disk made progress."""
         campaign = self._campaign
-        if campaign is not None and not campaign.asked and self._core.promise_durable:
+        if campaign is not None and not campaign.asked and self._core.is_hard_state_durable:
             self._deadline = now + self._timeout()
             self._ask(now)
             self._count(now)
@@ -285,17 +285,17 @@
         core = self._core
         promise = core.promise
         if promise.voted_for == "" and self._new_enough(request):
-            core.write_promise(Promise(promise.epoch, sender.member_id, promise.committed))
+            core.write_hard_state(HardState(promise.epoch, sender.member_id, promise.committed))
         granted = core.promise.voted_for == sender.member_id
         if granted:
             self.postpone(now)
-        if granted and not core.promise_durable:
+        if granted and not core.is_hard_state_durable:
             self._owed = (sender, request)
         else:
             self._reply(sender, request, granted)
 
     def send_owed_vote(self) -> None:
-        if self._owed is None or not self._core.promise_durable:
+        if self._owed is None or not self._core.is_hard_state_durable:
             return
         sender, request = self._owed
         self._owed = None
--- a/cherrycove/tier/replication/group.py
+++ b/cherrycove/tier/replication/group.py
@@ -18,15 +18,15 @@
 from cherrycove.tier.replication.core import Role
 from cherrycove.tier.replication.inbox import Inbox
 from cherrycove.tier.replication.interface import CommittedMembers, MemberIdentity, StateMachine
+from cherrycove.tier.replication.learners import MembershipRequests
 from cherrycove.tier.replication.machine import ReplicaMachine
 from cherrycove.tier.replication.proposals import Proposals
-from cherrycove.tier.replication.recruiting import Wishes
 from cherrycove.tier.replication.runtime import Runtime, Storage, Writer
 from cherrycove.tier.replication.timing import Timing
 from cherrycove.tier.replication.transport import Transport
 from cherrycove.tier.storage.entries import Entry, EntryKind
 from cherrycove.tier.storage.files import DamagedStorageError
-from cherrycove.tier.storage.store import RecoveredState
+from cherrycove.tier.storage.replica_storage import RecoveredState
 
 CALL_PREFIX = "replicate/"
 TICK_S = 0.05
@@ -70,7 +70,7 @@
         self._snapshot_log_bytes = snapshot_log_bytes
         self._transport = Transport(client, CALL_PREFIX + name, self._deliver)
         self._proposals = Proposals()
-        self._wishes = Wishes()
+        self._wishes = MembershipRequests()
         self._listeners: list[Callable[[], None]] = []
         self._machine: ReplicaMachine | None = None
         self._storage: Storage | None = None
@@ -104,16 +104,16 @@
     def members(self) -> tuple[MemberIdentity, ...]:
         return self._machine.members if self._machine is not None else ()
 
-    def listed(self) -> frozenset[str]:
+    def voting_member_ids(self) -> frozenset[str]:
         """Ids of all members whose votes count, also those of the former list while a change is open."""
-        return self._machine.listed() if self._machine is not None else frozenset()
+        return self._machine.voting_member_ids() if self._machine is not None else frozenset()
 
     def committed_members(self) -> CommittedMembers | None:
         machine = self._machine
         return machine.committed_members(self._clock()) if machine is not None else None
 
-    def confirmed(self) -> bool:
-        return self._machine is not None and self._machine.confirmed(self._clock())
+    def is_confirmed_primary(self) -> bool:
+        return self._machine is not None and self._machine.is_confirmed_primary(self._clock())
 
     async def propose(self, command: bytes, timeout_s: float) -> Result[object, Failure]:
         machine = self._machine
--- a/cherrycove/tier/replication/interface.py
+++ b/cherrycove/tier/replication/interface.py
@@ -61,7 +61,7 @@
     def members(self) -> tuple[MemberIdentity, ...]:
         """Members in force, as far as known here."""
 
-    def confirmed(self) -> bool:
+    def is_confirmed_primary(self) -> bool:
         """Whether this replica leads under a valid lease and has applied all that is committed.
 
         While true, a read of the local state machine is linearizable."""
@@ -73,7 +73,7 @@
     def offer_standbys(self, standbys: Sequence[MemberIdentity]) -> None:
         """Replicas alive outside the group; the primary takes them in where members are missing or gone."""
 
-    def listed(self) -> frozenset[str]:
+    def voting_member_ids(self) -> frozenset[str]:
         """Ids of all members whose votes count, also those of the former list while a change is open."""
 
     def committed_members(self) -> CommittedMembers | None:
--- a/cherrycove/tier/replication/recruiting.py
+++ b/cherrycove/tier/replication/learners.py
@@ -13,17 +13,17 @@
 
 
 @attrs.define
-class Wishes:
+class MembershipRequests:
     """What the plane asks of the group's members; kept through changes of role."""
 
     standbys: tuple[MemberIdentity, ...] = ()
     retiring: frozenset[str] = frozenset()
 
 
-class Recruiting:
+class LearnerPromotion:
     """Chooses the next change of members and prepares it, for one time as primary."""
 
-    def __init__(self, core: ReplicaCore, wishes: Wishes, source: SnapshotSource) -> None:
+    def __init__(self, core: ReplicaCore, wishes: MembershipRequests, source: SnapshotSource) -> None:
         self._core = core
         self._wishes = wishes
         self._source = source
--- a/cherrycove/tier/replication/machine.py
+++ b/cherrycove/tier/replication/machine.py
@@ -15,14 +15,14 @@
 from cherrycove.tier.replication.effects import Effects
 from cherrycove.tier.replication.elections import Elections
 from cherrycove.tier.replication.interface import CommittedMembers, MemberIdentity
+from cherrycove.tier.replication.learners import MembershipRequests
 from cherrycove.tier.replication.log import KEPT_ENTRIES, encode_members
 from cherrycove.tier.replication.peers import SnapshotSource
 from cherrycove.tier.replication.primary import Primary
-from cherrycove.tier.replication.recruiting import Wishes
 from cherrycove.tier.replication.timing import Timing
 from cherrycove.tier.storage.entries import Entry, EntryKind
+from cherrycove.tier.storage.replica_storage import RecoveredState
 from cherrycove.tier.storage.snapshots import Snapshot
-from cherrycove.tier.storage.store import RecoveredState
 
 
 class ReplicaMachine:
@@ -37,7 +37,7 @@
         random: Random,
         now: float,
         timing: Timing | None = None,
-        wishes: Wishes | None = None,
+        wishes: MembershipRequests | None = None,
         kept_entries: int = KEPT_ENTRIES,
         chunk_bytes: int = CHUNK_BYTES,
     ) -> None:
@@ -50,7 +50,7 @@
         self._backup = Backup(self._core)
         self._primary: Primary | None = None
         self._source = source
-        self._wishes = wishes or Wishes()
+        self._wishes = wishes or MembershipRequests()
         self._ticked_at = now
 
     # What is known
@@ -93,7 +93,7 @@
         """Entries up to here are in the snapshot only."""
         return self._core.log.base_index
 
-    def listed(self) -> frozenset[str]:
+    def voting_member_ids(self) -> frozenset[str]:
         """Ids of all members whose votes count here, also those of the list before while a change is open."""
         electorate = self._core.electorate()
         return frozenset(member.member_id for member in (*electorate.current, *(electorate.previous or ())))
@@ -101,15 +101,15 @@
     def committed_members(self, now: float) -> CommittedMembers | None:
         """The member list in force; None while a change is open or this replica is not confirmed."""
         core = self._core
-        if core.change_open() or not self.confirmed(now):
+        if core.change_open() or not self.is_confirmed_primary(now):
             return None
         newest = core.log.newest_members
         return CommittedMembers(newest.index, newest.members, frozenset(newest.membership.excluded))
 
-    def confirmed(self, now: float) -> bool:
+    def is_confirmed_primary(self, now: float) -> bool:
         """Whether this replica leads under a valid lease and has committed an entry of its epoch."""
         primary = self._leading()
-        return primary is not None and primary.confirmed(now)
+        return primary is not None and primary.is_confirmed_primary(now)
 
     def _leading(self) -> Primary | None:
         return self._primary if self._core.role is Role.PRIMARY else None
@@ -142,7 +142,7 @@
     def propose(self, command: bytes, now: float) -> int | None:
         """The index of the entry with ``command``; None if this replica does not lead under a valid lease."""
         primary = self._leading()
-        if primary is None or not primary.confirmed(now):
+        if primary is None or not primary.is_confirmed_primary(now):
             return None
         return primary.propose(command, now)
 
@@ -199,7 +199,7 @@
         """A message from ``sender``, addressed to this replica's member id."""
         body = message.WhichOneof("body")
         if body == "vote_request":
-            confirmed = self.confirmed(now)
+            confirmed = self.is_confirmed_primary(now)
             self._elections.receive_request(sender, message.vote_request, confirmed, now)
         elif body == "vote_reply":
             self._elections.receive_reply(sender, message.epoch, message.vote_reply, now)
--- a/cherrycove/tier/replication/primary.py
+++ b/cherrycove/tier/replication/primary.py
@@ -5,20 +5,22 @@
 from cherrycove.tier.protocol.replication_pb2 import AppendReply, HandOver, Message, SnapshotReply
 from cherrycove.tier.replication.core import ReplicaCore, Role
 from cherrycove.tier.replication.interface import MemberIdentity
+from cherrycove.tier.replication.learners import LearnerPromotion, MembershipRequests
 from cherrycove.tier.replication.log import encode_members
 from cherrycove.tier.replication.membership_policy import Change, is_retiring
 from cherrycove.tier.replication.peers import Peer, SnapshotSource
-from cherrycove.tier.replication.recruiting import Recruiting, Wishes
 from cherrycove.tier.storage.entries import Entry, EntryKind
 
 
 class Primary:
     """One time as primary, from the election that was won until the role is lost."""
 
-    def __init__(self, core: ReplicaCore, wishes: Wishes, source: SnapshotSource, now: float) -> None:
+    def __init__(
+        self, core: ReplicaCore, wishes: MembershipRequests, source: SnapshotSource, now: float
+    ) -> None:
         self._core = core
         self._source = source
-        self._recruiting = Recruiting(core, wishes, source)
+        self._recruiting = LearnerPromotion(core, wishes, source)
         self._peers: dict[str, Peer] = {}
         self._wishes = wishes
         self._started = now
@@ -98,7 +100,7 @@
         acknowledged[self._core.identity.member_id] = now
         return self._core.electorate().confirmed_since(acknowledged)
 
-    def confirmed(self, now: float) -> bool:
+    def is_confirmed_primary(self, now: float) -> bool:
         """Whether nobody else can have been elected yet, and all that others committed is applied here.
 
         Never once it knows that its own removal is committed: those left need not ask it then before they
--- a/cherrycove/tier/replication/runtime.py
+++ b/cherrycove/tier/replication/runtime.py
@@ -13,10 +13,10 @@
 from cherrycove.tier.replication.effects import Write
 from cherrycove.tier.replication.writer import DiskWriter
 from cherrycove.tier.storage.entries import Entry
+from cherrycove.tier.storage.hard_state import HardState
 from cherrycove.tier.storage.identity import new_identity
-from cherrycove.tier.storage.promises import Promise
+from cherrycove.tier.storage.replica_storage import RecoveredState, ReplicaStorage
 from cherrycove.tier.storage.snapshots import Snapshot
-from cherrycove.tier.storage.store import RecoveredState, ReplicaStorage
 
 
 class Storage(Protocol):
@@ -27,7 +27,7 @@
 
     def recover(self) -> RecoveredState: ...
 
-    def write_promise(self, promise: Promise) -> None: ...
+    def write_hard_state(self, promise: HardState) -> None: ...
 
     def append(self, entries: Sequence[Entry]) -> None: ...
 
--- a/cherrycove/tier/replication/writer.py
+++ b/cherrycove/tier/replication/writer.py
@@ -7,8 +7,8 @@
 import threading
 from collections.abc import Callable, Sequence
 
-from cherrycove.tier.replication.effects import Write, WriteEntries, WritePromise, WriteSnapshot
-from cherrycove.tier.storage.store import ReplicaStorage
+from cherrycove.tier.replication.effects import Write, WriteEntries, WriteHardState, WriteSnapshot
+from cherrycove.tier.storage.replica_storage import ReplicaStorage
 
 RETRY_S = 0.25  # between tries of a write that failed
 
@@ -20,7 +20,7 @@
         last = result[-1] if result else None
         if isinstance(write, WriteEntries) and isinstance(last, WriteEntries):
             result[-1] = WriteEntries(write.ticket, last.entries + write.entries)
-        elif isinstance(write, WritePromise) and isinstance(last, WritePromise):
+        elif isinstance(write, WriteHardState) and isinstance(last, WriteHardState):
             result[-1] = write
         else:
             result.append(write)
@@ -105,8 +105,8 @@
                 return False
 
     def _write(self, write: Write) -> None:
-        if isinstance(write, WritePromise):
-            self._storage.write_promise(write.promise)
+        if isinstance(write, WriteHardState):
+            self._storage.write_hard_state(write.promise)
         elif isinstance(write, WriteEntries):
             self._storage.append(write.entries)
         else:
--- a/cherrycove/tier/simulation/control/batch_load.py
+++ b/cherrycove/tier/simulation/control/batch_load.py
@@ -40,7 +40,7 @@
         self._process = process
         self._running = 0
 
-    def free_places(self) -> int:
+    def free_slots(self) -> int:
         return PLACES - self._running
 
     async def run_item(
--- a/cherrycove/tier/simulation/control/disk.py
+++ b/cherrycove/tier/simulation/control/disk.py
@@ -9,13 +9,13 @@
 
 import attrs
 
-from cherrycove.tier.replication.effects import Write, WriteEntries, WritePromise, WriteSnapshot
+from cherrycove.tier.replication.effects import Write, WriteEntries, WriteHardState, WriteSnapshot
 from cherrycove.tier.replication.writer import joined
 from cherrycove.tier.simulation.control.loop import CURRENT_LIFE, Life, VirtualLoop
 from cherrycove.tier.storage.entries import Entry
-from cherrycove.tier.storage.promises import Promise
+from cherrycove.tier.storage.hard_state import HardState
+from cherrycove.tier.storage.replica_storage import RecoveredState
 from cherrycove.tier.storage.snapshots import Snapshot
-from cherrycove.tier.storage.store import RecoveredState
 
 SYNC_S = (0.001, 0.006)
 LATE_SYNCS = 0.04  # share of syncs that take longer, also on a disk without trouble
@@ -30,7 +30,7 @@
     """One folder of one machine: identity, promise, snapshot and log of a replica."""
 
     member_id: str = ""
-    promise: Promise = Promise()
+    promise: HardState = HardState()
     snapshot: Snapshot | None = None
     entries: list[Entry] = attrs.field(factory=list)
     slow: bool = False
@@ -49,7 +49,7 @@
         return snapshot + sum(entry.size for entry in self.entries)
 
     def perform(self, write: Write) -> None:
-        if isinstance(write, WritePromise):
+        if isinstance(write, WriteHardState):
             self.promise = write.promise
         elif isinstance(write, WriteEntries):
             for entry in write.entries:
@@ -81,7 +81,7 @@
     def recover(self) -> RecoveredState:
         return RecoveredState(self.disk.promise, self.disk.snapshot, list(self.disk.entries))
 
-    def write_promise(self, promise: Promise) -> None:
+    def write_hard_state(self, promise: HardState) -> None:
         raise NotImplementedError("the simulated writer performs whole writes")
 
     def append(self, entries: Any) -> None:
@@ -176,7 +176,7 @@
             if isinstance(write, WriteSnapshot) and not write.required
         ]
         kept = [write for write in self._disk.in_progress if write not in skipped]
-        needs_room = any(not isinstance(write, WritePromise) for write in kept)
+        needs_room = any(not isinstance(write, WriteHardState) for write in kept)
         if skipped:
             self._disk.in_progress = kept
             for write in skipped:
--- a/cherrycove/tier/simulation/control/mutations.py
+++ b/cherrycove/tier/simulation/control/mutations.py
@@ -11,9 +11,9 @@
 from google.protobuf.message import DecodeError
 from result import Err, Ok
 
+from cherrycove.tier.controlplane.barrier_proposer import BarrierProposer
 from cherrycove.tier.controlplane.configuration_decisions import ConfigurationDecisions, _mismatch
 from cherrycove.tier.controlplane.leadership import Leadership
-from cherrycove.tier.controlplane.settlement import Settlement
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.distribution.publisher import Publisher
 from cherrycove.tier.errors import ErrorKind, Failure
@@ -42,10 +42,10 @@
 
 
 def _lease_without_end() -> Patches:
-    def confirmed(primary: Any, now: float) -> bool:
+    def is_confirmed_primary(primary: Any, now: float) -> bool:
         return bool(primary._core.commit_index >= primary._noop_index)
 
-    yield mock.patch.object(Primary, "confirmed", confirmed)
+    yield mock.patch.object(Primary, "is_confirmed_primary", is_confirmed_primary)
 
 
 def _pulls_answered_without_lease() -> Patches:
@@ -63,7 +63,7 @@
     check = ConfigurationDecisions._check
 
     def unconfirmed(decisions: Any, body: bytes, base_version: int) -> Any:
-        with mock.patch.object(decisions._leadership, "confirmed", lambda: True):
+        with mock.patch.object(decisions._leadership, "is_confirmed_primary", lambda: True):
             return check(decisions, body, base_version)
 
     yield from _reads_without_lease()
@@ -103,7 +103,7 @@
     async def settle(settlement: Any, timeout_s: float) -> Any:
         return Ok(None)
 
-    yield mock.patch.object(Settlement, "settle", settle)
+    yield mock.patch.object(BarrierProposer, "settle", settle)
 
 
 def _uncertain_is_refused() -> Patches:
@@ -118,10 +118,10 @@
 
 
 def _decides_before_its_first_entry() -> Patches:
-    def confirmed(primary: Any, now: float) -> bool:
+    def is_confirmed_primary(primary: Any, now: float) -> bool:
         return bool(now - primary._confirmed_since(now) < primary._core.timing.lease_s)
 
-    yield mock.patch.object(Primary, "confirmed", confirmed)
+    yield mock.patch.object(Primary, "is_confirmed_primary", is_confirmed_primary)
 
 
 # 3. A second loss
--- a/cherrycove/tier/simulation/control/processes.py
+++ b/cherrycove/tier/simulation/control/processes.py
@@ -10,14 +10,14 @@
 
 from cherrycove.tier.batch.client import BatchClient
 from cherrycove.tier.batch.jobs import JobsState
-from cherrycove.tier.batch.store import BatchStore
+from cherrycove.tier.batch.store import BatchStoreService
 from cherrycove.tier.batch.worker import BatchWorker
-from cherrycove.tier.controlplane.keeper import Keeper
+from cherrycove.tier.controlplane.controller import Controller
 from cherrycove.tier.controlplane.state import AcceptOutcome, Applied, ControlState
+from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.distribution.publisher import PULL_CALL
 from cherrycove.tier.distribution.puller import Puller
 from cherrycove.tier.distribution.topics import CONFIGURATION, VersionVector
-from cherrycove.tier.distribution.views import Views
 from cherrycove.tier.errors import Failure
 from cherrycove.tier.programs.replica import describe
 from cherrycove.tier.programs.store_membership import StoreMembership
@@ -118,8 +118,8 @@
         super().__init__(world, machine)
         self.state = WatchedState(self)
         self.open_group(self.state)
-        self.views = Views()
-        self.keeper = Keeper(
+        self.views = ClusterView()
+        self.keeper = Controller(
             self.settings,
             self.group,
             self.state,
@@ -179,8 +179,8 @@
         super().__init__(world, machine)
         self.state = JobsState()
         self.open_group(self.state)
-        self.views = Views()
-        self.store = BatchStore(
+        self.views = ClusterView()
+        self.store = BatchStoreService(
             self.settings,
             self.group,
             self.state,
@@ -212,7 +212,7 @@
 
     def __init__(self, world: World, machine: Machine) -> None:
         super().__init__(world, machine)
-        self.views = Views()
+        self.views = ClusterView()
         self.puller = Puller(self.settings, self.client, self.views, self.announce)
         self.batch = BatchClient(self.client, self.views, self.settings)
         self.worker = BatchWorker(
--- a/cherrycove/tier/simulation/control/world.py
+++ b/cherrycove/tier/simulation/control/world.py
@@ -209,7 +209,7 @@
         """The machine whose keeper leads; only faults that seek it out ask for it."""
         for machine in self.machines:
             process = self.keeper(machine)
-            if process is not None and process.group.confirmed():
+            if process is not None and process.group.is_confirmed_primary():
                 return machine
         return None
 
@@ -313,7 +313,7 @@
             if len(places) < members:
                 self.history.fail(f"{job.request.job_id} only on {places} in calm")
 
-    # Retirement
+    # RetirementService
 
     def retired(self, process: Process, name: str) -> None:
         """``completed`` leaves ``process``: the machine and its disk are taken away at once, as no loss."""
--- a/cherrycove/tier/simulation/disk.py
+++ b/cherrycove/tier/simulation/disk.py
@@ -4,11 +4,11 @@
 
 from random import Random
 
-from cherrycove.tier.replication.effects import Write, WriteEntries, WritePromise
+from cherrycove.tier.replication.effects import Write, WriteEntries, WriteHardState
 from cherrycove.tier.storage.entries import Entry
-from cherrycove.tier.storage.promises import Promise
+from cherrycove.tier.storage.hard_state import HardState
+from cherrycove.tier.storage.replica_storage import RecoveredState
 from cherrycove.tier.storage.snapshots import Snapshot
-from cherrycove.tier.storage.store import RecoveredState
 
 
 class SimulatedDisk:
@@ -16,7 +16,7 @@
 
     def __init__(self, member_id: str) -> None:
         self.member_id = member_id
-        self.promise = Promise()
+        self.promise = HardState()
         self.snapshot: Snapshot | None = None
         self.entries: list[Entry] = []
         self._waiting: list[Write] = []
@@ -62,7 +62,7 @@
         self._waiting = []
 
     def _perform(self, write: Write) -> None:
-        if isinstance(write, WritePromise):
+        if isinstance(write, WriteHardState):
             self.promise = write.promise
         elif isinstance(write, WriteEntries):
             for entry in write.entries:
--- a/cherrycove/tier/simulation/invariants.py
+++ b/cherrycove/tier/simulation/invariants.py
@@ -98,7 +98,7 @@
         self.require(self._primaries[machine.epoch] == member, f"two primaries in epoch {machine.epoch}")
         if replica.state.index < self.last_index:
             self.require(
-                not machine.confirmed(now),
+                not machine.is_confirmed_primary(now),
                 f"{replica.name} is confirmed at {replica.state.index}, not {self.last_index}",
             )
 
--- a/cherrycove/tier/simulation/mutations.py
+++ b/cherrycove/tier/simulation/mutations.py
@@ -13,9 +13,9 @@
 from cherrycove.tier.replication.backup import Backup
 from cherrycove.tier.replication.core import ReplicaCore
 from cherrycove.tier.replication.elections import Elections
+from cherrycove.tier.replication.learners import LearnerPromotion
 from cherrycove.tier.replication.primary import Primary
 from cherrycove.tier.replication.quorums import Electorate
-from cherrycove.tier.replication.recruiting import Recruiting
 
 Patches = Iterator[Any]
 
@@ -53,7 +53,7 @@
 
 
 def _vote_before_sync() -> Patches:
-    yield mock.patch.object(ReplicaCore, "promise_durable", True)
+    yield mock.patch.object(ReplicaCore, "is_hard_state_durable", True)
 
 
 def _vote_within_lease() -> Patches:
@@ -102,12 +102,12 @@
 
 
 def _retiring_while_others_are_silent() -> Patches:
-    view = Recruiting._view
+    view = LearnerPromotion._view
 
     def unaware(recruiting: Any, *arguments: Any) -> Any:
         return attrs.evolve(view(recruiting, *arguments), unheard=frozenset())
 
-    yield mock.patch.object(Recruiting, "_view", unaware)
+    yield mock.patch.object(LearnerPromotion, "_view", unaware)
 
 
 MUTATIONS: dict[str, Callable[[], Patches]] = {
--- a/cherrycove/tier/simulation/replica.py
+++ b/cherrycove/tier/simulation/replica.py
@@ -10,8 +10,8 @@
 import attrs
 
 from cherrycove.tier.replication.interface import MemberIdentity
+from cherrycove.tier.replication.learners import MembershipRequests
 from cherrycove.tier.replication.machine import ReplicaMachine
-from cherrycove.tier.replication.recruiting import Wishes
 from cherrycove.tier.simulation.disk import SimulatedDisk
 from cherrycove.tier.storage.entries import Entry, EntryKind
 
@@ -59,7 +59,7 @@
     disk: SimulatedDisk
     machine: ReplicaMachine | None = None
     state: State = State()
-    wishes: Wishes = attrs.field(factory=Wishes)
+    wishes: MembershipRequests = attrs.field(factory=MembershipRequests)
     life: int = 0  # counts starts and ends of the process
     frozen: bool = False
     deferred: list[Callable[[], None]] = attrs.field(factory=list)  # events while frozen
--- a/cherrycove/tier/simulation/scenario.py
+++ b/cherrycove/tier/simulation/scenario.py
@@ -255,7 +255,7 @@
         before = world.acknowledged
         while world.now < self._faulty_s + RECOVERY_S:
             world.run_until(world.now + STEP_S)
-            if world.confirmed() is not None and world.acknowledged > before:
+            if world.confirmed_primary() is not None and world.acknowledged > before:
                 return
         world.invariants.require(False, "nothing commits after all was mended")
 
--- a/cherrycove/tier/simulation/world.py
+++ b/cherrycove/tier/simulation/world.py
@@ -267,11 +267,11 @@
 
         self.on_replica(replica, replica.life, handle)
 
-    def confirmed(self) -> Replica | None:
+    def confirmed_primary(self) -> Replica | None:
         """The replica that leads under a valid lease, if there is one."""
         for replica in self.replicas:
             machine = replica.machine
-            if machine is not None and not replica.frozen and machine.confirmed(self.now):
+            if machine is not None and not replica.frozen and machine.is_confirmed_primary(self.now):
                 return replica
         return None
 
@@ -285,7 +285,7 @@
 
     def may_be_switched_off(self, replica: Replica) -> bool:
         """Whether the group has let go of the machine of ``replica`` for good, by the list in force."""
-        primary = self.confirmed()
+        primary = self.confirmed_primary()
         machine = primary.machine if primary is not None else None
         committed = machine.committed_members(self.now) if machine is not None else None
         if committed is None or any(member.node_name == replica.name for member in committed.members):
--- a/cherrycove/tier/storage/promises.py
+++ b/cherrycove/tier/storage/hard_state.py
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen
-class Promise:
+class HardState:
     """Nothing of an epoch below ``epoch`` is accepted, and in ``epoch`` only ``voted_for`` has this vote."""
 
     epoch: int = 0
@@ -34,7 +34,7 @@
 @attrs.frozen
 class _Slot:
     sequence: int
-    promise: Promise
+    promise: HardState
 
 
 def _encode(slot: _Slot) -> bytes:
@@ -51,23 +51,23 @@
     if end > len(data) or zlib.crc32(data[4:end]) != checksum:
         return None
     vote = data[_HEADER.size : end].decode("utf-8", "replace")
-    return _Slot(sequence, Promise(epoch, vote, committed))
+    return _Slot(sequence, HardState(epoch, vote, committed))
 
 
-class PromiseFile:
+class HardStateFile:
     """The promise on disk."""
 
     def __init__(self, directory: Path) -> None:
         self._path = directory / PROMISE_FILE
-        self._slot = _Slot(0, Promise())
+        self._slot = _Slot(0, HardState())
         self._descriptor = -1
         self.damaged_copies = 0  # of the newest slot, found by ``open`` and written again
 
     @property
-    def promise(self) -> Promise:
+    def promise(self) -> HardState:
         return self._slot.promise
 
-    def open(self, may_create: bool) -> Promise:
+    def open(self, may_create: bool) -> HardState:
         """Read the newest promise; a missing file is damage unless ``may_create``."""
         if not self._path.exists():
             if not may_create:
@@ -86,7 +86,7 @@
             self._store(self._slot)
         return self._slot.promise
 
-    def write(self, promise: Promise) -> None:
+    def write(self, promise: HardState) -> None:
         """Store ``promise`` and sync it."""
         slot = _Slot(self._slot.sequence + 1, promise)
         self._store(slot)
--- a/cherrycove/tier/storage/store.py
+++ b/cherrycove/tier/storage/replica_storage.py
@@ -11,7 +11,7 @@
 
 from cherrycove.tier.storage.entries import ENTRY_OVERHEAD_BYTES, FRAME_OVERHEAD_BYTES, Entry
 from cherrycove.tier.storage.files import DamagedStorageError, sync_directory
-from cherrycove.tier.storage.promises import Promise, PromiseFile
+from cherrycove.tier.storage.hard_state import HardState, HardStateFile
 from cherrycove.tier.storage.segments import SEGMENT_BYTES, SegmentLog, no_space, segment_names
 from cherrycove.tier.storage.snapshots import (
     Snapshot,
@@ -31,7 +31,7 @@
 class RecoveredState:
     """What a replica finds on its disk at its start."""
 
-    promise: Promise
+    promise: HardState
     snapshot: Snapshot | None
     entries: list[Entry]  # behind the snapshot, without a gap
 
@@ -43,7 +43,7 @@
         """``limit_bytes`` bounds the directory; 0 sets no bound."""
         self._directory = directory
         self._limit = limit_bytes - RESERVED_BYTES if limit_bytes else 0
-        self._promises = PromiseFile(directory)
+        self._promises = HardStateFile(directory)
         self._log = SegmentLog(directory, segment_bytes)
         self._snapshot: StoredSnapshot | None = None
 
@@ -80,7 +80,7 @@
             raise DamagedStorageError(f"log up to entry {last}, of {promise.committed} known as committed")
         return RecoveredState(promise, snapshot, entries)
 
-    def write_promise(self, promise: Promise) -> None:
+    def write_hard_state(self, promise: HardState) -> None:
         """Store and sync the newest promise."""
         self._promises.write(promise)
 
--- a/tests/tier/admission_model.py
+++ b/tests/tier/admission_model.py
@@ -23,7 +23,7 @@
 from cherrycove.tier.dataplane.arrivals import Arrivals
 from cherrycove.tier.dataplane.headers import InstanceLoad
 from cherrycove.tier.dataplane.prompt import Part, Prompt
-from cherrycove.tier.distribution.views import Broker
+from cherrycove.tier.distribution.cluster_view import Broker
 
 WAY_S = 0.001  # between proxy and broker
 SLOTS = 24
@@ -141,7 +141,7 @@
     def _lease(self) -> None:
         """Items to the proxies that have places; asked again while some are left."""
         for proxy, scheduler in enumerate(self.schedulers):
-            for _ in range(min(scheduler.free_places(self.now), len(self.backlog))):
+            for _ in range(min(scheduler.free_slots(self.now), len(self.backlog))):
                 work = self.backlog.pop(0)
                 self._arrive(proxy, work, Ticket(
                     route="lots", service="lm", arrived=self.now, aim_s=ITEM_DUE_S, end=float("inf"),
--- a/tests/tier/batch_support.py
+++ b/tests/tier/batch_support.py
@@ -17,10 +17,10 @@
 from cherrycove.tier.batch.interface import ItemOutcome, RecordFailures
 from cherrycove.tier.batch.jobs import ItemKey, JobsState
 from cherrycove.tier.batch.leases import LeaseTimes
-from cherrycove.tier.batch.store import BatchStore
+from cherrycove.tier.batch.store import BatchStoreService
 from cherrycove.tier.batch.worker import BatchWorker
 from cherrycove.tier.configuration import Configuration, Route, Service
-from cherrycove.tier.distribution.views import Views
+from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol import batch_pb2 as pb
 from cherrycove.tier.protocol.control_pb2 import Announcement
@@ -102,13 +102,13 @@
     def members(self) -> tuple[MemberIdentity, ...]:
         return tuple(group.identity for group in self.cluster.groups)
 
-    def listed(self) -> frozenset[str]:
+    def voting_member_ids(self) -> frozenset[str]:
         return frozenset(member.member_id for member in self.members)
 
     def committed_members(self) -> CommittedMembers | None:
-        return CommittedMembers(1, self.members, frozenset()) if self.confirmed() else None
+        return CommittedMembers(1, self.members, frozenset()) if self.is_confirmed_primary() else None
 
-    def confirmed(self) -> bool:
+    def is_confirmed_primary(self) -> bool:
         return self.cluster.primary is self.identity
 
     async def propose(self, command: bytes, timeout_s: float) -> Result[object, Failure]:
@@ -116,7 +116,7 @@
         self.arrived.put_nowait(command)
         if self.gate is not None:
             await self.gate.wait()
-        if not self.confirmed():
+        if not self.is_confirmed_primary():
             return Err(Failure(ErrorKind.NOT_PRIMARY))
         if self.refusal is not None:
             return Err(self.refusal)
@@ -170,7 +170,7 @@
     ip: str
     group: PretendedGroup
     state: JobsState
-    store: BatchStore
+    store: BatchStoreService
     server: RpcServer
 
 
@@ -194,7 +194,7 @@
         self.port = free_port(STORE_HOSTS)
         self.cluster = Cluster()
         self.nodes: list[StoreNode] = []
-        self.views = Views(configuration=configuration(ROUTE))
+        self.views = ClusterView(configuration=configuration(ROUTE))
         for number in range(stores):
             self._add_store(f"127.0.0.{number + 1}", memory_mb, clock)
         self.rpc = RpcClient()
@@ -210,7 +210,7 @@
         identity = MemberIdentity(f"m-{ip}", own.node_name, own.internal_address("store"))
         group = self.cluster.add(identity, state)
         clocks = {"clock": clock, "wall_clock": clock} if clock is not None else {}
-        store = BatchStore(own, group, state, server, times=SHORT_TIMES, views=self.views, **clocks)
+        store = BatchStoreService(own, group, state, server, times=SHORT_TIMES, views=self.views, **clocks)
         self.nodes.append(StoreNode(ip, group, state, store, server))
 
     def publish(self) -> None:
@@ -219,7 +219,7 @@
             Announcement(
                 program="store",
                 ip=node.ip,
-                group_primary=node.group.confirmed(),
+                group_primary=node.group.is_confirmed_primary(),
                 group_epoch=node.group.epoch,
             )
             for node in self.nodes
@@ -266,7 +266,7 @@
         self.started: asyncio.Queue[ItemKey] = asyncio.Queue()
         self.cancelled: asyncio.Queue[ItemKey] = asyncio.Queue()
 
-    def free_places(self) -> int:
+    def free_slots(self) -> int:
         return self.places - len(self.items)
 
     async def run_item(
--- a/tests/tier/control_support.py
+++ b/tests/tier/control_support.py
@@ -16,11 +16,11 @@
 from loopback_ports import free_ports
 from result import Err, Ok, Result
 
-from cherrycove.tier.controlplane.keeper import Keeper
+from cherrycove.tier.controlplane.controller import Controller
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.controlplane.store_members import STORE_MEMBERS_CALL
+from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.distribution.puller import Puller
-from cherrycove.tier.distribution.views import Views
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol.control_pb2 import Announcement, Replica
 from cherrycove.tier.protocol.keeper_pb2 import StoreMembersReply, StoreMembersRequest
@@ -80,15 +80,15 @@
     def members(self) -> tuple[MemberIdentity, ...]:
         return tuple(group.identity for group in self._replicas.groups if group.listed_here)
 
-    def listed(self) -> frozenset[str]:
+    def voting_member_ids(self) -> frozenset[str]:
         return frozenset(member.member_id for member in self.members)
 
     def committed_members(self) -> CommittedMembers | None:
-        if not self.confirmed() or self.change_open:
+        if not self.is_confirmed_primary() or self.change_open:
             return None
         return CommittedMembers(1, self.members, frozenset(self.excluded))
 
-    def confirmed(self) -> bool:
+    def is_confirmed_primary(self) -> bool:
         return self._replicas.leader is self and self._replicas.lease and not self.cut_off
 
     async def propose(self, command: bytes, timeout_s: float) -> Result[object, Failure]:
@@ -142,7 +142,7 @@
             self.waiting.set()
             await self.gate.wait()
         outcome = self.next_outcomes.pop(0) if self.next_outcomes else "taken"
-        if outcome == "not_primary" or not group.confirmed():
+        if outcome == "not_primary" or not group.is_confirmed_primary():
             return Err(Failure(ErrorKind.NOT_PRIMARY, "does not lead"))
         if outcome == "uncertain_lost":
             return Err(Failure(ErrorKind.UNCERTAIN, "no answer of the backups"))
@@ -318,10 +318,10 @@
             f"disk-{settings.node_name}", settings.node_name, self.address, settings.zone
         )
         self.group = world.replicas.add(identity, self.state)
-        self.views = Views()
+        self.views = ClusterView()
         self._server = RpcServer()
         self.client = RpcClient()
-        self.keeper = Keeper(settings, self.group, self.state, self._server, self.client, self.views)
+        self.keeper = Controller(settings, self.group, self.state, self._server, self.client, self.views)
         self._puller = Puller(settings, self.client, self.views, self._announce)
 
     def _announce(self) -> Announcement:
@@ -385,7 +385,7 @@
 
     def __init__(self, settings: Settings, announcement: Announcement) -> None:
         self.announcement = announcement
-        self.views = Views()
+        self.views = ClusterView()
         self._rpc = RpcClient()
         self.puller = Puller(settings, self._rpc, self.views, lambda: self.announcement)
         self._changed = asyncio.Event()
@@ -403,7 +403,7 @@
         await self.puller.stop()
         await self._rpc.stop()
 
-    async def until(self, holds: Callable[[Views], bool]) -> None:
+    async def until(self, holds: Callable[[ClusterView], bool]) -> None:
         """Wait for an update after which ``holds`` is true."""
         async with asyncio.timeout(STEP_TIMEOUT_S):
             while not holds(self.views):
--- a/tests/tier/dataplane_world.py
+++ b/tests/tier/dataplane_world.py
@@ -14,7 +14,7 @@
 
 from cherrycove.tier.configuration import parse_configuration
 from cherrycove.tier.dataplane import DataPlane
-from cherrycove.tier.distribution.views import Broker, Views
+from cherrycove.tier.distribution.cluster_view import Broker, ClusterView
 from cherrycove.tier.settings import FaultTolerance, ListenAddresses, ProcessLimits, Settings
 from examples.toy_broker import ToyBroker
 
@@ -121,7 +121,7 @@
 
     brokers: list[ToyBroker]
     document: bytes | None = attrs.field(factory=configuration_bytes)
-    views: Views = attrs.field(factory=Views)
+    views: ClusterView = attrs.field(factory=ClusterView)
     settings: Settings = attrs.field(init=False)
     plane: DataPlane = attrs.field(init=False)
     _clients: list[Client] = attrs.field(factory=list)
--- a/tests/tier/snapshot_steps.py
+++ b/tests/tier/snapshot_steps.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from cherrycove.tier.storage.store import ReplicaStorage
+from cherrycove.tier.storage.replica_storage import ReplicaStorage
 
 STEPS = ("open", "write", "fsync", "fdatasync", "rename", "unlink")  # functions of os that the storage uses
 SAVED = "snapshot_saved"  # in the log, once a snapshot is whole
--- a/tests/tier/storage_crashes.py
+++ b/tests/tier/storage_crashes.py
@@ -13,16 +13,16 @@
 import attrs
 
 from cherrycove.tier.storage.entries import Entry, EntryKind
+from cherrycove.tier.storage.hard_state import HardState
 from cherrycove.tier.storage.identity import open_identity
-from cherrycove.tier.storage.promises import Promise
+from cherrycove.tier.storage.replica_storage import RecoveredState, ReplicaStorage
 from cherrycove.tier.storage.snapshots import Snapshot
-from cherrycove.tier.storage.store import RecoveredState, ReplicaStorage
 from tests.tier.disk_model import Contents, DiskState, RecordedDisk
 
 IP = "10.0.0.1"
 REPLICA = "replica"  # the replica's folder below the root
 SEGMENT_BYTES = 90  # so that each few entries begin another segment
-EMPTY = RecoveredState(Promise(), None, [])
+EMPTY = RecoveredState(HardState(), None, [])
 
 
 def entries(first: int, last: int, epoch: int = 1) -> list[Entry]:
@@ -39,9 +39,9 @@
 
 
 def promise(epoch: int, vote: str, committed: int = 0) -> Step:
-    new = Promise(epoch, vote, committed)
+    new = HardState(epoch, vote, committed)
     return Step(
-        lambda storage: storage.write_promise(new),
+        lambda storage: storage.write_hard_state(new),
         lambda state: attrs.evolve(state, promise=new),
     )
 
--- a/tests/tier/test_admission.py
+++ b/tests/tier/test_admission.py
@@ -21,7 +21,7 @@
 from cherrycove.tier.dataplane.admission.scheduler import Scheduler
 from cherrycove.tier.dataplane.headers import InstanceLoad
 from cherrycove.tier.dataplane.prompt import NO_PROMPT, Part, Prompt
-from cherrycove.tier.distribution.views import Broker
+from cherrycove.tier.distribution.cluster_view import Broker
 
 AIM_S = 0.3
 PATIENCE_S = 3.0
@@ -355,7 +355,7 @@
     proxy.end(items[0])
     assert waiting[-1] in proxy.sent and waiting[0] not in proxy.sent
     assert proxy.arrive() in proxy.sent
-    assert proxy.scheduler.free_places(proxy.now) == 0
+    assert proxy.scheduler.free_slots(proxy.now) == 0
 
 
 def test_an_item_that_was_refused_by_a_broker_is_sent_once_more_not_twice() -> None:
@@ -390,8 +390,8 @@
 
 def test_free_places_are_shared_among_the_proxies() -> None:
     proxy = Proxy([broker("a", slots=48), broker("b", slots=48)], proxies=4)
-    assert proxy.scheduler.free_places(proxy.now) == 20
-    assert Proxy([]).scheduler.free_places(100.0) == 0
+    assert proxy.scheduler.free_slots(proxy.now) == 20
+    assert Proxy([]).scheduler.free_slots(100.0) == 0
 
 
 def test_an_item_larger_than_any_broker_is_handed_back() -> None:
--- a/tests/tier/test_batch_client.py
+++ b/tests/tier/test_batch_client.py
@@ -11,7 +11,7 @@
 from result import Err, Ok, Result
 
 from cherrycove.tier.batch.client import SILENCE_KEPT_S, BatchClient, PrimaryFinder
-from cherrycove.tier.distribution.views import Views
+from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol import batch_pb2 as pb
 from cherrycove.tier.protocol.control_pb2 import Announcement
@@ -21,8 +21,8 @@
 ONE, TWO, THREE = (f"10.0.0.{number}:{PORT}" for number in (1, 2, 3))
 
 
-def stores(primary: int, epoch: int = 1) -> Views:
-    return Views(
+def stores(primary: int, epoch: int = 1) -> ClusterView:
+    return ClusterView(
         members=tuple(
             Announcement(
                 program="store", ip=f"10.0.0.{number}", group_primary=number == primary, group_epoch=epoch
@@ -49,7 +49,7 @@
     return Err(Failure(kind, primary=primary))
 
 
-def submit(rpc: ScriptedRpc, views: Views, budget_s: float = 0.02) -> Result[pb.SubmitReply, Failure]:
+def submit(rpc: ScriptedRpc, views: ClusterView, budget_s: float = 0.02) -> Result[pb.SubmitReply, Failure]:
     client = BatchClient(rpc, views, settings(PORT, "10.0.0.9"))
     return asyncio.run(client.submit(job("j1", "a"), budget_s))
 
@@ -98,7 +98,7 @@
 
 
 def test_nothing_is_taken_while_no_store_is_known() -> None:
-    assert submit(ScriptedRpc({}), Views()).unwrap_err().kind is ErrorKind.UNAVAILABLE
+    assert submit(ScriptedRpc({}), ClusterView()).unwrap_err().kind is ErrorKind.UNAVAILABLE
 
 
 def test_silent_stores_come_last_for_a_while() -> None:
--- a/tests/tier/test_batch_replicated.py
+++ b/tests/tier/test_batch_replicated.py
@@ -21,9 +21,9 @@
 from cherrycove.tier.batch.client import BatchClient
 from cherrycove.tier.batch.interface import ItemOutcome, ItemState
 from cherrycove.tier.batch.jobs import ItemKey, JobsState
-from cherrycove.tier.batch.store import BatchStore
+from cherrycove.tier.batch.store import BatchStoreService
 from cherrycove.tier.batch.worker import BatchWorker
-from cherrycove.tier.distribution.views import Views
+from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ErrorKind
 from cherrycove.tier.protocol import batch_pb2 as pb
 from cherrycove.tier.protocol.control_pb2 import Announcement
@@ -47,7 +47,7 @@
         disk = folder / host
         disk.mkdir(exist_ok=True)
         self.group = ReplicatedGroup("store", self.identity, disk, 1, self.state, self.server, self.client)
-        self.store = BatchStore(own, self.group, self.state, self.server)
+        self.store = BatchStoreService(own, self.group, self.state, self.server)
 
     async def start(self, members: list[MemberIdentity]) -> None:
         await self.client.start()
@@ -77,7 +77,7 @@
         self.port = free_port(STORE_HOSTS)
         self.nodes: list[Node] = []
         stores = tuple(Announcement(program="store", ip=host) for host in HOSTS)
-        self.views = Views(configuration=configuration(ROUTE), members=stores)
+        self.views = ClusterView(configuration=configuration(ROUTE), members=stores)
         self.rpc = RpcClient()
         self.settings = settings(self.port, HOSTS[0])
         self.client = BatchClient(self.rpc, self.views, self.settings)
@@ -94,7 +94,7 @@
         self.nodes = []
 
     async def crash_primary(self) -> None:
-        primary = next(node for node in self.nodes if node.group.confirmed())
+        primary = next(node for node in self.nodes if node.group.is_confirmed_primary())
         self.nodes.remove(primary)
         await primary.crash()
 
@@ -170,6 +170,8 @@
         assert body.unwrap().body == b"prompt"
         unknown = await stores.client.read(pb.ReadRequest(job_id="unknown"), BUDGET_S)
         assert unknown.unwrap_err().kind is ErrorKind.NOT_FOUND
-        assert all(node.state.jobs["ended"].ended for node in stores.nodes if node.group.confirmed())
+        assert all(
+            node.state.jobs["ended"].ended for node in stores.nodes if node.group.is_confirmed_primary()
+        )
 
     play(tmp_path, scene)
--- a/tests/tier/test_control_brokers.py
+++ b/tests/tier/test_control_brokers.py
@@ -10,11 +10,11 @@
 from result import Err, Ok
 
 from cherrycove.tier.controlplane.broker_changes import AbsenceCheck, same_brokers
-from cherrycove.tier.controlplane.broker_list import (
+from cherrycove.tier.controlplane.broker_discovery import (
     MAX_INTERVAL_S,
     MIN_INTERVAL_S,
     RATE_SHARE,
-    BrokerListReader,
+    BrokerDiscoveryClient,
     ReadPacing,
     parse_page,
 )
@@ -96,7 +96,7 @@
     async def exchange() -> None:
         platform = PlatformList(free_address())
         await platform.start()
-        reader = BrokerListReader(settings(platform._address))
+        reader = BrokerDiscoveryClient(settings(platform._address))
         await reader.start()
         platform.pages = [[instance("i-2")], [instance("i-3")], [instance("i-1")]]
         brokers = (await reader.read()).unwrap()
--- a/tests/tier/test_control_keeper.py
+++ b/tests/tier/test_control_controller.py
@@ -6,7 +6,7 @@
 
 from control_support import World, document, instance, store
 
-from cherrycove.tier.distribution.views import Views
+from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.protocol.control_pb2 import Announcement, PullReply, PullRequest, TopicVersion
 from cherrycove.tier.protocol.keeper_pb2 import StatusReply, StatusRequest
 
@@ -15,7 +15,7 @@
     return Announcement(node_name=name, program="proxy", incarnation="1", **changes)  # type: ignore[arg-type]
 
 
-def has_version(views: Views, version: int) -> bool:
+def has_version(views: ClusterView, version: int) -> bool:
     return views.configuration is not None and views.configuration.version == version
 
 
--- a/tests/tier/test_control_cut_off.py
+++ b/tests/tier/test_control_cut_off.py
@@ -13,7 +13,7 @@
 from cherrycove.tier.controlplane import leadership as leadership_module
 from cherrycove.tier.controlplane.configuration_decisions import ConfigurationDecisions
 from cherrycove.tier.controlplane.leadership import Leadership
-from cherrycove.tier.controlplane.register import REMEMBERED_S
+from cherrycove.tier.controlplane.process_registry import REMEMBERED_S
 from cherrycove.tier.errors import ErrorKind
 from cherrycove.tier.protocol.control_pb2 import Announcement, PullReply, PullRequest
 from cherrycove.tier.protocol.keeper_pb2 import Command, FormStoreGroup, RecordMachines, Retire, StoreMachine
@@ -55,7 +55,7 @@
 
 
 async def prepared(world: World) -> None:
-    """Keeper 0 leads; version 3 is in force; s1 began the store group with two others."""
+    """Controller 0 leads; version 3 is in force; s1 began the store group with two others."""
     world.lead(0)
     await world.operator(0, "PUT", CONFIGURATION, document(3), "0")
     formed = FormStoreGroup(initial=[replica(name) for name in ("s1", "s2", "s3")])
--- a/tests/tier/test_control_emptying.py
+++ b/tests/tier/test_control_emptying.py
@@ -7,8 +7,8 @@
 import attrs
 import pytest
 
-from cherrycove.tier.controlplane.emptying import CommittedList, GroupMember, obstacle
-from cherrycove.tier.controlplane.machines import stands_on
+from cherrycove.tier.controlplane.machines import is_on_machine
+from cherrycove.tier.controlplane.retirement_check import CommittedMembership, GroupMember, obstacle
 from cherrycove.tier.protocol.control_pb2 import Replica
 from cherrycove.tier.protocol.keeper_pb2 import RetireOrder, StoreMembersReply
 from cherrycove.tier.replication.interface import CommittedMembers, MemberIdentity
@@ -34,8 +34,8 @@
     return GroupMember(disk or f"disk-{number}", node_name, f"10.0.0.{number}:7000")
 
 
-STORES = CommittedList((member(1), member(2), member(4)), frozenset({"disk-3"}), revision=5)
-KEEPERS = CommittedList(
+STORES = CommittedMembership((member(1), member(2), member(4)), frozenset({"disk-3"}), revision=5)
+KEEPERS = CommittedMembership(
     (member(1, name=""), member(2, name=""), member(4)), frozenset({"first-10.0.0.3", "disk-9"})
 )
 
@@ -95,25 +95,25 @@
 
 
 def test_keepers_on_other_machines_are_not_asked_for() -> None:
-    core = CommittedList((member(11, name=""), member(12, name="")), frozenset())
+    core = CommittedMembership((member(11, name=""), member(12, name="")), frozenset())
     assert obstacle(order(keeper_ids=[]), core, STORES, GROUP_SIZE) is None
 
 
 def test_an_address_used_again_by_a_machine_of_another_name_is_another_machine() -> None:
-    assert stands_on(order(), "", "10.0.0.3:7000")
-    assert stands_on(order(), "m3", "10.0.0.9:7000")
-    assert not stands_on(order(), "m7", "10.0.0.3:7000")
-    assert not stands_on(order(), "", "10.0.0.33:7000")
+    assert is_on_machine(order(), "", "10.0.0.3:7000")
+    assert is_on_machine(order(), "m3", "10.0.0.9:7000")
+    assert not is_on_machine(order(), "m7", "10.0.0.3:7000")
+    assert not is_on_machine(order(), "", "10.0.0.33:7000")
 
 
 def test_lists_are_taken_from_both_groups() -> None:
     reply = StoreMembersReply(
         members=[Replica(member_id="a", node_name="m1", address="10.0.0.1:1")], excluded=["x"], revision=7
     )
-    assert CommittedList.of_stores(reply) == CommittedList(
+    assert CommittedMembership.of_stores(reply) == CommittedMembership(
         (GroupMember("a", "m1", "10.0.0.1:1"),), frozenset({"x"}), 7
     )
     committed = CommittedMembers(4, (MemberIdentity("b", "", "10.0.0.2:1"),), frozenset({"y"}))
-    assert CommittedList.of_keepers(committed) == CommittedList(
+    assert CommittedMembership.of_keepers(committed) == CommittedMembership(
         (GroupMember("b", "", "10.0.0.2:1"),), frozenset({"y"})
     )
--- a/tests/tier/test_control_register.py
+++ b/tests/tier/test_control_register.py
@@ -4,23 +4,23 @@
 
 from control_support import store
 
-from cherrycove.tier.controlplane.register import (
+from cherrycove.tier.controlplane.process_registry import (
     LEAVING_TIMEOUT_S,
     MEMBER_TIMEOUT_S,
     MINOR_CHANGE_INTERVAL_S,
     REMEMBERED_S,
     MemberListChanges,
-    Register,
+    ProcessRegistry,
 )
 from cherrycove.tier.protocol.control_pb2 import Announcement, MemberList
 
 
-def names(register: Register, now: float) -> list[str]:
+def names(register: ProcessRegistry, now: float) -> list[str]:
     return [entry.announcement.node_name for entry in register.alive(now)]
 
 
 def test_a_process_is_alive_for_a_while_after_each_announcement() -> None:
-    register = Register()
+    register = ProcessRegistry()
     register.announce(store("s2"), 0.0)
     register.announce(store("s1"), 1.0)
     assert names(register, 1.0) == ["s1", "s2"]
@@ -30,14 +30,14 @@
 
 
 def test_a_process_that_leaves_is_gone_sooner() -> None:
-    register = Register()
+    register = ProcessRegistry()
     register.announce(store("s1", leaving=True), 0.0)
     assert names(register, 0.0) == ["s1"]
     assert names(register, LEAVING_TIMEOUT_S) == []
 
 
 def test_a_newer_incarnation_replaces_and_the_older_is_not_heard_again() -> None:
-    register = Register()
+    register = ProcessRegistry()
     register.announce(store("s1", incarnation="1", member_id="old"), 0.0)
     register.announce(store("s1", incarnation="2", member_id="new"), 1.0)
     register.announce(store("s1", incarnation="1", member_id="old"), 1.1)
@@ -45,7 +45,7 @@
 
 
 def test_two_programs_of_one_machine_are_two_processes() -> None:
-    register = Register()
+    register = ProcessRegistry()
     register.announce(Announcement(node_name="m1", program="keeper"), 0.0)
     register.announce(Announcement(node_name="m1", program="store"), 0.0)
     assert len(register.alive(0.0)) == 2
@@ -53,7 +53,7 @@
 
 
 def test_gone_processes_are_remembered_for_a_while() -> None:
-    register = Register()
+    register = ProcessRegistry()
     register.announce(store("s1"), 0.0)
     register.forget_old(REMEMBERED_S - 0.1)
     assert len(register.remembered("store")) == 1
@@ -63,7 +63,7 @@
 
 def test_a_late_announcement_of_an_earlier_incarnation_does_not_shut_the_newer_out() -> None:
     """A pull that a cut held up comes after the process was started again and has announced itself."""
-    register = Register()
+    register = ProcessRegistry()
     register.announce(store("s1", incarnation="2", member_id="new"), 0.0)
     register.announce(store("s1", incarnation="1", member_id="old"), 0.1)
     for pull in range(1, 5):
@@ -74,7 +74,7 @@
 
 
 def test_an_earlier_primarys_list_does_not_hide_what_was_announced() -> None:
-    register = Register()
+    register = ProcessRegistry()
     register.announce(store("s1", incarnation="2"), 0.0)
     register.seed([store("s1", incarnation="1"), store("s2")], 0.5)
     assert [entry.seeded for entry in register.alive(0.5)] == [False, True]
--- a/tests/tier/test_control_replicated.py
+++ b/tests/tier/test_control_replicated.py
@@ -9,7 +9,7 @@
 from control_support import STEP_TIMEOUT_S, document
 from loopback_ports import free_ports
 
-from cherrycove.tier.controlplane.keeper import Keeper
+from cherrycove.tier.controlplane.controller import Controller
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.protocol.rpc import RpcClient, RpcServer
 from cherrycove.tier.replication.group import ReplicatedGroup
@@ -43,7 +43,7 @@
         disk = folder / host
         disk.mkdir(exist_ok=True)
         self.group = ReplicatedGroup("keeper", self.identity, disk, 1, state, self.server, self.client)
-        self.keeper = Keeper(settings, self.group, state, self.server, self.client)
+        self.keeper = Controller(settings, self.group, state, self.server, self.client)
 
     async def start(self, members: list[MemberIdentity]) -> None:
         await self.client.start()
@@ -83,7 +83,7 @@
         members = [node.identity for node in nodes]
         await asyncio.gather(*(node.start(members) for node in nodes))
         await call(nodes, ports[0], "PUT", document(3), 0)
-        first = next(node for node in nodes if node.group.confirmed())
+        first = next(node for node in nodes if node.group.is_confirmed_primary())
         await first.stop()
         left = [node for node in nodes if node is not first]
         assert await call(left, ports[0], "GET") == document(3)
--- a/tests/tier/test_control_retire_replicated.py
+++ b/tests/tier/test_control_retire_replicated.py
@@ -13,7 +13,7 @@
 from control_support import STEP_TIMEOUT_S, document
 from loopback_ports import free_ports
 
-from cherrycove.tier.programs.keeper import KeeperProgram
+from cherrycove.tier.programs.controller import ControllerProgram
 from cherrycove.tier.programs.store import StoreProgram
 from cherrycove.tier.replication.group import ReplicatedGroup
 from cherrycove.tier.replication.interface import CommittedMembers
@@ -38,7 +38,7 @@
         self._folder = folder
         self._keeper_hosts = keeper_hosts
         self.control, self.internal, self.platform = free_ports(3, STORAGE + CORE, following=1)
-        self.keepers = {host: KeeperProgram(self.settings(host)) for host in keeper_hosts}
+        self.keepers = {host: ControllerProgram(self.settings(host)) for host in keeper_hosts}
         self.stores = {host: StoreProgram(self.settings(host)) for host in STORAGE}
 
     def settings(self, host: str) -> Settings:
--- a/tests/tier/test_control_store_group.py
+++ b/tests/tier/test_control_store_group.py
@@ -7,13 +7,13 @@
 import attrs
 from control_support import replica, store
 
-from cherrycove.tier.controlplane.register import Registration
+from cherrycove.tier.controlplane.process_registry import Registration
 from cherrycove.tier.controlplane.store_group import (
     GATHER_S,
     LAST_RESORT_S,
     SPARSE_GATHER_S,
-    GroupForming,
-    StoreFleet,
+    StoreGroupBootstrap,
+    StoreInventory,
     order_updates,
     record_updates,
 )
@@ -22,7 +22,7 @@
 from cherrycove.tier.settings import FaultTolerance, Settings
 
 
-def forming(machine_failures: int = 1) -> GroupForming:
+def forming(machine_failures: int = 1) -> StoreGroupBootstrap:
     settings = Settings(
         node_name="core-1",
         machine_class="core",
@@ -32,14 +32,14 @@
         internal_port_range=[7000, 7010],
         fault_tolerance=FaultTolerance(machine_failures=machine_failures),
     )
-    return GroupForming(settings)
+    return StoreGroupBootstrap(settings)
 
 
 def heard(*announcements: Announcement, seeded: bool = False) -> list[Registration]:
     return [Registration(one, 0.0, seeded) for one in announcements]
 
 
-def chosen(group: GroupForming, stores: Iterable[Registration], now: float) -> list[str]:
+def chosen(group: StoreGroupBootstrap, stores: Iterable[Registration], now: float) -> list[str]:
     return [one.node_name for one in group.choose(list(stores), now)]
 
 
@@ -92,9 +92,9 @@
     assert chosen(group, stores + heard(store("s4")), LAST_RESORT_S + GATHER_S) == ["s4"]
 
 
-def fleet(order: RetireOrder, *alive: Announcement, seeded: bool = False) -> StoreFleet:
+def fleet(order: RetireOrder, *alive: Announcement, seeded: bool = False) -> StoreInventory:
     entries = heard(*alive, seeded=seeded)
-    return StoreFleet(
+    return StoreInventory(
         alive=entries,
         remembered=entries,
         initial=[replica("s1"), replica("s2"), replica("s3")],
@@ -102,7 +102,7 @@
     )
 
 
-def kinds(now: StoreFleet) -> list[str | None]:
+def kinds(now: StoreInventory) -> list[str | None]:
     return [command.WhichOneof("body") for command in order_updates(now)]
 
 
@@ -130,7 +130,9 @@
 
 def test_machines_are_recorded_with_address_and_disks() -> None:
     entries = heard(store("s1"), store("s2"))
-    seen = StoreFleet(alive=entries, remembered=entries, initial=[], orders={}, keepers={"s1": "keeper-s1"})
+    seen = StoreInventory(
+        alive=entries, remembered=entries, initial=[], orders={}, keepers={"s1": "keeper-s1"}
+    )
     [command] = record_updates(seen)
     machines = {machine.node_name: machine for machine in command.record_machines.machines}
     assert machines["s1"].keeper_id == "keeper-s1"
--- a/tests/tier/test_control_store_maintenance.py
+++ b/tests/tier/test_control_store_maintenance.py
@@ -10,14 +10,14 @@
 from control_support import MemoryReplicas, replica, store
 from result import Err, Ok, Result
 
-from cherrycove.tier.controlplane.group_wishes import GroupWishes
-from cherrycove.tier.controlplane.register import Registration
+from cherrycove.tier.controlplane.controller_group import ControllerGroupMembership
+from cherrycove.tier.controlplane.leadership_period import LeadershipPeriod
+from cherrycove.tier.controlplane.process_registry import Registration
 from cherrycove.tier.controlplane.state import ControlState
-from cherrycove.tier.controlplane.store_group import StoreFleet
-from cherrycove.tier.controlplane.store_maintenance import StoreMaintenance
+from cherrycove.tier.controlplane.store_group import StoreInventory
+from cherrycove.tier.controlplane.store_group_reconciler import StoreGroupReconciler
 from cherrycove.tier.controlplane.store_members import StoreMembersReader, StoreMembersService
-from cherrycove.tier.controlplane.term import Term
-from cherrycove.tier.distribution.views import Views
+from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol.control_pb2 import Announcement, StoreGroup
 from cherrycove.tier.protocol.keeper_pb2 import (
@@ -72,8 +72,8 @@
             self.replicas.add(identity, ControlState())
         self.caller = ScriptedCaller()
         self.alive = [Registration(one, 0.0) for one in alive]
-        self.term = Term(self.group, lambda epoch: None, lambda: None)
-        self.stores = StoreMaintenance(
+        self.term = LeadershipPeriod(self.group, lambda epoch: None, lambda: None)
+        self.stores = StoreGroupReconciler(
             SETTINGS, self.group, self.state, self.term, self.caller, lambda: self.fleet()
         )
         self.reply = StoreMembersReply(
@@ -83,8 +83,8 @@
         self.replicas.lead(self.group)
         self.term.update()
 
-    def fleet(self) -> StoreFleet:
-        return StoreFleet(
+    def fleet(self) -> StoreInventory:
+        return StoreInventory(
             alive=self.alive,
             remembered=self.alive,
             initial=self.state.initial_stores,
@@ -152,7 +152,7 @@
     async def play(scene: Scene) -> None:
         last = scene.replicas.groups[-1]
         last.identity = MemberIdentity("first-127.0.0.1", "", "127.0.0.1:7000")
-        wishes = GroupWishes(SETTINGS, scene.group, scene.state)
+        wishes = ControllerGroupMembership(SETTINGS, scene.group, scene.state)
         wishes.update([])
         assert scene.group.retiring == {"s3", "first-127.0.0.1"}
         await scene.stores.work()
@@ -202,7 +202,7 @@
     async def play(scene: Scene) -> None:
         machine = StoreMachine(node_name="s3", ip="127.0.0.1", keeper_id="away")
         await scene.commit(record_machines=RecordMachines(machines=[machine]))
-        wishes = GroupWishes(SETTINGS, scene.group, scene.state)
+        wishes = ControllerGroupMembership(SETTINGS, scene.group, scene.state)
         present = Announcement(node_name="core-8", program="keeper", ip="10.0.0.8", member_id="keeper-8")
         member = Announcement(node_name="core-2", program="keeper", ip="10.0.0.2", member_id="keeper-2")
         wishes.update([Registration(present, 0.0), Registration(member, 0.0)])
@@ -220,7 +220,7 @@
         group = replicas.add(MemberIdentity("a", "s1", "127.0.0.1:1", "z"), ControlState())
         other = replicas.add(MemberIdentity("b", "s2", "127.0.0.2:1"), ControlState())
         group.excluded = {"x"}
-        service = StoreMembersService(group, Views(store_group=StoreGroup(revision=8)))
+        service = StoreMembersService(group, ClusterView(store_group=StoreGroup(revision=8)))
         assert (await service.members(StoreMembersRequest())).unwrap_err().kind is ErrorKind.NOT_PRIMARY
         replicas.lead(other)
         assert (await service.members(StoreMembersRequest())).unwrap_err().primary == "127.0.0.2:1"
--- a/tests/tier/test_dataplane_items.py
+++ b/tests/tier/test_dataplane_items.py
@@ -43,7 +43,7 @@
             broker.scripts = shared
         async with World(brokers) as world, asyncio.timeout(TIMEOUT_S):
             outcome = await world.plane.executor.run_item(leased(**fields), always, unrecorded)
-            assert world.plane.executor.free_places() > 0
+            assert world.plane.executor.free_slots() > 0
             return outcome, [request for broker in brokers for request in broker.received]
 
     return asyncio.run(story())
--- a/tests/tier/test_distribution_puller.py
+++ b/tests/tier/test_distribution_puller.py
@@ -11,12 +11,12 @@
 from virtual_time import run
 
 from cherrycove.tier.controlplane.leadership import Leadership
+from cherrycove.tier.controlplane.leadership_period import LeadershipPeriod, LeadershipPeriodAuthority
 from cherrycove.tier.controlplane.state import ControlState, content_digest
-from cherrycove.tier.controlplane.term import Term, TermAuthority
 from cherrycove.tier.controlplane.topics import ControlTopics
+from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.distribution.publisher import Publisher
 from cherrycove.tier.distribution.puller import CALL_MARGIN_S, WAIT_MS, Puller
-from cherrycove.tier.distribution.views import Views
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol.control_pb2 import (
     Announcement,
@@ -123,7 +123,7 @@
             internal_port_range=[7000, 7010],
             seed_nodes=[f"10.0.0.{seed}:8000" for seed in seeds],
         )
-        self.views = Views()
+        self.views = ClusterView()
         self.puller = Puller(settings, keepers, self.views, lambda: Announcement(node_name="f1"))
         self._changed = asyncio.Event()
         self.views.on_change(self._note)
@@ -258,10 +258,10 @@
         self.epoch = 1
         self.leads = True
 
-    def confirmed(self) -> bool:
+    def is_confirmed_primary(self) -> bool:
         return self.leads
 
-    def listed(self) -> frozenset[str]:
+    def voting_member_ids(self) -> frozenset[str]:
         return frozenset({"a"})
 
     def committed_members(self) -> CommittedMembers | None:
@@ -288,8 +288,10 @@
 def test_a_pull_held_over_a_lost_and_regained_lease_gets_what_was_committed_meanwhile() -> None:
     async def exchange() -> None:
         group, state = Replica(), ControlState()
-        term = Term(group, lambda epoch: topics.begin_term(epoch), lambda: None)
-        publisher = Publisher(TermAuthority(term, Leadership(group, Views())), lambda request: term.update())
+        term = LeadershipPeriod(group, lambda epoch: topics.begin_term(epoch), lambda: None)
+        publisher = Publisher(
+            LeadershipPeriodAuthority(term, Leadership(group, ClusterView())), lambda request: term.update()
+        )
         topics = ControlTopics(publisher, state)
         accept(state, 3, 0)
         held = [TopicVersion(topic="configuration", epoch=0, sequence=3)]
--- a/tests/tier/test_distribution_topics.py
+++ b/tests/tier/test_distribution_topics.py
@@ -4,10 +4,15 @@
 
 from control_support import document
 
-from cherrycove.tier.distribution.keeper_choice import HINT_IGNORED_S, MAX_PAUSE_S, MIN_PAUSE_S, KeeperChoice
-from cherrycove.tier.distribution.puller import ViewUpdater
+from cherrycove.tier.distribution.cluster_view import ClusterView
+from cherrycove.tier.distribution.controller_selector import (
+    HINT_IGNORED_S,
+    MAX_PAUSE_S,
+    MIN_PAUSE_S,
+    ControllerSelector,
+)
+from cherrycove.tier.distribution.puller import ClusterViewUpdater
 from cherrycove.tier.distribution.topics import TopicBoard, Version, VersionVector
-from cherrycove.tier.distribution.views import Views
 from cherrycove.tier.protocol.control_pb2 import (
     Announcement,
     BrokerEntry,
@@ -59,10 +64,10 @@
 
 
 def test_views_never_go_back() -> None:
-    views = Views()
+    views = ClusterView()
     calls: list[int] = []
     views.on_change(lambda: calls.append(1))
-    updater = ViewUpdater(views)
+    updater = ClusterViewUpdater(views)
     assert updater.apply([configuration(4), brokers(2, 1, "a", "old")])
     assert not updater.apply([configuration(3), brokers(1, 9, "b")])
     assert calls == [1]
@@ -72,20 +77,20 @@
 
 
 def test_an_unreadable_configuration_leaves_the_one_before_in_force() -> None:
-    views = Views()
-    updater = ViewUpdater(views)
+    views = ClusterView()
+    updater = ClusterViewUpdater(views)
     updater.apply([configuration(4)])
     updater.apply([configuration(5, b"{")])
     assert views.configuration is not None and views.configuration.version == 4
 
 
 def test_views_of_members_and_of_the_store_group() -> None:
-    views = Views()
+    views = ClusterView()
     proxies = [Announcement(node_name="f1", program="proxy"), Announcement(node_name="f2", program="proxy")]
     proxies[1].leaving = True
     members = MemberList(members=[*proxies, Announcement(node_name="s1", program="store")])
     group = StoreGroup(retiring=["s1"])
-    updater = ViewUpdater(views)
+    updater = ClusterViewUpdater(views)
     updater.apply(
         [
             TopicUpdate(version=version("members", 1, 1), members=members),
@@ -98,7 +103,7 @@
 
 
 def test_hints_are_followed_and_failures_rotate() -> None:
-    choice = KeeperChoice(["a", "b"])
+    choice = ControllerSelector(["a", "b"])
     assert choice.target() == "a"
     assert choice.not_primary("a", "c", 0.0) == 0.0
     assert choice.target() == "c"
@@ -113,14 +118,14 @@
 
 
 def test_hints_in_a_circle_are_slowed_down() -> None:
-    choice = KeeperChoice(["a", "b"])
+    choice = ControllerSelector(["a", "b"])
     pauses = [choice.not_primary(*pair, 0.0) for pair in (("a", "b"), ("b", "a"), ("a", "b"))]
     assert pauses[:2] == [0.0, 0.0]
     assert pauses[2] > 0.0
 
 
 def test_pauses_grow_to_a_bound() -> None:
-    choice = KeeperChoice(["a"])
+    choice = ControllerSelector(["a"])
     pauses = [choice.failed("a", float(turn)) for turn in range(20)]
     assert pauses[0] == MIN_PAUSE_S
     assert pauses == sorted(pauses)
@@ -128,7 +133,7 @@
 
 
 def test_keepers_learned_from_the_members_are_tried_after_the_seeds() -> None:
-    choice = KeeperChoice(["a"])
+    choice = ControllerSelector(["a"])
     choice.learn(["a", "d"])
     tried = []
     for turn in range(4):
@@ -136,5 +141,5 @@
         choice.failed(tried[-1], float(turn))
     assert tried == ["a", "d", "a", "d"]
     choice.reseed(["e"])
-    assert KeeperChoice([]).target() == ""
+    assert ControllerSelector([]).target() == ""
     assert choice.target() in ("e", "a", "d")
--- a/tests/tier/test_replication_loopback.py
+++ b/tests/tier/test_replication_loopback.py
@@ -89,7 +89,7 @@
     """The node that leads under a valid lease."""
     while True:
         for node in nodes:
-            if node.group.confirmed():
+            if node.group.is_confirmed_primary():
                 return node
         await asyncio.wait(
             [asyncio.ensure_future(node.changed.wait()) for node in nodes],
--- a/tests/tier/test_replication_machine.py
+++ b/tests/tier/test_replication_machine.py
@@ -9,7 +9,7 @@
 
 from cherrycove.tier.protocol.replication_pb2 import Append, Message, VoteReply, VoteRequest
 from cherrycove.tier.replication.core import Role
-from cherrycove.tier.replication.effects import Effects, WritePromise
+from cherrycove.tier.replication.effects import Effects, WriteHardState
 from cherrycove.tier.replication.interface import MemberIdentity
 from cherrycove.tier.replication.log import encode_members
 from cherrycove.tier.replication.machine import ReplicaMachine
@@ -41,8 +41,8 @@
 
 
 def primary_of(world: World) -> Replica:
-    wait(world, lambda: world.confirmed() is not None, 3.0)
-    primary = world.confirmed()
+    wait(world, lambda: world.confirmed_primary() is not None, 3.0)
+    primary = world.confirmed_primary()
     assert primary is not None
     return primary
 
@@ -52,7 +52,7 @@
     before = world.acknowledged
 
     def committed() -> bool:
-        primary = world.confirmed()
+        primary = world.confirmed_primary()
         if world.acknowledged == before and primary is not None:
             world.propose(primary, b"command")
         return world.acknowledged > before
@@ -72,7 +72,7 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_a_new_group_leads_soon_and_commits_in_two_syncs(seed: int) -> None:
     world = quiet_world(seed=seed)
-    assert wait(world, lambda: world.confirmed() is not None, 2.5) < 2.5
+    assert wait(world, lambda: world.confirmed_primary() is not None, 2.5) < 2.5
     assert commit(world, 0.1) < 0.05
 
 
@@ -90,9 +90,9 @@
     commit(world, 3.0)
     before = primary_of(world)
     world.hand_over(before)
-    assert not machine_of(before).confirmed(world.now)
+    assert not machine_of(before).is_confirmed_primary(world.now)
     assert commit(world, 0.3) < 0.2
-    assert world.confirmed() is not before
+    assert world.confirmed_primary() is not before
 
 
 def test_a_frozen_primary_is_not_confirmed_when_it_wakes() -> None:
@@ -103,7 +103,7 @@
     commit(world, 2.0)
     machine = machine_of(frozen)
     assert machine.role is Role.PRIMARY
-    assert not machine.confirmed(world.now)
+    assert not machine.is_confirmed_primary(world.now)
     assert machine.propose(b"late", world.now) is None
     world.thaw(frozen)
     wait(world, lambda: machine.role is Role.BACKUP, 0.3)
@@ -120,7 +120,7 @@
     world.run_until(world.now + 5.0)
     world.cuts.clear()
     world.run_until(world.now + 3.0)
-    assert world.confirmed() is primary
+    assert world.confirmed_primary() is primary
     assert machine_of(primary).epoch == epoch
 
 
@@ -131,7 +131,7 @@
     for other in world.replicas:
         world.cuts.add((other.address, primary.address))
         world.cuts.add((primary.address, other.address))
-    wait(world, lambda: not machine_of(primary).confirmed(world.now), 0.75)
+    wait(world, lambda: not machine_of(primary).is_confirmed_primary(world.now), 0.75)
     wait(world, lambda: machine_of(primary).role is Role.BACKUP, 1.6)
 
 
@@ -141,7 +141,7 @@
     stalled = primary_of(world)
     stalled.stalled_until = world.now + 60.0
     commit(world, 0.1)
-    wait(world, lambda: world.confirmed() not in (None, stalled), 1.5)
+    wait(world, lambda: world.confirmed_primary() not in (None, stalled), 1.5)
     assert commit(world, 0.1) < 0.1
 
 
@@ -184,7 +184,7 @@
     world.start(silent)
     world.run_until(world.now + 3.0)
     assert silent.disk.member_id not in member_ids(primary)
-    assert world.confirmed() is primary
+    assert world.confirmed_primary() is primary
 
 
 def test_a_removed_member_that_does_not_know_it_asks_seldom() -> None:
@@ -206,7 +206,7 @@
     world.on_effects = count
     world.run_until(world.now + 10.0)
     assert 0 < len(requests) <= 6
-    assert world.confirmed() is primary
+    assert world.confirmed_primary() is primary
 
 
 def test_a_primary_that_cannot_write_hands_over_and_stands_no_more() -> None:
@@ -233,7 +233,7 @@
     world.offer()
 
     def left() -> bool:
-        primary = world.confirmed()
+        primary = world.confirmed_primary()
         return primary is not None and retiring.disk.member_id not in member_ids(primary)
 
     wait(world, left, 4.0)
@@ -276,7 +276,11 @@
     world.retiring = frozenset()
     world.offer()
     world.hand_over(primary)
-    wait(world, lambda: world.confirmed() is not None and world.confirmed() is not primary, 1.0)
+    wait(
+        world,
+        lambda: world.confirmed_primary() is not None and world.confirmed_primary() is not primary,
+        1.0,
+    )
     lost.end(Random(1))
     world.run_until(world.now + 4.0)
     assert excluded(primary_of(world))
@@ -294,7 +298,7 @@
     world.retiring = frozenset({world.replicas[3].address})
     world.offer()
     world.run_until(world.now + 0.3)
-    assert machine_of(primary).confirmed(world.now)
+    assert machine_of(primary).is_confirmed_primary(world.now)
     assert machine_of(primary).committed_members(world.now) is None
 
 
@@ -318,7 +322,7 @@
     primary.end(Random(1))
     assert all(leaving.disk.member_id in member_ids(replica) for replica in unaware)
     commit(world, 4.0)
-    wait(world, lambda: world.confirmed() in unaware, 2.0)
+    wait(world, lambda: world.confirmed_primary() in unaware, 2.0)
     assert leaving.disk.member_id not in member_ids(primary_of(world))
 
 
@@ -378,7 +382,7 @@
     effects = machine.take_effects()
     assert effects.messages == []
     (write,) = effects.writes
-    assert isinstance(write, WritePromise)
+    assert isinstance(write, WriteHardState)
     assert (write.promise.epoch, write.promise.voted_for) == (4, "m1")
     machine.written(write.ticket, 5.01)
     (outgoing,) = machine.take_effects().messages
@@ -492,7 +496,7 @@
     world = quiet_world(seed=seed)
     commit(world, 3.0)
     restart(world, world.replicas, 0.5)
-    assert wait(world, lambda: world.confirmed() is not None, 2.0) < 0.5 + 0.7
+    assert wait(world, lambda: world.confirmed_primary() is not None, 2.0) < 0.5 + 0.7
     assert commit(world, 0.1) < 0.05
 
 
@@ -505,9 +509,9 @@
     for other in others:
         world.cuts |= {(primary.address, other.address), (other.address, primary.address)}
     restart(world, others, 0.1)
-    wait(world, lambda: not machine_of(primary).confirmed(world.now), 1.0)
-    assert world.confirmed() is None
-    assert wait(world, lambda: world.confirmed() is not None, 2.0) > 0.0
+    wait(world, lambda: not machine_of(primary).is_confirmed_primary(world.now), 1.0)
+    assert world.confirmed_primary() is None
+    assert wait(world, lambda: world.confirmed_primary() is not None, 2.0) > 0.0
 
 
 def test_a_replaced_disk_answers_for_the_replica_before_it() -> None:
@@ -523,7 +527,7 @@
     def tell() -> None:
         for replica in (first, second):
             machine_of(replica).disk_replaced(gone, world.now)
-        if world.confirmed() is not None:
+        if world.confirmed_primary() is not None:
             heard.setdefault("led", world.now)
 
     begun = world.now
@@ -551,14 +555,14 @@
     machine.written(machine.take_effects().writes[-1].ticket, 5.0)
     for tick in range(100, 130):
         machine.tick(tick * 0.05)
-    assert machine.listed() == {"m0", "m1", "m2", "m3"}
+    assert machine.voting_member_ids() == {"m0", "m1", "m2", "m3"}
     campaign = last_campaign(machine.take_effects())
     machine.receive(identity(3), preliminary_vote(True, campaign), 6.5)
     assert machine.role is Role.BACKUP
     machine.receive(identity(2), preliminary_vote(False, campaign, commit_index=3, commit_epoch=2), 6.5)
     assert machine.commit_index == 2
     machine.receive(identity(2), preliminary_vote(False, campaign, commit_index=3, commit_epoch=1), 6.5)
-    assert machine.listed() == {"m0", "m1", "m3"}
+    assert machine.voting_member_ids() == {"m0", "m1", "m3"}
     machine.receive(identity(3), preliminary_vote(True, campaign), 6.5)
     assert machine.role is Role.CANDIDATE
 
@@ -696,10 +700,10 @@
 
     def note(replica: Replica, effects: Effects) -> None:
         if replica is leaving and machine_of(leaving).role is Role.PRIMARY:
-            confirmed.append(machine_of(leaving).confirmed(world.now))
+            confirmed.append(machine_of(leaving).is_confirmed_primary(world.now))
 
     world.on_effects = note
     primary.end(Random(1))
-    wait(world, lambda: world.confirmed() in unaware, 6.0)
+    wait(world, lambda: world.confirmed_primary() in unaware, 6.0)
     assert confirmed
     assert not any(confirmed)
--- a/tests/tier/test_replication_storage.py
+++ b/tests/tier/test_replication_storage.py
@@ -12,10 +12,10 @@
 
 from cherrycove.tier.storage.entries import Entry, EntryKind
 from cherrycove.tier.storage.files import DamagedStorageError
+from cherrycove.tier.storage.hard_state import HardState
 from cherrycove.tier.storage.identity import open_identity
-from cherrycove.tier.storage.promises import Promise
+from cherrycove.tier.storage.replica_storage import RecoveredState, ReplicaStorage
 from cherrycove.tier.storage.snapshots import Snapshot
-from cherrycove.tier.storage.store import RecoveredState, ReplicaStorage
 
 
 @pytest.fixture(autouse=True)
@@ -37,7 +37,7 @@
     directory.mkdir(exist_ok=True)
     storage = ReplicaStorage(directory, limit_bytes, segment_bytes)
     storage.recover()
-    storage.write_promise(Promise(9, "someone"))
+    storage.write_hard_state(HardState(9, "someone"))
     return storage
 
 
@@ -57,11 +57,11 @@
     storage = new_storage(tmp_path)
     storage.append(entries(1, 3))
     storage.append(entries(4, 5))
-    storage.write_promise(Promise(10, "first-10.0.0.1", 4))
+    storage.write_hard_state(HardState(10, "first-10.0.0.1", 4))
     storage.close()
     recovered = recover(tmp_path)
     assert recovered.entries == entries(1, 5)
-    assert recovered.promise == Promise(10, "first-10.0.0.1", 4)
+    assert recovered.promise == HardState(10, "first-10.0.0.1", 4)
     assert recovered.snapshot is None
 
 
@@ -170,8 +170,8 @@
 
 def test_a_torn_promise_leaves_the_one_before(tmp_path: Path) -> None:
     storage = new_storage(tmp_path)
-    storage.write_promise(Promise(11, "a"))
-    storage.write_promise(Promise(12, "b"))
+    storage.write_hard_state(HardState(11, "a"))
+    storage.write_hard_state(HardState(12, "b"))
     storage.close()
     path = tmp_path / "promise"
     data = bytearray(path.read_bytes())
@@ -180,7 +180,7 @@
     data[first] ^= 1
     data[second] ^= 1
     path.write_bytes(data)
-    assert recover(tmp_path).promise == Promise(11, "a")
+    assert recover(tmp_path).promise == HardState(11, "a")
 
 
 def test_a_snapshot_replaces_the_log_before_it(tmp_path: Path) -> None:
--- a/tests/tier/test_replication_writer.py
+++ b/tests/tier/test_replication_writer.py
@@ -9,14 +9,14 @@
 from typing import cast
 
 from cherrycove.tier.protocol.replication_pb2 import Batch, Message
-from cherrycove.tier.replication.effects import Write, WriteEntries, WritePromise, WriteSnapshot
+from cherrycove.tier.replication.effects import Write, WriteEntries, WriteHardState, WriteSnapshot
 from cherrycove.tier.replication.inbox import Inbox
 from cherrycove.tier.replication.interface import MemberIdentity
 from cherrycove.tier.replication.writer import DiskWriter, joined
 from cherrycove.tier.storage.entries import Entry, EntryKind
-from cherrycove.tier.storage.promises import Promise
+from cherrycove.tier.storage.hard_state import HardState
+from cherrycove.tier.storage.replica_storage import ReplicaStorage
 from cherrycove.tier.storage.snapshots import Snapshot
-from cherrycove.tier.storage.store import ReplicaStorage
 
 TIMEOUT_S = 10.0
 SNAPSHOT = Snapshot(1, 1, b"", b"state")
@@ -42,7 +42,7 @@
             raise OSError(errno.ENOSPC, "full")
         self.written.append(what)
 
-    def write_promise(self, promise: Promise) -> None:
+    def write_hard_state(self, promise: HardState) -> None:
         self._write(promise)
 
     def append(self, entries: Sequence[Entry]) -> None:
@@ -101,26 +101,26 @@
 
 
 def test_neighbours_are_joined_and_order_is_kept() -> None:
-    first, second = Promise(1, "a"), Promise(2, "b")
+    first, second = HardState(1, "a"), HardState(2, "b")
     writes: list[Write] = [
         WriteEntries(1, [entry(1)]),
         WriteEntries(2, [entry(2)]),
-        WritePromise(3, first),
-        WritePromise(4, second),
+        WriteHardState(3, first),
+        WriteHardState(4, second),
         WriteEntries(5, [entry(3)]),
     ]
     assert joined(writes) == [
         WriteEntries(2, [entry(1), entry(2)]),
-        WritePromise(4, second),
+        WriteHardState(4, second),
         WriteEntries(5, [entry(3)]),
     ]
 
 
 def test_writes_are_reported_in_order_and_the_storage_is_closed() -> None:
     disk = Disk()
-    seen = run(disk, [[WriteEntries(1, [entry(1)])], [WritePromise(2, Promise(1))]], "written 2")
+    seen = run(disk, [[WriteEntries(1, [entry(1)])], [WriteHardState(2, HardState(1))]], "written 2")
     assert seen == ["written 1", "written 2"]
-    assert disk.written == [[1], Promise(1), "closed"]
+    assert disk.written == [[1], HardState(1), "closed"]
 
 
 def test_a_refused_write_is_told_once_and_tried_until_it_succeeds() -> None:
--- a/tests/tier/test_rpc.py
+++ b/tests/tier/test_rpc.py
@@ -12,12 +12,12 @@
 from wire_support import Arrival, Line, LineServer, Script
 
 from cherrycove.tier.errors import ErrorKind, Failure
-from cherrycove.tier.programs.keeper import KeeperProgram
+from cherrycove.tier.programs.controller import ControllerProgram
 from cherrycove.tier.programs.store import StoreProgram
 from cherrycove.tier.protocol.batch_pb2 import BodyReply, BodyRequest
 from cherrycove.tier.protocol.rpc import RpcClient, RpcServer
 from cherrycove.tier.settings import Settings
-from cherrycove.tier.storage.promises import PROMISE_FILE
+from cherrycove.tier.storage.hard_state import PROMISE_FILE
 
 LARGE_BYTES = 3 * 1024 * 1024
 TIMEOUT_S = 10.0  # of a test's waits; nothing takes that long unless it fails
@@ -285,9 +285,9 @@
     asyncio.run(story())
 
 
-@pytest.mark.parametrize("program", (KeeperProgram, StoreProgram))
+@pytest.mark.parametrize("program", (ControllerProgram, StoreProgram))
 def test_a_replicas_server_knows_the_member_it_serves(
-    program: type[KeeperProgram] | type[StoreProgram], tmp_path: Path
+    program: type[ControllerProgram] | type[StoreProgram], tmp_path: Path
 ) -> None:
     settings = Settings(
         node_name="s-1", machine_class="storage", ip_address="127.0.0.1", zone="z", region="r",
@@ -297,9 +297,9 @@
     assert made._server.identity == made._group.identity.member_id != ""
 
 
-@pytest.mark.parametrize("program", (KeeperProgram, StoreProgram))
+@pytest.mark.parametrize("program", (ControllerProgram, StoreProgram))
 def test_a_server_follows_the_new_identity_of_a_damaged_disk(
-    program: type[KeeperProgram] | type[StoreProgram], tmp_path: Path
+    program: type[ControllerProgram] | type[StoreProgram], tmp_path: Path
 ) -> None:
     """Calls meant for the new member were refused, so it could not be taken in before its next start."""
     settings = Settings(
--- a/tests/tier/test_sessions.py
+++ b/tests/tier/test_sessions.py
@@ -14,9 +14,9 @@
 
 import cherrycove.tier
 from cherrycove.tier.cli.operator_client import HttpCall, attempt
-from cherrycove.tier.controlplane.broker_list import BrokerListReader
+from cherrycove.tier.controlplane.broker_discovery import BrokerDiscoveryClient
 from cherrycove.tier.dataplane.upstream import Answered, Outgoing, Upstream
-from cherrycove.tier.distribution.views import Broker
+from cherrycove.tier.distribution.cluster_view import Broker
 from cherrycove.tier.protocol.batch_pb2 import BodyReply, BodyRequest
 from cherrycove.tier.protocol.rpc import RpcClient
 from cherrycove.tier.protocol.sessions import client_session
@@ -120,11 +120,11 @@
 
 @pytest.mark.parametrize("end", ENDS)
 def test_the_platform_is_asked_once(end: End) -> None:
-    readers: list[BrokerListReader] = []
+    readers: list[BrokerDiscoveryClient] = []
 
     async def use(address: str, number: int) -> bool:
         if number == 1:
-            readers.append(BrokerListReader(platform_at(address)))
+            readers.append(BrokerDiscoveryClient(platform_at(address)))
             await readers[0].start()
         outcome = await readers[0].read()
         if number == 2:
@@ -161,7 +161,7 @@
 
     async def story() -> None:
         async with server, asyncio.timeout(TIMEOUT_S):
-            reader = BrokerListReader(platform_at(server.address))
+            reader = BrokerDiscoveryClient(platform_at(server.address))
             await reader.start()
             for number in (1, 2, 3):
                 taken.clear()
--- a/tests/tier/test_storage_damage.py
+++ b/tests/tier/test_storage_damage.py
@@ -14,14 +14,14 @@
 from cherrycove.tier.cli import application
 from cherrycove.tier.storage.entries import Entry, EntryKind
 from cherrycove.tier.storage.files import DamagedStorageError
+from cherrycove.tier.storage.hard_state import PROMISE_FILE, HardState
 from cherrycove.tier.storage.identity import IDENTITY_FILE, open_identity
-from cherrycove.tier.storage.promises import PROMISE_FILE, Promise
+from cherrycove.tier.storage.replica_storage import RecoveredState, ReplicaStorage
 from cherrycove.tier.storage.snapshots import BLOCK_BYTES, Snapshot
-from cherrycove.tier.storage.store import RecoveredState, ReplicaStorage
 
 IP = "10.0.0.1"
 MEMBER = f"first-{IP}"
-OLDER, NEWEST = Promise(4, "first-10.0.0.2"), Promise(5, MEMBER)
+OLDER, NEWEST = HardState(4, "first-10.0.0.2"), HardState(5, MEMBER)
 SNAPSHOT = Snapshot(3, 4, b"members", b"state at 3")
 
 
@@ -43,11 +43,11 @@
     open_identity(directory, first_start=True, ip=IP)
     storage = ReplicaStorage(directory)
     storage.recover()
-    storage.write_promise(OLDER)
+    storage.write_hard_state(OLDER)
     storage.append(entries(1, 4))
     storage.save_snapshot(SNAPSHOT, entries(4, 4))
     storage.append(entries(5, 6))
-    storage.write_promise(NEWEST)
+    storage.write_hard_state(NEWEST)
     storage.close()
     return directory
 
@@ -127,7 +127,7 @@
 def test_a_log_that_lost_what_was_known_as_committed_is_damage(disk: Path) -> None:
     storage = ReplicaStorage(disk)
     storage.recover()
-    storage.write_promise(Promise(5, MEMBER, committed=6))
+    storage.write_hard_state(HardState(5, MEMBER, committed=6))
     storage.close()
     path = only(disk, "*.log")
     whole = path.read_bytes()
--- a/tests/tier/test_storage_lives.py
+++ b/tests/tier/test_storage_lives.py
@@ -13,7 +13,7 @@
 import pytest
 
 from cherrycove.tier.storage.entries import Entry
-from cherrycove.tier.storage.store import RecoveredState
+from cherrycove.tier.storage.replica_storage import RecoveredState
 from tests.tier.disk_model import DiskState, RecordedDisk
 from tests.tier.storage_crashes import (
     EMPTY,
--- a/tests/tier/test_tier_cli.py
+++ b/tests/tier/test_tier_cli.py
@@ -26,10 +26,10 @@
 from cherrycove.tier.protocol.keeper_pb2 import RetireOrder, StatusReply, StatusRequest
 from cherrycove.tier.protocol.rpc import RpcServer
 from cherrycove.tier.storage.entries import Entry, EntryKind
+from cherrycove.tier.storage.hard_state import HardState
 from cherrycove.tier.storage.identity import open_identity
-from cherrycove.tier.storage.promises import Promise
+from cherrycove.tier.storage.replica_storage import ReplicaStorage
 from cherrycove.tier.storage.snapshots import Snapshot
-from cherrycove.tier.storage.store import ReplicaStorage
 
 DONE, FAILED, INVALID, UNANSWERED = 0, 1, 2, 3
 CONFIGURATION = {
@@ -492,7 +492,7 @@
     open_identity(directory, first_start=True, ip="10.0.0.1")
     storage = ReplicaStorage(directory)
     storage.recover()
-    storage.write_promise(Promise(epoch=3, voted_for="first-10.0.0.1", committed=2))
+    storage.write_hard_state(HardState(epoch=3, voted_for="first-10.0.0.1", committed=2))
     storage.append([Entry(1, 3, EntryKind.NOOP), Entry(2, 3, EntryKind.COMMAND, b"one")])
     storage.save_snapshot(Snapshot(2, 3, b"members", b"state"), [])
     storage.append([Entry(3, 3, EntryKind.COMMAND, b"two")])
