--- a/cherrycove/tier/__main__.py
+++ b/cherrycove/tier/__main__.py
@@ -5,7 +5,7 @@
 import signal
 import sys
 
-DAEMONS = ("proxy", "keeper", "store")
+DAEMONS = ("proxy", "controller", "keeper", "store")  # "keeper": the controller's name in earlier releases
 
 
 def main() -> int:
--- a/cherrycove/tier/programs/process.py
+++ b/cherrycove/tier/programs/process.py
@@ -17,6 +17,14 @@
 EXIT_BAD_SETTINGS = 2
 EXIT_CANNOT_START = 1
 INCARNATION_BYTES = 6
+# Module that assembles each daemon, by its name on the command line. The controller was called "keeper" in
+# earlier releases; deploy files, unit files and scripts that name it so go on working.
+DAEMON_MODULES = {
+    "proxy": "cherrycove.tier.programs.proxy",
+    "controller": "cherrycove.tier.programs.controller",
+    "keeper": "cherrycove.tier.programs.controller",
+    "store": "cherrycove.tier.programs.store",
+}
 YOUNGEST_COLLECTION = 20_000  # objects made before the collector looks; requests free theirs by count
 
 _log = logging.getLogger(__name__)
@@ -40,7 +48,7 @@
 
 
 def run_daemon(name: str) -> int:
-    """Run ``name`` (proxy, keeper or store) until SIGTERM; returns the exit code."""
+    """Run the daemon ``name`` (a key of ``DAEMON_MODULES``) until SIGTERM; return its exit code."""
     early: list[int] = []  # SIGHUPs that come before the event loop takes them
     signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
     try:
@@ -50,7 +58,7 @@
         return EXIT_BAD_SETTINGS
     _configure_log(name, settings)
     gc.set_threshold(YOUNGEST_COLLECTION, 20, 50)
-    module = importlib.import_module(f"cherrycove.tier.programs.{name}")
+    module = importlib.import_module(DAEMON_MODULES[name])
     try:
         asyncio.run(_live(module.assemble(settings), early))
     except OSError as error:
--- a/tests/tier/test_process_life.py
+++ b/tests/tier/test_process_life.py
@@ -58,6 +58,28 @@
     assert seen == [signal.SIG_IGN]
 
 
+@pytest.mark.parametrize(
+    ("name", "module"),
+    [("proxy", "proxy"), ("controller", "controller"), ("keeper", "controller"), ("store", "store")],
+)
+def test_each_daemon_name_of_this_and_of_earlier_releases_runs_its_program(
+    monkeypatch: pytest.MonkeyPatch, name: str, module: str
+) -> None:
+    assembled: list[str] = []
+
+    def assemble(own: Settings) -> RecordingProgram:
+        assembled.append(name)
+        return RecordingProgram()
+
+    programs = SimpleNamespace(assemble=assemble)
+    monkeypatch.setitem(sys.modules, f"cherrycove.tier.programs.{module}", programs)
+    monkeypatch.setattr(process, "load_settings", settings)
+    monkeypatch.setattr(process, "_configure_log", lambda name, settings: None)
+    monkeypatch.setattr(sys, "argv", ["cherrycove.tier", name])
+    assert command.main() == 0
+    assert assembled == [name]
+
+
 @attrs.define
 class RecordingProgram:
     """Asks itself to end as soon as it has started."""
