--- a/cherrycove/tier/cli/storage.py
+++ b/cherrycove/tier/cli/storage.py
@@ -11,7 +11,7 @@
 from cleo.helpers import argument
 
 from cherrycove.tier.cli.command import CommandError, ExitCode, Outcome, Problem, TierCommand
-from cherrycove.tier.storage.files import DamagedStorageError
+from cherrycove.tier.storage.errors import DamagedStorageError
 from cherrycove.tier.storage.identity import IDENTITY_FILE, open_identity
 from cherrycove.tier.storage.replica_storage import RecoveredState, ReplicaStorage
 from cherrycove.tier.storage.segments import segment_names
@@ -27,7 +27,7 @@
     state: RecoveredState
     segments: list[tuple[str, int]]  # name, bytes
     torn_bytes: int  # at the end of the log, from a write that was never acknowledged
-    damaged_promise_copies: int  # another copy is whole
+    damaged_hard_state_copies: int  # another copy is whole
 
 
 def inspect(directory: Path) -> Inspection:
@@ -51,7 +51,7 @@
     kept = [copy / name for name, _ in segments]
     present = {path.name: path.stat().st_size for path in kept if path.exists()}
     torn_bytes = sum(size - present.get(name, 0) for name, size in segments[-1:])
-    return Inspection(member_id, state, segments, torn_bytes, storage.damaged_promise_copies)
+    return Inspection(member_id, state, segments, torn_bytes, storage.damaged_hard_state_copies)
 
 
 class StorageCommand(TierCommand):
@@ -90,7 +90,7 @@
     def perform(self) -> Outcome:
         inspection = self.inspected()
         path = self.argument("directory")
-        damaged = inspection.damaged_promise_copies
+        damaged = inspection.damaged_hard_state_copies
         document: dict[str, Any] = {"directory": path, "whole": True, "tornBytes": inspection.torn_bytes}
         lines = [f"{path}: whole; {inspection.torn_bytes} bytes of an unfinished write"]
         if damaged:
@@ -104,11 +104,11 @@
     snapshot_index = state.snapshot.index if state.snapshot is not None else 0
     return {
         "memberId": inspection.member_id,
-        "epoch": state.promise.epoch,
-        "votedFor": state.promise.voted_for,
-        "committed": state.promise.committed,
+        "epoch": state.hard_state.epoch,
+        "votedFor": state.hard_state.voted_for,
+        "committed": state.hard_state.commit_index,
         "snapshotIndex": snapshot_index,
-        "snapshotBytes": state.snapshot.size if state.snapshot is not None else 0,
+        "snapshotBytes": state.snapshot.size_bytes if state.snapshot is not None else 0,
         "entries": len(state.entries),
         "lastIndex": state.entries[-1].index if state.entries else snapshot_index,
         "tornBytes": inspection.torn_bytes,
--- a/cherrycove/tier/exploration/decision_group.py
+++ b/cherrycove/tier/exploration/decision_group.py
@@ -15,7 +15,7 @@
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.replication.interface import MemberIdentity
-from cherrycove.tier.replication.proposals import Proposals
+from cherrycove.tier.replication.pending_proposals import PendingProposals
 
 NOBODY = -1
 
@@ -64,7 +64,7 @@
         self._log = log
         self._place = place
         self.state = ControlState()
-        self.proposals = Proposals()
+        self.proposals = PendingProposals()
         self.applied = 0
 
     @property
--- a/cherrycove/tier/exploration/mutations.py
+++ b/cherrycove/tier/exploration/mutations.py
@@ -31,7 +31,9 @@
 def _vote_twice_in_an_epoch() -> Patches:
     def vote(elections: Any, sender: MemberIdentity, request: VoteRequest, now: float) -> None:
         core = elections._core
-        core.write_hard_state(HardState(core.promise.epoch, sender.member_id, core.promise.committed))
+        core.write_hard_state(
+            HardState(core.hard_state.epoch, sender.member_id, core.hard_state.commit_index)
+        )
         elections._owed = (sender, request)
 
     yield mock.patch.object(Elections, "_vote", vote)
--- a/cherrycove/tier/exploration/node.py
+++ b/cherrycove/tier/exploration/node.py
@@ -26,7 +26,7 @@
 class Disk:
     """What is durable."""
 
-    promise: HardState = HardState()
+    hard_state: HardState = HardState()
     snapshot: Snapshot | None = None
     entries: tuple[Entry, ...] = ()
 
@@ -44,7 +44,7 @@
     def after(self, write: Write) -> Disk:
         """With ``write`` done."""
         if isinstance(write, WriteHardState):
-            return attrs.evolve(self, promise=write.promise)
+            return attrs.evolve(self, hard_state=write.hard_state)
         if isinstance(write, WriteEntries):
             return attrs.evolve(self, entries=self._joined(write.entries))
         return attrs.evolve(self, snapshot=write.snapshot, entries=tuple(write.tail))
@@ -119,12 +119,12 @@
         """With its number, and what is asked of it often."""
         machine = self.process.machine if self.process is not None else None
         leads = machine is not None and machine.role is Role.PRIMARY
-        epoch = machine.epoch if machine is not None else self.disk.promise.epoch
+        epoch = machine.epoch if machine is not None else self.disk.hard_state.epoch
         return attrs.evolve(self, number=number, leads=leads, epoch=epoch)
 
     def started(self, faults: int, timing: Timing, now: float) -> Node:
         """With a new process that has recovered from the disk; its first effects are not taken yet."""
-        recovered = RecoveredState(self.disk.promise, self.disk.snapshot, list(self.disk.entries))
+        recovered = RecoveredState(self.disk.hard_state, self.disk.snapshot, list(self.disk.entries))
         reader = DiskReader(self.disk)
         wishes = MembershipRequests()
         machine = ReplicaMachine(
--- a/cherrycove/tier/replication/core.py
+++ b/cherrycove/tier/replication/core.py
@@ -50,7 +50,7 @@
 
     ticket: int
     started: float
-    promise: HardState | None = None
+    hard_state: HardState | None = None
     snapshot: SnapshotHeader | None = None
     last_index: int = 0  # highest index that will be synced by it and was not replaced since
 
@@ -76,13 +76,13 @@
         self.chunk_bytes = chunk_bytes
         self.role = Role.BACKUP
         self.primary: MemberIdentity | None = None
-        self.promise = recovered.promise
-        self.durable_promise = recovered.promise
+        self.hard_state = recovered.hard_state
+        self.durable_hard_state = recovered.hard_state
         self.effects = Effects()
         self.snapshot = SnapshotHeader.of(recovered.snapshot) if recovered.snapshot else None
         self.log = self._recovered_log(recovered)
         self.synced_index = self.log.last_index
-        known = min(recovered.promise.committed, self.log.last_index)
+        known = min(recovered.hard_state.commit_index, self.log.last_index)
         self.commit_index = max(self.log.base_index, known)
         self.pending: deque[PendingWrite] = deque()
         self.disk_failing = False
@@ -169,12 +169,12 @@
 
     @property
     def epoch(self) -> int:
-        return self.promise.epoch
+        return self.hard_state.epoch
 
     def adopt_epoch(self, epoch: int, voted_for: str = "") -> None:
         """HardState a newer epoch, with a vote or without, and lead or stand no longer."""
-        if epoch > self.promise.epoch:
-            self.write_hard_state(HardState(epoch, voted_for, self.promise.committed))
+        if epoch > self.hard_state.epoch:
+            self.write_hard_state(HardState(epoch, voted_for, self.hard_state.commit_index))
             self.primary = None
             self.effects.changed = True
             self.role = Role.BACKUP
@@ -202,11 +202,11 @@
         self._tickets += 1
         return self._tickets
 
-    def write_hard_state(self, promise: HardState) -> None:
-        self.promise = promise
+    def write_hard_state(self, hard_state: HardState) -> None:
+        self.hard_state = hard_state
         ticket = self._ticket()
-        self.pending.append(PendingWrite(ticket, 0.0, promise=promise))
-        self.effects.writes.append(WriteHardState(ticket, promise))
+        self.pending.append(PendingWrite(ticket, 0.0, hard_state=hard_state))
+        self.effects.writes.append(WriteHardState(ticket, hard_state))
 
     def append(self, entries: Sequence[Entry], now: float) -> None:
         """Add entries to the log; where the first one's index is taken, it replaces what stands there."""
@@ -232,8 +232,8 @@
         while self.pending and self.pending[0].ticket <= ticket:
             write = self.pending.popleft()
             self.synced_index = max(self.synced_index, write.last_index)
-            if write.promise is not None:
-                self.durable_promise = write.promise
+            if write.hard_state is not None:
+                self.durable_hard_state = write.hard_state
             if write.snapshot is not None:
                 self.snapshot = write.snapshot
                 self.log.compact(write.snapshot.index, self._kept_entries)
@@ -241,14 +241,14 @@
     @property
     def is_hard_state_durable(self) -> bool:
         """Whether this replica may act on its newest promise towards others."""
-        return (self.durable_promise.epoch, self.durable_promise.voted_for) == (
-            self.promise.epoch,
-            self.promise.voted_for,
+        return (self.durable_hard_state.epoch, self.durable_hard_state.voted_for) == (
+            self.hard_state.epoch,
+            self.hard_state.voted_for,
         )
 
     def stalled_since(self) -> float:
         """When the oldest unfinished write of entries was handed out; infinity if there is none."""
-        return next((write.started for write in self.pending if write.promise is None), float("inf"))
+        return next((write.started for write in self.pending if write.hard_state is None), float("inf"))
 
     def snapshot_skipped(self, ticket: int) -> None:
         """The snapshot of ``ticket`` could not be stored; log and older snapshot stay as they are."""
@@ -271,7 +271,7 @@
 
     def _note_members_committed(self) -> None:
         """After a restart, this replica must know that the list before has no say any more."""
-        self.write_hard_state(attrs.evolve(self.promise, committed=self.log.newest_members.index))
+        self.write_hard_state(attrs.evolve(self.hard_state, commit_index=self.log.newest_members.index))
         self.effects.changed = True
 
     # Snapshots
--- a/cherrycove/tier/replication/effects.py
+++ b/cherrycove/tier/replication/effects.py
@@ -16,7 +16,7 @@
     """Store the promise, behind all earlier writes."""
 
     ticket: int
-    promise: HardState
+    hard_state: HardState
 
 
 @attrs.frozen
--- a/cherrycove/tier/replication/elections.py
+++ b/cherrycove/tier/replication/elections.py
@@ -135,7 +135,7 @@
         replicas, when none of them follows a primary."""
         core = self._core
         epoch = core.epoch + 1
-        core.write_hard_state(HardState(epoch, core.identity.member_id, core.promise.committed))
+        core.write_hard_state(HardState(epoch, core.identity.member_id, core.hard_state.commit_index))
         core.become(Role.CANDIDATE, None)
         core.effects.changed = True
         self._campaign = Campaign(self._next_campaign(), False, epoch, now, handed_over, lives=lives or {})
@@ -283,10 +283,10 @@
 
     def _vote(self, sender: MemberIdentity, request: VoteRequest, now: float) -> None:
         core = self._core
-        promise = core.promise
-        if promise.voted_for == "" and self._new_enough(request):
-            core.write_hard_state(HardState(promise.epoch, sender.member_id, promise.committed))
-        granted = core.promise.voted_for == sender.member_id
+        hard_state = core.hard_state
+        if hard_state.voted_for == "" and self._new_enough(request):
+            core.write_hard_state(HardState(hard_state.epoch, sender.member_id, hard_state.commit_index))
+        granted = core.hard_state.voted_for == sender.member_id
         if granted:
             self.postpone(now)
         if granted and not core.is_hard_state_durable:
@@ -299,7 +299,10 @@
             return
         sender, request = self._owed
         self._owed = None
-        if self._core.promise.epoch == request.epoch and self._core.promise.voted_for == sender.member_id:
+        if (
+            self._core.hard_state.epoch == request.epoch
+            and self._core.hard_state.voted_for == sender.member_id
+        ):
             self._reply(sender, request, True)
 
     def _reply(
--- a/cherrycove/tier/replication/group.py
+++ b/cherrycove/tier/replication/group.py
@@ -20,12 +20,12 @@
 from cherrycove.tier.replication.interface import CommittedMembers, MemberIdentity, StateMachine
 from cherrycove.tier.replication.learners import MembershipRequests
 from cherrycove.tier.replication.machine import ReplicaMachine
-from cherrycove.tier.replication.proposals import Proposals
+from cherrycove.tier.replication.pending_proposals import PendingProposals
 from cherrycove.tier.replication.runtime import Runtime, Storage, Writer
 from cherrycove.tier.replication.timing import Timing
 from cherrycove.tier.replication.transport import Transport
 from cherrycove.tier.storage.entries import Entry, EntryKind
-from cherrycove.tier.storage.files import DamagedStorageError
+from cherrycove.tier.storage.errors import DamagedStorageError
 from cherrycove.tier.storage.replica_storage import RecoveredState
 
 CALL_PREFIX = "replicate/"
@@ -69,7 +69,7 @@
         self._timing = timing or Timing()
         self._snapshot_log_bytes = snapshot_log_bytes
         self._transport = Transport(client, CALL_PREFIX + name, self._deliver)
-        self._proposals = Proposals()
+        self._proposals = PendingProposals()
         self._wishes = MembershipRequests()
         self._listeners: list[Callable[[], None]] = []
         self._machine: ReplicaMachine | None = None
@@ -130,7 +130,7 @@
 
     def _disk_nearly_full(self, wanted: int) -> bool:
         limit = self._disk_limit * USABLE_DISK_SHARE
-        return limit > 0 and self._storage is not None and self._storage.size + wanted > limit
+        return limit > 0 and self._storage is not None and self._storage.size_bytes + wanted > limit
 
     def _not_primary(self) -> Failure:
         primary = self.primary
@@ -292,7 +292,7 @@
 
     def _apply(self, entry: Entry) -> None:
         self._applied_index = entry.index
-        self._log_bytes += entry.size
+        self._log_bytes += entry.size_bytes
         outcome: object = None
         if entry.kind is EntryKind.COMMAND:
             try:
--- a/cherrycove/tier/replication/log.py
+++ b/cherrycove/tier/replication/log.py
@@ -115,8 +115,10 @@
         position = first - self.base_index - 1
         end = position
         size = 0
-        while end < len(self._entries) and (end == position or size + self._entries[end].size <= limit_bytes):
-            size += self._entries[end].size
+        while end < len(self._entries) and (
+            end == position or size + self._entries[end].size_bytes <= limit_bytes
+        ):
+            size += self._entries[end].size_bytes
             end += 1
         return self._entries[position:end]
 
@@ -133,7 +135,7 @@
         base = index
         size = 0
         while base > self.base_index and index - base < kept_entries and size < KEPT_BYTES:
-            size += self._entries[base - self.base_index - 1].size
+            size += self._entries[base - self.base_index - 1].size_bytes
             base -= 1
         if base <= self.base_index:
             return
--- a/cherrycove/tier/replication/machine.py
+++ b/cherrycove/tier/replication/machine.py
@@ -44,7 +44,7 @@
         """``wishes`` may change at any time. ``kept_entries`` before a snapshot stay in memory; it is sent in
         parts of ``chunk_bytes``."""
         timing = timing or Timing()
-        empty = recovered.snapshot is None and not recovered.entries and recovered.promise.epoch == 0
+        empty = recovered.snapshot is None and not recovered.entries and recovered.hard_state.epoch == 0
         self._core = ReplicaCore(identity, faults, recovered, timing, random, kept_entries, chunk_bytes)
         self._elections = Elections(self._core, now, fresh=empty)
         self._backup = Backup(self._core)
--- a/cherrycove/tier/replication/proposals.py
+++ b/cherrycove/tier/replication/pending_proposals.py
@@ -22,7 +22,7 @@
     future: asyncio.Future[Outcome]
 
 
-class Proposals:
+class PendingProposals:
     """Futures by log index."""
 
     def __init__(self) -> None:
--- a/cherrycove/tier/replication/runtime.py
+++ b/cherrycove/tier/replication/runtime.py
@@ -14,7 +14,7 @@
 from cherrycove.tier.replication.writer import DiskWriter
 from cherrycove.tier.storage.entries import Entry
 from cherrycove.tier.storage.hard_state import HardState
-from cherrycove.tier.storage.identity import new_identity
+from cherrycove.tier.storage.identity import renew_identity
 from cherrycove.tier.storage.replica_storage import RecoveredState, ReplicaStorage
 from cherrycove.tier.storage.snapshots import Snapshot
 
@@ -23,11 +23,11 @@
     """The durable state of one replica, as ``ReplicaStorage`` keeps it in files."""
 
     @property
-    def size(self) -> int: ...
+    def size_bytes(self) -> int: ...
 
     def recover(self) -> RecoveredState: ...
 
-    def write_hard_state(self, promise: HardState) -> None: ...
+    def write_hard_state(self, hard_state: HardState) -> None: ...
 
     def append(self, entries: Sequence[Entry]) -> None: ...
 
@@ -60,5 +60,5 @@
     clock: Callable[[], float] = time.monotonic
     open_storage: Callable[[Path, int], Storage] = ReplicaStorage
     make_writer: WriterFactory = DiskWriter
-    renew_identity: Callable[[Path], str] = new_identity
+    renew_identity: Callable[[Path], str] = renew_identity
     run_blocking: Callable[..., Awaitable[Any]] = asyncio.to_thread
--- a/cherrycove/tier/replication/writer.py
+++ b/cherrycove/tier/replication/writer.py
@@ -13,7 +13,7 @@
 RETRY_S = 0.25  # between tries of a write that failed
 
 
-def joined(writes: Sequence[Write]) -> list[Write]:
+def coalesce_writes(writes: Sequence[Write]) -> list[Write]:
     """The same writes in as few steps as their order allows."""
     result: list[Write] = []
     for write in writes:
@@ -66,7 +66,7 @@
     def _run(self) -> None:
         while True:
             writes = self._take()
-            for write in joined(writes or []):
+            for write in coalesce_writes(writes or []):
                 if not self._perform(write):
                     return
                 self._report(self._on_written, write.ticket)
@@ -106,7 +106,7 @@
 
     def _write(self, write: Write) -> None:
         if isinstance(write, WriteHardState):
-            self._storage.write_hard_state(write.promise)
+            self._storage.write_hard_state(write.hard_state)
         elif isinstance(write, WriteEntries):
             self._storage.append(write.entries)
         else:
--- a/cherrycove/tier/simulation/control/disk.py
+++ b/cherrycove/tier/simulation/control/disk.py
@@ -10,7 +10,7 @@
 import attrs
 
 from cherrycove.tier.replication.effects import Write, WriteEntries, WriteHardState, WriteSnapshot
-from cherrycove.tier.replication.writer import joined
+from cherrycove.tier.replication.writer import coalesce_writes
 from cherrycove.tier.simulation.control.loop import CURRENT_LIFE, Life, VirtualLoop
 from cherrycove.tier.storage.entries import Entry
 from cherrycove.tier.storage.hard_state import HardState
@@ -30,7 +30,7 @@
     """One folder of one machine: identity, promise, snapshot and log of a replica."""
 
     member_id: str = ""
-    promise: HardState = HardState()
+    hard_state: HardState = HardState()
     snapshot: Snapshot | None = None
     entries: list[Entry] = attrs.field(factory=list)
     slow: bool = False
@@ -44,13 +44,13 @@
         return self.snapshot.index if self.snapshot is not None else 0
 
     @property
-    def size(self) -> int:
-        snapshot = self.snapshot.size if self.snapshot is not None else 0
-        return snapshot + sum(entry.size for entry in self.entries)
+    def size_bytes(self) -> int:
+        snapshot = self.snapshot.size_bytes if self.snapshot is not None else 0
+        return snapshot + sum(entry.size_bytes for entry in self.entries)
 
     def perform(self, write: Write) -> None:
         if isinstance(write, WriteHardState):
-            self.promise = write.promise
+            self.hard_state = write.hard_state
         elif isinstance(write, WriteEntries):
             for entry in write.entries:
                 position = entry.index - self.base_index - 1
@@ -75,13 +75,13 @@
         self.disk = disk
 
     @property
-    def size(self) -> int:
-        return self.disk.size
+    def size_bytes(self) -> int:
+        return self.disk.size_bytes
 
     def recover(self) -> RecoveredState:
-        return RecoveredState(self.disk.promise, self.disk.snapshot, list(self.disk.entries))
+        return RecoveredState(self.disk.hard_state, self.disk.snapshot, list(self.disk.entries))
 
-    def write_hard_state(self, promise: HardState) -> None:
+    def write_hard_state(self, hard_state: HardState) -> None:
         raise NotImplementedError("the simulated writer performs whole writes")
 
     def append(self, entries: Any) -> None:
@@ -138,7 +138,7 @@
     def _begin(self) -> None:
         if self._disk.in_progress or not self._waiting or self._stopped:
             return
-        self._disk.in_progress, self._waiting = joined(self._waiting), []
+        self._disk.in_progress, self._waiting = coalesce_writes(self._waiting), []
         self._later()
 
     def _later(self, delay: float = 0.0) -> None:
--- a/cherrycove/tier/simulation/control/mutations.py
+++ b/cherrycove/tier/simulation/control/mutations.py
@@ -20,8 +20,8 @@
 from cherrycove.tier.replication.group import ReplicatedGroup
 from cherrycove.tier.replication.machine import ReplicaMachine
 from cherrycove.tier.replication.peers import Peer
+from cherrycove.tier.replication.pending_proposals import PendingProposals
 from cherrycove.tier.replication.primary import Primary
-from cherrycove.tier.replication.proposals import Proposals
 from cherrycove.tier.simulation import mutations as of_the_group
 from cherrycove.tier.simulation.control import network
 from cherrycove.tier.simulation.control.machines import Surroundings
@@ -179,8 +179,8 @@
         waiting = proposals._waiting.get(index)
         original(proposals, index, epoch if waiting is None else waiting.epoch, outcome)
 
-    original = Proposals.committed
-    yield mock.patch.object(Proposals, "committed", committed)
+    original = PendingProposals.committed
+    yield mock.patch.object(PendingProposals, "committed", committed)
 
 
 def _replies_of_older_epochs_count() -> Patches:
--- a/cherrycove/tier/simulation/disk.py
+++ b/cherrycove/tier/simulation/disk.py
@@ -16,14 +16,14 @@
 
     def __init__(self, member_id: str) -> None:
         self.member_id = member_id
-        self.promise = HardState()
+        self.hard_state = HardState()
         self.snapshot: Snapshot | None = None
         self.entries: list[Entry] = []
         self._waiting: list[Write] = []
         self._in_progress: list[Write] = []
 
     def recovered(self) -> RecoveredState:
-        return RecoveredState(self.promise, self.snapshot, list(self.entries))
+        return RecoveredState(self.hard_state, self.snapshot, list(self.entries))
 
     @property
     def base_index(self) -> int:
@@ -63,7 +63,7 @@
 
     def _perform(self, write: Write) -> None:
         if isinstance(write, WriteHardState):
-            self.promise = write.promise
+            self.hard_state = write.hard_state
         elif isinstance(write, WriteEntries):
             for entry in write.entries:
                 position = entry.index - self.base_index - 1
--- a/cherrycove/tier/storage/entries.py
+++ b/cherrycove/tier/storage/entries.py
@@ -37,7 +37,7 @@
     payload: bytes = b""
 
     @property
-    def size(self) -> int:
+    def size_bytes(self) -> int:
         """Bytes that the entry takes in a segment."""
         return ENTRY_OVERHEAD_BYTES + len(self.payload)
 
--- a/cherrycove/tier/storage/files.py
+++ b/cherrycove/tier/storage/files.py
@@ -7,10 +7,6 @@
 from pathlib import Path
 
 
-class DamagedStorageError(Exception):
-    """Synced data is missing or fails its checksum; this disk must not take part under its identity."""
-
-
 def sync_directory(directory: Path) -> None:
     """Make names that were created, renamed or removed in ``directory`` last."""
     descriptor = os.open(directory, os.O_RDONLY)
--- a/cherrycove/tier/storage/hard_state.py
+++ b/cherrycove/tier/storage/hard_state.py
@@ -13,9 +13,10 @@
 
 import attrs
 
-from cherrycove.tier.storage.files import DamagedStorageError, replace_file, sync_file, write_all
+from cherrycove.tier.storage.errors import DamagedStorageError
+from cherrycove.tier.storage.files import replace_file, sync_file, write_all
 
-PROMISE_FILE = "promise"
+HARD_STATE_FILE = "promise"
 _SLOTS = 2
 _COPIES = 2  # of each slot; the second ones stand behind all first ones
 _SLOT_BYTES = 4096
@@ -28,18 +29,21 @@
 
     epoch: int = 0
     voted_for: str = ""  # member id; "" while the vote is free
-    committed: int = 0  # index up to which the log on this disk is known to be committed
+    commit_index: int = 0  # the log on this disk is known to be committed up to here
 
 
 @attrs.frozen
 class _Slot:
     sequence: int
-    promise: HardState
+    hard_state: HardState
 
 
 def _encode(slot: _Slot) -> bytes:
-    vote = slot.promise.voted_for.encode()
-    rest = _HEADER.pack(0, slot.sequence, slot.promise.epoch, slot.promise.committed, len(vote))[4:] + vote
+    vote = slot.hard_state.voted_for.encode()
+    rest = (
+        _HEADER.pack(0, slot.sequence, slot.hard_state.epoch, slot.hard_state.commit_index, len(vote))[4:]
+        + vote
+    )
     return (zlib.crc32(rest).to_bytes(4, "little") + rest).ljust(_SLOT_BYTES, b"\0")
 
 
@@ -58,14 +62,14 @@
     """The promise on disk."""
 
     def __init__(self, directory: Path) -> None:
-        self._path = directory / PROMISE_FILE
+        self._path = directory / HARD_STATE_FILE
         self._slot = _Slot(0, HardState())
         self._descriptor = -1
         self.damaged_copies = 0  # of the newest slot, found by ``open`` and written again
 
     @property
     def promise(self) -> HardState:
-        return self._slot.promise
+        return self._slot.hard_state
 
     def open(self, may_create: bool) -> HardState:
         """Read the newest promise; a missing file is damage unless ``may_create``."""
@@ -84,11 +88,11 @@
         self.damaged_copies = _COPIES - valid.count(self._slot)
         if self.damaged_copies:
             self._store(self._slot)
-        return self._slot.promise
+        return self._slot.hard_state
 
-    def write(self, promise: HardState) -> None:
+    def write(self, hard_state: HardState) -> None:
         """Store ``promise`` and sync it."""
-        slot = _Slot(self._slot.sequence + 1, promise)
+        slot = _Slot(self._slot.sequence + 1, hard_state)
         self._store(slot)
         self._slot = slot
 
--- a/cherrycove/tier/storage/identity.py
+++ b/cherrycove/tier/storage/identity.py
@@ -6,8 +6,8 @@
 import uuid
 from pathlib import Path
 
+from cherrycove.tier.storage.errors import DamagedStorageError
 from cherrycove.tier.storage.files import (
-    DamagedStorageError,
     make_directory,
     remove_files,
     replace_file,
@@ -39,7 +39,7 @@
     return member_id
 
 
-def new_identity(directory: Path) -> str:
+def renew_identity(directory: Path) -> str:
     """Empty ``directory`` and give it a random member id.
 
     The identity is made invalid first, and stays so until all else is gone: after a crash in between, no
@@ -62,8 +62,8 @@
         try:
             return _read(path), False
         except DamagedStorageError:
-            return new_identity(directory), True
+            return renew_identity(directory), True
     written = any(not entry.name.endswith(".tmp") for entry in directory.iterdir())
     if first_start and not written:
         return _create(directory, first_member_id(ip)), True
-    return new_identity(directory), True
+    return renew_identity(directory), True
--- a/cherrycove/tier/storage/replica_storage.py
+++ b/cherrycove/tier/storage/replica_storage.py
@@ -10,7 +10,8 @@
 import attrs
 
 from cherrycove.tier.storage.entries import ENTRY_OVERHEAD_BYTES, FRAME_OVERHEAD_BYTES, Entry
-from cherrycove.tier.storage.files import DamagedStorageError, sync_directory
+from cherrycove.tier.storage.errors import DamagedStorageError
+from cherrycove.tier.storage.files import sync_directory
 from cherrycove.tier.storage.hard_state import HardState, HardStateFile
 from cherrycove.tier.storage.segments import SEGMENT_BYTES, SegmentLog, no_space, segment_names
 from cherrycove.tier.storage.snapshots import (
@@ -31,7 +32,7 @@
 class RecoveredState:
     """What a replica finds on its disk at its start."""
 
-    promise: HardState
+    hard_state: HardState
     snapshot: Snapshot | None
     entries: list[Entry]  # behind the snapshot, without a gap
 
@@ -48,12 +49,12 @@
         self._snapshot: StoredSnapshot | None = None
 
     @property
-    def size(self) -> int:
+    def size_bytes(self) -> int:
         """Bytes of log and snapshot."""
-        return self._log.size + (self._snapshot.size if self._snapshot is not None else 0)
+        return self._log.size_bytes + (self._snapshot.size_bytes if self._snapshot is not None else 0)
 
     @property
-    def damaged_promise_copies(self) -> int:
+    def damaged_hard_state_copies(self) -> int:
         """How many copies of the newest promise ``recover`` found damaged, or torn, and wrote again."""
         return self._promises.damaged_copies
 
@@ -66,32 +67,34 @@
         )  # a killed process may have left this to do; what follows relies on it
         paths = snapshot_paths(self._directory)
         may_create = not paths and not segment_names(self._directory)
-        promise = self._promises.open(may_create)
+        hard_state = self._promises.open(may_create)
         snapshot, first_number = read_snapshot(paths[-1]) if paths else (None, 1)
         if snapshot is not None:
             self._snapshot = StoredSnapshot.of(paths[-1], snapshot)
             remove_other_snapshots(paths[-1])
         entries = self._log.recover(snapshot.index if snapshot else 0, first_number)
         newest = entries[-1].epoch if entries else snapshot.epoch if snapshot else 0
-        if newest > promise.epoch:
-            raise DamagedStorageError(f"log of epoch {newest}, promise of epoch {promise.epoch}")
+        if newest > hard_state.epoch:
+            raise DamagedStorageError(f"log of epoch {newest}, promise of epoch {hard_state.epoch}")
         last = entries[-1].index if entries else snapshot.index if snapshot else 0
-        if last < promise.committed:
-            raise DamagedStorageError(f"log up to entry {last}, of {promise.committed} known as committed")
-        return RecoveredState(promise, snapshot, entries)
+        if last < hard_state.commit_index:
+            raise DamagedStorageError(
+                f"log up to entry {last}, of {hard_state.commit_index} known as committed"
+            )
+        return RecoveredState(hard_state, snapshot, entries)
 
-    def write_hard_state(self, promise: HardState) -> None:
+    def write_hard_state(self, hard_state: HardState) -> None:
         """Store and sync the newest promise."""
-        self._promises.write(promise)
+        self._promises.write(hard_state)
 
     def append(self, entries: Sequence[Entry]) -> None:
         """Store and sync entries; one that is not above the last replaces its position and all behind."""
-        self._check_room(FRAME_OVERHEAD_BYTES + sum(entry.size for entry in entries))
+        self._check_room(FRAME_OVERHEAD_BYTES + sum(entry.size_bytes for entry in entries))
         self._log.append(entries)
 
     def save_snapshot(self, snapshot: Snapshot, tail: Sequence[Entry]) -> None:
         """Store a snapshot with the entries behind it, then remove what both make superfluous."""
-        room = snapshot.size + sum(entry.size for entry in tail) + ENTRY_OVERHEAD_BYTES
+        room = snapshot.size_bytes + sum(entry.size_bytes for entry in tail) + ENTRY_OVERHEAD_BYTES
         self._check_room(room)
         self._log.roll()
         first_number = self._log.next_number
@@ -117,7 +120,7 @@
             return b""
 
     def _check_room(self, wanted: int) -> None:
-        if self._limit and self.size + wanted > self._limit:
+        if self._limit and self.size_bytes + wanted > self._limit:
             raise no_space()
 
     def close(self) -> None:
--- a/cherrycove/tier/storage/segments.py
+++ b/cherrycove/tier/storage/segments.py
@@ -16,7 +16,8 @@
 import attrs
 
 from cherrycove.tier.storage.entries import Entry, decode_frame, encode_frame, valid_frame_after
-from cherrycove.tier.storage.files import DamagedStorageError, sync_directory, sync_file, write_all
+from cherrycove.tier.storage.errors import DamagedStorageError
+from cherrycove.tier.storage.files import sync_directory, sync_file, write_all
 
 SEGMENT_SUFFIX = ".log"
 SEGMENT_BYTES = 4 * 1024 * 1024  # a segment is followed by a new one when larger than this
@@ -89,7 +90,7 @@
         self.closed_bytes = 0  # of the segments before the open one
 
     @property
-    def size(self) -> int:
+    def size_bytes(self) -> int:
         """Bytes of all segments."""
         return self.closed_bytes + self._length
 
--- a/cherrycove/tier/storage/snapshots.py
+++ b/cherrycove/tier/storage/snapshots.py
@@ -8,7 +8,8 @@
 
 import attrs
 
-from cherrycove.tier.storage.files import DamagedStorageError, replace_file
+from cherrycove.tier.storage.errors import DamagedStorageError
+from cherrycove.tier.storage.files import replace_file
 
 SNAPSHOT_PREFIX = "snapshot-"
 _MAGIC = b"CvS1"
@@ -27,7 +28,7 @@
     state: bytes = attrs.field(repr=False)
 
     @property
-    def size(self) -> int:
+    def size_bytes(self) -> int:
         return _HEADER.size + len(self.members) + len(self.state)
 
 
@@ -90,14 +91,16 @@
 
     path: Path
     index: int
-    size: int
+    size_bytes: int
     _state_offset: int
     _block_checksums: tuple[int, ...]
 
     @staticmethod
     def of(path: Path, snapshot: Snapshot) -> StoredSnapshot:
         offset = _HEADER.size + len(snapshot.members)
-        return StoredSnapshot(path, snapshot.index, snapshot.size, offset, _block_checksums(snapshot.state))
+        return StoredSnapshot(
+            path, snapshot.index, snapshot.size_bytes, offset, _block_checksums(snapshot.state)
+        )
 
     def read(self, offset: int, size: int) -> bytes:
         """Part of the state. DamagedStorageError where the file no longer holds what was stored."""
@@ -112,7 +115,7 @@
         return b"".join(blocks)[start : start + size]
 
     def _block_size(self, number: int) -> int:
-        return min(BLOCK_BYTES, self.size - self._state_offset - number * BLOCK_BYTES)
+        return min(BLOCK_BYTES, self.size_bytes - self._state_offset - number * BLOCK_BYTES)
 
     def _checked(self, block: bytes, checksum: int) -> bytes:
         if zlib.crc32(block) != checksum:
--- a/tests/tier/golden_support.py
+++ b/tests/tier/golden_support.py
@@ -35,9 +35,9 @@
 from cherrycove.tier.settings import ProcessLimits, Settings
 from cherrycove.tier.storage import identity as identity_module
 from cherrycove.tier.storage.entries import Entry, EntryKind
-from cherrycove.tier.storage.promises import Promise
+from cherrycove.tier.storage.hard_state import HardState
+from cherrycove.tier.storage.replica_storage import RecoveredState, ReplicaStorage
 from cherrycove.tier.storage.snapshots import Snapshot
-from cherrycove.tier.storage.store import RecoveredState, ReplicaStorage
 
 DATA = Path(__file__).resolve().parents[1] / "data" / "tier"
 
@@ -233,7 +233,7 @@
     storage = ReplicaStorage(directory, segment_bytes=segment_bytes)
     storage.recover()
     for epoch, voted_for, committed in promises:
-        storage.write_promise(Promise(epoch, voted_for, committed))
+        storage.write_hard_state(HardState(epoch, voted_for, committed))
     for append in appends:
         storage.append([_entry(entry) for entry in append])
     if snapshot is not None:
@@ -309,7 +309,7 @@
     found = recover(directory)
     snapshot = found.snapshot
     return {
-        "promise": [found.promise.epoch, found.promise.voted_for, found.promise.committed],
+        "promise": [found.hard_state.epoch, found.hard_state.voted_for, found.hard_state.commit_index],
         "snapshot": None if snapshot is None else [snapshot.index, snapshot.epoch, len(snapshot.state)],
         "entries": [[one.index, one.epoch, int(one.kind), len(one.payload)] for one in found.entries],
     }
--- a/tests/tier/storage_crashes.py
+++ b/tests/tier/storage_crashes.py
@@ -42,7 +42,7 @@
     new = HardState(epoch, vote, committed)
     return Step(
         lambda storage: storage.write_hard_state(new),
-        lambda state: attrs.evolve(state, promise=new),
+        lambda state: attrs.evolve(state, hard_state=new),
     )
 
 
@@ -68,7 +68,7 @@
     new = Snapshot(index, epoch, b"members", b"state at %d" % index)
     return Step(
         lambda storage: storage.save_snapshot(new, tail),
-        lambda state: RecoveredState(state.promise, new, tail),
+        lambda state: RecoveredState(state.hard_state, new, tail),
         skipped_on_failure=not required,
     )
 
@@ -119,7 +119,7 @@
 def next_entry(state: RecoveredState) -> Entry:
     """What a replica in its promised epoch would append first."""
     base = state.snapshot.index if state.snapshot is not None else 0
-    return entries(base + len(state.entries) + 1, base + len(state.entries) + 1, state.promise.epoch)[0]
+    return entries(base + len(state.entries) + 1, base + len(state.entries) + 1, state.hard_state.epoch)[0]
 
 
 @attrs.frozen
--- a/tests/tier/test_replication_machine.py
+++ b/tests/tier/test_replication_machine.py
@@ -383,7 +383,7 @@
     assert effects.messages == []
     (write,) = effects.writes
     assert isinstance(write, WriteHardState)
-    assert (write.promise.epoch, write.promise.voted_for) == (4, "m1")
+    assert (write.hard_state.epoch, write.hard_state.voted_for) == (4, "m1")
     machine.written(write.ticket, 5.01)
     (outgoing,) = machine.take_effects().messages
     assert outgoing.receiver == identity(1)
--- a/tests/tier/test_replication_storage.py
+++ b/tests/tier/test_replication_storage.py
@@ -11,7 +11,7 @@
 import pytest
 
 from cherrycove.tier.storage.entries import Entry, EntryKind
-from cherrycove.tier.storage.files import DamagedStorageError
+from cherrycove.tier.storage.errors import DamagedStorageError
 from cherrycove.tier.storage.hard_state import HardState
 from cherrycove.tier.storage.identity import open_identity
 from cherrycove.tier.storage.replica_storage import RecoveredState, ReplicaStorage
@@ -61,7 +61,7 @@
     storage.close()
     recovered = recover(tmp_path)
     assert recovered.entries == entries(1, 5)
-    assert recovered.promise == HardState(10, "first-10.0.0.1", 4)
+    assert recovered.hard_state == HardState(10, "first-10.0.0.1", 4)
     assert recovered.snapshot is None
 
 
@@ -180,7 +180,7 @@
     data[first] ^= 1
     data[second] ^= 1
     path.write_bytes(data)
-    assert recover(tmp_path).promise == HardState(11, "a")
+    assert recover(tmp_path).hard_state == HardState(11, "a")
 
 
 def test_a_snapshot_replaces_the_log_before_it(tmp_path: Path) -> None:
--- a/tests/tier/test_replication_writer.py
+++ b/tests/tier/test_replication_writer.py
@@ -12,7 +12,7 @@
 from cherrycove.tier.replication.effects import Write, WriteEntries, WriteHardState, WriteSnapshot
 from cherrycove.tier.replication.inbox import Inbox
 from cherrycove.tier.replication.interface import MemberIdentity
-from cherrycove.tier.replication.writer import DiskWriter, joined
+from cherrycove.tier.replication.writer import DiskWriter, coalesce_writes
 from cherrycove.tier.storage.entries import Entry, EntryKind
 from cherrycove.tier.storage.hard_state import HardState
 from cherrycove.tier.storage.replica_storage import ReplicaStorage
@@ -42,8 +42,8 @@
             raise OSError(errno.ENOSPC, "full")
         self.written.append(what)
 
-    def write_hard_state(self, promise: HardState) -> None:
-        self._write(promise)
+    def write_hard_state(self, hard_state: HardState) -> None:
+        self._write(hard_state)
 
     def append(self, entries: Sequence[Entry]) -> None:
         self._write([entry.index for entry in entries])
@@ -109,7 +109,7 @@
         WriteHardState(4, second),
         WriteEntries(5, [entry(3)]),
     ]
-    assert joined(writes) == [
+    assert coalesce_writes(writes) == [
         WriteEntries(2, [entry(1), entry(2)]),
         WriteHardState(4, second),
         WriteEntries(5, [entry(3)]),
--- a/tests/tier/test_rpc.py
+++ b/tests/tier/test_rpc.py
@@ -17,7 +17,7 @@
 from cherrycove.tier.protocol.batch_pb2 import BodyReply, BodyRequest
 from cherrycove.tier.protocol.rpc import RpcClient, RpcServer
 from cherrycove.tier.settings import Settings
-from cherrycove.tier.storage.hard_state import PROMISE_FILE
+from cherrycove.tier.storage.hard_state import HARD_STATE_FILE
 
 LARGE_BYTES = 3 * 1024 * 1024
 TIMEOUT_S = 10.0  # of a test's waits; nothing takes that long unless it fails
@@ -313,7 +313,7 @@
         await first._group.stop()
         made = program(settings)
         before = made._server.identity
-        promise = made._group._directory / PROMISE_FILE
+        promise = made._group._directory / HARD_STATE_FILE
         promise.write_bytes(b"damaged")
         await made._group.start()
         assert made._server.identity == made._group.identity.member_id != before
--- a/tests/tier/test_storage_crashes.py
+++ b/tests/tier/test_storage_crashes.py
@@ -12,8 +12,8 @@
 import pytest
 
 from cherrycove.tier import storage
-from cherrycove.tier.storage.files import DamagedStorageError
-from cherrycove.tier.storage.identity import new_identity, open_identity
+from cherrycove.tier.storage.errors import DamagedStorageError
+from cherrycove.tier.storage.identity import open_identity, renew_identity
 from tests.tier.disk_model import SYNC_HELPERS, DiskState, RecordedDisk
 from tests.tier.storage_crashes import (
     HISTORIES,
@@ -52,7 +52,7 @@
     disk = RecordedDisk(folder / "disk", before.copy())
     disk.ignored_sync = ignored_sync
     with disk.recording():
-        new_identity(disk.root / REPLICA)
+        renew_identity(disk.root / REPLICA)
     found = {
         contents for state in disk.states for contents in (state.after_kill(), *state.after_power_loss())
     }
--- a/tests/tier/test_storage_damage.py
+++ b/tests/tier/test_storage_damage.py
@@ -13,8 +13,8 @@
 
 from cherrycove.tier.cli import application
 from cherrycove.tier.storage.entries import Entry, EntryKind
-from cherrycove.tier.storage.files import DamagedStorageError
-from cherrycove.tier.storage.hard_state import PROMISE_FILE, HardState
+from cherrycove.tier.storage.errors import DamagedStorageError
+from cherrycove.tier.storage.hard_state import HARD_STATE_FILE, HardState
 from cherrycove.tier.storage.identity import IDENTITY_FILE, open_identity
 from cherrycove.tier.storage.replica_storage import RecoveredState, ReplicaStorage
 from cherrycove.tier.storage.snapshots import BLOCK_BYTES, Snapshot
@@ -89,20 +89,20 @@
 
 
 def test_a_flipped_bit_of_a_promise_never_brings_an_older_one_back(disk: Path) -> None:
-    path = disk / PROMISE_FILE
+    path = disk / HARD_STATE_FILE
     written = path.read_bytes()
     used = {place for place in range(len(written)) if written[place]}
     behind = {place + 1 for place in used if place + 1 < len(written)}
     for _ in with_flipped_bits(path, sorted(used | behind)):
-        assert recover(disk).promise == NEWEST
+        assert recover(disk).hard_state == NEWEST
 
 
 def test_a_damaged_copy_of_a_promise_is_written_again(disk: Path) -> None:
-    path = disk / PROMISE_FILE
+    path = disk / HARD_STATE_FILE
     written = path.read_bytes()
     place = written.index(MEMBER.encode())
     path.write_bytes(written[:place] + b"x" + written[place + 1 :])
-    assert recover(disk).promise == NEWEST
+    assert recover(disk).hard_state == NEWEST
     assert path.read_bytes() == written
 
 
@@ -127,7 +127,7 @@
 def test_a_log_that_lost_what_was_known_as_committed_is_damage(disk: Path) -> None:
     storage = ReplicaStorage(disk)
     storage.recover()
-    storage.write_hard_state(HardState(5, MEMBER, committed=6))
+    storage.write_hard_state(HardState(5, MEMBER, commit_index=6))
     storage.close()
     path = only(disk, "*.log")
     whole = path.read_bytes()
@@ -220,11 +220,11 @@
 
 
 def damage_all_promises(disk: Path) -> None:
-    (disk / PROMISE_FILE).write_bytes(b"\1" * 16384)
+    (disk / HARD_STATE_FILE).write_bytes(b"\1" * 16384)
 
 
 def remove_promise(disk: Path) -> None:
-    (disk / PROMISE_FILE).unlink()
+    (disk / HARD_STATE_FILE).unlink()
 
 
 def damage_snapshot(disk: Path) -> None:
@@ -245,11 +245,11 @@
 
 
 def older_promises(disk: Path) -> None:
-    (disk / PROMISE_FILE).unlink()
+    (disk / HARD_STATE_FILE).unlink()
     fresh = disk.parent / "fresh"
     fresh.mkdir()
     recover(fresh)
-    shutil.copy(fresh / PROMISE_FILE, disk / PROMISE_FILE)
+    shutil.copy(fresh / HARD_STATE_FILE, disk / HARD_STATE_FILE)
 
 
 @pytest.mark.parametrize(
@@ -276,7 +276,7 @@
 
 
 def test_verify_tells_of_a_damaged_copy_of_the_promise(disk: Path) -> None:
-    path = disk / PROMISE_FILE
+    path = disk / HARD_STATE_FILE
     flip(path, path.read_bytes().index(MEMBER.encode()))
     tester = CommandTester(application().find("storage verify"))
     assert tester.execute(str(disk)) == 0
--- a/tests/tier/test_storage_lives.py
+++ b/tests/tier/test_storage_lives.py
@@ -58,8 +58,8 @@
     def of(state: RecoveredState, committed: int, random: Random) -> Replica:
         snapshot = state.snapshot
         base, base_epoch = (snapshot.index, snapshot.epoch) if snapshot is not None else (0, 0)
-        committed = max(committed, base, state.promise.committed)
-        return Replica(random, state.promise.epoch, committed, base, base_epoch, list(state.entries))
+        committed = max(committed, base, state.hard_state.commit_index)
+        return Replica(random, state.hard_state.epoch, committed, base, base_epoch, list(state.entries))
 
     @property
     def last(self) -> int:
--- a/tests/tier/test_tier_cli.py
+++ b/tests/tier/test_tier_cli.py
@@ -492,7 +492,7 @@
     open_identity(directory, first_start=True, ip="10.0.0.1")
     storage = ReplicaStorage(directory)
     storage.recover()
-    storage.write_hard_state(HardState(epoch=3, voted_for="first-10.0.0.1", committed=2))
+    storage.write_hard_state(HardState(epoch=3, voted_for="first-10.0.0.1", commit_index=2))
     storage.append([Entry(1, 3, EntryKind.NOOP), Entry(2, 3, EntryKind.COMMAND, b"one")])
     storage.save_snapshot(Snapshot(2, 3, b"members", b"state"), [])
     storage.append([Entry(3, 3, EntryKind.COMMAND, b"two")])
