--- a/tests/data/make_tier.py
+++ b/tests/data/make_tier.py
@@ -9,12 +9,16 @@
 
 import json
 import sys
+import tempfile
 from pathlib import Path
 from typing import Any
 
 ROOT = Path(__file__).resolve().parents[2]
 sys.path[:0] = [str(ROOT), str(ROOT / "tests" / "tier")]
 
+import golden_inputs as inputs  # noqa: E402
+import golden_interfaces as interfaces  # noqa: E402
+import golden_stories as stories  # noqa: E402
 import golden_support as support  # noqa: E402
 
 
@@ -47,12 +51,45 @@
     write_json(target / "states.json", states)
 
 
+def write_lines(path: Path, entries: list[Any]) -> None:
+    path.write_text("".join(json.dumps(entry) + "\n" for entry in entries), encoding="utf-8")
+
+
+def write_calls(target: Path) -> None:
+    """What processes of the tier say to one another."""
+    write_json(target / "call-names.json", stories.call_names())
+    for name, transcript in stories.calls().items():
+        write_lines(target / f"calls-{name}.jsonl", transcript)
+    with tempfile.TemporaryDirectory() as scratch:
+        write_lines(target / "replicas.jsonl", stories.replicas(Path(scratch)))
+    write_lines(target / "membership.jsonl", stories.membership())
+
+
+def write_interfaces(target: Path) -> None:
+    """What operators, clients and the platform see."""
+    (target / "settings.yaml").write_text(inputs.COMPLETE_SETTINGS, encoding="utf-8")
+    (target / "settings-least.yaml").write_text(inputs.LEAST_SETTINGS, encoding="utf-8")
+    (target / "configuration.json").write_text(inputs.COMPLETE_CONFIGURATION + "\n", encoding="utf-8")
+    read = {
+        "settings.yaml": interfaces.read_settings(inputs.COMPLETE_SETTINGS),
+        "settings-least.yaml": interfaces.read_settings(inputs.LEAST_SETTINGS),
+        "configuration.json": interfaces.read_configuration(inputs.COMPLETE_CONFIGURATION),
+    }
+    write_json(target / "values.json", read)
+    write_json(target / "http.json", interfaces.http())
+    write_json(target / "commands.json", interfaces.commands(target))
+    for name, lines in (("events", interfaces.events()), ("command-line", interfaces.command_line())):
+        (target / f"{name}.txt").write_text("\n".join(lines) + "\n", encoding="utf-8")
+
+
 def main() -> None:
-    target = Path(sys.argv[1])
+    target = Path(sys.argv[1]).resolve()
     target.mkdir(parents=True)
     write_schema(target)
     write_messages(target)
     write_disks(target)
+    write_calls(target)
+    write_interfaces(target)
 
 
 if __name__ == "__main__":
--- a/tests/tier/golden_inputs.py
+++ b/tests/tier/golden_inputs.py
@@ -144,6 +144,273 @@
     return [[3, "first-10.1.0.1", 1], [4, "", 2], [5, "first-10.1.0.2", log[-1][0]]]
 
 
+# What a primary keeper publishes, and what a proxy calls at the stores.
+MEMBER_LIST: dict[str, Any] = {
+    "members": [
+        {
+            "node_name": "front-1",
+            "program": "proxy",
+            "ip": "10.1.0.9",
+            "zone": "north",
+            "region": "land",
+            "incarnation": "process-9",
+            "arrivals_per_s": {"refunds": 12.5},
+            "configuration_version": 7,
+            "leaving": True,
+        },
+        {
+            "node_name": "core-1",
+            "program": "keeper",
+            "ip": "10.1.0.1",
+            "group_primary": True,
+            "group_epoch": 5,
+        },
+    ]
+}
+BROKER_LIST: dict[str, Any] = {
+    "brokers": [
+        {
+            "instance_id": "i-1",
+            "service": "ledger",
+            "address": "10.2.0.1:8080",
+            "zone": "north",
+            "capacity_slots": 48,
+            "draining": True,
+            "warmup_remaining_ms": 1500,
+            "version": "v1",
+        }
+    ]
+}
+
+_ITEMS = {"proxy": "front-1", "incarnation": "process-9", "routes": ["r-batch"]}
+
+
+def _report(item: str, **outcome: Any) -> dict[str, Any]:
+    who = {"proxy": "front-1", "incarnation": "process-9", "epoch": 5}
+    return {**who, "reference": _reference("lot-1", item), **outcome}
+
+
+BATCH_CALLS: list[tuple[str, str, dict[str, Any]]] = [
+    ("submit", "SubmitRequest", _job("lot-1", "a", "b", "c")),
+    ("submit", "SubmitRequest", _job("lot-2", "a", "a")),
+    ("lease", "LeaseRequest", {**_ITEMS, "sequence": 1, "capacity": 3}),
+    (
+        "lease",
+        "LeaseRequest",
+        {**_ITEMS, "sequence": 2, "running": [_reference("lot-1", "a"), _reference("lot-9", "z")]},
+    ),
+    ("body", "BodyRequest", {"job_id": "lot-1", "item_id": "b"}),
+    ("report", "ReportRequest", _report("a", failures_so_far=1)),
+    ("report", "ReportRequest", _report("a", completed_text="one\ntwo")),
+    ("report", "ReportRequest", _report("b", dead_letter_reason="unprocessable")),
+    ("report", "ReportRequest", _report("c", failed_attempts=1)),
+    ("report", "ReportRequest", _report("c")),
+    ("read", "ReadRequest", {"job_id": "lot-1", "cursor": 1, "wait_ms": 100}),
+    ("read", "ReadRequest", {"job_id": "lot-9", "cursor": 0}),
+    ("end", "EndRequest", {"job_id": "lot-1"}),
+    ("end", "EndRequest", {"job_id": "lot-9"}),
+]
+
+# Every key that a settings file may have, each with a value of its own.
+COMPLETE_SETTINGS = """\
+nodeName: core-1
+machineClass: core
+ipAddress: 10.1.0.1
+zone: north
+region: land
+internalPortRange: [7700, 7709]
+role: a-role
+serves: [control_plane, stores]
+zones: {core-1: north, core-2: south}
+listenAddresses:
+  frontend: 10.1.0.1:80
+  readiness: 10.1.0.1:81
+  controlPlane: 10.1.0.1:82
+seedNodes: [10.1.0.1:7600, 10.1.0.2:7600]
+firstStart: true
+countsForQuorum: true
+limits:
+  cpuShare: 0.51
+  cpuCores: 2.52
+  memoryMb: 253.5
+  fileDescriptors: 2054
+  linkMbps: 955.5
+  diskMb: 1056.5
+dataDirectory: /var/lib/tier
+heartbeatIntervalMs: 901.5
+activeContracts: [one, two]
+faultTolerance:
+  machineFailures: 11
+  zones: 12
+  regionFailures: 13
+bounds:
+  seedLagS: 21.5
+  addressReuseS: 22.5
+  contactMs: 23.5
+  acknowledgeMs: 24.5
+  catchUpS: 25.5
+  drainMs: 26.5
+  gracePeriodS: 27.5
+  lossSlackMs: 28.5
+  configApplyMs: 29.5
+  rollbackSlackMs: 30.5
+  outerBoundMs: 31.5
+  recoveryS: 32.5
+  pass_ms: 33.5
+  again_s: 34.5
+  finishS: 35.5
+  statusS: 36.5
+  cancelMs: 37.5
+  settleMs: 38.5
+  quotaOvershoot: 39.5
+cloudApi:
+  address: 10.9.0.1:99
+  ratePerS: 41.5
+  duties: [list, launch]
+  maxLagMs: 42.5
+laterKey: ignored
+"""
+LEAST_SETTINGS = """\
+nodeName: core-1
+machineClass: core
+ipAddress: 10.1.0.1
+zone: north
+region: land
+internalPortRange: [7700, 7709]
+"""
+
+# Every key that a configuration may have, each with a value of its own.
+COMPLETE_CONFIGURATION = json.dumps(
+    {
+        "version": 7,
+        "routes": [
+            {
+                "name": "chat",
+                "hostname": "chat.example",
+                "pathPrefix": "/chat/",
+                "routeKind": "streaming",
+                "trafficSplit": [{"service": "s-1", "weight": 0.75}, {"service": "s-2", "weight": 0.25}],
+                "timeoutMs": 101.5,
+                "targetLatencyMs": 102.5,
+                "priority": 3,
+                "maxAttempts": 4,
+                "sessionAffinity": True,
+                "resumable": True,
+                "gap_aim_ms": 105.5,
+                "maxQueuedTokens": 106.5,
+            },
+            {
+                "name": "jobs",
+                "hostname": "batch.example",
+                "pathPrefix": "/jobs/",
+                "routeKind": "batch",
+                "service": "s-2",
+                "maxAttempts": 2,
+                "completionTargetMs": 107.5,
+                "retentionS": 108.5,
+            },
+        ],
+        "services": [
+            {
+                "name": "s-1",
+                "healthCheckPath": "/health",
+                "connectionLimit": 201,
+                "protocol": "h2",
+                "tlsEnabled": True,
+                "engine": {"capacitySlots": 202, "kvCacheTokens": 203, "stride": 204},
+            },
+            {"name": "s-2"},
+        ],
+        "limits": {
+            "maxHeaderBytes": 301,
+            "maxBodyBytes": 302,
+            "headerTimeoutMs": 303.5,
+            "idleTimeoutMs": 304.5,
+        },
+        "laterKey": "ignored",
+    }
+)
+
+PLATFORM_PAGE = json.dumps(
+    {
+        "instances": [
+            {
+                "service": "ledger",
+                "address": "10.2.0.1:8080",
+                "zone": "north",
+                "version": "v1",
+                "capacitySlots": 48,
+                "state": "draining",
+                "warmupRemainingMs": 1500.5,
+                "instanceId": "i-1",
+                "stage": "both",
+            },
+            {"service": "ledger", "address": "10.2.0.2:8080", "instanceId": "i-2", "state": "ready"},
+            {"service": "ledger", "address": "10.2.0.3:8080", "instanceId": "i-3"},
+        ],
+        "nextPageToken": None,
+    }
+)
+
+# Requests of an operator and of clients: the first line, further fields, the body.
+Requests = list[tuple[str, dict[str, str], str]]
+OPERATOR_REQUESTS: Requests = [
+    ("GET /api/configuration", {}, ""),
+    ("PUT /api/configuration", {"If-Match": '"9"'}, configuration(11)),
+    ("GET /api/configuration", {}, ""),
+    ("PUT /api/configuration", {"If-Match": "9"}, configuration(12)),
+    ("PUT /api/configuration", {}, configuration(12)),
+    ("PUT /api/configuration", {"If-Match": "11"}, "{"),
+    ("GET /api/retire/core-2", {}, ""),
+    ("GET /api/retire/core-3", {}, ""),
+    ("GET /api/retire/core-4", {}, ""),
+    ("POST /api/retire/core-4", {}, "{}"),
+    ("GET /api/retire/core-4", {}, ""),
+    ("POST /api/retire/core-9", {}, "{}"),
+    ("DELETE /api/retire/core-2", {}, ""),
+    ("GET /api/other", {}, ""),
+]
+_REQUESTS = {
+    "requests": [
+        {
+            "instanceId": name,
+            "path": f"/jobs/{name}",
+            "headers": {"Model": "m"},
+            "body": "cHJvbXB0/w==",
+            "tokens": 300,
+        }
+        for name in ("a", "b")
+    ]
+}
+CLIENT_REQUESTS: Requests = [
+    ("POST /jobs/1", {"Request-Id": "lot-1", "Deadline-Ms": "2000"}, json.dumps(_REQUESTS)),
+    ("POST /jobs/1", {}, json.dumps(_REQUESTS)),
+    ("GET /api/lots/lot-1?pageCursor=0", {"Wait-Ms": "0"}, ""),
+    ("GET /api/lots/lot-1?pageCursor=x", {}, ""),
+    ("GET /api/items/lot-1?instanceId=b", {}, ""),
+    ("GET /api/items/lot-1?instanceId=c", {}, ""),
+    ("DELETE /api/lots/lot-1", {}, ""),
+    ("GET /api/lots/other?pageCursor=0", {}, ""),
+    ("DELETE /api/lots/other", {}, ""),
+    ("PUT /jobs/1", {}, ""),
+    ("POST /elsewhere", {}, ""),
+]
+
+# Commands of the command line with their arguments; DATA is the folder of the files.
+RUN = [
+    ("storage inspect", "DATA/disk/log/keeper"),
+    ("storage inspect", "DATA/disk/snapshot/store"),
+    ("storage verify", "DATA/disk/snapshot/keeper"),
+    ("storage verify", "DATA/disk/log"),
+    ("check settings", "DATA/settings.yaml"),
+    ("check settings", "DATA/configuration.json"),
+    ("check configuration", "DATA/configuration.json"),
+    ("check configuration", "DATA/settings.yaml"),
+    ("status", ""),
+    ("status", "--keeper 127.0.0.1:1"),
+]
+
+
 def sample(name: str, number: int, kind: str) -> Any:
     """A value of a field, another one for each field of a message."""
     if kind == "string":
--- a/tests/tier/test_golden_disk.py
+++ b/tests/tier/test_golden_disk.py
@@ -1,4 +1,4 @@
-"""The folder of a replica: read as a released version left it, and written byte for byte as that version does.
+"""The folder of a replica: read as a released version left it, and written as that version does, to the byte.
 
 Both programs have one with the whole log and one with a snapshot. The state that each holds stands in
 ``states.json``; what of it matters is spelled out here.
