--- a/tests/tier/golden_interfaces.py
+++ b/tests/tier/golden_interfaces.py
@@ -31,15 +31,15 @@
 from cherrycove.tier.batch.client import BatchClient
 from cherrycove.tier.batch.http_api import BatchApi
 from cherrycove.tier.batch.jobs import JobsState
-from cherrycove.tier.batch.store import BatchStore
+from cherrycove.tier.batch.store import BatchStoreService
 from cherrycove.tier.cli import application
 from cherrycove.tier.configuration import Configuration, parse_configuration
-from cherrycove.tier.controlplane.broker_list import BrokerListReader
-from cherrycove.tier.controlplane.keeper import Keeper
+from cherrycove.tier.controlplane.broker_discovery import BrokerDiscoveryClient
+from cherrycove.tier.controlplane.controller import Controller
 from cherrycove.tier.dataplane import headers as header_module
 from cherrycove.tier.dataplane.readiness import Readiness
 from cherrycove.tier.dataplane.relay import own_answer
-from cherrycove.tier.distribution.views import Views
+from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ANSWERS, ErrorKind, Failure
 from cherrycove.tier.protocol import rpc as rpc_module
 from cherrycove.tier.protocol.rpc import RpcClient, RpcServer
@@ -202,8 +202,8 @@
 
 async def _operator(group: OneReplica) -> list[list[str]]:
     wire, address = Wire(), free_address()
-    keeper = Keeper(settings(), group, group.state, wire, wire)  # type: ignore[arg-type]
-    if group.confirmed():
+    keeper = Controller(settings(), group, group.state, wire, wire)  # type: ignore[arg-type]
+    if group.is_confirmed_primary():
         for number in (1, 4):
             announced = {**support.plain(announcement("store", number)), "node_name": f"core-{number}"}
             pull = support.build("cherrycove.control.PullRequest", {"announcement": announced})
@@ -226,9 +226,9 @@
 async def clients() -> list[list[str]]:
     """What clients ask about batch jobs."""
     state, wire, address = JobsState(), Wire(), free_address()
-    BatchStore(settings(), OneReplica(state), state, wire)  # type: ignore[arg-type]
+    BatchStoreService(settings(), OneReplica(state), state, wire)  # type: ignore[arg-type]
     configuration = parse_configuration(inputs.COMPLETE_CONFIGURATION.encode()).unwrap()
-    views = Views(configuration=configuration, members=(announcement("store", 1),))
+    views = ClusterView(configuration=configuration, members=(announcement("store", 1),))
     api = BatchApi(BatchClient(wire, views, settings()), views)
 
     async def handle(asked: web.BaseRequest) -> web.StreamResponse:
@@ -273,7 +273,7 @@
     body = inputs.PLATFORM_PAGE.encode()
     head = f"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n"
     async with recorder(head.encode() + body) as (address, requests):
-        reader = BrokerListReader(settings(cloud_api=CloudApi(address=address)))
+        reader = BrokerDiscoveryClient(settings(cloud_api=CloudApi(address=address)))
         await reader.start()
         await reader.read()
         await reader.stop()
@@ -282,7 +282,7 @@
 
 
 def _page_entries(text: str) -> list[Message]:
-    from cherrycove.tier.controlplane.broker_list import parse_page
+    from cherrycove.tier.controlplane.broker_discovery import parse_page
 
     return list(parse_page(text.encode()).unwrap().instances)
 
--- a/tests/tier/golden_stories.py
+++ b/tests/tier/golden_stories.py
@@ -20,28 +20,28 @@
 
 from cherrycove.tier.batch.client import BatchClient
 from cherrycove.tier.batch.jobs import JobsState
-from cherrycove.tier.batch.store import BatchStore
+from cherrycove.tier.batch.store import BatchStoreService
 from cherrycove.tier.cli import status as status_command
-from cherrycove.tier.controlplane.keeper import Keeper
+from cherrycove.tier.controlplane.controller import Controller
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.controlplane.store_members import StoreMembersReader, StoreMembersService
 from cherrycove.tier.controlplane.topics import ControlTopics
+from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.distribution.publisher import Publisher
 from cherrycove.tier.distribution.puller import Puller
-from cherrycove.tier.distribution.views import Views
 from cherrycove.tier.errors import Failure
 from cherrycove.tier.membership.effects import SendDatagram, StartExchange
 from cherrycove.tier.membership.machine import SwimMachine
 from cherrycove.tier.membership.model import Member, Parameters
 from cherrycove.tier.membership.swim import Swim
 from cherrycove.tier.programs.replica import describe
-from cherrycove.tier.replication.effects import WriteEntries, WritePromise
+from cherrycove.tier.replication.effects import WriteEntries, WriteHardState
 from cherrycove.tier.replication.group import ReplicatedGroup
 from cherrycove.tier.replication.interface import CommittedMembers, MemberIdentity
 from cherrycove.tier.replication.machine import ReplicaMachine
 from cherrycove.tier.replication.transport import Transport
 from cherrycove.tier.settings import Settings
-from cherrycove.tier.storage.store import ReplicaStorage
+from cherrycove.tier.storage.replica_storage import ReplicaStorage
 
 Transcript = list[dict[str, Any]]
 
@@ -73,8 +73,8 @@
         )
 
     def write(self, write: Any) -> None:
-        if isinstance(write, WritePromise):
-            self.storage.write_promise(write.promise)
+        if isinstance(write, WriteHardState):
+            self.storage.write_hard_state(write.promise)
         elif isinstance(write, WriteEntries):
             self.storage.append(write.entries)
         else:
@@ -93,7 +93,7 @@
             one.machine.bootstrap([each.identity for each in self.replicas], self.now)
 
     def leading(self) -> Replica | None:
-        return next((one for one in self.replicas if one.machine.confirmed(self.now)), None)
+        return next((one for one in self.replicas if one.machine.is_confirmed_primary(self.now)), None)
 
     def run(self, seconds: float) -> None:
         for _ in range(round(seconds / 0.05)):
@@ -259,10 +259,10 @@
     def primary(self) -> MemberIdentity | None:
         return self.identity if self._leads else self.members[0]
 
-    def confirmed(self) -> bool:
+    def is_confirmed_primary(self) -> bool:
         return self._leads
 
-    def listed(self) -> frozenset[str]:
+    def voting_member_ids(self) -> frozenset[str]:
         return frozenset(member.member_id for member in self.members)
 
     def committed_members(self) -> CommittedMembers | None:
@@ -326,7 +326,7 @@
         self.epoch = 5
         self._leads = leads
 
-    def confirmed(self) -> bool:
+    def is_confirmed_primary(self) -> bool:
         return self._leads
 
     def primary_address(self) -> str:
@@ -373,7 +373,7 @@
     topics.begin_term(5)
     topics.publish_members(support.build("cherrycove.control.MemberList", inputs.MEMBER_LIST), 1.0)
     topics.publish_brokers(support.build("cherrycove.control.BrokerList", inputs.BROKER_LIST))
-    puller = Puller(settings(), wire, Views(), lambda: announcement("store", 1))
+    puller = Puller(settings(), wire, ClusterView(), lambda: announcement("store", 1))
     await puller.start()
     await wire.answered(1)
     topics.publish_members(support.build("cherrycove.control.MemberList", {}), 2.0)
@@ -388,7 +388,7 @@
 async def statuses() -> Transcript:
     """The command line asks the primary keeper for its status."""
     state, wire = control_state(), Wire()
-    Keeper(settings(), OneReplica(state), state, wire, wire)  # type: ignore[arg-type]
+    Controller(settings(), OneReplica(state), state, wire, wire)  # type: ignore[arg-type]
     announced = {"announcement": support.plain(announcement("store", 1))}
     await wire.call(KEEPER, "pull", support.build("cherrycove.control.PullRequest", announced), Message, 1.0)
     await status_command._ask_one(wire, KEEPER)
@@ -397,7 +397,7 @@
 
 async def store_members() -> Transcript:
     """The primary keeper asks stores for the members of their group."""
-    views = Views(store_group=control_state().store_group())
+    views = ClusterView(store_group=control_state().store_group())
     transcript: Transcript = []
     for leads in (True, False):
         wire = Wire()
@@ -412,8 +412,8 @@
     state, wire = JobsState(), Wire()
     group = OneReplica(state)
     times: dict[str, Any] = {"clock": lambda: 1000.0, "wall_clock": lambda: 1_750_000_000.5}
-    BatchStore(settings(), group, state, wire, **times)  # type: ignore[arg-type]
-    views = Views(members=(announcement("store", 1),))
+    BatchStoreService(settings(), group, state, wire, **times)  # type: ignore[arg-type]
+    views = ClusterView(members=(announcement("store", 1),))
     client = BatchClient(wire, views, settings())
     for method, name, fields in inputs.BATCH_CALLS:
         request = support.build(f"cherrycove.batch.{name}", fields)
@@ -444,9 +444,9 @@
     async def register() -> dict[str, str]:
         wire, state = Wire(), control_state()
         group: Any = OneReplica(state)
-        Keeper(settings(), group, state, wire, wire)
-        StoreMembersService(group, Views()).serve_on(wire)
-        BatchStore(settings(), group, JobsState(), wire)
+        Controller(settings(), group, state, wire, wire)
+        StoreMembersService(group, ClusterView()).serve_on(wire)
+        BatchStoreService(settings(), group, JobsState(), wire)
         Swim(settings(), "keeper", "process-1", wire, wire, random.Random(1))
         for program in support.STATES:
             ReplicatedGroup(program, group.identity, Path("unused"), 1, state, wire, wire)
