--- a/cherrycove/tier/batch/__init__.py
+++ b/cherrycove/tier/batch/__init__.py
@@ -0,0 +1,1 @@
+"""Batch jobs: submission, storage, leasing to proxies and execution."""
--- /dev/null
+++ b/cherrycove/tier/batch/client/__init__.py
@@ -0,0 +1,1 @@
+"""The proxy's calls to the primary of the store group."""
--- a/cherrycove/tier/batch/client.py
+++ b/cherrycove/tier/batch/client/batch_client.py
@@ -14,18 +14,18 @@
 from cherrycove.tier.protocol.interface import Caller
 from cherrycove.tier.settings import Settings
 
-TRY_TIMEOUT_S = 0.8  # of one call; a dead store says nothing
-LEASE_TRY_TIMEOUT_S = 0.4
+ATTEMPT_TIMEOUT_S = 0.8  # of one call; a dead store says nothing
+LEASE_ATTEMPT_TIMEOUT_S = 0.4
 READ_SLACK_S = 0.5  # of one held read, beyond the time it may be held
 FIRST_PAUSE_S = 0.03  # after all stores were tried once
 LONGEST_PAUSE_S = 0.24
 MAX_HINTS_IN_A_ROW = 2  # then the other stores are asked
-SILENCE_KEPT_S = 2.0  # a store that did not answer is asked last for so long
+UNRESPONSIVE_PERIOD_S = 2.0  # a store that did not answer is asked last for so long
 
 Reply = TypeVar("Reply", bound=Message)
 
 FINAL_KINDS = frozenset((ErrorKind.NOT_FOUND, ErrorKind.INVALID, ErrorKind.OVERLOADED, ErrorKind.TOO_LARGE))
-SILENT_KINDS = frozenset((ErrorKind.UNREACHABLE, ErrorKind.UNCERTAIN))
+UNRESPONSIVE_KINDS = frozenset((ErrorKind.UNREACHABLE, ErrorKind.UNCERTAIN))
 
 
 class PrimaryFinder:
@@ -35,27 +35,27 @@
         self._views = views
         self._settings = settings
         self._confirmed = ""  # address that answered as primary last
-        self._silent: dict[str, float] = {}  # monotonic s at which a store last failed to answer
+        self._unresponsive_since: dict[str, float] = {}  # monotonic s at which a store last failed to answer
 
-    def confirm(self, address: str) -> None:
+    def mark_primary(self, address: str) -> None:
         """``address`` answered as the primary."""
         self._confirmed = address
-        self._silent.pop(address, None)
+        self._unresponsive_since.pop(address, None)
 
-    def doubt(self, address: str) -> None:
+    def mark_not_primary(self, address: str) -> None:
         """``address`` answered that it is not the primary."""
         if self._confirmed == address:
             self._confirmed = ""
-        self._silent.pop(address, None)
+        self._unresponsive_since.pop(address, None)
 
-    def missed(self, address: str, now: float) -> None:
+    def mark_unresponsive(self, address: str, now: float) -> None:
         """``address`` did not answer, whatever others say of it."""
-        self.doubt(address)
-        self._silent[address] = now
+        self.mark_not_primary(address)
+        self._unresponsive_since[address] = now
 
-    def silent(self, address: str, now: float) -> bool:
+    def is_unresponsive(self, address: str, now: float) -> bool:
         """Whether ``address`` failed to answer a short while ago."""
-        return now - self._silent.get(address, float("-inf")) < SILENCE_KEPT_S
+        return now - self._unresponsive_since.get(address, float("-inf")) < UNRESPONSIVE_PERIOD_S
 
     def candidates(self, now: float) -> list[str]:
         """Addresses to try, in order, each once; those that were silent come last."""
@@ -64,7 +64,9 @@
         )
         known = [self._confirmed] if self._confirmed else []
         listed = [self._settings.peer_address(store.ip, "store") for store in stores]
-        return sorted(dict.fromkeys([*known, *listed]), key=lambda address: self.silent(address, now))
+        return sorted(
+            dict.fromkeys([*known, *listed]), key=lambda address: self.is_unresponsive(address, now)
+        )
 
 
 class BatchClient:
@@ -80,8 +82,8 @@
 
     async def read(self, request: pb.ReadRequest, budget_s: float) -> Result[pb.ReadReply, Failure]:
         """Results from a cursor on; NOT_FOUND only where the primary is sure."""
-        try_timeout_s = request.wait_ms / 1000.0 + READ_SLACK_S
-        return await self._call("batch/read", request, pb.ReadReply, budget_s, try_timeout_s)
+        attempt_timeout_s = request.wait_ms / 1000.0 + READ_SLACK_S
+        return await self._call("batch/read", request, pb.ReadReply, budget_s, attempt_timeout_s)
 
     async def body(self, request: pb.BodyRequest, budget_s: float) -> Result[pb.BodyReply, Failure]:
         """The body of an item that has no result yet."""
@@ -93,7 +95,7 @@
 
     async def lease(self, request: pb.LeaseRequest, budget_s: float) -> Result[pb.LeaseReply, Failure]:
         """Renew leases, and ask for more."""
-        return await self._call("batch/lease", request, pb.LeaseReply, budget_s, LEASE_TRY_TIMEOUT_S)
+        return await self._call("batch/lease", request, pb.LeaseReply, budget_s, LEASE_ATTEMPT_TIMEOUT_S)
 
     async def report(self, request: pb.ReportRequest, budget_s: float) -> Result[pb.ReportReply, Failure]:
         """Report how an item ended."""
@@ -105,9 +107,9 @@
         request: Message,
         reply_type: type[Reply],
         budget_s: float,
-        try_timeout_s: float = TRY_TIMEOUT_S,
+        attempt_timeout_s: float = ATTEMPT_TIMEOUT_S,
     ) -> Result[Reply, Failure]:
-        attempts = _Attempts(self._client, self._finder, name, request, try_timeout_s)
+        attempts = _Attempts(self._client, self._finder, name, request, attempt_timeout_s)
         return await attempts.run(reply_type, budget_s)
 
 
@@ -115,13 +117,13 @@
     """All tries of one call."""
 
     def __init__(
-        self, client: Caller, finder: PrimaryFinder, name: str, request: Message, try_timeout_s: float
+        self, client: Caller, finder: PrimaryFinder, name: str, request: Message, attempt_timeout_s: float
     ) -> None:
         self._client = client
         self._finder = finder
         self._name = name
         self._request = request
-        self._try_timeout_s = try_timeout_s
+        self._attempt_timeout_s = attempt_timeout_s
         self._certain = True
         self._last = Failure(ErrorKind.UNAVAILABLE, "no store is known")
 
@@ -151,14 +153,14 @@
             if address in tried:
                 continue
             tried.add(address)
-            timeout_s = min(self._try_timeout_s, remaining)
+            timeout_s = min(self._attempt_timeout_s, remaining)
             answer = await self._client.call(address, self._name, self._request, reply_type, timeout_s)
             if isinstance(answer, Ok):
-                self._finder.confirm(address)
+                self._finder.mark_primary(address)
                 return answer
             failure = answer.err_value
             if failure.kind in FINAL_KINDS:
-                self._finder.confirm(address)
+                self._finder.mark_primary(address)
                 return self._final(failure)
             self._note(address, failure)
             if self._worth_asking(failure.primary) and hints < MAX_HINTS_IN_A_ROW:
@@ -167,15 +169,15 @@
         return None
 
     def _note(self, address: str, failure: Failure) -> None:
-        if failure.kind in SILENT_KINDS:
-            self._finder.missed(address, _now())
+        if failure.kind in UNRESPONSIVE_KINDS:
+            self._finder.mark_unresponsive(address, _now())
         else:
-            self._finder.doubt(address)
-        self._certain = self._certain and failure.certain
+            self._finder.mark_not_primary(address)
+        self._certain = self._certain and failure.is_certain
         self._last = failure
 
     def _worth_asking(self, hint: str) -> bool:
-        return bool(hint) and not self._finder.silent(hint, _now())
+        return bool(hint) and not self._finder.is_unresponsive(hint, _now())
 
     def _final(self, failure: Failure) -> Err[Failure]:
         """What the primary refused; want of room proves nothing about an earlier try of unknown outcome."""
--- a/cherrycove/tier/batch/interface.py
+++ b/cherrycove/tier/batch/execution.py
@@ -11,7 +11,6 @@
 from cherrycove.tier.protocol.batch_pb2 import LeasedItem
 
 ROUTE_REMOVED = "route_removed"  # reason for which an item is dead-lettered
-MAX_CALL_S = 3.0  # that a client's call for a batch job is held
 
 
 class ItemState(Enum):
--- a/cherrycove/tier/batch/http_api.py
+++ b/cherrycove/tier/batch/frontend/http_api.py
@@ -11,9 +11,8 @@
 from aiohttp import web
 from result import Err
 
-from cherrycove.tier.batch.client import BatchClient
-from cherrycove.tier.batch.interface import MAX_CALL_S
-from cherrycove.tier.batch.submission import parse_submission
+from cherrycove.tier.batch.client.batch_client import BatchClient
+from cherrycove.tier.batch.frontend.submission import parse_submission
 from cherrycove.tier.configuration import Route
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ANSWERS, ErrorKind, Failure
@@ -21,11 +20,12 @@
 
 LOTS_PREFIX = "/api/lots/"
 ITEMS_PREFIX = "/api/items/"
+MAX_BATCH_CALL_S = 3.0  # that a call of a client is kept open
 SUBMIT_BUDGET_S = 2.0
 READ_BUDGET_S = 1.0  # beyond the time that a read may be held
 END_BUDGET_S = 2.0
 DEADLINE_SHARE = 0.9  # of the client's deadline, so that the answer still reaches it
-MAX_WAIT_MS = int((MAX_CALL_S - READ_BUDGET_S) * 1000)
+MAX_WAIT_MS = int((MAX_BATCH_CALL_S - READ_BUDGET_S) * 1000)
 MAX_PAGE_BYTES = 1_000_000
 PAGE_ENVELOPE_BYTES = 200
 MAX_CURSOR = 2**32 - 1
@@ -131,12 +131,12 @@
 
 def _of_unknown_outcome(failure: Failure) -> Failure:
     """A change that may have been made gets no answer that promises otherwise."""
-    return failure if failure.certain else Failure(ErrorKind.DEADLINE, failure.detail)
+    return failure if failure.is_certain else Failure(ErrorKind.DEADLINE, failure.detail)
 
 
 def _of_read(failure: Failure) -> Failure:
     """A read that failed may always be repeated."""
-    return failure if failure.certain else Failure(ErrorKind.UNAVAILABLE, failure.detail)
+    return failure if failure.is_certain else Failure(ErrorKind.UNAVAILABLE, failure.detail)
 
 
 def _failure(failure: Failure) -> web.Response:
--- /dev/null
+++ b/cherrycove/tier/batch/jobs/__init__.py
@@ -0,0 +1,1 @@
+"""The replicated state of batch jobs and the commands that change it."""
--- a/cherrycove/tier/batch/commands.py
+++ b/cherrycove/tier/batch/jobs/commands.py
@@ -8,7 +8,7 @@
 import attrs
 from result import Err, Ok, Result
 
-from cherrycove.tier.batch.jobs import ItemKey
+from cherrycove.tier.batch.jobs.state import ItemKey
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol.batch_log_pb2 import BatchCommand, ItemResult
 from cherrycove.tier.protocol.batch_pb2 import SubmitRequest
@@ -57,7 +57,7 @@
     return command.SerializeToString()
 
 
-class SharedProposals:
+class SingleFlightProposals:
     """Proposes a command once while callers ask for it again, as after an answer that came too late."""
 
     def __init__(self, group: Group) -> None:
--- a/cherrycove/tier/batch/jobs.py
+++ b/cherrycove/tier/batch/jobs/state.py
@@ -14,7 +14,7 @@
 
 import attrs
 
-from cherrycove.tier.batch.jobs_snapshot import read_snapshot
+from cherrycove.tier.batch.jobs.snapshot import read_snapshot
 from cherrycove.tier.protocol.batch_log_pb2 import (
     AcceptJob,
     BatchCommand,
@@ -33,8 +33,8 @@
 class AcceptOutcome(Enum):
     """What applying the acceptance of a job did."""
 
-    TAKEN = "taken"
-    REPEATED = "repeated"  # the job was there already
+    ACCEPTED = "accepted"
+    ALREADY_ACCEPTED = "already accepted"  # the job was there already
 
 
 class EndOutcome(Enum):
@@ -57,7 +57,7 @@
     """One item of a job as it is kept."""
 
     encoded: bytes  # serialized Item; empty once it was dropped
-    listed: bool = False  # has a result
+    has_result: bool = False  # has a result
     failed_attempts: int = 0  # answers of 500; never goes down
 
 
@@ -72,9 +72,9 @@
 
 @attrs.define
 class Job:
-    """One batch job. ``terms`` is the request that brought it, without the items."""
+    """One batch job. ``submission`` is the request that brought it, without the items."""
 
-    terms: SubmitRequest
+    submission: SubmitRequest
     received_unix_ms: int
     items: dict[str, StoredItem]
     results: list[StoredResult] = attrs.field(factory=list)
@@ -82,20 +82,20 @@
 
     @property
     def job_id(self) -> str:
-        return self.terms.job_id
+        return self.submission.job_id
 
     @property
     def total(self) -> int:
         return len(self.items)
 
     @property
-    def done(self) -> bool:
+    def is_done(self) -> bool:
         """Whether nothing is left to be run."""
         return self.ended or len(self.results) == len(self.items)
 
-    def unlisted(self) -> list[str]:
+    def unfinished_item_ids(self) -> list[str]:
         """Ids of the items without a result."""
-        return [item_id for item_id, item in self.items.items() if not item.listed]
+        return [item_id for item_id, item in self.items.items() if not item.has_result]
 
 
 class JobsObserver(Protocol):
@@ -103,7 +103,7 @@
 
     def job_accepted(self, job: Job) -> None: ...
 
-    def item_listed(self, job: Job, item_id: str) -> None: ...
+    def result_recorded(self, job: Job, item_id: str) -> None: ...
 
     def job_ended(self, job: Job) -> None: ...
 
@@ -190,7 +190,7 @@
     def _accept(self, command: AcceptJob) -> AcceptOutcome:
         job_id = command.job.job_id
         if job_id in self.jobs:
-            return AcceptOutcome.REPEATED
+            return AcceptOutcome.ALREADY_ACCEPTED
         items = {item.item_id: StoredItem(item.SerializeToString()) for item in command.job.items}
         del command.job.items[:]
         terms = SubmitRequest()
@@ -200,20 +200,20 @@
         self.stored_bytes += _job_bytes(job)
         for observer in self._observers:
             observer.job_accepted(job)
-        return AcceptOutcome.TAKEN
+        return AcceptOutcome.ACCEPTED
 
     def _record(self, result: ItemResult) -> None:
         key = _key(result.reference)
         job = self.jobs.get(key.job_id)
         item = job.items.get(key.item_id) if job is not None else None
-        if job is None or item is None or job.ended or item.listed:
+        if job is None or item is None or job.ended or item.has_result:
             return
-        item.listed = True
+        item.has_result = True
         job.results.append(StoredResult(key.item_id, result.completed, result.text))
         self.stored_bytes += len(result.text) + RECORD_OVERHEAD_BYTES
         self._keep_recent(key, item)
         for observer in self._observers:
-            observer.item_listed(job, key.item_id)
+            observer.result_recorded(job, key.item_id)
 
     def _count_failures(self, failures: ItemFailures) -> None:
         item = self.item(_key(failures.reference))
@@ -231,7 +231,7 @@
         return EndOutcome.ENDED
 
     def _forget(self, job_ids: Iterable[str]) -> None:
-        gone = [job_id for job_id in job_ids if job_id in self.jobs and self.jobs[job_id].done]
+        gone = [job_id for job_id in job_ids if job_id in self.jobs and self.jobs[job_id].is_done]
         for job_id in gone:
             self.stored_bytes -= _job_bytes(self.jobs.pop(job_id))
         self._recent = deque(key for key in self._recent if key.job_id in self.jobs)
@@ -268,7 +268,7 @@
 
 
 def _write_job(message: JobSnapshot, job: Job) -> None:
-    message.terms.CopyFrom(job.terms)
+    message.terms.CopyFrom(job.submission)
     message.received_unix_ms = job.received_unix_ms
     message.ended = job.ended
     for item_id, item in job.items.items():
@@ -283,7 +283,7 @@
     }
     results = [StoredResult(entry.item_id, entry.completed, entry.text) for entry in message.results]
     for result in results:
-        items[result.item_id].listed = True
+        items[result.item_id].has_result = True
     terms = SubmitRequest()
     terms.CopyFrom(message.terms)
     return Job(terms, message.received_unix_ms, items, results, message.ended)
--- /dev/null
+++ b/cherrycove/tier/batch/leasing/__init__.py
@@ -0,0 +1,1 @@
+"""Decisions about which proxy runs which item. Pure: no input, output or clock of its own."""
--- a/cherrycove/tier/batch/run_times.py
+++ b/cherrycove/tier/batch/leasing/item_durations.py
@@ -8,7 +8,7 @@
 
 
 @attrs.define
-class RunTimes:
+class ItemDurations:
     """A moving mean of durations, in seconds; 0 until one is known."""
 
     mean_s: float = 0.0
--- a/cherrycove/tier/batch/ages.py
+++ b/cherrycove/tier/batch/leasing/job_ages.py
@@ -10,8 +10,8 @@
 
 import attrs
 
-from cherrycove.tier.batch.jobs import Job
-from cherrycove.tier.batch.leases import JobTerms
+from cherrycove.tier.batch.jobs.state import Job
+from cherrycove.tier.batch.leasing.lease_table import LeasableJob
 
 NO_TARGET_S = 60.0  # stands in for a completion target where the route has none
 RETENTION_MARGIN_S = 0.25
@@ -37,12 +37,12 @@
         """Jobs known for longer than ``age_s``."""
         return [job_id for job_id, seen in self._seen.items() if now - seen > age_s]
 
-    def terms(self, job: Job, now: float, unix_ms: float) -> JobTerms:
+    def terms(self, job: Job, now: float, unix_ms: float) -> LeasableJob:
         """What leasing must know of ``job``. The time of day serves only to order the items."""
         seen = self._seen.get(job.job_id, now)
-        target_s = job.terms.completion_target_ms / 1000.0 or NO_TARGET_S
+        target_s = job.submission.completion_target_ms / 1000.0 or NO_TARGET_S
         elapsed_s = max((unix_ms - job.received_unix_ms) / 1000.0, now - seen)
-        retention_s = job.terms.retention_ms / 1000.0
+        retention_s = job.submission.retention_ms / 1000.0
         retained_until = seen + retention_s + RETENTION_MARGIN_S if retention_s else NEVER
         due = now + target_s - elapsed_s
-        return JobTerms(job.job_id, job.terms.route, due, retained_until, job.unlisted())
+        return LeasableJob(job.job_id, job.submission.route, due, retained_until, job.unfinished_item_ids())
--- a/cherrycove/tier/batch/leases.py
+++ b/cherrycove/tier/batch/leasing/lease_table.py
@@ -13,8 +13,8 @@
 
 import attrs
 
-from cherrycove.tier.batch.jobs import ItemKey
-from cherrycove.tier.batch.run_times import RunTimes
+from cherrycove.tier.batch.jobs.state import ItemKey
+from cherrycove.tier.batch.leasing.item_durations import ItemDurations
 
 RENEWAL_INTERVAL_S = 0.25  # between two lease requests of a busy proxy
 OVERDUE_SHARE = 4  # one grant in so many goes to items that will miss their target while others wait too
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen
-class JobTerms:
+class LeasableJob:
     """What leasing must know of one job."""
 
     job_id: str
@@ -73,7 +73,7 @@
 
 @attrs.define
 class _Job:
-    terms: JobTerms
+    terms: LeasableJob
     available_from: float
     waiting: dict[str, None]  # item ids leased to nobody, in order
     leased: dict[str, str] = attrs.field(factory=dict)  # item id -> incarnation
@@ -106,15 +106,15 @@
         self._failed: Counter[ItemKey] = Counter()  # answers of 500
         self._waiting = 0
         self._grants = 0
-        self._run_times = RunTimes()
+        self._run_times = ItemDurations()
 
     # Changes of the jobs
 
-    def add_job(self, terms: JobTerms, *, earlier_term: bool) -> None:
+    def add_job(self, terms: LeasableJob, *, from_earlier_epoch: bool) -> None:
         """Offer the items of a job; those of an earlier term only once the grace time is over."""
         if terms.job_id in self._jobs:
             return
-        available = self._grace_ends if earlier_term else float("-inf")
+        available = self._grace_ends if from_earlier_epoch else float("-inf")
         job = _Job(terms, available, dict.fromkeys(terms.item_ids))
         self._jobs[terms.job_id] = job
         self._waiting += len(job.waiting)
@@ -157,7 +157,7 @@
         granted = list(self._grant(call, holder, now))
         return LeaseDecision(granted, revoked, self._waiting)
 
-    def give_back(self, incarnation: str, key: ItemKey, failed_attempts: int) -> None:
+    def release(self, incarnation: str, key: ItemKey, failed_attempts: int) -> None:
         """The holder did not finish an item; counts of failures never go down."""
         job = self._jobs.get(key.job_id)
         if job is None or key.item_id not in job.terms.item_ids:
--- /dev/null
+++ b/cherrycove/tier/batch/store/__init__.py
@@ -0,0 +1,1 @@
+"""The service that a store runs for batch jobs."""
--- a/cherrycove/tier/batch/removed_routes.py
+++ b/cherrycove/tier/batch/store/removed_routes.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from cherrycove.tier.batch.jobs import Job
+from cherrycove.tier.batch.jobs.state import Job
 from cherrycove.tier.configuration import Configuration
 
 BATCH_KIND = "batch"
@@ -18,7 +18,7 @@
     routes = {route.name for route in configuration.routes if route.route_kind == BATCH_KIND}
     return [
         job.job_id for job in jobs
-        if not job.done
-        and 0 < job.terms.configuration_version <= configuration.version
-        and job.terms.route not in routes
+        if not job.is_done
+        and 0 < job.submission.configuration_version <= configuration.version
+        and job.submission.route not in routes
     ]  # fmt: skip
--- a/cherrycove/tier/batch/replies.py
+++ b/cherrycove/tier/batch/store/replies.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from cherrycove.tier.batch.jobs import ItemKey, Job, JobsState
-from cherrycove.tier.batch.leases import Grant, LeaseDecision
+from cherrycove.tier.batch.jobs.state import ItemKey, Job, JobsState
+from cherrycove.tier.batch.leasing.lease_table import Grant, LeaseDecision
 from cherrycove.tier.protocol import batch_pb2 as pb
 from cherrycove.tier.protocol.batch_log_pb2 import ItemResult
 
@@ -45,9 +45,9 @@
     leased.job_id = job.job_id
     item = job.items[grant.key.item_id]
     leased.item.MergeFromString(item.encoded)
-    leased.route = job.terms.route
-    leased.host = job.terms.host
+    leased.route = job.submission.route
+    leased.host = job.submission.host
     leased.due_in_ms = int((grant.due - now) * 1000)
     leased.retained_ms = int(min(grant.retained_until - now, MAX_RETAINED_S) * 1000)
     leased.failed_attempts = max(item.failed_attempts, grant.failed_attempts)
-    leased.max_attempts = job.terms.max_attempts
+    leased.max_attempts = job.submission.max_attempts
--- a/cherrycove/tier/batch/signals.py
+++ b/cherrycove/tier/batch/store/result_waiters.py
@@ -5,7 +5,7 @@
 import asyncio
 
 
-class ResultSignals:
+class ResultWaiters:
     """One event for each job that somebody waits for."""
 
     def __init__(self) -> None:
--- a/cherrycove/tier/batch/store.py
+++ b/cherrycove/tier/batch/store/service.py
@@ -15,22 +15,22 @@
 from google.protobuf.message import Message
 from result import Err, Ok, Result
 
-from cherrycove.tier.batch.ages import JobAges
-from cherrycove.tier.batch.commands import (
+from cherrycove.tier.batch.execution import ROUTE_REMOVED
+from cherrycove.tier.batch.jobs.commands import (
     PROPOSE_TIMEOUT_S,
     ResultRecorder,
-    SharedProposals,
+    SingleFlightProposals,
     accept_command,
     end_command,
     failures_command,
     forget_command,
 )
-from cherrycove.tier.batch.interface import ROUTE_REMOVED
-from cherrycove.tier.batch.jobs import EndOutcome, ItemKey, Job, JobsState, StoredItem
-from cherrycove.tier.batch.leases import JobTerms, LeaseCall, LeaseTable, LeaseTimes
-from cherrycove.tier.batch.removed_routes import jobs_of_removed_routes
-from cherrycove.tier.batch.replies import item_result, lease_reply, read_reply
-from cherrycove.tier.batch.signals import ResultSignals
+from cherrycove.tier.batch.jobs.state import EndOutcome, ItemKey, Job, JobsState, StoredItem
+from cherrycove.tier.batch.leasing.job_ages import JobAges
+from cherrycove.tier.batch.leasing.lease_table import LeasableJob, LeaseCall, LeaseTable, LeaseTimes
+from cherrycove.tier.batch.store.removed_routes import jobs_of_removed_routes
+from cherrycove.tier.batch.store.replies import item_result, lease_reply, read_reply
+from cherrycove.tier.batch.store.result_waiters import ResultWaiters
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol import batch_pb2 as pb
@@ -77,9 +77,9 @@
         self._views = views or ClusterView()
         self._table: LeaseTable | None = None
         self._ages = JobAges()
-        self._signals = ResultSignals()
+        self._signals = ResultWaiters()
         self._recorder = ResultRecorder(group)
-        self._submits = SharedProposals(group)
+        self._submits = SingleFlightProposals(group)
         self._maintenance: asyncio.Task[None] | None = None
         self.state_restored()
         state.observe(self)
@@ -106,9 +106,9 @@
     def job_accepted(self, job: Job) -> None:
         self._ages.see(job.job_id, self._clock())
         if self._table is not None:
-            self._table.add_job(self._terms(job), earlier_term=False)
+            self._table.add_job(self._terms(job), from_earlier_epoch=False)
 
-    def item_listed(self, job: Job, item_id: str) -> None:
+    def result_recorded(self, job: Job, item_id: str) -> None:
         if self._table is not None:
             self._table.resolve(ItemKey(job.job_id, item_id), self._clock())
         self._signals.signal(job.job_id)
@@ -157,7 +157,7 @@
             if job is None:
                 return _unknown_job()
             remaining = deadline - self._clock()
-            if request.cursor < len(job.results) or job.done or remaining <= 0:
+            if request.cursor < len(job.results) or job.is_done or remaining <= 0:
                 return Ok(read_reply(job, request.cursor))
             await self._signals.wait(request.job_id, remaining)
 
@@ -208,7 +208,7 @@
         item = job.items.get(key.item_id) if job is not None else None
         if job is None or item is None:
             return _unknown_job()
-        if job.ended or item.listed:
+        if job.ended or item.has_result:
             return Ok(pb.ReportReply())
         outcome = request.WhichOneof("outcome")
         if outcome == "failures_so_far":
@@ -216,7 +216,7 @@
         if outcome == "failed_attempts":
             reply = await self._record_failures(key, item, request.failed_attempts)
             if isinstance(reply, Ok):
-                table.give_back(request.incarnation, key, request.failed_attempts)
+                table.release(request.incarnation, key, request.failed_attempts)
             return reply
         if outcome is None:
             return Err(Failure(ErrorKind.INVALID, "a report without an outcome"))
@@ -246,7 +246,7 @@
         memory = limits.memory_mb * MEMORY_FRACTION * MEGABYTE
         return min(memory, limits.disk_mb * DISK_FRACTION * MEGABYTE) if limits.disk_mb else memory
 
-    def _terms(self, job: Job) -> JobTerms:
+    def _terms(self, job: Job) -> LeasableJob:
         return self._ages.terms(job, self._clock(), self._wall_clock() * 1000.0)
 
     def _current_table(self) -> LeaseTable | None:
@@ -256,8 +256,8 @@
         if self._table is None or self._table.epoch != self._group.epoch:
             self._table = LeaseTable(self._group.epoch, self._clock(), self._times)
             for job in self._state.jobs.values():
-                if not job.done:
-                    self._table.add_job(self._terms(job), earlier_term=True)
+                if not job.is_done:
+                    self._table.add_job(self._terms(job), from_earlier_epoch=True)
             _log.info("batch_leases_begun", extra={"epoch": self._table.epoch, "jobs": len(self._state.jobs)})
         return self._table
 
@@ -292,7 +292,7 @@
         old = self._ages.older_than(self._settings.bounds.status_s + FORGET_MARGIN_S, now)
         crowded = self._state.stored_bytes > self._room_bytes() * CROWDED_FRACTION
         jobs = [self._state.jobs[job_id] for job_id in old if job_id in self._state.jobs]
-        forgotten = [job.job_id for job in jobs if job.ended or (crowded and job.done)]
+        forgotten = [job.job_id for job in jobs if job.ended or (crowded and job.is_done)]
         if forgotten and self._group.is_confirmed_primary():
             await self._group.propose(forget_command(forgotten), PROPOSE_TIMEOUT_S)
 
--- /dev/null
+++ b/cherrycove/tier/batch/worker/__init__.py
@@ -0,0 +1,1 @@
+"""The batch work of a proxy: leases items, runs them, reports their outcomes."""
--- a/cherrycove/tier/configuration.py
+++ b/cherrycove/tier/configuration.py
@@ -63,7 +63,7 @@
         return {split.service for split in self.splits if split.weight > 0}
 
     @property
-    def repeatable(self) -> bool:
+    def is_idempotent(self) -> bool:
         """Whether a request may run more than once."""
         return self.route_kind == "idempotent" or (self.route_kind == "streaming" and self.resumable)
 
--- a/cherrycove/tier/controlplane/barrier_proposer.py
+++ b/cherrycove/tier/controlplane/barrier_proposer.py
@@ -33,5 +33,5 @@
         """Replicate ``command`` and apply it."""
         self._open = True  # stays so when this call is cancelled
         outcome = await self._group.propose(command.SerializeToString(), timeout_s)
-        self._open = isinstance(outcome, Err) and not outcome.err_value.certain
+        self._open = isinstance(outcome, Err) and not outcome.err_value.is_certain
         return outcome
--- a/cherrycove/tier/controlplane/configuration_decisions.py
+++ b/cherrycove/tier/controlplane/configuration_decisions.py
@@ -102,7 +102,7 @@
     def _uncommitted(self, failure: Failure) -> Failure:
         if failure.kind is ErrorKind.NOT_PRIMARY:
             return self._leadership.refusal()
-        if not failure.certain:
+        if not failure.is_certain:
             return Failure(ErrorKind.DEADLINE, failure.detail)
         return Failure(ErrorKind.UNAVAILABLE, failure.detail)
 
--- a/cherrycove/tier/dataplane/dispatch.py
+++ b/cherrycove/tier/dataplane/dispatch.py
@@ -73,7 +73,7 @@
         """The answer to ``request``; ``closing`` tells whether its connection should end with it."""
         outgoing = Outgoing(
             request.headers.get(REQUEST_ID, ""), request.method, request.raw_path,
-            end_to_end(request.headers), body, route.repeatable,
+            end_to_end(request.headers), body, route.is_idempotent,
         )  # fmt: skip
         exchange = Exchange(
             gate=self._gate, upstream=self._upstream, request=request, outgoing=outgoing, route=route,
@@ -140,14 +140,14 @@
     def _may_go_on(self) -> bool:
         if self.ticket.sends >= MOST_SENDS:
             return False
-        return self.ran == 0 or (self.route.repeatable and self.ran < self.route.max_attempts)
+        return self.ran == 0 or (self.route.is_idempotent and self.ran < self.route.max_attempts)
 
     async def _attempt(self, grant: Grant) -> web.StreamResponse | None:
         """One send; None if it gave no answer for the client."""
         ending = Ending.LEFT
         try:
             async with asyncio.timeout(None) as patience:
-                if self.route.repeatable and self.ran + 1 < self.route.max_attempts:
+                if self.route.is_idempotent and self.ran + 1 < self.route.max_attempts:
                     grant.on_stalled = lambda: patience.reschedule(0.0)
                 response, ending = await self._send(grant)
                 return response
--- a/cherrycove/tier/dataplane/ingress.py
+++ b/cherrycove/tier/dataplane/ingress.py
@@ -17,7 +17,7 @@
 from aiohttp.http import HttpProcessingError, RawRequestMessage
 from aiohttp.streams import StreamReader
 
-from cherrycove.tier.batch.interface import MAX_CALL_S
+from cherrycove.tier.batch.frontend.http_api import MAX_BATCH_CALL_S
 from cherrycove.tier.configuration import ClientLimits, Route
 from cherrycove.tier.dataplane.arrivals import Arrivals
 from cherrycove.tier.dataplane.batch_calls import BATCH_KIND, BATCH_PATHS, batch_route, is_batch_call
@@ -217,7 +217,7 @@
         self, api: BatchApi, request: web.BaseRequest, body: bytes, route: Route | None
     ) -> web.StreamResponse:
         now = asyncio.get_running_loop().time()
-        if not self._drain.takes(now, now + MAX_CALL_S, 0.0):
+        if not self._drain.takes(now, now + MAX_BATCH_CALL_S, 0.0):
             return self._leaving(request)
         try:
             async with self._drain.limit():
--- a/cherrycove/tier/dataplane/items.py
+++ b/cherrycove/tier/dataplane/items.py
@@ -14,7 +14,7 @@
 import attrs
 from multidict import CIMultiDict
 
-from cherrycove.tier.batch.interface import ItemOutcome, ItemState, RecordFailures
+from cherrycove.tier.batch.execution import ItemOutcome, ItemState, RecordFailures
 from cherrycove.tier.configuration import Route
 from cherrycove.tier.dataplane.admission.interface import Ending, Refuse, Ticket
 from cherrycove.tier.dataplane.dispatch import ENDINGS
--- a/cherrycove/tier/dataplane/plane.py
+++ b/cherrycove/tier/dataplane/plane.py
@@ -6,7 +6,7 @@
 import logging
 import random
 
-from cherrycove.tier.batch.interface import ItemExecutor
+from cherrycove.tier.batch.execution import ItemExecutor
 from cherrycove.tier.dataplane.dispatch import Dispatcher
 from cherrycove.tier.dataplane.drain import NOTICE_S, DrainDeadline
 from cherrycove.tier.dataplane.gate import Gate
--- a/cherrycove/tier/errors.py
+++ b/cherrycove/tier/errors.py
@@ -66,6 +66,6 @@
         return ANSWERS[self.kind]
 
     @property
-    def certain(self) -> bool:
+    def is_certain(self) -> bool:
         """Whether it is certain that nothing was done."""
         return self.kind not in (ErrorKind.UNCERTAIN, ErrorKind.DEADLINE)
--- a/cherrycove/tier/programs/proxy.py
+++ b/cherrycove/tier/programs/proxy.py
@@ -5,9 +5,9 @@
 import asyncio
 import random
 
-from cherrycove.tier.batch.client import BatchClient
-from cherrycove.tier.batch.http_api import BatchApi
-from cherrycove.tier.batch.worker import BatchWorker
+from cherrycove.tier.batch.client.batch_client import BatchClient
+from cherrycove.tier.batch.frontend.http_api import BatchApi
+from cherrycove.tier.batch.worker.batch_worker import BatchWorker
 from cherrycove.tier.dataplane import DataPlane
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.distribution.puller import Puller
--- a/cherrycove/tier/programs/store.py
+++ b/cherrycove/tier/programs/store.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from cherrycove.tier.batch.jobs import JobsState
-from cherrycove.tier.batch.store import BatchStoreService
+from cherrycove.tier.batch.jobs.state import JobsState
+from cherrycove.tier.batch.store.service import BatchStoreService
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.distribution.puller import Puller
 from cherrycove.tier.programs.process import new_incarnation
--- a/cherrycove/tier/simulation/control/batch_load.py
+++ b/cherrycove/tier/simulation/control/batch_load.py
@@ -9,7 +9,7 @@
 
 from result import Err, Ok, Result
 
-from cherrycove.tier.batch.interface import ItemOutcome, ItemState, RecordFailures
+from cherrycove.tier.batch.execution import ItemOutcome, ItemState, RecordFailures
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol import batch_pb2 as pb
 from cherrycove.tier.simulation.control.loop import Life
@@ -176,7 +176,7 @@
         if isinstance(outcome, Ok):
             places = world.holders_of_job(request.job_id)
             world.jobs.accepted(process.life.name, request.job_id, world.now, places, world.copies_wanted())
-        elif outcome.err_value.certain:
+        elif outcome.err_value.is_certain:
             world.jobs.refused(request.job_id)
 
     def _was_read(self, process: ProxyProcess, request: Any, outcome: Any, sent_at: float) -> None:
--- a/cherrycove/tier/simulation/control/processes.py
+++ b/cherrycove/tier/simulation/control/processes.py
@@ -8,10 +8,10 @@
 
 from result import Ok, Result
 
-from cherrycove.tier.batch.client import BatchClient
-from cherrycove.tier.batch.jobs import JobsState
-from cherrycove.tier.batch.store import BatchStoreService
-from cherrycove.tier.batch.worker import BatchWorker
+from cherrycove.tier.batch.client.batch_client import BatchClient
+from cherrycove.tier.batch.jobs.state import JobsState
+from cherrycove.tier.batch.store.service import BatchStoreService
+from cherrycove.tier.batch.worker.batch_worker import BatchWorker
 from cherrycove.tier.controlplane.controller import Controller
 from cherrycove.tier.controlplane.state import AcceptOutcome, Applied, ControlState
 from cherrycove.tier.distribution.cluster_view import ClusterView
--- a/tests/tier/batch_support.py
+++ b/tests/tier/batch_support.py
@@ -12,13 +12,13 @@
 from loopback_ports import free_port
 from result import Err, Ok, Result
 
-from cherrycove.tier.batch.client import BatchClient
-from cherrycove.tier.batch.http_api import BatchApi
-from cherrycove.tier.batch.interface import ItemOutcome, RecordFailures
-from cherrycove.tier.batch.jobs import ItemKey, JobsState
-from cherrycove.tier.batch.leases import LeaseTimes
-from cherrycove.tier.batch.store import BatchStoreService
-from cherrycove.tier.batch.worker import BatchWorker
+from cherrycove.tier.batch.client.batch_client import BatchClient
+from cherrycove.tier.batch.execution import ItemOutcome, RecordFailures
+from cherrycove.tier.batch.frontend.http_api import BatchApi
+from cherrycove.tier.batch.jobs.state import ItemKey, JobsState
+from cherrycove.tier.batch.leasing.lease_table import LeaseTimes
+from cherrycove.tier.batch.store.service import BatchStoreService
+from cherrycove.tier.batch.worker.batch_worker import BatchWorker
 from cherrycove.tier.configuration import Configuration, Route, Service
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ErrorKind, Failure
--- a/tests/tier/golden_support.py
+++ b/tests/tier/golden_support.py
@@ -18,7 +18,7 @@
 from google.protobuf.descriptor import Descriptor, FieldDescriptor, FileDescriptor
 from google.protobuf.message import Message
 
-from cherrycove.tier.batch.jobs import JobsState
+from cherrycove.tier.batch.jobs.state import JobsState
 from cherrycove.tier.controlplane.state import ControlState, content_digest
 from cherrycove.tier.programs.replica import open_group
 from cherrycove.tier.protocol import (
@@ -363,19 +363,19 @@
 def _jobs(state: JobsState) -> dict[str, Any]:
     return {
         job_id: {
-            "terms": plain(job.terms),
+            "terms": plain(job.submission),
             "received_unix_ms": job.received_unix_ms,
             "items": {
                 name: {
                     "item": decode("cherrycove.batch.Item", item.encoded),
-                    "listed": item.listed,
+                    "listed": item.has_result,
                     "failed_attempts": item.failed_attempts,
                 }
                 for name, item in job.items.items()
             },
             "results": [[one.item_id, one.completed, one.text.decode()] for one in job.results],
             "ended": job.ended,
-            "done": job.done,
+            "done": job.is_done,
         }
         for job_id, job in state.jobs.items()
     }
--- a/tests/tier/test_batch_client.py
+++ b/tests/tier/test_batch_client.py
@@ -10,7 +10,7 @@
 from google.protobuf.message import Message
 from result import Err, Ok, Result
 
-from cherrycove.tier.batch.client import SILENCE_KEPT_S, BatchClient, PrimaryFinder
+from cherrycove.tier.batch.client.batch_client import UNRESPONSIVE_PERIOD_S, BatchClient, PrimaryFinder
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol import batch_pb2 as pb
@@ -103,15 +103,15 @@
 
 def test_silent_stores_come_last_for_a_while() -> None:
     finder = PrimaryFinder(stores(1), settings(PORT, "10.0.0.9"))
-    finder.confirm(ONE)
+    finder.mark_primary(ONE)
     assert finder.candidates(0.0) == [ONE, TWO, THREE]
-    finder.missed(ONE, 0.0)
+    finder.mark_unresponsive(ONE, 0.0)
     assert finder.candidates(0.1) == [TWO, THREE, ONE]
-    assert finder.candidates(SILENCE_KEPT_S) == [ONE, TWO, THREE]
-    finder.missed(ONE, 10.0)
-    finder.confirm(THREE)
+    assert finder.candidates(UNRESPONSIVE_PERIOD_S) == [ONE, TWO, THREE]
+    finder.mark_unresponsive(ONE, 10.0)
+    finder.mark_primary(THREE)
     assert finder.candidates(10.1) == [THREE, TWO, ONE]
-    finder.confirm(ONE)
+    finder.mark_primary(ONE)
     assert finder.candidates(10.2) == [ONE, TWO, THREE]
 
 
--- a/tests/tier/test_batch_failing_items.py
+++ b/tests/tier/test_batch_failing_items.py
@@ -9,8 +9,8 @@
 from dataplane_world import World, configuration_bytes, route
 from result import Ok
 
-from cherrycove.tier.batch.jobs import ItemKey
-from cherrycove.tier.batch.worker import BatchWorker
+from cherrycove.tier.batch.jobs.state import ItemKey
+from cherrycove.tier.batch.worker.batch_worker import BatchWorker
 from examples.toy_broker import Received, ToyBroker, Wire
 
 KEY = ItemKey("j1", "a")
--- a/tests/tier/test_batch_http.py
+++ b/tests/tier/test_batch_http.py
@@ -11,10 +11,10 @@
 import pytest
 from batch_support import PATIENCE_S, ROUTE, Frontend, Tier, configuration, job
 
-from cherrycove.tier.batch.commands import accept_command, results_command
-from cherrycove.tier.batch.http_api import MAX_PAGE_BYTES, render_page
-from cherrycove.tier.batch.jobs import ItemKey
-from cherrycove.tier.batch.replies import item_result
+from cherrycove.tier.batch.frontend.http_api import MAX_PAGE_BYTES, render_page
+from cherrycove.tier.batch.jobs.commands import accept_command, results_command
+from cherrycove.tier.batch.jobs.state import ItemKey
+from cherrycove.tier.batch.store.replies import item_result
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol import batch_pb2 as pb
 
@@ -92,7 +92,7 @@
         tier.views.configuration = attrs.evolve(configuration(ROUTE), version=7)
         call = await frontend.exchange("POST", "/jobs/1", submission("a"), Request_Id="j1")
         assert call == "POST /jobs/1 -> 202 {}"
-        assert tier.nodes[0].state.jobs["j1"].terms.configuration_version == 7
+        assert tier.nodes[0].state.jobs["j1"].submission.configuration_version == 7
 
     play(scene)
 
--- a/tests/tier/test_batch_jobs.py
+++ b/tests/tier/test_batch_jobs.py
@@ -5,16 +5,16 @@
 from batch_support import item, job
 from pytest import MonkeyPatch
 
-from cherrycove.tier.batch import jobs as jobs_module
-from cherrycove.tier.batch.commands import (
+from cherrycove.tier.batch.jobs import state as jobs_module
+from cherrycove.tier.batch.jobs.commands import (
     accept_command,
     end_command,
     failures_command,
     forget_command,
     results_command,
 )
-from cherrycove.tier.batch.jobs import AcceptOutcome, EndOutcome, ItemKey, JobsState
-from cherrycove.tier.batch.replies import item_result
+from cherrycove.tier.batch.jobs.state import AcceptOutcome, EndOutcome, ItemKey, JobsState
+from cherrycove.tier.batch.store.replies import item_result
 
 
 def record(state: JobsState, job_id: str, item_id: str, text: bytes, completed: bool = True) -> None:
@@ -27,9 +27,9 @@
 
 def test_job_accepted_twice_is_taken_once() -> None:
     state = JobsState()
-    assert state.apply(1, accept_command(job("j", "a", "b"), 5)) is AcceptOutcome.TAKEN
+    assert state.apply(1, accept_command(job("j", "a", "b"), 5)) is AcceptOutcome.ACCEPTED
     record(state, "j", "a", b"text")
-    assert state.apply(3, accept_command(job("j", "a", "b"), 9)) is AcceptOutcome.REPEATED
+    assert state.apply(3, accept_command(job("j", "a", "b"), 9)) is AcceptOutcome.ALREADY_ACCEPTED
     assert listed(state, "j") == [("a", True, b"text")]
     assert state.jobs["j"].received_unix_ms == 5
 
@@ -44,10 +44,10 @@
     record(state, "j", "unknown", b"x")
     record(state, "other", "a", b"x")
     assert listed(state, "j") == [("b", True, b"first"), ("a", False, b"422")]
-    assert state.jobs["j"].unlisted() == ["c"]
-    assert not state.jobs["j"].done
+    assert state.jobs["j"].unfinished_item_ids() == ["c"]
+    assert not state.jobs["j"].is_done
     record(state, "j", "c", b"")
-    assert state.jobs["j"].done
+    assert state.jobs["j"].is_done
 
 
 def test_results_after_the_end_are_ignored() -> None:
--- a/tests/tier/test_batch_jobs_snapshot.py
+++ b/tests/tier/test_batch_jobs_snapshot.py
@@ -7,8 +7,8 @@
 import pytest
 from google.protobuf.message import DecodeError
 
-from cherrycove.tier.batch.jobs import JobsState
-from cherrycove.tier.batch.jobs_snapshot import read_snapshot
+from cherrycove.tier.batch.jobs.snapshot import read_snapshot
+from cherrycove.tier.batch.jobs.state import JobsState
 from cherrycove.tier.protocol.batch_log_pb2 import BatchCommand, BatchSnapshot, JobSnapshot
 from cherrycove.tier.protocol.batch_pb2 import ItemReference
 
--- a/tests/tier/test_batch_leases.py
+++ b/tests/tier/test_batch_leases.py
@@ -4,8 +4,14 @@
 
 from collections.abc import Sequence
 
-from cherrycove.tier.batch.jobs import ItemKey
-from cherrycove.tier.batch.leases import JobTerms, LeaseCall, LeaseDecision, LeaseTable, LeaseTimes
+from cherrycove.tier.batch.jobs.state import ItemKey
+from cherrycove.tier.batch.leasing.lease_table import (
+    LeasableJob,
+    LeaseCall,
+    LeaseDecision,
+    LeaseTable,
+    LeaseTimes,
+)
 
 TIMES = LeaseTimes(lease_s=1.5, grace_s=1.0)
 LONG = 1000.0
@@ -13,8 +19,8 @@
 
 def terms(
     job_id: str, *item_ids: str, due: float = 50.0, route: str = "r", retained: float = LONG
-) -> JobTerms:
-    return JobTerms(job_id, route, due, retained, item_ids)
+) -> LeasableJob:
+    return LeasableJob(job_id, route, due, retained, item_ids)
 
 
 def keys(job_id: str, *item_ids: str) -> list[ItemKey]:
@@ -42,10 +48,10 @@
         return [grant.key for grant in self.ask(now, capacity, routes).granted]
 
 
-def table_with(*jobs: JobTerms, now: float = 0.0) -> LeaseTable:
+def table_with(*jobs: LeasableJob, now: float = 0.0) -> LeaseTable:
     table = LeaseTable(1, now, TIMES)
     for job in jobs:
-        table.add_job(job, earlier_term=False)
+        table.add_job(job, from_earlier_epoch=False)
     return table
 
 
@@ -143,8 +149,8 @@
 
 def test_items_of_an_earlier_term_wait_for_announcements() -> None:
     table = LeaseTable(2, 10.0, TIMES)
-    table.add_job(terms("before", "a", "b"), earlier_term=True)
-    table.add_job(terms("now", "a"), earlier_term=False)
+    table.add_job(terms("before", "a", "b"), from_earlier_epoch=True)
+    table.add_job(terms("now", "a"), from_earlier_epoch=False)
     first, second = Proxy(table, "p1"), Proxy(table, "p2")
     first.running = keys("before", "a")
     assert second.granted(10.1) == keys("now", "a")
@@ -161,8 +167,8 @@
     assert proxy.granted(0.0) == keys("known", "a")
     table.resolve(ItemKey("known", "a"), 2.0)
     proxy.running.clear()
-    table.add_job(terms("hopeless", *"abcd", due=11.5), earlier_term=False)
-    table.add_job(terms("hopeful", *"abcd", due=12.5), earlier_term=False)
+    table.add_job(terms("hopeless", *"abcd", due=11.5), from_earlier_epoch=False)
+    table.add_job(terms("hopeful", *"abcd", due=12.5), from_earlier_epoch=False)
     assert proxy.granted(10.0, capacity=4) == [
         *keys("hopeful", "a", "b"),
         *keys("hopeless", "a"),
@@ -185,13 +191,13 @@
     table = table_with(terms("j", "a"))
     first, second = Proxy(table, "p1"), Proxy(table, "p2")
     assert first.granted(0.0) == keys("j", "a")
-    table.give_back(first.life, ItemKey("j", "a"), 2)
+    table.release(first.life, ItemKey("j", "a"), 2)
     first.running.clear()
     grant = second.ask(0.1, capacity=1).granted[0]
     assert (grant.key, grant.failed_attempts) == (ItemKey("j", "a"), 2)
-    table.give_back(first.life, ItemKey("j", "a"), 1)  # a late report of one that no longer holds it
+    table.release(first.life, ItemKey("j", "a"), 1)  # a late report of one that no longer holds it
     assert second.ask(0.2).revoked == []
-    table.give_back(second.life, ItemKey("j", "a"), 1)
+    table.release(second.life, ItemKey("j", "a"), 1)
     second.running.clear()
     assert second.ask(0.3, capacity=1).granted[0].failed_attempts == 2
 
--- a/tests/tier/test_batch_replicated.py
+++ b/tests/tier/test_batch_replicated.py
@@ -18,11 +18,11 @@
 from loopback_ports import free_port
 from result import Ok
 
-from cherrycove.tier.batch.client import BatchClient
-from cherrycove.tier.batch.interface import ItemOutcome, ItemState
-from cherrycove.tier.batch.jobs import ItemKey, JobsState
-from cherrycove.tier.batch.store import BatchStoreService
-from cherrycove.tier.batch.worker import BatchWorker
+from cherrycove.tier.batch.client.batch_client import BatchClient
+from cherrycove.tier.batch.execution import ItemOutcome, ItemState
+from cherrycove.tier.batch.jobs.state import ItemKey, JobsState
+from cherrycove.tier.batch.store.service import BatchStoreService
+from cherrycove.tier.batch.worker.batch_worker import BatchWorker
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ErrorKind
 from cherrycove.tier.protocol import batch_pb2 as pb
--- a/tests/tier/test_batch_submission.py
+++ b/tests/tier/test_batch_submission.py
@@ -9,7 +9,7 @@
 from batch_support import HOST, ROUTE
 from result import Err, Ok
 
-from cherrycove.tier.batch.submission import parse_submission
+from cherrycove.tier.batch.frontend.submission import parse_submission
 from cherrycove.tier.errors import ErrorKind
 
 
--- a/tests/tier/test_batch_worker.py
+++ b/tests/tier/test_batch_worker.py
@@ -18,11 +18,11 @@
 )
 from result import Ok
 
-from cherrycove.tier.batch.commands import results_command
-from cherrycove.tier.batch.interface import ItemOutcome, ItemState
-from cherrycove.tier.batch.jobs import ItemKey
-from cherrycove.tier.batch.replies import item_result
-from cherrycove.tier.batch.worker import BatchWorker
+from cherrycove.tier.batch.execution import ItemOutcome, ItemState
+from cherrycove.tier.batch.jobs.commands import results_command
+from cherrycove.tier.batch.jobs.state import ItemKey
+from cherrycove.tier.batch.store.replies import item_result
+from cherrycove.tier.batch.worker.batch_worker import BatchWorker
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol import batch_pb2 as pb
 
@@ -276,7 +276,7 @@
         executor.finish(A, completed(b"text"))
         executor.finish(B, completed(b"text"))
         assert len(await results(tier, 2)) == 2
-        assert tier.nodes[0].state.jobs["j1"].done
+        assert tier.nodes[0].state.jobs["j1"].is_done
 
     play(scene)
 
--- a/tests/tier/test_configuration.py
+++ b/tests/tier/test_configuration.py
@@ -49,8 +49,8 @@
     assert found is not None and found.name == "deep"
     assert configuration.match("a.example", "/chatter/") is None
     assert configuration.match("b.example", "/chat/1") is None
-    assert configuration.routes[0].repeatable
-    assert not configuration.routes[2].repeatable
+    assert configuration.routes[0].is_idempotent
+    assert not configuration.routes[2].is_idempotent
 
 
 def test_unknown_keys_are_ignored() -> None:
--- a/tests/tier/test_dataplane_items.py
+++ b/tests/tier/test_dataplane_items.py
@@ -9,7 +9,7 @@
 from aiohttp import web
 from dataplane_world import HOST, TIMEOUT_S, World, configuration_bytes, entry, route
 
-from cherrycove.tier.batch.interface import ItemOutcome, ItemState
+from cherrycove.tier.batch.execution import ItemOutcome, ItemState
 from cherrycove.tier.configuration import Route, parse_configuration
 from cherrycove.tier.protocol.batch_pb2 import Item, LeasedItem
 from examples.toy_broker import Received, Script, ToyBroker, Wire, echo, stream
--- a/tests/tier/test_hostile_peers.py
+++ b/tests/tier/test_hostile_peers.py
@@ -98,7 +98,7 @@
                     return
                 failure = outcome.unwrap_err()
                 kinds[failure.kind.value] += 1
-                if failure.certain:
+                if failure.is_certain:
                     assert hostile.runs[job] == 0
 
             await many(call)
--- a/tests/tier/test_rpc.py
+++ b/tests/tier/test_rpc.py
@@ -262,7 +262,7 @@
         await client.stop()
         await server.stop()
         refused = outcomes[0].unwrap_err()
-        assert refused.kind is ErrorKind.MISDIRECTED and refused.certain
+        assert refused.kind is ErrorKind.MISDIRECTED and refused.is_certain
         assert [outcome.is_ok() for outcome in outcomes] == [False, True, True]
         assert ran == ["m-1", ""]
 
--- a/tests/tier/test_sessions.py
+++ b/tests/tier/test_sessions.py
@@ -90,7 +90,7 @@
             await client.start()
         outcome = await client.call(address, "c", BodyRequest(), BodyReply, TIMEOUT_S)
         if number == 2:
-            assert not outcome.unwrap_err().certain
+            assert not outcome.unwrap_err().is_certain
             await client.stop()
         return outcome.is_ok()
 
