--- a/tests/golden_broker.py
+++ b/tests/golden_broker.py
@@ -9,19 +9,24 @@
 
 import asyncio
 import dataclasses
+import io
 import json
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Mapping, Sequence
 from enum import Enum
 from math import isinf
 from pathlib import Path
 from typing import Any, NamedTuple
+from unittest import mock
 
+from bench.rules import draw, play
 from cherrycove import codes, consul, core, nbd, store
 from cherrycove.fleet import datagram
 from cherrycove.life import handover, herald
 from cherrycove.memory import figures, file
 from cherrycove.why import pack as record
 from finchrack import interface as api
+from finchrack import wire, wirehost
+from finchrack.decide import Scheduler
 
 DATA = Path(__file__).parent / "data/broker"
 Plain = Any  # what JSON holds
@@ -123,6 +128,8 @@
     ),
 }
 
+CODES = {int(each) for each in api.Code}  # of the module's reasons
+
 _NAME_OF = {kind: name for name, (kind, _) in TYPES.items()}
 _MEMBER_NAMES = {
     member: f"={kind}.{name}"
@@ -239,6 +246,7 @@
     "directory": lambda *values: herald.directory(*values).encode(),
     "memory_path": lambda *values: str(file.path(*values)).encode(),
     "node_key": lambda *values: _node_key(*values),
+    "wire_action": lambda scheduler, act: wire.action(scheduler, act).encode(),
 }
 
 
@@ -309,3 +317,87 @@
 def read_health(text: str, zones: Mapping[str, int], before: tuple[core.Member, ...]) -> core.NodeList:
     """An answer of the health API as a node list."""
     return consul.parse_health(text, zones, {member.name: member for member in before}, 3)
+
+
+# Decisions.
+
+Batch = tuple[float, list[Plain]]  # the time of a call, and its events
+Variation = Callable[[float, list[Plain], list[Plain]], Batch]
+
+
+class Decider:
+    """A scheduler that is spoken to in the golden vocabulary."""
+
+    def __init__(self, settings: Plain, seed: int) -> None:
+        self._scheduler = Scheduler(from_plain(settings), seed)
+
+    def decide(self, now: float, events: list[Plain]) -> list[Plain]:
+        """The actions, in their order."""
+        return [to_plain(act) for act in self._scheduler.handle(now, [from_plain(each) for each in events])]
+
+    def known(self) -> Plain:
+        """What its host may ask of it at any time: what it leaves to the next, has sent, and has in use."""
+        scheduler = self._scheduler
+        return to_plain([scheduler.remember(), scheduler.sent(), sorted(scheduler.in_use())])
+
+
+@dataclasses.dataclass
+class Recording:
+    """One scheduler's life: what it was given, and what it did."""
+
+    settings: Plain
+    seed: int
+    calls: list[tuple[float, list[Plain], list[Plain]]]
+    known: Plain = None
+
+
+def record_day(seed: int, settings: Mapping[str, Plain], vary: Callable[[], Variation]) -> list[Recording]:
+    """Play the day of this seed (bench/rules) and record each life of each of its schedulers.
+
+    ``settings``, by golden names, take the place of those that are drawn, for the schedulers alone. ``vary``
+    makes, for each scheduler, what changes a batch before it is handed over; it is given the time, the events
+    and the actions of the call before.
+    """
+    recordings: list[tuple[Recording, Scheduler]] = []
+    places = {name: place for place, name in enumerate(TYPES["settings"][1].split())}
+
+    class Recorded(Scheduler):
+        def __init__(self, drawn: api.Settings, seed: int) -> None:
+            plain = to_plain(drawn)
+            for name, value in settings.items():
+                plain["settings"][places[name]] = value
+            super().__init__(from_plain(plain), seed)
+            self.recording, self.vary, self.said = Recording(plain, seed, []), vary(), []  # type: ignore[var-annotated]
+            recordings.append((self.recording, self))
+
+        def handle(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
+            now, plain = self.vary(now, [to_plain(each) for each in events], self.said)
+            acts = super().handle(now, [from_plain(each) for each in plain])
+            self.said = [to_plain(act) for act in acts]
+            self.recording.calls.append((now, plain, self.said))
+            return acts
+
+    with mock.patch.object(play, "Scheduler", Recorded):
+        play.Day(draw.draw(seed)).play()
+    for recording, scheduler in recordings:
+        recording.known = to_plain([scheduler.remember(), scheduler.sent(), sorted(scheduler.in_use())])
+    return [recording for recording, _ in recordings]
+
+
+class WireHost:
+    """The process that hosts decision modules on text lines."""
+
+    def __init__(self) -> None:
+        self.errors = io.StringIO()
+        self._host = wirehost.Host(self.errors)
+
+    def batch(self, lines: list[str]) -> list[str]:
+        """The replies to the lines of one batch, its END left out."""
+        return self._host.batch(lines)
+
+
+def wire_run(text: str) -> str:
+    """All that it writes when it reads this text."""
+    out = io.StringIO()
+    wirehost.run(io.StringIO(text), out, io.StringIO())
+    return out.getvalue()
--- a/tests/make_golden_broker.py
+++ b/tests/make_golden_broker.py
@@ -9,9 +9,14 @@
 from __future__ import annotations
 
 import json
+import lzma
+import random
 import sys
 import tempfile
 from collections.abc import Callable
+from functools import partial
+from itertools import count
+from math import ceil, inf
 from pathlib import Path
 from typing import Any
 
@@ -165,6 +170,21 @@
     ("directory", ["n1", "127.0.0.1", 8080, "/tmp"]),
     ("memory_path", ["/var/lib/x", "b/ü 1"]),
     ("node_key", ["d0", 1700000000123.0]),
+    *(
+        ("wire_action", [7, act])
+        for act in (
+            {"send": [5, "d0", None, None, 0.1]},
+            {"send": [5, "d0", 0.25, None, None]},
+            {"send": [5, "d0", 1e-12, None, None]},
+            {"refuse": [5, 0.125, None]},
+            {"fail": [5, None]},
+            {"cancel": [5, 1, None]},
+            {"set_timer": [0, 0.0123456789]},
+            {"probe": ["d0"]},
+            {"watch": []},
+            {"note": ["two  words\nEND"]},
+        )
+    ),
 ]
 HEALTH = [
     {
@@ -239,6 +259,240 @@
     return json.dumps({"answer": HEALTH, "list": golden.to_plain(found)}, indent=1) + "\n"
 
 
+# Decisions.
+
+
+class Vary:
+    """Changes the batches of one scheduler, by its own dice: times and figures in microseconds, so that the
+    data stay small, and what no day of bench/rules has."""
+
+    def __init__(self, seed: int, jumps: bool) -> None:
+        self._dice, self._jumps, self._shift, self._last = random.Random(seed), jumps, 0.0, -inf
+        self._receiving: dict[int, int] = {}  # requests whose last byte is still to come: calls until then
+
+    def __call__(self, now: float, events: list[Plain], acts: list[Plain]) -> golden.Batch:
+        dice = self._dice
+        events = [self._each(*next(iter(event.items()))) for event in events]
+        for act in acts:
+            number = act["send"][0] if "send" in act else None
+            if number in self._receiving:
+                self._receiving[number] = dice.randint(1, 4)
+        for number, left in list(self._receiving.items()):
+            self._receiving[number] = left - 1
+            if left == 1:
+                del self._receiving[number]
+                events.append({"uploaded": [number]})
+        if dice.random() < 0.02:
+            events.append(self._rare(events))
+        if self._jumps and dice.random() < 0.004:
+            self._shift += dice.choice((0.5, 2.0, 11.0))  # the host stood still
+        self._last = max(ceil((now + self._shift) * 1e6) / 1e6, self._last)
+        return self._last, events
+
+    def _each(self, name: str, fields: list[Plain]) -> Plain:
+        if name == "arrived" and self._dice.random() < 0.1:
+            fields = [*fields[:-1], True]
+            self._receiving[fields[0]] = -1
+        if name == "attempt_ended" and self._dice.random() < 0.08:
+            fields = [
+                *fields[:3],
+                self._dice.choice(("=outcome.moot", "=outcome.cancelled")),
+                False,
+                *fields[5:],
+            ]
+        return {name: [self._short(each) for each in fields]}
+
+    def _short(self, value: Plain) -> Plain:
+        if isinstance(value, dict):
+            return {name: self._short(each) for name, each in value.items()}
+        if isinstance(value, list):
+            return [self._short(each) for each in value]
+        return round(value, 6) if isinstance(value, float) else value
+
+    def _rare(self, events: list[Plain]) -> Plain:
+        dice = self._dice
+        units = round(dice.uniform(0.0, 4.0), 3)
+        return dice.choice(
+            (
+                {"shared": [0.5, {"=map": [["s0-1", units]]}]},
+                {"shared": [1.0, {"=map": []}]},
+                {"places": [dice.choice((1, 4, 100))]},
+                {"stream_started": [dice.randrange(50), 0, "s0-1", 0.001]},
+                {"probe_ended": ["s0-1", "=outcome.served", 0.001, {"=map": []}]},
+                {"arrived": [1 << 40, 0, 0, "v0", 1.0, 0, 1, 0.05, "twice", False, False]},
+                {
+                    "attempt_ended": [
+                        1 << 41,
+                        0,
+                        "s0-1",
+                        "=outcome.served",
+                        True,
+                        0.1,
+                        None,
+                        0.0,
+                        {"=map": []},
+                    ]
+                },
+                {"room_lent": ["s0-1", units, 0.25]},
+                {"list_unavailable": []},
+                {"nodes_listed": [0, "=kind.changes", []]},
+            )
+        )
+
+
+def decisions(seed: int, schedulers: int = 0, jumps: bool = False, lives: int = 2) -> str:
+    """The day of this seed, as its first lives of schedulers saw it: settings, then for each call its time,
+    its events (<) and its actions (>), and what the scheduler knows at the end."""
+    settings = {"schedulers": schedulers} if schedulers else {}
+    number = count()
+    recordings = golden.record_day(seed, settings, lambda: Vary(1000 * seed + next(number), jumps))
+    lines = []
+    for each in recordings[:lives]:
+        lines.append(f"scheduler {each.seed} {_compact(each.settings)}")
+        for now, events, acts in each.calls:
+            lines.append(f"at {now!r}")
+            lines += [f"< {_compact(event)}" for event in events] + [f"> {_compact(act)}" for act in acts]
+        lines.append(f"knows {_compact(each.known)}")
+    return "".join(f"{line}\n" for line in lines)
+
+
+def _compact(value: Plain) -> str:
+    return json.dumps(value, separators=(",", ":"))
+
+
+# seed, schedulers (0: as drawn), jumps. Chosen so that together they take each branch of the decision module
+# that the days of 150 seeds take, and more of what crowded and quiet deployments do.
+DAYS = [
+    *((seed, 0, True) for seed in (103, 42, 23, 49, 125, 126, 44, 109, 59, 33)),
+    *((seed, 40, True) for seed in (138, 48, 82, 39, 88, 50, 91, 32, 102)),
+    *((seed, 0, False) for seed in (144, 56, 140, 59, 31, 72)),
+    *((seed, 40, False) for seed in (20, 2)),
+]
+
+
+class WireWorld:
+    """Two schedulers on the wire, disk nodes that answer, and lines that cannot be read."""
+
+    TICK, NODES = 1_000_000, 4  # ns
+
+    def __init__(self) -> None:
+        self._dice, self._host, self._serial, self._turn = random.Random(44), golden.WireHost(), 0, 0
+        self._due: list[tuple[int, int, str]] = []  # lines to come: when, in which order
+        self._trials: dict[str, int] = {}
+        self.text = ""
+
+    def play(self) -> str:
+        """All batches: lines in (<), and out (>)."""
+        info = json.loads(Path("examples/config.json").read_text())["settings"]
+        for who in (1, 2):
+            info["discovery"] = ("pushed", "on_request")[who - 1]
+            self._at(self.TICK, f"ENLIST schedulerId={who} entropy={who * 11} info={_compact(info)}")
+        for who in (1, 2):
+            self._at(self.TICK, f"MEMBERS schedulerId={who} rev=1 form=restored table=1")
+            for _ in range(150):
+                self._at(self._dice.randrange(2, 2000) * self.TICK, self._arrival(who))
+        for when, line in (
+            (5, "MEMBERS schedulerId=2 form=unavailable"),
+            (600, "MEMBERS schedulerId=1 rev=2 form=update table=2"),
+            (900, "MEMBERS schedulerId=1 rev=3 form=replace table=1"),
+            (901, "ECHO schedulerId=1 server=d0 code=S latencyNs=1000 healthInfo=busy_reqs:2"),
+            (902, "FIRST schedulerId=1 handle=4 trial=0 server=d0 latencyNs=1000"),
+            (903, "LAPSED schedulerId=1 handle=9"),
+            (904, "REPLY schedulerId=1 handle=9 trial=x server=d0 code=S"),
+            (905, "NOBODY schedulerId=1 knows=this"),
+            (906, "MEMBERS schedulerId=1 rev=4 form=odd table=1"),
+            (907, "ARRIVAL schedulerId=1 handle=77"),
+            (908, "MEMBERS schedulerId=1 rev=4 form=replace table=99"),
+            (909, "ENLIST schedulerId=3 entropy=1 info={}"),
+            (1200, "DOWN schedulerId=2"),
+            (1210, "REPLY schedulerId=2 handle=1 trial=0 server=d0 code=S"),
+            (1300, f"ENLIST schedulerId=2 entropy=5 info={_compact(info)}"),
+            (1301, "MEMBERS schedulerId=2 rev=9 form=restored table=1"),
+        ):
+            self._at(when * self.TICK, line)
+        self._say(0, [])
+        self._turn = self.TICK
+        while self._due and self._turn < 3000 * self.TICK:
+            self._due.sort()
+            self._turn = max(self._turn + self.TICK, self._due[0][0])
+            ready = [line for when, _, line in self._due if when <= self._turn]
+            self._due = [each for each in self._due if each[0] > self._turn]
+            self._say(self._turn, ready)
+        return self.text
+
+    def _at(self, when: int, line: str) -> None:
+        self._serial += 1
+        self._due.append((when, self._serial, line))
+
+    def _arrival(self, who: int) -> str:
+        dice = self._dice
+        self._serial += 1
+        disk, cls = dice.randrange(5), dice.randrange(3)
+        key = f" blockKey=k{dice.randrange(9)}" if dice.random() < 0.5 else ""
+        resent = " resent=1" if dice.random() < 0.1 else ""
+        return (
+            f"ARRIVAL schedulerId={who} handle={self._serial} class={cls} contract={disk % 3} disk=v{disk}"
+            f" quotaUnits={dice.randint(1, 8)} slotNo={dice.choice((0, 1, 1, -1))} hosts=1"
+            f" budgetNs={dice.choice((750, 300, 1200)) * self.TICK}{key}{resent}"
+        )
+
+    def _sheets(self) -> list[str]:
+        nodes = [
+            f"NODE server=d{n} pod={n % 2} site={n % 3} weight=1 sinceNs=0 condition=up" for n in range(2)
+        ]
+        changed = [
+            "NODE server=d1 pod=1 site=0 condition=draining",
+            "NODE server=d2 pod=1 site=0 sinceNs=550000000 condition=up",
+            "NODE server=d3 pod=z condition=up",
+        ]
+        return [
+            f"SHEET table=1 entries={len(nodes)}",
+            *nodes,
+            f"SHEET table=2 entries={len(changed)}",
+            *changed,
+        ]
+
+    def _say(self, now: int, lines: list[str]) -> None:
+        lines = [f"SYNC simTimeNs={now}", *(self._sheets() if now == 0 else []), *lines]
+        replies = self._host.batch(lines)
+        self.text += "".join(f"< {each}\n" for each in [*lines, "END"])
+        self.text += "".join(f"> {each}\n" for each in [*replies, "READY"])
+        for reply in replies:
+            word, _, rest = reply.partition(" ")
+            told = dict(each.partition("=")[::2] for each in rest.split(" "))
+            who = f"schedulerId={told.get('schedulerId')}"
+            if word == "SLEEP":
+                self._at(now + int(told["sleepForNs"]), f"TIMER {who} nonce={told['nonce']}")
+            elif word == "CALL_OUT":
+                self._at(*self._reply(now, who, told))
+
+    def _reply(self, now: int, who: str, told: dict[str, str]) -> tuple[int, str]:
+        dice, handle = self._dice, told["handle"]
+        trial = self._trials[who + handle] = self._trials.get(who + handle, -1) + 1
+        code = dice.choices("SEFTCRXN", (80, 4, 4, 2, 4, 3, 1, 2))[0]
+        took = int(dice.expovariate(1 / 60)) * self.TICK if code == "S" else self.TICK
+        done = int(code == "S")
+        return now + took, (
+            f"REPLY {who} handle={handle} trial={trial} server={told['server']} code={code} complete={done}"
+            f" latencyNs={took} seenUse={dice.randrange(300)} elsewhere=0 healthInfo=busy_reqs:{trial},odd"
+        )
+
+
+def _recorded() -> dict[str, Callable[[], str]]:
+    made: dict[str, Callable[[], str]] = {"wirehost.txt.xz": lambda: WireWorld().play()}
+    for seed, schedulers, jumps in DAYS:
+        name = f"decisions-{seed}{'-crowded' * bool(schedulers)}{'-jumps' * jumps}.txt.xz"
+        made[name] = partial(decisions, seed, schedulers, jumps)
+    return made
+
+
+def read_recorded(folder: Path, name: str) -> str:
+    """What was recorded under this name."""
+    return lzma.decompress((folder / name).read_bytes()).decode()
+
+
+# These are played again by the tests, not made again.
+RECORDED = _recorded()
 FILES: dict[str, Callable[[], bytes | str]] = {
     "n1.memory": memory,
     "memory-read.json": lambda: memory_read(memory()),
@@ -256,6 +510,8 @@
     for name, make in FILES.items():
         made = make()
         (folder / name).write_bytes(made.encode() if isinstance(made, str) else made)
+    for name, record in RECORDED.items():
+        (folder / name).write_bytes(lzma.compress(record().encode(), preset=9))
 
 
 if __name__ == "__main__":
--- a/tests/test_golden_broker.py
+++ b/tests/test_golden_broker.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import json
+import re
 from pathlib import Path
 from typing import Any
 
@@ -19,7 +20,7 @@
 
 
 def test_the_golden_files_are_the_ones_that_are_tested() -> None:
-    assert {each.name for each in golden.DATA.iterdir()} == set(make.FILES)
+    assert {each.name for each in golden.DATA.iterdir()} == {*make.FILES, *make.RECORDED}
 
 
 @pytest.mark.parametrize("name", make.FILES)
@@ -75,3 +76,75 @@
     kept = dict(line.split("=", 1) for line in lines if "=" in line)
     assert kept["config/mine"] == "kept" and kept["config/7"] == "x" * 7 and "node/d2" not in kept
     assert json.loads(kept["node/d0"]) == ["up", "127.0.0.1:7001", 0, 1700000000123.0]
+
+
+# Decisions.
+
+DECISIONS = [name for name in make.RECORDED if name.startswith("decisions-")]
+
+
+def _texts() -> list[str]:
+    return [make.read_recorded(golden.DATA, name) for name in DECISIONS]
+
+
+def _split(line: str) -> tuple[str, str]:
+    word, _, rest = line.partition(" ")
+    return word, rest
+
+
+@pytest.mark.parametrize("name", DECISIONS)
+def test_recorded_events_lead_to_the_recorded_actions(name: str) -> None:
+    """Each call's actions, their order, reasons and figures, exactly."""
+    lines = [_split(line) for line in make.read_recorded(golden.DATA, name).splitlines()]
+    decider: golden.Decider | None = None
+    place = 0
+
+    def block(mark: str) -> list[Any]:
+        nonlocal place
+        found = []
+        while place < len(lines) and lines[place][0] == mark:
+            found.append(json.loads(lines[place][1]))
+            place += 1
+        return found
+
+    while place < len(lines):
+        number, (word, rest) = place + 1, lines[place]
+        place += 1
+        if word == "scheduler":
+            seed, _, settings = rest.partition(" ")
+            decider = golden.Decider(json.loads(settings), int(seed))
+            continue
+        assert decider is not None
+        if word == "at":
+            acts = decider.decide(float(rest), block("<"))
+            assert acts == block(">"), f"the call in line {number} at {rest} s"
+        else:
+            assert word == "knows"
+            assert decider.known() == json.loads(rest), f"what is known in line {number}"
+
+
+def test_the_recorded_decisions_have_each_event_each_action_and_each_reason() -> None:
+    heads = {
+        line[: line.index('":') + 1] for text in _texts() for line in text.splitlines() if line[0] in "<>"
+    }
+    assert heads >= {f'< {{"{event}"' for event in golden.EVENTS}
+    never = {"cancel", "probe"}  # the module takes neither action
+    assert heads & {f'> {{"{act}"' for act in golden.ACTIONS} == {
+        f'> {{"{act}"' for act in golden.ACTIONS if act not in never
+    }
+    reasons = {int(found) for text in _texts() for found in re.findall(r'"=code\.(\d+)"', text)}
+    assert reasons == golden.CODES
+    outcomes = {found for text in _texts() for found in re.findall(r'"=outcome\.(\w+)"', text)}
+    assert outcomes == set(golden.ENUMS["outcome"][1].split())
+
+
+def _no_wording(line: str) -> str:
+    """Why a scheduler could not start is said in words that may change."""
+    return line.partition("noteText=")[0] if line.startswith("> BAIL_OUT") else line
+
+
+def test_recorded_lines_on_the_wire_are_answered_with_the_recorded_lines() -> None:
+    recorded = make.read_recorded(golden.DATA, "wirehost.txt.xz").splitlines()
+    said = golden.wire_run("".join(f"{line[2:]}\n" for line in recorded if line[0] == "<"))
+    told = [_no_wording(line) for line in recorded if line[0] == ">"]
+    assert [_no_wording(f"> {line}") for line in said.splitlines()] == told
