--- a/tests/tier/golden_stories.py
+++ b/tests/tier/golden_stories.py
@@ -74,7 +74,7 @@
 
     def write(self, write: Any) -> None:
         if isinstance(write, WriteHardState):
-            self.storage.write_hard_state(write.promise)
+            self.storage.write_hard_state(write.hard_state)
         elif isinstance(write, WriteEntries):
             self.storage.append(write.entries)
         else:
