--- a/tests/tier/golden_interfaces.py
+++ b/tests/tier/golden_interfaces.py
@@ -28,10 +28,10 @@
 from loopback_ports import free_address
 from result import Err, Ok, Result
 
-from cherrycove.tier.batch.client import BatchClient
-from cherrycove.tier.batch.http_api import BatchApi
-from cherrycove.tier.batch.jobs import JobsState
-from cherrycove.tier.batch.store import BatchStoreService
+from cherrycove.tier.batch.client.batch_client import BatchClient
+from cherrycove.tier.batch.frontend.http_api import BatchApi
+from cherrycove.tier.batch.jobs.state import JobsState
+from cherrycove.tier.batch.store.service import BatchStoreService
 from cherrycove.tier.cli import application
 from cherrycove.tier.configuration import Configuration, parse_configuration
 from cherrycove.tier.controlplane.broker_discovery import BrokerDiscoveryClient
--- a/tests/tier/golden_stories.py
+++ b/tests/tier/golden_stories.py
@@ -18,9 +18,9 @@
 from google.protobuf.message import Message
 from result import Err, Ok, Result
 
-from cherrycove.tier.batch.client import BatchClient
-from cherrycove.tier.batch.jobs import JobsState
-from cherrycove.tier.batch.store import BatchStoreService
+from cherrycove.tier.batch.client.batch_client import BatchClient
+from cherrycove.tier.batch.jobs.state import JobsState
+from cherrycove.tier.batch.store.service import BatchStoreService
 from cherrycove.tier.cli import status as status_command
 from cherrycove.tier.controlplane.controller import Controller
 from cherrycove.tier.controlplane.state import ControlState
