--- a/cherrycove/tier/exploration/decision_group.py
+++ b/cherrycove/tier/exploration/decision_group.py
@@ -91,14 +91,14 @@
             return Err(Failure(ErrorKind.NOT_PRIMARY, "does not lead"))
         entry = self._log.append(command)
         future = self.proposals.add(entry.index, entry.epoch)
-        return await self.proposals.outcome(future, timeout_s)
+        return await self.proposals.wait(future, timeout_s)
 
     def learn(self) -> None:
         """Apply what is committed, and tell whoever waits for it."""
         for entry in self._log.committed[self.applied :]:
             self.applied = entry.index
             outcome = self.state.apply(entry.index, entry.command) if entry.command else None
-            self.proposals.committed(entry.index, entry.epoch, outcome)
+            self.proposals.resolve(entry.index, entry.epoch, outcome)
 
     def offer_standbys(self, standbys: Sequence[MemberIdentity]) -> None:
         """Members do not change here."""
--- a/cherrycove/tier/exploration/decision_model.py
+++ b/cherrycove/tier/exploration/decision_model.py
@@ -297,7 +297,7 @@
         return digest(content)
 
     def _keeper_key(self, keeper: Controller) -> Any:
-        waiting = keeper.group.proposals._waiting
+        waiting = keeper.group.proposals._pending
         proposals = [(index, waiting[index].epoch, waiting[index].future.done()) for index in sorted(waiting)]
         return keeper.group.applied, proposals, _flags(keeper.decisions)
 
--- a/cherrycove/tier/replication/group.py
+++ b/cherrycove/tier/replication/group.py
@@ -14,14 +14,15 @@
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol.interface import Caller, CallRegistry
 from cherrycove.tier.protocol.replication_pb2 import Batch, Message
+from cherrycove.tier.replication.call_handler import CallHandler
 from cherrycove.tier.replication.change_log import ChangeLog
 from cherrycove.tier.replication.core import Role
-from cherrycove.tier.replication.inbox import Inbox
+from cherrycove.tier.replication.disk_interface import Storage, Writer
 from cherrycove.tier.replication.interface import CommittedMembers, MemberIdentity, StateMachine
 from cherrycove.tier.replication.learners import MembershipRequests
 from cherrycove.tier.replication.machine import ReplicaMachine
 from cherrycove.tier.replication.pending_proposals import PendingProposals
-from cherrycove.tier.replication.runtime import Runtime, Storage, Writer
+from cherrycove.tier.replication.runtime import Runtime
 from cherrycove.tier.replication.timing import Timing
 from cherrycove.tier.replication.transport import Transport
 from cherrycove.tier.storage.entries import Entry, EntryKind
@@ -83,7 +84,7 @@
         self._snapshot_ticket = 0  # of the snapshot that is being written; 0: none
         self._stopping = False
         self._change_log = ChangeLog(name)
-        self._inbox = Inbox(self._deliver, self._writing)
+        self._call_handler = CallHandler(self._deliver, self._writing)
         server.register(CALL_PREFIX + name, Batch, self._receive)
 
     # Group
@@ -126,7 +127,7 @@
             return Err(self._not_primary())
         future = self._proposals.add(index, machine.epoch)
         self._run_effects()
-        return await self._proposals.outcome(future, timeout_s)
+        return await self._proposals.wait(future, timeout_s)
 
     def _disk_nearly_full(self, wanted: int) -> bool:
         limit = self._disk_limit * USABLE_DISK_SHARE
@@ -205,7 +206,7 @@
         if machine is None or writer is None:
             return
         if machine.role is Role.PRIMARY:
-            await self._proposals.settled(STOP_COMMIT_S)
+            await self._proposals.wait_for_all(STOP_COMMIT_S)
             machine.hand_over(self._clock())
             self._run_effects()
             await self._transport.flush(STOP_FLUSH_S)
@@ -214,7 +215,7 @@
         self._machine = None
         self._transport.stop()
         await writer.stop()
-        self._proposals.give_up()
+        self._proposals.abandon_all()
 
     # Events
 
@@ -226,7 +227,7 @@
         self._machine.written(ticket, self._clock())
         self._run_effects()
         if not self._machine.writing:
-            self._inbox.written()
+            self._call_handler.writes_finished()
 
     def _write_failed(self, error: OSError) -> None:
         _log.error("disk_write_failed", extra={"group": self._name, "reason": str(error)})
@@ -244,7 +245,7 @@
             return Err(Failure(ErrorKind.UNAVAILABLE, f"{self._name}: not started"))
         if batch.receiver_id != self._identity.member_id:
             return Ok(Batch(stranger=True))
-        return Ok(await self._inbox.receive(batch))
+        return Ok(await self._call_handler.handle(batch))
 
     def _deliver(self, sender: MemberIdentity, batch: Batch) -> None:
         machine = self._machine
@@ -281,7 +282,7 @@
             self._changed(machine)
 
     def _send(self, receiver: MemberIdentity, message: Message) -> None:
-        if not self._inbox.collect(receiver, message):
+        if not self._call_handler.add_reply(receiver, message):
             self._transport.send(self._identity, receiver, message)
 
     def _restore(self, index: int, state: bytes) -> None:
@@ -299,8 +300,8 @@
                 outcome = self._state.apply(entry.index, entry.payload)
             except Exception:  # a command must not stop those behind it; all replicas fare alike
                 _log.exception("apply_failed", extra={"group": self._name, "index": entry.index})
-                self._proposals.failed(entry.index)
-        self._proposals.committed(entry.index, entry.epoch, outcome)
+                self._proposals.fail(entry.index)
+        self._proposals.resolve(entry.index, entry.epoch, outcome)
 
     def _take_snapshot(self, machine: ReplicaMachine) -> None:
         due = max(self._snapshot_log_bytes, self._snapshot_bytes // 2)
--- a/cherrycove/tier/replication/pending_proposals.py
+++ b/cherrycove/tier/replication/pending_proposals.py
@@ -1,4 +1,4 @@
-"""Proposals of this replica that wait for their entry to be committed."""
+"""Proposals of this replica whose log entry is not committed yet."""
 
 from __future__ import annotations
 
@@ -17,58 +17,68 @@
 
 
 @attrs.frozen
-class _Waiting:
+class _PendingProposal:
     epoch: int
     future: asyncio.Future[Outcome]
 
 
 class PendingProposals:
-    """Futures by log index."""
+    """Outcomes of proposals, as futures by log index.
+
+    An index alone does not identify a proposal: after a change of primary another entry may be committed
+    there. Each proposal therefore remembers the epoch that it was appended in.
+    """
 
     def __init__(self) -> None:
-        self._waiting: dict[int, _Waiting] = {}
+        self._pending: dict[int, _PendingProposal] = {}
 
     def add(self, index: int, epoch: int) -> asyncio.Future[Outcome]:
-        """Wait for the entry that was appended at ``index`` in ``epoch``."""
-        previous = self._waiting.pop(index, None)
+        """Return the future outcome of the entry that was appended at ``index`` in ``epoch``.
+
+        A proposal that was pending at ``index`` ends as UNCERTAIN, since its entry was replaced.
+        """
+        previous = self._pending.pop(index, None)
         if previous is not None and not previous.future.done():
             previous.future.set_result(_uncertain("its place in the log was taken by another entry"))
         future: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-        self._waiting[index] = _Waiting(epoch, future)
+        self._pending[index] = _PendingProposal(epoch, future)
         return future
 
-    async def outcome(self, future: asyncio.Future[Outcome], timeout_s: float) -> Outcome:
-        """The outcome, or UNCERTAIN after ``timeout_s``."""
+    async def wait(self, future: asyncio.Future[Outcome], timeout_s: float) -> Outcome:
+        """Return the outcome of one proposal, or UNCERTAIN after ``timeout_s`` seconds."""
         done, _ = await asyncio.wait([future], timeout=timeout_s)
         if done:
             return future.result()
         return _uncertain("not committed in time")
 
-    def committed(self, index: int, epoch: int, outcome: object) -> None:
-        """The entry at ``index`` is that of ``epoch``; applying it gave ``outcome``."""
-        waiting = self._waiting.pop(index, None)
-        if waiting is None or waiting.future.done():
+    def resolve(self, index: int, epoch: int, outcome: object) -> None:
+        """Resolve the proposal at ``index``: the entry of ``epoch`` was applied with ``outcome``.
+
+        A proposal of another epoch at this index ends as UNCERTAIN.
+        """
+        proposal = self._pending.pop(index, None)
+        if proposal is None or proposal.future.done():
             return
-        if waiting.epoch == epoch:
-            waiting.future.set_result(Ok(outcome))
+        if proposal.epoch == epoch:
+            proposal.future.set_result(Ok(outcome))
         else:
-            waiting.future.set_result(_uncertain("another entry was committed in its place"))
+            proposal.future.set_result(_uncertain("another entry was committed in its place"))
 
-    def failed(self, index: int) -> None:
-        """The entry at ``index`` was committed, but applying it raised."""
-        waiting = self._waiting.pop(index, None)
-        if waiting is not None and not waiting.future.done():
-            waiting.future.set_result(_uncertain("committed, but it could not be applied"))
+    def fail(self, index: int) -> None:
+        """Resolve the proposal at ``index`` as UNCERTAIN: its entry is committed, but applying it raised."""
+        proposal = self._pending.pop(index, None)
+        if proposal is not None and not proposal.future.done():
+            proposal.future.set_result(_uncertain("committed, but it could not be applied"))
 
-    async def settled(self, timeout_s: float) -> None:
-        """Wait until nothing waits any more, but not longer than ``timeout_s``."""
-        futures = [waiting.future for waiting in self._waiting.values()]
+    async def wait_for_all(self, timeout_s: float) -> None:
+        """Wait until all proposals that are pending now are resolved, ``timeout_s`` seconds at most."""
+        futures = [proposal.future for proposal in self._pending.values()]
         if futures:
             await asyncio.wait(futures, timeout=timeout_s)
 
-    def give_up(self) -> None:
-        """This replica ends: nothing more will be known."""
-        for waiting in self._waiting.values():
-            if not waiting.future.done():
-                waiting.future.set_result(_uncertain("the replica stopped"))
-        self._waiting.clear()
+    def abandon_all(self) -> None:
+        """Resolve all proposals as UNCERTAIN: the replica stops and will not learn their outcome."""
+        for proposal in self._pending.values():
+            if not proposal.future.done():
+                proposal.future.set_result(_uncertain("the replica stopped"))
+        self._pending.clear()
--- a/cherrycove/tier/replication/transport.py
+++ b/cherrycove/tier/replication/transport.py
@@ -1,5 +1,8 @@
-"""One-way messages between replicas over internal calls: queued for each peer, sent in batches, lost on
-failure."""
+"""One-way messages to peers over internal calls.
+
+Messages are queued for each peer and sent in batches, one call at a time. A message of a call that fails is
+lost: the protocol above sends again what is still needed.
+"""
 
 from __future__ import annotations
 
@@ -15,46 +18,54 @@
 from cherrycove.tier.replication.interface import MemberIdentity
 
 CALL_TIMEOUT_S = 0.5
-QUEUE_MESSAGES = 512  # waiting for one peer; the oldest are dropped beyond
-BATCH_BYTES = 4 * 1024 * 1024
+MAX_QUEUED_MESSAGES = 512  # for one peer; beyond it the oldest are dropped
+BATCH_BYTES = 4 * 1024 * 1024  # a batch is closed when its messages have this size or more
 
 ReplyHandler = Callable[[MemberIdentity, Batch], None]
 
 
 class PeerSender:
-    """Sends what is queued for one peer, one call at a time."""
+    """Sends the messages for one peer in order. Owns the task that empties the queue."""
 
     def __init__(self, client: Caller, call: str, peer: MemberIdentity, on_reply: ReplyHandler) -> None:
+        """``call`` names the internal call; ``on_reply`` gets what ``peer`` answers with."""
         self._client = client
         self._call = call
         self._peer = peer
         self._on_reply = on_reply
-        self._queue: deque[Message] = deque(maxlen=QUEUE_MESSAGES)
+        self._queue: deque[Message] = deque(maxlen=MAX_QUEUED_MESSAGES)
         self._sender = MemberIdentity("", "", "")
         self._task: asyncio.Task[None] | None = None
 
     @property
-    def running(self) -> asyncio.Task[None] | None:
-        """The task that empties the queue, if one runs."""
+    def task(self) -> asyncio.Task[None] | None:
+        """The task that empties the queue; None while the queue is empty."""
         return self._task
 
     def send(self, sender: MemberIdentity, message: Message) -> None:
+        """Queue ``message``; ``sender`` is the identity that this replica has now."""
         self._sender = sender
         self._queue.append(message)
         if self._task is None:
-            self._task = asyncio.get_running_loop().create_task(self._run())
-            self._task.add_done_callback(self._done)
+            self._task = asyncio.get_running_loop().create_task(self._send_queued())
+            self._task.add_done_callback(self._forget_task)
+
+    def cancel(self) -> None:
+        """Drop the queue and cancel the call in progress."""
+        self._queue.clear()
+        if self._task is not None:
+            self._task.cancel()
 
-    def _done(self, _task: asyncio.Task[None]) -> None:
+    def _forget_task(self, _task: asyncio.Task[None]) -> None:
         self._task = None
 
-    async def _run(self) -> None:
+    async def _send_queued(self) -> None:
         while self._queue:
             batch = Batch(
                 sender_id=self._sender.member_id,
                 sender_address=self._sender.address,
                 receiver_id=self._peer.member_id,
-                messages=self._take(),
+                messages=self._next_messages(),
             )
             outcome = await self._client.call(
                 self._peer.address, self._call, batch, Batch, CALL_TIMEOUT_S, self._peer.member_id
@@ -62,32 +73,30 @@
             if isinstance(outcome, Ok):
                 self._on_reply(self._peer, outcome.ok_value)
             elif outcome.err_value.kind is ErrorKind.MISDIRECTED:
+                # Another member has the address now: the same answer as from a replica of another identity.
                 self._on_reply(self._peer, Batch(stranger=True))
 
-    def _take(self) -> list[Message]:
+    def _next_messages(self) -> list[Message]:
         messages = [self._queue.popleft()]
-        size = messages[0].ByteSize()
-        while self._queue and size < BATCH_BYTES:
-            size += self._queue[0].ByteSize()
+        size_bytes = messages[0].ByteSize()
+        while self._queue and size_bytes < BATCH_BYTES:
+            size_bytes += self._queue[0].ByteSize()
             messages.append(self._queue.popleft())
         return messages
 
-    def cancel(self) -> None:
-        self._queue.clear()
-        if self._task is not None:
-            self._task.cancel()
-
 
 class Transport:
-    """Senders to all peers of one group."""
+    """Senders to all peers of one group, created when the first message to a peer is sent."""
 
     def __init__(self, client: Caller, call: str, on_reply: ReplyHandler) -> None:
+        """``call`` names the internal call; ``on_reply`` gets what the peers answer with."""
         self._client = client
         self._call = call
         self._on_reply = on_reply
         self._senders: dict[tuple[str, str], PeerSender] = {}
 
     def send(self, sender: MemberIdentity, receiver: MemberIdentity, message: Message) -> None:
+        """Queue ``message`` for ``receiver``; ``sender`` is the identity that this replica has now."""
         key = (receiver.member_id, receiver.address)
         peer = self._senders.get(key)
         if peer is None:
@@ -95,12 +104,13 @@
         peer.send(sender, message)
 
     async def flush(self, timeout_s: float) -> None:
-        """Wait until what is queued has been sent or lost, but not longer than ``timeout_s``."""
-        tasks = [sender.running for sender in self._senders.values() if sender.running is not None]
+        """Wait until the queued messages are sent or lost, ``timeout_s`` seconds at most."""
+        tasks = [sender.task for sender in self._senders.values() if sender.task is not None]
         if tasks:
             await asyncio.wait(tasks, timeout=timeout_s)
 
     def stop(self) -> None:
+        """Drop all queued messages and cancel the calls in progress."""
         for sender in self._senders.values():
             sender.cancel()
         self._senders.clear()
--- a/cherrycove/tier/replication/writer.py
+++ b/cherrycove/tier/replication/writer.py
@@ -1,4 +1,4 @@
-"""The writer thread of a replica: does writes in order, joins those that wait, reports what is durable."""
+"""The thread that performs the disk writes of a replica."""
 
 from __future__ import annotations
 
@@ -7,57 +7,72 @@
 import threading
 from collections.abc import Callable, Sequence
 
+from cherrycove.tier.replication.disk_interface import Storage
 from cherrycove.tier.replication.effects import Write, WriteEntries, WriteHardState, WriteSnapshot
-from cherrycove.tier.storage.replica_storage import ReplicaStorage
 
-RETRY_S = 0.25  # between tries of a write that failed
+RETRY_S = 0.25  # pause between attempts of a write that failed
 
 
 def coalesce_writes(writes: Sequence[Write]) -> list[Write]:
-    """The same writes in as few steps as their order allows."""
-    result: list[Write] = []
+    """Merge neighbours into one write where that keeps the order, so that they share one sync.
+
+    Entries are appended to the entries before them; a hard state replaces the one before it. A merged write
+    has the ticket of its last part, which reports the earlier ones as durable too.
+    """
+    coalesced: list[Write] = []
     for write in writes:
-        last = result[-1] if result else None
+        last = coalesced[-1] if coalesced else None
         if isinstance(write, WriteEntries) and isinstance(last, WriteEntries):
-            result[-1] = WriteEntries(write.ticket, last.entries + write.entries)
+            coalesced[-1] = WriteEntries(write.ticket, last.entries + write.entries)
         elif isinstance(write, WriteHardState) and isinstance(last, WriteHardState):
-            result[-1] = write
+            coalesced[-1] = write
         else:
-            result.append(write)
-    return result
+            coalesced.append(write)
+    return coalesced
 
 
 class DiskWriter:
-    """Owns the storage of a replica from ``start`` to ``stop``. Callbacks run in the event loop."""
+    """Performs writes in order in a thread of its own; implements ``disk_interface.Writer``.
+
+    Owns the storage from ``start`` to ``stop``. A write that fails with ``OSError`` is attempted again until
+    it succeeds, since a later one must not become durable before it; only a snapshot that is not required is
+    skipped. All callbacks run in the event loop that ``start`` was called in.
+    """
 
     def __init__(
         self,
-        storage: ReplicaStorage,
+        storage: Storage,
         on_written: Callable[[int], None],
         on_failed: Callable[[OSError], None],
-        on_skipped: Callable[[int, OSError], None],
+        on_snapshot_skipped: Callable[[int, OSError], None],
         retry_s: float = RETRY_S,
     ) -> None:
+        """Create a writer that is not started.
+
+        ``on_written`` gets the ticket up to which all writes are durable or skipped, ``on_failed`` the error
+        of a write's first failed attempt, ``on_snapshot_skipped`` ticket and error of a skipped snapshot.
+        """
         self._storage = storage
         self._on_written = on_written
         self._on_failed = on_failed
-        self._on_skipped = on_skipped
+        self._on_snapshot_skipped = on_snapshot_skipped
         self._retry_s = retry_s
-        self._queue: queue.SimpleQueue[list[Write] | None] = queue.SimpleQueue()
+        self._queue: queue.SimpleQueue[list[Write] | None] = queue.SimpleQueue()  # None: stop
         self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, name="replica-writer", daemon=True)
         self._loop: asyncio.AbstractEventLoop | None = None
 
     def start(self) -> None:
+        """Start the thread; to be called in the event loop, once."""
         self._loop = asyncio.get_running_loop()
         self._thread.start()
 
     def submit(self, writes: list[Write]) -> None:
-        """Do ``writes`` after all earlier ones."""
+        """Perform ``writes`` after all that were submitted before."""
         self._queue.put(writes)
 
     async def stop(self) -> None:
-        """Finish the writes that can be finished, then close the storage."""
+        """Finish the queued writes, up to one that fails, and close the storage."""
         self._stopping.set()
         self._queue.put(None)
         await asyncio.to_thread(self._thread.join)
@@ -65,46 +80,46 @@
 
     def _run(self) -> None:
         while True:
-            writes = self._take()
+            writes = self._next_writes()
             for write in coalesce_writes(writes or []):
-                if not self._perform(write):
+                if not self._perform_with_retries(write):
                     return
                 self._report(self._on_written, write.ticket)
             if writes is None:
                 return
 
-    def _take(self) -> list[Write] | None:
-        """All writes that wait, at least one; None at the end."""
+    def _next_writes(self) -> list[Write] | None:
+        """Wait for a write and return all that are queued; None when the writer stops."""
         writes = self._queue.get()
         if writes is None:
             return None
-        taken = list(writes)
+        queued = list(writes)
         while not self._queue.empty():
             more = self._queue.get()
             if more is None:
                 self._queue.put(None)
                 break
-            taken.extend(more)
-        return taken
+            queued.extend(more)
+        return queued
 
-    def _perform(self, write: Write) -> bool:
-        """Do one write, trying again while the disk refuses it; False when stopped meanwhile."""
-        failed = False
+    def _perform_with_retries(self, write: Write) -> bool:
+        """Perform ``write`` or skip it; False if the writer was stopped while it failed."""
+        has_failed = False
         while True:
             try:
-                self._write(write)
+                self._perform(write)
                 return True
             except OSError as error:
                 if isinstance(write, WriteSnapshot) and not write.required:
-                    self._report(self._on_skipped, write.ticket, error)
+                    self._report(self._on_snapshot_skipped, write.ticket, error)
                     return True
-                if not failed:
+                if not has_failed:
                     self._report(self._on_failed, error)
-                failed = True
+                has_failed = True
             if self._stopping.wait(self._retry_s):
                 return False
 
-    def _write(self, write: Write) -> None:
+    def _perform(self, write: Write) -> None:
         if isinstance(write, WriteHardState):
             self._storage.write_hard_state(write.hard_state)
         elif isinstance(write, WriteEntries):
--- a/cherrycove/tier/simulation/control/disk.py
+++ b/cherrycove/tier/simulation/control/disk.py
@@ -69,7 +69,7 @@
 
 
 class DiskStorage:
-    """The storage of one process's life; implements ``replication.runtime.Storage``."""
+    """The storage of one process's life; implements ``replication.disk_interface.Storage``."""
 
     def __init__(self, disk: Disk) -> None:
         self.disk = disk
@@ -101,7 +101,7 @@
 
 
 class DiskQueue:
-    """Performs writes in order on virtual time; implements ``replication.runtime.Writer``."""
+    """Performs writes in order on virtual time; implements ``replication.disk_interface.Writer``."""
 
     def __init__(
         self,
--- a/cherrycove/tier/simulation/control/mutations.py
+++ b/cherrycove/tier/simulation/control/mutations.py
@@ -175,12 +175,12 @@
 
 
 def _outcomes_by_place_alone() -> Patches:
-    def committed(proposals: Any, index: int, epoch: int, outcome: object) -> None:
-        waiting = proposals._waiting.get(index)
+    def resolve(proposals: Any, index: int, epoch: int, outcome: object) -> None:
+        waiting = proposals._pending.get(index)
         original(proposals, index, epoch if waiting is None else waiting.epoch, outcome)
 
-    original = PendingProposals.committed
-    yield mock.patch.object(PendingProposals, "committed", committed)
+    original = PendingProposals.resolve
+    yield mock.patch.object(PendingProposals, "resolve", resolve)
 
 
 def _replies_of_older_epochs_count() -> Patches:
--- a/tests/tier/test_replication_writer.py
+++ b/tests/tier/test_replication_writer.py
@@ -9,8 +9,8 @@
 from typing import cast
 
 from cherrycove.tier.protocol.replication_pb2 import Batch, Message
+from cherrycove.tier.replication.call_handler import CallHandler
 from cherrycove.tier.replication.effects import Write, WriteEntries, WriteHardState, WriteSnapshot
-from cherrycove.tier.replication.inbox import Inbox
 from cherrycove.tier.replication.interface import MemberIdentity
 from cherrycove.tier.replication.writer import DiskWriter, coalesce_writes
 from cherrycove.tier.storage.entries import Entry, EntryKind
@@ -151,17 +151,17 @@
     async def scenario() -> None:
         delivered = asyncio.Event()
         writing = True
-        inbox = Inbox(lambda _sender, _batch: delivered.set(), lambda: writing)
+        handler = CallHandler(lambda _sender, _batch: delivered.set(), lambda: writing)
         request = Message()
         request.vote_request.epoch = 1
         batch = Batch(sender_id="m1", sender_address="n1:1", messages=[request])
-        call = asyncio.create_task(inbox.receive(batch))
+        call = asyncio.create_task(handler.handle(batch))
         await delivered.wait()
-        assert not inbox.collect(other, Message(epoch=1))
-        assert inbox.collect(sender, Message(epoch=2))
-        inbox.written()
+        assert not handler.add_reply(other, Message(epoch=1))
+        assert handler.add_reply(sender, Message(epoch=2))
+        handler.writes_finished()
         answer = await call
         assert [message.epoch for message in answer.messages] == [2]
-        assert not inbox.collect(sender, Message(epoch=3))
+        assert not handler.add_reply(sender, Message(epoch=3))
 
     asyncio.run(scenario())
