--- a/cherrycove/tier/membership/dissemination.py
+++ b/cherrycove/tier/membership/dissemination.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from cherrycove.tier.membership.model import MemberKey, MemberStatus
+from cherrycove.tier.membership.members import MemberKey, MemberStatus
 from cherrycove.tier.protocol.membership_pb2 import Update
 
 UPDATE_OVERHEAD_BYTES = 3  # tag and length of one entry of a datagram
@@ -29,19 +29,19 @@
 
     def add(self, status: MemberStatus) -> None:
         """Spread ``status`` in place of what was to be spread of this member before."""
-        update = status.update()
+        update = status.to_update()
         self._pending[status.member.key] = _Pending(update, update.ByteSize() + UPDATE_OVERHEAD_BYTES)
 
-    def take(self, room_bytes: int, transmissions: int) -> list[Update]:
-        """Updates for one datagram with ``room_bytes`` left, those sent least often first."""
+    def take(self, available_bytes: int, transmissions: int) -> list[Update]:
+        """Updates for one datagram with ``available_bytes`` left, those sent least often first."""
         if not self._pending:
             return []
         candidates = heapq.nsmallest(CANDIDATES, self._pending.items(), key=lambda item: item[1].sent)
         taken = []
         for key, pending in candidates:
-            if pending.size > room_bytes:
+            if pending.size > available_bytes:
                 continue
-            room_bytes -= pending.size
+            available_bytes -= pending.size
             taken.append(pending.update)
             pending.sent += 1
             if pending.sent >= transmissions:
--- a/cherrycove/tier/membership/effects.py
+++ b/cherrycove/tier/membership/effects.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from cherrycove.tier.membership.model import MemberStatus
+from cherrycove.tier.membership.members import MemberStatus
 from cherrycove.tier.protocol.membership_pb2 import Datagram
 
 
@@ -25,20 +25,23 @@
 class MemberChanged:
     """Another process appeared, was suspected, ended, came back or was replaced by its next start."""
 
-    former: MemberStatus | None
+    previous: MemberStatus | None
     current: MemberStatus
 
     @property
-    def began(self) -> bool:
+    def is_join(self) -> bool:
         """Whether a member runs that did not run before, as far as known here."""
-        return self.current.state.running and (self.former is None or not self.former.state.running)
+        return self.current.state.is_running and (self.previous is None or not self.previous.state.is_running)
 
     @property
-    def visible(self) -> bool:
+    def is_visible(self) -> bool:
         """Whether users see a difference: a suspected member still counts as running."""
-        if self.former is None or self.former.state.running != self.current.state.running:
+        if self.previous is None or self.previous.state.is_running != self.current.state.is_running:
             return True
-        return self.current.state.running and self.former.member.process_id != self.current.member.process_id
+        return (
+            self.current.state.is_running
+            and self.previous.member.process_id != self.current.member.process_id
+        )
 
 
 Effect = SendDatagram | StartExchange | MemberChanged
--- a/cherrycove/tier/membership/machine.py
+++ b/cherrycove/tier/membership/machine.py
@@ -11,11 +11,11 @@
 import random
 from collections.abc import Callable
 
-from cherrycove.tier.membership.beliefs import Beliefs
-from cherrycove.tier.membership.contacts import ContactBook
+from cherrycove.tier.membership.anti_entropy import AntiEntropyExchange, AntiEntropySchedule
 from cherrycove.tier.membership.effects import Effect, StartExchange
-from cherrycove.tier.membership.exchange import ExchangeSchedule, TableExchange
-from cherrycove.tier.membership.model import Member, MemberState, MemberStatus, Parameters
+from cherrycove.tier.membership.joining import ContactSchedule
+from cherrycove.tier.membership.members import Member, MemberState, MemberStatus, SwimParameters
+from cherrycove.tier.membership.membership_list import MembershipList
 from cherrycove.tier.membership.outbox import Outbox
 from cherrycove.tier.membership.probing import Probe, ProbeOrder, RelayedPing
 from cherrycove.tier.protocol.membership_pb2 import Datagram, IndirectPing
@@ -28,8 +28,8 @@
 
     def __init__(
         self,
-        own: Member,
-        parameters: Parameters,
+        local: Member,
+        parameters: SwimParameters,
         seeds: tuple[str, ...],
         address_of: Callable[[Member], str],
         rng: random.Random,
@@ -38,12 +38,12 @@
         self._parameters = parameters
         self._address_of = address_of
         self._rng = rng
-        self._beliefs = Beliefs(own, parameters, rng)
+        self._members = MembershipList(local, parameters, rng)
         self._order = ProbeOrder(rng)
-        self._outbox = Outbox(self._beliefs, parameters)
-        self._contacts = ContactBook(frozenset(seeds) - {address_of(own)}, parameters, rng, now)
-        self._schedule = ExchangeSchedule(parameters, rng, now)
-        self._exchange = TableExchange(self._beliefs)
+        self._outbox = Outbox(self._members, parameters)
+        self._contacts = ContactSchedule(frozenset(seeds) - {address_of(local)}, parameters, rng, now)
+        self._schedule = AntiEntropySchedule(parameters, rng, now)
+        self._exchange = AntiEntropyExchange(self._members)
         self._probe: Probe | None = None
         self._relayed: dict[int, RelayedPing] = {}
         self._sequence = 0
@@ -56,16 +56,16 @@
     # What is known
 
     @property
-    def own(self) -> Member:
-        return self._beliefs.own.member
+    def local_member(self) -> Member:
+        return self._members.local.member
 
-    def running(self) -> tuple[Member, ...]:
+    def running_members(self) -> tuple[Member, ...]:
         """Members that run as far as known here, the own process included."""
-        return tuple(status.member for status in self._beliefs.table.running())
+        return tuple(status.member for status in self._members.table.running())
 
     def statuses(self) -> tuple[MemberStatus, ...]:
         """All remembered members, also those that ended."""
-        return self._beliefs.table.all()
+        return self._members.table.statuses()
 
     # Time
 
@@ -78,20 +78,20 @@
         if not self._allow_for_stall(now):
             self._check_probe(now)
             self._check_suspicions(now)
-            self._contact_while_alone(now)
+            self._contact_seeds_if_isolated(now)
             if now >= self._period_at:
                 self._start_period(now)
             if now >= self._schedule.due_at:
                 self._start_exchange(now)
-            if now >= self._gossip_at and self._beliefs.queue:
+            if now >= self._gossip_at and self._members.queue:
                 self._gossip(now)
         return self._take_effects(now)
 
     def leave(self, now: float) -> list[Effect]:
         """Tell some members that this process ends; they spread it."""
-        self._beliefs.leave(now)
-        peers = self._beliefs.table.peers()
-        for status in self._sample(peers, self._parameters.farewell_members):
+        self._members.leave(now)
+        peers = self._members.table.peers()
+        for status in self._sample(peers, self._parameters.leave_notified_members):
             self._outbox.ping(self._address_of(status.member), status, self._next_sequence())
         return self._take_effects(now)
 
@@ -101,31 +101,31 @@
         """Take one datagram that came from ``source`` (host:port)."""
         self._allow_for_stall(now)
         sender = MemberStatus(Member.from_record(datagram.sender), MemberState.ALIVE)
-        known = self._beliefs.table.get(sender.member.key)
-        outdated = known is not None and not known.state.running and known.precedence > sender.precedence
+        known = self._members.table.get(sender.member.key)
+        outdated = known is not None and not known.state.is_running and known.precedence > sender.precedence
         if not outdated:
-            self._beliefs.hear(sender, now)
+            self._members.merge(sender, now)
         if datagram.HasField("receiver"):
-            self._beliefs.hear_view(datagram.receiver, now)
+            self._members.merge_receiver_view(datagram.receiver, now)
         if not outdated:
             for update in datagram.updates:
-                self._beliefs.hear_update(update, now)
+                self._members.merge_update(update, now)
         self._answer(now, source, sender.member, datagram)
         return self._take_effects(now)
 
     @property
-    def exchange(self) -> TableExchange:
-        """The calls of a full exchange; ``exchanged`` takes what came of them."""
+    def anti_entropy(self) -> AntiEntropyExchange:
+        """The calls of a full exchange; ``finish_exchange`` takes what came of them."""
         return self._exchange
 
-    def exchanged(self, now: float) -> list[Effect]:
+    def finish_exchange(self, now: float) -> list[Effect]:
         """Act on what full exchanges have brought since the last call."""
-        news, doubtful = self._exchange.take_outcome()
-        if news or doubtful:
+        news, contested = self._exchange.take_result()
+        if news or contested:
             self._schedule.hasten(now)
-        for status in self._sample(doubtful, self._parameters.verifications_per_batch):
+        for status in self._sample(contested, self._parameters.verifications_per_batch):
             address = self._address_of(status.member)
-            self._outbox.ping(address, status, self._contacts.open(self._next_sequence(), now))
+            self._outbox.ping(address, status, self._contacts.expect_ack(self._next_sequence(), now))
             self._order.insert_next(status.member.key)
         return self._take_effects(now)
 
@@ -134,15 +134,15 @@
     def _start_period(self, now: float) -> None:
         period_s = self._parameters.period_s
         self._period_at = now + period_s * (1.0 + PERIOD_JITTER * (2.0 * self._rng.random() - 1.0))
-        self._beliefs.table.forget_ended(now - self._parameters.tombstone_periods * period_s)
+        self._members.table.remove_ended(now - self._parameters.tombstone_periods * period_s)
         self._relayed = {sequence: ping for sequence, ping in self._relayed.items() if ping.expires > now}
         self._probe_next(now)
-        self._contact_missing(now)
+        self._contact_absent_member(now)
 
     def _probe_next(self, now: float) -> None:
-        keys = [status.member.key for status in self._beliefs.table.peers()]
+        keys = [status.member.key for status in self._members.table.peers()]
         key = self._order.next(keys)
-        status = self._beliefs.table.get(key) if key is not None else None
+        status = self._members.table.get(key) if key is not None else None
         if status is None:
             return
         period_s = self._parameters.period_s
@@ -158,26 +158,26 @@
             return
         if now >= probe.deadline:
             self._probe = None
-            self._beliefs.suspect(probe.target, now)
+            self._members.suspect(probe.target, now)
         elif now >= probe.retry_at:
             probe.retry_at = now + self._parameters.retry_periods * self._parameters.period_s
             self._probe_through_others(probe)
 
     def _probe_through_others(self, probe: Probe) -> None:
-        status = self._beliefs.table.get(probe.target.key)
+        status = self._members.table.get(probe.target.key)
         if status is None:
             return
         self._outbox.ping(self._address_of(status.member), status, probe.sequence)
         probe.indirect_sequence = probe.indirect_sequence or self._next_sequence()
-        others = [peer for peer in self._beliefs.table.peers() if peer.member.key != probe.target.key]
+        others = [peer for peer in self._members.table.peers() if peer.member.key != probe.target.key]
         for helper in self._sample(others, self._parameters.indirect_members):
             address = self._address_of(helper.member)
             self._outbox.indirect_ping(address, helper, status.member, probe.indirect_sequence)
 
     def _check_suspicions(self, now: float) -> None:
-        self._beliefs.expire_suspicions(now)
-        for key, suspicion in self._beliefs.suspicions.items():
-            status = self._beliefs.table.get(key)
+        self._members.expire_suspicions(now)
+        for key, suspicion in self._members.suspicions.items():
+            status = self._members.table.get(key)
             if suspicion.verify_at > now or status is None:
                 continue
             suspicion.verify_at = now + self._parameters.verification_periods * self._parameters.period_s
@@ -186,23 +186,23 @@
     def _gossip(self, now: float) -> None:
         """Spread news faster than probes alone would."""
         self._gossip_at = now + self._parameters.gossip_periods * self._parameters.period_s
-        for status in self._sample(self._beliefs.table.peers(), self._parameters.gossip_members):
-            if self._beliefs.queue:
+        for status in self._sample(self._members.table.peers(), self._parameters.gossip_members):
+            if self._members.queue:
                 self._outbox.gossip(self._address_of(status.member), status)
 
     # Joining and comparing
 
-    def _contact_while_alone(self, now: float) -> None:
-        if self._beliefs.table.running_count > 1 or now < self._contacts.lonely_at:
+    def _contact_seeds_if_isolated(self, now: float) -> None:
+        if self._members.table.running_count > 1 or now < self._contacts.seed_contact_at:
             return
-        for seed in self._contacts.call_seeds(now):
-            self._outbox.ping(seed, None, self._contacts.open(self._next_sequence(), now))
+        for seed in self._contacts.take_seeds(now):
+            self._outbox.ping(seed, None, self._contacts.expect_ack(self._next_sequence(), now))
 
-    def _contact_missing(self, now: float) -> None:
+    def _contact_absent_member(self, now: float) -> None:
         """Look for a seed that no member is at, or for a member that was declared dead."""
-        self._contacts.close_expired(now)
-        table = self._beliefs.table
-        if not self._contacts.chosen_to_call(table.running_count):
+        self._contacts.expire_acks(now)
+        table = self._members.table
+        if not self._contacts.is_chosen_to_contact(table.running_count):
             return
         views: dict[str, MemberStatus | None] = {address: None for address in self._contacts.seeds}
         views |= {self._address_of(status.member): status for status in table.dead()}
@@ -210,18 +210,18 @@
             views.pop(self._address_of(status.member), None)
         if views:
             address = self._rng.choice(sorted(views))
-            self._outbox.ping(address, views[address], self._contacts.open(self._next_sequence(), now))
+            self._outbox.ping(address, views[address], self._contacts.expect_ack(self._next_sequence(), now))
 
     def _start_exchange(self, now: float) -> None:
-        self._schedule.relax(now)
-        for status in self._sample(self._beliefs.table.peers(), 1):
+        self._schedule.back_off(now)
+        for status in self._sample(self._members.table.peers(), 1):
             self._exchanges.append(StartExchange(self._address_of(status.member)))
 
     # Answers
 
     def _answer(self, now: float, source: str, sender: Member, datagram: Datagram) -> None:
         body = datagram.WhichOneof("body")
-        if body == "ping" and self._beliefs.own.state is not MemberState.LEFT:
+        if body == "ping" and self._members.local.state is not MemberState.LEFT:
             self._outbox.ack(source, sender, datagram.ping.sequence)
         elif body == "ack":
             self._take_ack(now, source, sender, datagram.ack.sequence)
@@ -236,7 +236,7 @@
         elif relayed is not None and relayed.target == sender.key:
             del self._relayed[sequence]
             self._outbox.relayed_ack(relayed.requester, relayed.requester_sequence)
-        elif self._contacts.close(sequence):
+        elif self._contacts.take_ack(sequence):
             self._schedule.hasten(now)
             self._exchanges.append(StartExchange(source))
 
@@ -265,13 +265,13 @@
 
     def _earliest_deadline(self) -> float:
         deadlines = [self._period_at, self._schedule.due_at]
-        if self._beliefs.table.running_count == 1:
-            deadlines.append(self._contacts.lonely_at)
+        if self._members.table.running_count == 1:
+            deadlines.append(self._contacts.seed_contact_at)
         if self._probe is not None:
             deadlines += [self._probe.retry_at, self._probe.deadline]
-        if self._beliefs.queue:
+        if self._members.queue:
             deadlines.append(self._gossip_at)
-        for suspicion in self._beliefs.suspicions.values():
+        for suspicion in self._members.suspicions.values():
             deadlines += [suspicion.deadline, suspicion.verify_at]
         return min(deadlines)
 
@@ -279,11 +279,11 @@
         self._period_at += delay_s
         self._gossip_at += delay_s
         self._schedule.due_at += delay_s
-        self._contacts.lonely_at += delay_s
+        self._contacts.seed_contact_at += delay_s
         if self._probe is not None:
             self._probe.retry_at += delay_s
             self._probe.deadline += delay_s
-        for suspicion in self._beliefs.suspicions.values():
+        for suspicion in self._members.suspicions.values():
             suspicion.deadline += delay_s
             suspicion.verify_at += delay_s
 
@@ -295,9 +295,9 @@
         return self._sequence
 
     def _take_effects(self, now: float) -> list[Effect]:
-        changes = self._beliefs.take_changes()
+        changes = self._members.take_changes()
         for change in changes:
-            if change.began:
+            if change.is_join:
                 self._order.insert(change.current.member.key)
         effects: list[Effect] = [*changes, *self._outbox.take(), *self._exchanges]
         self._exchanges = []
--- a/cherrycove/tier/membership/table.py
+++ b/cherrycove/tier/membership/member_table.py
@@ -6,7 +6,7 @@
 import zlib
 from collections.abc import Iterator, Sequence
 
-from cherrycove.tier.membership.model import MemberKey, MemberState, MemberStatus
+from cherrycove.tier.membership.members import MemberKey, MemberState, MemberStatus
 
 DIGEST_BUCKETS = 64
 DIGEST_BYTES = 8
@@ -19,7 +19,7 @@
 
 def _digest_of(status: MemberStatus) -> int:
     """A hash of what two agreeing tables have alike; members that do not run add nothing."""
-    if not status.state.running:
+    if not status.state.is_running:
         return 0
     member = status.member
     text = f"{member.node_name}/{member.program}/{member.process_id}/{member.incarnation}"
@@ -29,13 +29,13 @@
 class MemberTable:
     """Every member heard of, the own process included; those that do not run stay for a while."""
 
-    def __init__(self, own: MemberStatus) -> None:
-        self._own_key = own.member.key
+    def __init__(self, local: MemberStatus) -> None:
+        self._local_key = local.member.key
         self._statuses: dict[MemberKey, MemberStatus] = {}
         self._buckets: list[set[MemberKey]] = [set() for _ in range(DIGEST_BUCKETS)]
         self._digests = [0] * DIGEST_BUCKETS
         self._ended_at: dict[MemberKey, float] = {}  # members that do not run, and since when
-        self.put(own, 0.0)
+        self.put(local, 0.0)
 
     def get(self, key: MemberKey) -> MemberStatus | None:
         return self._statuses.get(key)
@@ -50,15 +50,15 @@
         self._digests[bucket] ^= _digest_of(status)
         self._buckets[bucket].add(key)
         self._statuses[key] = status
-        if status.state.running:
+        if status.state.is_running:
             self._ended_at.pop(key, None)
         else:
             self._ended_at[key] = now
 
-    def forget_ended(self, before: float) -> None:
+    def remove_ended(self, before: float) -> None:
         """Drop the members that ended earlier than ``before``."""
-        forgotten = [key for key, ended_at in self._ended_at.items() if ended_at < before]
-        for key in forgotten:
+        removed = [key for key, ended_at in self._ended_at.items() if ended_at < before]
+        for key in removed:
             del self._ended_at[key]
             del self._statuses[key]
             self._buckets[bucket_of(key)].discard(key)
@@ -70,25 +70,25 @@
 
     def running(self) -> Iterator[MemberStatus]:
         """Running members, the own process included."""
-        return (status for status in self._statuses.values() if status.state.running)
+        return (status for status in self._statuses.values() if status.state.is_running)
 
     def peers(self) -> list[MemberStatus]:
         """Running members besides the own process."""
-        return [status for status in self.running() if status.member.key != self._own_key]
+        return [status for status in self.running() if status.member.key != self._local_key]
 
     def dead(self) -> list[MemberStatus]:
         """Members declared dead and still remembered."""
         ended = (self._statuses[key] for key in self._ended_at)
         return [status for status in ended if status.state is MemberState.DEAD]
 
-    def all(self) -> tuple[MemberStatus, ...]:
+    def statuses(self) -> tuple[MemberStatus, ...]:
         return tuple(self._statuses.values())
 
     def digests(self) -> tuple[int, ...]:
         """One hash for each bucket; equal where two tables agree on the running members."""
         return tuple(self._digests)
 
-    def differing(self, digests: Sequence[int]) -> list[int]:
+    def differing_buckets(self, digests: Sequence[int]) -> list[int]:
         """Buckets in which another table's ``digests`` are not like the own ones."""
         if len(digests) != DIGEST_BUCKETS:
             return list(range(DIGEST_BUCKETS))
--- a/cherrycove/tier/membership/model.py
+++ b/cherrycove/tier/membership/members.py
@@ -24,7 +24,7 @@
     LEFT = 3
 
     @property
-    def running(self) -> bool:
+    def is_running(self) -> bool:
         """Whether a member in this state counts as a process that runs."""
         return self in (MemberState.ALIVE, MemberState.SUSPECT)
 
@@ -58,7 +58,7 @@
         """A higher value is newer. The process id only decides between equal counters of two starts."""
         return self.incarnation, self.process_id
 
-    def record(self) -> MemberRecord:
+    def to_record(self) -> MemberRecord:
         return MemberRecord(
             node_name=self.node_name,
             program=self.program,
@@ -111,8 +111,8 @@
     def precedence(self) -> tuple[int, str, int]:
         return *self.member.precedence, self.state
 
-    def update(self) -> Update:
-        return Update(member=self.member.record(), state=self.state.name)
+    def to_update(self) -> Update:
+        return Update(member=self.member.to_record(), state=self.state.name)
 
     @staticmethod
     def from_update(update: Update) -> MemberStatus:
@@ -120,7 +120,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Parameters:
+class SwimParameters:
     """Times of the protocol, as multiples of its period, and counts."""
 
     period_s: float
@@ -128,10 +128,10 @@
     retry_periods: float = 0.1  # between further tries, direct and through others
     probe_timeout_periods: float = 0.5  # until a silent member is suspected
     suspicion_periods: float = 1.0  # times log10 of the number of members
-    rumour_periods: float = 1.0  # suspicion of a member that somebody else has declared dead
+    reported_death_periods: float = 1.0  # suspicion of a member that somebody else has declared dead
     verification_periods: float = 0.25  # between the pings of a suspected member
     stall_periods: float = 0.25  # a timer later than this tells that this process itself stood still
-    lonely_contact_periods: float = 0.2  # between calls to the seeds while no other member is known
+    seed_contact_periods: float = 0.2  # between calls to the seeds while no other member is known
     tombstone_periods: float = 120.0  # how long dead members are remembered, and looked for
     exchange_periods: float = 2.0  # shortest time between full exchanges
     quiet_exchange_periods: float = 25.0  # longest time between full exchanges
@@ -141,9 +141,9 @@
     verifying_members: int = 8  # members that ping a suspected one besides its first accuser
     contacts_per_period: int = 3  # pings of unknown seeds and dead members, by all members together
     verifications_per_batch: int = 10
-    farewell_members: int = 6  # members told directly that this one leaves
+    leave_notified_members: int = 6  # members told directly that this one leaves
     retransmission_factor: float = 3.0  # times log2 of the number of members
-    fewest_transmissions: int = 10
+    min_transmissions: int = 10
     max_datagram_bytes: int = 1150
 
     def suspicion_s(self, members: int) -> float:
@@ -152,4 +152,4 @@
 
     def transmissions(self, members: int) -> int:
         """How often an update is sent on."""
-        return max(self.fewest_transmissions, math.ceil(self.retransmission_factor * math.log2(members + 1)))
+        return max(self.min_transmissions, math.ceil(self.retransmission_factor * math.log2(members + 1)))
--- a/cherrycove/tier/membership/beliefs.py
+++ b/cherrycove/tier/membership/membership_list.py
@@ -8,19 +8,19 @@
 
 from cherrycove.tier.membership.dissemination import DisseminationQueue
 from cherrycove.tier.membership.effects import MemberChanged
-from cherrycove.tier.membership.model import (
+from cherrycove.tier.membership.member_table import MemberTable
+from cherrycove.tier.membership.members import (
     Member,
     MemberKey,
     MemberState,
     MemberStatus,
-    Parameters,
+    SwimParameters,
     check_incarnation,
 )
-from cherrycove.tier.membership.table import MemberTable
 from cherrycove.tier.protocol.membership_pb2 import ReceiverView, Update
 
 NEVER = float("inf")
-MAX_SPREAD_FROM_EXCHANGE = 20  # news of one exchange; more of them spread by further exchanges
+MAX_UPDATES_GOSSIPED_PER_EXCHANGE = 20  # news of one exchange; more of them spread by further exchanges
 
 
 @attrs.define
@@ -32,20 +32,20 @@
 
 
 @attrs.frozen
-class ExchangeOutcome:
+class MergeResult:
     news: int  # members of which something new was learned
-    doubtful: tuple[MemberStatus, ...]  # statuses that the members concerned should hear and refute
+    contested: tuple[MemberStatus, ...]  # statuses that the members concerned should hear and refute
 
 
-class Beliefs:
+class MembershipList:
     """The table of members, the suspicions, and the updates still to be spread."""
 
-    def __init__(self, own: Member, parameters: Parameters, rng: random.Random) -> None:
-        self.own = MemberStatus(own, MemberState.ALIVE)
-        self.table = MemberTable(self.own)
+    def __init__(self, local: Member, parameters: SwimParameters, rng: random.Random) -> None:
+        self.local = MemberStatus(local, MemberState.ALIVE)
+        self.table = MemberTable(self.local)
         self.queue = DisseminationQueue()
         self.suspicions: dict[MemberKey, Suspicion] = {}
-        self.queue.add(self.own)
+        self.queue.add(self.local)
         self._parameters = parameters
         self._rng = rng
         self._changes: list[MemberChanged] = []
@@ -56,22 +56,22 @@
         self._changes = []
         return changes
 
-    def hear(self, status: MemberStatus, now: float) -> bool:
+    def merge(self, status: MemberStatus, now: float) -> bool:
         """Merge one update that came in a datagram; returns whether it was news."""
-        if status.member.key == self.own.member.key:
-            return self._hear_of_self(status, now)
+        if status.member.key == self.local.member.key:
+            return self._refute(status, now)
         known = self.table.get(status.member.key)
         if known is None:
-            return self._hear_of_unknown(status, now)
+            return self._merge_unknown(status, now)
         if status.precedence <= known.precedence:
             return False
-        if status.state is MemberState.DEAD and known.state.running:
-            self._hear_of_death(known, status, now)
+        if status.state is MemberState.DEAD and known.state.is_running:
+            self._merge_reported_death(known, status, now)
         else:
             self._put(status, now, self._suspicion_s())
         return True
 
-    def hear_update(self, update: Update, now: float) -> bool:
+    def merge_update(self, update: Update, now: float) -> bool:
         """Merge one update of a datagram; most are known already, which costs little."""
         record = update.member
         known = self.table.get(MemberKey(record.node_name, record.program))
@@ -79,33 +79,33 @@
             member = known.member
             if member.incarnation == record.incarnation and member.process_id == record.process_id:
                 return False
-        return self.hear(MemberStatus.from_update(update), now)
+        return self.merge(MemberStatus.from_update(update), now)
 
-    def hear_view(self, view: ReceiverView, now: float) -> None:
+    def merge_receiver_view(self, view: ReceiverView, now: float) -> None:
         """Refute, where it is wrong, what another process believes of this one."""
         check_incarnation(view.incarnation)
-        believed = attrs.evolve(self.own.member, process_id=view.process_id, incarnation=view.incarnation)
-        self._hear_of_self(MemberStatus(believed, MemberState(view.state)), now)
+        believed = attrs.evolve(self.local.member, process_id=view.process_id, incarnation=view.incarnation)
+        self._refute(MemberStatus(believed, MemberState(view.state)), now)
 
-    def hear_exchange(self, statuses: list[MemberStatus], now: float) -> ExchangeOutcome:
+    def merge_remote_table(self, statuses: list[MemberStatus], now: float) -> MergeResult:
         """Merge the table of another process.
 
         What it holds dead and runs here, or the other way round, is left to the member concerned: after a cut
         each side holds the other dead, and no healthy member may be given up for that.
         """
         news = []
-        doubtful = []
+        contested = []
         for status in statuses:
-            doubt = self._doubt(status)
-            if doubt is not None:
-                doubtful.append(doubt)
+            contested_status = self._contested_status(status)
+            if contested_status is not None:
+                contested.append(contested_status)
             elif status.state is MemberState.SUSPECT:
                 continue
-            elif self.hear(status, now):
+            elif self.merge(status, now):
                 news.append(status.member.key)
-        if len(news) > MAX_SPREAD_FROM_EXCHANGE:
+        if len(news) > MAX_UPDATES_GOSSIPED_PER_EXCHANGE:
             self.queue.discard(news)
-        return ExchangeOutcome(len(news), tuple(doubtful))
+        return MergeResult(len(news), tuple(contested))
 
     def suspect(self, member: Member, now: float) -> None:
         """The member answered neither directly nor through others."""
@@ -122,44 +122,48 @@
 
     def leave(self, now: float) -> None:
         """The own process ends."""
-        self._put_self(attrs.evolve(self.own, state=MemberState.LEFT), now)
+        self._put_local(attrs.evolve(self.local, state=MemberState.LEFT), now)
 
-    def _hear_of_self(self, status: MemberStatus, now: float) -> bool:
-        own = self.own.member
-        if self.own.state is MemberState.LEFT:
+    def _refute(self, status: MemberStatus, now: float) -> bool:
+        local = self.local.member
+        if self.local.state is MemberState.LEFT:
             return False
-        same_process = status.member.process_id == own.process_id
+        same_process = status.member.process_id == local.process_id
         if same_process and status.state is MemberState.ALIVE:
             return False
-        if status.member.precedence < own.precedence:
+        if status.member.precedence < local.precedence:
             return False
-        raised = attrs.evolve(own, incarnation=status.member.incarnation + 1)
-        self._put_self(MemberStatus(raised, MemberState.ALIVE), now)
+        raised = attrs.evolve(local, incarnation=status.member.incarnation + 1)
+        self._put_local(MemberStatus(raised, MemberState.ALIVE), now)
         return True
 
-    def _hear_of_unknown(self, status: MemberStatus, now: float) -> bool:
-        if not status.state.running:
+    def _merge_unknown(self, status: MemberStatus, now: float) -> bool:
+        if not status.state.is_running:
             return False
         self._put(status, now, self._suspicion_s())
         return True
 
-    def _hear_of_death(self, known: MemberStatus, status: MemberStatus, now: float) -> None:
+    def _merge_reported_death(self, known: MemberStatus, status: MemberStatus, now: float) -> None:
         """Believe it of a member suspected here too; of others only when they do not object soon."""
         if known.state is MemberState.SUSPECT and known.member.precedence == status.member.precedence:
             self._put(status, now, 0.0)
             return
-        rumour_s = self._parameters.rumour_periods * self._parameters.period_s
-        self._put(attrs.evolve(status, state=MemberState.SUSPECT), now, rumour_s)
+        suspicion_s = self._parameters.reported_death_periods * self._parameters.period_s
+        self._put(attrs.evolve(status, state=MemberState.SUSPECT), now, suspicion_s)
 
-    def _doubt(self, status: MemberStatus) -> MemberStatus | None:
+    def _contested_status(self, status: MemberStatus) -> MemberStatus | None:
         """What to confront a member with when two tables disagree on whether it runs."""
         known = self.table.get(status.member.key)
-        if known is None or known.member.key == self.own.member.key:
+        if known is None or known.member.key == self.local.member.key:
             return None
-        if status.state is MemberState.DEAD and known.state.running and status.precedence > known.precedence:
+        if (
+            status.state is MemberState.DEAD
+            and known.state.is_running
+            and status.precedence > known.precedence
+        ):
             return status
         alike = status.member.precedence == known.member.precedence
-        if status.state.running and known.state is MemberState.DEAD and alike:
+        if status.state.is_running and known.state is MemberState.DEAD and alike:
             return known
         return None
 
@@ -181,7 +185,7 @@
         """Whether this process is among the few that ping a suspected member besides its accuser."""
         return self._rng.random() * self.table.running_count < self._parameters.verifying_members
 
-    def _put_self(self, status: MemberStatus, now: float) -> None:
-        self.own = status
+    def _put_local(self, status: MemberStatus, now: float) -> None:
+        self.local = status
         self.table.put(status, now)
         self.queue.add(status)
--- a/cherrycove/tier/membership/outbox.py
+++ b/cherrycove/tier/membership/outbox.py
@@ -2,17 +2,17 @@
 
 from __future__ import annotations
 
-from cherrycove.tier.membership.beliefs import Beliefs
 from cherrycove.tier.membership.effects import SendDatagram
-from cherrycove.tier.membership.model import Member, MemberStatus, Parameters
+from cherrycove.tier.membership.members import Member, MemberStatus, SwimParameters
+from cherrycove.tier.membership.membership_list import MembershipList
 from cherrycove.tier.protocol.membership_pb2 import Ack, Datagram, IndirectPing, Ping, ReceiverView
 
 
 class Outbox:
     """Datagrams to be sent, in order."""
 
-    def __init__(self, beliefs: Beliefs, parameters: Parameters) -> None:
-        self._beliefs = beliefs
+    def __init__(self, members: MembershipList, parameters: SwimParameters) -> None:
+        self._members = members
         self._parameters = parameters
         self._pending: list[SendDatagram] = []
 
@@ -27,7 +27,7 @@
         self._send(address, Datagram(receiver=_view_of(believed), ping=Ping(sequence=sequence)))
 
     def ack(self, address: str, receiver: Member, sequence: int) -> None:
-        believed = self._beliefs.table.get(receiver.key)
+        believed = self._members.table.get(receiver.key)
         self._send(address, Datagram(receiver=_view_of(believed), ack=Ack(sequence=sequence)))
 
     def relayed_ack(self, address: str, sequence: int) -> None:
@@ -36,7 +36,7 @@
 
     def indirect_ping(self, address: str, helper: MemberStatus, target: Member, sequence: int) -> None:
         """Ask ``helper`` to ping ``target``."""
-        request = IndirectPing(sequence=sequence, target=target.record())
+        request = IndirectPing(sequence=sequence, target=target.to_record())
         self._send(address, Datagram(receiver=_view_of(helper), indirect_ping=request))
 
     def gossip(self, address: str, receiver: MemberStatus) -> None:
@@ -44,10 +44,10 @@
         self._send(address, Datagram(receiver=_view_of(receiver)))
 
     def _send(self, address: str, datagram: Datagram) -> None:
-        datagram.sender.CopyFrom(self._beliefs.own.member.record())
-        room_bytes = self._parameters.max_datagram_bytes - datagram.ByteSize()
-        transmissions = self._parameters.transmissions(self._beliefs.table.running_count)
-        datagram.updates.extend(self._beliefs.queue.take(room_bytes, transmissions))
+        datagram.sender.CopyFrom(self._members.local.member.to_record())
+        available_bytes = self._parameters.max_datagram_bytes - datagram.ByteSize()
+        transmissions = self._parameters.transmissions(self._members.table.running_count)
+        datagram.updates.extend(self._members.queue.take(available_bytes, transmissions))
         self._pending.append(SendDatagram(address, datagram))
 
 
--- a/cherrycove/tier/membership/probing.py
+++ b/cherrycove/tier/membership/probing.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from cherrycove.tier.membership.model import Member, MemberKey
+from cherrycove.tier.membership.members import Member, MemberKey
 
 
 @attrs.define
--- a/cherrycove/tier/membership/swim.py
+++ b/cherrycove/tier/membership/service.py
@@ -15,7 +15,7 @@
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.membership.effects import Effect, MemberChanged, SendDatagram, StartExchange
 from cherrycove.tier.membership.machine import SwimMachine
-from cherrycove.tier.membership.model import Member, MemberState, MemberStatus, Parameters
+from cherrycove.tier.membership.members import Member, MemberState, MemberStatus, SwimParameters
 from cherrycove.tier.protocol.interface import Caller, CallRegistry
 from cherrycove.tier.protocol.membership_pb2 import (
     CompareReply,
@@ -36,7 +36,7 @@
 _log = logging.getLogger(__name__)
 
 
-class Swim(asyncio.DatagramProtocol):
+class MembershipService(asyncio.DatagramProtocol):
     """Membership of one process of the tier; ``members`` is current between ``start`` and ``stop``."""
 
     def __init__(
@@ -52,7 +52,7 @@
         self._settings = settings
         self._client = client
         self._rng = rng
-        self._own = Member(
+        self._local = Member(
             node_name=settings.node_name,
             program=program,
             ip=settings.ip_address,
@@ -72,12 +72,12 @@
     async def start(self) -> None:
         """Listen for datagrams and begin to join."""
         loop = asyncio.get_running_loop()
-        address = self._address_of(self._own)
+        address = self._address_of(self._local)
         host, _, port = address.rpartition(":")
         self._transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=(host, int(port)))
         seeds = tuple(self._settings.peer_address(ip, SEED_PROGRAM) for ip in self._settings.seed_ips())
-        parameters = Parameters(period_s=self._settings.heartbeat_interval_ms / 1000.0)
-        self._machine = SwimMachine(self._own, parameters, seeds, self._address_of, self._rng, loop.time())
+        parameters = SwimParameters(period_s=self._settings.heartbeat_interval_ms / 1000.0)
+        self._machine = SwimMachine(self._local, parameters, seeds, self._address_of, self._rng, loop.time())
         self._arm_timer()
 
     async def stop(self, leave: bool) -> None:
@@ -98,7 +98,7 @@
 
     def members(self) -> tuple[Member, ...]:
         """Processes that run as far as known here, this one included."""
-        return self._machine.running() if self._machine is not None else (self._own,)
+        return self._machine.running_members() if self._machine is not None else (self._local,)
 
     def statuses(self) -> tuple[MemberStatus, ...]:
         """All processes heard of lately with what is believed of them, also those that ended."""
@@ -151,7 +151,7 @@
                 self._send(effect)
             elif isinstance(effect, StartExchange):
                 self._start_exchange(effect.address)
-            elif effect.visible:
+            elif effect.is_visible:
                 visible = True
                 self._log_change(effect)
         self._arm_timer()
@@ -187,24 +187,24 @@
         if machine is None:
             return
         now = asyncio.get_running_loop().time
-        request = machine.exchange.request()
+        request = machine.anti_entropy.compare_request()
         outcome = await self._client.call(address, COMPARE_CALL, request, CompareReply, CALL_TIMEOUT_S)
         if isinstance(outcome, Err):
             return
         try:
-            merge = machine.exchange.merge_reply(outcome.ok_value, now())
+            merge = machine.anti_entropy.handle_compare_reply(outcome.ok_value, now())
         except ValueError:
             _log.debug("exchange_invalid", extra={"source": address})
             return
-        self._perform(machine.exchanged(now()))
+        self._perform(machine.finish_exchange(now()))
         if merge is not None:
             await self._client.call(address, MERGE_CALL, merge, MergeReply, CALL_TIMEOUT_S)
 
     async def _compare(self, request: CompareRequest) -> Result[CompareReply, Failure]:
-        return self._serve(lambda machine, now: machine.exchange.compare(request, now))
+        return self._serve(lambda machine, now: machine.anti_entropy.handle_compare(request, now))
 
     async def _merge(self, request: MergeRequest) -> Result[MergeReply, Failure]:
-        return self._serve(lambda machine, now: machine.exchange.merge(request, now))
+        return self._serve(lambda machine, now: machine.anti_entropy.handle_merge(request, now))
 
     def _serve(self, answer: Callable[[SwimMachine, float], Reply]) -> Result[Reply, Failure]:
         if self._machine is None:
@@ -214,7 +214,7 @@
             reply = answer(self._machine, now)
         except ValueError as error:
             return Err(Failure(ErrorKind.INVALID, str(error)))
-        self._perform(self._machine.exchanged(now))
+        self._perform(self._machine.finish_exchange(now))
         return Ok(reply)
 
     def _address_of(self, member: Member) -> str:
@@ -223,7 +223,7 @@
 
 def _event_of(change: MemberChanged) -> str:
     """The name of a visible change in the log."""
-    if change.began:
+    if change.is_join:
         return "member_joined"
     if change.current.state is MemberState.LEFT:
         return "member_left"
--- a/tests/tier/swim_network.py
+++ b/tests/tier/swim_network.py
@@ -12,7 +12,7 @@
 
 from cherrycove.tier.membership.effects import Effect, MemberChanged, SendDatagram
 from cherrycove.tier.membership.machine import SwimMachine
-from cherrycove.tier.membership.model import Member, MemberState, Parameters
+from cherrycove.tier.membership.members import Member, MemberState, SwimParameters
 from cherrycove.tier.protocol.membership_pb2 import Datagram
 
 PERIOD_S = 1.0
@@ -68,7 +68,9 @@
         )
         seed_addresses = tuple(f"{ip_of(seed)}:7700" for seed in seeds)
         rng = random.Random(self.rng.random())
-        machine = SwimMachine(own, Parameters(period_s=PERIOD_S), seed_addresses, address_of, rng, self.now)
+        machine = SwimMachine(
+            own, SwimParameters(period_s=PERIOD_S), seed_addresses, address_of, rng, self.now
+        )
         process = Process(name, machine)
         self.processes[address_of(own)] = process
         self._arm(process)
@@ -82,7 +84,7 @@
         return [self.start(f"n{index}") for index in range(count)]
 
     def kill(self, process: Process) -> None:
-        del self.processes[address_of(process.machine.own)]
+        del self.processes[address_of(process.machine.local_member)]
 
     def leave(self, process: Process) -> None:
         self._perform(process, process.machine.leave(self.now))
@@ -130,12 +132,12 @@
         """Every running process knows exactly the running processes, and by their present incarnations."""
         absent = set(without)
         actual = {
-            (process.name, process.machine.own.process_id)
+            (process.name, process.machine.local_member.process_id)
             for process in self.processes.values()
             if process.name not in absent
         }
         return all(
-            {(member.node_name, member.process_id) for member in process.machine.running()} == actual
+            {(member.node_name, member.process_id) for member in process.machine.running_members()} == actual
             for process in self.processes.values()
             if process.name not in absent
         )
@@ -146,7 +148,7 @@
             process.name
             for process in self.processes.values()
             for at, change in process.changes
-            if change.current.member.node_name == name and not change.current.state.running and at >= since
+            if change.current.member.node_name == name and not change.current.state.is_running and at >= since
         ]
 
     def declared_dead(self, since: float = 0.0) -> set[str]:
@@ -175,7 +177,7 @@
         self._perform(process, process.machine.tick(self.now))
 
     def _suspended(self, process: Process, action: Callable[[], None]) -> bool:
-        if self.processes.get(address_of(process.machine.own)) is not process:
+        if self.processes.get(address_of(process.machine.local_member)) is not process:
             return True
         if process.frozen:
             process.held.append(action)
@@ -197,7 +199,7 @@
         process.sent_bytes += len(data)
         if self.rng.random() < self.loss:
             return
-        source = address_of(process.machine.own)
+        source = address_of(process.machine.local_member)
         self._later(lambda: self._deliver(process, source, effect.address, data))
 
     def _later(self, action: Callable[[], None]) -> None:
@@ -213,18 +215,18 @@
     def _exchange(self, caller: Process, address: str) -> None:
         """Both calls at once; they need both directions."""
         callee = self.processes.get(address)
-        alive = self.processes.get(address_of(caller.machine.own)) is caller
+        alive = self.processes.get(address_of(caller.machine.local_member)) is caller
         if callee is None or not alive or caller.frozen or callee.frozen:
             return
         if {(caller.name, callee.name), (callee.name, caller.name)} & self.cuts:
             return
-        request = caller.machine.exchange.request()
-        reply = callee.machine.exchange.compare(request, self.now)
+        request = caller.machine.anti_entropy.compare_request()
+        reply = callee.machine.anti_entropy.handle_compare(request, self.now)
         caller.sent_bytes += request.ByteSize()
         callee.sent_bytes += reply.ByteSize()
-        merge = caller.machine.exchange.merge_reply(reply, self.now)
+        merge = caller.machine.anti_entropy.handle_compare_reply(reply, self.now)
         if merge is not None:
             caller.sent_bytes += merge.ByteSize()
-            callee.machine.exchange.merge(merge, self.now)
-        self._perform(callee, callee.machine.exchanged(self.now))
-        self._perform(caller, caller.machine.exchanged(self.now))
+            callee.machine.anti_entropy.handle_merge(merge, self.now)
+        self._perform(callee, callee.machine.finish_exchange(self.now))
+        self._perform(caller, caller.machine.finish_exchange(self.now))
--- a/tests/tier/test_membership_loopback.py
+++ b/tests/tier/test_membership_loopback.py
@@ -10,7 +10,7 @@
 import attrs
 from loopback_ports import free_port
 
-from cherrycove.tier.membership.swim import Swim
+from cherrycove.tier.membership.service import MembershipService
 from cherrycove.tier.protocol.rpc import RpcClient, RpcServer
 from cherrycove.tier.settings import ListenAddresses, Settings
 
@@ -21,7 +21,7 @@
 
 @attrs.define
 class Running:
-    swim: Swim
+    service: MembershipService
     server: RpcServer
     client: RpcClient
     changed: asyncio.Event = attrs.field(factory=asyncio.Event)
@@ -38,10 +38,10 @@
         await self.until(lambda: self.known() == set(processes))
 
     def known(self) -> set[tuple[str, str]]:
-        return {(member.node_name, member.process_id) for member in self.swim.members()}
+        return {(member.node_name, member.process_id) for member in self.service.members()}
 
     async def stop(self, leave: bool) -> None:
-        await self.swim.stop(leave=leave)
+        await self.service.stop(leave=leave)
         await self.client.stop()
         await self.server.stop()
 
@@ -59,12 +59,12 @@
         heartbeat_interval_ms=PERIOD_MS,
     )
     server, client = RpcServer(), RpcClient()
-    swim = Swim(settings, "keeper", incarnation, server, client, random.Random(ip))
-    running = Running(swim, server, client)
-    swim.on_change(running.changed.set)
+    service = MembershipService(settings, "keeper", incarnation, server, client, random.Random(ip))
+    running = Running(service, server, client)
+    service.on_change(running.changed.set)
     await client.start()
     await server.start(settings.internal_address("keeper"))
-    await swim.start()
+    await service.start()
     return running
 
 
@@ -80,7 +80,7 @@
         await third.stop(leave=True)
         await first.until_known(("a", "a1"), ("b", "b1"))
         await second.until_known(("a", "a1"), ("b", "b1"))
-        states = {status.member.node_name: status.state.name for status in first.swim.statuses()}
+        states = {status.member.node_name: status.state.name for status in first.service.statuses()}
         assert states == {"a": "ALIVE", "b": "ALIVE", "c": "LEFT"}
 
         await second.stop(leave=False)
--- a/tests/tier/test_membership_machine.py
+++ b/tests/tier/test_membership_machine.py
@@ -10,7 +10,7 @@
 
 from cherrycove.tier.membership.effects import MemberChanged, SendDatagram, StartExchange
 from cherrycove.tier.membership.machine import SwimMachine
-from cherrycove.tier.membership.model import Member, MemberState, MemberStatus, Parameters
+from cherrycove.tier.membership.members import Member, MemberState, MemberStatus, SwimParameters
 from cherrycove.tier.protocol.membership_pb2 import Ack, Datagram, Ping, ReceiverView
 
 SIZES = (3, 5, 20, 60)
@@ -56,7 +56,7 @@
     network.cut(left, right)
     network.cut(right, left)
     network.run(10)
-    assert {len(process.machine.running()) for process in network.processes.values()} == {3}
+    assert {len(process.machine.running_members()) for process in network.processes.values()} == {3}
     network.heal()
     network.run_until(network.converged, periods=8)
     assert network.declared_dead() == set()
@@ -232,7 +232,7 @@
     network.cut(left, right)
     network.cut(right, left)
     network.run(30)
-    assert all(len(process.machine.running()) == len(left) for process in left)
+    assert all(len(process.machine.running_members()) == len(left) for process in left)
     network.heal()
     healed_at = network.now
     network.run_until(network.converged, periods=10)
@@ -262,7 +262,7 @@
 def machine() -> SwimMachine:
     own = member("self")
     rng = random.Random(1)
-    return SwimMachine(own, Parameters(period_s=PERIOD_S), (SEED, SELF), address_of, rng, 0.0)
+    return SwimMachine(own, SwimParameters(period_s=PERIOD_S), (SEED, SELF), address_of, rng, 0.0)
 
 
 def member(name: str, incarnation: int = 1, process_id: str = "p") -> Member:
@@ -278,7 +278,7 @@
 
 
 def datagram(sender: Member, *updates: MemberStatus, **body: object) -> Datagram:
-    return Datagram(sender=sender.record(), updates=[update.update() for update in updates], **body)  # type: ignore
+    return Datagram(sender=sender.to_record(), updates=[update.to_update() for update in updates], **body)  # type: ignore
 
 
 def test_a_process_that_is_alone_calls_the_seeds_but_not_itself() -> None:
@@ -316,7 +316,7 @@
     accused = machine()
     rumour = MemberStatus(member("self", incarnation=4), MemberState.SUSPECT)
     accused.receive(0.0, PEER, datagram(member("peer"), rumour, ping=Ping(sequence=1)))
-    assert accused.own.incarnation == 5
+    assert accused.local_member.incarnation == 5
 
 
 def test_the_death_of_a_member_that_seems_healthy_is_not_believed_at_once() -> None:
@@ -353,7 +353,7 @@
     accused = machine()
     with pytest.raises(ValueError):
         accused.receive(0.0, PEER, strange)
-    assert accused.own.incarnation == 1
+    assert accused.local_member.incarnation == 1
 
 
 def test_an_older_word_changes_nothing() -> None:
--- a/tests/tier/test_tier_logs.py
+++ b/tests/tier/test_tier_logs.py
@@ -31,7 +31,7 @@
 
 
 def test_an_event_with_details(stream: io.StringIO) -> None:
-    logging.getLogger("cherrycove.tier.membership.swim").info(
+    logging.getLogger("cherrycove.tier.membership.service").info(
         "member_dead", extra={"member": "core-2", "count": 3}
     )
     assert stream.getvalue() == (
