--- a/cherrycove/tier/controlplane/barrier_proposer.py
+++ b/cherrycove/tier/controlplane/barrier_proposer.py
@@ -19,7 +19,7 @@
         self._group = group
         self._open = False
 
-    async def settle(self, timeout_s: float) -> Result[None, Failure]:
+    async def resolve(self, timeout_s: float) -> Result[None, Failure]:
         """Ok once the outcome of every earlier proposal is known here."""
         if not self._open:
             return Ok(None)
--- a/cherrycove/tier/controlplane/broker_discovery.py
+++ b/cherrycove/tier/controlplane/broker_discovery.py
@@ -103,7 +103,7 @@
         present = {key: value for key, value in item.items() if value is not None}
         return _CONVERTER.structure(present, Instance).entry()
     except (AttributeError, BaseValidationError, TypeError, ValueError, OverflowError) as error:
-        _log.warning("broker_entry_unreadable", extra={"reason": str(error)})
+        _log.warning("broker_entry_invalid", extra={"reason": str(error)})
         return None
 
 
--- a/cherrycove/tier/controlplane/broker_watcher.py
+++ b/cherrycove/tier/controlplane/broker_watcher.py
@@ -26,12 +26,12 @@
     def __init__(
         self,
         settings: Settings,
-        term: LeadershipPeriod,
+        period: LeadershipPeriod,
         topics: ControlTopics,
         reader: BrokerReader | None = None,
     ) -> None:
         """``reader`` stands in for the one that calls the platform."""
-        self._term = term
+        self._period = period
         self._topics = topics
         self._reader = reader or BrokerDiscoveryClient(settings)
         self._pacing = ReadPacing(settings)
@@ -45,7 +45,7 @@
     async def stop(self) -> None:
         await self._reader.stop()
 
-    def begin_term(self, inherited: BrokerList, now: float) -> None:
+    def on_started_leading(self, inherited: BrokerList, now: float) -> None:
         """A term began. ``inherited`` is the list of the primary before, empty where that is not known."""
         self._absences = AbsenceCheck()
         self._inherited = inherited
@@ -53,17 +53,17 @@
 
     async def step(self) -> None:
         """One read and the pause after it."""
-        if not self._term.holds():
+        if not self._period.is_leading():
             await asyncio.sleep(IDLE_S)
             return
-        epoch = self._term.epoch
+        epoch = self._period.epoch
         outcome = await self._reader.read()
         if isinstance(outcome, Err):
-            _log.info("broker_list_unread", extra={"reason": outcome.err_value.detail})
+            _log.info("broker_list_read_failed", extra={"reason": outcome.err_value.detail})
             self._inherit()
             await asyncio.sleep(self._pacing.failed(self._reader.calls))
             return
-        if self._term.holds() and self._term.epoch == epoch:
+        if self._period.is_leading() and self._period.epoch == epoch:
             self._topics.publish_brokers(self._absences.fold(outcome.ok_value, self._reader.calls))
         await asyncio.sleep(self._pacing.succeeded(self._reader.calls))
 
@@ -71,5 +71,5 @@
         """While the platform does not answer, processes that start still learn what was known last."""
         waited = asyncio.get_running_loop().time() - self._began
         unknown = self._topics.brokers is None and len(self._inherited.brokers) > 0
-        if self._term.holds() and unknown and waited >= INHERIT_AFTER_S:
+        if self._period.is_leading() and unknown and waited >= INHERIT_AFTER_S:
             self._topics.publish_brokers(self._inherited)
--- a/cherrycove/tier/controlplane/configuration_decisions.py
+++ b/cherrycove/tier/controlplane/configuration_service.py
@@ -23,7 +23,7 @@
 _log = logging.getLogger(__name__)
 
 
-class ConfigurationDecisions:
+class ConfigurationService:
     """Serialises the changes, so that of two built on one version the second sees the first committed.
 
     Only the confirmed primary decides, and it is asked again after every wait. After a change whose outcome
@@ -32,7 +32,7 @@
     """
 
     def __init__(self, group: Group, state: ControlState, leadership: Leadership) -> None:
-        self._settlement = BarrierProposer(group)
+        self._proposer = BarrierProposer(group)
         self._state = state
         self._leadership = leadership
         self._lock = asyncio.Lock()
@@ -41,10 +41,10 @@
         """Take ``body`` as the configuration that builds on ``base_version``."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + DECISION_TIMEOUT_S
-        async with self._turn(DECISION_TIMEOUT_S) as has_turn:
+        async with self._exclusive_access(DECISION_TIMEOUT_S) as has_turn:
             if not has_turn:
                 return Err(Failure(ErrorKind.UNAVAILABLE, "earlier changes are still being decided"))
-            settled = await self._settlement.settle(deadline - loop.time())
+            settled = await self._proposer.resolve(deadline - loop.time())
             if isinstance(settled, Err):
                 return settled
             command = self._check(body, base_version)
@@ -55,7 +55,7 @@
             return await self._commit(command.ok_value, deadline - loop.time())
 
     @asynccontextmanager
-    async def _turn(self, timeout_s: float) -> AsyncIterator[bool]:
+    async def _exclusive_access(self, timeout_s: float) -> AsyncIterator[bool]:
         try:
             async with asyncio.timeout(timeout_s):
                 await self._lock.acquire()
@@ -70,7 +70,7 @@
     def _check(self, body: bytes, base_version: int) -> Result[AcceptConfiguration | None, Failure]:
         """The command to commit, or None when exactly this document was taken already. Does not wait."""
         if not self._leadership.is_confirmed_primary():
-            return Err(self._leadership.refusal())
+            return Err(self._leadership.not_primary_failure())
         parsed = parse_configuration(body)
         digest = content_digest(body)
         if isinstance(parsed, Err):
@@ -94,14 +94,14 @@
     async def _commit(self, command: AcceptConfiguration, timeout_s: float) -> Result[None, Failure]:
         if timeout_s <= 0:
             return Err(Failure(ErrorKind.UNAVAILABLE, "no time left to decide"))
-        outcome = await self._settlement.propose(Command(accept_configuration=command), timeout_s)
+        outcome = await self._proposer.propose(Command(accept_configuration=command), timeout_s)
         if isinstance(outcome, Err):
             return Err(self._uncommitted(outcome.err_value))
         return self._committed(command, outcome.ok_value)
 
     def _uncommitted(self, failure: Failure) -> Failure:
         if failure.kind is ErrorKind.NOT_PRIMARY:
-            return self._leadership.refusal()
+            return self._leadership.not_primary_failure()
         if not failure.is_certain:
             return Failure(ErrorKind.DEADLINE, failure.detail)
         return Failure(ErrorKind.UNAVAILABLE, failure.detail)
--- a/cherrycove/tier/controlplane/controller.py
+++ b/cherrycove/tier/controlplane/controller.py
@@ -12,12 +12,12 @@
 from cherrycove.tier.controlplane.broker_changes import broker_entry
 from cherrycove.tier.controlplane.broker_discovery import BrokerReader
 from cherrycove.tier.controlplane.broker_watcher import BrokerWatcher
-from cherrycove.tier.controlplane.configuration_decisions import ConfigurationDecisions
+from cherrycove.tier.controlplane.configuration_service import ConfigurationService
 from cherrycove.tier.controlplane.controller_group import ControllerGroupMembership
 from cherrycove.tier.controlplane.leadership import Leadership
 from cherrycove.tier.controlplane.leadership_period import LeadershipPeriod, LeadershipPeriodAuthority
 from cherrycove.tier.controlplane.operator_api import OperatorApi
-from cherrycove.tier.controlplane.process_registry import REMEMBERED_S, ProcessRegistry
+from cherrycove.tier.controlplane.process_registry import RETENTION_S, ProcessRegistry
 from cherrycove.tier.controlplane.retirement import RetirementService
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.controlplane.store_group import StoreInventory, full_size
@@ -26,6 +26,7 @@
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.distribution.publisher import Publisher
 from cherrycove.tier.errors import Failure
+from cherrycove.tier.program_names import CONTROLLER_PROGRAM, STORE_PROGRAM
 from cherrycove.tier.protocol.control_pb2 import Announcement, BrokerList, MemberList, PullRequest, Replica
 from cherrycove.tier.protocol.interface import Caller, CallRegistry
 from cherrycove.tier.protocol.keeper_pb2 import StatusReply, StatusRequest
@@ -64,18 +65,18 @@
         self._state = state
         self._views = ClusterView() if views is None else views
         self._leadership = Leadership(group, self._views)
-        self._term = LeadershipPeriod(group, self._begin_term, self._end_term)
-        self._term_began = 0.0
+        self._period = LeadershipPeriod(group, self._on_started_leading, self._on_stopped_leading)
+        self._leading_since = 0.0
         self._members_due_at = 0.0
-        self._register = ProcessRegistry()
-        self._publisher = Publisher(LeadershipPeriodAuthority(self._term, self._leadership), self._on_pull)
+        self._registry = ProcessRegistry()
+        self._publisher = Publisher(LeadershipPeriodAuthority(self._period, self._leadership), self._on_pull)
         self._topics = ControlTopics(self._publisher, state)
-        self._wishes = ControllerGroupMembership(settings, group, state)
-        self._stores = StoreGroupReconciler(settings, group, state, self._term, client, self._fleet)
-        self._brokers = BrokerWatcher(settings, self._term, self._topics, reader)
-        decisions = ConfigurationDecisions(group, state, self._leadership)
+        self._membership = ControllerGroupMembership(settings, group, state)
+        self._stores = StoreGroupReconciler(settings, group, state, self._period, client, self._inventory)
+        self._brokers = BrokerWatcher(settings, self._period, self._topics, reader)
+        decisions = ConfigurationService(group, state, self._leadership)
         retirement = RetirementService(
-            group, state, self._leadership, self._fleet, self._stores_heard, full_size(settings)
+            group, state, self._leadership, self._inventory, self._stores_heard, full_size(settings)
         )
         self.operator_api = OperatorApi(self._leadership, state, decisions, retirement)
         self._tasks: list[asyncio.Task[None]] = []
@@ -103,8 +104,8 @@
     async def status(self, request: StatusRequest) -> Result[StatusReply, Failure]:
         """What this keeper knows; only the confirmed primary's is complete."""
         primary = self._group.primary
-        leads = self._term.holds()
-        members = self._register.members(_now()).members if leads else self._views.members
+        leads = self._period.is_leading()
+        members = self._registry.members(_now()).members if leads else self._views.members
         return Ok(
             StatusReply(
                 node_name=self._settings.node_name,
@@ -121,79 +122,81 @@
         )
 
     def _stores_heard(self) -> bool:
-        return self._term.holds() and _now() - self._term_began >= STORES_HEARD_S
+        return self._period.is_leading() and _now() - self._leading_since >= STORES_HEARD_S
 
-    def _fleet(self) -> StoreInventory:
-        recent = _now() - self._term_began < REMEMBERED_S
+    def _inventory(self) -> StoreInventory:
+        recent = _now() - self._leading_since < RETENTION_S
         machines = self._state.machines
         return StoreInventory(
-            alive=self._register.alive(_now(), "store"),
-            remembered=self._register.remembered("store"),
+            alive=self._registry.alive(_now(), STORE_PROGRAM),
+            recently_seen=self._registry.recently_seen(STORE_PROGRAM),
             initial=self._state.initial_stores,
             orders=self._state.retire_orders,
             machines=machines,
             keepers=self._keeper_disks(),
-            awaited=frozenset(machines) if recent else frozenset(),
+            not_yet_announced=frozenset(machines) if recent else frozenset(),
         )
 
     def _keeper_disks(self) -> dict[str, str]:
         """The newest disk of the keeper on each machine, as announced to this primary."""
-        keepers = (entry.announcement for entry in self._register.remembered("keeper"))
+        keepers = (entry.announcement for entry in self._registry.recently_seen(CONTROLLER_PROGRAM))
         names = {keeper.node_name: keeper.member_id for keeper in keepers}
         return {**names, self._settings.node_name: self._group.identity.member_id}
 
     def _on_pull(self, request: PullRequest) -> None:
-        self._term.update()
-        self._register.announce(request.announcement, _now())
+        self._period.update()
+        self._registry.announce(request.announcement, _now())
 
     def _on_group_change(self) -> None:
-        self._term.update()
+        self._period.update()
         self._publisher.wake()
 
     def _on_state_change(self) -> None:
-        self._wishes.retire()
-        if self._term.epoch is not None:
+        self._membership.retire()
+        if self._period.epoch is not None:
             self._topics.publish_state()
 
-    def _begin_term(self, epoch: int) -> None:
+    def _on_started_leading(self, epoch: int) -> None:
         now = _now()
-        self._term_began = now
+        self._leading_since = now
         self._members_due_at = now
-        self._wishes.retire()
+        self._membership.retire()
         if epoch == self._topics.epoch:
-            self._register.resume(now)
+            self._registry.resume(now)
             self._topics.publish_state()
             return
-        self._register = ProcessRegistry()
-        self._stores.begin_term()
+        self._registry = ProcessRegistry()
+        self._stores.on_started_leading()
         inherited = BrokerList()
         if now - self._views.last_contact < SEED_AGE_S:
-            self._register.seed(self._views.members, now)
+            self._registry.seed(self._views.members, now)
             inherited = BrokerList(brokers=[broker_entry(one) for one in self._views.brokers])
         else:
             self._members_due_at = now + MEMBERS_HEARD_S
-        self._brokers.begin_term(inherited, now)
-        self._topics.begin_term(epoch)
+        self._brokers.on_started_leading(inherited, now)
+        self._topics.begin_epoch(epoch)
 
-    def _end_term(self) -> None:
-        self._wishes.withdraw()
+    def _on_stopped_leading(self) -> None:
+        self._membership.withdraw()
         self._publisher.wake()
 
     async def _watch(self) -> None:
-        self._term.update()
-        if self._term.holds():
+        self._period.update()
+        if self._period.is_leading():
             now = _now()
-            self._register.forget_old(now)
+            self._registry.forget_old(now)
             if now >= self._members_due_at:
                 self._topics.publish_members(self._members(now), now)
-            self._wishes.update(self._register.alive(now, "keeper"))
+            self._membership.update(self._registry.alive(now, CONTROLLER_PROGRAM))
         await asyncio.sleep(TICK_S)
 
     def _members(self, now: float) -> MemberList:
         """Processes alive, without stores whose disk is not recorded yet: the store group takes its standbys
         from this list, and a retire order must know every disk that could be taken in."""
-        announced = self._register.members(now).members
-        return MemberList(members=[one for one in announced if one.program != "store" or self._recorded(one)])
+        announced = self._registry.members(now).members
+        return MemberList(
+            members=[one for one in announced if one.program != STORE_PROGRAM or self._recorded(one)]
+        )
 
     def _recorded(self, store: Announcement) -> bool:
         machine = self._state.machines.get(store.node_name)
@@ -206,7 +209,7 @@
         try:
             await step()
         except Exception:
-            _log.exception("keeper_step_failed", extra={"step": name})
+            _log.exception("controller_step_failed", extra={"step": name})
             await asyncio.sleep(ERROR_PAUSE_S)
 
 
--- a/cherrycove/tier/controlplane/controller_group.py
+++ b/cherrycove/tier/controlplane/controller_group.py
@@ -7,6 +7,7 @@
 from cherrycove.tier.controlplane.machines import is_on_machine
 from cherrycove.tier.controlplane.process_registry import Registration
 from cherrycove.tier.controlplane.state import ControlState
+from cherrycove.tier.program_names import CONTROLLER_PROGRAM
 from cherrycove.tier.protocol.control_pb2 import Announcement
 from cherrycove.tier.replication.interface import Group, MemberIdentity
 from cherrycove.tier.settings import Settings
@@ -47,7 +48,9 @@
         """Disks to be excluded, also of machines that are away; they are offered so that the group, which
         takes none of them in, commits that it never will."""
         return [
-            MemberIdentity(disk, order.node_name, self._settings.peer_address(order.ips[-1], "keeper"))
+            MemberIdentity(
+                disk, order.node_name, self._settings.peer_address(order.ips[-1], CONTROLLER_PROGRAM)
+            )
             for order in self._state.retire_orders.values()
             for disk in order.keeper_ids
             if order.ips
@@ -57,7 +60,7 @@
         return MemberIdentity(
             member_id=keeper.member_id,
             node_name=keeper.node_name,
-            address=self._settings.peer_address(keeper.ip, "keeper"),
+            address=self._settings.peer_address(keeper.ip, CONTROLLER_PROGRAM),
             zone=keeper.zone,
         )
 
--- a/cherrycove/tier/controlplane/leadership.py
+++ b/cherrycove/tier/controlplane/leadership.py
@@ -47,10 +47,10 @@
         listed = group.identity.member_id in group.voting_member_ids()
         if primary is None and listed and views.last_contact - self._primary_since < WITHOUT_HEARTBEATS_S:
             return ""
-        heard_at, address = views.last_contact, views.primary_address
-        if primary is not None and self._primary_since >= heard_at:
-            heard_at, address = self._primary_since, primary.address
-        if now - heard_at >= HINT_FRESH_S or address == group.identity.address:
+        last_seen_at, address = views.last_contact, views.primary_address
+        if primary is not None and self._primary_since >= last_seen_at:
+            last_seen_at, address = self._primary_since, primary.address
+        if now - last_seen_at >= HINT_FRESH_S or address == group.identity.address:
             return ""
         return address
 
@@ -61,11 +61,11 @@
             self._primary_id = member_id
             self._primary_since = asyncio.get_running_loop().time()
 
-    def refusal(self) -> Failure:
+    def not_primary_failure(self) -> Failure:
         """The failure of a call that only the confirmed primary may decide."""
         return Failure(ErrorKind.NOT_PRIMARY, "not the primary keeper", self.primary_address())
 
-    async def settled(self, timeout_s: float = SETTLE_TIMEOUT_S) -> Result[None, Failure]:
+    async def wait_until_confirmed(self, timeout_s: float = SETTLE_TIMEOUT_S) -> Result[None, Failure]:
         """Ok when this replica is confirmed; else a refusal, given once another leads or the time is over.
 
         A caller that awaits anything afterwards must ask ``confirmed`` again before it refuses for good."""
@@ -73,6 +73,6 @@
         deadline = loop.time() + timeout_s
         while not self._group.is_confirmed_primary():
             if self.primary_address() or loop.time() >= deadline:
-                return Err(self.refusal())
+                return Err(self.not_primary_failure())
             await asyncio.sleep(POLL_S)
         return Ok(None)
--- a/cherrycove/tier/controlplane/leadership_period.py
+++ b/cherrycove/tier/controlplane/leadership_period.py
@@ -14,11 +14,13 @@
 class LeadershipPeriod:
     """The present term: an epoch in which this replica is the confirmed primary. A lost lease pauses it."""
 
-    def __init__(self, group: Group, on_begin: Callable[[int], None], on_end: Callable[[], None]) -> None:
-        """``on_begin`` is told the epoch, also when a term goes on after a pause."""
+    def __init__(
+        self, group: Group, on_started_leading: Callable[[int], None], on_stopped_leading: Callable[[], None]
+    ) -> None:
+        """``on_started_leading`` is told the epoch, also when a term goes on after a pause."""
         self._group = group
-        self._on_begin = on_begin
-        self._on_end = on_end
+        self._on_started_leading = on_started_leading
+        self._on_stopped_leading = on_stopped_leading
         self._epoch: int | None = None
 
     @property
@@ -33,13 +35,13 @@
             return
         self._epoch = epoch
         if epoch is None:
-            _log.info("keeper_term_paused")
-            self._on_end()
+            _log.info("leadership_stopped")
+            self._on_stopped_leading()
         else:
-            _log.info("keeper_term_begun", extra={"epoch": epoch})
-            self._on_begin(epoch)
+            _log.info("leadership_started", extra={"epoch": epoch})
+            self._on_started_leading(epoch)
 
-    def holds(self) -> bool:
+    def is_leading(self) -> bool:
         """Whether this replica still leads in the epoch of the last update."""
         return (
             self._epoch is not None
@@ -54,8 +56,8 @@
     A lease can begin to hold without a change that the group reports. Without the update, a pull that was
     held meanwhile would be answered with what was published in an earlier term."""
 
-    def __init__(self, term: LeadershipPeriod, leadership: Leadership) -> None:
-        self._term = term
+    def __init__(self, period: LeadershipPeriod, leadership: Leadership) -> None:
+        self._period = period
         self._leadership = leadership
 
     @property
@@ -63,8 +65,8 @@
         return self._leadership.epoch
 
     def is_confirmed_primary(self) -> bool:
-        self._term.update()
-        return self._term.holds()
+        self._period.update()
+        return self._period.is_leading()
 
     def primary_address(self) -> str:
         return self._leadership.primary_address()
--- a/cherrycove/tier/controlplane/operator_api.py
+++ b/cherrycove/tier/controlplane/operator_api.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 from result import Err, Ok, Result
 
-from cherrycove.tier.controlplane.configuration_decisions import MAX_VERSION, ConfigurationDecisions
+from cherrycove.tier.controlplane.configuration_service import MAX_VERSION, ConfigurationService
 from cherrycove.tier.controlplane.leadership import Leadership
 from cherrycove.tier.controlplane.retirement import RetirementService
 from cherrycove.tier.controlplane.state import ControlState
@@ -29,7 +29,7 @@
         self,
         leadership: Leadership,
         state: ControlState,
-        decisions: ConfigurationDecisions,
+        decisions: ConfigurationService,
         retirement: RetirementService,
     ) -> None:
         self._leadership = leadership
@@ -70,7 +70,7 @@
 
     async def _put_configuration(self, request: web.Request) -> web.Response:
         body = await _read_body(request)
-        settled = await self._leadership.settled()
+        settled = await self._leadership.wait_until_confirmed()
         if isinstance(settled, Err):
             return self._failed(request, settled.err_value)
         if isinstance(body, Err):
@@ -81,7 +81,7 @@
         return self._answered(request, await self._decisions.put(body.ok_value, base_version))
 
     async def _get_configuration(self, request: web.Request) -> web.Response:
-        settled = await self._leadership.settled()
+        settled = await self._leadership.wait_until_confirmed()
         if isinstance(settled, Err):
             return self._failed(request, settled.err_value)
         configuration = self._state.configuration
@@ -94,13 +94,13 @@
         )
 
     async def _post_retire(self, request: web.Request) -> web.Response:
-        settled = await self._leadership.settled()
+        settled = await self._leadership.wait_until_confirmed()
         if isinstance(settled, Err):
             return self._failed(request, settled.err_value)
         return self._answered(request, await self._retirement.order(request.match_info["node"]))
 
     async def _get_retire(self, request: web.Request) -> web.Response:
-        settled = await self._leadership.settled()
+        settled = await self._leadership.wait_until_confirmed()
         if isinstance(settled, Err):
             return self._failed(request, settled.err_value)
         state = self._retirement.state(request.match_info["node"])
@@ -116,7 +116,7 @@
     def _refused(self, request: web.Request, failure: Failure) -> web.Response:
         """A refusal for good, which only the confirmed primary may give."""
         confirmed = self._leadership.is_confirmed_primary()
-        return self._failed(request, failure if confirmed else self._leadership.refusal())
+        return self._failed(request, failure if confirmed else self._leadership.not_primary_failure())
 
     def _failed(self, request: web.Request, failure: Failure) -> web.Response:
         body = {"error": failure.kind.value, "detail": failure.detail}
--- a/cherrycove/tier/controlplane/process_registry.py
+++ b/cherrycove/tier/controlplane/process_registry.py
@@ -10,7 +10,7 @@
 
 MEMBER_TIMEOUT_S = 3.0  # without a pull for so long, a process counts as gone
 LEAVING_TIMEOUT_S = 1.5  # the same, of one that announced to leave
-REMEMBERED_S = 60.0  # a store that is gone may come back for so long
+RETENTION_S = 60.0  # a store that is gone may come back for so long
 MINOR_CHANGE_INTERVAL_S = 1.0  # rates and versions alone are published no more often
 REPLACED_SILENT_S = 1.5  # a process that lives pulls more often than this
 REPLACED_KEPT = 4  # earlier incarnations of one process that are recognised
@@ -29,13 +29,13 @@
     """What is known of one process."""
 
     announcement: Announcement
-    heard_at: float  # s
-    seeded: bool = False  # known from an earlier primary's list only
+    last_seen_at: float  # s
+    inherited: bool = False  # known from an earlier primary's list only
     replaced: tuple[str, ...] = ()  # earlier incarnations
 
     def alive(self, now: float) -> bool:
         timeout = LEAVING_TIMEOUT_S if self.announcement.leaving else MEMBER_TIMEOUT_S
-        return now - self.heard_at < timeout
+        return now - self.last_seen_at < timeout
 
 
 class ProcessRegistry:
@@ -49,13 +49,13 @@
         for member in members:
             key = ProcessKey(member.node_name, member.program)
             if key not in self._entries:
-                self._entries[key] = Registration(announcement=member, heard_at=now, seeded=True)
+                self._entries[key] = Registration(announcement=member, last_seen_at=now, inherited=True)
 
     def resume(self, now: float) -> None:
         """Nobody could be heard for a while; each process alive before has the usual time again."""
         for entry in self._entries.values():
-            entry.heard_at = now
-            entry.seeded = True
+            entry.last_seen_at = now
+            entry.inherited = True
 
     def announce(self, announcement: Announcement, now: float) -> None:
         """A process announced itself; a newer incarnation replaces an older one.
@@ -67,17 +67,17 @@
         known = self._entries.get(key)
         replaced: tuple[str, ...] = ()
         if known is not None:
-            if announcement.incarnation in known.replaced and now - known.heard_at < REPLACED_SILENT_S:
+            if announcement.incarnation in known.replaced and now - known.last_seen_at < REPLACED_SILENT_S:
                 return
             replaced = tuple(one for one in known.replaced if one != announcement.incarnation)
             if known.announcement.incarnation != announcement.incarnation:
                 replaced = (*replaced, known.announcement.incarnation)[-REPLACED_KEPT:]
-        self._entries[key] = Registration(announcement=announcement, heard_at=now, replaced=replaced)
+        self._entries[key] = Registration(announcement=announcement, last_seen_at=now, replaced=replaced)
 
     def forget_old(self, now: float) -> None:
         """Drop what was not heard of for so long that nothing depends on it."""
         self._entries = {
-            key: entry for key, entry in self._entries.items() if now - entry.heard_at < REMEMBERED_S
+            key: entry for key, entry in self._entries.items() if now - entry.last_seen_at < RETENTION_S
         }
 
     def alive(self, now: float, program: str = "") -> list[Registration]:
@@ -89,7 +89,7 @@
         ]
         return sorted(found, key=lambda entry: (entry.announcement.node_name, entry.announcement.program))
 
-    def remembered(self, program: str) -> list[Registration]:
+    def recently_seen(self, program: str) -> list[Registration]:
         """Processes of one program, also those lately gone."""
         return [entry for entry in self._entries.values() if entry.announcement.program == program]
 
@@ -106,7 +106,7 @@
     return relevant.SerializeToString(deterministic=True)
 
 
-class MemberListChanges:
+class MemberListThrottle:
     """Decides when a new list of members is worth publishing."""
 
     def __init__(self) -> None:
@@ -114,7 +114,7 @@
         self._whole = b""
         self._published_at = float("-inf")
 
-    def due(self, members: MemberList, now: float) -> bool:
+    def should_publish(self, members: MemberList, now: float) -> bool:
         """Whether to publish ``members`` now; True counts as published."""
         whole = members.SerializeToString(deterministic=True)
         if self._relevant is not None and whole == self._whole:
--- a/cherrycove/tier/controlplane/retirement.py
+++ b/cherrycove/tier/controlplane/retirement.py
@@ -33,15 +33,15 @@
         group: Group,
         state: ControlState,
         leadership: Leadership,
-        fleet: Callable[[], StoreInventory],
+        inventory: Callable[[], StoreInventory],
         stores_heard: Callable[[], bool],
         group_size: int,
     ) -> None:
-        """``fleet`` is the present view; ``stores_heard`` tells whether all stores had time to announce."""
-        self._settlement = BarrierProposer(group)
+        """``inventory`` is the present view; ``stores_heard``: whether all stores had time to announce."""
+        self._proposer = BarrierProposer(group)
         self._state = state
         self._leadership = leadership
-        self._fleet = fleet
+        self._inventory = inventory
         self._stores_heard = stores_heard
         self._group_size = group_size
         self._lock = asyncio.Lock()
@@ -61,7 +61,7 @@
 
     async def _order(self, node_name: str, deadline: float) -> Result[None, Failure]:
         loop = asyncio.get_running_loop()
-        settled = await self._settlement.settle(deadline - loop.time())
+        settled = await self._proposer.resolve(deadline - loop.time())
         if isinstance(settled, Err):
             return settled
         checked = self._check(node_name)
@@ -69,41 +69,41 @@
             return checked
         if checked.ok_value is None:
             return Ok(None)
-        outcome = await self._settlement.propose(Command(retire=checked.ok_value), deadline - loop.time())
+        outcome = await self._proposer.propose(Command(retire=checked.ok_value), deadline - loop.time())
         if isinstance(outcome, Ok):
             return Ok(None)
         failure = outcome.err_value
         if failure.kind is ErrorKind.NOT_PRIMARY:
-            return Err(self._leadership.refusal())
+            return Err(self._leadership.not_primary_failure())
         kind = ErrorKind.UNAVAILABLE if failure.is_certain else ErrorKind.DEADLINE
         return Err(Failure(kind, failure.detail))
 
     def _check(self, node_name: str) -> Result[Retire | None, Failure]:
         """The command to commit, or None when the order is in force already. Does not wait."""
         if not self._leadership.is_confirmed_primary():
-            return Err(self._leadership.refusal())
-        fleet = self._fleet()
-        machine = fleet.machine(node_name)
+            return Err(self._leadership.not_primary_failure())
+        inventory = self._inventory()
+        machine = inventory.machine(node_name)
         order = self._state.retire_orders.get(node_name)
         if order is not None and (not order.completed or same_machine(order, machine)):
             return Ok(None)
-        enough = fleet.left_without(node_name, fleet.alive) >= self._group_size
-        if fleet.knows(node_name) and enough:
+        enough = inventory.count_remaining(node_name, inventory.alive) >= self._group_size
+        if inventory.is_known(node_name) and enough:
             return Ok(retire_command(machine))
-        return Err(self._refusal(node_name, fleet))
+        return Err(self._refusal(node_name, inventory))
 
-    def _refusal(self, node_name: str, fleet: StoreInventory) -> Failure:
-        if not self._stores_heard() or not fleet.remembered:
+    def _refusal(self, node_name: str, inventory: StoreInventory) -> Failure:
+        if not self._stores_heard() or not inventory.recently_seen:
             return Failure(ErrorKind.UNAVAILABLE, "the stores have not announced themselves yet")
-        if not fleet.knows(node_name):
+        if not inventory.is_known(node_name):
             return Failure(ErrorKind.NOT_FOUND, f"no storage machine {node_name!r}")
-        if fleet.may_be_left_without(node_name) >= self._group_size:
+        if inventory.count_possibly_remaining(node_name) >= self._group_size:
             return Failure(ErrorKind.UNAVAILABLE, "a storage machine is away at the moment")
         return Failure(ErrorKind.CONFLICT, "too few storage machines would remain")
 
     def state(self, node_name: str) -> Result[RetireState, Failure]:
         if not self._leadership.is_confirmed_primary():
-            return Err(self._leadership.refusal())
+            return Err(self._leadership.not_primary_failure())
         order = self._state.retire_orders.get(node_name)
         if order is None:
             return Err(Failure(ErrorKind.NOT_FOUND, f"no order to empty {node_name!r}"))
--- a/cherrycove/tier/controlplane/retirement_check.py
+++ b/cherrycove/tier/controlplane/retirement_check.py
@@ -33,7 +33,7 @@
     revision: int | None = None  # of the orders that its primary knows; None: all, the orders are its state
 
     @staticmethod
-    def of_keepers(committed: CommittedMembers) -> CommittedMembership:
+    def of_controllers(committed: CommittedMembers) -> CommittedMembership:
         members = (GroupMember(one.member_id, one.node_name, one.address) for one in committed.members)
         return CommittedMembership(tuple(members), committed.excluded)
 
@@ -52,7 +52,7 @@
         ]
 
 
-def obstacle(
+def blocking_reason(
     order: RetireOrder, keepers: CommittedMembership, stores: CommittedMembership, group_size: int
 ) -> str | None:
     """What keeps the machine of ``order`` from being taken away; None if nothing does.
@@ -60,12 +60,12 @@
     ``group_size`` is the size at which a group bears all losses that may come."""
     if not order.ips or not order.store_ids:
         return "the address or the disk of the machine is not known"
-    in_stores = _obstacle_in("store", stores, order, order.store_ids)
+    in_stores = _blocking_reason_in("store", stores, order, order.store_ids)
     if in_stores is not None:
         return in_stores
     if len(stores.members) < group_size:
         return f"the store group has {len(stores.members)} members of {group_size}"
-    in_keepers = _obstacle_in("keeper", keepers, order, order.keeper_ids)
+    in_keepers = _blocking_reason_in("keeper", keepers, order, order.keeper_ids)
     if in_keepers is not None:
         return in_keepers
     if order.keeper_ids and len(keepers.members) < group_size:
@@ -73,7 +73,7 @@
     return None
 
 
-def _obstacle_in(
+def _blocking_reason_in(
     group: str, committed: CommittedMembership, order: RetireOrder, disks: Collection[str]
 ) -> str | None:
     if committed.revision is not None and committed.revision < order.revision:
--- a/cherrycove/tier/controlplane/store_group.py
+++ b/cherrycove/tier/controlplane/store_group.py
@@ -8,6 +8,7 @@
 
 from cherrycove.tier.controlplane.machines import same_machine
 from cherrycove.tier.controlplane.process_registry import Registration
+from cherrycove.tier.program_names import STORE_PROGRAM
 from cherrycove.tier.protocol.control_pb2 import Announcement, Replica
 from cherrycove.tier.protocol.keeper_pb2 import (
     Command,
@@ -71,7 +72,7 @@
             Replica(
                 member_id=store.member_id,
                 node_name=store.node_name,
-                address=self._settings.peer_address(store.ip, "store"),
+                address=self._settings.peer_address(store.ip, STORE_PROGRAM),
                 zone=store.zone,
             )
             for store in spread
@@ -80,7 +81,7 @@
 
 def _usable(entry: Registration) -> bool:
     announcement = entry.announcement
-    return bool(announcement.member_id) and not announcement.leaving and not entry.seeded
+    return bool(announcement.member_id) and not announcement.leaving and not entry.inherited
 
 
 def _over_zones(stores: Iterable[Announcement]) -> list[Announcement]:
@@ -99,15 +100,17 @@
     """The stores as the primary keeper sees them at one moment."""
 
     alive: Sequence[Registration]
-    remembered: Sequence[Registration]  # also those lately gone
+    recently_seen: Sequence[Registration]  # also those lately gone
     initial: Sequence[Replica]
     orders: Mapping[str, RetireOrder]
     machines: Mapping[str, StoreMachine] = attrs.field(factory=dict)  # recorded in the replicated state
     keepers: Mapping[str, str] = attrs.field(factory=dict)  # newest disk of the keeper on each machine
-    awaited: frozenset[str] = frozenset()  # recorded machines that had too little time to announce themselves
+    not_yet_announced: frozenset[str] = (
+        frozenset()
+    )  # recorded machines that had too little time to announce themselves
 
-    def knows(self, node_name: str) -> bool:
-        known = {entry.announcement.node_name for entry in self.remembered}
+    def is_known(self, node_name: str) -> bool:
+        known = {entry.announcement.node_name for entry in self.recently_seen}
         known.update(replica.node_name for replica in self.initial)
         return node_name in known or node_name in self.machines or node_name in self.orders
 
@@ -115,7 +118,7 @@
         """What is known of a machine: what it announced lately, else what is recorded."""
         known = StoreMachine(node_name=node_name)
         known.MergeFrom(self.machines.get(node_name, known))
-        for entry in (*self.remembered, *self.alive):
+        for entry in (*self.recently_seen, *self.alive):
             if entry.announcement.node_name == node_name:
                 known.MergeFrom(self._announced(entry))
         return known
@@ -129,27 +132,29 @@
             keeper_id=self.keepers.get(announcement.node_name, ""),
         )
 
-    def heard_machines(self) -> list[StoreMachine]:
+    def announced_machines(self) -> list[StoreMachine]:
         """Machines whose stores announced themselves to this primary and are alive."""
-        heard = [entry for entry in self.alive if not entry.seeded and entry.announcement.member_id]
+        heard = [entry for entry in self.alive if not entry.inherited and entry.announcement.member_id]
         return [self._announced(entry) for entry in heard]
 
-    def left_without(self, node_name: str, entries: Sequence[Registration]) -> int:
+    def count_remaining(self, node_name: str, entries: Sequence[Registration]) -> int:
         """Machines among ``entries`` that stay when ``node_name`` and all others to be emptied are gone."""
         names = {entry.announcement.node_name for entry in entries if not entry.announcement.leaving}
         return len(names - set(self.orders) - {node_name})
 
-    def may_be_left_without(self, node_name: str) -> int:
+    def count_possibly_remaining(self, node_name: str) -> int:
         """The same, with machines that are away at the moment and may come back."""
-        names = {entry.announcement.node_name for entry in self.remembered}
-        return len((names | self.awaited) - set(self.orders) - {node_name})
+        names = {entry.announcement.node_name for entry in self.recently_seen}
+        return len((names | self.not_yet_announced) - set(self.orders) - {node_name})
 
 
-def record_updates(fleet: StoreInventory) -> list[Command]:
+def record_updates(inventory: StoreInventory) -> list[Command]:
     """The command that records machines that are new, or have another address or disk; an open order learns
     from it as well."""
     changed = [
-        machine for machine in fleet.heard_machines() if _adds(machine, fleet.machines.get(machine.node_name))
+        machine
+        for machine in inventory.announced_machines()
+        if _adds(machine, inventory.machines.get(machine.node_name))
     ]
     return [Command(record_machines=RecordMachines(machines=changed))] if changed else []
 
@@ -164,7 +169,7 @@
     return merged != known
 
 
-def order_updates(fleet: StoreInventory) -> list[Command]:
+def order_updates(inventory: StoreInventory) -> list[Command]:
     """Commands that bring the retire orders up to date with what the stores announced.
 
     - An open order without a disk, or whose machine lost its disk meanwhile, takes on the present disk.
@@ -173,8 +178,8 @@
       then, and stays out of the groups.
     """
     commands = []
-    for machine in fleet.heard_machines():
-        order = fleet.orders.get(machine.node_name)
+    for machine in inventory.announced_machines():
+        order = inventory.orders.get(machine.node_name)
         if order is None or machine.store_id == order.member_id:
             continue
         if not order.completed:
--- a/cherrycove/tier/controlplane/store_group_reconciler.py
+++ b/cherrycove/tier/controlplane/store_group_reconciler.py
@@ -9,7 +9,7 @@
 from result import Err
 
 from cherrycove.tier.controlplane.leadership_period import LeadershipPeriod
-from cherrycove.tier.controlplane.retirement_check import CommittedMembership, obstacle
+from cherrycove.tier.controlplane.retirement_check import CommittedMembership, blocking_reason
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.controlplane.store_group import (
     StoreGroupBootstrap,
@@ -19,6 +19,7 @@
     record_updates,
 )
 from cherrycove.tier.controlplane.store_members import StoreMembersReader
+from cherrycove.tier.program_names import STORE_PROGRAM
 from cherrycove.tier.protocol.interface import Caller
 from cherrycove.tier.protocol.keeper_pb2 import Command, FormStoreGroup, Retired, RetireOrder
 from cherrycove.tier.replication.interface import Group
@@ -38,24 +39,24 @@
         settings: Settings,
         group: Group,
         state: ControlState,
-        term: LeadershipPeriod,
+        period: LeadershipPeriod,
         client: Caller,
-        fleet: Callable[[], StoreInventory],
+        inventory: Callable[[], StoreInventory],
     ) -> None:
-        """``group`` is the keepers' own; ``fleet`` tells what the stores announced to this primary."""
+        """``group`` is the keepers' own; ``inventory`` tells what the stores announced to this primary."""
         self._settings = settings
         self._group = group
         self._state = state
-        self._term = term
-        self._fleet = fleet
+        self._period = period
+        self._inventory = inventory
         self._reader = StoreMembersReader(client)
         self._forming = StoreGroupBootstrap(settings)
-        self._obstacles: dict[str, str] = {}
+        self._reasons: dict[str, str] = {}
 
-    def begin_term(self) -> None:
+    def on_started_leading(self) -> None:
         """What was gathered in an earlier term counts no more."""
         self._forming = StoreGroupBootstrap(self._settings)
-        self._obstacles = {}
+        self._reasons = {}
 
     async def step(self) -> None:
         """One look at the stores and the pause after it."""
@@ -64,19 +65,19 @@
 
     async def work(self) -> None:
         """What is to be done now, if this keeper leads."""
-        if not self._term.holds():
+        if not self._period.is_leading():
             return
         for command in self._commands():
             await self._propose(command)
         await self._complete_orders()
 
     def _commands(self) -> list[Command]:
-        fleet = self._fleet()
+        inventory = self._inventory()
         if self._state.initial_stores:
-            return [*record_updates(fleet), *order_updates(fleet)]
-        initial = self._forming.choose(fleet.alive, asyncio.get_running_loop().time())
+            return [*record_updates(inventory), *order_updates(inventory)]
+        initial = self._forming.choose(inventory.alive, asyncio.get_running_loop().time())
         forming = [Command(form_store_group=FormStoreGroup(initial=initial))] if initial else []
-        return [*record_updates(fleet), *forming]
+        return [*record_updates(inventory), *forming]
 
     async def _complete_orders(self) -> None:
         """Complete the orders whose machines both groups have left, by their committed lists.
@@ -91,10 +92,10 @@
         stores = CommittedMembership.of_stores(reply.ok_value)
         for order in self._open_orders():
             committed = self._group.committed_members()
-            if committed is None or not self._term.holds():
+            if committed is None or not self._period.is_leading():
                 return
-            keepers = CommittedMembership.of_keepers(committed)
-            hindrance = obstacle(order, keepers, stores, full_size(self._settings))
+            keepers = CommittedMembership.of_controllers(committed)
+            hindrance = blocking_reason(order, keepers, stores, full_size(self._settings))
             self._note(order, hindrance or "")
             if hindrance is None:
                 await self._propose(Command(retired=_retired(order)))
@@ -104,17 +105,17 @@
 
     def _store_addresses(self) -> list[str]:
         """Stores to ask: those that say they lead first, the newest epoch before others, then all known."""
-        alive = self._fleet().alive
+        alive = self._inventory().alive
         leaders = [one.announcement for one in alive if one.announcement.group_primary]
         leaders.sort(key=lambda leader: leader.group_epoch, reverse=True)
         others = [one.announcement for one in alive]
         ips = [*(one.ip for one in (*leaders, *others)), *(one.ip for one in self._state.machines.values())]
-        return [self._settings.peer_address(ip, "store") for ip in dict.fromkeys(ips) if ip]
+        return [self._settings.peer_address(ip, STORE_PROGRAM) for ip in dict.fromkeys(ips) if ip]
 
     def _note(self, order: RetireOrder, hindrance: str) -> None:
-        if hindrance != self._obstacles.get(order.node_name, ""):
-            _log.info("retire_order_waits", extra={"machine": order.node_name, "reason": hindrance})
-        self._obstacles[order.node_name] = hindrance
+        if hindrance != self._reasons.get(order.node_name, ""):
+            _log.info("retire_order_blocked", extra={"machine": order.node_name, "reason": hindrance})
+        self._reasons[order.node_name] = hindrance
 
     async def _propose(self, command: Command) -> None:
         outcome = await self._group.propose(command.SerializeToString(), COMMAND_TIMEOUT_S)
--- a/cherrycove/tier/controlplane/topics.py
+++ b/cherrycove/tier/controlplane/topics.py
@@ -5,7 +5,7 @@
 import logging
 
 from cherrycove.tier.controlplane.broker_changes import same_brokers
-from cherrycove.tier.controlplane.process_registry import MemberListChanges
+from cherrycove.tier.controlplane.process_registry import MemberListThrottle
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.distribution.publisher import Publisher
 from cherrycove.tier.distribution.topics import BROKERS, CONFIGURATION, MEMBERS, STORE_GROUP
@@ -22,7 +22,7 @@
         self._state = state
         self._epoch = 0
         self._sequence = 0
-        self._member_changes = MemberListChanges()
+        self._member_changes = MemberListThrottle()
         self._member_names: set[str] = set()
         self._brokers: BrokerList | None = None
 
@@ -36,11 +36,11 @@
         """The newest list of this term; None before the first."""
         return self._brokers
 
-    def begin_term(self, epoch: int) -> None:
+    def begin_epoch(self, epoch: int) -> None:
         """Forget what was published in earlier epochs; pullers keep theirs until something newer comes."""
         self._epoch = epoch
         self._sequence = 0
-        self._member_changes = MemberListChanges()
+        self._member_changes = MemberListThrottle()
         self._brokers = None
         for topic in (CONFIGURATION, STORE_GROUP, BROKERS, MEMBERS):
             self._publisher.board.withdraw(topic)
@@ -58,7 +58,7 @@
             self._publish(TopicUpdate(version=version, store_group=self._state.store_group()))
 
     def publish_members(self, members: MemberList, now: float) -> None:
-        if self._member_changes.due(members, now):
+        if self._member_changes.should_publish(members, now):
             self._log_members(members)
             self._publish(TopicUpdate(version=self._next(MEMBERS), members=members))
 
--- a/cherrycove/tier/exploration/decision_model.py
+++ b/cherrycove/tier/exploration/decision_model.py
@@ -16,8 +16,8 @@
 from result import Err, Ok, Result
 
 from cherrycove.tier.configuration import parse_configuration
-from cherrycove.tier.controlplane import configuration_decisions
-from cherrycove.tier.controlplane.configuration_decisions import DECISION_TIMEOUT_S, ConfigurationDecisions
+from cherrycove.tier.controlplane import configuration_service
+from cherrycove.tier.controlplane.configuration_service import DECISION_TIMEOUT_S, ConfigurationService
 from cherrycove.tier.controlplane.leadership import Leadership
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ErrorKind, Failure
@@ -81,7 +81,7 @@
     def __init__(self, log: SharedLog, place: int) -> None:
         self.group = KeeperGroup(log, place)
         leadership = Leadership(self.group, ClusterView())
-        self.decisions = ConfigurationDecisions(self.group, self.group.state, leadership)
+        self.decisions = ConfigurationService(self.group, self.group.state, leadership)
         self.group.learn()
 
 
@@ -125,7 +125,7 @@
     def _reach(self, events: tuple[Event, ...]) -> tuple[Situation, str]:
         run = Run(self._keepers, self._orders, self._budget)
         try:
-            with mock.patch.object(configuration_decisions, "parse_configuration", _parse):
+            with mock.patch.object(configuration_service, "parse_configuration", _parse):
                 for event in events:
                     run.play(event)
             return Situation(events, run.key(), tuple(run.next_events())), ""
--- a/cherrycove/tier/exploration/mutations.py
+++ b/cherrycove/tier/exploration/mutations.py
@@ -70,10 +70,10 @@
 
 
 def _no_barrier() -> Patches:
-    async def settle(settlement: Any, timeout_s: float) -> Result[None, Failure]:
+    async def resolve(proposer: Any, timeout_s: float) -> Result[None, Failure]:
         return Ok(None)
 
-    yield mock.patch.object(BarrierProposer, "settle", settle)
+    yield mock.patch.object(BarrierProposer, "resolve", resolve)
 
 
 def _base_checked_once() -> Patches:
@@ -95,8 +95,8 @@
 
 
 def _acknowledge_before_commit() -> Patches:
-    async def propose(settlement: Any, command: Command, timeout_s: float) -> Result[object, Failure]:
-        waiting = asyncio.ensure_future(settlement._group.propose(command.SerializeToString(), timeout_s))
+    async def propose(proposer: Any, command: Command, timeout_s: float) -> Result[object, Failure]:
+        waiting = asyncio.ensure_future(proposer._group.propose(command.SerializeToString(), timeout_s))
         await asyncio.sleep(0)
         return waiting.result() if waiting.done() else Ok(AcceptOutcome.ACCEPTED)
 
--- a/cherrycove/tier/programs/controller.py
+++ b/cherrycove/tier/programs/controller.py
@@ -6,6 +6,7 @@
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.distribution.puller import Puller
+from cherrycove.tier.program_names import CONTROLLER_PROGRAM
 from cherrycove.tier.programs.process import new_incarnation
 from cherrycove.tier.programs.replica import describe, open_group
 from cherrycove.tier.protocol.control_pb2 import Announcement
@@ -13,8 +14,6 @@
 from cherrycove.tier.replication.interface import MemberIdentity
 from cherrycove.tier.settings import Settings
 
-PROGRAM = "keeper"
-
 
 class ControllerProgram:
     """Assembles the control plane of one machine."""
@@ -26,7 +25,9 @@
         self._state = ControlState()
         self._incarnation = new_incarnation()
         self._leaving = False
-        self._group, self._fresh = open_group(PROGRAM, settings, self._state, self._server, self._client)
+        self._group, self._fresh = open_group(
+            CONTROLLER_PROGRAM, settings, self._state, self._server, self._client
+        )
         self._server.identify(lambda: self._group.identity.member_id)
         self._views = ClusterView()
         self._keeper = Controller(settings, self._group, self._state, self._server, self._client, self._views)
@@ -36,7 +37,7 @@
         await self._client.start()
         await self._group.start(self._initial_members())
         await self._keeper.start()
-        await self._server.start(self._settings.internal_address(PROGRAM))
+        await self._server.start(self._settings.internal_address(CONTROLLER_PROGRAM))
         await self._puller.start()
 
     async def stop(self) -> None:
@@ -56,12 +57,14 @@
         if not self._settings.first_start:
             return []
         return [
-            MemberIdentity(f"first-{ip}", "", self._settings.peer_address(ip, PROGRAM))
+            MemberIdentity(f"first-{ip}", "", self._settings.peer_address(ip, CONTROLLER_PROGRAM))
             for ip in sorted(set(self._settings.seed_ips()))
         ]
 
     def _announce(self) -> Announcement:
-        return describe(PROGRAM, self._settings, self._group, self._fresh, self._incarnation, self._leaving)
+        return describe(
+            CONTROLLER_PROGRAM, self._settings, self._group, self._fresh, self._incarnation, self._leaving
+        )
 
 
 def assemble(settings: Settings) -> ControllerProgram:
--- a/cherrycove/tier/programs/process.py
+++ b/cherrycove/tier/programs/process.py
@@ -60,7 +60,7 @@
     gc.set_threshold(YOUNGEST_COLLECTION, 20, 50)
     module = importlib.import_module(DAEMON_MODULES[name])
     try:
-        asyncio.run(_live(module.assemble(settings), early))
+        asyncio.run(_run_until_signalled(module.assemble(settings), early))
     except OSError as error:
         print(f"cherrycove {name}: {error}", file=sys.stderr)
         return EXIT_CANNOT_START
@@ -73,7 +73,7 @@
     configure(name, settings.node_name)
 
 
-async def _live(program: Program, early: Sequence[int]) -> None:
+async def _run_until_signalled(program: Program, early: Sequence[int]) -> None:
     loop = asyncio.get_running_loop()
     ended = asyncio.Event()
     loop.add_signal_handler(signal.SIGTERM, ended.set)
@@ -93,7 +93,7 @@
     try:
         settings = load_settings()
     except SettingsError as error:
-        _log.warning("settings_unusable", extra={"reason": str(error)})
+        _log.warning("settings_invalid", extra={"reason": str(error)})
         return
     program.reload(settings)
     _log.info("settings_reloaded")
--- a/cherrycove/tier/programs/proxy.py
+++ b/cherrycove/tier/programs/proxy.py
@@ -11,13 +11,12 @@
 from cherrycove.tier.dataplane import DataPlane
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.distribution.puller import Puller
+from cherrycove.tier.program_names import PROXY_PROGRAM
 from cherrycove.tier.programs.process import new_incarnation
 from cherrycove.tier.protocol.control_pb2 import Announcement
 from cherrycove.tier.protocol.rpc import RpcClient
 from cherrycove.tier.settings import Settings
 
-PROGRAM = "proxy"
-
 
 class ProxyProgram:
     """Assembles the data plane of one machine."""
@@ -57,7 +56,7 @@
         configuration = self._views.configuration
         return Announcement(
             node_name=self._settings.node_name,
-            program=PROGRAM,
+            program=PROXY_PROGRAM,
             ip=self._settings.ip_address,
             zone=self._settings.zone,
             region=self._settings.region,
--- a/cherrycove/tier/programs/store.py
+++ b/cherrycove/tier/programs/store.py
@@ -6,6 +6,7 @@
 from cherrycove.tier.batch.store.service import BatchStoreService
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.distribution.puller import Puller
+from cherrycove.tier.program_names import STORE_PROGRAM
 from cherrycove.tier.programs.process import new_incarnation
 from cherrycove.tier.programs.replica import describe, open_group
 from cherrycove.tier.programs.store_membership import StoreMembership
@@ -13,8 +14,6 @@
 from cherrycove.tier.protocol.rpc import RpcClient, RpcServer
 from cherrycove.tier.settings import Settings
 
-PROGRAM = "store"
-
 
 class StoreProgram:
     """Assembles the batch plane of one machine."""
@@ -26,7 +25,9 @@
         self._state = JobsState()
         self._incarnation = new_incarnation()
         self._leaving = False
-        self._group, self._fresh = open_group(PROGRAM, settings, self._state, self._server, self._client)
+        self._group, self._fresh = open_group(
+            STORE_PROGRAM, settings, self._state, self._server, self._client
+        )
         self._server.identify(lambda: self._group.identity.member_id)
         self._views = ClusterView()
         self._store = BatchStoreService(settings, self._group, self._state, self._server, views=self._views)
@@ -37,7 +38,7 @@
         await self._client.start()
         await self._group.start()
         await self._store.start()
-        await self._server.start(self._settings.internal_address(PROGRAM))
+        await self._server.start(self._settings.internal_address(STORE_PROGRAM))
         await self._puller.start()
 
     async def stop(self) -> None:
@@ -53,7 +54,9 @@
         self._puller.reload(settings)
 
     def _announce(self) -> Announcement:
-        return describe(PROGRAM, self._settings, self._group, self._fresh, self._incarnation, self._leaving)
+        return describe(
+            STORE_PROGRAM, self._settings, self._group, self._fresh, self._incarnation, self._leaving
+        )
 
 
 def assemble(settings: Settings) -> StoreProgram:
--- a/cherrycove/tier/simulation/control/mutations.py
+++ b/cherrycove/tier/simulation/control/mutations.py
@@ -12,7 +12,7 @@
 from result import Err, Ok
 
 from cherrycove.tier.controlplane.barrier_proposer import BarrierProposer
-from cherrycove.tier.controlplane.configuration_decisions import ConfigurationDecisions, _mismatch
+from cherrycove.tier.controlplane.configuration_service import ConfigurationService, _mismatch
 from cherrycove.tier.controlplane.leadership import Leadership
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.distribution.publisher import Publisher
@@ -53,21 +53,21 @@
 
 
 def _reads_without_lease() -> Patches:
-    async def settled(leadership: Any, timeout_s: float = 0.0) -> Any:
+    async def wait_until_confirmed(leadership: Any, timeout_s: float = 0.0) -> Any:
         return Ok(None)
 
-    yield mock.patch.object(Leadership, "settled", settled)
+    yield mock.patch.object(Leadership, "wait_until_confirmed", wait_until_confirmed)
 
 
 def _refusals_without_lease() -> Patches:
-    check = ConfigurationDecisions._check
+    check = ConfigurationService._check
 
     def unconfirmed(decisions: Any, body: bytes, base_version: int) -> Any:
         with mock.patch.object(decisions._leadership, "is_confirmed_primary", lambda: True):
             return check(decisions, body, base_version)
 
     yield from _reads_without_lease()
-    yield mock.patch.object(ConfigurationDecisions, "_check", unconfirmed)
+    yield mock.patch.object(ConfigurationService, "_check", unconfirmed)
 
 
 # 2. Two operators, orders sent again
@@ -81,7 +81,7 @@
         async def __aexit__(self, *details: Any) -> None:
             return None
 
-    yield mock.patch.object(ConfigurationDecisions, "_turn", lambda decisions, timeout_s: Turn())
+    yield mock.patch.object(ConfigurationService, "_exclusive_access", lambda decisions, timeout_s: Turn())
     yield from _base_not_checked_when_applied()
 
 
@@ -100,17 +100,17 @@
 
 
 def _no_barrier_after_an_uncertain_change() -> Patches:
-    async def settle(settlement: Any, timeout_s: float) -> Any:
+    async def resolve(proposer: Any, timeout_s: float) -> Any:
         return Ok(None)
 
-    yield mock.patch.object(BarrierProposer, "settle", settle)
+    yield mock.patch.object(BarrierProposer, "resolve", resolve)
 
 
 def _uncertain_is_refused() -> Patches:
     def uncommitted(decisions: Any, failure: Any) -> Any:
         return _mismatch(0, decisions._state.configuration.version)
 
-    yield mock.patch.object(ConfigurationDecisions, "_uncommitted", uncommitted)
+    yield mock.patch.object(ConfigurationService, "_uncommitted", uncommitted)
 
 
 def _accepted_digests_forgotten() -> Patches:
--- a/tests/tier/golden_interfaces.py
+++ b/tests/tier/golden_interfaces.py
@@ -46,7 +46,15 @@
 from cherrycove.tier.settings import CloudApi, Settings, parse_settings
 
 # Names of log events, and EVENT.FIELD, that are called otherwise now.
-RENAMED_EVENTS: dict[str, str] = {}
+RENAMED_EVENTS: dict[str, str] = {
+    "broker_entry_unreadable": "broker_entry_invalid",
+    "broker_list_unread": "broker_list_read_failed",
+    "keeper_step_failed": "controller_step_failed",
+    "keeper_term_begun": "leadership_started",
+    "keeper_term_paused": "leadership_stopped",
+    "retire_order_waits": "retire_order_blocked",
+    "settings_unusable": "settings_invalid",
+}
 RENAMED_DETAILS: dict[str, str] = {}
 
 SOURCES = Path(__file__).resolve().parents[2] / "cherrycove" / "tier"
--- a/tests/tier/golden_stories.py
+++ b/tests/tier/golden_stories.py
@@ -370,7 +370,7 @@
     publisher = Publisher(Leader(leads=True), announced.append)
     publisher.serve_on(wire)
     topics = ControlTopics(publisher, state)
-    topics.begin_term(5)
+    topics.begin_epoch(5)
     topics.publish_members(support.build("cherrycove.control.MemberList", inputs.MEMBER_LIST), 1.0)
     topics.publish_brokers(support.build("cherrycove.control.BrokerList", inputs.BROKER_LIST))
     puller = Puller(settings(), wire, ClusterView(), lambda: announcement("store", 1))
--- a/tests/tier/test_control_cut_off.py
+++ b/tests/tier/test_control_cut_off.py
@@ -11,9 +11,9 @@
 from result import Err
 
 from cherrycove.tier.controlplane import leadership as leadership_module
-from cherrycove.tier.controlplane.configuration_decisions import ConfigurationDecisions
+from cherrycove.tier.controlplane.configuration_service import ConfigurationService
 from cherrycove.tier.controlplane.leadership import Leadership
-from cherrycove.tier.controlplane.process_registry import REMEMBERED_S
+from cherrycove.tier.controlplane.process_registry import RETENTION_S
 from cherrycove.tier.errors import ErrorKind
 from cherrycove.tier.protocol.control_pb2 import Announcement, PullReply, PullRequest
 from cherrycove.tier.protocol.keeper_pb2 import Command, FormStoreGroup, RecordMachines, Retire, StoreMachine
@@ -234,7 +234,7 @@
             await world.operator(1, "POST", "/api/retire/s2", b"{}")
             await world.operator(1, "GET", "/api/retire/s2")
             await world.operator(1, "PUT", CONFIGURATION, document(9), "3")
-            world.keepers[1].keeper._term_began -= 10.0  # a term without a single announcement
+            world.keepers[1].keeper._leading_since -= 10.0  # a term without a single announcement
             await world.operator(1, "POST", "/api/retire/s1", b"{}")
             await world.operator(1, "POST", "/api/retire/unknown", b"{}")
             approved(
@@ -259,7 +259,7 @@
             await prepared(world)
             stores = [await world.client(store(name)) for name in ("s1", "s2")]
             await stores[1].until(lambda views: len(views.stores()) == 2)
-            world.keepers[0].keeper._term_began -= 10.0
+            world.keepers[0].keeper._leading_since -= 10.0
             assert (await world.operator(0, "POST", "/api/retire/s1", b"{}"))[0] == 409
             machine = StoreMachine(node_name="s4", ip="127.0.0.9", store_id="disk-s4")
             record = Command(record_machines=RecordMachines(machines=[machine]))
@@ -267,7 +267,7 @@
             assert (await world.operator(0, "POST", "/api/retire/s1", b"{}"))[0] == 503
             assert (await world.operator(0, "POST", "/api/retire/s4", b"{}"))[0] == 503
             assert (await world.operator(0, "POST", "/api/retire/s9", b"{}"))[0] == 404
-            world.keepers[0].keeper._term_began -= REMEMBERED_S  # none of them came back in all that time
+            world.keepers[0].keeper._leading_since -= RETENTION_S  # none of them came back in all that time
             assert (await world.operator(0, "POST", "/api/retire/s1", b"{}"))[0] == 409
 
     asyncio.run(exchange())
@@ -302,7 +302,7 @@
         async with World(1) as world:
             await prepared(world)
             node = world.keepers[0]
-            decisions = ConfigurationDecisions(node.group, node.state, Leadership(node.group, node.views))
+            decisions = ConfigurationService(node.group, node.state, Leadership(node.group, node.views))
             world.replicas.gate = asyncio.Event()
             first = asyncio.create_task(decisions.put(document(5), 3))
             await world.replicas.waiting.wait()
@@ -323,8 +323,8 @@
             world.lead(0)
             keeper = world.keepers[0].keeper
             now = asyncio.get_running_loop().time()
-            keeper._register.announce(store("s1"), now)
-            keeper._register.announce(Announcement(node_name="f1", program="proxy", incarnation="1"), now)
+            keeper._registry.announce(store("s1"), now)
+            keeper._registry.announce(Announcement(node_name="f1", program="proxy", incarnation="1"), now)
             names = {one.node_name for one in keeper._members(now).members if one.program != "keeper"}
             assert names == {"f1"}
             machine = StoreMachine(node_name="s1", ip="127.0.0.1", store_id="disk-s1")
@@ -332,7 +332,7 @@
             await world.keepers[0].group.propose(record.SerializeToString(), 1.0)
             names = {one.node_name for one in keeper._members(now).members if one.program != "keeper"}
             assert names == {"f1", "s1"}
-            keeper._register.announce(store("s1", incarnation="2", member_id="disk-new"), now)
+            keeper._registry.announce(store("s1", incarnation="2", member_id="disk-new"), now)
             names = {one.node_name for one in keeper._members(now).members if one.program != "keeper"}
             assert names == {"f1"}
 
--- a/tests/tier/test_control_emptying.py
+++ b/tests/tier/test_control_emptying.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cherrycove.tier.controlplane.machines import is_on_machine
-from cherrycove.tier.controlplane.retirement_check import CommittedMembership, GroupMember, obstacle
+from cherrycove.tier.controlplane.retirement_check import CommittedMembership, GroupMember, blocking_reason
 from cherrycove.tier.protocol.control_pb2 import Replica
 from cherrycove.tier.protocol.keeper_pb2 import RetireOrder, StoreMembersReply
 from cherrycove.tier.replication.interface import CommittedMembers, MemberIdentity
@@ -41,7 +41,7 @@
 
 
 def test_a_machine_that_both_groups_left_for_good_is_free_to_go() -> None:
-    assert obstacle(order(), KEEPERS, STORES, GROUP_SIZE) is None
+    assert blocking_reason(order(), KEEPERS, STORES, GROUP_SIZE) is None
 
 
 @pytest.mark.parametrize(
@@ -55,7 +55,7 @@
     ],
 )
 def test_the_store_group_holds_a_machine_back(changes: dict[str, Any], reason: str) -> None:
-    assert obstacle(order(), KEEPERS, attrs.evolve(STORES, **changes), GROUP_SIZE) == reason
+    assert blocking_reason(order(), KEEPERS, attrs.evolve(STORES, **changes), GROUP_SIZE) == reason
 
 
 @pytest.mark.parametrize(
@@ -78,25 +78,25 @@
     ],
 )
 def test_the_keeper_group_holds_a_machine_back(changes: dict[str, Any], reason: str) -> None:
-    assert obstacle(order(), attrs.evolve(KEEPERS, **changes), STORES, GROUP_SIZE) == reason
+    assert blocking_reason(order(), attrs.evolve(KEEPERS, **changes), STORES, GROUP_SIZE) == reason
 
 
 def test_a_machine_whose_address_or_disk_is_unknown_stays() -> None:
     unknown = "the address or the disk of the machine is not known"
-    assert obstacle(order(ips=[]), KEEPERS, STORES, GROUP_SIZE) == unknown
-    assert obstacle(order(store_ids=[]), KEEPERS, STORES, GROUP_SIZE) == unknown
+    assert blocking_reason(order(ips=[]), KEEPERS, STORES, GROUP_SIZE) == unknown
+    assert blocking_reason(order(store_ids=[]), KEEPERS, STORES, GROUP_SIZE) == unknown
 
 
 def test_every_disk_that_was_ever_known_must_be_excluded() -> None:
     wiped = order(store_ids=["disk-3", "disk-new"])
-    assert obstacle(wiped, KEEPERS, STORES, GROUP_SIZE) == "the store group has not excluded disk-new"
+    assert blocking_reason(wiped, KEEPERS, STORES, GROUP_SIZE) == "the store group has not excluded disk-new"
     both = attrs.evolve(STORES, excluded=frozenset({"disk-3", "disk-new"}))
-    assert obstacle(wiped, KEEPERS, both, GROUP_SIZE) is None
+    assert blocking_reason(wiped, KEEPERS, both, GROUP_SIZE) is None
 
 
 def test_keepers_on_other_machines_are_not_asked_for() -> None:
     core = CommittedMembership((member(11, name=""), member(12, name="")), frozenset())
-    assert obstacle(order(keeper_ids=[]), core, STORES, GROUP_SIZE) is None
+    assert blocking_reason(order(keeper_ids=[]), core, STORES, GROUP_SIZE) is None
 
 
 def test_an_address_used_again_by_a_machine_of_another_name_is_another_machine() -> None:
@@ -114,6 +114,6 @@
         (GroupMember("a", "m1", "10.0.0.1:1"),), frozenset({"x"}), 7
     )
     committed = CommittedMembers(4, (MemberIdentity("b", "", "10.0.0.2:1"),), frozenset({"y"}))
-    assert CommittedMembership.of_keepers(committed) == CommittedMembership(
+    assert CommittedMembership.of_controllers(committed) == CommittedMembership(
         (GroupMember("b", "", "10.0.0.2:1"),), frozenset({"y"})
     )
--- a/tests/tier/test_control_register.py
+++ b/tests/tier/test_control_register.py
@@ -8,8 +8,8 @@
     LEAVING_TIMEOUT_S,
     MEMBER_TIMEOUT_S,
     MINOR_CHANGE_INTERVAL_S,
-    REMEMBERED_S,
-    MemberListChanges,
+    RETENTION_S,
+    MemberListThrottle,
     ProcessRegistry,
 )
 from cherrycove.tier.protocol.control_pb2 import Announcement, MemberList
@@ -55,10 +55,10 @@
 def test_gone_processes_are_remembered_for_a_while() -> None:
     register = ProcessRegistry()
     register.announce(store("s1"), 0.0)
-    register.forget_old(REMEMBERED_S - 0.1)
-    assert len(register.remembered("store")) == 1
-    register.forget_old(REMEMBERED_S)
-    assert register.remembered("store") == []
+    register.forget_old(RETENTION_S - 0.1)
+    assert len(register.recently_seen("store")) == 1
+    register.forget_old(RETENTION_S)
+    assert register.recently_seen("store") == []
 
 
 def test_a_late_announcement_of_an_earlier_incarnation_does_not_shut_the_newer_out() -> None:
@@ -77,11 +77,11 @@
     register = ProcessRegistry()
     register.announce(store("s1", incarnation="2"), 0.0)
     register.seed([store("s1", incarnation="1"), store("s2")], 0.5)
-    assert [entry.seeded for entry in register.alive(0.5)] == [False, True]
+    assert [entry.inherited for entry in register.alive(0.5)] == [False, True]
     register.announce(store("s2"), 0.6)
-    assert [entry.seeded for entry in register.alive(0.6)] == [False, False]
+    assert [entry.inherited for entry in register.alive(0.6)] == [False, False]
     register.resume(30.0)
-    assert [entry.seeded for entry in register.alive(30.0)] == [True, True]
+    assert [entry.inherited for entry in register.alive(30.0)] == [True, True]
 
 
 def proxy(rate: float, configuration_version: int = 1, leaving: bool = False) -> MemberList:
@@ -93,11 +93,11 @@
 
 
 def test_changes_of_rates_alone_are_published_at_intervals() -> None:
-    changes = MemberListChanges()
-    assert changes.due(MemberList(), 0.0)
-    assert changes.due(proxy(1.0), 0.1)
-    assert not changes.due(proxy(1.0), 5.0)
-    assert changes.due(proxy(2.0), 5.0)
-    assert not changes.due(proxy(3.0, 2), 5.0 + MINOR_CHANGE_INTERVAL_S / 2)
-    assert changes.due(proxy(3.0, 2), 5.0 + MINOR_CHANGE_INTERVAL_S)
-    assert changes.due(proxy(3.0, 2, leaving=True), 5.1 + MINOR_CHANGE_INTERVAL_S)
+    changes = MemberListThrottle()
+    assert changes.should_publish(MemberList(), 0.0)
+    assert changes.should_publish(proxy(1.0), 0.1)
+    assert not changes.should_publish(proxy(1.0), 5.0)
+    assert changes.should_publish(proxy(2.0), 5.0)
+    assert not changes.should_publish(proxy(3.0, 2), 5.0 + MINOR_CHANGE_INTERVAL_S / 2)
+    assert changes.should_publish(proxy(3.0, 2), 5.0 + MINOR_CHANGE_INTERVAL_S)
+    assert changes.should_publish(proxy(3.0, 2, leaving=True), 5.1 + MINOR_CHANGE_INTERVAL_S)
--- a/tests/tier/test_control_store_group.py
+++ b/tests/tier/test_control_store_group.py
@@ -35,8 +35,8 @@
     return StoreGroupBootstrap(settings)
 
 
-def heard(*announcements: Announcement, seeded: bool = False) -> list[Registration]:
-    return [Registration(one, 0.0, seeded) for one in announcements]
+def heard(*announcements: Announcement, inherited: bool = False) -> list[Registration]:
+    return [Registration(one, 0.0, inherited) for one in announcements]
 
 
 def chosen(group: StoreGroupBootstrap, stores: Iterable[Registration], now: float) -> list[str]:
@@ -85,18 +85,18 @@
 
 def test_stores_that_leave_or_were_only_told_of_are_not_taken() -> None:
     group = forming(machine_failures=0)
-    stores = heard(store("s1", leaving=True), store("s2", member_id="")) + heard(store("s3"), seeded=True)
+    stores = heard(store("s1", leaving=True), store("s2", member_id="")) + heard(store("s3"), inherited=True)
     assert chosen(group, stores, 0.0) == []
     assert chosen(group, stores, LAST_RESORT_S) == []
     assert chosen(group, stores + heard(store("s4")), LAST_RESORT_S) == []
     assert chosen(group, stores + heard(store("s4")), LAST_RESORT_S + GATHER_S) == ["s4"]
 
 
-def fleet(order: RetireOrder, *alive: Announcement, seeded: bool = False) -> StoreInventory:
-    entries = heard(*alive, seeded=seeded)
+def inventory(order: RetireOrder, *alive: Announcement, inherited: bool = False) -> StoreInventory:
+    entries = heard(*alive, inherited=inherited)
     return StoreInventory(
         alive=entries,
-        remembered=entries,
+        recently_seen=entries,
         initial=[replica("s1"), replica("s2"), replica("s3")],
         orders={order.node_name: order},
     )
@@ -108,11 +108,11 @@
 
 def test_an_order_for_a_machine_that_lost_its_disk_takes_on_the_new_one() -> None:
     order = RetireOrder(node_name="s3", member_id="disk-s3", revision=5)
-    assert kinds(fleet(order, store("s2"), store("s3"))) == []
+    assert kinds(inventory(order, store("s2"), store("s3"))) == []
     wiped = store("s3", member_id="disk-new")
-    assert kinds(fleet(order, store("s2"), wiped)) == ["retire"]
-    assert kinds(fleet(order, wiped, seeded=True)) == []
-    [command] = order_updates(fleet(order, wiped))
+    assert kinds(inventory(order, store("s2"), wiped)) == ["retire"]
+    assert kinds(inventory(order, wiped, inherited=True)) == []
+    [command] = order_updates(inventory(order, wiped))
     assert (command.retire.member_id, command.retire.ip) == ("disk-new", "127.0.0.1")
 
 
@@ -120,18 +120,18 @@
     order = RetireOrder(
         node_name="s3", member_id="disk-s3", completed=True, ips=["127.0.0.1"], store_ids=["disk-s3"]
     )
-    assert kinds(fleet(order, store("s3"))) == []
-    assert kinds(fleet(order)) == []
+    assert kinds(inventory(order, store("s3"))) == []
+    assert kinds(inventory(order)) == []
     emptied_again = store("s3", member_id="disk-new")
-    assert kinds(fleet(order, emptied_again)) == []
+    assert kinds(inventory(order, emptied_again)) == []
     newcomer = store("s3", member_id="disk-new", ip="127.0.0.7")
-    assert kinds(fleet(order, newcomer)) == ["forget_retired"]
+    assert kinds(inventory(order, newcomer)) == ["forget_retired"]
 
 
 def test_machines_are_recorded_with_address_and_disks() -> None:
     entries = heard(store("s1"), store("s2"))
     seen = StoreInventory(
-        alive=entries, remembered=entries, initial=[], orders={}, keepers={"s1": "keeper-s1"}
+        alive=entries, recently_seen=entries, initial=[], orders={}, keepers={"s1": "keeper-s1"}
     )
     [command] = record_updates(seen)
     machines = {machine.node_name: machine for machine in command.record_machines.machines}
@@ -142,5 +142,5 @@
     moved = heard(store("s1", ip="127.0.0.8"), store("s2"))
     [again] = record_updates(attrs.evolve(known, alive=moved))
     assert [machine.ip for machine in again.record_machines.machines] == ["127.0.0.8"]
-    told_of = heard(store("s9"), seeded=True)
+    told_of = heard(store("s9"), inherited=True)
     assert record_updates(attrs.evolve(known, alive=told_of)) == []
--- a/tests/tier/test_control_store_maintenance.py
+++ b/tests/tier/test_control_store_maintenance.py
@@ -74,7 +74,7 @@
         self.alive = [Registration(one, 0.0) for one in alive]
         self.term = LeadershipPeriod(self.group, lambda epoch: None, lambda: None)
         self.stores = StoreGroupReconciler(
-            SETTINGS, self.group, self.state, self.term, self.caller, lambda: self.fleet()
+            SETTINGS, self.group, self.state, self.term, self.caller, lambda: self.inventory()
         )
         self.reply = StoreMembersReply(
             members=[replica(name) for name in ("s1", "s2", "s4")], excluded=["disk-s3"], revision=99
@@ -83,10 +83,10 @@
         self.replicas.lead(self.group)
         self.term.update()
 
-    def fleet(self) -> StoreInventory:
+    def inventory(self) -> StoreInventory:
         return StoreInventory(
             alive=self.alive,
-            remembered=self.alive,
+            recently_seen=self.alive,
             initial=self.state.initial_stores,
             orders=self.state.retire_orders,
             machines=self.state.machines,
--- a/tests/tier/test_distribution_puller.py
+++ b/tests/tier/test_distribution_puller.py
@@ -288,7 +288,7 @@
 def test_a_pull_held_over_a_lost_and_regained_lease_gets_what_was_committed_meanwhile() -> None:
     async def exchange() -> None:
         group, state = Replica(), ControlState()
-        term = LeadershipPeriod(group, lambda epoch: topics.begin_term(epoch), lambda: None)
+        term = LeadershipPeriod(group, lambda epoch: topics.begin_epoch(epoch), lambda: None)
         publisher = Publisher(
             LeadershipPeriodAuthority(term, Leadership(group, ClusterView())), lambda request: term.update()
         )
--- a/tests/tier/test_process_life.py
+++ b/tests/tier/test_process_life.py
@@ -105,7 +105,7 @@
 ) -> None:
     monkeypatch.setattr(process, "load_settings", settings)
     program = RecordingProgram()
-    asyncio.run(process._live(program, early))
+    asyncio.run(process._run_until_signalled(program, early))
     assert program.calls == calls
 
 
