--- a/cherrycove/tier/exploration/mutations.py
+++ b/cherrycove/tier/exploration/mutations.py
@@ -104,7 +104,7 @@
 
 
 def _uncertain_taken_as_certain() -> Patches:
-    yield mock.patch.object(Failure, "certain", True)
+    yield mock.patch.object(Failure, "is_certain", True)
 
 
 def _documents_unchecked() -> Patches:
