--- a/tests/data/make_tier.py
+++ b/tests/data/make_tier.py
@@ -7,6 +7,7 @@
 
 from __future__ import annotations
 
+import asyncio
 import json
 import sys
 import tempfile
@@ -78,6 +79,8 @@
     write_json(target / "values.json", read)
     write_json(target / "http.json", interfaces.http())
     write_json(target / "commands.json", interfaces.commands(target))
+    with tempfile.TemporaryDirectory() as scratch:
+        write_json(target / "programs.json", asyncio.run(interfaces.programs(Path(scratch))))
     for name, lines in (("events", interfaces.events()), ("command-line", interfaces.command_line())):
         (target / f"{name}.txt").write_text("\n".join(lines) + "\n", encoding="utf-8")
 
--- a/tests/tier/golden_inputs.py
+++ b/tests/tier/golden_inputs.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 import json
+from pathlib import Path
 from typing import Any
 
 COMMAND, NOOP, MEMBERS = 0, 1, 2  # kinds of log entries
@@ -410,6 +411,31 @@
     ("status", "--keeper 127.0.0.1:1"),
 ]
 
+PROGRAMS = ("keeper", "store", "proxy")
+
+
+def program_settings(name: str, internal_port: int, other_port: int, directory: Path) -> str:
+    """Settings of a process that runs beside others on loopback; its keeper is at 127.0.0.2."""
+    directory.mkdir()
+    document = {
+        "nodeName": f"node-{name}",
+        "machineClass": "core",
+        "ipAddress": "127.0.0.1",
+        "zone": "north",
+        "region": "land",
+        "internalPortRange": [internal_port, internal_port + 9],
+        "seedNodes": [f"127.0.0.2:{other_port}"],
+        "firstStart": True,
+        "dataDirectory": str(directory),
+        "listenAddresses": {
+            "frontend": f"127.0.0.1:{other_port + 1}",
+            "readiness": f"127.0.0.1:{other_port + 2}",
+            "controlPlane": f"127.0.0.1:{other_port + 3}",
+        },
+        "bounds": {"gracePeriodS": 1.0},
+    }
+    return json.dumps(document)
+
 
 def sample(name: str, number: int, kind: str) -> Any:
     """A value of a field, another one for each field of a message."""
--- a/tests/tier/golden_interfaces.py
+++ b/tests/tier/golden_interfaces.py
@@ -7,6 +7,7 @@
 
 import ast
 import asyncio
+import contextlib
 import json
 import os
 import re
@@ -25,7 +26,7 @@
 from cleo.testers.command_tester import CommandTester
 from golden_stories import OneReplica, Wire, announcement, control_state, settings
 from google.protobuf.message import Message
-from loopback_ports import free_address
+from loopback_ports import free_address, free_ports
 from result import Err, Ok, Result
 
 from cherrycove.tier.batch.client.batch_client import BatchClient
@@ -415,6 +416,74 @@
     return ended.returncode
 
 
+class StandIn:
+    """Answers every call as a keeper that does not lead, and keeps what each process said first."""
+
+    def __init__(self) -> None:
+        self.first: dict[str, list[Any]] = {}  # request line and announcement, by program
+        self.heard = asyncio.Event()
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
+            while True:
+                head = (await reader.readuntil(b"\r\n\r\n")).decode()
+                fields = dict(re.findall(r"(?m)^([\w-]+): (.*)\r$", head))
+                self._hear(head, await reader.readexactly(int(fields["Content-Length"])))
+                call = f"X-Call: {fields['X-Call']}\r\nX-Error-Kind: not_primary\r\nContent-Length: 0\r\n\r\n"
+                writer.write(f"HTTP/1.1 503 Service Unavailable\r\n{call}".encode())
+        writer.close()
+
+    def _hear(self, head: str, body: bytes) -> None:
+        pull = support.decode("cherrycove.control.PullRequest", body)
+        announced = pull["announcement"]
+        announced["incarnation"] = re.sub("^[0-9a-f]{12}$", "*", announced["incarnation"])
+        self.first.setdefault(announced["program"], [head.partition("\r\n")[0], pull])
+        self.heard.set()
+
+
+async def programs(directory: Path) -> dict[str, Any]:
+    """Each program runs as a process until it has announced itself; what it said, its files, its end."""
+    hosts = ["127.0.0.1", "127.0.0.2"]
+    internal, others = free_ports(2, hosts, following=9)
+    stand_in = StandIn()
+    server = await asyncio.start_server(stand_in.serve, hosts[1], internal)
+    running = {}
+    for name in inputs.PROGRAMS:
+        path = directory / f"{name}.yaml"
+        path.write_text(inputs.program_settings(name, internal, others, directory / name), encoding="utf-8")
+        environment = {**os.environ, "CHERRYCOVE_CONFIG": str(path)}
+        words = [sys.executable, "-m", "cherrycove.tier", name]
+        running[name] = await asyncio.create_subprocess_exec(
+            *words, env=environment, cwd=SOURCES.parents[1], stdout=asyncio.subprocess.PIPE
+        )
+    try:
+        async with asyncio.timeout(30):
+            while len(stand_in.first) < len(running):
+                stand_in.heard.clear()
+                await stand_in.heard.wait()
+            return {name: await _ended(name, one, stand_in, directory) for name, one in running.items()}
+    finally:
+        server.close()
+        for one in running.values():
+            if one.returncode is None:
+                one.kill()
+
+
+async def _ended(
+    name: str, process: asyncio.subprocess.Process, stand_in: StandIn, directory: Path
+) -> dict[str, Any]:
+    process.terminate()
+    output, _ = await process.communicate()
+    lines = [json.loads(line) for line in output.splitlines()]
+    return {
+        "said": stand_in.first[name],
+        "files": sorted(str(path.relative_to(directory / name)) for path in (directory / name).rglob("*")),
+        "exit code": process.returncode,
+        "log begins": [list(lines[0])[:5], lines[0]["program"], lines[0]["node"]],
+        "log ends": [line["event"] for line in lines if line["event"].startswith("process")],
+    }
+
+
 # Events of the log
 
 
--- a/tests/tier/test_golden_interfaces.py
+++ b/tests/tier/test_golden_interfaces.py
@@ -5,6 +5,7 @@
 
 from __future__ import annotations
 
+import asyncio
 import json
 from pathlib import Path
 from typing import Any
@@ -87,5 +88,9 @@
     assert interfaces.run_program("keeper", {"CHERRYCOVE_CONFIG": str(path)}) == 1
 
 
+def test_programs_announce_themselves_and_name_their_files_as_they_did(tmp_path: Path) -> None:
+    assert json.loads(json.dumps(asyncio.run(interfaces.programs(tmp_path)))) == released("programs.json")
+
+
 def test_events_have_the_names_levels_and_details_that_they_had() -> None:
     assert interfaces.events() == lines("events.txt")
