--- a/tests/tier/golden_stories.py
+++ b/tests/tier/golden_stories.py
@@ -32,8 +32,8 @@
 from cherrycove.tier.errors import Failure
 from cherrycove.tier.membership.effects import SendDatagram, StartExchange
 from cherrycove.tier.membership.machine import SwimMachine
-from cherrycove.tier.membership.model import Member, Parameters
-from cherrycove.tier.membership.swim import Swim
+from cherrycove.tier.membership.members import Member, SwimParameters
+from cherrycove.tier.membership.service import MembershipService
 from cherrycove.tier.programs.replica import describe
 from cherrycove.tier.replication.effects import WriteEntries, WriteHardState
 from cherrycove.tier.replication.group import ReplicatedGroup
@@ -180,7 +180,7 @@
         seeds = (_address(members[0]),)
         self.machines = {
             _address(one): SwimMachine(
-                one, Parameters(period_s=1.0), seeds, _address, random.Random(one.node_name), 0.0
+                one, SwimParameters(period_s=1.0), seeds, _address, random.Random(one.node_name), 0.0
             )
             for one in members
         }
@@ -209,16 +209,16 @@
     def exchange(self, caller: str, callee: str) -> None:
         """Both calls of a full exchange."""
         ours, theirs = self.machines[caller], self.machines[callee]
-        request = ours.exchange.request()
+        request = ours.anti_entropy.compare_request()
         self._note("membership.compare", caller, callee, request)
-        reply = theirs.exchange.compare(request, self.now)
+        reply = theirs.anti_entropy.handle_compare(request, self.now)
         self._note("reply", callee, caller, reply)
-        merge = ours.exchange.merge_reply(reply, self.now)
+        merge = ours.anti_entropy.handle_compare_reply(reply, self.now)
         if merge is not None:
             self._note("membership.merge", caller, callee, merge)
-            self._note("reply", callee, caller, theirs.exchange.merge(merge, self.now))
-        self.perform(caller, ours.exchanged(self.now))
-        self.perform(callee, theirs.exchanged(self.now))
+            self._note("reply", callee, caller, theirs.anti_entropy.handle_merge(merge, self.now))
+        self.perform(caller, ours.finish_exchange(self.now))
+        self.perform(callee, theirs.finish_exchange(self.now))
 
     def _note(self, kind: str, source: str, target: str, message: Message) -> None:
         self.transcript.append({"kind": kind, "from": source, "to": target, **shown(message)})
@@ -447,7 +447,7 @@
         Controller(settings(), group, state, wire, wire)
         StoreMembersService(group, ClusterView()).serve_on(wire)
         BatchStoreService(settings(), group, JobsState(), wire)
-        Swim(settings(), "keeper", "process-1", wire, wire, random.Random(1))
+        MembershipService(settings(), "keeper", "process-1", wire, wire, random.Random(1))
         for program in support.STATES:
             ReplicatedGroup(program, group.identity, Path("unused"), 1, state, wire, wire)
         return dict(sorted(wire.requests.items()))
