--- a/cherrycove/tier/exploration/mutations.py
+++ b/cherrycove/tier/exploration/mutations.py
@@ -21,7 +21,7 @@
 from cherrycove.tier.protocol.replication_pb2 import VoteRequest
 from cherrycove.tier.replication.elections import Elections
 from cherrycove.tier.replication.interface import MemberIdentity
-from cherrycove.tier.replication.membership_policy import GroupView, Step, next_step
+from cherrycove.tier.replication.membership_policy import GroupView, MembershipStep, next_step
 from cherrycove.tier.simulation.mutations import MUTATIONS as SIMULATION_MUTATIONS
 from cherrycove.tier.storage.hard_state import HardState
 
@@ -34,24 +34,24 @@
         core.write_hard_state(
             HardState(core.hard_state.epoch, sender.member_id, core.hard_state.commit_index)
         )
-        elections._owed = (sender, request)
+        elections._pending_grant = (sender, request)
 
-    yield mock.patch.object(Elections, "_vote", vote)
+    yield mock.patch.object(Elections, "_cast_vote", vote)
 
 
 def _vote_for_itself_within_lease() -> Patches:
-    ask = Elections._ask
+    ask = Elections._request_votes
 
     def ask_with_own_vote(elections: Any, now: float) -> None:
         ask(elections, now)
         if elections._campaign is not None:
             elections._campaign.votes.add(elections._core.identity.member_id)
 
-    yield mock.patch.object(Elections, "_ask", ask_with_own_vote)
+    yield mock.patch.object(Elections, "_request_votes", ask_with_own_vote)
 
 
 def _excluded_disks_come_back() -> Patches:
-    def forgetful(view: GroupView) -> Step | None:
+    def forgetful(view: GroupView) -> MembershipStep | None:
         return next_step(attrs.evolve(view, excluded=frozenset()))
 
     yield mock.patch("cherrycove.tier.replication.learners.next_step", forgetful)
--- a/cherrycove/tier/exploration/reactions.py
+++ b/cherrycove/tier/exploration/reactions.py
@@ -26,12 +26,12 @@
     election_timeout_s=2 * QUANTUM_S,
     stagger_s=0.0,
     jitter_s=0.0,
-    first_election_s=0.0,
-    settled_s=0.5 * QUANTUM_S,
-    retry_s=0.5 * QUANTUM_S,
-    step_down_s=2.5 * QUANTUM_S,
-    unreachable_s=1.5 * QUANTUM_S,
-    resend_s=0.5 * QUANTUM_S,
+    bootstrap_timeout_s=0.0,
+    pre_vote_window_s=0.5 * QUANTUM_S,
+    campaign_retry_s=0.5 * QUANTUM_S,
+    check_quorum_timeout_s=2.5 * QUANTUM_S,
+    unreachable_timeout_s=1.5 * QUANTUM_S,
+    chunk_resend_s=0.5 * QUANTUM_S,
 )
 
 
@@ -209,7 +209,7 @@
     for write in node.waiting:
         disk = disk.after(write)
         process.reader.disk = disk
-        process.machine.written(write.ticket, now)
+        process.machine.complete_writes(write.ticket, now)
     return attrs.evolve(node, disk=disk, waiting=())
 
 
@@ -219,11 +219,11 @@
     elif isinstance(event, Letter) and event.data:
         machine.receive(event.sender, Message.FromString(event.data), now)
     elif isinstance(event, Letter):
-        machine.disk_replaced(event.sender.member_id, now)
+        machine.record_disk_replaced(event.sender.member_id, now)
     elif isinstance(event, Propose):
         machine.propose(event.command, now)
     elif isinstance(event, HandOver):
-        machine.hand_over(now)
+        machine.transfer_leadership(now)
     elif isinstance(event, SaveSnapshot):
         machine.save_snapshot(machine.commit_index.to_bytes(STATE_BYTES, "big"), now)
     elif isinstance(event, Bootstrap):
--- a/cherrycove/tier/replication/backup.py
+++ b/cherrycove/tier/replication/backup.py
@@ -83,7 +83,7 @@
             self._core.append(new, now)
         self._verified = max(self._verified, append.previous_index + len(append.entries))
 
-    def written(self) -> None:
+    def acknowledge_synced(self) -> None:
         """The disk made progress: tell the primary what is synced by now."""
         primary = self._core.primary
         if primary is None or self._followed_epoch != self._core.epoch:
--- a/cherrycove/tier/replication/core.py
+++ b/cherrycove/tier/replication/core.py
@@ -10,10 +10,16 @@
 import attrs
 
 from cherrycove.tier.protocol.replication_pb2 import Message
-from cherrycove.tier.replication.effects import Effects, Outgoing, WriteEntries, WriteHardState, WriteSnapshot
+from cherrycove.tier.replication.effects import (
+    Effects,
+    OutgoingMessage,
+    WriteEntries,
+    WriteHardState,
+    WriteSnapshot,
+)
 from cherrycove.tier.replication.interface import MemberIdentity
-from cherrycove.tier.replication.log import MembersAt, Membership, ReplicatedLog, decode_members
-from cherrycove.tier.replication.quorums import Electorate
+from cherrycove.tier.replication.log import IndexedMembership, Membership, ReplicatedLog, decode_members
+from cherrycove.tier.replication.quorums import JointConfiguration
 from cherrycove.tier.replication.timing import Timing
 from cherrycove.tier.storage.entries import Entry
 from cherrycove.tier.storage.hard_state import HardState
@@ -65,14 +71,14 @@
         recovered: RecoveredState,
         timing: Timing,
         random: Random,
-        kept_entries: int,
+        retained_entries: int,
         chunk_bytes: int,
     ) -> None:
         self.identity = identity
         self.faults = faults
         self.timing = timing
         self.random = random
-        self._kept_entries = kept_entries
+        self._kept_entries = retained_entries
         self.chunk_bytes = chunk_bytes
         self.role = Role.BACKUP
         self.primary: MemberIdentity | None = None
@@ -87,7 +93,7 @@
         self.pending: deque[PendingWrite] = deque()
         self.disk_failing = False
         self._tickets = 0
-        self._electorate: tuple[MembersAt, bool, Electorate] | None = None  # for a list, open or not
+        self._joint_configuration: tuple[IndexedMembership, bool, JointConfiguration] | None = None
         if recovered.snapshot is not None:
             self.effects.restore = recovered.snapshot
         self.effects.committed.extend(self.log.entries(self.log.base_index + 1, self.commit_index))
@@ -120,48 +126,52 @@
         return any(member.member_id == self.identity.member_id for member in self.members)
 
     @property
-    def is_listed(self) -> bool:
+    def is_voter(self) -> bool:
         """Whether a list that still has a say names this replica."""
-        return self._listed_identity() is not None
+        return self._voter_identity() is not None
 
-    def _listed_identity(self) -> MemberIdentity | None:
-        electorate = self.electorate()
-        lists = (*electorate.current, *(electorate.previous or ()))
+    def _voter_identity(self) -> MemberIdentity | None:
+        joint_configuration = self.joint_configuration()
+        lists = (*joint_configuration.current, *(joint_configuration.previous or ()))
         return next((member for member in lists if member.member_id == self.identity.member_id), None)
 
     @property
-    def may_lead(self) -> bool:
+    def is_electable(self) -> bool:
         """Whether a list that still has a say names this replica, at the address that it has.
 
         One that is being removed may hold the only log that is new enough, so it must be able to lead until
         the change is committed. A disk that was moved to another address must not: whoever has the listed
         address answers that the replica of this disk does not run."""
-        listed = self._listed_identity()
+        listed = self._voter_identity()
         return listed is not None and listed.address == self.identity.address
 
-    def change_open(self) -> bool:
+    def has_uncommitted_change(self) -> bool:
         """Whether the newest member list is not known to be committed."""
         newest = self.log.newest_members
         return newest.index > self.commit_index and self.log.epoch_at(newest.index) != INITIAL_EPOCH
 
-    def electorate(self) -> Electorate:
+    def joint_configuration(self) -> JointConfiguration:
         newest = self.log.newest_members
-        known = self._electorate
-        if known is None or known[0] is not newest or known[1] != self.change_open():
-            known = self._electorate = (newest, self.change_open(), self._make_electorate(newest))
+        known = self._joint_configuration
+        if known is None or known[0] is not newest or known[1] != self.has_uncommitted_change():
+            known = self._joint_configuration = (
+                newest,
+                self.has_uncommitted_change(),
+                self._make_joint_configuration(newest),
+            )
         return known[2]
 
-    def _make_electorate(self, newest: MembersAt) -> Electorate:
-        if not self.change_open():
-            return Electorate(self.faults, newest.members)
+    def _make_joint_configuration(self, newest: IndexedMembership) -> JointConfiguration:
+        if not self.has_uncommitted_change():
+            return JointConfiguration(self.faults, newest.members)
         before = self.log.members_at(newest.index - 1).members
-        return Electorate(self.faults, newest.members, before, newest.index)
+        return JointConfiguration(self.faults, newest.members, before, newest.index)
 
     def peers(self) -> list[MemberIdentity]:
         """The other replicas whose votes and copies count."""
-        electorate = self.electorate()
-        known = {member.member_id: member for member in electorate.previous or ()}
-        known.update({member.member_id: member for member in electorate.current})
+        joint_configuration = self.joint_configuration()
+        known = {member.member_id: member for member in joint_configuration.previous or ()}
+        known.update({member.member_id: member for member in joint_configuration.current})
         known.pop(self.identity.member_id, None)
         return list(known.values())
 
@@ -194,7 +204,7 @@
 
     def send(self, receiver: MemberIdentity, message: Message) -> None:
         message.epoch = self.epoch
-        self.effects.messages.append(Outgoing(receiver, message))
+        self.effects.messages.append(OutgoingMessage(receiver, message))
 
     # Writes
 
@@ -226,7 +236,7 @@
         for write in self.pending:
             write.last_index = min(write.last_index, first - 1)
 
-    def written(self, ticket: int) -> None:
+    def complete_writes(self, ticket: int) -> None:
         """All writes up to ``ticket`` are durable."""
         self.disk_failing = False
         while self.pending and self.pending[0].ticket <= ticket:
@@ -250,7 +260,7 @@
         """When the oldest unfinished write of entries was handed out; infinity if there is none."""
         return next((write.started for write in self.pending if write.hard_state is None), float("inf"))
 
-    def snapshot_skipped(self, ticket: int) -> None:
+    def skip_snapshot(self, ticket: int) -> None:
         """The snapshot of ``ticket`` could not be stored; log and older snapshot stay as they are."""
         for write in self.pending:
             if write.ticket == ticket:
@@ -262,10 +272,10 @@
         """Take entries up to ``index`` as committed; whether that was news."""
         if index <= self.commit_index:
             return False
-        list_was_open = self.change_open()
+        list_was_open = self.has_uncommitted_change()
         self.effects.committed.extend(self.log.entries(self.commit_index + 1, index))
         self.commit_index = index
-        if list_was_open and not self.change_open():
+        if list_was_open and not self.has_uncommitted_change():
             self._note_members_committed()
         return True
 
--- a/cherrycove/tier/replication/effects.py
+++ b/cherrycove/tier/replication/effects.py
@@ -41,7 +41,7 @@
 
 
 @attrs.frozen
-class Outgoing:
+class OutgoingMessage:
     """A message to one replica."""
 
     receiver: MemberIdentity
@@ -53,7 +53,7 @@
     """Everything that came out of the machine since effects were taken last. Writes are done in order."""
 
     writes: list[Write] = attrs.field(factory=list)
-    messages: list[Outgoing] = attrs.field(factory=list)
+    messages: list[OutgoingMessage] = attrs.field(factory=list)
     restore: Snapshot | None = None  # to be restored before ``committed`` is applied
     committed: list[Entry] = attrs.field(factory=list)
     changed: bool = False  # role, epoch, primary or members
--- a/cherrycove/tier/replication/group.py
+++ b/cherrycove/tier/replication/group.py
@@ -207,7 +207,7 @@
             return
         if machine.role is Role.PRIMARY:
             await self._proposals.wait_for_all(STOP_COMMIT_S)
-            machine.hand_over(self._clock())
+            machine.transfer_leadership(self._clock())
             self._run_effects()
             await self._transport.flush(STOP_FLUSH_S)
         if self._ticker is not None:
@@ -224,21 +224,21 @@
             return
         if self._snapshot_ticket and ticket >= self._snapshot_ticket:
             self._snapshot_ticket = 0
-        self._machine.written(ticket, self._clock())
+        self._machine.complete_writes(ticket, self._clock())
         self._run_effects()
-        if not self._machine.writing:
+        if not self._machine.has_pending_writes:
             self._call_handler.writes_finished()
 
     def _write_failed(self, error: OSError) -> None:
         _log.error("disk_write_failed", extra={"group": self._name, "reason": str(error)})
         if self._machine is not None:
-            self._machine.write_failed(self._clock())
+            self._machine.record_write_failure(self._clock())
             self._run_effects()
 
     def _snapshot_skipped(self, ticket: int, error: OSError) -> None:
         _log.warning("snapshot_skipped", extra={"group": self._name, "reason": str(error)})
         if self._machine is not None:
-            self._machine.snapshot_skipped(ticket)
+            self._machine.skip_snapshot(ticket)
 
     async def _receive(self, batch: Batch) -> Result[Batch, Failure]:
         if self._machine is None:
@@ -252,14 +252,14 @@
         if machine is None:
             return
         if batch.stranger:
-            machine.disk_replaced(sender.member_id, self._clock())
+            machine.record_disk_replaced(sender.member_id, self._clock())
             self._run_effects()
         for message in batch.messages:
             machine.receive(sender, message, self._clock())
             self._run_effects()
 
     def _writing(self) -> bool:
-        return self._machine is not None and self._machine.writing
+        return self._machine is not None and self._machine.has_pending_writes
 
     # Effects
 
--- a/cherrycove/tier/replication/log.py
+++ b/cherrycove/tier/replication/log.py
@@ -56,7 +56,7 @@
 
 
 @attrs.frozen
-class MembersAt:
+class IndexedMembership:
     """A member list and an index from which it is in force."""
 
     index: int
@@ -76,7 +76,7 @@
         self.base_index = base_index
         self.base_epoch = base_epoch
         self._entries: list[Entry] = []
-        self._lists = [MembersAt(base_index, membership or Membership())]
+        self._lists = [IndexedMembership(base_index, membership or Membership())]
 
     @property
     def last_index(self) -> int:
@@ -99,7 +99,7 @@
         self._entries.extend(entries)
         for entry in entries:
             if entry.kind is EntryKind.MEMBERS:
-                self._lists.append(MembersAt(entry.index, decode_members(entry.payload)))
+                self._lists.append(IndexedMembership(entry.index, decode_members(entry.payload)))
 
     def _truncate(self, index: int) -> None:
         del self._entries[index - self.base_index - 1 :]
@@ -122,24 +122,24 @@
             end += 1
         return self._entries[position:end]
 
-    def members_at(self, index: int) -> MembersAt:
+    def members_at(self, index: int) -> IndexedMembership:
         """The list in force at ``index``."""
         return next((at for at in reversed(self._lists) if at.index <= index), self._lists[0])
 
     @property
-    def newest_members(self) -> MembersAt:
+    def newest_members(self) -> IndexedMembership:
         return self._lists[-1]
 
-    def compact(self, index: int, kept_entries: int = KEPT_ENTRIES) -> None:
-        """Forget entries up to ``index``, but for the last ``kept_entries`` of them."""
+    def compact(self, index: int, retained_entries: int = KEPT_ENTRIES) -> None:
+        """Forget entries up to ``index``, but for the last ``retained_entries`` of them."""
         base = index
         size = 0
-        while base > self.base_index and index - base < kept_entries and size < KEPT_BYTES:
+        while base > self.base_index and index - base < retained_entries and size < KEPT_BYTES:
             size += self._entries[base - self.base_index - 1].size_bytes
             base -= 1
         if base <= self.base_index:
             return
-        kept = MembersAt(base, self.members_at(base).membership)
+        kept = IndexedMembership(base, self.members_at(base).membership)
         self._lists = [kept] + [at for at in self._lists if at.index > base]
         self.base_epoch = self.epoch_at(base) or 0
         del self._entries[: base - self.base_index]
--- a/cherrycove/tier/replication/machine.py
+++ b/cherrycove/tier/replication/machine.py
@@ -37,20 +37,21 @@
         random: Random,
         now: float,
         timing: Timing | None = None,
-        wishes: MembershipRequests | None = None,
-        kept_entries: int = KEPT_ENTRIES,
+        membership_requests: MembershipRequests | None = None,
+        retained_entries: int = KEPT_ENTRIES,
         chunk_bytes: int = CHUNK_BYTES,
     ) -> None:
-        """``wishes`` may change at any time. ``kept_entries`` before a snapshot stay in memory; it is sent in
-        parts of ``chunk_bytes``."""
+        """``membership_requests`` may change at any time.
+
+        ``retained_entries`` before a snapshot stay in memory; it is sent in chunks of ``chunk_bytes``."""
         timing = timing or Timing()
         empty = recovered.snapshot is None and not recovered.entries and recovered.hard_state.epoch == 0
-        self._core = ReplicaCore(identity, faults, recovered, timing, random, kept_entries, chunk_bytes)
+        self._core = ReplicaCore(identity, faults, recovered, timing, random, retained_entries, chunk_bytes)
         self._elections = Elections(self._core, now, fresh=empty)
         self._backup = Backup(self._core)
         self._primary: Primary | None = None
         self._source = source
-        self._wishes = wishes or MembershipRequests()
+        self._membership_requests = membership_requests or MembershipRequests()
         self._ticked_at = now
 
     # What is known
@@ -80,7 +81,7 @@
         return self._core.log.last_index
 
     @property
-    def writing(self) -> bool:
+    def has_pending_writes(self) -> bool:
         """Whether any write is unfinished."""
         return bool(self._core.pending)
 
@@ -95,13 +96,16 @@
 
     def voting_member_ids(self) -> frozenset[str]:
         """Ids of all members whose votes count here, also those of the list before while a change is open."""
-        electorate = self._core.electorate()
-        return frozenset(member.member_id for member in (*electorate.current, *(electorate.previous or ())))
+        joint_configuration = self._core.joint_configuration()
+        return frozenset(
+            member.member_id
+            for member in (*joint_configuration.current, *(joint_configuration.previous or ()))
+        )
 
     def committed_members(self, now: float) -> CommittedMembers | None:
         """The member list in force; None while a change is open or this replica is not confirmed."""
         core = self._core
-        if core.change_open() or not self.is_confirmed_primary(now):
+        if core.has_uncommitted_change() or not self.is_confirmed_primary(now):
             return None
         newest = core.log.newest_members
         return CommittedMembers(newest.index, newest.members, frozenset(newest.membership.excluded))
@@ -116,8 +120,11 @@
 
     def smallest_list(self) -> int:
         """Size of the smallest member list that has a say here."""
-        electorate = self._core.electorate()
-        sizes = [len(electorate.current), len(electorate.previous or electorate.current)]
+        joint_configuration = self._core.joint_configuration()
+        sizes = [
+            len(joint_configuration.current),
+            len(joint_configuration.previous or joint_configuration.current),
+        ]
         return min(sizes)
 
     def take_effects(self) -> Effects:
@@ -137,7 +144,7 @@
         self._core.append([Entry(1, INITIAL_EPOCH, EntryKind.MEMBERS, encode_members(members))], now)
         self._core.advance_commit(1)
         if self._core.epoch == 0:
-            self._elections.hasten(now)
+            self._elections.hasten_first_election(now)
 
     def propose(self, command: bytes, now: float) -> int | None:
         """The index of the entry with ``command``; None if this replica does not lead under a valid lease."""
@@ -158,31 +165,31 @@
             self._elections.tick(now)
         self._settle(now)
 
-    def written(self, ticket: int, now: float) -> None:
+    def complete_writes(self, ticket: int, now: float) -> None:
         """All writes up to ``ticket`` are durable."""
-        self._core.written(ticket)
-        self._elections.send_owed_vote()
-        self._elections.written(now)
+        self._core.complete_writes(ticket)
+        self._elections.send_pending_grant()
+        self._elections.start_synced_campaign(now)
         primary = self._leading()
         if primary is not None:
             primary.advance(now)
         else:
-            self._backup.written()
+            self._backup.acknowledge_synced()
         self._settle(now)
 
-    def snapshot_skipped(self, ticket: int) -> None:
+    def skip_snapshot(self, ticket: int) -> None:
         """The snapshot of ``ticket``, taken here, did not fit on the disk."""
-        self._core.snapshot_skipped(ticket)
+        self._core.skip_snapshot(ticket)
 
-    def write_failed(self, now: float) -> None:
+    def record_write_failure(self, now: float) -> None:
         """A write did not succeed; the runtime goes on trying, in order."""
         self._core.disk_failing = True
-        self.hand_over(now)
+        self.transfer_leadership(now)
 
-    def hand_over(self, now: float) -> bool:
+    def transfer_leadership(self, now: float) -> bool:
         """Have another member lead, if this one does; whether one was asked to."""
         primary = self._leading()
-        asked = primary is not None and primary.hand_over(now)
+        asked = primary is not None and primary.transfer_leadership(now)
         self._settle(now)
         return asked
 
@@ -200,9 +207,9 @@
         body = message.WhichOneof("body")
         if body == "vote_request":
             confirmed = self.is_confirmed_primary(now)
-            self._elections.receive_request(sender, message.vote_request, confirmed, now)
+            self._elections.receive_vote_request(sender, message.vote_request, confirmed, now)
         elif body == "vote_reply":
-            self._elections.receive_reply(sender, message.epoch, message.vote_reply, now)
+            self._elections.receive_vote_reply(sender, message.epoch, message.vote_reply, now)
         elif body in ("append", "snapshot_chunk"):
             self._receive_from_primary(sender, message, now)
         elif body in ("append_reply", "snapshot_reply"):
@@ -211,9 +218,9 @@
             self._receive_hand_over(sender, message, now)
         self._settle(now)
 
-    def disk_replaced(self, member_id: str, now: float) -> None:
+    def record_disk_replaced(self, member_id: str, now: float) -> None:
         """The process at the address of ``member_id`` answered that it has another disk."""
-        self._elections.disk_replaced(member_id, now)
+        self._elections.record_disk_replaced(member_id, now)
         self._settle(now)
 
     def _receive_from_primary(self, sender: MemberIdentity, message: Message, now: float) -> None:
@@ -221,7 +228,7 @@
             self._backup.refuse(sender)
             return
         self._core.adopt_epoch(message.epoch)
-        self._elections.heard_primary(now)
+        self._elections.record_primary_contact(now)
         self._backup.follow(sender)
         if message.HasField("append"):
             self._backup.receive_append(sender, message.append, now)
@@ -243,8 +250,8 @@
     def _receive_hand_over(self, sender: MemberIdentity, message: Message, now: float) -> None:
         core = self._core
         from_primary = core.primary is not None and core.primary.member_id == sender.member_id
-        if message.epoch == core.epoch and from_primary and core.may_lead and not core.disk_failing:
-            self._elections.stand(now, handed_over=True)
+        if message.epoch == core.epoch and from_primary and core.is_electable and not core.disk_failing:
+            self._elections.campaign(now, handed_over=True)
 
     def _settle(self, now: float) -> None:
         """Follow up on a won election or a lost role."""
@@ -252,7 +259,7 @@
         if self._elections.won:
             self._elections.won = False
             core.become(Role.PRIMARY, core.identity)
-            self._primary = Primary(core, self._wishes, self._source, now)
+            self._primary = Primary(core, self._membership_requests, self._source, now)
             self._primary.advance(now)
         if self._primary is not None and core.role is not Role.PRIMARY:
             self._primary = None
--- a/cherrycove/tier/replication/membership_policy.py
+++ b/cherrycove/tier/replication/membership_policy.py
@@ -21,8 +21,8 @@
     retiring: frozenset[str]  # node names or member ids
     target_size: int
     excluded: frozenset[str] = frozenset()  # member ids that must not be taken in
-    set_aside: frozenset[str] = frozenset()  # ids of standbys that did not answer lately: taken in last
-    unheard: frozenset[str] = frozenset()  # member ids that did not answer just now
+    unresponsive_standbys: frozenset[str] = frozenset()  # ids of standbys that did not answer: added last
+    unresponsive: frozenset[str] = frozenset()  # member ids that did not answer just now
 
 
 def is_retiring(member: MemberIdentity, retiring: frozenset[str]) -> bool:
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen
-class Change:
+class MembershipChange:
     """Take ``add`` in, drop ``remove``, or both in one step; never take the ids of ``exclude`` in again."""
 
     add: MemberIdentity | None = None
@@ -45,11 +45,11 @@
 
 
 @attrs.frozen
-class HandOverPrimary:
+class TransferLeadership:
     """The primary's own machine is to leave: another member must lead first."""
 
 
-Step = Change | HandOverPrimary
+MembershipStep = MembershipChange | TransferLeadership
 
 
 def _same_machine(one: MemberIdentity, other: MemberIdentity) -> bool:
@@ -69,22 +69,22 @@
     ]
 
     def rank(standby: MemberIdentity) -> tuple[bool, bool, str, str]:
-        silent = standby.member_id in view.set_aside
+        silent = standby.member_id in view.unresponsive_standbys
         return silent, standby.zone in zones, standby.node_name, standby.member_id
 
     return sorted(usable, key=rank)
 
 
-def _replace(view: GroupView, member: MemberIdentity, standby: MemberIdentity | None) -> Change:
+def _replace(view: GroupView, member: MemberIdentity, standby: MemberIdentity | None) -> MembershipChange:
     """Have ``standby`` take the place of ``member``, which is excluded if it is to leave for good."""
     exclude = (member.member_id,) if is_retiring(member, view.retiring) else ()
-    return Change(add=standby, remove=member, exclude=exclude)
+    return MembershipChange(add=standby, remove=member, exclude=exclude)
 
 
-def _emptied(view: GroupView, standbys: list[MemberIdentity]) -> Change | None:
+def _emptied(view: GroupView, standbys: list[MemberIdentity]) -> MembershipChange | None:
     """Give a machine its place back, unless this primary does not hear it: another standby may be heard."""
     for standby in standbys:
-        if standby.member_id in view.set_aside:
+        if standby.member_id in view.unresponsive_standbys:
             continue
         for member in view.members:
             if member.member_id != view.primary.member_id and _same_machine(standby, member):
@@ -92,24 +92,26 @@
     return None
 
 
-def _retiring(view: GroupView, standbys: list[MemberIdentity]) -> Step | None:
+def _retiring(view: GroupView, standbys: list[MemberIdentity]) -> MembershipStep | None:
     """Let a member go that is to leave, while all that stay are heard.
 
     One that is lost needs the standby more: it may be its successor, and whoever leaves after its order is
     switched off and is no loss that the group may count."""
     leaving = [member for member in view.members if is_retiring(member, view.retiring)]
     staying = [member.member_id for member in view.members if member not in leaving]
-    if not leaving or not view.unheard.isdisjoint(staying):
+    if not leaving or not view.unresponsive.isdisjoint(staying):
         return None
     if not standbys and len(view.members) <= view.target_size:
         return None
     others = [member for member in leaving if member.member_id != view.primary.member_id]
     if others:
         return _replace(view, others[0], standbys[0] if standbys else None)
-    return HandOverPrimary() if len(view.members) > 1 else Change(add=standbys[0]) if standbys else None
+    if len(view.members) > 1:
+        return TransferLeadership()
+    return MembershipChange(add=standbys[0]) if standbys else None
 
 
-def _retiring_standbys(view: GroupView) -> Change | None:
+def _retiring_standbys(view: GroupView) -> MembershipChange | None:
     """Exclude standbys that are to leave, so that no later primary takes them in."""
     ids = {member.member_id for member in view.members}
     leaving = sorted(
@@ -118,10 +120,10 @@
         if standby.member_id not in ids and is_retiring(standby, view.retiring)
     )
     fresh = [member_id for member_id in leaving[:EXCLUDED_LIMIT] if member_id not in view.excluded]
-    return Change(exclude=tuple(fresh)) if fresh else None
+    return MembershipChange(exclude=tuple(fresh)) if fresh else None
 
 
-def _unreachable(view: GroupView, standbys: list[MemberIdentity]) -> Change | None:
+def _unreachable(view: GroupView, standbys: list[MemberIdentity]) -> MembershipChange | None:
     """Replace a silent member, or go without it where more are left than the group needs."""
     gone = [member for member in view.members if member.member_id in view.unreachable]
     if not gone or not (standbys or len(view.members) > view.target_size):
@@ -129,7 +131,7 @@
     return _replace(view, gone[0], standbys[0] if standbys else None)
 
 
-def next_step(view: GroupView) -> Step | None:
+def next_step(view: GroupView) -> MembershipStep | None:
     """The most urgent change, or None while the group is as it should be."""
     standbys = _candidates(view)
     emptied = _emptied(view, standbys)
@@ -145,5 +147,5 @@
     if excluding is not None:
         return excluding
     if len(view.members) < view.target_size and standbys:
-        return Change(add=standbys[0])
+        return MembershipChange(add=standbys[0])
     return None
--- a/cherrycove/tier/replication/peers.py
+++ b/cherrycove/tier/replication/peers.py
@@ -131,7 +131,7 @@
         transfer = self._transfer
         if transfer is None or transfer.index != header.index:
             transfer = self._transfer = Transfer(header.index)
-        if now - transfer.sent_at < self._core.timing.resend_s:
+        if now - transfer.sent_at < self._core.timing.chunk_resend_s:
             return
         data = self._source.read_state(header.index, transfer.offset, self._core.chunk_bytes)
         if not data and header.state_bytes > transfer.offset:
--- a/cherrycove/tier/replication/primary.py
+++ b/cherrycove/tier/replication/primary.py
@@ -7,7 +7,7 @@
 from cherrycove.tier.replication.interface import MemberIdentity
 from cherrycove.tier.replication.learners import LearnerPromotion, MembershipRequests
 from cherrycove.tier.replication.log import encode_members
-from cherrycove.tier.replication.membership_policy import Change, is_retiring
+from cherrycove.tier.replication.membership_policy import MembershipChange, is_retiring
 from cherrycove.tier.replication.peers import Peer, SnapshotSource
 from cherrycove.tier.storage.entries import Entry, EntryKind
 
@@ -16,13 +16,13 @@
     """One time as primary, from the election that was won until the role is lost."""
 
     def __init__(
-        self, core: ReplicaCore, wishes: MembershipRequests, source: SnapshotSource, now: float
+        self, core: ReplicaCore, membership_requests: MembershipRequests, source: SnapshotSource, now: float
     ) -> None:
         self._core = core
         self._source = source
-        self._recruiting = LearnerPromotion(core, wishes, source)
+        self._learner_promotion = LearnerPromotion(core, membership_requests, source)
         self._peers: dict[str, Peer] = {}
-        self._wishes = wishes
+        self._membership_requests = membership_requests
         self._started = now
         self._update_peers(now)
         self._noop_index = self._append(EntryKind.NOOP, b"", now)
@@ -46,14 +46,14 @@
 
         Of a committed change of members they hear at once, also those that it removed."""
         core = self._core
-        change_was_open = core.change_open()
+        change_was_open = core.has_uncommitted_change()
         while True:
             synced = {member_id: peer.match_index for member_id, peer in self._peers.items()}
             synced[core.identity.member_id] = core.synced_index
-            index = min(core.electorate().committable(synced), core.log.last_index)
+            index = min(core.joint_configuration().committable_index(synced), core.log.last_index)
             if index < self._noop_index or not core.advance_commit(index):
                 break
-        if change_was_open and not core.change_open():
+        if change_was_open and not core.has_uncommitted_change():
             for peer in self._all_peers():
                 peer.notify(now)
             self._update_peers(now)
@@ -61,23 +61,23 @@
     # Peers
 
     def _all_peers(self) -> list[Peer]:
-        learner = self._recruiting.learner
+        learner = self._learner_promotion.learner
         peers = list(self._peers.values())
         return peers if learner is None else [*peers, learner]
 
     def _update_peers(self, now: float) -> None:
         known = self._peers
-        learner = self._recruiting.learner
+        learner = self._learner_promotion.learner
         self._peers = {}
         for member in self._core.peers():
             peer = known.get(member.member_id)
             if peer is None and learner is not None and learner.member.member_id == member.member_id:
                 peer = learner
-                self._recruiting.learner = None
+                self._learner_promotion.learner = None
             self._peers[member.member_id] = peer or Peer(self._core, member, self._source, now)
 
     def _peer(self, member_id: str) -> Peer | None:
-        learner = self._recruiting.learner
+        learner = self._learner_promotion.learner
         if learner is not None and learner.member.member_id == member_id:
             return learner
         return self._peers.get(member_id)
@@ -98,14 +98,14 @@
     def _confirmed_since(self, now: float) -> float:
         acknowledged = {member_id: peer.acknowledged for member_id, peer in self._peers.items()}
         acknowledged[self._core.identity.member_id] = now
-        return self._core.electorate().confirmed_since(acknowledged)
+        return self._core.joint_configuration().confirmed_since(acknowledged)
 
     def is_confirmed_primary(self, now: float) -> bool:
         """Whether nobody else can have been elected yet, and all that others committed is applied here.
 
         Never once it knows that its own removal is committed: those left need not ask it then before they
         elect without waiting (``elections``)."""
-        if self._core.commit_index < self._noop_index or not self._core.is_listed:
+        if self._core.commit_index < self._noop_index or not self._core.is_voter:
             return False
         return now - self._confirmed_since(now) < self._core.timing.lease_s
 
@@ -114,32 +114,32 @@
     def tick(self, now: float) -> None:
         for peer in self._peers.values():
             peer.tick(now)
-        if now - max(self._confirmed_since(now), self._started) > self._core.timing.step_down_s:
+        if now - max(self._confirmed_since(now), self._started) > self._core.timing.check_quorum_timeout_s:
             self._core.become(Role.BACKUP, None)
         elif self._stalled(now) or self._removed():
-            self.hand_over(now)
-        elif self._core.commit_index >= self._noop_index and not self._core.change_open():
+            self.transfer_leadership(now)
+        elif self._core.commit_index >= self._noop_index and not self._core.has_uncommitted_change():
             self._change_members(now)
 
     def _stalled(self, now: float) -> bool:
         """Whether others commit while this disk does not finish a write."""
         core = self._core
-        slow = now - core.stalled_since() > core.timing.disk_stall_s
+        slow = now - core.stalled_since() > core.timing.disk_stall_timeout_s
         return slow and core.commit_index > core.synced_index
 
     def _removed(self) -> bool:
         """Whether this replica led only to commit its own removal."""
-        return not self._core.change_open() and not self._core.is_member
+        return not self._core.has_uncommitted_change() and not self._core.is_member
 
     def _change_members(self, now: float) -> None:
-        limit = self._core.timing.unreachable_s
+        limit = self._core.timing.unreachable_timeout_s
         silent = frozenset(key for key, peer in self._peers.items() if now - peer.heard_at > limit)
-        unheard = frozenset(key for key, peer in self._peers.items() if not peer.heard_lately(now))
-        step = self._recruiting.step(silent, unheard, now)
+        unresponsive = frozenset(key for key, peer in self._peers.items() if not peer.heard_lately(now))
+        step = self._learner_promotion.step(silent, unresponsive, now)
         if step is None:
             return
-        if not isinstance(step, Change):
-            self.hand_over(now)
+        if not isinstance(step, MembershipChange):
+            self.transfer_leadership(now)
             return
         membership = self._core.membership
         members = encode_members(step.apply(membership.members), membership.excluding(step.exclude))
@@ -147,9 +147,9 @@
         self._update_peers(now)
         self.advance(now)
 
-    def hand_over(self, now: float) -> bool:
+    def transfer_leadership(self, now: float) -> bool:
         """Give the lease up and have the best backup stand at once; whether there is one."""
-        retiring = self._wishes.retiring
+        retiring = self._membership_requests.retiring
         ready = [peer for peer in self._peers.values() if peer.responsive(now)]
         if not ready:
             return False
--- a/cherrycove/tier/replication/quorums.py
+++ b/cherrycove/tier/replication/quorums.py
@@ -72,7 +72,7 @@
 
 
 @attrs.frozen
-class Electorate:
+class JointConfiguration:
     """The members whose votes and copies count: the list in force; the one before while a change is open."""
 
     faults: int
@@ -80,7 +80,7 @@
     previous: tuple[MemberIdentity, ...] | None = None  # None: the list in force is committed
     changed_at: int = 0  # index of the uncommitted members entry
 
-    def elects(self, voters: Collection[str]) -> bool:
+    def has_election_quorum(self, voters: Collection[str]) -> bool:
         """Whether the votes of ``voters`` (member ids) make a primary."""
         if not self._majority(self.current, voters):
             return False
@@ -102,7 +102,7 @@
     ) -> float:
         return _reached(acknowledged, members, election_quorum(len(members), self.faults), NEVER)
 
-    def committable(self, synced: Mapping[str, int]) -> int:
+    def committable_index(self, synced: Mapping[str, int]) -> int:
         """The highest index with enough synced copies; its epoch is the caller's to check."""
         count = write_quorum(len(self.current), self.faults)
         reached = _reached(synced, self.current, count, 0)
--- a/cherrycove/tier/replication/timing.py
+++ b/cherrycove/tier/replication/timing.py
@@ -4,33 +4,51 @@
 
 import attrs
 
-UNREACHABLE_SHARE = 0.25  # of the time to catch up; an election, a transfer and a commit need the rest
-LONGEST_UNREACHABLE_S = 2.0
+#: Part of the time to catch up; an election, the transfer of the log and a commit need the rest.
+UNREACHABLE_FRACTION = 0.25
+MAX_UNREACHABLE_TIMEOUT_S = 2.0
 
 
 @attrs.frozen(kw_only=True)
 class Timing:
-    """The lease must end before any backup that renewed it may vote again: lease_s < election_timeout_s."""
+    """Durations in seconds; all times are read from one replica's monotonic clock.
+
+    A lease must end before any backup that renewed it may vote again: lease_s < election_timeout_s.
+    """
 
     heartbeat_s: float = 0.15
     lease_s: float = 0.7
-    election_timeout_s: float = 0.9  # a backup that heard its primary within this time grants no vote
-    stagger_s: float = 0.1  # added per rank of the member id, so that one backup stands first
-    jitter_s: float = 0.06  # random, added to every election time-out
-    first_election_s: float = 0.1  # time-out in place of election_timeout_s when the whole group is new
-    settled_s: float = 0.15  # age of a process from which it may say that it follows nobody; answers to one
-    # question count together for no longer, so that nobody can have answered in two lives
-    retry_s: float = 0.2  # a candidate that was not elected stands again after this time and more
-    removed_pause_s: float = 5.0  # a replica told that it was removed stands again only after this time more
-    step_down_s: float = 1.5  # a primary that could not renew its lease for so long stops leading
-    disk_stall_s: float = 1.0  # a primary whose own sync takes longer, while others sync, hands over
-    unreachable_s: float = 1.2  # a member that is silent for so long may be replaced; see ``for_catch_up``
-    resend_s: float = 0.4  # an unanswered snapshot chunk is sent again after this time
-    set_aside_s: float = 5.0  # a standby that did not answer is tried after all others for so long
+    # A backup that heard its primary within this time grants no vote.
+    election_timeout_s: float = 0.9
+    # Added for each rank of the member id, so that one backup campaigns first.
+    stagger_s: float = 0.1
+    # Upper bound of the random part of every election time-out.
+    jitter_s: float = 0.06
+    # In place of election_timeout_s when the whole group is new.
+    bootstrap_timeout_s: float = 0.1
+    # Uptime from which a process may answer that it follows nobody. Answers to one pre-vote count together
+    # for no longer, so that no replica can have answered in two incarnations.
+    pre_vote_window_s: float = 0.15
+    # A candidate that was not elected campaigns again after this time and its jitter.
+    campaign_retry_s: float = 0.2
+    # A replica that learns of its removal campaigns again only after this time more.
+    removed_backoff_s: float = 5.0
+    # A primary that could not renew its lease for so long steps down (Raft's CheckQuorum).
+    check_quorum_timeout_s: float = 1.5
+    # A primary whose own sync takes longer, while others sync, transfers its leadership.
+    disk_stall_timeout_s: float = 1.0
+    # A member that was not heard for so long may be replaced; see ``for_catch_up``.
+    unreachable_timeout_s: float = 1.2
+    # An unanswered snapshot chunk is sent again after this time.
+    chunk_resend_s: float = 0.4
+    # A standby that did not answer is chosen after all others for so long.
+    standby_backoff_s: float = 5.0
 
     @classmethod
     def for_catch_up(cls, catch_up_s: float) -> Timing:
-        """Durations with which the place of a lost machine is filled within ``catch_up_s`` of its successor's
-        start, also when the lost one led: then the time of silence begins only after an election."""
-        wanted = min(catch_up_s * UNREACHABLE_SHARE, LONGEST_UNREACHABLE_S)
-        return cls(unreachable_s=max(wanted, cls().election_timeout_s))
+        """Durations with which a lost member is replaced within ``catch_up_s`` of its successor's start.
+
+        That holds when the lost member led as well: the time-out then begins only after an election.
+        """
+        wanted = min(catch_up_s * UNREACHABLE_FRACTION, MAX_UNREACHABLE_TIMEOUT_S)
+        return cls(unreachable_timeout_s=max(wanted, cls().election_timeout_s))
--- a/cherrycove/tier/simulation/mutations.py
+++ b/cherrycove/tier/simulation/mutations.py
@@ -15,7 +15,7 @@
 from cherrycove.tier.replication.elections import Elections
 from cherrycove.tier.replication.learners import LearnerPromotion
 from cherrycove.tier.replication.primary import Primary
-from cherrycove.tier.replication.quorums import Electorate
+from cherrycove.tier.replication.quorums import JointConfiguration
 
 Patches = Iterator[Any]
 
@@ -38,7 +38,7 @@
 
 
 def _vote_without_log_check() -> Patches:
-    yield mock.patch.object(Elections, "_new_enough", lambda elections, request: True)
+    yield mock.patch.object(Elections, "_is_log_up_to_date", lambda elections, request: True)
 
 
 def _one_copy_fewer() -> Patches:
@@ -57,7 +57,7 @@
 
 
 def _vote_within_lease() -> Patches:
-    yield mock.patch.object(Elections, "_bound_to_primary", lambda *arguments: False)
+    yield mock.patch.object(Elections, "_is_bound_to_primary", lambda *arguments: False)
 
 
 def _count_copies_of_older_epochs() -> Patches:
@@ -71,30 +71,32 @@
 
 
 def _new_list_alone() -> Patches:
-    def electorate(core: ReplicaCore) -> Electorate:
-        return Electorate(core.faults, core.members)
+    def joint_configuration(core: ReplicaCore) -> JointConfiguration:
+        return JointConfiguration(core.faults, core.members)
 
-    yield mock.patch.object(ReplicaCore, "electorate", electorate)
+    yield mock.patch.object(ReplicaCore, "joint_configuration", joint_configuration)
 
 
 def _restarted_quorum_needs_no_lease_to_end() -> Patches:
     def nobody_leads(elections: Any, campaign: Any, now: float) -> bool:
         core = elections._core
-        return bool(core.electorate().elects({*campaign.lives, core.identity.member_id}))
+        return bool(
+            core.joint_configuration().has_election_quorum({*campaign.incarnations, core.identity.member_id})
+        )
 
-    yield mock.patch.object(Elections, "_nobody_leads", nobody_leads)
+    yield mock.patch.object(Elections, "_is_group_unbound", nobody_leads)
 
 
 def _life_not_compared() -> Patches:
     def bound(elections: Any, request: Any, confirmed: bool, now: float) -> bool:
-        heard_at = elections._heard_here if request.life else elections._heard_at
+        heard_at = elections._contact_at if request.life else elections._lease_start_at
         return bool(confirmed or now - heard_at < elections._core.timing.election_timeout_s)
 
-    yield mock.patch.object(Elections, "_bound_to_primary", bound)
+    yield mock.patch.object(Elections, "_is_bound_to_primary", bound)
 
 
 def _removed_primary_stays_confirmed() -> Patches:
-    yield mock.patch.object(ReplicaCore, "is_listed", True)
+    yield mock.patch.object(ReplicaCore, "is_voter", True)
 
 
 def _silent_members_stay() -> Patches:
@@ -105,7 +107,7 @@
     view = LearnerPromotion._view
 
     def unaware(recruiting: Any, *arguments: Any) -> Any:
-        return attrs.evolve(view(recruiting, *arguments), unheard=frozenset())
+        return attrs.evolve(view(recruiting, *arguments), unresponsive=frozenset())
 
     yield mock.patch.object(LearnerPromotion, "_view", unaware)
 
--- a/cherrycove/tier/simulation/replica.py
+++ b/cherrycove/tier/simulation/replica.py
@@ -92,8 +92,8 @@
             self.disk,
             random,
             now,
-            wishes=self.wishes,
-            kept_entries=KEPT_ENTRIES,
+            membership_requests=self.wishes,
+            retained_entries=KEPT_ENTRIES,
             chunk_bytes=CHUNK_BYTES,
         )
         return self.machine
--- a/cherrycove/tier/simulation/world.py
+++ b/cherrycove/tier/simulation/world.py
@@ -11,7 +11,7 @@
 
 from cherrycove.tier.protocol.replication_pb2 import Message
 from cherrycove.tier.replication.core import Role
-from cherrycove.tier.replication.effects import Effects, Outgoing
+from cherrycove.tier.replication.effects import Effects, OutgoingMessage
 from cherrycove.tier.replication.interface import MemberIdentity
 from cherrycove.tier.replication.machine import ReplicaMachine
 from cherrycove.tier.simulation.disk import SimulatedDisk
@@ -211,11 +211,11 @@
             ticket = replica.disk.finish()
             if replica.snapshot_ticket and ticket >= replica.snapshot_ticket:
                 replica.snapshot_ticket = 0
-            machine.written(ticket, self.now)
+            machine.complete_writes(ticket, self.now)
 
         return handle
 
-    def _send(self, sender: Replica, outgoing: Outgoing) -> None:
+    def _send(self, sender: Replica, outgoing: OutgoingMessage) -> None:
         network = self.network
         copies = 2 if self.random.random() < network.doubled else 1
         for _ in range(copies):
@@ -249,7 +249,9 @@
         """Whoever runs at the address of ``member_id`` answers that it has another disk."""
         replica = self._at(asker.address)
         if replica is not None and replica.identity.member_id == asker.member_id:
-            self.on_replica(replica, replica.life, lambda machine: machine.disk_replaced(member_id, self.now))
+            self.on_replica(
+                replica, replica.life, lambda machine: machine.record_disk_replaced(member_id, self.now)
+            )
 
     # Clients and the plane above
 
@@ -263,7 +265,7 @@
 
     def hand_over(self, replica: Replica) -> None:
         def handle(machine: ReplicaMachine) -> None:
-            machine.hand_over(self.now)
+            machine.transfer_leadership(self.now)
 
         self.on_replica(replica, replica.life, handle)
 
--- a/tests/tier/golden_stories.py
+++ b/tests/tier/golden_stories.py
@@ -69,7 +69,7 @@
         recovered = self.storage.recover()
         chance = random.Random(number)
         self.machine = ReplicaMachine(
-            self.identity, 1, recovered, self.storage, chance, 0.0, kept_entries=1, chunk_bytes=20
+            self.identity, 1, recovered, self.storage, chance, 0.0, retained_entries=1, chunk_bytes=20
         )
 
     def write(self, write: Any) -> None:
@@ -116,7 +116,7 @@
             self._queue.append((replica, receiver, outgoing.message))
         for write in effects.writes:
             replica.write(write)
-            replica.machine.written(write.ticket, self.now)
+            replica.machine.complete_writes(write.ticket, self.now)
         return bool(effects.messages or effects.writes)
 
     def _deliver(self, sender: Replica, receiver: Replica, message: Message) -> None:
@@ -142,7 +142,7 @@
     away.cut_off = False
     cluster.run(0.3)
     assert away.machine.last_index == primary.machine.last_index
-    assert primary.machine.hand_over(cluster.now)
+    assert primary.machine.transfer_leadership(cluster.now)
     cluster.run(0.2)
     assert cluster.leading() not in (None, primary)
     for one in cluster.replicas:
--- a/tests/tier/test_replication_machine.py
+++ b/tests/tier/test_replication_machine.py
@@ -214,7 +214,7 @@
     commit(world, 3.0)
     full = primary_of(world)
     full.stalled_until = world.now + 5.0
-    world.on_replica(full, full.life, lambda machine: machine.write_failed(world.now))
+    world.on_replica(full, full.life, lambda machine: machine.record_write_failure(world.now))
     assert commit(world, 0.3) < 0.3
     second = primary_of(world)
     world.run_until(world.now + 1.0)
@@ -317,7 +317,7 @@
     world.retiring = frozenset({leaving.address})
     world.offer()
     wait(world, lambda: leaving.disk.member_id not in member_ids(leaving), 1.0)
-    wait(world, lambda: not machine_of(leaving).writing, 0.1)
+    wait(world, lambda: not machine_of(leaving).has_pending_writes, 0.1)
     world.on_effects = lambda replica, effects: None
     primary.end(Random(1))
     assert all(leaving.disk.member_id in member_ids(replica) for replica in unaware)
@@ -364,7 +364,7 @@
     """Make all writes that are asked for durable; other effects of the machine are dropped."""
     disk.submit(machine.take_effects().writes)
     disk.begin()
-    machine.written(disk.finish(), now)
+    machine.complete_writes(disk.finish(), now)
 
 
 def bodies(effects: Effects) -> list[str | None]:
@@ -384,7 +384,7 @@
     (write,) = effects.writes
     assert isinstance(write, WriteHardState)
     assert (write.hard_state.epoch, write.hard_state.voted_for) == (4, "m1")
-    machine.written(write.ticket, 5.01)
+    machine.complete_writes(write.ticket, 5.01)
     (outgoing,) = machine.take_effects().messages
     assert outgoing.receiver == identity(1)
     assert outgoing.message.vote_reply.granted
@@ -393,7 +393,7 @@
 def test_one_vote_an_epoch() -> None:
     machine, _ = single()
     machine.receive(identity(1), vote_request(4), 5.0)
-    machine.written(machine.take_effects().writes[-1].ticket, 5.0)
+    machine.complete_writes(machine.take_effects().writes[-1].ticket, 5.0)
     machine.take_effects()
     machine.receive(identity(2), vote_request(4), 5.0)
     (outgoing,) = machine.take_effects().messages
@@ -405,7 +405,7 @@
     machine.receive(identity(1), Message(epoch=epoch, append=Append(sent_us=1)), now)
     writes = machine.take_effects().writes
     if writes:
-        machine.written(writes[-1].ticket, now)
+        machine.complete_writes(writes[-1].ticket, now)
         machine.take_effects()
 
 
@@ -449,7 +449,7 @@
     machine.receive(identity(1), Message(epoch=1, append=append), 5.1)
     effects = machine.take_effects()
     assert effects.messages[0].message.append_reply.match_index == 1
-    machine.written(effects.writes[-1].ticket, 5.11)
+    machine.complete_writes(effects.writes[-1].ticket, 5.11)
     (outgoing,) = machine.take_effects().messages
     assert outgoing.message.append_reply.match_index == 2
 
@@ -480,7 +480,7 @@
     for tick in range(20, 80):
         machine.tick(tick * 0.05)
     assert machine.take_effects().messages == []
-    machine.written(write.ticket, 4.0)
+    machine.complete_writes(write.ticket, 4.0)
     assert bodies(machine.take_effects()) == ["vote_request", "vote_request"]
     assert machine.epoch == 1
 
@@ -526,7 +526,7 @@
 
     def tell() -> None:
         for replica in (first, second):
-            machine_of(replica).disk_replaced(gone, world.now)
+            machine_of(replica).record_disk_replaced(gone, world.now)
         if world.confirmed_primary() is not None:
             heard.setdefault("led", world.now)
 
@@ -552,7 +552,7 @@
     new_list = encode_members([identity(0), identity(1), identity(3)])
     append.entries.add(index=3, epoch=1, kind=EntryKind.MEMBERS, payload=new_list)
     machine.receive(identity(1), Message(epoch=1, append=append), 5.0)
-    machine.written(machine.take_effects().writes[-1].ticket, 5.0)
+    machine.complete_writes(machine.take_effects().writes[-1].ticket, 5.0)
     for tick in range(100, 130):
         machine.tick(tick * 0.05)
     assert machine.voting_member_ids() == {"m0", "m1", "m2", "m3"}
@@ -629,9 +629,9 @@
 
 def test_an_address_used_again_answers_for_a_disk_that_is_gone_but_gives_no_vote() -> None:
     machine, campaign = asking()
-    machine.disk_replaced("m1", 0.31)
+    machine.record_disk_replaced("m1", 0.31)
     assert machine.role is Role.BACKUP
-    machine.disk_replaced("m2", 0.31)
+    machine.record_disk_replaced("m2", 0.31)
     assert machine.role is Role.BACKUP
     machine.receive(identity(2), unbound(campaign), 0.32)
     assert machine.role is Role.CANDIDATE
@@ -695,7 +695,7 @@
     world.retiring = frozenset({leaving.address})
     world.offer()
     wait(world, lambda: leaving.disk.member_id not in member_ids(leaving), 1.0)
-    wait(world, lambda: not machine_of(leaving).writing, 0.1)
+    wait(world, lambda: not machine_of(leaving).has_pending_writes, 0.1)
     confirmed: list[bool] = []
 
     def note(replica: Replica, effects: Effects) -> None:
