--- a/cherrycove/tier/dataplane/admission/broker_state.py
+++ b/cherrycove/tier/dataplane/admission/_broker_state.py
@@ -7,10 +7,10 @@
 import attrs
 
 from cherrycove.tier.configuration import Service
-from cherrycove.tier.dataplane.admission.cache import PartCache
-from cherrycove.tier.dataplane.admission.health import Health
-from cherrycove.tier.dataplane.admission.interface import Ticket
-from cherrycove.tier.dataplane.admission.load import LoadEstimate
+from cherrycove.tier.dataplane.admission._broker_health import BrokerHealth
+from cherrycove.tier.dataplane.admission._interface import AdmissionRequest
+from cherrycove.tier.dataplane.admission._load_estimate import LoadEstimate
+from cherrycove.tier.dataplane.admission._prefix_cache import PrefixCacheEstimate
 from cherrycove.tier.distribution.cluster_view import Broker
 from finchrack.state import PERIOD, NodeQueue, Recent
 
@@ -28,13 +28,17 @@
     service: Service | None
     node: NodeQueue
     load: LoadEstimate
-    cache: PartCache
+    prefix_cache: PrefixCacheEstimate
     warm_at: float
-    health: Health = attrs.field(factory=Health)
-    out: dict[Ticket, float] = attrs.field(factory=dict)  # sends that have not ended, by their time
-    silent: set[Ticket] = attrs.field(factory=set)  # of them, those that have brought nothing
-    tokens: int = 0  # memory that the sends take, shared parts counted for each
-    listed: bool = True
+    health: BrokerHealth = attrs.field(factory=BrokerHealth)
+    in_flight: dict[AdmissionRequest, float] = attrs.field(
+        factory=dict
+    )  # sends that have not ended, by their time
+    awaiting_first_event: set[AdmissionRequest] = attrs.field(
+        factory=set
+    )  # of them, those that have brought nothing
+    reserved_tokens: int = 0  # memory that the sends take, shared parts counted for each
+    is_listed: bool = True
 
     @property
     def id(self) -> str:
@@ -44,73 +48,73 @@
     def memory_tokens(self) -> int:
         return self.service.engine.kv_cache_tokens if self.service else 0
 
-    def connections(self, proxies: int) -> int:
+    def free_connections(self, proxies: int) -> int:
         """Left of this proxy's part of the connections that the broker accepts, less a spare one."""
         limit = self.service.connection_limit if self.service else 0
         part = max(limit // proxies - 1, 1) if limit else UNKNOWN_CONNECTIONS
-        return max(part - len(self.out), 0)
+        return max(part - len(self.in_flight), 0)
 
-    def serves(self, ticket: Ticket) -> bool:
-        """Whether the ticket could run there, sooner or later."""
+    def can_serve(self, request: AdmissionRequest) -> bool:
+        """Whether the request could run there, sooner or later."""
         return (
-            self.listed
+            self.is_listed
             and not self.broker.draining
-            and self.broker.service == ticket.service
-            and not 0 < self.memory_tokens < ticket.prompt.tokens
+            and self.broker.service == request.service
+            and not 0 < self.memory_tokens < request.prompt.total_tokens
         )
 
-    def takes(self, ticket: Ticket, now: float) -> bool:
-        """Whether the ticket may go there, now or once there is room."""
-        return self.serves(ticket) and ticket.open_at(self.id, now) and self.health.usable(now)
+    def accepts(self, request: AdmissionRequest, now: float) -> bool:
+        """Whether the request may go there, now or once there is room."""
+        return self.can_serve(request) and request.is_eligible_at(self.id, now) and self.health.is_usable(now)
 
-    def has_room(self, now: float, proxies: int) -> bool:
+    def has_live_capacity(self, now: float, proxies: int) -> bool:
         """Whether a live request may be sent there now: under L, or at a place known to be free."""
-        if not self.connections(proxies):
+        if not self.free_connections(proxies):
             return False
-        free = self.load.free(now, proxies)
-        if self.load.fresh(now):
+        free = self.load.free_slots(now, proxies)
+        if self.load.is_fresh(now):
             return free >= 1 and (not self.node.overload or self.node.out < self.node.threshold)
         return now >= self.load.full_until and self.node.out < min(self.node.threshold, self.load.slots)
 
-    def takes_overdue(self, now: float, proxies: int) -> bool:
+    def has_overdue_capacity(self, now: float, proxies: int) -> bool:
         """Whether a request that is past its aim may be sent there regardless of L."""
-        if not self.connections(proxies):
+        if not self.free_connections(proxies):
             return False
-        if self.load.fresh(now):
-            return self.load.free(now, proxies) >= 1
+        if self.load.is_fresh(now):
+            return self.load.free_slots(now, proxies) >= 1
         return now >= self.load.full_until and self.node.out < self.load.slots
 
-    def batch_places(self, now: float, proxies: int, urgent: bool = False) -> float:
+    def batch_capacity(self, now: float, proxies: int, urgent: bool = False) -> float:
         """How many batch items more it could take, of all proxies together."""
-        blocked = self.node.overload or now < self.load.full_until or not self.health.usable(now)
-        if blocked or not self.connections(proxies):
+        blocked = self.node.overload or now < self.load.full_until or not self.health.is_usable(now)
+        if blocked or not self.free_connections(proxies):
             return 0.0
         bound = self.load.slots * (URGENT_PART if urgent else BATCH_PART)
-        return max(bound - self.load.total(now, proxies), 0.0)
-
-    def send(self, ticket: Ticket, now: float) -> None:
-        self.out[ticket] = now
-        self.silent.add(ticket)
-        self.load.out += 1
-        self.tokens += ticket.prompt.tokens
-        self.health.sent()
-        self.cache.add(ticket.prompt)
-        if not ticket.batch:
+        return max(bound - self.load.total_requests(now, proxies), 0.0)
+
+    def start_attempt(self, request: AdmissionRequest, now: float) -> None:
+        self.in_flight[request] = now
+        self.awaiting_first_event.add(request)
+        self.load.in_flight += 1
+        self.reserved_tokens += request.prompt.total_tokens
+        self.health.attempt_started()
+        self.prefix_cache.add(request.prompt)
+        if not request.is_batch:
             self.node.count_sent(now, 1.0)
 
-    def end(self, ticket: Ticket) -> float:
+    def end_attempt(self, request: AdmissionRequest) -> float:
         """The send is over; when it began."""
-        self.silent.discard(ticket)
-        self.load.out -= 1
-        self.tokens -= ticket.prompt.tokens
-        self.node.out -= not ticket.batch
-        return self.out.pop(ticket)
+        self.awaiting_first_event.discard(request)
+        self.load.in_flight -= 1
+        self.reserved_tokens -= request.prompt.total_tokens
+        self.node.out -= not request.is_batch
+        return self.in_flight.pop(request)
 
     def oldest_silent(self) -> float:
         """When the oldest send went out that has brought nothing; inf if all have."""
-        return min((self.out[ticket] for ticket in self.silent), default=inf)
+        return min((self.in_flight[request] for request in self.awaiting_first_event), default=inf)
 
-    def slowness(self, now: float) -> float:
+    def slow_start_factor(self, now: float) -> float:
         """How many times its usual time it takes while it warms up."""
         warm_up_s = self.broker.warmup_remaining_ms / 1000
         if now >= self.warm_at or warm_up_s <= 0:
@@ -118,7 +122,7 @@
         return 1.0 + WARMING_SLOWER * (self.warm_at - now) / warm_up_s
 
 
-def new_broker(broker: Broker, service: Service | None, number: int, now: float) -> BrokerState:
+def new_broker_state(broker: Broker, service: Service | None, number: int, now: float) -> BrokerState:
     """A broker that has just been listed; ``number`` tells it apart in its queue."""
     engine_slots = service.engine.capacity_slots if service else 0
     slots = broker.capacity_slots or engine_slots or UNKNOWN_SLOTS
@@ -128,6 +132,6 @@
         service=service,
         node=queue,
         load=LoadEstimate(slots=slots),
-        cache=PartCache(service.engine.kv_cache_tokens if service else 0),
+        prefix_cache=PrefixCacheEstimate(service.engine.kv_cache_tokens if service else 0),
         warm_at=now + broker.warmup_remaining_ms / 1000,
     )
--- a/cherrycove/tier/dataplane/admission/limits.py
+++ b/cherrycove/tier/dataplane/admission/_concurrency_limit.py
@@ -5,7 +5,7 @@
 from collections import deque
 from collections.abc import Sequence
 
-from cherrycove.tier.dataplane.admission.broker_state import START_L, BrokerState
+from cherrycove.tier.dataplane.admission._broker_state import START_L, BrokerState
 from finchrack.controller import set_threshold
 from finchrack.interface import RequestClass
 from finchrack.state import PERIOD, Window
@@ -42,7 +42,7 @@
     ceiling = float(max(state.load.slots, 1))
     running = node.out
     # A stream that flows has been served: to the controller only those without an event are outstanding.
-    node.out = sum(not ticket.batch for ticket in state.silent)
+    node.out = sum(not request.is_batch for request in state.awaiting_first_event)
     set_threshold(node, classes, now + PERIOD, ceiling / node.threshold)
     node.out = running
     node.threshold = min(max(node.threshold, min(START_L, ceiling)), ceiling)
@@ -52,5 +52,5 @@
 def _settle(state: BrokerState) -> None:
     """With hardly any requests there is no overload, though too few answers come to show that."""
     node = state.node
-    if not node.waiting and not state.silent:
+    if not node.waiting and not state.awaiting_first_event:
         node.overload = False
--- a/cherrycove/tier/dataplane/admission/load.py
+++ b/cherrycove/tier/dataplane/admission/_load_estimate.py
@@ -10,7 +10,7 @@
 
 FRESH_S = 1.0  # age up to which a report is taken as it is
 FADE_S = 1.0  # in which an older one loses most of its weight to this proxy's own count
-FULL_S = 0.05  # after a refusal for which a broker counts as full
+FULL_S = 0.05  # after a rejection_retry_after_s for which a broker counts as full
 
 
 @attrs.define(kw_only=True)
@@ -18,34 +18,38 @@
     """Requests at one broker, of all proxies together."""
 
     slots: int
-    out: int = 0  # sends of this proxy that have not ended
+    in_flight: int = 0  # sends of this proxy that have not ended
     reported: int | None = None  # running and waiting
     reported_at: float = -inf
-    out_then: int = 0
+    in_flight_at_report: int = 0
     full_until: float = -inf
 
-    def report(self, now: float, load: InstanceLoad) -> None:
-        self.reported, self.reported_at, self.out_then = load.running + load.waiting, now, self.out
+    def record_report(self, now: float, load: InstanceLoad) -> None:
+        self.reported, self.reported_at, self.in_flight_at_report = (
+            load.running + load.waiting,
+            now,
+            self.in_flight,
+        )
         self.slots = load.slots or self.slots
 
-    def refused(self, now: float) -> None:
+    def record_rejection(self, now: float) -> None:
         """The broker had no room."""
         self.full_until = now + FULL_S
 
-    def fresh(self, now: float) -> bool:
+    def is_fresh(self, now: float) -> bool:
         return now - self.reported_at <= FRESH_S
 
-    def total(self, now: float, proxies: int) -> float:
+    def total_requests(self, now: float, proxies: int) -> float:
         """Requests there now; an old report gives way to the assumption that all proxies do as this one."""
-        even = float(self.out * proxies)
+        even = float(self.in_flight * proxies)
         if self.reported is None:
             return even
         weight = exp(min(self.reported_at + FRESH_S - now, 0.0) / FADE_S)
-        seen = max(self.reported + self.out - self.out_then, self.out)
-        return weight * seen + (1 - weight) * max(even, self.out)
+        seen = max(self.reported + self.in_flight - self.in_flight_at_report, self.in_flight)
+        return weight * seen + (1 - weight) * max(even, self.in_flight)
 
-    def free(self, now: float, proxies: int) -> float:
+    def free_slots(self, now: float, proxies: int) -> float:
         """Places not taken; none just after the broker refused."""
         if now < self.full_until:
             return 0.0
-        return max(self.slots - self.total(now, proxies), 0.0)
+        return max(self.slots - self.total_requests(now, proxies), 0.0)
--- a/cherrycove/tier/dataplane/arrivals.py
+++ b/cherrycove/tier/dataplane/arrival_rates.py
@@ -7,7 +7,7 @@
 SPAN_S = 5.0  # over which a rate is taken
 
 
-class Arrivals:
+class ArrivalRates:
     """Counts arrivals by route name; time is monotonic seconds."""
 
     def __init__(self) -> None:
@@ -19,7 +19,7 @@
             self._began = now
         self._recent.setdefault(route, Recent(SPAN_S)).add(now)
 
-    def rates(self, now: float) -> dict[str, float]:
+    def per_second(self, now: float) -> dict[str, float]:
         """Requests a second by route, of routes that had any lately."""
         if self._began is None:
             return {}
--- a/cherrycove/tier/dataplane/batch_calls.py
+++ b/cherrycove/tier/dataplane/batch_routing.py
@@ -8,7 +8,7 @@
 BATCH_PATHS = ("/api/lots/", "/api/items/")
 
 
-def is_batch_call(method: str, path: str, route: Route | None, lots: Route | None) -> bool:
+def is_batch_api_request(method: str, path: str, route: Route | None, lots: Route | None) -> bool:
     """Whether the request is for the batch plane; ``route`` is what it matches, ``lots`` its host's batch
     route. Paths of batch jobs belong to no other route, unless its prefix is one of them, or its host has no
     batch jobs."""
@@ -20,7 +20,7 @@
     return lots is not None and asks and not route.path_prefix.startswith(BATCH_PATHS)
 
 
-def batch_route(configuration: Configuration, host: str) -> Route | None:
+def find_batch_route(configuration: Configuration, host: str) -> Route | None:
     """The first batch route of a host."""
     name = host.partition(":")[0].lower()
     of_host = (each for each in configuration.routes if each.hostname.lower() == name)
--- a/cherrycove/tier/dataplane/connections.py
+++ b/cherrycove/tier/dataplane/connection_pool.py
@@ -23,7 +23,7 @@
 from aiohttp.http import RawResponseMessage
 
 from cherrycove.http1.back import Connector, NodeConnection
-from cherrycove.tier.dataplane.headers import DEADLINE_MS, REQUEST_ID, keep_alive_s, whole_number
+from cherrycove.tier.dataplane.headers import DEADLINE_MS, REQUEST_ID, parse_keep_alive_s, parse_unsigned
 
 REST_S = 0.008  # behind an answer before its connection is used again; a second answer comes a few ms late
 IDLE_S = 4.0  # that a connection is kept where the broker tells nothing
@@ -34,7 +34,7 @@
 
 
 @contextmanager
-def sent_once_only(once: bool) -> Iterator[None]:
+def single_execution(once: bool) -> Iterator[None]:
     """For requests that are sent within, whether they may not be repeated. Such a request would be lost to a
     connection whose other end is gone without a word, so it is trusted to fewer of them."""
     before = _once_only.set(once)
@@ -77,7 +77,7 @@
             if identity is not None:  # the late second answer to another request
                 self._stray = body
                 return
-        kept = keep_alive_s(message.headers)
+        kept = parse_keep_alive_s(message.headers)
         if kept is not None:
             self._idle_s, self._told = kept * KEPT_PART, True
         super().feed_data(data, size)
@@ -94,7 +94,7 @@
     def is_connected(self) -> bool:
         return super().is_connected() and self._age_s() < self._idle_s
 
-    def fit_for_once(self) -> bool:
+    def is_fit_for_single_execution(self) -> bool:
         """Whether a request that may not be repeated can be trusted to it."""
         return self.is_connected() and (self._told or self._age_s() < ONCE_IDLE_S)
 
@@ -110,15 +110,15 @@
         self._made_at = monotonic()
 
     async def send(self, conn: Connection) -> aiohttp.ClientResponse:
-        self.tell_time_left()
+        self.update_remaining_time()
         protocol = conn.protocol
         if isinstance(protocol, BrokerConnection):
             protocol.expect(self.headers.get(REQUEST_ID, ""))
         return await super().send(conn)
 
-    def tell_time_left(self) -> None:
+    def update_remaining_time(self) -> None:
         """The time that was left when the request was made, less what the wait for a connection took."""
-        left_ms = whole_number(self.headers.get(DEADLINE_MS))
+        left_ms = parse_unsigned(self.headers.get(DEADLINE_MS))
         if left_ms is not None:
             waited_ms = math.ceil((monotonic() - self._made_at) * 1000)
             self._made_at = monotonic()
@@ -139,7 +139,7 @@
         """A kept connection that the request can be trusted to, or None where a new one should be made."""
         while _once_only.get() and (kept := self._conns.get(key)):
             connection = kept[0][0]
-            if not isinstance(connection, BrokerConnection) or connection.fit_for_once():
+            if not isinstance(connection, BrokerConnection) or connection.is_fit_for_single_execution():
                 break
             kept.popleft()
             connection.close()
--- a/cherrycove/tier/dataplane/plane.py
+++ b/cherrycove/tier/dataplane/data_plane.py
@@ -7,13 +7,13 @@
 import random
 
 from cherrycove.tier.batch.execution import ItemExecutor
-from cherrycove.tier.dataplane.dispatch import Dispatcher
-from cherrycove.tier.dataplane.drain import NOTICE_S, DrainDeadline
-from cherrycove.tier.dataplane.gate import Gate
+from cherrycove.tier.dataplane.admission_controller import AdmissionController
+from cherrycove.tier.dataplane.draining import NOTICE_S, DrainDeadline
 from cherrycove.tier.dataplane.ingress import BatchApi, Ingress
-from cherrycove.tier.dataplane.items import BrokerItemExecutor
-from cherrycove.tier.dataplane.readiness import Readiness
-from cherrycove.tier.dataplane.upstream import Upstream
+from cherrycove.tier.dataplane.item_executor import BrokerItemExecutor
+from cherrycove.tier.dataplane.readiness import ReadinessServer
+from cherrycove.tier.dataplane.request_forwarder import RequestForwarder
+from cherrycove.tier.dataplane.upstream import UpstreamClient
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.settings import Settings
 
@@ -34,13 +34,13 @@
         self._draining = False
         descriptors = max(settings.limits.file_descriptors - SPARE_DESCRIPTORS, 64)
         self._most_connections = int(descriptors * (1 - CLIENT_PART))
-        self._upstream = Upstream(self._most_connections)
-        self._gate = Gate(views, rng)
+        self._upstream = UpstreamClient(self._most_connections)
+        self._admission = AdmissionController(views, rng)
         self._drain = DrainDeadline()
-        dispatcher = Dispatcher(self._gate, self._upstream, rng, self._drain)
+        dispatcher = RequestForwarder(self._admission, self._upstream, rng, self._drain)
         self._ingress = Ingress(settings, views, dispatcher, self._drain)
-        self._readiness = Readiness(settings.listen_addresses.readiness, self._ready)
-        self.executor: ItemExecutor = BrokerItemExecutor(views, self._gate, self._upstream, rng)
+        self._readiness = ReadinessServer(settings.listen_addresses.readiness, self._ready)
+        self.executor: ItemExecutor = BrokerItemExecutor(views, self._admission, self._upstream, rng)
 
     def attach_batch(self, batch_api: BatchApi) -> None:
         """Calls for batch jobs go to ``batch_api``; before ``start``."""
@@ -48,11 +48,11 @@
 
     def arrivals(self) -> dict[str, float]:
         """Live requests a second by route name."""
-        return self._ingress.arrivals.rates(asyncio.get_running_loop().time())
+        return self._ingress.arrivals.per_second(asyncio.get_running_loop().time())
 
     async def start(self) -> None:
         await self._upstream.start()
-        self._gate.start()
+        self._admission.start()
         self._views.on_change(self._views_changed)
         self._views_changed()
         await self._ingress.start()
@@ -67,7 +67,7 @@
             await asyncio.sleep(POLL_S)
         await self._readiness.stop()
         await self._ingress.stop()
-        self._gate.stop()
+        self._admission.stop()
         await self._upstream.stop()
 
     async def drain(self, grace_s: float | None = None, notice_s: float = NOTICE_S) -> None:
@@ -79,7 +79,7 @@
         _log.info("dataplane_draining", extra={"open_requests": self._ingress.open_requests})
         self._ingress.close_connections()
         self._drain.begin(loop.time(), grace, notice_s)
-        self._gate.end_by(self._drain.at)
+        self._admission.limit_deadlines(self._drain.at)
         while loop.time() < self._drain.at and not self._quiet(loop.time()):
             await asyncio.sleep(POLL_S)
         _log.info("dataplane_drained", extra={"open_requests": self._ingress.open_requests})
@@ -87,7 +87,7 @@
     def _quiet(self, now: float) -> bool:
         ingress = self._ingress
         rested = ingress.open_requests == 0 and now - ingress.last_active >= QUIET_S
-        return rested and self._drain.noticed(now)
+        return rested and self._drain.notice_elapsed(now)
 
     def _ready(self) -> bool:
         return not self._draining and self._views.configuration is not None and bool(self._views.brokers)
--- a/cherrycove/tier/dataplane/drain.py
+++ b/cherrycove/tier/dataplane/draining.py
@@ -16,7 +16,7 @@
 SPAN_S = 10.0  # for which at least the longest request of a route is remembered
 
 
-class LongestLately:
+class RecentMaxDuration:
     """The longest that a finished request of each route took, over the last one to two spans. Pure."""
 
     def __init__(self, span_s: float = SPAN_S) -> None:
@@ -29,7 +29,7 @@
         self._turn(now)
         self._present[route] = max(self._present.get(route, 0.0), duration_s)
 
-    def of(self, route: str, now: float) -> float:
+    def longest_s(self, route: str, now: float) -> float:
         """Seconds; 0 where none finished lately."""
         self._turn(now)
         return max(self._present.get(route, 0.0), self._former.get(route, 0.0))
@@ -63,15 +63,15 @@
         """From now on nothing is taken."""
         self._closed = True
 
-    def noticed(self, now: float) -> bool:
+    def notice_elapsed(self, now: float) -> bool:
         """Whether the platform had the time to send new connections elsewhere."""
         return now >= self._notice_until
 
-    def takes(self, now: float, latest: float, usual_s: float) -> bool:
+    def accepts(self, now: float, latest: float, usual_s: float) -> bool:
         """Whether a request that comes now will be answered in time. ``latest`` is when it is answered
         whatever happens; it decides once new connections should come no more. Until then ``usual_s`` does,
         the longest that such requests took lately."""
-        expected = latest if self.noticed(now) else min(latest, now + usual_s)
+        expected = latest if self.notice_elapsed(now) else min(latest, now + usual_s)
         return not self._closed and expected <= self.at
 
     @asynccontextmanager
--- a/cherrycove/tier/dataplane/events.py
+++ b/cherrycove/tier/dataplane/event_stream.py
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen
-class Event:
+class StreamEvent:
     """One whole event: its bytes with the empty line, its id if it has one, and its data."""
 
     raw: bytes
@@ -25,7 +25,7 @@
     data: bytes | None  # its data lines joined by line feeds; None: it has none
 
 
-class EventSplitter:
+class EventStreamParser:
     """Collects bytes and gives back each event once it is whole."""
 
     def __init__(self) -> None:
@@ -36,7 +36,7 @@
         """Bytes of an event that has not ended."""
         return self._pending
 
-    def feed(self, data: bytes) -> list[Event]:
+    def feed(self, data: bytes) -> list[StreamEvent]:
         """The events that end within ``data``."""
         buffer, start, events = self._pending + data, 0, []
         for end in _END.finditer(buffer):
@@ -48,12 +48,12 @@
         return events
 
 
-def ends_an_event(tail: bytes) -> bool:
+def ends_with_event(tail: bytes) -> bool:
     """Whether a stream with these last bytes ends behind a whole event."""
     return tail.endswith((b"\n\n", b"\r\r", b"\r\n\r\n"))
 
 
-def _event(raw: bytes) -> Event:
+def _event(raw: bytes) -> StreamEvent:
     identity: int | None = None
     data: list[bytes] = []
     for line in _LINE.split(raw):
@@ -63,4 +63,4 @@
             data.append(value)
         elif name == b"id" and value.isdigit():
             identity = int(value)
-    return Event(raw, identity, b"\n".join(data) if data else None)
+    return StreamEvent(raw, identity, b"\n".join(data) if data else None)
--- a/cherrycove/tier/dataplane/headers.py
+++ b/cherrycove/tier/dataplane/headers.py
@@ -31,20 +31,20 @@
 _WHOLE = re.compile(r"\d{1,15}")
 
 
-def end_to_end(headers: CIMultiDictProxy[str] | CIMultiDict[str]) -> CIMultiDict[str]:
+def end_to_end_headers(headers: CIMultiDictProxy[str] | CIMultiDict[str]) -> CIMultiDict[str]:
     """The fields that are passed on: all but those that concern one connection."""
     named = {name.strip().lower() for value in headers.getall("Connection", ()) for name in value.split(",")}
     dropped = _ONE_CONNECTION | named
     return CIMultiDict((name, value) for name, value in headers.items() if name.lower() not in dropped)
 
 
-def whole_number(text: str | None) -> int | None:
+def parse_unsigned(text: str | None) -> int | None:
     """A number without sign or fraction, None if it is not one."""
     stripped = (text or "").strip()
     return int(stripped) if _WHOLE.fullmatch(stripped) else None
 
 
-def keep_alive_s(headers: Mapping[str, str]) -> int | None:
+def parse_keep_alive_s(headers: Mapping[str, str]) -> int | None:
     """The time that a broker keeps an idle connection, None if it does not tell."""
     value = headers.get("Keep-Alive")
     if value is None:
@@ -52,8 +52,8 @@
     for parameter in value.split(","):
         name, _, number = parameter.partition("=")
         if name.strip().lower() == "timeout":
-            return whole_number(number)
-    return whole_number(value)
+            return parse_unsigned(number)
+    return parse_unsigned(value)
 
 
 @attrs.frozen
@@ -65,8 +65,8 @@
     slots: int
 
 
-def instance_load(headers: Mapping[str, str]) -> InstanceLoad | None:
-    numbers = [whole_number(part) for part in headers.get(INSTANCE_LOAD, "").split(",")]
+def parse_instance_load(headers: Mapping[str, str]) -> InstanceLoad | None:
+    numbers = [parse_unsigned(part) for part in headers.get(INSTANCE_LOAD, "").split(",")]
     if len(numbers) != 3 or None in numbers:
         return None
     running, waiting, slots = (number or 0 for number in numbers)
--- a/cherrycove/tier/dataplane/ingress.py
+++ b/cherrycove/tier/dataplane/ingress.py
@@ -19,12 +19,17 @@
 
 from cherrycove.tier.batch.frontend.http_api import MAX_BATCH_CALL_S
 from cherrycove.tier.configuration import ClientLimits, Route
-from cherrycove.tier.dataplane.arrivals import Arrivals
-from cherrycove.tier.dataplane.batch_calls import BATCH_KIND, BATCH_PATHS, batch_route, is_batch_call
-from cherrycove.tier.dataplane.dispatch import Dispatcher, latest_answer
-from cherrycove.tier.dataplane.drain import DrainDeadline, LongestLately
+from cherrycove.tier.dataplane.arrival_rates import ArrivalRates
+from cherrycove.tier.dataplane.batch_routing import (
+    BATCH_KIND,
+    BATCH_PATHS,
+    find_batch_route,
+    is_batch_api_request,
+)
+from cherrycove.tier.dataplane.draining import DrainDeadline, RecentMaxDuration
 from cherrycove.tier.dataplane.headers import REQUEST_ID
-from cherrycove.tier.dataplane.relay import own_answer
+from cherrycove.tier.dataplane.request_forwarder import RequestForwarder, response_deadline
+from cherrycove.tier.dataplane.stream_relay import proxy_response
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.settings import Settings
 
@@ -109,15 +114,15 @@
     """Takes clients' requests on the frontend address."""
 
     def __init__(
-        self, settings: Settings, views: ClusterView, dispatcher: Dispatcher, drain: DrainDeadline
+        self, settings: Settings, views: ClusterView, dispatcher: RequestForwarder, drain: DrainDeadline
     ) -> None:
         self._settings = settings
         self._views = views
         self._dispatcher = dispatcher
         self._drain = drain
-        self._longest = LongestLately()
+        self._durations = RecentMaxDuration()
         self.batch_api: BatchApi | None = None
-        self.arrivals = Arrivals()
+        self.arrivals = ArrivalRates()
         self.open_requests = 0
         self.last_active = 0.0  # loop time at which a request last began or ended
         self._closing = False
@@ -192,8 +197,8 @@
         path = request.raw_path.partition("?")[0]
         route = configuration.match(request.headers.get("Host", ""), path)
         of_batch = path.startswith(BATCH_PATHS)
-        lots = batch_route(configuration, request.headers.get("Host", "")) if of_batch else None
-        if self.batch_api is not None and is_batch_call(request.method, path, route, lots):
+        lots = find_batch_route(configuration, request.headers.get("Host", "")) if of_batch else None
+        if self.batch_api is not None and is_batch_api_request(request.method, path, route, lots):
             return await self._batch(self.batch_api, request, body, lots if route is None else route)
         if route is None or route.route_kind == BATCH_KIND:
             return self._own(request, 404, "no route")
@@ -204,20 +209,20 @@
     ) -> web.StreamResponse:
         loop = asyncio.get_running_loop()
         self.arrivals.add(route.name, arrived)
-        usual_s = self._longest.of(route.name, arrived)
-        if not self._drain.takes(loop.time(), latest_answer(request, route, arrived), usual_s):
+        usual_s = self._durations.longest_s(route.name, arrived)
+        if not self._drain.accepts(loop.time(), response_deadline(request, route, arrived), usual_s):
             return self._leaving(request)
         try:
             return await self._dispatcher.handle(request, body, route, arrived, self.closing)
         finally:
             now = loop.time()
-            self._longest.add(route.name, now - arrived, now)
+            self._durations.add(route.name, now - arrived, now)
 
     async def _batch(
         self, api: BatchApi, request: web.BaseRequest, body: bytes, route: Route | None
     ) -> web.StreamResponse:
         now = asyncio.get_running_loop().time()
-        if not self._drain.takes(now, now + MAX_BATCH_CALL_S, 0.0):
+        if not self._drain.accepts(now, now + MAX_BATCH_CALL_S, 0.0):
             return self._leaving(request)
         try:
             async with self._drain.limit():
@@ -234,7 +239,7 @@
     def _own(self, request: web.BaseRequest, status: int, text: str, whole: bool = True,
              retry_after_s: float | None = None) -> web.Response:  # fmt: skip
         identity = request.headers.get(REQUEST_ID, "")
-        return own_answer(status, text, identity, self._closing or not whole, retry_after_s)
+        return proxy_response(status, text, identity, self._closing or not whole, retry_after_s)
 
 
 def _head_bytes(request: web.BaseRequest) -> int:
--- a/cherrycove/tier/dataplane/items.py
+++ b/cherrycove/tier/dataplane/item_executor.py
@@ -16,20 +16,20 @@
 
 from cherrycove.tier.batch.execution import ItemOutcome, ItemState, RecordFailures
 from cherrycove.tier.configuration import Route
-from cherrycove.tier.dataplane.admission.interface import Ending, Refuse, Ticket
-from cherrycove.tier.dataplane.dispatch import ENDINGS
-from cherrycove.tier.dataplane.events import Event, EventSplitter, EventTooLongError
-from cherrycove.tier.dataplane.gate import Gate, Grant
-from cherrycove.tier.dataplane.headers import DEADLINE_MS, LAST_EVENT_ID, REQUEST_ID, end_to_end
+from cherrycove.tier.dataplane.admission._interface import AdmissionRequest, AttemptOutcome, Reject
+from cherrycove.tier.dataplane.admission_controller import AdmissionController, Permit
+from cherrycove.tier.dataplane.event_stream import EventStreamParser, EventTooLongError, StreamEvent
+from cherrycove.tier.dataplane.headers import DEADLINE_MS, LAST_EVENT_ID, REQUEST_ID, end_to_end_headers
 from cherrycove.tier.dataplane.prompt import parse_prompt
+from cherrycove.tier.dataplane.request_forwarder import NOT_EXECUTED_OUTCOMES
 from cherrycove.tier.dataplane.upstream import (
-    AnswerBrokenError,
-    BreakReason,
-    BrokerAnswer,
-    MayHaveRun,
-    NotRun,
-    Outgoing,
-    Upstream,
+    IncompleteResponseError,
+    NotExecuted,
+    PossiblyExecuted,
+    ResponseFault,
+    UpstreamClient,
+    UpstreamRequest,
+    UpstreamResponse,
 )
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.protocol.batch_pb2 import LeasedItem
@@ -45,20 +45,22 @@
 class BrokerItemExecutor:
     """Sends items through admission to brokers and collects what they generate."""
 
-    def __init__(self, views: ClusterView, gate: Gate, upstream: Upstream, rng: random.Random) -> None:
+    def __init__(
+        self, views: ClusterView, admission: AdmissionController, upstream: UpstreamClient, rng: random.Random
+    ) -> None:
         self._views = views
-        self._gate = gate
+        self._admission = admission
         self._upstream = upstream
         self._rng = rng
 
     def free_slots(self) -> int:
-        return self._gate.free_slots()
+        return self._admission.free_slots()
 
     async def run_item(
         self, item: LeasedItem, may_send: Callable[[], bool], record_failures: RecordFailures
     ) -> ItemOutcome:
-        run = ItemRun(
-            gate=self._gate, upstream=self._upstream, item=item, failed=item.failed_attempts,
+        run = ItemExecution(
+            admission=self._admission, upstream=self._upstream, item=item, failed=item.failed_attempts,
             record_failures=record_failures,
         )  # fmt: skip
         if run.failed_for_good:  # its last holder did not come to report that
@@ -68,7 +70,9 @@
             if route is None:
                 return run.returned()
             outcome = await run.attempt(
-                self._ticket(item, route), may_send, lambda service: self._is_served_by(item, service)
+                self._admission_request(item, route),
+                may_send,
+                lambda service: self._is_served_by(item, service),
             )
             if outcome is not None:
                 return outcome
@@ -81,24 +85,25 @@
         route = self._route(item)
         return route is not None and service in route.services
 
-    def _ticket(self, item: LeasedItem, route: Route) -> Ticket:
+    def _admission_request(self, item: LeasedItem, route: Route) -> AdmissionRequest:
         now = asyncio.get_running_loop().time()
         services = [each.service for each in route.splits]
         weights = [each.weight for each in route.splits]
         due = now + item.due_in_ms / 1000
-        return Ticket(
-            route=route.name, service=self._rng.choices(services, weights)[0], arrived=now,
-            aim_s=max(due - now, 0.0), end=inf, patience_s=inf, due=due, batch=True,
+        return AdmissionRequest(
+            route=route.name, service=self._rng.choices(services, weights)[0], arrived_at=now,
+            target_latency_s=max(due - now, 0.0), deadline=inf, client_timeout_s=inf, due_at=due,
+            is_batch=True,
             prompt=parse_prompt(CIMultiDict(item.item.headers)),
         )  # fmt: skip
 
 
 @attrs.define(eq=False, kw_only=True)
-class ItemRun:
+class ItemExecution:
     """One execution: what has come so far, over all its sends."""
 
-    gate: Gate
-    upstream: Upstream
+    admission: AdmissionController
+    upstream: UpstreamClient
     item: LeasedItem
     failed: int  # answers of 500
     record_failures: RecordFailures
@@ -118,26 +123,29 @@
         return ItemOutcome(ItemState.DEAD_LETTERED, reason="attempts", failed_attempts=self.failed)
 
     async def attempt(
-        self, ticket: Ticket, may_send: Callable[[], bool], still_served: Callable[[str], bool]
+        self,
+        admission_request: AdmissionRequest,
+        may_send: Callable[[], bool],
+        still_served: Callable[[str], bool],
     ) -> ItemOutcome | None:
         """One send; None if the item should be sent again. ``still_served`` tells whether the configuration
         in force, which may have changed while the item waited, sends it to this service."""
-        granted = await self.gate.acquire(ticket)
-        if isinstance(granted, Refuse):
+        permit = await self.admission.acquire(admission_request)
+        if isinstance(permit, Reject):
             return await self._rest()
-        ending, failed_before = Ending.LEFT, self.failed
+        ending, failed_before = AttemptOutcome.CANCELLED, self.failed
         try:
             if not may_send():
                 return self.returned()
-            if not still_served(ticket.service):
+            if not still_served(admission_request.service):
                 return None
-            outcome, ending = await self._send(granted)
-        except AnswerBrokenError:
-            outcome, ending = None, Ending.BROKEN
+            outcome, ending = await self._send(permit)
+        except IncompleteResponseError:
+            outcome, ending = None, AttemptOutcome.INCOMPLETE
         except TimeoutError:
-            outcome, ending = None, Ending.SILENT
+            outcome, ending = None, AttemptOutcome.STALLED
         finally:
-            granted.finish(ending)
+            permit.finish(ending)
         if outcome is None and self.failed > failed_before:
             await self.record_failures(self.failed)
         return outcome or await self._rest()
@@ -151,33 +159,33 @@
         self.pause_s = min(self.pause_s * 2, LONGEST_PAUSE_S)
         return None
 
-    async def _send(self, grant: Grant) -> tuple[ItemOutcome | None, Ending]:
+    async def _send(self, permit: Permit) -> tuple[ItemOutcome | None, AttemptOutcome]:
         async with asyncio.timeout(SILENCE_S) as patience:
-            grant.on_stalled = lambda: patience.reschedule(0.0)
-            sent = await self.upstream.send(grant.broker, self._outgoing(), None)
-            if isinstance(sent, NotRun):
-                return None, ENDINGS[sent.reason]
-            if isinstance(sent, MayHaveRun):
-                return None, Ending.BROKEN
+            permit.on_stalled = lambda: patience.reschedule(0.0)
+            sent = await self.upstream.send(permit.broker, self._upstream_request(), None)
+            if isinstance(sent, NotExecuted):
+                return None, NOT_EXECUTED_OUTCOMES[sent.reason]
+            if isinstance(sent, PossiblyExecuted):
+                return None, AttemptOutcome.INCOMPLETE
             answer = sent.answer
             try:
-                grant.answered(answer.load)
+                permit.response_started(answer.load)
                 if answer.status // 100 == 2:
-                    return await self._collect(answer, grant, patience), Ending.SERVED
+                    return await self._collect(answer, permit, patience), AttemptOutcome.SERVED
                 await answer.read()
-                return self._failure(answer.status), Ending.SERVED
+                return self._failure(answer.status), AttemptOutcome.SERVED
             finally:
                 answer.close()
 
-    def _outgoing(self) -> Outgoing:
+    def _upstream_request(self) -> UpstreamRequest:
         item = self.item.item
-        headers = end_to_end(CIMultiDict(item.headers))
+        headers = end_to_end_headers(CIMultiDict(item.headers))
         headers.popall(DEADLINE_MS, None)
         headers["Host"] = self.item.host
         headers[REQUEST_ID] = item.item_id
         if self.last_id is not None:
             headers[LAST_EVENT_ID] = str(self.last_id)
-        return Outgoing(item.item_id, "POST", item.path, headers, item.body, repeatable=True)
+        return UpstreamRequest(item.item_id, "POST", item.path, headers, item.body, is_idempotent=True)
 
     def _failure(self, status: int) -> ItemOutcome | None:
         if status == UNPROCESSABLE:
@@ -188,32 +196,34 @@
                 return self.dead_lettered()
         return None
 
-    async def _collect(self, answer: BrokerAnswer, grant: Grant, patience: asyncio.Timeout) -> ItemOutcome:
+    async def _collect(
+        self, answer: UpstreamResponse, permit: Permit, patience: asyncio.Timeout
+    ) -> ItemOutcome:
         """Take all events to the stream's own end."""
-        loop, splitter = asyncio.get_running_loop(), EventSplitter()
+        loop, splitter = asyncio.get_running_loop(), EventStreamParser()
         while piece := await answer.chunk():
-            grant.heard()
+            permit.body_received()
             patience.reschedule(loop.time() + SILENCE_S)
             try:
                 events = splitter.feed(piece)
             except EventTooLongError as error:
-                raise AnswerBrokenError(BreakReason.GARBLED, str(error)) from error
+                raise IncompleteResponseError(ResponseFault.MALFORMED, str(error)) from error
             for event in events:
                 self._take(event)
         if splitter.pending.strip():
-            raise AnswerBrokenError(BreakReason.GARBLED, "the stream ends within an event")
+            raise IncompleteResponseError(ResponseFault.MALFORMED, "the stream ends within an event")
         return ItemOutcome(ItemState.COMPLETED, text=b"\n".join(self.data), failed_attempts=self.failed)
 
-    def _take(self, event: Event) -> None:
-        """Keep the event if it is the next one; ``AnswerBrokenError`` where one before it is missing."""
+    def _take(self, event: StreamEvent) -> None:
+        """Keep the next event; ``IncompleteResponseError`` where one before it is missing."""
         if event.id is None:
             if event.data is not None:
-                raise AnswerBrokenError(BreakReason.GARBLED, "an event without id")
+                raise IncompleteResponseError(ResponseFault.MALFORMED, "an event without id")
             return
         if self.last_id is not None and event.id <= self.last_id:
             return
         if self.last_id is not None and event.id != self.last_id + 1:
-            raise AnswerBrokenError(BreakReason.GARBLED, f"event {event.id} after {self.last_id}")
+            raise IncompleteResponseError(ResponseFault.MALFORMED, f"event {event.id} after {self.last_id}")
         self.last_id = event.id
         self.data.append(event.data or b"")
         self.fruitless, self.pause_s = 0, PAUSE_S
--- a/cherrycove/tier/dataplane/prompt.py
+++ b/cherrycove/tier/dataplane/prompt.py
@@ -6,11 +6,11 @@
 
 import attrs
 
-from cherrycove.tier.dataplane.headers import PROMPT_PREFIX, TOKEN_USAGE, whole_number
+from cherrycove.tier.dataplane.headers import PROMPT_PREFIX, TOKEN_USAGE, parse_unsigned
 
 
 @attrs.frozen
-class Part:
+class PromptSegment:
     """One part of a prompt; requests with the same part share its id."""
 
     id: str
@@ -19,19 +19,19 @@
 
 @attrs.frozen
 class Prompt:
-    parts: tuple[Part, ...] = ()  # in order; the last belongs to the request or to its session
-    tokens_in: int = 0
-    tokens_out: int = 0  # the most
+    segments: tuple[PromptSegment, ...] = ()  # in order; the last belongs to the request or to its session
+    input_tokens: int = 0
+    max_output_tokens: int = 0  # the most
 
     @property
-    def shared(self) -> tuple[Part, ...]:
+    def shared_segments(self) -> tuple[PromptSegment, ...]:
         """Parts that other requests may have as well."""
-        return self.parts[:-1]
+        return self.segments[:-1]
 
     @property
-    def tokens(self) -> int:
+    def total_tokens(self) -> int:
         """The most memory that the request takes, in tokens."""
-        return self.tokens_in + self.tokens_out
+        return self.input_tokens + self.max_output_tokens
 
 
 NO_PROMPT = Prompt()
@@ -39,17 +39,17 @@
 
 def parse_prompt(headers: Mapping[str, str]) -> Prompt:
     """The prompt that ``headers`` describe; what cannot be read counts as absent."""
-    parts = _parts(headers.get(PROMPT_PREFIX, ""))
-    usage = [whole_number(number) or 0 for number in headers.get(TOKEN_USAGE, "").split(",")]
-    tokens_in = max(usage[0], sum(part.tokens for part in parts))
-    return Prompt(parts, tokens_in, usage[1] if len(usage) > 1 else 0)
+    parts = _parse_segments(headers.get(PROMPT_PREFIX, ""))
+    usage = [parse_unsigned(number) or 0 for number in headers.get(TOKEN_USAGE, "").split(",")]
+    input_tokens = max(usage[0], sum(part.tokens for part in parts))
+    return Prompt(parts, input_tokens, usage[1] if len(usage) > 1 else 0)
 
 
-def _parts(text: str) -> tuple[Part, ...]:
+def _parse_segments(text: str) -> tuple[PromptSegment, ...]:
     parts = []
     for entry in text.split(","):
         name, _, tokens = entry.strip().partition(":")
-        size = whole_number(tokens)
+        size = parse_unsigned(tokens)
         if name and size is not None:
-            parts.append(Part(name, size))
+            parts.append(PromptSegment(name, size))
     return tuple(parts)
--- a/cherrycove/tier/dataplane/readiness.py
+++ b/cherrycove/tier/dataplane/readiness.py
@@ -10,7 +10,7 @@
 SHUTDOWN_TIMEOUT_S = 0.1
 
 
-class Readiness:
+class ReadinessServer:
     """Serves ``GET /api/readiness`` on its own address: 200 while ``ready`` says so, else 503."""
 
     def __init__(self, address: str, ready: Callable[[], bool]) -> None:
--- a/cherrycove/tier/dataplane/relay.py
+++ b/cherrycove/tier/dataplane/stream_relay.py
@@ -13,17 +13,17 @@
 from aiohttp import HttpVersion11, web
 from multidict import CIMultiDict
 
-from cherrycove.tier.dataplane.events import (
+from cherrycove.tier.dataplane.event_stream import (
     LONGEST_EVENT_END,
-    Event,
-    EventSplitter,
+    EventStreamParser,
     EventTooLongError,
-    ends_an_event,
+    StreamEvent,
+    ends_with_event,
 )
-from cherrycove.tier.dataplane.headers import end_to_end
-from cherrycove.tier.dataplane.upstream import AnswerBrokenError, BreakReason, BrokerAnswer
+from cherrycove.tier.dataplane.headers import end_to_end_headers
+from cherrycove.tier.dataplane.upstream import IncompleteResponseError, ResponseFault, UpstreamResponse
 
-Heard = Callable[[], None]
+BodyCallback = Callable[[], None]
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # of SO_LINGER: on, for no time
 
 
@@ -42,12 +42,12 @@
         """Whether the client has been sent something of the answer."""
         return self._response is not None
 
-    async def feed(self, answer: BrokerAnswer, heard: Heard) -> web.StreamResponse:
-        """Pass on all that is new in ``answer``; returns once it ended whole, else ``AnswerBrokenError``."""
+    async def feed(self, answer: UpstreamResponse, on_body: BodyCallback) -> web.StreamResponse:
+        """Pass on all that is new in ``answer``; ``IncompleteResponseError`` if it does not end whole."""
         if self._resumable:
-            await self._feed_events(answer, heard)
+            await self._feed_events(answer, on_body)
         else:
-            await self._feed_bytes(answer, heard)
+            await self._feed_bytes(answer, on_body)
         response = await self._begin(answer)
         await response.write_eof()
         return response
@@ -60,34 +60,34 @@
         self._request.protocol.force_close()
         return self._response
 
-    async def _feed_bytes(self, answer: BrokerAnswer, heard: Heard) -> None:
+    async def _feed_bytes(self, answer: UpstreamResponse, on_body: BodyCallback) -> None:
         tail = b""
         while piece := await answer.chunk():
-            heard()
+            on_body()
             response = await self._begin(answer)
             await response.write(piece)
             tail = (tail + piece)[-LONGEST_EVENT_END:]
-        if tail and not answer.framed and not ends_an_event(tail):
-            raise AnswerBrokenError(BreakReason.CLOSED, "the stream ends within an event")
+        if tail and not answer.framed and not ends_with_event(tail):
+            raise IncompleteResponseError(ResponseFault.CLOSED, "the stream ends within an event")
 
-    async def _feed_events(self, answer: BrokerAnswer, heard: Heard) -> None:
-        splitter = EventSplitter()
+    async def _feed_events(self, answer: UpstreamResponse, on_body: BodyCallback) -> None:
+        splitter = EventStreamParser()
         while piece := await answer.chunk():
-            heard()
+            on_body()
             try:
                 events = splitter.feed(piece)
             except EventTooLongError as error:
-                raise AnswerBrokenError(BreakReason.GARBLED, str(error)) from error
+                raise IncompleteResponseError(ResponseFault.MALFORMED, str(error)) from error
             await self._pass_on(answer, events)
         if splitter.pending.strip():
-            raise AnswerBrokenError(BreakReason.GARBLED, "the stream ends within an event")
+            raise IncompleteResponseError(ResponseFault.MALFORMED, "the stream ends within an event")
 
-    async def _pass_on(self, answer: BrokerAnswer, events: list[Event]) -> None:
-        """Write the events that the client lacks; ``AnswerBrokenError`` where one before them is missing."""
+    async def _pass_on(self, answer: UpstreamResponse, events: list[StreamEvent]) -> None:
+        """Write the events the client lacks; ``IncompleteResponseError`` if an earlier one is missing."""
         new, last_id, gap = b"", self.last_id, None
         for event in events:
             if last_id is not None and event.id is not None and event.id > last_id + 1:
-                gap = AnswerBrokenError(BreakReason.GARBLED, f"event {event.id} after {last_id}")
+                gap = IncompleteResponseError(ResponseFault.MALFORMED, f"event {event.id} after {last_id}")
                 break
             if _is_new(event, last_id):
                 new += event.raw
@@ -99,9 +99,11 @@
         if gap is not None:
             raise gap
 
-    async def _begin(self, answer: BrokerAnswer) -> web.StreamResponse:
+    async def _begin(self, answer: UpstreamResponse) -> web.StreamResponse:
         if self._response is None:
-            self._response = web.StreamResponse(status=answer.status, headers=end_to_end(answer.headers))
+            self._response = web.StreamResponse(
+                status=answer.status, headers=end_to_end_headers(answer.headers)
+            )
             if self._request.version >= HttpVersion11:
                 self._response.enable_chunked_encoding()
             if self._closing or self._request.version < HttpVersion11:
@@ -120,7 +122,7 @@
     request.transport.abort()
 
 
-def _is_new(event: Event, last_id: int | None) -> bool:
+def _is_new(event: StreamEvent, last_id: int | None) -> bool:
     """Whether a client that has all events up to ``last_id`` lacks this one. One without an id but with data
     is passed on only where nothing came before it, since nobody could tell whether the client has it."""
     if event.id is None:
@@ -128,15 +130,15 @@
     return last_id is None or event.id > last_id
 
 
-def whole_answer(answer: BrokerAnswer, body: bytes, closing: bool) -> web.Response:
+def buffered_response(answer: UpstreamResponse, body: bytes, closing: bool) -> web.Response:
     """An answer that was read to its end."""
-    response = web.Response(status=answer.status, headers=end_to_end(answer.headers), body=body)
+    response = web.Response(status=answer.status, headers=end_to_end_headers(answer.headers), body=body)
     if closing:
         response.force_close()
     return response
 
 
-def own_answer(
+def proxy_response(
     status: int, text: str, request_id: str, closing: bool, retry_after_s: float | None = None
 ) -> web.Response:
     """An answer of this system."""
--- a/cherrycove/tier/dataplane/upstream.py
+++ b/cherrycove/tier/dataplane/upstream.py
@@ -18,7 +18,7 @@
 from yarl import URL
 
 from cherrycove.http1.back import PIECE
-from cherrycove.tier.dataplane.connections import BrokerConnector, BrokerRequest, sent_once_only
+from cherrycove.tier.dataplane.connection_pool import BrokerConnector, BrokerRequest, single_execution
 from cherrycove.tier.dataplane.headers import (
     DEADLINE_MS,
     EXPECTED_INSTANCE,
@@ -26,13 +26,13 @@
     REQUEST_ID,
     RESPONSE_SIGNATURE,
     InstanceLoad,
-    instance_load,
+    parse_instance_load,
 )
 from cherrycove.tier.distribution.cluster_view import Broker
 from cherrycove.tier.protocol.sessions import client_session
 
 CONNECT_TIMEOUT_S = 0.25
-PLACE_TIMEOUT_S = 0.5  # for a place among the connections of a broker, and the connection itself
+POOL_TIMEOUT_S = 0.5  # for a place among the connections of a broker, and the connection itself
 MOST_ANSWER_BYTES = 32 * 1024 * 1024  # of an answer that is read whole
 MISDIRECTED = 421
 DISCARD_TIMEOUT_S = 0.05
@@ -40,19 +40,19 @@
 PROMISES = frozenset({408, 421, 429, 503})  # statuses that promise that the request has not run
 
 
-class NotRunReason(Enum):
+class NotExecutedReason(Enum):
     UNREACHABLE = "unreachable"  # no connection came up
-    REFUSED = "refused"  # the broker said that it did not run it
+    REJECTED = "rejected"  # the broker said that it did not run it
     OTHER_INSTANCE = "other_instance"  # another broker is at this address
 
 
-class BreakReason(Enum):
+class ResponseFault(Enum):
     CLOSED = "closed"  # reset or closed before the answer was whole
-    GARBLED = "garbled"  # what came is not the answer
+    MALFORMED = "malformed"  # what came is not the answer
 
 
 @attrs.frozen
-class Outgoing:
+class UpstreamRequest:
     """A request as it is sent, but for the fields that differ by send."""
 
     request_id: str
@@ -60,40 +60,40 @@
     target: str  # path and query exactly as they came
     headers: CIMultiDict[str]
     body: bytes
-    repeatable: bool = False  # may run more than once
+    is_idempotent: bool = False  # may run more than once
 
 
 @attrs.frozen
-class NotRun:
+class NotExecuted:
     """Certainly not run by this broker."""
 
-    reason: NotRunReason
+    reason: NotExecutedReason
     load: InstanceLoad | None = None
 
 
 @attrs.frozen
-class MayHaveRun:
+class PossiblyExecuted:
     """Sent, and no usable answer."""
 
-    reason: BreakReason
+    reason: ResponseFault
 
 
-class AnswerBrokenError(Exception):
+class IncompleteResponseError(Exception):
     """An answer did not come whole."""
 
-    def __init__(self, reason: BreakReason, detail: str = "") -> None:
+    def __init__(self, reason: ResponseFault, detail: str = "") -> None:
         super().__init__(f"{reason.value} {detail}")
         self.reason = reason
 
 
-class BrokerAnswer:
+class UpstreamResponse:
     """An answer whose head has come; its body is read once. ``close`` must follow in any case."""
 
     def __init__(self, response: aiohttp.ClientResponse) -> None:
         self._response = response
         self.status = response.status
         self.headers: CIMultiDictProxy[str] = response.headers
-        self.load = instance_load(response.headers)
+        self.load = parse_instance_load(response.headers)
 
     @property
     def framed(self) -> bool:
@@ -106,11 +106,11 @@
         return self.headers.get("Content-Type", "").partition(";")[0].strip().lower()
 
     async def chunk(self) -> bytes:
-        """More of the body as it comes; empty only after its whole end, else ``AnswerBrokenError``."""
+        """More of the body as it comes; empty only after its whole end, else ``IncompleteResponseError``."""
         try:
             return await self._response.content.readany()
         except (aiohttp.ClientError, OSError) as error:
-            raise AnswerBrokenError(BreakReason.CLOSED, str(error)) from error
+            raise IncompleteResponseError(ResponseFault.CLOSED, str(error)) from error
 
     async def read(self) -> bytes:
         """The whole body."""
@@ -118,7 +118,7 @@
         while piece := await self.chunk():
             body += piece
             if len(body) > MOST_ANSWER_BYTES:
-                raise AnswerBrokenError(BreakReason.GARBLED, "the answer is too long")
+                raise IncompleteResponseError(ResponseFault.MALFORMED, "the answer is too long")
         return bytes(body)
 
     async def discard(self) -> None:
@@ -136,14 +136,14 @@
 
 
 @attrs.frozen
-class Answered:
-    answer: BrokerAnswer
+class ResponseStarted:
+    answer: UpstreamResponse
 
 
-Outcome = NotRun | Answered | MayHaveRun
+UpstreamResult = NotExecuted | ResponseStarted | PossiblyExecuted
 
 
-class Upstream:
+class UpstreamClient:
     """Sends requests to brokers over kept connections."""
 
     def __init__(self, most_connections: int) -> None:
@@ -162,9 +162,7 @@
             trace_configs=[trace],
             skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding", "Content-Type"),
             read_bufsize=PIECE // 2,
-            timeout=aiohttp.ClientTimeout(
-                total=None, connect=PLACE_TIMEOUT_S, sock_connect=CONNECT_TIMEOUT_S
-            ),
+            timeout=aiohttp.ClientTimeout(total=None, connect=POOL_TIMEOUT_S, sock_connect=CONNECT_TIMEOUT_S),
         )
 
     async def stop(self) -> None:
@@ -176,28 +174,30 @@
         if self._connector is not None:
             self._connector.set_limit(most_per_broker)
 
-    async def send(self, broker: Broker, outgoing: Outgoing, remaining_s: float | None) -> Outcome:
+    async def send(
+        self, broker: Broker, outgoing: UpstreamRequest, remaining_s: float | None
+    ) -> UpstreamResult:
         """Send once and wait for the head of the answer; the caller bounds the wait.
 
         ``remaining_s`` is what the client's deadline leaves; None: the broker is told none."""
         if self._session is None:
-            return NotRun(NotRunReason.UNREACHABLE)
+            return NotExecuted(NotExecutedReason.UNREACHABLE)
         headers = outgoing.headers.copy()
         headers[EXPECTED_INSTANCE] = broker.instance_id
         if remaining_s is not None:
             headers[DEADLINE_MS] = str(max(int(remaining_s * 1000), 1))
         sent = SimpleNamespace(begun=False)
         try:
-            with sent_once_only(not outgoing.repeatable):
+            with single_execution(not outgoing.is_idempotent):
                 response = await self._request(broker, outgoing, headers, sent)
         except aiohttp.ClientResponseError:
-            return _broken(sent, BreakReason.GARBLED)
+            return _broken(sent, ResponseFault.MALFORMED)
         except (aiohttp.ClientError, OSError, ValueError):
-            return _broken(sent, BreakReason.CLOSED)
+            return _broken(sent, ResponseFault.CLOSED)
         return await _outcome(response, outgoing.request_id)
 
     async def _request(
-        self, broker: Broker, outgoing: Outgoing, headers: CIMultiDict[str], sent: SimpleNamespace
+        self, broker: Broker, outgoing: UpstreamRequest, headers: CIMultiDict[str], sent: SimpleNamespace
     ) -> aiohttp.ClientResponse:
         assert self._session is not None
         host, _, port = broker.address.rpartition(":")
@@ -213,26 +213,26 @@
     context.trace_request_ctx.begun = True
 
 
-def _broken(sent: SimpleNamespace, reason: BreakReason) -> Outcome:
-    return MayHaveRun(reason) if sent.begun else NotRun(NotRunReason.UNREACHABLE)
+def _broken(sent: SimpleNamespace, reason: ResponseFault) -> UpstreamResult:
+    return PossiblyExecuted(reason) if sent.begun else NotExecuted(NotExecutedReason.UNREACHABLE)
 
 
-async def _outcome(response: aiohttp.ClientResponse, request_id: str) -> Outcome:
+async def _outcome(response: aiohttp.ClientResponse, request_id: str) -> UpstreamResult:
     """What an answer means; one that is not to be passed on is closed here."""
-    answer = BrokerAnswer(response)
+    answer = UpstreamResponse(response)
     if response.headers.get(REQUEST_ID) != request_id:
         response.close()
-        return MayHaveRun(BreakReason.GARBLED)
+        return PossiblyExecuted(ResponseFault.MALFORMED)
     if response.status == MISDIRECTED:
         await answer.discard()
-        return NotRun(NotRunReason.OTHER_INSTANCE)
+        return NotExecuted(NotExecutedReason.OTHER_INSTANCE)
     if NOT_EXECUTED in response.headers and response.status in PROMISES:
         await answer.discard()
-        return NotRun(NotRunReason.REFUSED, answer.load)
+        return NotExecuted(NotExecutedReason.REJECTED, answer.load)
     if response.status in PROMISES or not _usable(response):
         response.close()
-        return MayHaveRun(BreakReason.GARBLED)
-    return Answered(answer)
+        return PossiblyExecuted(ResponseFault.MALFORMED)
+    return ResponseStarted(answer)
 
 
 def _usable(response: aiohttp.ClientResponse) -> bool:
--- a/tests/tier/admission_model.py
+++ b/tests/tier/admission_model.py
@@ -11,18 +11,18 @@
 from dataplane_world import configuration_bytes, route
 
 from cherrycove.tier.configuration import parse_configuration
-from cherrycove.tier.dataplane.admission.interface import (
+from cherrycove.tier.dataplane.admission._interface import (
     Action,
-    Ending,
-    Knowledge,
-    Refuse,
-    Send,
-    Ticket,
+    AdmissionRequest,
+    AttemptOutcome,
+    ClusterSnapshot,
+    Reject,
+    StartAttempt,
 )
-from cherrycove.tier.dataplane.admission.scheduler import Scheduler
-from cherrycove.tier.dataplane.arrivals import Arrivals
+from cherrycove.tier.dataplane.admission._scheduler import AdmissionScheduler
+from cherrycove.tier.dataplane.arrival_rates import ArrivalRates
 from cherrycove.tier.dataplane.headers import InstanceLoad
-from cherrycove.tier.dataplane.prompt import Part, Prompt
+from cherrycove.tier.dataplane.prompt import Prompt, PromptSegment
 from cherrycove.tier.distribution.cluster_view import Broker
 
 WAY_S = 0.001  # between proxy and broker
@@ -56,8 +56,8 @@
     """One model broker."""
 
     broker: Broker
-    running: dict[Ticket, int] = attrs.field(factory=dict)
-    waiting: list[tuple[Ticket, int]] = attrs.field(factory=list)
+    running: dict[AdmissionRequest, int] = attrs.field(factory=dict)
+    waiting: list[tuple[AdmissionRequest, int]] = attrs.field(factory=list)
     kept: set[str] = attrs.field(factory=set)
     reads_until: float = 0.0
     read_tokens: int = 0
@@ -73,21 +73,21 @@
     works: list[Work] = attrs.field(factory=list)
     backlog: list[Work] = attrs.field(factory=list)  # items that no proxy has
     engines: dict[str, Engine] = attrs.field(init=False)
-    schedulers: list[Scheduler] = attrs.field(init=False)
+    schedulers: list[AdmissionScheduler] = attrs.field(init=False)
     _rng: random.Random = attrs.field(init=False)
     _agenda: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = attrs.field(factory=list)
     _serial: int = 0
-    _open: dict[Ticket, Work] = attrs.field(factory=dict)
+    _open: dict[AdmissionRequest, Work] = attrs.field(factory=dict)
     _wakes: dict[int, float] = attrs.field(factory=dict)
-    _arrivals: list[Arrivals] = attrs.field(init=False)
+    _arrivals: list[ArrivalRates] = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         self._rng = random.Random(self.seed)
         names = [f"i-{number}" for number in range(self.brokers)]
         self.engines = {name: Engine(_listed(name)) for name in names}
         seeds = range(self.seed, self.seed + 7 * self.proxies, 7)
-        self.schedulers = [Scheduler(random.Random(seed), 0.0) for seed in seeds]
-        self._arrivals = [Arrivals() for _ in range(self.proxies)]
+        self.schedulers = [AdmissionScheduler(random.Random(seed), 0.0) for seed in seeds]
+        self._arrivals = [ArrivalRates() for _ in range(self.proxies)]
         self._know()
 
     # Traffic
@@ -99,7 +99,9 @@
             subject = f"{kind}-{self._rng.randrange(6) if kind == 'report' else 0}"
             self._serial += 1
             prompt = Prompt(
-                (Part(subject, shared), Part(f"own-{self._serial}", own)), shared + own, EVENTS[kind] * 20
+                (PromptSegment(subject, shared), PromptSegment(f"own-{self._serial}", own)),
+                shared + own,
+                EVENTS[kind] * 20,
             )
             self._at(when, self._begin, Work(kind, when, prompt))
             when += self._rng.expovariate(per_s)
@@ -133,9 +135,9 @@
         work.tries, work.try_began = work.tries + 1, self.now
         left = PATIENCE_S - (self.now - work.began)
         self._arrivals[proxy].add(work.kind, self.now)
-        self._arrive(proxy, work, Ticket(
-            route=work.kind, service="lm", arrived=self.now, aim_s=AIM_S, end=self.now + left,
-            patience_s=left, prompt=work.prompt,
+        self._arrive(proxy, work, AdmissionRequest(
+            route=work.kind, service="lm", arrived_at=self.now, target_latency_s=AIM_S,
+            deadline=self.now + left, client_timeout_s=left, prompt=work.prompt,
         ))  # fmt: skip
 
     def _lease(self) -> None:
@@ -143,9 +145,10 @@
         for proxy, scheduler in enumerate(self.schedulers):
             for _ in range(min(scheduler.free_slots(self.now), len(self.backlog))):
                 work = self.backlog.pop(0)
-                self._arrive(proxy, work, Ticket(
-                    route="lots", service="lm", arrived=self.now, aim_s=ITEM_DUE_S, end=float("inf"),
-                    patience_s=float("inf"), prompt=work.prompt, batch=True, due=work.began + ITEM_DUE_S,
+                self._arrive(proxy, work, AdmissionRequest(
+                    route="lots", service="lm", arrived_at=self.now, target_latency_s=ITEM_DUE_S,
+                    deadline=float("inf"), client_timeout_s=float("inf"), prompt=work.prompt, is_batch=True,
+                    due_at=work.began + ITEM_DUE_S,
                 ))  # fmt: skip
 
     # Proxies
@@ -153,30 +156,30 @@
     def _know(self) -> None:
         rates: dict[str, float] = {}
         for arrivals in self._arrivals:
-            for name, rate in arrivals.rates(self.now).items():
+            for name, rate in arrivals.per_second(self.now).items():
                 rates[name] = rates.get(name, 0.0) + rate
-        knowledge = Knowledge(
+        snapshot = ClusterSnapshot(
             configuration=CONFIGURATION, brokers=tuple(each.broker for each in self.engines.values()),
-            proxies=self.proxies, rates=rates,
+            proxies=self.proxies, arrivals_per_s=rates,
         )  # fmt: skip
         for proxy, scheduler in enumerate(self.schedulers):
-            self._carry_out(proxy, scheduler.know(self.now, knowledge))
+            self._carry_out(proxy, scheduler.cluster_changed(self.now, snapshot))
         if self.backlog:
             self._lease()
         self._at(self.now + 0.25, self._know)
 
-    def _arrive(self, proxy: int, work: Work, ticket: Ticket) -> None:
-        self._open[ticket] = work
-        self._carry_out(proxy, self.schedulers[proxy].arrive(self.now, ticket))
+    def _arrive(self, proxy: int, work: Work, request: AdmissionRequest) -> None:
+        self._open[request] = work
+        self._carry_out(proxy, self.schedulers[proxy].request_arrived(self.now, request))
 
     def _carry_out(self, proxy: int, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case Send(ticket, name):
-                    self._at(self.now + WAY_S, self._receive, proxy, ticket, self.engines[name])
-                case Refuse(ticket, advice):
-                    self._refused(self._open.pop(ticket), advice)
-        wake = self.schedulers[proxy].next_wake()
+                case StartAttempt(request, name):
+                    self._at(self.now + WAY_S, self._receive, proxy, request, self.engines[name])
+                case Reject(request, advice):
+                    self._refused(self._open.pop(request), advice)
+        wake = self.schedulers[proxy].next_wake_at()
         if wake < self._wakes.get(proxy, float("inf")):
             self._wakes[proxy] = wake
             self._at(max(wake, self.now), self._wake, proxy, wake)
@@ -195,56 +198,56 @@
 
     # Brokers
 
-    def _receive(self, proxy: int, ticket: Ticket, engine: Engine) -> None:
+    def _receive(self, proxy: int, request: AdmissionRequest, engine: Engine) -> None:
         if engine.dead:
-            return self._end(proxy, ticket, Ending.UNREACHABLE)
+            return self._end(proxy, request, AttemptOutcome.UNREACHABLE)
         if len(engine.running) < SLOTS:
-            return self._start(proxy, ticket, engine)
+            return self._start(proxy, request, engine)
         if len(engine.waiting) < QUEUE:
-            engine.waiting.append((ticket, proxy))
+            engine.waiting.append((request, proxy))
         else:
-            self._end(proxy, ticket, Ending.REFUSED)
+            self._end(proxy, request, AttemptOutcome.REJECTED)
 
-    def _start(self, proxy: int, ticket: Ticket, engine: Engine) -> None:
-        tokens = sum(part.tokens for part in ticket.prompt.parts if part.id not in engine.kept)
-        engine.kept.update(part.id for part in ticket.prompt.shared)
-        engine.running[ticket] = proxy
+    def _start(self, proxy: int, request: AdmissionRequest, engine: Engine) -> None:
+        tokens = sum(part.tokens for part in request.prompt.segments if part.id not in engine.kept)
+        engine.kept.update(part.id for part in request.prompt.shared_segments)
+        engine.running[request] = proxy
         engine.read_tokens += tokens
         engine.reads_until = max(engine.reads_until, self.now) + tokens / READ_TOKENS_PER_S
-        self._at(engine.reads_until + EVENT_S, self._event, proxy, ticket, engine, 1)
+        self._at(engine.reads_until + EVENT_S, self._event, proxy, request, engine, 1)
 
-    def _event(self, proxy: int, ticket: Ticket, engine: Engine, number: int) -> None:
+    def _event(self, proxy: int, request: AdmissionRequest, engine: Engine, number: int) -> None:
         if engine.dead:
             return
-        work, scheduler = self._open[ticket], self.schedulers[proxy]
+        work, scheduler = self._open[request], self.schedulers[proxy]
         if number == 1:
             load = InstanceLoad(len(engine.running), len(engine.waiting), SLOTS)
-            scheduler.answered(self.now, ticket, load)
+            scheduler.response_started(self.now, request, load)
             work.first_s = self.now - work.try_began
-        scheduler.heard(self.now, ticket)
+        scheduler.body_received(self.now, request)
         if number < EVENTS[work.kind]:
-            return self._at(self.now + EVENT_S, self._event, proxy, ticket, engine, number + 1)
+            return self._at(self.now + EVENT_S, self._event, proxy, request, engine, number + 1)
         work.done = self.now
-        del engine.running[ticket]
-        self._end(proxy, ticket, Ending.SERVED)
+        del engine.running[request]
+        self._end(proxy, request, AttemptOutcome.SERVED)
         if engine.waiting:
             waiting, its_proxy = engine.waiting.pop(0)
             self._start(its_proxy, waiting, engine)
 
-    def _end(self, proxy: int, ticket: Ticket, ending: Ending) -> None:
-        self._carry_out(proxy, self.schedulers[proxy].ended(self.now, ticket, ending))
-        work = self._open.pop(ticket)
-        if ending in (Ending.REFUSED, Ending.UNREACHABLE):
-            self._arrive(proxy, work, ticket)
-        elif ending is Ending.BROKEN:
+    def _end(self, proxy: int, request: AdmissionRequest, ending: AttemptOutcome) -> None:
+        self._carry_out(proxy, self.schedulers[proxy].attempt_ended(self.now, request, ending))
+        work = self._open.pop(request)
+        if ending in (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE):
+            self._arrive(proxy, work, request)
+        elif ending is AttemptOutcome.INCOMPLETE:
             work.broken = True
-            if ticket.batch:
+            if request.is_batch:
                 self.backlog.append(work)
 
     def _die(self, engine: Engine) -> None:
         engine.dead = True
-        for ticket, proxy in [*engine.running.items(), *engine.waiting]:
-            self._end(proxy, ticket, Ending.BROKEN)
+        for request, proxy in [*engine.running.items(), *engine.waiting]:
+            self._end(proxy, request, AttemptOutcome.INCOMPLETE)
 
     def _unlist(self, name: str) -> None:
         del self.engines[name]
--- a/tests/tier/golden_interfaces.py
+++ b/tests/tier/golden_interfaces.py
@@ -38,8 +38,8 @@
 from cherrycove.tier.controlplane.broker_discovery import BrokerDiscoveryClient
 from cherrycove.tier.controlplane.controller import Controller
 from cherrycove.tier.dataplane import headers as header_module
-from cherrycove.tier.dataplane.readiness import Readiness
-from cherrycove.tier.dataplane.relay import own_answer
+from cherrycove.tier.dataplane.readiness import ReadinessServer
+from cherrycove.tier.dataplane.stream_relay import proxy_response
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ANSWERS, ErrorKind, Failure
 from cherrycove.tier.protocol import rpc as rpc_module
@@ -267,7 +267,7 @@
 async def readiness() -> list[str]:
     """What the platform asks a proxy: while it is ready, while it is not, and elsewhere."""
     ready, address = [True], free_address()
-    server = Readiness(address, lambda: ready[0])
+    server = ReadinessServer(address, lambda: ready[0])
     await server.start()
     answers = [await ask(address, request("GET /api/readiness"))]
     ready[0] = False
@@ -298,7 +298,7 @@
 
 def own_answers() -> list[list[Any]]:
     """Status and fields of answers that a proxy gives of its own."""
-    answers = [own_answer(404, "no route", "", False), own_answer(503, "later", "id-1", False, 0.5)]
+    answers = [proxy_response(404, "no route", "", False), proxy_response(503, "later", "id-1", False, 0.5)]
     return [[one.status, dict(one.headers), bytes(one.body or b"").decode()] for one in answers]  # type: ignore[arg-type]
 
 
--- a/tests/tier/test_dataplane_bounds.py
+++ b/tests/tier/test_dataplane_bounds.py
@@ -119,7 +119,7 @@
             await broker.wait_received()
             await waiting.send("/brief/x", headers=patient)
             async with asyncio.timeout(TIMEOUT_S + 21.0):
-                while not world.plane._gate._waiting:
+                while not world.plane._admission._pending:
                     await asyncio.sleep(0)
                 move(20.5)
                 await world.readiness()
@@ -194,10 +194,10 @@
             text = await client.chunk()
             world.tell(listed=[])
             unlisted.set()
-            while not world.plane._gate._waiting:
+            while not world.plane._admission._pending:
                 await asyncio.sleep(0)
             move(0.5)  # no broker can be reached for longer than a request is held for that
-            while world.plane._gate._waiting:
+            while world.plane._admission._pending:
                 await world.readiness()
             world.tell(listed=[second])
             while chunk := await client.chunk():
--- a/tests/tier/test_dataplane_client_gone.py
+++ b/tests/tier/test_dataplane_client_gone.py
@@ -8,7 +8,7 @@
 import pytest
 from dataplane_world import TIMEOUT_S, Client, World, configuration_bytes, route
 
-from cherrycove.tier.dataplane.connections import BrokerConnector
+from cherrycove.tier.dataplane.connection_pool import BrokerConnector
 from examples.toy_broker import SIGNATURE, Received, Script, ToyBroker, Wire
 
 ROUTES = [
@@ -93,10 +93,10 @@
             await broker.wait_received()
             leaver = await asking(world, "/again/leaver")
             async with asyncio.timeout(TIMEOUT_S):
-                while not world.plane._gate._waiting:
+                while not world.plane._admission._pending:
                     await asyncio.sleep(0)
                 leaver.close()
-                while world.plane._gate._waiting:
+                while world.plane._admission._pending:
                     await asyncio.sleep(0)
             release.set()
             assert (await first.reply()).status == 200
@@ -118,7 +118,7 @@
                 given_up.set()
 
         monkeypatch.setattr(BrokerConnector, "_create_connection", hangs)
-        monkeypatch.setattr("cherrycove.tier.dataplane.upstream.PLACE_TIMEOUT_S", TIMEOUT_S, raising=False)
+        monkeypatch.setattr("cherrycove.tier.dataplane.upstream.POOL_TIMEOUT_S", TIMEOUT_S, raising=False)
         async with World([ToyBroker()], document=configuration_bytes(ROUTES)) as world:
             async with asyncio.timeout(TIMEOUT_S):
                 leaver = await asking(world, "/again/x")
@@ -142,10 +142,10 @@
             async with asyncio.timeout(TIMEOUT_S):
                 leaver = await asking(world, target)
                 await broker.wait_received()
-                while not world.plane._gate._waiting:
+                while not world.plane._admission._pending:
                     await asyncio.sleep(0)
                 leaver.close()
                 await at_rest(world)
-            assert len(broker.received) == 1 and not world.plane._gate._waiting
+            assert len(broker.received) == 1 and not world.plane._admission._pending
 
     asyncio.run(story())
--- a/tests/tier/test_dataplane_drain.py
+++ b/tests/tier/test_dataplane_drain.py
@@ -7,7 +7,7 @@
 from dataplane_world import TIMEOUT_S, Reply, World, configuration_bytes, route
 from test_dataplane_items import RecordingBatchApi
 
-from cherrycove.tier.dataplane.drain import END_RESERVE_S, DrainDeadline, LongestLately
+from cherrycove.tier.dataplane.draining import END_RESERVE_S, DrainDeadline, RecentMaxDuration
 from examples.toy_broker import Received, ToyBroker, Wire, stream
 
 ROUTES = [
@@ -29,40 +29,40 @@
     drain = DrainDeadline()
     drain.begin(100.0, GRACE_S, notice_s=2.5)
     assert drain.at == 100.0 + GRACE_S - END_RESERVE_S
-    assert drain.takes(102.4, latest=200.0, usual_s=4.0)
-    assert not drain.takes(102.4, latest=200.0, usual_s=5.0)
-    assert drain.takes(102.4, latest=103.0, usual_s=5.0)
+    assert drain.accepts(102.4, latest=200.0, usual_s=4.0)
+    assert not drain.accepts(102.4, latest=200.0, usual_s=5.0)
+    assert drain.accepts(102.4, latest=103.0, usual_s=5.0)
 
 
 def test_afterwards_only_what_is_certainly_answered_in_time_is_taken() -> None:
     drain = DrainDeadline()
     drain.begin(100.0, GRACE_S, notice_s=2.5)
-    assert not drain.noticed(102.4) and drain.noticed(102.5)
-    assert drain.takes(102.5, latest=107.2, usual_s=0.0)
-    assert not drain.takes(102.5, latest=107.4, usual_s=0.0)
+    assert not drain.notice_elapsed(102.4) and drain.notice_elapsed(102.5)
+    assert drain.accepts(102.5, latest=107.2, usual_s=0.0)
+    assert not drain.accepts(102.5, latest=107.4, usual_s=0.0)
     drain.close()
-    assert not drain.takes(102.5, latest=102.6, usual_s=0.0)
+    assert not drain.accepts(102.5, latest=102.6, usual_s=0.0)
 
 
 def test_the_bounds_follow_a_short_grace_period() -> None:
     drain = DrainDeadline()
     drain.begin(100.0, 2.0, notice_s=2.5)
-    assert drain.takes(101.0, latest=160.0, usual_s=0.2)
-    assert not drain.takes(101.0, latest=160.0, usual_s=0.4)
-    assert not drain.takes(101.3, latest=160.0, usual_s=0.0)
+    assert drain.accepts(101.0, latest=160.0, usual_s=0.2)
+    assert not drain.accepts(101.0, latest=160.0, usual_s=0.4)
+    assert not drain.accepts(101.3, latest=160.0, usual_s=0.0)
 
 
 def test_a_proxy_that_serves_takes_everything() -> None:
-    assert DrainDeadline().takes(100.0, latest=1e9, usual_s=1e6)
+    assert DrainDeadline().accepts(100.0, latest=1e9, usual_s=1e6)
 
 
 def test_the_longest_request_is_forgotten_after_two_spans() -> None:
-    longest = LongestLately(span_s=10.0)
+    longest = RecentMaxDuration(span_s=10.0)
     longest.add("r", 4.0, 0.0)
     longest.add("r", 1.0, 11.0)
-    assert (longest.of("r", 12.0), longest.of("other", 12.0)) == (4.0, 0.0)
-    assert longest.of("r", 22.0) == 1.0
-    assert longest.of("r", 60.0) == 0.0
+    assert (longest.longest_s("r", 12.0), longest.longest_s("other", 12.0)) == (4.0, 0.0)
+    assert longest.longest_s("r", 22.0) == 1.0
+    assert longest.longest_s("r", 60.0) == 0.0
 
 
 def test_a_leaving_proxy_turns_away_at_once_what_it_may_not_finish() -> None:
--- a/tests/tier/test_dataplane_items.py
+++ b/tests/tier/test_dataplane_items.py
@@ -187,7 +187,7 @@
             await client.send("/again/x")
             await old.wait_received()
             run = asyncio.create_task(world.plane.executor.run_item(leased(), always, unrecorded))
-            while not any(ticket.batch for ticket in world.plane._gate._waiting):
+            while not any(ticket.is_batch for ticket in world.plane._admission._pending):
                 await asyncio.sleep(0)
             world.views.brokers = (attrs.evolve(entry(new), service="other"),)
             moved = [route("lots", "/lots/", "batch", timeoutMs=60000, service="other")]
--- a/tests/tier/test_dataplane_parts.py
+++ b/tests/tier/test_dataplane_parts.py
@@ -6,15 +6,24 @@
 from hypothesis import strategies as st
 from multidict import CIMultiDict
 
-from cherrycove.tier.dataplane.admission.cache import PartCache, anchor, preferred
-from cherrycove.tier.dataplane.admission.hope import Outlook, refusal
-from cherrycove.tier.dataplane.admission.interface import Ticket
-from cherrycove.tier.dataplane.admission.load import LoadEstimate
-from cherrycove.tier.dataplane.admission.pace import Pace
-from cherrycove.tier.dataplane.arrivals import Arrivals
-from cherrycove.tier.dataplane.events import EventSplitter
-from cherrycove.tier.dataplane.headers import InstanceLoad, end_to_end, instance_load, keep_alive_s
-from cherrycove.tier.dataplane.prompt import Part, Prompt, parse_prompt
+from cherrycove.tier.dataplane.admission._deadline_feasibility import LatencyForecast, rejection_retry_after_s
+from cherrycove.tier.dataplane.admission._interface import AdmissionRequest
+from cherrycove.tier.dataplane.admission._latency_estimate import LatencyEstimate
+from cherrycove.tier.dataplane.admission._load_estimate import LoadEstimate
+from cherrycove.tier.dataplane.admission._prefix_cache import (
+    PrefixCacheEstimate,
+    affinity_segment,
+    preferred_broker,
+)
+from cherrycove.tier.dataplane.arrival_rates import ArrivalRates
+from cherrycove.tier.dataplane.event_stream import EventStreamParser
+from cherrycove.tier.dataplane.headers import (
+    InstanceLoad,
+    end_to_end_headers,
+    parse_instance_load,
+    parse_keep_alive_s,
+)
+from cherrycove.tier.dataplane.prompt import Prompt, PromptSegment, parse_prompt
 
 STREAM = b"id: 1\ndata: a\n\nversions: 3\nid: 2\ndata: b\ndata:c\n\n: a comment\n\nid: 3\r\ndata: d\r\n\r\n"
 
@@ -22,7 +31,7 @@
 @given(st.lists(st.integers(0, len(STREAM)), max_size=8))
 def test_events_are_cut_out_wherever_their_bytes_are_parted(places: list[int]) -> None:
     cuts = [0, *sorted(places), len(STREAM)]
-    splitter, events = EventSplitter(), []
+    splitter, events = EventStreamParser(), []
     for start, end in zip(cuts, cuts[1:], strict=False):
         events += splitter.feed(STREAM[start:end])
     assert b"".join(event.raw for event in events) == STREAM and splitter.pending == b""
@@ -31,7 +40,7 @@
 
 
 def test_an_unfinished_event_stays_pending() -> None:
-    splitter = EventSplitter()
+    splitter = EventStreamParser()
     assert splitter.feed(b"id: 1\ndata: a\n") == [] and splitter.pending
 
 
@@ -42,97 +51,109 @@
     })  # fmt: skip
     headers.add("X-Two", "1")
     headers.add("X-Two", "2")
-    assert list(end_to_end(headers).items()) == [("Model", "m"), ("X-Two", "1"), ("X-Two", "2")]
+    assert list(end_to_end_headers(headers).items()) == [("Model", "m"), ("X-Two", "1"), ("X-Two", "2")]
 
 
 def test_numbers_in_fields_are_read_or_count_as_absent() -> None:
-    assert instance_load({"Instance-Load": "3, 0,8"}) == InstanceLoad(3, 0, 8)
+    assert parse_instance_load({"Instance-Load": "3, 0,8"}) == InstanceLoad(3, 0, 8)
     for text in ("", "3,0", "3,0,x", "3,0,-8", "1,2,3,4", "\u0663,0,8x"):
-        assert instance_load({"Instance-Load": text}) is None
-    assert keep_alive_s({"Keep-Alive": "timeout=5, max=3"}) == 5
-    assert keep_alive_s({"Keep-Alive": "7"}) == 7
-    assert keep_alive_s({"Keep-Alive": "max=3"}) is None and keep_alive_s({}) is None
+        assert parse_instance_load({"Instance-Load": text}) is None
+    assert parse_keep_alive_s({"Keep-Alive": "timeout=5, max=3"}) == 5
+    assert parse_keep_alive_s({"Keep-Alive": "7"}) == 7
+    assert parse_keep_alive_s({"Keep-Alive": "max=3"}) is None and parse_keep_alive_s({}) is None
 
 
 def test_a_prompt_is_read_from_its_fields() -> None:
     prompt = parse_prompt({"Token-Usage": "1460,80", "Prompt-Prefix": "5c1e:800,91bd:410,e440:250"})
-    assert prompt == Prompt((Part("5c1e", 800), Part("91bd", 410), Part("e440", 250)), 1460, 80)
-    assert [part.id for part in prompt.shared] == ["5c1e", "91bd"] and prompt.tokens == 1540
-    assert anchor(prompt) == Part("5c1e", 800)
+    assert prompt == Prompt(
+        (PromptSegment("5c1e", 800), PromptSegment("91bd", 410), PromptSegment("e440", 250)), 1460, 80
+    )
+    assert [part.id for part in prompt.shared_segments] == ["5c1e", "91bd"] and prompt.total_tokens == 1540
+    assert affinity_segment(prompt) == PromptSegment("5c1e", 800)
     assert parse_prompt({}) == Prompt()
-    assert parse_prompt({"Token-Usage": "x", "Prompt-Prefix": "a:b,c:5,:3"}) == Prompt((Part("c", 5),), 5, 0)
+    assert parse_prompt({"Token-Usage": "x", "Prompt-Prefix": "a:b,c:5,:3"}) == Prompt(
+        (PromptSegment("c", 5),), 5, 0
+    )
 
 
 def test_rates_of_arrivals_fade() -> None:
-    arrivals = Arrivals()
-    assert arrivals.rates(0.0) == {}
+    arrivals = ArrivalRates()
+    assert arrivals.per_second(0.0) == {}
     for number in range(20):
         arrivals.add("a", number * 0.1)
-    assert abs(arrivals.rates(2.0)["a"] - 10.0) < 0.1
-    assert arrivals.rates(20.0) == {}
+    assert abs(arrivals.per_second(2.0)["a"] - 10.0) < 0.1
+    assert arrivals.per_second(20.0) == {}
 
 
 def test_a_part_counts_as_kept_only_with_all_before_it() -> None:
-    cache = PartCache(1000)
-    first = Prompt((Part("a", 300), Part("b", 200), Part("own", 50)), 550, 10)
+    cache = PrefixCacheEstimate(1000)
+    first = Prompt((PromptSegment("a", 300), PromptSegment("b", 200), PromptSegment("own", 50)), 550, 10)
     cache.add(first)
-    assert cache.kept(first) == 550
-    assert cache.kept(Prompt((Part("a", 300), Part("c", 5)), 305, 1)) == 300
-    assert cache.kept(Prompt((Part("c", 5), Part("b", 200)), 205, 1)) == 0
-    cache.add(Prompt((Part("d", 700), Part("e", 10)), 710, 1))
-    assert cache.kept(first) == 0
+    assert cache.cached_tokens(first) == 550
+    assert cache.cached_tokens(Prompt((PromptSegment("a", 300), PromptSegment("c", 5)), 305, 1)) == 300
+    assert cache.cached_tokens(Prompt((PromptSegment("c", 5), PromptSegment("b", 200)), 205, 1)) == 0
+    cache.add(Prompt((PromptSegment("d", 700), PromptSegment("e", 10)), 710, 1))
+    assert cache.cached_tokens(first) == 0
 
 
 def test_proxies_agree_on_the_place_of_a_part_and_losses_move_only_its_own() -> None:
     names = [f"i-{number}" for number in range(6)]
-    places = {number: preferred(Part(f"p{number}", 1), names) for number in range(200)}
+    places = {number: preferred_broker(PromptSegment(f"p{number}", 1), names) for number in range(200)}
     assert set(places.values()) == set(names)
     fewer = names[:-1]
     for number, place in places.items():
         if place in fewer:
-            assert preferred(Part(f"p{number}", 1), reversed(fewer)) == place
-    assert preferred(Part("p", 1), []) is None
+            assert preferred_broker(PromptSegment(f"p{number}", 1), reversed(fewer)) == place
+    assert preferred_broker(PromptSegment("p", 1), []) is None
 
 
 def test_load_counts_what_was_sent_since_the_report_and_forgets_old_reports() -> None:
     load = LoadEstimate(slots=10)
-    assert load.total(0.0, 4) == 0.0
-    load.out = 2
-    assert load.total(0.0, 4) == 8.0
-    load.report(1.0, InstanceLoad(6, 1, 10))
-    load.out = 4
-    assert load.total(1.5, 4) == 9.0 and load.free(1.5, 4) == 1.0
-    load.out = 1
-    assert load.total(1.5, 4) == 6.0
-    assert abs(load.total(30.0, 4) - 4.0) < 0.01
-    load.refused(30.0)
-    assert load.free(30.01, 4) == 0.0 and load.free(30.2, 4) > 5.0
+    assert load.total_requests(0.0, 4) == 0.0
+    load.in_flight = 2
+    assert load.total_requests(0.0, 4) == 8.0
+    load.record_report(1.0, InstanceLoad(6, 1, 10))
+    load.in_flight = 4
+    assert load.total_requests(1.5, 4) == 9.0 and load.free_slots(1.5, 4) == 1.0
+    load.in_flight = 1
+    assert load.total_requests(1.5, 4) == 6.0
+    assert abs(load.total_requests(30.0, 4) - 4.0) < 0.01
+    load.record_rejection(30.0)
+    assert load.free_slots(30.01, 4) == 0.0 and load.free_slots(30.2, 4) > 5.0
 
 
 def test_the_speed_of_reading_is_learned_from_long_prompts() -> None:
-    pace = Pace()
+    latency = LatencyEstimate()
     for _ in range(100):
-        pace.first_event(0.04, 500)
-        pace.first_event(0.14, 17_000)
-    assert 0.035 < pace.usual_s < 0.045
-    assert 150_000 < pace.tokens_per_s < 190_000
-    assert 0.08 < pace.read_s(15_000) < 0.11
-    assert pace.slow_s() == 0.14
-
-
-def ticket(**fields: float) -> Ticket:
-    return Ticket(route="r", service="s", arrived=10.0, aim_s=0.2, end=16.0, patience_s=6.0, **fields)  # type: ignore[arg-type]
+        latency.record_first_event(0.04, 500)
+        latency.record_first_event(0.14, 17_000)
+    assert 0.035 < latency.first_event_s < 0.045
+    assert 150_000 < latency.prefill_tokens_per_s < 190_000
+    assert 0.08 < latency.prefill_s(15_000) < 0.11
+    assert latency.slow_first_event_s() == 0.14
+
+
+def admission_request(**fields: float) -> AdmissionRequest:
+    return AdmissionRequest(
+        route="r",
+        service="s",
+        arrived_at=10.0,
+        target_latency_s=0.2,
+        deadline=16.0,
+        client_timeout_s=6.0,
+        **fields,
+    )  # type: ignore[arg-type]
 
 
 def test_a_refusal_comes_at_once_or_not_at_all() -> None:
-    late = Outlook(wait_s=1.0, answer_s=0.05, reachable=True, returned=False)
-    assert refusal(ticket(), 10.0, late) == 0.3 * 6.0
-    assert refusal(ticket(), 10.1, late) is None
-    in_time = Outlook(wait_s=0.1, answer_s=0.05, reachable=True, returned=False)
-    assert refusal(ticket(), 10.0, in_time) is None
-    returned = Outlook(wait_s=1.0, answer_s=0.05, reachable=True, returned=True)
-    assert refusal(ticket(), 10.0, returned) is None
-    hopeless = Outlook(wait_s=9.0, answer_s=0.05, reachable=True, returned=True)
-    assert refusal(ticket(), 10.0, hopeless) == 0.3 * 6.0
-    assert refusal(ticket(), 13.0, in_time) is not None
-    assert refusal(ticket(sends=1), 13.0, in_time) is None
+    late = LatencyForecast(queue_wait_s=1.0, first_event_s=0.05, is_reachable=True, is_retry=False)
+    assert rejection_retry_after_s(admission_request(), 10.0, late) == 0.3 * 6.0
+    assert rejection_retry_after_s(admission_request(), 10.1, late) is None
+    in_time = LatencyForecast(queue_wait_s=0.1, first_event_s=0.05, is_reachable=True, is_retry=False)
+    assert rejection_retry_after_s(admission_request(), 10.0, in_time) is None
+    returned = LatencyForecast(queue_wait_s=1.0, first_event_s=0.05, is_reachable=True, is_retry=True)
+    assert rejection_retry_after_s(admission_request(), 10.0, returned) is None
+    hopeless = LatencyForecast(queue_wait_s=9.0, first_event_s=0.05, is_reachable=True, is_retry=True)
+    assert rejection_retry_after_s(admission_request(), 10.0, hopeless) == 0.3 * 6.0
+    assert rejection_retry_after_s(admission_request(), 13.0, in_time) is not None
+    assert rejection_retry_after_s(admission_request(attempts=1), 13.0, in_time) is None
--- a/tests/tier/test_dataplane_wire.py
+++ b/tests/tier/test_dataplane_wire.py
@@ -14,8 +14,8 @@
 from wire_support import reset
 
 from cherrycove.http1 import back
-from cherrycove.tier.dataplane import connections, upstream
-from cherrycove.tier.dataplane.connections import BrokerConnection
+from cherrycove.tier.dataplane import connection_pool, upstream
+from cherrycove.tier.dataplane.connection_pool import BrokerConnection
 from examples.toy_broker import SIGNATURE, Received, Script, ToyBroker, Wire, stream
 
 LONG_BODY = bytes(range(256)) * 32 * 1024  # 8 MiB: more than the sockets between a proxy and a broker hold
@@ -437,8 +437,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     now = [100.0]
-    monkeypatch.setattr(connections, "monotonic", lambda: now[0])
-    monkeypatch.setattr(upstream, "PLACE_TIMEOUT_S", TIMEOUT_S)
+    monkeypatch.setattr(connection_pool, "monotonic", lambda: now[0])
+    monkeypatch.setattr(upstream, "POOL_TIMEOUT_S", TIMEOUT_S)
 
     async def story() -> None:
         release = asyncio.Event()
@@ -448,11 +448,11 @@
             await wire.answer(request, b"")
 
         async with World([ToyBroker(scripts=[held])]) as world, asyncio.timeout(TIMEOUT_S):
-            broker, sender = world.brokers[0], upstream.Upstream(1)
+            broker, sender = world.brokers[0], upstream.UpstreamClient(1)
             await sender.start()
             sends = []
             for number, waits_s in ((1, 0.0), (2, 0.5)):
-                request = upstream.Outgoing(
+                request = upstream.UpstreamRequest(
                     f"r{number}", "POST", "/x", CIMultiDict({"Request-Id": f"r{number}"}), b""
                 )
                 sends.append(asyncio.create_task(sender.send(entry(broker), request, 1.0)))
@@ -461,7 +461,7 @@
             release.set()
             for send in sends:
                 outcome = await send
-                assert isinstance(outcome, upstream.Answered)
+                assert isinstance(outcome, upstream.ResponseStarted)
                 await outcome.answer.read()
             await sender.stop()
             assert [request.headers["deadline-ms"] for request in broker.received] == ["1000", "500"]
@@ -469,7 +469,7 @@
     asyncio.run(story())
 
 
-async def until_sent_or_waiting(sender: upstream.Upstream, broker: ToyBroker, number: int) -> None:
+async def until_sent_or_waiting(sender: upstream.UpstreamClient, broker: ToyBroker, number: int) -> None:
     """Until the first request is at the broker, or the second one waits for a place."""
     if number == 1:
         return await broker.wait_received()
@@ -510,7 +510,7 @@
 def clock_ahead(monkeypatch: pytest.MonkeyPatch) -> list[float]:
     """The clock of the connections, as far ahead of the real one as the item of the list says, in s."""
     ahead = [0.0]
-    for module in (connections, back, aiohttp.connector):
+    for module in (connection_pool, back, aiohttp.connector):
         monkeypatch.setattr(module, "monotonic", lambda: time.monotonic() + ahead[0])
     return ahead
 
--- a/tests/tier/test_sessions.py
+++ b/tests/tier/test_sessions.py
@@ -15,7 +15,7 @@
 import cherrycove.tier
 from cherrycove.tier.cli.operator_client import HttpCall, attempt
 from cherrycove.tier.controlplane.broker_discovery import BrokerDiscoveryClient
-from cherrycove.tier.dataplane.upstream import Answered, Outgoing, Upstream
+from cherrycove.tier.dataplane.upstream import ResponseStarted, UpstreamClient, UpstreamRequest
 from cherrycove.tier.distribution.cluster_view import Broker
 from cherrycove.tier.protocol.batch_pb2 import BodyReply, BodyRequest
 from cherrycove.tier.protocol.rpc import RpcClient
@@ -100,20 +100,20 @@
 @pytest.mark.parametrize("end", ENDS)
 @pytest.mark.parametrize("method", ("GET", "PUT", "POST"))
 def test_a_request_to_a_broker_is_sent_once(method: str, end: End) -> None:
-    upstream = Upstream(10)
+    upstream = UpstreamClient(10)
 
     async def use(address: str, number: int) -> bool:
         if number == 1:
             await upstream.start()
         broker = Broker("i-1", "lm", address, "z", 8, False)
-        outgoing = Outgoing(f"r{number}", method, "/x", CIMultiDict({"Request-Id": f"r{number}"}), b"")
+        outgoing = UpstreamRequest(f"r{number}", method, "/x", CIMultiDict({"Request-Id": f"r{number}"}), b"")
         outcome = await upstream.send(broker, outgoing, None)
-        if isinstance(outcome, Answered):
+        if isinstance(outcome, ResponseStarted):
             await outcome.answer.read()
             outcome.answer.close()
         if number == 2:
             await upstream.stop()
-        return isinstance(outcome, Answered)
+        return isinstance(outcome, ResponseStarted)
 
     check(use, end)
 
