--- a/tests/golden_broker.py
+++ b/tests/golden_broker.py
@@ -7,25 +7,35 @@
 
 from __future__ import annotations
 
+import ast
 import asyncio
 import dataclasses
 import io
 import json
+import re
 from collections.abc import Callable, Mapping, Sequence
 from enum import Enum
+from functools import cache
 from math import isinf
 from pathlib import Path
 from typing import Any, NamedTuple
 from unittest import mock
 
+import click
+import click.testing
+
+import cherrycove.__main__
 from bench.rules import draw, play
-from cherrycove import codes, consul, core, nbd, store
+from cherrycove import admin, codes, config, consul, core, nbd, store
+from cherrycove.cli.commands import main as commands_main
 from cherrycove.fleet import datagram
+from cherrycove.http1 import parse
 from cherrycove.life import handover, herald
 from cherrycove.memory import figures, file
 from cherrycove.why import pack as record
+from cherrycove.why import words
 from finchrack import interface as api
-from finchrack import wire, wirehost
+from finchrack import known, wire, wirehost
 from finchrack.decide import Scheduler
 
 DATA = Path(__file__).parent / "data/broker"
@@ -401,3 +411,213 @@
     out = io.StringIO()
     wirehost.run(io.StringIO(text), out, io.StringIO())
     return out.getvalue()
+
+
+# Configuration, and what clients and discovery send.
+
+SETUPS: Mapping[str, tuple[type, str]] = {
+    "nbd": (nbd.Setup, "listen exports classes unit_bytes node_port nodes connections pipeline"),
+    "export": (nbd.Export, "name volume shard plan size hosts read_only description"),
+    "consul": (consul.Setup, "agent service wait register ttl"),
+    "store": (store.Setup, "listen peers interval entries"),
+    "why": (config.Why, "bytes spans sampled spans_a_second"),
+    "log": (config.LogSetup, "form level"),
+    "memory": (config.Memory, "folder interval"),
+    "operator": (config.Operator, "nbd consul store why log memory"),
+    "platform": (
+        config.Platform,
+        "name listen discovery seed sockets memory_mb settings zones dial_timeout conn_idle known admin tier"
+        " unknown unmet",
+    ),
+    "tier": (config.Tier, "number listen peers"),
+    "head": (
+        parse.Head,
+        "class plan volume units shard hosts budget key id repeat idempotency_key",
+    ),
+}
+
+
+def named(value: Any) -> Plain:
+    """A value of the code with golden names for its fields."""
+    for kind, names in SETUPS.values():
+        if type(value) is kind:
+            fields = [named(getattr(value, each)) for each in field_names(kind)]
+            return dict(zip(names.split(), fields, strict=True))
+    if isinstance(value, Mapping):
+        return {str(key): named(each) for key, each in sorted(value.items())}
+    if isinstance(value, tuple):
+        return [named(each) for each in value]
+    return to_plain(value)
+
+
+def read_platform(raw: Plain, env: Mapping[str, str]) -> Plain:
+    """The platform's configuration as this program takes it."""
+    return named(config.read_platform(raw, env))
+
+
+def read_operator(raw: Plain, settings: Plain) -> Plain:
+    """The operator's file as this program takes it, in a deployment that the platform's file describes."""
+    return named(config.read_operator(raw, config.read_platform(settings, {}).settings))
+
+
+ConfigError = config.ConfigError
+
+
+def read_head(path: str, headers: Mapping[str, str], settings: Plain) -> Plain:
+    """A request's head."""
+    return named(parse.parse_head(path, headers, parse.Names(from_plain(settings))))
+
+
+def read_list(text: str, zones: Mapping[str, int]) -> Plain:
+    """Discovery's answer."""
+    return to_plain(parse.parse_list(text, zones))
+
+
+def read_answer(load: str, use: str, elsewhere: str) -> Plain:
+    """What a node's answer tells beside its body."""
+    return [parse.parse_load(load), parse.parse_use(use), parse.parse_elsewhere(elsewhere)]
+
+
+def why_fields(story: Plain, settings: Plain, still_open: bool) -> Plain:
+    """A request's story for a program; the sentence in it is wording and left out."""
+    fields = words.fields(from_plain(story), from_plain(settings), RECORDS_AT, 1_700_000_000.0, still_open)
+    assert fields.pop("sentence")
+    return fields
+
+
+def stats(answers: Mapping[str, Sequence[int]], parts: Mapping[str, int]) -> str:
+    """The answer to the call stats, for counts of served, refused and failed by class."""
+    counts = {cls: dict(zip(core.Verdict, each, strict=True)) for cls, each in answers.items()}
+    return admin.report(core.Figures(counts, 5, 6, 7, 8), parts)
+
+
+def read_call(line: str) -> Plain:
+    """An operator's call as it is taken, or that it is none."""
+    try:
+        call = admin.parse_call(line.encode())
+    except admin.CallError:
+        return "no call"
+    return [call.word, call.node, list(call.words)]
+
+
+# Names that people and programs outside know.
+
+
+def _sources() -> list[ast.Module]:
+    root = Path(__file__).parent.parent
+    paths = [*(root / "finchrack").rglob("*.py"), *(root / "cherrycove").rglob("*.py")]
+    return [
+        ast.parse(path.read_text()) for path in sorted(paths) if "tier" not in path.relative_to(root).parts
+    ]
+
+
+@cache
+def _walk() -> list[ast.AST]:
+    return [node for tree in _sources() for node in ast.walk(tree)]
+
+
+@cache
+def _strings() -> set[str]:
+    return {node.value for node in _walk() if isinstance(node, ast.Constant) and isinstance(node.value, str)}
+
+
+def log_events() -> list[str]:
+    """Each call that writes a log line: level, event, names of its fields."""
+    found = set()
+    for node in _walk():
+        if (
+            isinstance(node, ast.Call)
+            and isinstance(node.func, ast.Attribute)
+            and isinstance(node.func.value, ast.Name)
+            and node.func.value.id == "log"
+        ):
+            (event,) = (each.value for each in node.args if isinstance(each, ast.Constant))
+            fields = sorted(each.arg or "..." for each in node.keywords)
+            found.add(" ".join([node.func.attr, str(event), *fields]))
+    return sorted(found)
+
+
+def loggers() -> list[str]:
+    """The names of the parts that write log lines."""
+    return sorted(
+        {
+            node.args[0].value
+            for node in _walk()
+            if isinstance(node, ast.Call)
+            and isinstance(node.func, ast.Name)
+            and node.func.id == "Log"
+            and isinstance(node.args[0], ast.Constant)
+        }
+    )
+
+
+def environment() -> list[str]:
+    """Environment variables: what is looked up in an environment, and what is named as they are."""
+    found = {each for each in _strings() if re.fullmatch(r"_?(RELAY|CHERRYCOVE)_[A-Z_]+", each)}
+    for node in _walk():
+        if isinstance(node, ast.Subscript):
+            place, key = node.value, node.slice
+        elif isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute) and node.args:
+            place, key = node.func.value, node.args[0]
+        else:
+            continue
+        if ast.unparse(place) in ("os.environ", "environ", "env") and isinstance(key, ast.Constant):
+            found.add(str(key.value))
+    return sorted(found)
+
+
+def http_words() -> list[str]:
+    """Names of headers of two words, and parts of paths and queries."""
+    return sorted(
+        each
+        for each in _strings()
+        if re.fullmatch(r"[A-Z][A-Za-z]*(-[A-Z][A-Za-z]*)+|(https?:/)?/?[/?&][a-z_/]+=?", each)
+    )
+
+
+def commands() -> list[str]:
+    """The command line: each command, its arguments and its options."""
+    found = []
+
+    def walk(command: click.Command, path: str) -> None:
+        for each in command.params:
+            found.append(f"{path} {' '.join(each.opts)}{' flag' if getattr(each, 'is_flag', False) else ''}")
+        if isinstance(command, click.Group):
+            context = click.Context(command)
+            for name in command.list_commands(context):
+                inner = command.get_command(context, name)
+                assert inner is not None
+                found.append(f"{path} {name}")
+                walk(inner, f"{path} {name}")
+
+    walk(commands_main, "cherrycove")
+    return found
+
+
+def exit_code(*words: str) -> int:
+    """How the command line ends with these words."""
+    return click.testing.CliRunner().invoke(commands_main, list(words)).exit_code
+
+
+@cache
+def names() -> Mapping[str, list[str]]:
+    """All of them, by kind."""
+    return {
+        "log events": log_events(),
+        "loggers": loggers(),
+        "environment": environment(),
+        "http": http_words(),
+        "commands": commands(),
+        "reasons": [f"{int(each)} {each.name.lower()}" for each in [*api.Code, *codes.Own]],
+        "endings": [f"{each.name.lower()} {each.value}" for each in core.Ending],
+        "verdicts": [*(each.value for each in core.Verdict), *record.VERDICTS, *record.FRONTS],
+        "statuses": [f"{status} {int(code)}" for status, code in codes.BY_STATUS.items()],
+        "calls": [*admin.BARE, *admin.WITH_ID, *admin.ASKING],
+        "platform keys": sorted(config.TOP),
+        "settings read": sorted(known.READ),
+        "settings left aside": sorted(known.LEFT),
+        "wire events": sorted(wire.EVENTS),
+        "files": [handover.MAINTENANCE, handover.LOCK, herald.SOCKET, cherrycove.__main__.OPERATOR],
+        "magics": [file.MAGIC.hex(), datagram.MAGIC.hex(), store.MAGIC.hex(), handover.BUSY.hex()],
+        "forms": [f"memory rows {figures.FORM}", f"memory file {file.FORMAT}"],
+    }
--- a/tests/make_golden_broker.py
+++ b/tests/make_golden_broker.py
@@ -13,6 +13,7 @@
 import random
 import sys
 import tempfile
+import tomllib
 from collections.abc import Callable
 from functools import partial
 from itertools import count
@@ -259,6 +260,247 @@
     return json.dumps({"answer": HEALTH, "list": golden.to_plain(found)}, indent=1) + "\n"
 
 
+# Configuration and HTTP.
+
+PLATFORM = {
+    "name": "n7",
+    "listen": "127.0.0.1:5001",
+    "admin": "[::1]:9101",
+    "discovery": "127.0.0.1:8501",
+    "seed": "8c1f",
+    "limits": {"cores": 1.0, "memory_mb": 193.5, "sockets": 1025},
+    "known": {
+        "index": 12,
+        "snapshot": True,
+        "endpoints": [
+            {
+                "name": "d0",
+                "address": "127.0.0.1:5100",
+                "zone": "room-b",
+                "type": "full-speed",
+                "group": 1,
+                "status": "up",
+                "weight": 0.5,
+                "since_ms": 1700000000123,
+            },
+            {"name": "d1", "address": "[::1]:5101", "group": 0, "status": "draining"},
+            {"name": "d2", "status": "removed"},
+        ],
+    },
+    "peer_listen": "127.0.0.1:7001",
+    "peers": ["127.0.0.1:7000", "127.0.0.1:7001"],
+    "peers_all": ["not read"],
+    "tier": "not read",
+    "strange": 1,
+    "settings": {
+        "balancers": 2,
+        "me": 1,
+        "zones": ["room-a", "room-b"],
+        "tickNs": 2_000_000,
+        "discovery": "on_request",
+        "classes": [
+            {
+                "name": "claim-read",
+                "aimNs": 150_000_000,
+                "deadlineNs": 750_000_000,
+                "idempotency": "token",
+                "gain": 3.5,
+                "lateValue": 0.1,
+                "group": "zone",
+                "windowNs": 5_000_000_000,
+                "serialByKey": True,
+                "stream": False,
+                "odd": 1,
+            },
+            {
+                "name": "claim-write",
+                "aimNs": 200_000_000,
+                "deadlineNs": 800_000_000,
+                "idempotency": "side_effect",
+                "gain": 2.5,
+            },
+            {
+                "name": "claim-list",
+                "aimNs": 210_000_000,
+                "deadlineNs": 810_000_000,
+                "idempotency": "pure",
+                "gain": 1.5,
+                "group": "cell",
+            },
+        ],
+        "policies": [
+            {
+                "name": "basic",
+                "nominal": 6.5,
+                "floorRate": 3.5,
+                "parts": 1.5,
+                "valueFactor": 0.75,
+                "ceilingRate": 7.5,
+                "burst": 21.0,
+                "capSlack": 2.25,
+            },
+            {
+                "name": "free",
+                "nominal": 6.0,
+                "floorRate": 0.0,
+                "parts": 1.0,
+                "valueFactor": 0.5,
+                "ceilingRate": 0.0,
+                "burst": 0.0,
+                "capSlack": 0.0,
+            },
+        ],
+        "familyInfo": {
+            "beyondShare": 0.05,
+            "coldBears": 41.5,
+            "countsOthers": True,
+            "maxUnits": 8,
+            "meterNs": 500_000_000,
+            "nShards": 4,
+            "usualUnits": 2.125,
+            "withinShare": 0.4,
+            "writes": [False, True],
+        },
+        "feedback": {"how": "answers", "names": ["busy_reqs", "svc_ms"]},
+        "guarantees": {
+            "askWithinNs": 10_000_000_000,
+            "drainGraceNs": 2_000_000_000,
+            "extraRatio": 0.05,
+            "fallNs": 3_000_000_000,
+            "fallMultiple": 4.5,
+            "graceToAnswerNs": 8_000_000,
+            "lookBackNs": 1_500_000_000,
+            "orderSettleNs": 50_000_000,
+            "spareAttempts": 2,
+            "startCapacity": 0.18,
+            "warmAfterNs": 17_000_000_000,
+        },
+        "limits": {
+            "cancel": True,
+            "connIdleNs": 30_000_000_000,
+            "dialTimeoutNs": 250_000_000,
+            "maxAttempts": 3,
+            "maxRetryAfterNs": 1_000_000_000,
+            "mayTell": True,
+            "probing": True,
+            "retryAfter": True,
+            "secondCopies": True,
+        },
+    },
+}
+FROM_ENVIRONMENT = {
+    "RELAY_NAME": "e1",
+    "RELAY_LISTEN": "127.0.0.1:5002",
+    "RELAY_ADMIN": "127.0.0.1:9102",
+    "RELAY_DISCOVERY": "127.0.0.1:8502",
+}
+OPERATOR = """
+[nbd]
+enabled = true
+listen = "127.0.0.1:10810"
+connections = 65
+pipeline = 17
+unit_bytes = 8193
+node_port = 10811
+[nbd.classes]
+read = "claim-read"
+write = "claim-write"
+trim = "claim-write"
+flush = "claim-list"
+[nbd.nodes]
+d0 = "10.1.0.18:10812"
+[nbd.exports.claims]
+volume = "00000003b4d60021"
+shard = 3
+plan = "free"
+size = 1073741824
+hosts = 2
+read_only = true
+description = "claim records"
+[consul]
+enabled = true
+agent = "127.0.0.1:8503"
+service = "disk-node"
+wait_s = 31
+register = "broker"
+ttl_s = 11
+[store]
+enabled = true
+listen = "127.0.0.1:7946"
+peers = ["127.0.0.1:7947"]
+interval_ms = 1001
+[store.config]
+log_level = { version = 3, value = "DEBUG" }
+"closed/claims" = { version = 2, deleted = true }
+[why]
+enabled = true
+bytes = 2097153
+spans = "/var/spans"
+sampled = 0.25
+spans_a_second = 21
+[log]
+form = "json"
+level = "WARNING"
+[memory]
+enabled = true
+folder = "/var/lib/cherrycove"
+interval_ms = 1002
+"""
+HEAD = {
+    "X-Request-Id": "r-1",
+    "X-Class": "put",
+    "Tier": "capped",
+    "X-Deadline-Ms": "1250",
+    "IO-Info": "volume=00000000000000AA, units=2.5, shard=3, hosts=2",
+    "Cookie": 'other=1; object="00000000000000bb"',
+    "Idempotency-Key": "key-7",
+    "X-Retry": "1",
+}
+CALLS = [
+    *("status", "stats", "maint-on d0", "maint-off d0", "why r-1 --json", "why --volume v --since 5m"),
+    *("maint-on", "status d0", "maint-on d0 d1", "halt"),
+]
+
+
+def operator_file() -> Plain:
+    """The operator's file, as TOML gives it."""
+    return tomllib.loads(OPERATOR)
+
+
+def configuration() -> str:
+    """What is taken of both configurations."""
+    bare = {name: each for name, each in PLATFORM.items() if name in ("settings", "seed")}
+    read = {
+        "platform": golden.read_platform(PLATFORM, {}),
+        "platform from the environment": golden.read_platform(bare, FROM_ENVIRONMENT),
+        "operator": golden.read_operator(operator_file(), PLATFORM),
+        "operator, empty": golden.read_operator({}, PLATFORM),
+    }
+    return json.dumps(read, indent=1) + "\n"
+
+
+def http() -> str:
+    """What is taken of a request's head, of discovery's list and of a node's answer."""
+    listed = json.dumps(PLATFORM["known"])
+    read = {
+        "head": golden.read_head("/put/x?y", HEAD, SETTINGS),
+        "list": golden.read_list(listed, {"room-a": 0, "room-b": 1}),
+        "answer": golden.read_answer('{"busy_reqs": 3, "svc_ms": 1.5}', "125", "2.5"),
+    }
+    return json.dumps(read, indent=1) + "\n"
+
+
+def operators() -> str:
+    """What operators' calls are taken for, and what they are answered."""
+    told = {
+        "calls": {line: golden.read_call(line) for line in CALLS},
+        "stats": golden.stats({"read": (1, 2, 3), "put": (0, 0, 4)}, {"memory_written": 9}).split("\n"),
+        "why": [golden.why_fields(story, SETTINGS, False) for story in STORIES],
+        "why, open": golden.why_fields(STORIES[0], SETTINGS, True),
+    }
+    return json.dumps(told, indent=1) + "\n"
+
+
 # Decisions.
 
 
@@ -501,6 +743,10 @@
     "written.json": written,
     "store.txt": store,
     "consul.json": consul,
+    "configuration.json": configuration,
+    "http.json": http,
+    "operators.json": operators,
+    "names.json": lambda: json.dumps(golden.names(), indent=1) + "\n",
 }
 
 
--- a/tests/test_golden_broker.py
+++ b/tests/test_golden_broker.py
@@ -8,6 +8,7 @@
 
 import json
 import re
+from collections.abc import Iterator
 from pathlib import Path
 from typing import Any
 
@@ -78,6 +79,72 @@
     assert json.loads(kept["node/d0"]) == ["up", "127.0.0.1:7001", 0, 1700000000123.0]
 
 
+# Names.
+
+NAMES = json.loads((golden.DATA / "names.json").read_text())
+
+
+@pytest.mark.parametrize("kind", NAMES)
+def test_names_that_are_known_outside_stay(kind: str) -> None:
+    """Log events with their fields, settings, variables, commands and the like; each kind by itself."""
+    assert list(golden.names()[kind]) == NAMES[kind]
+
+
+def test_the_golden_configuration_has_each_setting() -> None:
+    def paths(value: Any, place: str = "") -> set[str]:
+        if isinstance(value, list):
+            return {each for entry in value for each in paths(entry, f"{place}[]") if isinstance(entry, dict)}
+        if not isinstance(value, dict):
+            return set()
+        inner = {each for key, entry in value.items() for each in paths(entry, f"{place}.{key}")}
+        return inner | {f"{place}.{key}" for key in value}
+
+    had = {each.removeprefix(".") for each in paths(make.PLATFORM["settings"])}
+    assert had >= set(NAMES["settings read"])
+    assert set(make.PLATFORM) >= set(NAMES["platform keys"])
+
+
+def _spoilt(table: dict[str, Any], place: str = "") -> Iterator[tuple[str, dict[str, Any]]]:
+    """The table with one key misspelt, for each key of it whose name is not the operator's own."""
+    for key, value in table.items():
+        path = f"{place}.{key}"
+        if not re.fullmatch(r"\.nbd\.nodes\..*|\.nbd\.exports\.\w+|\.store\.config\.[\w/]+", path):
+            yield path, {f"{name}_" if name == key else name: each for name, each in table.items()}
+        if isinstance(value, dict):
+            for inner, spoilt in _spoilt(value, path):
+                yield inner, table | {key: spoilt}
+
+
+def test_the_operators_file_has_these_keys_and_no_other_spelling() -> None:
+    spoilt = dict(_spoilt(make.operator_file()))
+    assert len(spoilt) > 45
+    for place, table in spoilt.items():
+        try:
+            golden.read_operator(table, make.PLATFORM)
+        except golden.ConfigError:
+            continue
+        pytest.fail(f"{place} may be misspelt")
+
+
+@pytest.mark.parametrize(
+    ("words", "code"),
+    [
+        (["--help"], 0),
+        (["no-such-command"], 2),
+        (["status", "--admin", "nowhere"], 2),
+        (["status", "--admin", "127.0.0.1:1"], 3),
+        (["check-config", "--platform", "/no/such/file"], 2),
+        (["memory", "show", "--file", "/no/such/file"], 1),
+        (["memory", "check", "--file", "/no/such/file"], 1),
+        (["memory", "forget", "--file", "/no/such/file"], 0),
+        (["why", "a b", "--admin", "127.0.0.1:1"], 2),
+        (["completion", "bash"], 0),
+    ],
+)
+def test_the_command_line_ends_with_the_code_that_it_had(words: list[str], code: int) -> None:
+    assert golden.exit_code(*words) == code
+
+
 # Decisions.
 
 DECISIONS = [name for name in make.RECORDED if name.startswith("decisions-")]
