--- a/bench/tier_proxies.py
+++ b/bench/tier_proxies.py
@@ -17,14 +17,13 @@
 
 import attrs
 import yaml
-from google.protobuf.message import Message
 from result import Ok, Result
 
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.distribution.puller import Puller
 from cherrycove.tier.errors import Failure
+from cherrycove.tier.protocol.calls import Caller, ReplyT, RequestT, RpcMethod
 from cherrycove.tier.protocol.control_pb2 import Announcement
-from cherrycove.tier.protocol.interface import Caller, Reply
 from cherrycove.tier.protocol.rpc import RpcClient
 from cherrycove.tier.settings import parse_settings
 from examples.small_tier import SmallTier, until
@@ -54,15 +53,14 @@
     async def call(
         self,
         address: str,
-        name: str,
-        message: Message,
-        reply_type: type[Reply],
+        method: RpcMethod[RequestT, ReplyT],
+        request: RequestT,
         timeout_s: float,
         receiver: str = "",
-    ) -> Result[Reply, Failure]:
+    ) -> Result[ReplyT, Failure]:
         self._traffic.calls += 1
-        self._traffic.sent += message.ByteSize()
-        outcome = await self._caller.call(address, name, message, reply_type, timeout_s, receiver)
+        self._traffic.sent += request.ByteSize()
+        outcome = await self._caller.call(address, method, request, timeout_s, receiver)
         if isinstance(outcome, Ok):
             self._traffic.received += outcome.ok_value.ByteSize()
         return outcome
--- a/cherrycove/tier/batch/client/batch_client.py
+++ b/cherrycove/tier/batch/client/batch_client.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 import asyncio
-from typing import TypeVar
+from typing import Generic
 
-from google.protobuf.message import Message
 from result import Err, Ok, Result
 
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ErrorKind, Failure
+from cherrycove.tier.protocol import batch_methods
 from cherrycove.tier.protocol import batch_pb2 as pb
-from cherrycove.tier.protocol.interface import Caller
+from cherrycove.tier.protocol.calls import Caller, ReplyT, RequestT, RpcMethod
 from cherrycove.tier.settings import Settings
 
 ATTEMPT_TIMEOUT_S = 0.8  # of one call; a dead store says nothing
@@ -22,8 +22,6 @@
 MAX_HINTS_IN_A_ROW = 2  # then the other stores are asked
 UNRESPONSIVE_PERIOD_S = 2.0  # a store that did not answer is asked last for so long
 
-Reply = TypeVar("Reply", bound=Message)
-
 FINAL_KINDS = frozenset((ErrorKind.NOT_FOUND, ErrorKind.INVALID, ErrorKind.OVERLOADED, ErrorKind.TOO_LARGE))
 UNRESPONSIVE_KINDS = frozenset((ErrorKind.UNREACHABLE, ErrorKind.UNCERTAIN))
 
@@ -78,60 +76,64 @@
 
     async def submit(self, request: pb.SubmitRequest, budget_s: float) -> Result[pb.SubmitReply, Failure]:
         """Hand in a job. A certain failure promises that the job was not taken."""
-        return await self._call("batch/submit", request, pb.SubmitReply, budget_s)
+        return await self._call(batch_methods.SUBMIT, request, budget_s)
 
     async def read(self, request: pb.ReadRequest, budget_s: float) -> Result[pb.ReadReply, Failure]:
         """Results from a cursor on; NOT_FOUND only where the primary is sure."""
         attempt_timeout_s = request.wait_ms / 1000.0 + READ_SLACK_S
-        return await self._call("batch/read", request, pb.ReadReply, budget_s, attempt_timeout_s)
+        return await self._call(batch_methods.READ, request, budget_s, attempt_timeout_s)
 
     async def body(self, request: pb.BodyRequest, budget_s: float) -> Result[pb.BodyReply, Failure]:
         """The body of an item that has no result yet."""
-        return await self._call("batch/body", request, pb.BodyReply, budget_s)
+        return await self._call(batch_methods.BODY, request, budget_s)
 
     async def end(self, request: pb.EndRequest, budget_s: float) -> Result[pb.EndReply, Failure]:
         """End a job."""
-        return await self._call("batch/end", request, pb.EndReply, budget_s)
+        return await self._call(batch_methods.END, request, budget_s)
 
     async def lease(self, request: pb.LeaseRequest, budget_s: float) -> Result[pb.LeaseReply, Failure]:
         """Renew leases, and ask for more."""
-        return await self._call("batch/lease", request, pb.LeaseReply, budget_s, LEASE_ATTEMPT_TIMEOUT_S)
+        return await self._call(batch_methods.LEASE, request, budget_s, LEASE_ATTEMPT_TIMEOUT_S)
 
     async def report(self, request: pb.ReportRequest, budget_s: float) -> Result[pb.ReportReply, Failure]:
         """Report how an item ended."""
-        return await self._call("batch/report", request, pb.ReportReply, budget_s, budget_s)
+        return await self._call(batch_methods.REPORT, request, budget_s, budget_s)
 
     async def _call(
         self,
-        name: str,
-        request: Message,
-        reply_type: type[Reply],
+        method: RpcMethod[RequestT, ReplyT],
+        request: RequestT,
         budget_s: float,
         attempt_timeout_s: float = ATTEMPT_TIMEOUT_S,
-    ) -> Result[Reply, Failure]:
-        attempts = _Attempts(self._client, self._finder, name, request, attempt_timeout_s)
-        return await attempts.run(reply_type, budget_s)
+    ) -> Result[ReplyT, Failure]:
+        attempts = _Attempts(self._client, self._finder, method, request, attempt_timeout_s)
+        return await attempts.run(budget_s)
 
 
-class _Attempts:
+class _Attempts(Generic[RequestT, ReplyT]):
     """All tries of one call."""
 
     def __init__(
-        self, client: Caller, finder: PrimaryFinder, name: str, request: Message, attempt_timeout_s: float
+        self,
+        client: Caller,
+        finder: PrimaryFinder,
+        method: RpcMethod[RequestT, ReplyT],
+        request: RequestT,
+        attempt_timeout_s: float,
     ) -> None:
         self._client = client
         self._finder = finder
-        self._name = name
+        self._method = method
         self._request = request
         self._attempt_timeout_s = attempt_timeout_s
         self._certain = True
         self._last = Failure(ErrorKind.UNAVAILABLE, "no store is known")
 
-    async def run(self, reply_type: type[Reply], budget_s: float) -> Result[Reply, Failure]:
+    async def run(self, budget_s: float) -> Result[ReplyT, Failure]:
         deadline = _now() + budget_s
         pause_s = FIRST_PAUSE_S
         while True:
-            answer = await self._round(reply_type, deadline)
+            answer = await self._round(deadline)
             if answer is not None:
                 return answer
             remaining = deadline - _now()
@@ -140,7 +142,7 @@
             await asyncio.sleep(pause_s)
             pause_s = min(2 * pause_s, LONGEST_PAUSE_S)
 
-    async def _round(self, reply_type: type[Reply], deadline: float) -> Result[Reply, Failure] | None:
+    async def _round(self, deadline: float) -> Result[ReplyT, Failure] | None:
         """Try every store once, those that are named as primary first; None if no try was final."""
         addresses = self._finder.candidates(_now())
         hints = 0
@@ -154,7 +156,7 @@
                 continue
             tried.add(address)
             timeout_s = min(self._attempt_timeout_s, remaining)
-            answer = await self._client.call(address, self._name, self._request, reply_type, timeout_s)
+            answer = await self._client.call(address, self._method, self._request, timeout_s)
             if isinstance(answer, Ok):
                 self._finder.mark_primary(address)
                 return answer
--- a/cherrycove/tier/batch/store/service.py
+++ b/cherrycove/tier/batch/store/service.py
@@ -12,7 +12,6 @@
 import time
 from collections.abc import Callable, Iterable, Sequence
 
-from google.protobuf.message import Message
 from result import Err, Ok, Result
 
 from cherrycove.tier.batch.execution import ROUTE_REMOVED
@@ -33,8 +32,9 @@
 from cherrycove.tier.batch.store.result_waiters import ResultWaiters
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ErrorKind, Failure
+from cherrycove.tier.protocol import batch_methods
 from cherrycove.tier.protocol import batch_pb2 as pb
-from cherrycove.tier.protocol.interface import CallRegistry
+from cherrycove.tier.protocol.calls import CallRegistry
 from cherrycove.tier.replication.interface import Group
 from cherrycove.tier.settings import Settings
 
@@ -50,8 +50,6 @@
 EXPIRED = "expired"
 GIVEN_UP_AT_ONCE = 64  # items in one round of maintenance, for each reason
 
-Reply = Result[Message, Failure]
-
 
 class BatchStoreService:
     """The batch plane of one store; registers its calls at ``server``."""
@@ -84,12 +82,12 @@
         self.state_restored()
         state.observe(self)
         group.on_change(self._signals.signal_all)
-        server.register("batch/submit", pb.SubmitRequest, self._submit)
-        server.register("batch/read", pb.ReadRequest, self._read)
-        server.register("batch/body", pb.BodyRequest, self._body)
-        server.register("batch/end", pb.EndRequest, self._end)
-        server.register("batch/lease", pb.LeaseRequest, self._lease)
-        server.register("batch/report", pb.ReportRequest, self._report)
+        server.register(batch_methods.SUBMIT, self._submit)
+        server.register(batch_methods.READ, self._read)
+        server.register(batch_methods.BODY, self._body)
+        server.register(batch_methods.END, self._end)
+        server.register(batch_methods.LEASE, self._lease)
+        server.register(batch_methods.REPORT, self._report)
 
     async def start(self) -> None:
         """Begin the periodic work of a primary."""
@@ -133,7 +131,7 @@
 
     # Calls
 
-    async def _submit(self, request: pb.SubmitRequest) -> Reply:
+    async def _submit(self, request: pb.SubmitRequest) -> Result[pb.SubmitReply, Failure]:
         if self._current_table() is None:  # the leases of this term begin before the job comes
             return self._not_primary()
         if request.job_id in self._state.jobs:
@@ -148,7 +146,7 @@
         )
         return Err(outcome.err_value) if isinstance(outcome, Err) else Ok(pb.SubmitReply())
 
-    async def _read(self, request: pb.ReadRequest) -> Reply:
+    async def _read(self, request: pb.ReadRequest) -> Result[pb.ReadReply, Failure]:
         deadline = self._clock() + min(request.wait_ms / 1000.0, MAX_READ_WAIT_S)
         while True:
             if not self._group.is_confirmed_primary():
@@ -161,7 +159,7 @@
                 return Ok(read_reply(job, request.cursor))
             await self._signals.wait(request.job_id, remaining)
 
-    async def _body(self, request: pb.BodyRequest) -> Reply:
+    async def _body(self, request: pb.BodyRequest) -> Result[pb.BodyReply, Failure]:
         if not self._group.is_confirmed_primary():
             return self._not_primary()
         body = self._state.body(ItemKey(request.job_id, request.item_id))
@@ -169,7 +167,7 @@
             return Err(Failure(ErrorKind.NOT_FOUND, "no such item, or it is listed"))
         return Ok(pb.BodyReply(body=body))
 
-    async def _end(self, request: pb.EndRequest) -> Reply:
+    async def _end(self, request: pb.EndRequest) -> Result[pb.EndReply, Failure]:
         if not self._group.is_confirmed_primary():
             return self._not_primary()
         job = self._state.jobs.get(request.job_id)
@@ -182,7 +180,7 @@
             return Err(outcome.err_value)
         return _unknown_job() if outcome.ok_value is EndOutcome.UNKNOWN else Ok(pb.EndReply())
 
-    async def _lease(self, request: pb.LeaseRequest) -> Reply:
+    async def _lease(self, request: pb.LeaseRequest) -> Result[pb.LeaseReply, Failure]:
         table = self._current_table()
         if table is None:
             return self._not_primary()
@@ -199,7 +197,7 @@
         decision = table.exchange(call, now)
         return Ok(lease_reply(decision, self._state, table.epoch, self._times.lease_s, now))
 
-    async def _report(self, request: pb.ReportRequest) -> Reply:
+    async def _report(self, request: pb.ReportRequest) -> Result[pb.ReportReply, Failure]:
         table = self._current_table()
         if table is None:
             return self._not_primary()
@@ -225,7 +223,9 @@
         recorded = await self._recorder.record(item_result(key, completed, text))
         return Err(recorded.err_value) if isinstance(recorded, Err) else Ok(pb.ReportReply())
 
-    async def _record_failures(self, key: ItemKey, item: StoredItem, failed_attempts: int) -> Reply:
+    async def _record_failures(
+        self, key: ItemKey, item: StoredItem, failed_attempts: int
+    ) -> Result[pb.ReportReply, Failure]:
         """Counts outlive every process: a new holder or primary must not begin at nothing."""
         if failed_attempts > item.failed_attempts:
             command = failures_command(key, failed_attempts)
--- a/cherrycove/tier/cli/status.py
+++ b/cherrycove/tier/cli/status.py
@@ -14,12 +14,12 @@
 from cherrycove.tier.cli.operator_client import DEFAULT_TIMEOUT_S
 from cherrycove.tier.cli.operator_command import TIMEOUT_OPTION
 from cherrycove.tier.errors import ErrorKind, Failure
+from cherrycove.tier.protocol.calls import Caller
 from cherrycove.tier.protocol.control_pb2 import Announcement, BrokerEntry, Replica
-from cherrycove.tier.protocol.interface import Caller
+from cherrycove.tier.protocol.controller_methods import STATUS
 from cherrycove.tier.protocol.keeper_pb2 import StatusReply, StatusRequest
 from cherrycove.tier.protocol.rpc import RpcClient
 
-STATUS_CALL = "status"
 CALL_TIMEOUT_S = 2.0
 
 
@@ -90,7 +90,7 @@
 
 
 async def _ask_one(client: Caller, address: str) -> Result[StatusReply, Failure]:
-    return await client.call(address, STATUS_CALL, StatusRequest(), StatusReply, CALL_TIMEOUT_S)
+    return await client.call(address, STATUS, StatusRequest(), CALL_TIMEOUT_S)
 
 
 def _explain(failure: Failure) -> str:
--- a/cherrycove/tier/controlplane/controller.py
+++ b/cherrycove/tier/controlplane/controller.py
@@ -27,13 +27,13 @@
 from cherrycove.tier.distribution.publisher import Publisher
 from cherrycove.tier.errors import Failure
 from cherrycove.tier.program_names import CONTROLLER_PROGRAM, STORE_PROGRAM
+from cherrycove.tier.protocol.calls import Caller, CallRegistry
 from cherrycove.tier.protocol.control_pb2 import Announcement, BrokerList, MemberList, PullRequest, Replica
-from cherrycove.tier.protocol.interface import Caller, CallRegistry
+from cherrycove.tier.protocol.controller_methods import STATUS
 from cherrycove.tier.protocol.keeper_pb2 import StatusReply, StatusRequest
 from cherrycove.tier.replication.interface import Group, MemberIdentity
 from cherrycove.tier.settings import Settings
 
-STATUS_CALL = "status"
 TICK_S = 0.1  # leadership and the register are looked at so often
 STORES_HEARD_S = 1.5  # after a term began, every store had time to announce itself
 MEMBERS_HEARD_S = 1.0  # the same, before a list of members replaces that of an earlier primary
@@ -81,7 +81,7 @@
         self.operator_api = OperatorApi(self._leadership, state, decisions, retirement)
         self._tasks: list[asyncio.Task[None]] = []
         self._publisher.serve_on(server)
-        server.register(STATUS_CALL, StatusRequest, self.status)
+        server.register(STATUS, self.status)
         state.on_change(self._on_state_change)
         group.on_change(self._on_group_change)
 
--- a/cherrycove/tier/controlplane/store_group_reconciler.py
+++ b/cherrycove/tier/controlplane/store_group_reconciler.py
@@ -20,7 +20,7 @@
 )
 from cherrycove.tier.controlplane.store_members import StoreMembersReader
 from cherrycove.tier.program_names import STORE_PROGRAM
-from cherrycove.tier.protocol.interface import Caller
+from cherrycove.tier.protocol.calls import Caller
 from cherrycove.tier.protocol.keeper_pb2 import Command, FormStoreGroup, Retired, RetireOrder
 from cherrycove.tier.replication.interface import Group
 from cherrycove.tier.settings import Settings
--- a/cherrycove/tier/controlplane/store_members.py
+++ b/cherrycove/tier/controlplane/store_members.py
@@ -8,12 +8,12 @@
 
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ErrorKind, Failure
+from cherrycove.tier.protocol.calls import Caller, CallRegistry
 from cherrycove.tier.protocol.control_pb2 import Replica
-from cherrycove.tier.protocol.interface import Caller, CallRegistry
+from cherrycove.tier.protocol.controller_methods import STORE_MEMBERS
 from cherrycove.tier.protocol.keeper_pb2 import StoreMembersReply, StoreMembersRequest
 from cherrycove.tier.replication.interface import Group
 
-STORE_MEMBERS_CALL = "store-members"
 CALL_TIMEOUT_S = 0.5
 
 
@@ -25,7 +25,7 @@
         self._views = views
 
     def serve_on(self, server: CallRegistry) -> None:
-        server.register(STORE_MEMBERS_CALL, StoreMembersRequest, self.members)
+        server.register(STORE_MEMBERS, self.members)
 
     async def members(self, request: StoreMembersRequest) -> Result[StoreMembersReply, Failure]:
         committed = self._group.committed_members()
@@ -63,9 +63,7 @@
         while waiting:
             address = waiting.pop(0)
             asked.add(address)
-            outcome = await self._client.call(
-                address, STORE_MEMBERS_CALL, StoreMembersRequest(), StoreMembersReply, CALL_TIMEOUT_S
-            )
+            outcome = await self._client.call(address, STORE_MEMBERS, StoreMembersRequest(), CALL_TIMEOUT_S)
             if isinstance(outcome, Ok):
                 return outcome
             failure = outcome.err_value
--- a/cherrycove/tier/distribution/publisher.py
+++ b/cherrycove/tier/distribution/publisher.py
@@ -10,10 +10,10 @@
 
 from cherrycove.tier.distribution.topics import TopicBoard, VersionVector
 from cherrycove.tier.errors import ErrorKind, Failure
+from cherrycove.tier.protocol.calls import CallRegistry
+from cherrycove.tier.protocol.control_methods import PULL
 from cherrycove.tier.protocol.control_pb2 import PullReply, PullRequest
-from cherrycove.tier.protocol.interface import CallRegistry
 
-PULL_CALL = "pull"
 MAX_WAIT_S = 5.0  # a call is never held longer, whatever it asks for
 
 
@@ -40,7 +40,7 @@
         self._closed = False
 
     def serve_on(self, server: CallRegistry) -> None:
-        server.register(PULL_CALL, PullRequest, self.pull)
+        server.register(PULL, self.pull)
 
     def wake(self) -> None:
         """Let every held pull look again: something was published, or the leadership changed."""
--- a/cherrycove/tier/distribution/puller.py
+++ b/cherrycove/tier/distribution/puller.py
@@ -12,9 +12,10 @@
 from cherrycove.tier.configuration import parse_configuration
 from cherrycove.tier.distribution.cluster_view import Broker, ClusterView
 from cherrycove.tier.distribution.controller_selector import MAX_PAUSE_S, ControllerSelector
-from cherrycove.tier.distribution.publisher import PULL_CALL
 from cherrycove.tier.distribution.topics import VersionVector
 from cherrycove.tier.errors import ErrorKind, Failure
+from cherrycove.tier.protocol.calls import Caller
+from cherrycove.tier.protocol.control_methods import PULL
 from cherrycove.tier.protocol.control_pb2 import (
     Announcement,
     BrokerEntry,
@@ -22,7 +23,6 @@
     PullRequest,
     TopicUpdate,
 )
-from cherrycove.tier.protocol.interface import Caller
 from cherrycove.tier.settings import Settings
 
 WAIT_MS = 700  # how long the keeper may hold a pull
@@ -175,9 +175,7 @@
         request = PullRequest(
             announcement=self._announce(), versions=self._updater.vector.messages(), wait_ms=wait_ms
         )
-        outcome = await self._client.call(
-            target, PULL_CALL, request, PullReply, wait_ms / 1000.0 + CALL_MARGIN_S
-        )
+        outcome = await self._client.call(target, PULL, request, wait_ms / 1000.0 + CALL_MARGIN_S)
         if isinstance(outcome, Ok):
             await asyncio.sleep(self._answered(target, outcome.ok_value))
         else:
--- a/cherrycove/tier/membership/service.py
+++ b/cherrycove/tier/membership/service.py
@@ -16,7 +16,8 @@
 from cherrycove.tier.membership.effects import Effect, MemberChanged, SendDatagram, StartExchange
 from cherrycove.tier.membership.machine import SwimMachine
 from cherrycove.tier.membership.members import Member, MemberState, MemberStatus, SwimParameters
-from cherrycove.tier.protocol.interface import Caller, CallRegistry
+from cherrycove.tier.protocol.calls import Caller, CallRegistry
+from cherrycove.tier.protocol.membership_methods import COMPARE, MERGE
 from cherrycove.tier.protocol.membership_pb2 import (
     CompareReply,
     CompareRequest,
@@ -26,8 +27,6 @@
 )
 from cherrycove.tier.settings import Settings
 
-COMPARE_CALL = "membership.compare"
-MERGE_CALL = "membership.merge"
 CALL_TIMEOUT_S = 1.0
 SEED_PROGRAM = "keeper"  # the program at the addresses of the operator's list
 
@@ -66,8 +65,8 @@
         self._timer: asyncio.TimerHandle | None = None
         self._exchanges: dict[str, asyncio.Task[None]] = {}
         self._listeners: list[Callable[[], None]] = []
-        server.register(COMPARE_CALL, CompareRequest, self._compare)
-        server.register(MERGE_CALL, MergeRequest, self._merge)
+        server.register(COMPARE, self._compare)
+        server.register(MERGE, self._merge)
 
     async def start(self) -> None:
         """Listen for datagrams and begin to join."""
@@ -188,7 +187,7 @@
             return
         now = asyncio.get_running_loop().time
         request = machine.anti_entropy.compare_request()
-        outcome = await self._client.call(address, COMPARE_CALL, request, CompareReply, CALL_TIMEOUT_S)
+        outcome = await self._client.call(address, COMPARE, request, CALL_TIMEOUT_S)
         if isinstance(outcome, Err):
             return
         try:
@@ -198,7 +197,7 @@
             return
         self._perform(machine.finish_exchange(now()))
         if merge is not None:
-            await self._client.call(address, MERGE_CALL, merge, MergeReply, CALL_TIMEOUT_S)
+            await self._client.call(address, MERGE, merge, CALL_TIMEOUT_S)
 
     async def _compare(self, request: CompareRequest) -> Result[CompareReply, Failure]:
         return self._serve(lambda machine, now: machine.anti_entropy.handle_compare(request, now))
--- a/cherrycove/tier/programs/replica.py
+++ b/cherrycove/tier/programs/replica.py
@@ -4,8 +4,8 @@
 
 from pathlib import Path
 
+from cherrycove.tier.protocol.calls import Caller, CallRegistry
 from cherrycove.tier.protocol.control_pb2 import Announcement, Replica
-from cherrycove.tier.protocol.interface import Caller, CallRegistry
 from cherrycove.tier.replication.group import ReplicatedGroup
 from cherrycove.tier.replication.interface import MemberIdentity, StateMachine
 from cherrycove.tier.replication.timing import Timing
--- a/cherrycove/tier/programs/store_membership.py
+++ b/cherrycove/tier/programs/store_membership.py
@@ -7,7 +7,7 @@
 from cherrycove.tier.controlplane.store_members import StoreMembersService
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.programs.replica import identity_of, standby_of
-from cherrycove.tier.protocol.interface import CallRegistry
+from cherrycove.tier.protocol.calls import CallRegistry
 from cherrycove.tier.replication.group import ReplicatedGroup
 from cherrycove.tier.replication.interface import MemberIdentity
 from cherrycove.tier.settings import Settings
--- /dev/null
+++ b/cherrycove/tier/protocol/replication_methods.py
@@ -0,0 +1,11 @@
+"""The internal call between the replicas of one group."""
+
+from __future__ import annotations
+
+from cherrycove.tier.protocol.calls import RpcMethod
+from cherrycove.tier.protocol.replication_pb2 import Batch
+
+
+def replicate(group: str) -> RpcMethod[Batch, Batch]:
+    """The call that carries messages between replicas of the group named ``group``."""
+    return RpcMethod(f"replicate/{group}", Batch, Batch)
--- a/cherrycove/tier/protocol/rpc.py
+++ b/cherrycove/tier/protocol/rpc.py
@@ -24,11 +24,11 @@
 from aiohttp import StreamReader, web
 from aiohttp.connector import Connection
 from aiohttp.http import RawResponseMessage
-from google.protobuf.message import DecodeError, Message
+from google.protobuf.message import DecodeError
 from result import Err, Ok, Result
 
 from cherrycove.tier.errors import ErrorKind, Failure
-from cherrycove.tier.protocol.interface import Handler, Reply
+from cherrycove.tier.protocol.calls import HandlerTable, ReplyT, RequestT, RpcMethod
 from cherrycove.tier.protocol.sessions import NoRetryConnection, NoRetryConnector, client_session
 
 KIND_HEADER = "X-Error-Kind"
@@ -43,11 +43,11 @@
 SHUTDOWN_TIMEOUT_S = 0.2
 
 
-class RpcServer:
+class RpcServer(HandlerTable):
     """Serves registered calls on one address."""
 
     def __init__(self) -> None:
-        self._calls: dict[str, tuple[type[Message], Handler]] = {}
+        super().__init__()
         self._member_id: Callable[[], str] = lambda: ""
         self._runner: web.ServerRunner | None = None
 
@@ -62,10 +62,6 @@
         """Id of the member that this process is; empty while not told."""
         return self._member_id()
 
-    def register(self, name: str, request_type: type[Message], handler: Handler) -> None:
-        """``handler`` takes a message of ``request_type`` and returns a Result of a reply message."""
-        self._calls[name] = (request_type, handler)
-
     async def start(self, address: str) -> None:
         host, _, port = address.rpartition(":")
         server = web.Server(self._handle, request_factory=_request_factory(), access_log=None)
@@ -87,21 +83,19 @@
 
     async def _respond(self, request: web.BaseRequest) -> web.Response:
         name = request.path.removeprefix("/rpc/")
-        call = self._calls.get(name)
-        if call is None:
+        if not self.is_registered(name):
             return _error(Failure(ErrorKind.UNAVAILABLE, f"no call {name!r}"))
         receiver = request.headers.get(RECEIVER_HEADER, "")
         if receiver and self.identity and receiver != self.identity:
             return _error(Failure(ErrorKind.MISDIRECTED, f"meant for {receiver}, this is {self.identity}"))
-        request_type, handler = call
         try:
-            message = request_type.FromString(await request.read())
-        except (DecodeError, web.HTTPRequestEntityTooLarge) as error:
+            body = await request.read()
+        except web.HTTPRequestEntityTooLarge as error:
             return _error(Failure(ErrorKind.INVALID, f"{name}: {error}"))
-        outcome = await handler(message)
+        outcome = await self.serve(name, body)
         if isinstance(outcome, Err):
             return _error(outcome.err_value)
-        return web.Response(body=outcome.ok_value.SerializeToString())
+        return web.Response(body=outcome.ok_value)
 
 
 def _request_factory() -> Callable[..., web.BaseRequest]:
@@ -182,32 +176,34 @@
     async def call(
         self,
         address: str,
-        name: str,
-        message: Message,
-        reply_type: type[Reply],
+        method: RpcMethod[RequestT, ReplyT],
+        request: RequestT,
         timeout_s: float,
         receiver: str = "",
-    ) -> Result[Reply, Failure]:
+    ) -> Result[ReplyT, Failure]:
         """One call to ``address`` (host:port), sent once, answered within ``timeout_s`` seconds or failed."""
         if self._session is None:
             return Err(Failure(ErrorKind.UNREACHABLE, "client is not started"))
         identity = {CALL_HEADER: f"{self._life}.{next(self._numbers)}"}
         if receiver:
             identity[RECEIVER_HEADER] = receiver
+        target = f"{address} {method.name}"
         timeout = aiohttp.ClientTimeout(total=timeout_s, sock_connect=min(CONNECT_TIMEOUT_S, timeout_s))
         try:
             async with self._session.post(
-                f"http://{address}/rpc/{name}", data=message.SerializeToString(), headers=identity,
+                f"http://{address}/rpc/{method.name}", data=request.SerializeToString(), headers=identity,
                 timeout=timeout, allow_redirects=False,
             ) as response:  # fmt: skip
                 body = await response.read()
                 if response.status == 200:
-                    return Ok(reply_type.FromString(body))
+                    return Ok(method.reply_type.FromString(body))
                 return Err(_failure(response, body))
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-            return Err(Failure(ErrorKind.UNREACHABLE, f"{address} {name}: {error}"))
+            return Err(Failure(ErrorKind.UNREACHABLE, f"{target}: {error}"))
         except (TimeoutError, aiohttp.ClientError, OSError, DecodeError) as error:
-            return Err(Failure(ErrorKind.UNCERTAIN, f"{address} {name}: {type(error).__name__} {error}"))
+            return Err(
+                Failure(ErrorKind.UNCERTAIN, f"{address} {method.name}: {type(error).__name__} {error}")
+            )
 
 
 def _failure(response: aiohttp.ClientResponse, body: bytes) -> Failure:
--- a/cherrycove/tier/replication/group.py
+++ b/cherrycove/tier/replication/group.py
@@ -12,7 +12,8 @@
 from result import Err, Ok, Result
 
 from cherrycove.tier.errors import ErrorKind, Failure
-from cherrycove.tier.protocol.interface import Caller, CallRegistry
+from cherrycove.tier.protocol.calls import Caller, CallRegistry
+from cherrycove.tier.protocol.replication_methods import replicate
 from cherrycove.tier.protocol.replication_pb2 import Batch, Message
 from cherrycove.tier.replication.call_handler import CallHandler
 from cherrycove.tier.replication.change_log import ChangeLog
@@ -29,7 +30,6 @@
 from cherrycove.tier.storage.errors import DamagedStorageError
 from cherrycove.tier.storage.replica_storage import RecoveredState
 
-CALL_PREFIX = "replicate/"
 TICK_S = 0.05
 STOP_COMMIT_S = 0.5  # an orderly stop waits so long for open proposals
 STOP_FLUSH_S = 0.5  # and so long for its last messages
@@ -69,7 +69,7 @@
         self._random = random or Random()
         self._timing = timing or Timing()
         self._snapshot_log_bytes = snapshot_log_bytes
-        self._transport = Transport(client, CALL_PREFIX + name, self._deliver)
+        self._transport = Transport(client, replicate(name), self._deliver)
         self._proposals = PendingProposals()
         self._wishes = MembershipRequests()
         self._listeners: list[Callable[[], None]] = []
@@ -85,7 +85,7 @@
         self._stopping = False
         self._change_log = ChangeLog(name)
         self._call_handler = CallHandler(self._deliver, self._writing)
-        server.register(CALL_PREFIX + name, Batch, self._receive)
+        server.register(replicate(name), self._receive)
 
     # Group
 
--- a/cherrycove/tier/replication/transport.py
+++ b/cherrycove/tier/replication/transport.py
@@ -13,7 +13,7 @@
 from result import Ok
 
 from cherrycove.tier.errors import ErrorKind
-from cherrycove.tier.protocol.interface import Caller
+from cherrycove.tier.protocol.calls import Caller, RpcMethod
 from cherrycove.tier.protocol.replication_pb2 import Batch, Message
 from cherrycove.tier.replication.interface import MemberIdentity
 
@@ -27,10 +27,12 @@
 class PeerSender:
     """Sends the messages for one peer in order. Owns the task that empties the queue."""
 
-    def __init__(self, client: Caller, call: str, peer: MemberIdentity, on_reply: ReplyHandler) -> None:
-        """``call`` names the internal call; ``on_reply`` gets what ``peer`` answers with."""
+    def __init__(
+        self, client: Caller, method: RpcMethod[Batch, Batch], peer: MemberIdentity, on_reply: ReplyHandler
+    ) -> None:
+        """``method`` is the internal call; ``on_reply`` gets what ``peer`` answers with."""
         self._client = client
-        self._call = call
+        self._method = method
         self._peer = peer
         self._on_reply = on_reply
         self._queue: deque[Message] = deque(maxlen=MAX_QUEUED_MESSAGES)
@@ -68,7 +70,7 @@
                 messages=self._next_messages(),
             )
             outcome = await self._client.call(
-                self._peer.address, self._call, batch, Batch, CALL_TIMEOUT_S, self._peer.member_id
+                self._peer.address, self._method, batch, CALL_TIMEOUT_S, self._peer.member_id
             )
             if isinstance(outcome, Ok):
                 self._on_reply(self._peer, outcome.ok_value)
@@ -88,10 +90,10 @@
 class Transport:
     """Senders to all peers of one group, created when the first message to a peer is sent."""
 
-    def __init__(self, client: Caller, call: str, on_reply: ReplyHandler) -> None:
-        """``call`` names the internal call; ``on_reply`` gets what the peers answer with."""
+    def __init__(self, client: Caller, method: RpcMethod[Batch, Batch], on_reply: ReplyHandler) -> None:
+        """``method`` is the internal call; ``on_reply`` gets what the peers answer with."""
         self._client = client
-        self._call = call
+        self._method = method
         self._on_reply = on_reply
         self._senders: dict[tuple[str, str], PeerSender] = {}
 
@@ -100,7 +102,7 @@
         key = (receiver.member_id, receiver.address)
         peer = self._senders.get(key)
         if peer is None:
-            peer = self._senders[key] = PeerSender(self._client, self._call, receiver, self._on_reply)
+            peer = self._senders[key] = PeerSender(self._client, self._method, receiver, self._on_reply)
         peer.send(sender, message)
 
     async def flush(self, timeout_s: float) -> None:
--- a/cherrycove/tier/simulation/control/network.py
+++ b/cherrycove/tier/simulation/control/network.py
@@ -12,11 +12,10 @@
 from typing import Any
 
 import attrs
-from google.protobuf.message import Message
 from result import Err, Ok, Result
 
 from cherrycove.tier.errors import ErrorKind, Failure
-from cherrycove.tier.protocol.interface import Handler, Reply
+from cherrycove.tier.protocol.calls import HandlerTable, ReplyT, RequestT, RpcMethod
 from cherrycove.tier.simulation.control.loop import Life, VirtualLoop
 
 CONNECT_TIMEOUT_S = 0.5
@@ -38,16 +37,12 @@
 
 
 @attrs.define(eq=False)
-class Endpoint:
+class Endpoint(HandlerTable):
     """What a process serves at its address."""
 
     life: Life
     identity: str = ""
     process: Any = None  # whose operator's interface this is
-    calls: dict[str, tuple[type[Message], Handler]] = attrs.field(factory=dict)
-
-    def register(self, name: str, request_type: type[Message], handler: Handler) -> None:
-        self.calls[name] = (request_type, handler)
 
 
 class Network:
@@ -209,16 +204,15 @@
     async def call(
         self,
         address: str,
-        name: str,
-        message: Message,
-        reply_type: type[Reply],
+        method: RpcMethod[RequestT, ReplyT],
+        request: RequestT,
         timeout_s: float,
         receiver: str = "",
-    ) -> Result[Reply, Failure]:
-        body = message.SerializeToString()
+    ) -> Result[ReplyT, Failure]:
+        body = request.SerializeToString()
 
         async def serve(endpoint: Endpoint) -> Result[bytes, Failure]:
-            return await _serve(endpoint, name, body, receiver)
+            return await _serve(endpoint, method.name, body, receiver)
 
         outcome = await self._network.exchange(self._host, self._life, address, serve, timeout_s)
         if isinstance(outcome, Err):
@@ -228,11 +222,11 @@
             return answer
         stray = self._earlier.get(address)
         if stray is not None and self._network.is_stray():
-            return self.take_stray(stray, reply_type)
+            return self.take_stray(stray, method.reply_type)
         self._earlier[address] = answer.ok_value
-        return Ok(reply_type.FromString(answer.ok_value))
+        return Ok(method.reply_type.FromString(answer.ok_value))
 
-    def take_stray(self, body: bytes, reply_type: type[Reply]) -> Result[Reply, Failure]:
+    def take_stray(self, body: bytes, reply_type: type[ReplyT]) -> Result[ReplyT, Failure]:
         """A reply to another call is dropped with its connection, as ``protocol.rpc`` does by its number."""
         return Err(Failure(ErrorKind.UNCERTAIN, "the reply to another call"))
 
@@ -240,9 +234,4 @@
 async def _serve(endpoint: Endpoint, name: str, body: bytes, receiver: str) -> Result[bytes, Failure]:
     if receiver and endpoint.identity and receiver != endpoint.identity:
         return Err(Failure(ErrorKind.MISDIRECTED, f"meant for {receiver}"))
-    call = endpoint.calls.get(name)
-    if call is None:
-        return Err(Failure(ErrorKind.UNAVAILABLE, f"no call {name!r}"))
-    request_type, handler = call
-    outcome = await handler(request_type.FromString(body))
-    return outcome if isinstance(outcome, Err) else Ok(outcome.ok_value.SerializeToString())
+    return await endpoint.serve(name, body)
--- a/cherrycove/tier/simulation/control/processes.py
+++ b/cherrycove/tier/simulation/control/processes.py
@@ -15,12 +15,12 @@
 from cherrycove.tier.controlplane.controller import Controller
 from cherrycove.tier.controlplane.state import AcceptOutcome, Applied, ControlState
 from cherrycove.tier.distribution.cluster_view import ClusterView
-from cherrycove.tier.distribution.publisher import PULL_CALL
 from cherrycove.tier.distribution.puller import Puller
 from cherrycove.tier.distribution.topics import CONFIGURATION, VersionVector
 from cherrycove.tier.errors import Failure
 from cherrycove.tier.programs.replica import describe
 from cherrycove.tier.programs.store_membership import StoreMembership
+from cherrycove.tier.protocol.control_methods import PULL
 from cherrycove.tier.protocol.control_pb2 import Announcement, PullReply, PullRequest
 from cherrycove.tier.replication.group import ReplicatedGroup
 from cherrycove.tier.replication.interface import MemberIdentity
@@ -139,12 +139,12 @@
 
     def _watch_pulls(self) -> None:
         """What is handed out to a puller is judged as it leaves."""
-        request_type, pull = self.endpoint.calls[PULL_CALL]
+        pull = self.endpoint.handler(PULL)
         history = self.world.history
 
         async def watched(request: PullRequest) -> Result[PullReply, Failure]:
             floor = history.newest_version
-            outcome: Result[PullReply, Failure] = await pull(request)
+            outcome = await pull(request)
             if isinstance(outcome, Ok):
                 held = VersionVector(request.versions).get(CONFIGURATION).sequence
                 newer = [update.configuration.version for update in outcome.ok_value.updates]
@@ -152,7 +152,7 @@
                 self.world.spoke_for_the_tier(self, "handed out")
             return outcome
 
-        self.endpoint.calls[PULL_CALL] = (request_type, watched)
+        self.endpoint.register(PULL, watched)
 
     async def stop(self) -> None:
         self.leaving = True
--- a/tests/tier/control_support.py
+++ b/tests/tier/control_support.py
@@ -18,11 +18,11 @@
 
 from cherrycove.tier.controlplane.controller import Controller
 from cherrycove.tier.controlplane.state import ControlState
-from cherrycove.tier.controlplane.store_members import STORE_MEMBERS_CALL
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.distribution.puller import Puller
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol.control_pb2 import Announcement, Replica
+from cherrycove.tier.protocol.controller_methods import STORE_MEMBERS
 from cherrycove.tier.protocol.keeper_pb2 import StoreMembersReply, StoreMembersRequest
 from cherrycove.tier.protocol.rpc import RpcClient, RpcServer
 from cherrycove.tier.replication.interface import CommittedMembers, MemberIdentity
@@ -358,7 +358,7 @@
     def __init__(self, address: str, *names: str) -> None:
         self._address = address
         self._server = RpcServer()
-        self._server.register(STORE_MEMBERS_CALL, StoreMembersRequest, self._answer)
+        self._server.register(STORE_MEMBERS, self._answer)
         self.members = [replica(name) for name in names]
         self.excluded: list[str] = []
         self.revision = 0
--- a/tests/tier/golden_interfaces.py
+++ b/tests/tier/golden_interfaces.py
@@ -43,6 +43,10 @@
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ANSWERS, ErrorKind, Failure
 from cherrycove.tier.protocol import rpc as rpc_module
+from cherrycove.tier.protocol.batch_methods import BODY
+from cherrycove.tier.protocol.calls import RpcMethod
+from cherrycove.tier.protocol.control_methods import PULL
+from cherrycove.tier.protocol.controller_methods import STATUS
 from cherrycove.tier.protocol.rpc import RpcClient, RpcServer
 from cherrycove.tier.settings import CloudApi, Settings, parse_settings
 
@@ -115,6 +119,12 @@
 
 # Internal calls
 
+ECHO = RpcMethod(
+    "echo",
+    support.message_class("cherrycove.batch.BodyRequest"),
+    support.message_class("cherrycove.batch.BodyReply"),
+)
+
 
 async def _fail_as_told(message: Any) -> Result[Message, Failure]:
     """Answers with the failure that the request names, else with a reply."""
@@ -132,7 +142,7 @@
     """Calls as they come to a server, and its answers."""
     server, address = RpcServer(), free_address()
     server.identify(lambda: "disk-a")
-    server.register("echo", support.message_class("cherrycove.batch.BodyRequest"), _fail_as_told)
+    server.register(ECHO, _fail_as_told)
     await server.start(address)
     call = {"X-Call": "0123456789ab.7"}
     mine, other = {**call, "X-Receiver": "disk-a"}, {**call, "X-Receiver": "disk-b"}
@@ -181,8 +191,7 @@
             client = RpcClient()
         await client.start()
         message = support.build("cherrycove.batch.BodyRequest", {"job_id": "job", "item_id": "item"})
-        reply_type = support.message_class("cherrycove.batch.BodyReply")
-        outcome = await client.call(address, "batch/body", message, reply_type, 5.0, "disk-b")
+        outcome = await client.call(address, BODY, message, 5.0, "disk-b")
         await client.stop()
     sent = [_normal(one.decode("latin-1"), address) for one in requests]
     if isinstance(outcome, Ok):
@@ -216,7 +225,7 @@
         for number in (1, 4):
             announced = {**support.plain(announcement("store", number)), "node_name": f"core-{number}"}
             pull = support.build("cherrycove.control.PullRequest", {"announcement": announced})
-            await wire.call("", "pull", pull, Message, 1.0)
+            await wire.call("", PULL, pull, 1.0)
     await keeper.operator_api.start(address)
     try:
         return [
@@ -386,7 +395,7 @@
         async def answer(message: Any) -> Result[Message, Failure]:
             return Ok(support.build("cherrycove.keeper.StatusReply", reply))
 
-        server.register("status", support.message_class("cherrycove.keeper.StatusRequest"), answer)
+        server.register(STATUS, answer)
         await server.start(address)
         try:
             return await asyncio.to_thread(run_command, "status", f"--keeper {address}")
--- a/tests/tier/golden_stories.py
+++ b/tests/tier/golden_stories.py
@@ -15,6 +15,7 @@
 
 import golden_inputs as inputs
 import golden_support as support
+from cherrycove.tier.membership.model import Member
 from google.protobuf.message import Message
 from result import Err, Ok, Result
 
@@ -35,6 +36,9 @@
 from cherrycove.tier.membership.members import Member, SwimParameters
 from cherrycove.tier.membership.service import MembershipService
 from cherrycove.tier.programs.replica import describe
+from cherrycove.tier.protocol.calls import RpcMethod
+from cherrycove.tier.protocol.control_methods import PULL
+from cherrycove.tier.protocol.replication_methods import replicate
 from cherrycove.tier.replication.effects import WriteEntries, WriteHardState
 from cherrycove.tier.replication.group import ReplicatedGroup
 from cherrycove.tier.replication.interface import CommittedMembers, MemberIdentity
@@ -291,21 +295,26 @@
         self._answered = asyncio.Event()
         self._handlers: dict[str, Callable[[Any], Awaitable[Result[Any, Failure]]]] = {}
 
-    def register(self, name: str, request_type: type[Message], handler: Any) -> None:
-        self.requests[name] = support.former_type(request_type.DESCRIPTOR.full_name)
-        self._handlers[name] = handler
+    def register(self, method: RpcMethod[Any, Any], handler: Any) -> None:
+        self.requests[method.name] = support.former_type(method.request_type.DESCRIPTOR.full_name)
+        self._handlers[method.name] = handler
 
     async def call(
-        self, address: str, name: str, message: Any, reply_type: Any, timeout_s: float, receiver: str = ""
+        self, address: str, method: RpcMethod[Any, Any], request: Any, timeout_s: float, receiver: str = ""
     ) -> Result[Any, Failure]:
-        assert support.former_type(message.DESCRIPTOR.full_name) == self.requests[name]
-        line: dict[str, Any] = {"call": name, "to": address, "receiver": receiver, "request": shown(message)}
-        outcome = await self._handlers[name](message)
+        assert support.former_type(request.DESCRIPTOR.full_name) == self.requests[method.name]
+        line: dict[str, Any] = {
+            "call": method.name,
+            "to": address,
+            "receiver": receiver,
+            "request": shown(request),
+        }
+        outcome = await self._handlers[method.name](request)
         if isinstance(outcome, Err):
             failure = outcome.err_value
             line["failure"] = {"kind": failure.kind.value, "primary": failure.primary}
         else:
-            assert isinstance(outcome.ok_value, reply_type)
+            assert isinstance(outcome.ok_value, method.reply_type)
             line["reply"] = shown(outcome.ok_value)
         self.transcript.append(line)
         self._answered.set()
@@ -390,7 +399,7 @@
     state, wire = control_state(), Wire()
     Controller(settings(), OneReplica(state), state, wire, wire)  # type: ignore[arg-type]
     announced = {"announcement": support.plain(announcement("store", 1))}
-    await wire.call(KEEPER, "pull", support.build("cherrycove.control.PullRequest", announced), Message, 1.0)
+    await wire.call(KEEPER, PULL, support.build("cherrycove.control.PullRequest", announced), 1.0)
     await status_command._ask_one(wire, KEEPER)
     return wire.transcript[1:]
 
@@ -431,7 +440,7 @@
     identity = MemberIdentity("disk-a", "core-1", "10.1.0.1:7700", "north")
     ReplicatedGroup(program, identity, Path("unused"), 1, ControlState(), wire, wire)
     peer = MemberIdentity("disk-b", "core-2", "10.1.0.2:7700", "south")
-    transport = Transport(wire, "replicate/" + program, lambda sender, batch: None)
+    transport = Transport(wire, replicate(program), lambda sender, batch: None)
     message = support.build("cherrycove.replication.Message", {"epoch": 5, "append": {"sent_us": 7}})
     transport.send(identity, peer, message)
     await transport.flush(1.0)
--- a/tests/tier/linked_tier.py
+++ b/tests/tier/linked_tier.py
@@ -15,6 +15,7 @@
 from result import Ok
 
 from cherrycove.tier.protocol.control_pb2 import Announcement
+from cherrycove.tier.protocol.controller_methods import STATUS
 from cherrycove.tier.protocol.keeper_pb2 import StatusReply, StatusRequest
 from cherrycove.tier.protocol.rpc import RpcClient
 from examples import small_tier
@@ -135,9 +136,7 @@
 
     async def told(self, keeper: Daemon) -> StatusReply | None:
         """What ``keeper`` knows; None while it does not answer."""
-        outcome = await self._rpc.call(
-            keeper.internal, "status", StatusRequest(), StatusReply, STATUS_TIMEOUT_S
-        )
+        outcome = await self._rpc.call(keeper.internal, STATUS, StatusRequest(), STATUS_TIMEOUT_S)
         return outcome.ok_value if isinstance(outcome, Ok) else None
 
     async def _start_all(self) -> None:
--- a/tests/tier/test_batch_client.py
+++ b/tests/tier/test_batch_client.py
@@ -40,7 +40,7 @@
         self.answers = answers
         self.asked: list[str] = []
 
-    async def call(self, address, name, message, reply_type, timeout_s):  # type: ignore[no-untyped-def]
+    async def call(self, address, method, request, timeout_s):  # type: ignore[no-untyped-def]
         self.asked.append(address)
         return self.answers[address]
 
--- a/tests/tier/test_control_controller.py
+++ b/tests/tier/test_control_controller.py
@@ -7,8 +7,10 @@
 from control_support import World, document, instance, store
 
 from cherrycove.tier.distribution.cluster_view import ClusterView
-from cherrycove.tier.protocol.control_pb2 import Announcement, PullReply, PullRequest, TopicVersion
-from cherrycove.tier.protocol.keeper_pb2 import StatusReply, StatusRequest
+from cherrycove.tier.protocol.control_methods import PULL
+from cherrycove.tier.protocol.control_pb2 import Announcement, PullRequest, TopicVersion
+from cherrycove.tier.protocol.controller_methods import STATUS
+from cherrycove.tier.protocol.keeper_pb2 import StatusRequest
 
 
 def proxy(name: str, **changes: object) -> Announcement:
@@ -123,8 +125,8 @@
             world.lead(0, lease=False)
             request = PullRequest(announcement=proxy("f1"), wait_ms=0)
             node = world.keepers[1]
-            own = await node.client.call(world.keepers[0].address, "pull", request, PullReply, 5.0)
-            other = await node.client.call(node.address, "pull", request, PullReply, 5.0)
+            own = await node.client.call(world.keepers[0].address, PULL, request, 5.0)
+            other = await node.client.call(node.address, PULL, request, 5.0)
             assert own.unwrap_err().kind.value == "not_primary"
             assert own.unwrap_err().primary == ""
             assert other.unwrap_err().primary == world.keepers[0].address
@@ -139,7 +141,7 @@
             node = world.keepers[1]
             has_all = [TopicVersion(topic=topic, epoch=99, sequence=1) for topic in ("members", "brokers")]
             request = PullRequest(announcement=proxy("f1"), versions=has_all, wait_ms=4000)
-            call = node.client.call(world.keepers[0].address, "pull", request, PullReply, 10.0)
+            call = node.client.call(world.keepers[0].address, PULL, request, 10.0)
             held = asyncio.create_task(call)
             watcher = await world.client(proxy("f2"))
             await watcher.until(lambda views: any(one.node_name == "f1" for one in views.members))
@@ -161,7 +163,7 @@
             node = world.keepers[1]
             replies = []
             for keeper in world.keepers:
-                outcome = await node.client.call(keeper.address, "status", StatusRequest(), StatusReply, 5.0)
+                outcome = await node.client.call(keeper.address, STATUS, StatusRequest(), 5.0)
                 replies.append(outcome.unwrap())
             assert [reply.confirmed for reply in replies] == [True, False]
             assert [reply.primary for reply in replies] == ["core-1", "core-1"]
--- a/tests/tier/test_control_cut_off.py
+++ b/tests/tier/test_control_cut_off.py
@@ -15,7 +15,8 @@
 from cherrycove.tier.controlplane.leadership import Leadership
 from cherrycove.tier.controlplane.process_registry import RETENTION_S
 from cherrycove.tier.errors import ErrorKind
-from cherrycove.tier.protocol.control_pb2 import Announcement, PullReply, PullRequest
+from cherrycove.tier.protocol.control_methods import PULL
+from cherrycove.tier.protocol.control_pb2 import Announcement, PullRequest
 from cherrycove.tier.protocol.keeper_pb2 import Command, FormStoreGroup, RecordMachines, Retire, StoreMachine
 
 CONFIGURATION = "/api/configuration"
@@ -40,7 +41,7 @@
     node = world.keepers[keeper]
     announcement = Announcement(node_name="f1", program="proxy", incarnation="1")
     request = PullRequest(announcement=announcement, wait_ms=0)
-    outcome = await node.client.call(node.address, "pull", request, PullReply, STEP_TIMEOUT_S)
+    outcome = await node.client.call(node.address, PULL, request, STEP_TIMEOUT_S)
     if isinstance(outcome, Err):
         hint = outcome.err_value.primary
         named = next((f"keeper {n}" for n, one in enumerate(world.keepers) if one.address == hint), "nobody")
--- a/tests/tier/test_control_simulation.py
+++ b/tests/tier/test_control_simulation.py
@@ -10,6 +10,7 @@
 from result import Err, Ok
 
 from cherrycove.tier.errors import ErrorKind
+from cherrycove.tier.protocol.controller_methods import STATUS
 from cherrycove.tier.protocol.keeper_pb2 import StatusReply, StatusRequest
 from cherrycove.tier.replication.effects import WriteEntries
 from cherrycove.tier.simulation.control.disk import Disk
@@ -88,7 +89,7 @@
             self.served += 1
             return Ok(StatusReply(node_name="n2"))
 
-        self.endpoint.register("status", StatusRequest, status)
+        self.endpoint.register(STATUS, status)
         self.network.open(self.endpoint, "10.0.0.2:1")
         self.answers: list[str] = []
 
@@ -96,7 +97,7 @@
         client = Client(self.network, "10.0.0.1", self.caller)
 
         async def once() -> None:
-            outcome = await client.call("10.0.0.2:1", "status", StatusRequest(), StatusReply, 1.0, receiver)
+            outcome = await client.call("10.0.0.2:1", STATUS, StatusRequest(), 1.0, receiver)
             failed = isinstance(outcome, Err)
             self.answers.append(outcome.err_value.kind.value if failed else outcome.ok_value.node_name)
 
--- a/tests/tier/test_control_store_maintenance.py
+++ b/tests/tier/test_control_store_maintenance.py
@@ -19,6 +19,7 @@
 from cherrycove.tier.controlplane.store_members import StoreMembersReader, StoreMembersService
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ErrorKind, Failure
+from cherrycove.tier.protocol.calls import RpcMethod
 from cherrycove.tier.protocol.control_pb2 import Announcement, StoreGroup
 from cherrycove.tier.protocol.keeper_pb2 import (
     Command,
@@ -54,9 +55,9 @@
         self.called: list[str] = []
 
     async def call(
-        self, address: str, name: str, message: Any, reply_type: Any, timeout_s: float, receiver: str = ""
+        self, address: str, method: RpcMethod[Any, Any], request: Any, timeout_s: float, receiver: str = ""
     ) -> Any:
-        self.called.append(f"{address} {name}")
+        self.called.append(f"{address} {method.name}")
         return self.answers.get(address, lambda: Err(UNREACHABLE))()
 
 
--- a/tests/tier/test_distribution_puller.py
+++ b/tests/tier/test_distribution_puller.py
@@ -18,6 +18,7 @@
 from cherrycove.tier.distribution.publisher import Publisher
 from cherrycove.tier.distribution.puller import CALL_MARGIN_S, WAIT_MS, Puller
 from cherrycove.tier.errors import ErrorKind, Failure
+from cherrycove.tier.protocol.calls import RpcMethod
 from cherrycove.tier.protocol.control_pb2 import (
     Announcement,
     ConfigurationDocument,
@@ -69,9 +70,8 @@
     async def call(
         self,
         target: str,
-        name: str,
+        method: RpcMethod[PullRequest, PullReply],
         request: PullRequest,
-        reply_type: Any,
         timeout_s: float,
         receiver: str = "",
     ) -> Any:
--- a/tests/tier/test_hostile_peers.py
+++ b/tests/tier/test_hostile_peers.py
@@ -17,6 +17,7 @@
 from wire_support import Arrival, Line, LineServer, reset
 
 from cherrycove.tier.errors import ErrorKind
+from cherrycove.tier.protocol.batch_methods import BODY
 from cherrycove.tier.protocol.batch_pb2 import BodyReply, BodyRequest
 from cherrycove.tier.protocol.rpc import RpcClient
 from examples.toy_broker import SIGNATURE, Received, ToyBroker, Wire
@@ -89,9 +90,7 @@
         async with LineServer(hostile.script) as server:
 
             async def call(job: str) -> None:
-                outcome = await client.call(
-                    server.address, "c", BodyRequest(job_id=job), BodyReply, TIMEOUT_S
-                )
+                outcome = await client.call(server.address, BODY, BodyRequest(job_id=job), TIMEOUT_S)
                 if outcome.is_ok():
                     kinds["own"] += 1
                     assert outcome.unwrap().body == job.encode()
--- a/tests/tier/test_replication_transport.py
+++ b/tests/tier/test_replication_transport.py
@@ -8,6 +8,7 @@
 from result import Err, Ok, Result
 
 from cherrycove.tier.errors import ErrorKind, Failure
+from cherrycove.tier.protocol.replication_methods import replicate
 from cherrycove.tier.protocol.replication_pb2 import Batch, Message
 from cherrycove.tier.replication.interface import MemberIdentity
 from cherrycove.tier.replication.transport import Transport
@@ -23,7 +24,7 @@
         self.outcome = outcome
         self.receivers: list[str] = []
 
-    async def call(self, address, name, message, reply_type, timeout_s, receiver=""):  # type: ignore[no-untyped-def]
+    async def call(self, address, method, request, timeout_s, receiver=""):  # type: ignore[no-untyped-def]
         self.receivers.append(receiver)
         return self.outcome
 
@@ -33,7 +34,7 @@
 
     async def story() -> tuple[list[str], list[Batch]]:
         caller, told = ScriptedCaller(outcome), []
-        transport = Transport(caller, "group", lambda sender, batch: told.append(batch))
+        transport = Transport(caller, replicate("group"), lambda sender, batch: told.append(batch))
         transport.send(OWN, PEER, Message(epoch=3))
         await transport.flush(5.0)
         return caller.receivers, told
--- a/tests/tier/test_rpc.py
+++ b/tests/tier/test_rpc.py
@@ -6,6 +6,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
+import attrs
 import pytest
 from loopback_ports import free_address
 from result import Err, Ok, Result
@@ -15,6 +16,7 @@
 from cherrycove.tier.programs.controller import ControllerProgram
 from cherrycove.tier.programs.store import StoreProgram
 from cherrycove.tier.protocol.batch_pb2 import BodyReply, BodyRequest
+from cherrycove.tier.protocol.calls import RpcMethod
 from cherrycove.tier.protocol.rpc import RpcClient, RpcServer
 from cherrycove.tier.settings import Settings
 from cherrycove.tier.storage.hard_state import HARD_STATE_FILE
@@ -22,6 +24,8 @@
 LARGE_BYTES = 3 * 1024 * 1024
 TIMEOUT_S = 10.0  # of a test's waits; nothing takes that long unless it fails
 
+ECHO = RpcMethod("echo", BodyRequest, BodyReply)
+
 
 async def echo(request: BodyRequest) -> Result[BodyReply, Failure]:
     if request.item_id == "elsewhere":
@@ -32,11 +36,11 @@
 def exchange(request: BodyRequest, name: str = "echo") -> Result[BodyReply, Failure]:
     async def run() -> Result[BodyReply, Failure]:
         server, client, address = RpcServer(), RpcClient(), free_address()
-        server.register("echo", BodyRequest, echo)
+        server.register(ECHO, echo)
         await server.start(address)
         await client.start()
         try:
-            return await client.call(address, name, request, BodyReply, 5.0)
+            return await client.call(address, attrs.evolve(ECHO, name=name), request, 5.0)
         finally:
             await client.stop()
             await server.stop()
@@ -65,7 +69,7 @@
     async def run() -> Failure:
         client = RpcClient()
         await client.start()
-        outcome = await client.call(free_address(), "echo", BodyRequest(), BodyReply, 1.0)
+        outcome = await client.call(free_address(), ECHO, BodyRequest(), 1.0)
         await client.stop()
         return outcome.unwrap_err()
 
@@ -90,9 +94,7 @@
 
     async def call(self, job: str, receiver: str = "") -> Result[BodyReply, Failure]:
         request = BodyRequest(job_id=job)
-        return await self.client.call(
-            self.server.address, "echo", request, BodyReply, TIMEOUT_S, receiver=receiver
-        )
+        return await self.client.call(self.server.address, ECHO, request, TIMEOUT_S, receiver=receiver)
 
 
 def reply_to(arrival: Arrival) -> bytes:
@@ -251,12 +253,12 @@
 
     async def story() -> None:
         server, client, address = RpcServer(), RpcClient(), free_address()
-        server.register("echo", BodyRequest, handler)
+        server.register(ECHO, handler)
         server.identify(lambda: "m-1")
         await server.start(address)
         await client.start()
         outcomes = [
-            await client.call(address, "echo", BodyRequest(job_id=member), BodyReply, TIMEOUT_S, member)
+            await client.call(address, ECHO, BodyRequest(job_id=member), TIMEOUT_S, member)
             for member in ("m-2", "m-1", "")
         ]
         await client.stop()
@@ -276,7 +278,7 @@
                 client = RpcClient()
                 await client.start()
                 for _ in range(2):
-                    await client.call(server.address, "echo", BodyRequest(), BodyReply, TIMEOUT_S)
+                    await client.call(server.address, ECHO, BodyRequest(), TIMEOUT_S)
                 await client.stop()
             calls = [arrival.headers["x-call"] for arrival in server.arrivals]
             assert len(set(calls)) == 4
--- a/tests/tier/test_sessions.py
+++ b/tests/tier/test_sessions.py
@@ -17,7 +17,8 @@
 from cherrycove.tier.controlplane.broker_discovery import BrokerDiscoveryClient
 from cherrycove.tier.dataplane.upstream import ResponseStarted, UpstreamClient, UpstreamRequest
 from cherrycove.tier.distribution.cluster_view import Broker
-from cherrycove.tier.protocol.batch_pb2 import BodyReply, BodyRequest
+from cherrycove.tier.protocol.batch_methods import BODY
+from cherrycove.tier.protocol.batch_pb2 import BodyRequest
 from cherrycove.tier.protocol.rpc import RpcClient
 from cherrycove.tier.protocol.sessions import client_session
 from cherrycove.tier.settings import CloudApi, Settings
@@ -88,7 +89,7 @@
     async def use(address: str, number: int) -> bool:
         if number == 1:
             await client.start()
-        outcome = await client.call(address, "c", BodyRequest(), BodyReply, TIMEOUT_S)
+        outcome = await client.call(address, BODY, BodyRequest(), TIMEOUT_S)
         if number == 2:
             assert not outcome.unwrap_err().is_certain
             await client.stop()
--- a/tests/tier/test_tier_cli.py
+++ b/tests/tier/test_tier_cli.py
@@ -23,6 +23,7 @@
 from cherrycove.tier.cli.differences import differences
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol.control_pb2 import Announcement, BrokerEntry, BrokerList, Replica
+from cherrycove.tier.protocol.controller_methods import STATUS
 from cherrycove.tier.protocol.keeper_pb2 import RetireOrder, StatusReply, StatusRequest
 from cherrycove.tier.protocol.rpc import RpcServer
 from cherrycove.tier.storage.entries import Entry, EntryKind
@@ -177,7 +178,7 @@
         async def status(_: StatusRequest) -> Result[StatusReply, Failure]:
             return reply(address)
 
-        server.register("status", StatusRequest, status)
+        server.register(STATUS, status)
         loop.run(server.start(address))
         started.append(server)
         return address
