--- a/tests/tier/golden_stories.py
+++ b/tests/tier/golden_stories.py
@@ -15,7 +15,6 @@
 
 import golden_inputs as inputs
 import golden_support as support
-from cherrycove.tier.membership.model import Member
 from google.protobuf.message import Message
 from result import Err, Ok, Result
 
