--- a/bench/causes.py
+++ b/bench/causes.py
@@ -19,10 +19,10 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from finchrack import interface as api
-from finchrack import wire
-from finchrack.decide import Scheduler
-from finchrack.wirehost import Host
+from cherrycove.scheduling import interface as api
+from cherrycove.scheduling import simulator_codec as wire
+from cherrycove.scheduling.scheduler import Scheduler
+from cherrycove.scheduling.simulator_host import Host
 
 KEYS = ("class", "plan", "code", "place", "node", "units", "try", "shard", "limit")
 
--- a/bench/fleet/hosts.py
+++ b/bench/fleet/hosts.py
@@ -12,9 +12,9 @@
 from typing import Any
 
 from bench.fleet.world import CORES, HANDSHAKE, HOP, MESSAGE, MESSAGE_LOST, Ask, Node, Volume, World
-from cherrycove.fleet import room
-from finchrack import interface as api
-from finchrack.decide import Scheduler
+from cherrycove.broker.peer_capacity import room
+from cherrycove.scheduling import interface as api
+from cherrycove.scheduling.scheduler import Scheduler
 
 OUTCOMES = {
     "served": api.Outcome.SERVED,
--- a/bench/fleet/world.py
+++ b/bench/fleet/world.py
@@ -15,7 +15,7 @@
 from math import inf
 from typing import Any
 
-from finchrack import interface as api
+from cherrycove.scheduling import interface as api
 
 WORK = ((0.015, 0.024), (0.022, 0.035), (0.040, 0.064))  # s of a usual request on a core of speed 1, by class
 SHARE = (0.55, 0.30, 0.15)
--- a/bench/rules/checker.py
+++ b/bench/rules/checker.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from finchrack import interface as api
+from cherrycove.scheduling import interface as api
 
 HALF = 0.5  # part of a request's time after which one with no attempt must have its answer (the operators')
 ROUNDING = 1e-6
--- a/bench/rules/draw.py
+++ b/bench/rules/draw.py
@@ -9,7 +9,7 @@
 import random
 from dataclasses import dataclass
 
-from finchrack import interface as api
+from cherrycove.scheduling import interface as api
 
 
 @dataclass(frozen=True, slots=True)
--- a/bench/rules/play.py
+++ b/bench/rules/play.py
@@ -13,9 +13,9 @@
 from bench.fleet.world import Clock
 from bench.rules.checker import Checker
 from bench.rules.draw import Deployment
-from finchrack import interface as api
-from finchrack.decide import Scheduler
-from finchrack.state import Recent
+from cherrycove.scheduling import interface as api
+from cherrycove.scheduling.scheduler import Scheduler
+from cherrycove.scheduling.state import Recent
 
 HOP = 0.0005  # s to a node and back
 DOWN = (0.02, 0.5)  # s that a dead node or host is away
--- a/bench/serve_cost.py
+++ b/bench/serve_cost.py
@@ -24,9 +24,9 @@
 from contextlib import suppress
 from pathlib import Path
 
-from cherrycove import config
-from cherrycove.core import Attempt, Core, Ending, Member, NodeList, Reply, Request
-from cherrycove.why.book import Book
+from cherrycove.broker import config
+from cherrycove.broker.core import Attempt, Core, Ending, Member, NodeList, Reply, Request
+from cherrycove.broker.decision_log.book import Book
 
 
 class Back:
--- a/bench/why.py
+++ b/bench/why.py
@@ -21,12 +21,12 @@
 from pathlib import Path
 from typing import Any
 
-from cherrycove import config
-from cherrycove.codes import Own
-from cherrycove.core import Attempt, Ended, Ending, Request, Verdict
-from cherrycove.why.book import Book, story_of
-from cherrycove.why.pack import PLAIN, Story, Try, pack
-from finchrack.interface import Code, Reason
+from cherrycove.broker import config
+from cherrycove.broker.core import Attempt, Ended, Ending, Request, Verdict
+from cherrycove.broker.decision_log.book import Book, story_of
+from cherrycove.broker.decision_log.pack import PLAIN, Story, Try, pack
+from cherrycove.broker.local_codes import Own
+from cherrycove.scheduling.interface import Code, Reason
 
 SEED = 11
 
--- a/cherrycove/__init__.py
+++ b/cherrycove/__init__.py
@@ -1,1 +1,1 @@
-"""The storage broker: real sockets round the decision module finchrack."""
+"""The storage broker (``broker``, ``scheduling``) and the serving tier (``tier``)."""
--- a/cherrycove/__main__.py
+++ b/cherrycove/__main__.py
@@ -9,7 +9,7 @@
 import sys
 
 if __name__ == "__main__" and len(sys.argv) > 1:
-    from cherrycove.cli import main as command  # sub-commands; without one this is the broker
+    from cherrycove.broker.cli import main as command  # sub-commands; without one this is the broker
 
     command()
 
@@ -21,7 +21,7 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
 
-from cherrycove.life import herald
+from cherrycove.broker.lifecycle import herald
 
 COMING = herald.announce() if __name__ == "__main__" else None
 
@@ -38,9 +38,9 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from cherrycove.memory.keeper import Keeper
-    from cherrycove.why.book import Book
-    from cherrycove.why.spans import Tracer
+    from cherrycove.broker.warm_restart.keeper import Keeper
+    from cherrycove.broker.decision_log.book import Book
+    from cherrycove.broker.decision_log.spans import Tracer
 
 
 GENTLE = 10  # niceness: a tenth of a core that others want, too
@@ -85,20 +85,25 @@
         "aiohttp.connector",
         "aiohttp.client",
         "aiohttp.web",
-        "cherrycove.config",
-        "finchrack.decide",
+        "cherrycove.broker.config",
+        "cherrycove.scheduling.scheduler",
     )
 
-from cherrycove import admin, config, consul, events, nbd, store
-from cherrycove.core import Core, NodeList
-from cherrycove.events import Log
-from cherrycove.fleet import peers
-from cherrycove.http1 import back, front
-from cherrycove.http1.watch import watch
-from cherrycove.life.handover import Place
-from cherrycove.life.leaving import Timetable
-from cherrycove.life.stages import Life
-from cherrycove.life.succession import Succession
+from cherrycove.broker import admin
+from cherrycove.broker import config
+from cherrycove.broker import consul
+from cherrycove.broker import event_log as events
+from cherrycove.broker import nbd
+from cherrycove.broker import shared_map as store
+from cherrycove.broker.core import Core, NodeList
+from cherrycove.broker.event_log import Log
+from cherrycove.broker.peer_capacity import peers
+from cherrycove.broker.http1 import back, front
+from cherrycove.broker.http1.watch import watch
+from cherrycove.broker.lifecycle.handover import Place
+from cherrycove.broker.lifecycle.leaving import Timetable
+from cherrycove.broker.lifecycle.stages import Life
+from cherrycove.broker.lifecycle.succession import Succession
 
 log = Log("cherrycove")
 
@@ -146,7 +151,7 @@
             self._peers = peers.Peers(self.core, platform.tier.number, platform.tier.peers, platform.seed)
         self._memory: Keeper | None = None
         if operator.memory is not None:
-            from cherrycove.memory.keeper import Keeper
+            from cherrycove.broker.warm_restart.keeper import Keeper
 
             self._memory = Keeper(
                 self.core,
@@ -156,12 +161,12 @@
                 mine=lambda: self.life.keeps,
             )
         if operator.why is not None:
-            from cherrycove.why.book import Book
+            from cherrycove.broker.decision_log.book import Book
 
             self._book = Book(platform.settings, operator.why.bytes, asyncio.get_running_loop().time())
             self.core.recorder = self._book
             if operator.why.spans:
-                from cherrycove.why import spans
+                from cherrycove.broker.decision_log import spans
 
                 sampler = spans.Sampler(operator.why.sampled, operator.why.spans_a_second, platform.seed)
                 path = Path(operator.why.spans)
@@ -209,7 +214,7 @@
             log.info("calls.serves", port=await self._desk.listen(*platform.admin))
         return port
 
-    # What the succession of processes asks for (cherrycove/life/succession.py).
+    # What the succession of processes asks for (cherrycove/broker/lifecycle/succession.py).
 
     def listeners(self) -> list[socket.socket]:
         return [self.front.listener] + ([self._nbd.listener] if self._nbd is not None else [])
@@ -312,7 +317,7 @@
     async def _why(self, asked: tuple[str, ...]) -> list[str]:
         if self._book is None:
             return ["NO there is no record: [why] in the operator's file is not enabled"]
-        from cherrycove.why import ask  # only where somebody asks
+        from cherrycove.broker.decision_log import ask  # only where somebody asks
 
         try:
             question = ask.parse(list(asked))
--- /dev/null
+++ b/cherrycove/broker/__init__.py
@@ -0,0 +1,1 @@
+"""The storage broker: sockets, configuration and operators' calls around ``cherrycove.scheduling``."""
--- a/cherrycove/admin.py
+++ b/cherrycove/broker/admin.py
@@ -13,10 +13,10 @@
 from collections.abc import Awaitable, Callable, Mapping
 from dataclasses import dataclass
 
-from cherrycove.core import Figures, Verdict
-from cherrycove.events import Log
+from cherrycove.broker.core import Figures, Verdict
+from cherrycove.broker.event_log import Log
 
-log = Log("cherrycove.admin")
+log = Log("cherrycove.broker.admin")
 
 MOST_LINE = 512  # bytes
 MOST_CALLERS = 8  # connections at once
--- a/cherrycove/cli/__init__.py
+++ b/cherrycove/broker/cli/__init__.py
@@ -8,6 +8,6 @@
 cannot be used; 3 nobody answers at the operators' address.
 """
 
-from cherrycove.cli.commands import main
+from cherrycove.broker.cli.commands import main
 
 __all__ = ["main"]
--- a/cherrycove/cli/commands.py
+++ b/cherrycove/broker/cli/commands.py
@@ -11,7 +11,7 @@
 import click
 from click.shell_completion import get_completion_class
 
-from cherrycove.cli.call import CallError, address, call
+from cherrycove.broker.cli.call import CallError, address, call
 
 NO, USAGE, NOBODY = 1, 2, 3
 ADMIN = click.option(
@@ -78,7 +78,7 @@
 @JSON
 def check_config(platform: str | None, operator: str | None, as_json: bool) -> None:
     """Read both configurations as the broker would, and say what they turn on or what is wrong."""
-    from cherrycove import config  # the broker's own reading, with all that it imports
+    from cherrycove.broker import config  # the broker's own reading, with all that it imports
 
     env = dict(os.environ) | ({"RELAY_CONFIG": platform} if platform else {})
     path = Path(operator or env.get("CHERRYCOVE_OPERATOR", "deploy/operator.toml"))
@@ -208,7 +208,7 @@
     if out is not None:
         if id != "report":
             raise click.UsageError("--out goes with report")
-        from cherrycove.why import report  # templates and plots
+        from cherrycove.broker.decision_log import report  # templates and plots
 
         path = report.write(Path(out), broker.ask, since or "1h")
         click.echo(str(path))
@@ -229,7 +229,7 @@
     """Its own module is read where it is called."""
 
     def _group(self) -> click.Group:
-        from cherrycove.cli.memory import memory
+        from cherrycove.broker.cli.memory import memory
 
         return memory
 
--- a/cherrycove/cli/memory.py
+++ b/cherrycove/broker/cli/memory.py
@@ -14,9 +14,9 @@
 
 import click
 
-from cherrycove import config
-from cherrycove.memory import figures, file
-from cherrycove.memory.passing import moment
+from cherrycove.broker import config
+from cherrycove.broker.warm_restart import figures, file
+from cherrycove.broker.warm_restart.passing import moment
 
 NO, USAGE = 1, 2
 FILE = click.option(
--- a/cherrycove/config.py
+++ b/cherrycove/broker/config.py
@@ -15,15 +15,17 @@
 from pathlib import Path
 from typing import Any
 
-from cherrycove import consul, events, nbd, store
-from cherrycove.core import NodeList
-from cherrycove.events import Log
-from cherrycove.http1.parse import HEX16, ListError, read_list
-from finchrack import known as known_settings
-from finchrack import wire
-from finchrack.interface import Effect, Settings
-
-log = Log("cherrycove.config")
+from cherrycove.broker import consul, nbd
+from cherrycove.broker import event_log as events
+from cherrycove.broker import shared_map as store
+from cherrycove.broker.core import NodeList
+from cherrycove.broker.event_log import Log
+from cherrycove.broker.http1.parse import HEX16, ListError, read_list
+from cherrycove.scheduling import settings_check as known_settings
+from cherrycove.scheduling import simulator_codec as wire
+from cherrycove.scheduling.interface import Effect, Settings
+
+log = Log("cherrycove.broker.config")
 
 TOP = {
     "admin",
--- a/cherrycove/consul.py
+++ b/cherrycove/broker/consul.py
@@ -17,11 +17,11 @@
 import aiohttp
 from yarl import URL
 
-from cherrycove.core import Core, Member, NodeList
-from cherrycove.events import Log
-from finchrack.interface import NodeState
+from cherrycove.broker.core import Core, Member, NodeList
+from cherrycove.broker.event_log import Log
+from cherrycove.scheduling.interface import NodeState
 
-log = Log("cherrycove.consul")
+log = Log("cherrycove.broker.consul")
 
 SLACK = 1.0  # s past a blocking query's wait; Consul itself adds up to a sixteenth of the wait
 LEAST_PAUSE, MOST_PAUSE = 0.1, 10.0  # s between calls after failures, doubling
--- a/cherrycove/core.py
+++ b/cherrycove/broker/core.py
@@ -2,8 +2,8 @@
 
 It owns the one decision module of the process, its clock, its timers and its batches, and gives the fronts a
 facade in blocking style: ``pick`` the next step of a request, ``report`` how an attempt ended, ``tick``. It
-is the only place that sees finchrack's events and actions, the only one that turns an ``Ending`` into an
-``Outcome``, and the one that sees to it that each request gets exactly one final answer before its client
+is the only place that sees the module's events and actions, the only one that turns an ``Ending`` into
+an ``Outcome``, and the one that sees to it that each request gets exactly one final answer before its client
 gives up. It must never open a socket, know a header or a frame, decide where or when a request is sent, or
 hold back an answer the module has given.
 """
@@ -19,13 +19,13 @@
 from math import inf, nan
 from typing import Protocol
 
-from cherrycove.codes import Own
-from cherrycove.events import Log, bound
-from cherrycove.life.places import Places
-from finchrack import interface as api
-from finchrack.decide import Scheduler
+from cherrycove.broker.event_log import Log, bound
+from cherrycove.broker.lifecycle.places import Places
+from cherrycove.broker.local_codes import Own
+from cherrycove.scheduling import interface as api
+from cherrycove.scheduling.scheduler import Scheduler
 
-log = Log("cherrycove.core")
+log = Log("cherrycove.broker.core")
 
 # Guard: a machine busy with others can hold this process up for tens of ms, and an answer that goes out after
 # the client's deadline is a request lost. What these give away are answers too late to be worth much.
--- a/cherrycove/why/ask.py
+++ b/cherrycove/broker/decision_log/ask.py
@@ -16,11 +16,11 @@
 from dataclasses import dataclass
 from typing import Any, NoReturn
 
-from cherrycove.codes import code as code_of
-from cherrycove.core import Ended
-from cherrycove.why import words
-from cherrycove.why.book import Book, story_of
-from cherrycove.why.pack import VERDICTS, Story
+from cherrycove.broker.core import Ended
+from cherrycove.broker.decision_log import words
+from cherrycove.broker.decision_log.book import Book, story_of
+from cherrycove.broker.decision_log.pack import VERDICTS, Story
+from cherrycove.broker.local_codes import code as code_of
 
 SLICE = 0.002  # s of the loop at a time
 ANSWER_TIME = 0.6  # s in which an answer is due, whatever it has found by then
--- a/cherrycove/why/book.py
+++ b/cherrycove/broker/decision_log/book.py
@@ -15,10 +15,9 @@
 from typing import Any
 from zlib import crc32
 
-from cherrycove.codes import AnyCode, Own
-from cherrycove.core import Ended, Ending, Request, Verdict
-from cherrycove.why import retries
-from cherrycove.why.pack import (
+from cherrycove.broker.core import Ended, Ending, Request, Verdict
+from cherrycove.broker.decision_log import retries
+from cherrycove.broker.decision_log.pack import (
     HEAD,
     NO_NODE,
     PackError,
@@ -30,10 +29,11 @@
     pack_unsent,
     unpack,
 )
-from cherrycove.why.ring import Ring
-from cherrycove.why.seen import Seen
-from cherrycove.why.sketches import OPEN, Sketches
-from finchrack.interface import Reason, Settings
+from cherrycove.broker.decision_log.ring import Ring
+from cherrycove.broker.decision_log.seen import Seen
+from cherrycove.broker.decision_log.sketches import OPEN, Sketches
+from cherrycove.broker.local_codes import AnyCode, Own
+from cherrycove.scheduling.interface import Reason, Settings
 
 LEAST = 192 * 1024  # bytes; below that nothing of use fits
 KEPT = 0.85  # part of the rings' bytes for what matters
--- a/cherrycove/why/pack.py
+++ b/cherrycove/broker/decision_log/pack.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass, field
 from math import isfinite
 
-from cherrycove.codes import AnyCode, code
-from cherrycove.core import Ending
-from finchrack.interface import Code, Reason
+from cherrycove.broker.core import Ending
+from cherrycove.broker.local_codes import AnyCode, code
+from cherrycove.scheduling.interface import Code, Reason
 
 # Size, flags, tries, two links, ended, took, code, class, plan, units, shard.
 HEAD = struct.Struct("<HBBIIIHBBBeH")
--- a/cherrycove/why/report.py
+++ b/cherrycove/broker/decision_log/report.py
@@ -47,7 +47,9 @@
         figure.savefig(out / name, metadata={"Date": None})
         pyplot.close(figure)
     environment = Environment(
-        loader=PackageLoader("cherrycove.why", "templates"), autoescape=True, undefined=StrictUndefined
+        loader=PackageLoader("cherrycove.broker.decision_log", "templates"),
+        autoescape=True,
+        undefined=StrictUndefined,
     )
     template = environment.get_template("report.html")
     page = template.render(whole=whole, last=last, since=since, plots=list(plots))
--- a/cherrycove/why/retries.py
+++ b/cherrycove/broker/decision_log/retries.py
@@ -11,8 +11,8 @@
 
 from __future__ import annotations
 
-from cherrycove.why.pack import CLAIMED, END, HEAD, MASK, end_at, unpack
-from cherrycove.why.ring import Ring
+from cherrycove.broker.decision_log.pack import CLAIMED, END, HEAD, MASK, end_at, unpack
+from cherrycove.broker.decision_log.ring import Ring
 
 MOST_STEPS = 256  # records of a volume's bucket that are looked at for one retry
 _OBJECT_AT = END.size - 4
--- a/cherrycove/why/ring.py
+++ b/cherrycove/broker/decision_log/ring.py
@@ -15,7 +15,7 @@
 from array import array
 from collections.abc import Iterator
 
-from cherrycove.why.pack import ENDED_AT, HEAD, LINKS, LINKS_AT, MASK
+from cherrycove.broker.decision_log.pack import ENDED_AT, HEAD, LINKS, LINKS_AT, MASK
 
 MARK_EVERY = 64  # records between two marks of time
 LEAST_ROOM = 4096  # bytes
--- a/cherrycove/why/spans.py
+++ b/cherrycove/broker/decision_log/spans.py
@@ -24,13 +24,13 @@
 from opentelemetry.sdk.trace.export import BatchSpanProcessor, SpanExporter, SpanExportResult
 from opentelemetry.trace import Span, SpanKind, Status, StatusCode, set_span_in_context
 
-from cherrycove.core import Ending
-from cherrycove.events import Log
-from cherrycove.why import words
-from cherrycove.why.pack import Story
-from finchrack.interface import Settings
+from cherrycove.broker.core import Ending
+from cherrycove.broker.decision_log import words
+from cherrycove.broker.decision_log.pack import Story
+from cherrycove.broker.event_log import Log
+from cherrycove.scheduling.interface import Settings
 
-log = Log("cherrycove.why")
+log = Log("cherrycove.broker.decision_log")
 
 MOST_BYTES = 64 << 20  # of the file; then it becomes FILE.1, in the place of the one before
 IDS = ("traceId", "spanId", "parentSpanId")
@@ -113,7 +113,7 @@
             resource=Resource({"service.name": "cherrycove", "service.instance.id": name})
         )
         self._provider.add_span_processor(BatchSpanProcessor(self.lines, schedule_delay_millis=1000))
-        self._tracer = self._provider.get_tracer("cherrycove.why")
+        self._tracer = self._provider.get_tracer("cherrycove.broker.decision_log")
         self._offset = time.time() - time.monotonic()
 
     def tell(self, story: Story) -> None:
@@ -130,7 +130,7 @@
                 "cherrycove.volume": words.plain(story.volume),
                 "cherrycove.verdict": story.verdict,
                 "cherrycove.code": story.code.name.lower(),
-                "cherrycove.why": words.reason(story),
+                "cherrycove.broker.decision_log": words.reason(story),
                 "cherrycove.front": story.front,
                 "cherrycove.first": words.plain(story.first),
             },
--- a/cherrycove/why/words.py
+++ b/cherrycove/broker/decision_log/words.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from cherrycove.codes import AnyCode, Own
-from cherrycove.why.pack import Story, Try
-from finchrack.interface import Code, Reason, Settings
+from cherrycove.broker.decision_log.pack import Story, Try
+from cherrycove.broker.local_codes import AnyCode, Own
+from cherrycove.scheduling.interface import Code, Reason, Settings
 
 SAID = {"served": "served", "refused": "refused", "failed": "failed", "gone": "left by its client"}
 
--- a/cherrycove/http1/back.py
+++ b/cherrycove/broker/http1/back.py
@@ -22,10 +22,10 @@
 from aiohttp.http import RawResponseMessage
 from yarl import URL
 
-from cherrycove.core import Attempt, Ending, Reply
-from cherrycove.http1.body import MOST_BODY, MOST_LONG, Upload
-from cherrycove.http1.parse import BodyError, parse_elsewhere, parse_load, parse_use
-from cherrycove.sockets import unread
+from cherrycove.broker.core import Attempt, Ending, Reply
+from cherrycove.broker.http1.body import MOST_BODY, MOST_LONG, Upload
+from cherrycove.broker.http1.parse import BodyError, parse_elsewhere, parse_load, parse_use
+from cherrycove.broker.sockets import unread
 
 PIECE = 32 * 1024  # bytes in one read of a connection, and about as many in each of its buffers
 MOST_HEADS = 32 * 1024  # bytes of an answer's head and of all that is said ahead of it
--- a/cherrycove/http1/body.py
+++ b/cherrycove/broker/http1/body.py
@@ -13,7 +13,7 @@
 from aiohttp import web
 from aiohttp.http import HttpProcessingError
 
-from cherrycove.http1.parse import BodyError, RequestError
+from cherrycove.broker.http1.parse import BodyError, RequestError
 
 MOST_BODY = 64 * 1024  # what is longer flows in pieces
 MOST_LONG = 32 * 1024 * 1024  # bytes of a body or an answer at all
--- a/cherrycove/http1/front.py
+++ b/cherrycove/broker/http1/front.py
@@ -20,16 +20,17 @@
 from aiohttp.http import HttpProcessingError
 from yarl import URL
 
-from cherrycove.codes import BY_STATUS, Own
-from cherrycove.core import Answer, Core, Ending, Reply, Request, Verdict
-from cherrycove.http1.back import PIECE, Call, Pool, Rest, SpoiltAnswer
-from cherrycove.http1.body import FLOW, ROOM_TIME, Room, Upload, need, taken
-from cherrycove.http1.parse import BodyError, Head, Names, RequestError, origin, parse_head, single
-from cherrycove.life.handover import listener
-from cherrycove.life.leaving import Timetable
-from cherrycove.sockets import LOOK, Lookout, unread
-
-clients_log = logging.getLogger("cherrycove.http1.clients")  # the library's own, of what it could not read
+from cherrycove.broker.core import Answer, Core, Ending, Reply, Request, Verdict
+from cherrycove.broker.http1.back import PIECE, Call, Pool, Rest, SpoiltAnswer
+from cherrycove.broker.http1.body import FLOW, ROOM_TIME, Room, Upload, need, taken
+from cherrycove.broker.http1.parse import BodyError, Head, Names, RequestError, origin, parse_head, single
+from cherrycove.broker.lifecycle.handover import listener
+from cherrycove.broker.lifecycle.leaving import Timetable
+from cherrycove.broker.local_codes import BY_STATUS, Own
+from cherrycove.broker.sockets import LOOK, Lookout, unread
+
+# The HTTP library's own log, of requests that it could not read.
+clients_log = logging.getLogger("cherrycove.broker.http1.clients")
 
 IDLE_TIME = 2.4  # s that a connection may stay without a whole head, at its start or between requests
 SETTLED_TIME = 0.2  # s between requests after which a connection gives way where clients are many
--- a/cherrycove/http1/parse.py
+++ b/cherrycove/broker/http1/parse.py
@@ -14,8 +14,8 @@
 
 from multidict import MultiMapping
 
-from cherrycove.core import Member, NodeList
-from finchrack.interface import Effect, NodeState, Settings
+from cherrycove.broker.core import Member, NodeList
+from cherrycove.scheduling.interface import Effect, NodeState, Settings
 
 HEX16 = re.compile(r"[0-9a-f]{16}", re.ASCII | re.IGNORECASE)
 DECIMAL = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?", re.ASCII)
--- a/cherrycove/http1/watch.py
+++ b/cherrycove/broker/http1/watch.py
@@ -13,11 +13,11 @@
 import aiohttp
 from yarl import URL
 
-from cherrycove.core import Core, NodeList
-from cherrycove.events import Log
-from cherrycove.http1.parse import ListError, parse_list
+from cherrycove.broker.core import Core, NodeList
+from cherrycove.broker.event_log import Log
+from cherrycove.broker.http1.parse import ListError, parse_list
 
-log = Log("cherrycove.http1")
+log = Log("cherrycove.broker.http1")
 
 WATCH_WAIT = 5.0  # s that a watch may wait for news
 WATCH_SLACK = 1.0  # s past that until it counts as silent
--- a/cherrycove/life/handover.py
+++ b/cherrycove/broker/lifecycle/handover.py
@@ -17,12 +17,12 @@
 from pathlib import Path
 from typing import Any
 
-from cherrycove.core import Maintenance, Member
-from cherrycove.events import Log
-from cherrycove.life.herald import SOCKET, directory, short
-from finchrack.interface import NodeState
+from cherrycove.broker.core import Maintenance, Member
+from cherrycove.broker.event_log import Log
+from cherrycove.broker.lifecycle.herald import SOCKET, directory, short
+from cherrycove.scheduling.interface import NodeState
 
-log = Log("cherrycove.life.handover")
+log = Log("cherrycove.broker.lifecycle.handover")
 
 MAINTENANCE = "maintenance.json"
 LOCK = "start.lock"  # held by the process that starts, until it can be found
--- a/cherrycove/life/succession.py
+++ b/cherrycove/broker/lifecycle/succession.py
@@ -12,15 +12,15 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from cherrycove.core import Core, NodeList
-from cherrycove.events import Log
-from cherrycove.life import handover
-from cherrycove.life.stages import SHARED, Life
-from cherrycove.life.upkeep import Upkeep
-from cherrycove.memory.figures import UnusableError
-from cherrycove.memory.passing import rows_of, take_up
+from cherrycove.broker.core import Core, NodeList
+from cherrycove.broker.event_log import Log
+from cherrycove.broker.lifecycle import handover
+from cherrycove.broker.lifecycle.stages import SHARED, Life
+from cherrycove.broker.lifecycle.upkeep import Upkeep
+from cherrycove.broker.warm_restart.figures import UnusableError
+from cherrycove.broker.warm_restart.passing import rows_of, take_up
 
-log = Log("cherrycove.life.handover")
+log = Log("cherrycove.broker.lifecycle.handover")
 
 RECORD_TIME = 300.0  # s of the record that a successor is handed
 PIECE_TIME = 0.01  # s between two pieces of it
@@ -48,7 +48,7 @@
 
 
 class Record(Protocol):
-    """The record of decisions (cherrycove/why), where there is one."""
+    """The record of decisions (cherrycove/broker/decision_log), where there is one."""
 
     former_lost: int
 
--- a/cherrycove/life/upkeep.py
+++ b/cherrycove/broker/lifecycle/upkeep.py
@@ -9,9 +9,9 @@
 import time
 from collections.abc import Awaitable, Callable
 
-from cherrycove.core import Core
-from cherrycove.events import Log
-from cherrycove.life.handover import MOST_OUT, Message, Place
+from cherrycove.broker.core import Core
+from cherrycove.broker.event_log import Log
+from cherrycove.broker.lifecycle.handover import MOST_OUT, Message, Place
 
 log = Log("cherrycove.upkeep")
 
--- a/cherrycove/codes.py
+++ b/cherrycove/broker/local_codes.py
@@ -1,5 +1,5 @@
 """Codes of what the module did not decide: the core's own and the fronts', beside
-``finchrack.interface.Code``.
+``cherrycove.scheduling.interface.Code``.
 
 It owns their numbers, which are kept in records and handed to other processes, so they never change. It must
 never share a number with the module's.
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from enum import IntEnum
 
-from finchrack.interface import Code
+from cherrycove.scheduling.interface import Code
 
 
 class Own(IntEnum):
--- a/cherrycove/nbd.py
+++ b/cherrycove/broker/nbd.py
@@ -20,13 +20,13 @@
 from itertools import count
 from math import ceil
 
-from cherrycove.codes import Own
-from cherrycove.core import Answer, Attempt, Core, Ending, Reply, Request, Verdict
-from cherrycove.events import Log
-from cherrycove.life.handover import listener
-from cherrycove.sockets import LOOK, ended
+from cherrycove.broker.core import Answer, Attempt, Core, Ending, Reply, Request, Verdict
+from cherrycove.broker.event_log import Log
+from cherrycove.broker.lifecycle.handover import listener
+from cherrycove.broker.local_codes import Own
+from cherrycove.broker.sockets import LOOK, ended
 
-log = Log("cherrycove.nbd")
+log = Log("cherrycove.broker.nbd")
 
 NBDMAGIC, IHAVEOPT, OPTION_REPLY = 0x4E42444D41474943, 0x49484156454F5054, 0x0003E889045565A9
 REQUEST, SIMPLE, STRUCTURED = 0x25609513, 0x67446698, 0x668E33EF
--- a/cherrycove/fleet/peers.py
+++ b/cherrycove/broker/peer_capacity/peers.py
@@ -12,11 +12,11 @@
 from collections import Counter
 from collections.abc import Sequence
 
-from cherrycove.core import Core
-from cherrycove.events import Log
-from cherrycove.fleet import datagram, room
+from cherrycove.broker.core import Core
+from cherrycove.broker.event_log import Log
+from cherrycove.broker.peer_capacity import datagram, room
 
-log = Log("cherrycove.fleet")
+log = Log("cherrycove.broker.peer_capacity")
 OPEN_AGAIN = 1.0  # s after which an address that is in use is tried again
 MOST_A_SECOND = 500  # datagrams taken in; a peer that floods costs no more
 Address = tuple[str, int]
--- a/cherrycove/fleet/room.py
+++ b/cherrycove/broker/peer_capacity/room.py
@@ -16,9 +16,9 @@
 from functools import lru_cache
 from math import inf
 
-from finchrack.cold import growth
-from finchrack.interface import Settings
-from finchrack.state import Recent
+from cherrycove.scheduling.interface import Settings
+from cherrycove.scheduling.slow_start import growth
+from cherrycove.scheduling.state import Recent
 
 LENT = 0.8  # part of a cold node's room that its lender has
 VALID = 0.5  # s for which a loan may be used
--- a/cherrycove/store.py
+++ b/cherrycove/broker/shared_map.py
@@ -18,11 +18,11 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field, replace
 
-from cherrycove.core import Core, NodeList
-from cherrycove.events import Log
-from finchrack.interface import NodeState
+from cherrycove.broker.core import Core, NodeList
+from cherrycove.broker.event_log import Log
+from cherrycove.scheduling.interface import NodeState
 
-log = Log("cherrycove.store")
+log = Log("cherrycove.broker.shared_map")
 
 MOST_BYTES = 256  # of a datagram
 MAGIC, DIGEST, ANSWER, ENTRY = b"CC1", 1, 2, 3
--- a/cherrycove/memory/figures.py
+++ b/cherrycove/broker/warm_restart/figures.py
@@ -15,7 +15,7 @@
 from math import inf, isfinite
 from typing import Any
 
-from finchrack.interface import NodeMemory, Recalled, Settings, VolumeMemory
+from cherrycove.scheduling.interface import NodeMemory, Recalled, Settings, VolumeMemory
 
 FORM = 1  # of the rows; raised where a reader of the former could misread them
 MOST_NODES = 1024
--- a/cherrycove/memory/file.py
+++ b/cherrycove/broker/warm_restart/file.py
@@ -21,7 +21,7 @@
 
 import msgpack  # type: ignore[import-untyped]
 
-from cherrycove.memory.figures import UnusableError
+from cherrycove.broker.warm_restart.figures import UnusableError
 
 MAGIC = b"ccmemory"
 FORMAT = 1  # of the frame
--- a/cherrycove/memory/keeper.py
+++ b/cherrycove/broker/warm_restart/keeper.py
@@ -14,12 +14,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from cherrycove.core import Core
-from cherrycove.events import Log
-from cherrycove.memory import figures, file
-from cherrycove.memory.passing import rows_of, take_up
+from cherrycove.broker.core import Core
+from cherrycove.broker.event_log import Log
+from cherrycove.broker.warm_restart import figures, file
+from cherrycove.broker.warm_restart.passing import rows_of, take_up
 
-log = Log("cherrycove.memory")
+log = Log("cherrycove.broker.warm_restart")
 
 READ_TIME = 0.5  # s that a start waits for the file
 LAST_TIME = 0.5  # s that an end waits for its last write
--- a/cherrycove/memory/passing.py
+++ b/cherrycove/broker/warm_restart/passing.py
@@ -12,11 +12,11 @@
 from pathlib import Path
 from typing import Any
 
-from cherrycove.core import Core
-from cherrycove.events import Log
-from cherrycove.memory import figures
+from cherrycove.broker.core import Core
+from cherrycove.broker.event_log import Log
+from cherrycove.broker.warm_restart import figures
 
-log = Log("cherrycove.memory")
+log = Log("cherrycove.broker.warm_restart")
 BOOT_ID = "/proc/sys/kernel/random/boot_id"
 
 
--- a/finchrack/controller.py
+++ b/cherrycove/scheduling/concurrency_limit.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Iterable
 
-from finchrack.interface import RequestClass
-from finchrack.state import NodeQueue, percentile
+from cherrycove.scheduling.interface import RequestClass
+from cherrycove.scheduling.state import NodeQueue, percentile
 
 LEAST_L = 1.0  # requests; below one nothing would be sent
 ROOM = 0.9  # part of L (spare room) and of served (end of overload), from the design
--- a/finchrack/interface.py
+++ b/cherrycove/scheduling/interface.py
@@ -1,7 +1,7 @@
-"""The types, events and actions of finchrack's decision module.
+"""The types, events and actions of the decision module.
 
 Pure data, in the field's terms. Every time, duration and rate is in seconds. A caller builds a ``Settings``,
-hands it to ``finchrack.decide.Scheduler`` and from then on exchanges events for actions.
+hands it to ``cherrycove.scheduling.scheduler.Scheduler`` and from then on exchanges events for actions.
 """
 
 from __future__ import annotations
--- a/finchrack/evidence.py
+++ b/cherrycove/scheduling/restart_state.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable, Mapping
 from math import inf
 
-from finchrack.interface import NodeMemory, Recalled, VolumeMemory
-from finchrack.state import PERIOD, NodeQueue, Volume
+from cherrycove.scheduling.interface import NodeMemory, Recalled, VolumeMemory
+from cherrycove.scheduling.state import PERIOD, NodeQueue, Volume
 
 HALF_LIFE = 10.0  # s in which a threshold of an earlier life has gone half of the way back to a new node's
 FAILING = 5.0  # s after which a node at which nobody answered is tried as any other
--- a/finchrack/repeats.py
+++ b/cherrycove/scheduling/retry_safety.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from finchrack.interface import Effect, Group, RequestClass
+from cherrycove.scheduling.interface import Effect, Group, RequestClass
 
 
 class Place(Protocol):
--- a/finchrack/decide.py
+++ b/cherrycove/scheduling/scheduler.py
@@ -1,4 +1,4 @@
-"""All decisions of finchrack. Types, events and actions: finchrack/interface.py.
+"""All decisions of the storage broker. Types, events and actions: cherrycove/scheduling/interface.py.
 
 After "Storage Performance Virtualization via Throughput and Latency Control"; docs/design.md says how.
 Credits by volume (SARC), deadline queues drained to L by node (AVATAR). "Guard:" marks answers to failures.
@@ -11,13 +11,23 @@
 from collections.abc import Sequence
 from math import inf
 
-from finchrack import interface as api
-from finchrack.cold import ColdRoom
-from finchrack.controller import LEAST_L, ROOM, set_threshold
-from finchrack.evidence import Former, taken_down
-from finchrack.objects import Placed
-from finchrack.repeats import may_refuse, may_repeat, ran_at, write_within
-from finchrack.state import PERIOD, Agenda, Members, NodeQueue, Recent, Request, Volume, Window, percentile
+from cherrycove.scheduling import interface as api
+from cherrycove.scheduling.concurrency_limit import LEAST_L, ROOM, set_threshold
+from cherrycove.scheduling.object_placement import Placed
+from cherrycove.scheduling.restart_state import Former, taken_down
+from cherrycove.scheduling.retry_safety import may_refuse, may_repeat, ran_at, write_within
+from cherrycove.scheduling.slow_start import ColdRoom
+from cherrycove.scheduling.state import (
+    PERIOD,
+    Agenda,
+    Members,
+    NodeQueue,
+    Recent,
+    Request,
+    Volume,
+    Window,
+    percentile,
+)
 
 START_L = 4.0  # requests out at a node nothing is known of (design), while all schedulers together keep
 FLEET_L = 16.0  # to this many; above that each starts with its even part of them
--- a/finchrack/wire.py
+++ b/cherrycove/scheduling/simulator_codec.py
@@ -1,4 +1,4 @@
-"""Codec between the wire's text lines and finchrack's interface. It translates and decides nothing."""
+"""Codec between the simulator's text lines and the events and actions. It decides nothing."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from finchrack import interface as api
+from cherrycove.scheduling import interface as api
 
 NS = 1e-9
 _EFFECTS = {"pure": api.Effect.SAFE, "token": api.Effect.KEYED, "side_effect": api.Effect.UNSAFE}
--- a/finchrack/wirehost.py
+++ b/cherrycove/scheduling/simulator_host.py
@@ -6,9 +6,9 @@
 from collections.abc import Iterable, Iterator
 from typing import TextIO
 
-from finchrack import wire
-from finchrack.decide import Scheduler
-from finchrack.interface import Event, Node
+from cherrycove.scheduling import simulator_codec as wire
+from cherrycove.scheduling.interface import Event, Node
+from cherrycove.scheduling.scheduler import Scheduler
 
 
 class Host:
--- a/finchrack/cold.py
+++ b/cherrycove/scheduling/slow_start.py
@@ -12,8 +12,8 @@
 from math import inf
 from typing import NamedTuple
 
-from finchrack.interface import Settings
-from finchrack.state import NodeQueue
+from cherrycove.scheduling.interface import Settings
+from cherrycove.scheduling.state import NodeQueue
 
 EARNED = 0.5  # of the rule's multiple: so much of what a cold node did of late it may be sent
 ASK_ROOM = 0.05  # of the window of the rule, between asks for room there
--- a/finchrack/state.py
+++ b/cherrycove/scheduling/state.py
@@ -1,4 +1,4 @@
-"""What a scheduler remembers: plain records and counters for finchrack/decide.py. It decides nothing."""
+"""What a scheduler remembers: plain records and counters. It decides nothing."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from math import inf
 from typing import Any
 
-from finchrack.interface import Code, ListKind, Node, NodesListed, NodeState, Plan, RequestClass
-from finchrack.repeats import Ran
+from cherrycove.scheduling.interface import Code, ListKind, Node, NodesListed, NodeState, Plan, RequestClass
+from cherrycove.scheduling.retry_safety import Ran
 
 PERIOD = 1.0  # s between joint refills of credits, and the window of statistics behind each L (design)
 
--- a/cherrycove/tier/dataplane/admission/_broker_state.py
+++ b/cherrycove/tier/dataplane/admission/_broker_state.py
@@ -6,13 +6,13 @@
 
 import attrs
 
+from cherrycove.scheduling.state import PERIOD, NodeQueue, Recent
 from cherrycove.tier.configuration import Service
 from cherrycove.tier.dataplane.admission._broker_health import BrokerHealth
 from cherrycove.tier.dataplane.admission._interface import AdmissionRequest
 from cherrycove.tier.dataplane.admission._load_estimate import LoadEstimate
 from cherrycove.tier.dataplane.admission._prefix_cache import PrefixCacheEstimate
 from cherrycove.tier.distribution.cluster_view import Broker
-from finchrack.state import PERIOD, NodeQueue, Recent
 
 START_L = 4.0  # of a broker that nothing is known of
 UNKNOWN_CONNECTIONS = 64  # where the configuration tells no limit
--- a/cherrycove/tier/dataplane/admission/_concurrency_limit.py
+++ b/cherrycove/tier/dataplane/admission/_concurrency_limit.py
@@ -1,14 +1,14 @@
-"""L of each broker: the controller of ``finchrack``, stepped at the end of each window. Pure."""
+"""L of each broker: the controller of ``cherrycove.scheduling``, stepped at the end of each window. Pure."""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Sequence
 
+from cherrycove.scheduling.concurrency_limit import set_threshold
+from cherrycove.scheduling.interface import RequestClass
+from cherrycove.scheduling.state import PERIOD, Window
 from cherrycove.tier.dataplane.admission._broker_state import START_L, BrokerState
-from finchrack.controller import set_threshold
-from finchrack.interface import RequestClass
-from finchrack.state import PERIOD, Window
 
 SAMPLES = 4  # first events that a new L is worked out from; a window that has fewer goes on
 MOST_WAITS = 256  # that a window keeps of one kind
--- a/cherrycove/tier/dataplane/admission/_interface.py
+++ b/cherrycove/tier/dataplane/admission/_interface.py
@@ -8,10 +8,10 @@
 
 import attrs
 
+from cherrycove.scheduling.state import Request
 from cherrycove.tier.configuration import Configuration
 from cherrycove.tier.dataplane.prompt import NO_PROMPT, Prompt
 from cherrycove.tier.distribution.cluster_view import Broker
-from finchrack.state import Request
 
 
 @attrs.define(eq=False, kw_only=True)
--- a/cherrycove/tier/dataplane/admission/_latency_estimate.py
+++ b/cherrycove/tier/dataplane/admission/_latency_estimate.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from finchrack.state import percentile
+from cherrycove.scheduling.state import percentile
 
 INITIAL_FIRST_EVENT_S = 0.05  # to a first event until something is known
 INITIAL_SLOT_HOLD_S = 0.5  # that a request has a broker's place, until something is known
--- a/cherrycove/tier/dataplane/admission/_route_state.py
+++ b/cherrycove/tier/dataplane/admission/_route_state.py
@@ -6,10 +6,10 @@
 
 import attrs
 
+from cherrycove.scheduling.interface import Effect, Plan, RequestClass
+from cherrycove.scheduling.state import PERIOD, NodeQueue, Request, Volume
 from cherrycove.tier.configuration import Route
 from cherrycove.tier.dataplane.admission._interface import AdmissionRequest
-from finchrack.interface import Effect, Plan, RequestClass
-from finchrack.state import PERIOD, NodeQueue, Request, Volume
 
 MIN_CREDITS = 1.0  # at a refill, so that a rare kind is let through
 RETRY_PART = 0.95  # of the longest patience seen; a client that has less has tried before
--- a/cherrycove/tier/dataplane/admission/_scheduler.py
+++ b/cherrycove/tier/dataplane/admission/_scheduler.py
@@ -9,6 +9,7 @@
 import random
 from math import inf
 
+from cherrycove.scheduling.state import PERIOD, NodeQueue, Recent
 from cherrycove.tier.dataplane.admission import _concurrency_limit, _stall_detection
 from cherrycove.tier.dataplane.admission._admission_state import AdmissionState
 from cherrycove.tier.dataplane.admission._batch_queue import BatchQueue
@@ -26,7 +27,6 @@
 )
 from cherrycove.tier.dataplane.admission._pending_requests import PendingRequests
 from cherrycove.tier.dataplane.headers import InstanceLoad
-from finchrack.state import PERIOD, NodeQueue, Recent
 
 HELD_TICK_S = 0.02  # between looks while live requests are held
 TICK_S = 0.05  # and while any are out
--- a/cherrycove/tier/dataplane/arrival_rates.py
+++ b/cherrycove/tier/dataplane/arrival_rates.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from finchrack.state import Recent
+from cherrycove.scheduling.state import Recent
 
 SPAN_S = 5.0  # over which a rate is taken
 
--- a/cherrycove/tier/dataplane/connection_pool.py
+++ b/cherrycove/tier/dataplane/connection_pool.py
@@ -22,7 +22,7 @@
 from aiohttp.connector import Connection
 from aiohttp.http import RawResponseMessage
 
-from cherrycove.http1.back import Connector, NodeConnection
+from cherrycove.broker.http1.back import Connector, NodeConnection
 from cherrycove.tier.dataplane.headers import DEADLINE_MS, REQUEST_ID, parse_keep_alive_s, parse_unsigned
 
 REST_S = 0.008  # behind an answer before its connection is used again; a second answer comes a few ms late
--- a/cherrycove/tier/protocol/sessions.py
+++ b/cherrycove/tier/protocol/sessions.py
@@ -16,7 +16,7 @@
 import aiohttp
 from aiohttp.client_proto import ResponseHandler
 
-from cherrycove.sockets import unread
+from cherrycove.broker.sockets import unread
 
 REPEATS_SWITCH = "_retry_connection"  # the library has no public one
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,8 +5,7 @@
 from dataclasses import replace
 from typing import Any
 
-from finchrack.decide import Scheduler
-from finchrack.interface import (
+from cherrycove.scheduling.interface import (
     Action,
     Arrived,
     AttemptEnded,
@@ -27,6 +26,7 @@
     TimerFired,
     Watch,
 )
+from cherrycove.scheduling.scheduler import Scheduler
 
 READ = RequestClass("read", aim=0.6, deadline=3.0, effect=Effect.SAFE)
 WRITE = RequestClass("write", aim=0.8, deadline=3.0, effect=Effect.UNSAFE, writes=True)
--- a/tests/support.py
+++ b/tests/support.py
@@ -18,10 +18,10 @@
 import hypothesis
 from hypothesis import strategies as st
 
-from cherrycove import config, nbd
-from cherrycove.core import Core, Member, NodeList
-from cherrycove.http1 import back, front
-from finchrack.interface import NodeState
+from cherrycove.broker import config, nbd
+from cherrycove.broker.core import Core, Member, NodeList
+from cherrycove.broker.http1 import back, front
+from cherrycove.scheduling.interface import NodeState
 
 ROOT = Path(__file__).parent.parent
 RAW = json.loads((ROOT / "examples/config.json").read_text())
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -8,8 +8,8 @@
 from hypothesis import given
 from support import PLATFORM, Node, World, cuts, fuzz, run, spoiled
 
-from cherrycove import admin
-from cherrycove.core import Figures, Verdict
+from cherrycove.broker import admin
+from cherrycove.broker.core import Figures, Verdict
 
 STATS = admin.report(Figures({"r": dict.fromkeys(Verdict, 3)}, 7, 2, 9, 1))
 
--- a/tests/test_causes.py
+++ b/tests/test_causes.py
@@ -9,7 +9,7 @@
 import pytest
 
 from bench.causes import Account, main, replay
-from finchrack.wirehost import Host
+from cherrycove.scheduling.simulator_host import Host
 
 SECOND = 1_000_000_000
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -13,14 +13,15 @@
 from support import PLATFORM, ROOT, Node, World, fuzz, run
 from test_why import HEX, story
 
-from cherrycove import admin, events
-from cherrycove.cli.call import CallError, call
-from cherrycove.cli.commands import figures, main
-from cherrycove.core import Ending
-from cherrycove.why import ask, report, spans
-from cherrycove.why.book import SKETCHED, Book
-from cherrycove.why.pack import Try
-from finchrack.interface import Code, Reason
+from cherrycove.broker import admin
+from cherrycove.broker import event_log as events
+from cherrycove.broker.cli.call import CallError, call
+from cherrycove.broker.cli.commands import figures, main
+from cherrycove.broker.core import Ending
+from cherrycove.broker.decision_log import ask, report, spans
+from cherrycove.broker.decision_log.book import SKETCHED, Book
+from cherrycove.broker.decision_log.pack import Try
+from cherrycove.scheduling.interface import Code, Reason
 
 EXAMPLE = str(ROOT / "examples/config.json")
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -9,10 +9,10 @@
 from hypothesis import strategies as st
 from support import fuzz
 
-from cherrycove.fleet.room import borne
-from finchrack.cold import ColdRoom
-from finchrack.interface import ListKind, Node
-from finchrack.state import NodeQueue, Recent
+from cherrycove.broker.peer_capacity.room import borne
+from cherrycove.scheduling.interface import ListKind, Node
+from cherrycove.scheduling.slow_start import ColdRoom
+from cherrycove.scheduling.state import NodeQueue, Recent
 
 MULTIPLE, MOST = 4.0, 6.0
 CROWD = {"schedulers": 40, "cold_units": 60.0, "fall_multiple": MULTIPLE, "max_units": MOST}
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -12,9 +12,9 @@
 from support import PLATFORM, World, fuzz, raw, run, spoiled
 
 from cherrycove import __main__ as main
-from cherrycove import config, consul
-from cherrycove.core import Member
-from finchrack.interface import NodeState
+from cherrycove.broker import config, consul
+from cherrycove.broker.core import Member
+from cherrycove.scheduling.interface import NodeState
 
 
 def instance(name: str, status: str = "passing", check: str = "service:x", **meta: str) -> dict[str, Any]:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -17,8 +17,8 @@
 from support import PLATFORM, RAW, ROOT, Discovery, Node, answer, fuzz, message, raw, run, spoiled
 
 from cherrycove import __main__ as main
-from cherrycove import config
-from cherrycove.core import (
+from cherrycove.broker import config
+from cherrycove.broker.core import (
     MARGIN,
     MARGIN_PART,
     OUTCOMES,
@@ -31,10 +31,10 @@
     Request,
     Verdict,
 )
-from cherrycove.life import leaving
-from cherrycove.life.places import Places
-from finchrack import interface as api
-from finchrack.interface import NodeState, Outcome
+from cherrycove.broker.lifecycle import leaving
+from cherrycove.broker.lifecycle.places import Places
+from cherrycove.scheduling import interface as api
+from cherrycove.scheduling.interface import NodeState, Outcome
 
 READ, WRITE = 0, 1
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -29,15 +29,15 @@
 
 from bench.many.rig import _with_parent
 from cherrycove import __main__ as main
-from cherrycove import config, nbd
-from cherrycove.core import Attempt, Ending, Member
-from cherrycove.http1 import back, body, front, watch
-from cherrycove.life import herald
-from cherrycove.life.handover import LOCK
-from cherrycove.life.leaving import Timetable
-from cherrycove.nbd import Command
-from finchrack import interface as api
-from finchrack.interface import NodeState
+from cherrycove.broker import config, nbd
+from cherrycove.broker.core import Attempt, Ending, Member
+from cherrycove.broker.http1 import back, body, front, watch
+from cherrycove.broker.lifecycle import herald
+from cherrycove.broker.lifecycle.handover import LOCK
+from cherrycove.broker.lifecycle.leaving import Timetable
+from cherrycove.broker.nbd import Command
+from cherrycove.scheduling import interface as api
+from cherrycove.scheduling.interface import NodeState
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: the end of the connection is a reset
 
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -20,8 +20,8 @@
 
 from bench.rules.draw import draw
 from bench.rules.play import Day
-from cherrycove import config
-from finchrack import known
+from cherrycove.broker import config
+from cherrycove.scheduling import settings_check as known
 
 SITES = {
     path.stem: tomllib.loads(path.read_text(encoding="utf-8"))
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -8,9 +8,8 @@
 import pytest
 from helpers import CAPPED, GOLD, NEW, READ, SETTINGS, WRITE, Rig
 
-from finchrack.controller import set_threshold
-from finchrack.decide import MEAN_CEILING, Scheduler
-from finchrack.interface import (
+from cherrycove.scheduling.concurrency_limit import set_threshold
+from cherrycove.scheduling.interface import (
     AttemptEnded,
     Effect,
     Fail,
@@ -27,7 +26,8 @@
     Refuse,
     TimerFired,
 )
-from finchrack.state import NodeQueue, Window
+from cherrycove.scheduling.scheduler import MEAN_CEILING, Scheduler
+from cherrycove.scheduling.state import NodeQueue, Window
 
 # The ordinary path.
 
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -14,8 +14,8 @@
 from hypothesis import strategies as st
 from support import ROOT, Node, World, fuzz, run
 
-from cherrycove import events
-from cherrycove.core import Reply
+from cherrycove.broker import event_log as events
+from cherrycove.broker.core import Reply
 
 CALL = re.compile(r'\blog\.(?:info|warning|error|exception|critical)\(\s*"([^"]+)"')
 
--- a/tests/test_fleet_room.py
+++ b/tests/test_fleet_room.py
@@ -14,11 +14,11 @@
 from hypothesis import strategies as st
 from support import PLATFORM, fuzz, raw, run, spoiled
 
-from cherrycove import config
-from cherrycove.core import Core, Member, NodeList
-from cherrycove.fleet import datagram, peers
-from cherrycove.fleet.room import LENT, VALID, Borrower, Lender, borne, key, lender
-from finchrack.interface import AskRoom, Node, RoomLent, RoomPooled
+from cherrycove.broker import config
+from cherrycove.broker.core import Core, Member, NodeList
+from cherrycove.broker.peer_capacity import datagram, peers
+from cherrycove.broker.peer_capacity.room import LENT, VALID, Borrower, Lender, borne, key, lender
+from cherrycove.scheduling.interface import AskRoom, Node, RoomLent, RoomPooled
 
 SETTINGS = replace(
     PLATFORM.settings,
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -13,10 +13,10 @@
 from hypothesis import strategies as st
 from support import PLATFORM, RAW, Node, World, answer, chunks, cuts, feed, fuzz, message, raw, run, spoiled
 
-from cherrycove import config
-from cherrycove.core import Ending, Member, Verdict
-from cherrycove.http1 import body, front, parse, watch
-from finchrack.interface import NodeState
+from cherrycove.broker import config
+from cherrycove.broker.core import Ending, Member, Verdict
+from cherrycove.broker.http1 import body, front, parse, watch
+from cherrycove.scheduling.interface import NodeState
 
 WRITE = {"cls": "claim-write", "method": "PUT", "body": b"\0claim\xff" * 50}
 LIST = json.dumps(RAW["known"]).encode()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -9,9 +9,9 @@
 from hypothesis import strategies as st
 from support import Node, World, answer, fuzz, message, run
 
-from cherrycove.http1 import front
-from cherrycove.life import leaving
-from cherrycove.life.leaving import Timetable
+from cherrycove.broker.http1 import front
+from cherrycove.broker.lifecycle import leaving
+from cherrycove.broker.lifecycle.leaving import Timetable
 
 
 @fuzz
--- a/tests/test_nbd.py
+++ b/tests/test_nbd.py
@@ -11,9 +11,9 @@
 from hypothesis import given
 from support import PLATFORM, Node, World, cuts, feed, fuzz, raw, run, spoiled
 
-from cherrycove import config, nbd
-from cherrycove.core import Ending, Member, NodeList
-from cherrycove.nbd import Call, Command, Errno, Gathered, Option, ProtocolError
+from cherrycove.broker import config, nbd
+from cherrycove.broker.core import Ending, Member, NodeList
+from cherrycove.broker.nbd import Call, Command, Errno, Gathered, Option, ProtocolError
 
 VOLUME = "00000003b4d60021"
 NODE_FLAGS = nbd.HAS_FLAGS | nbd.SEND_FLUSH | nbd.SEND_TRIM | nbd.MULTI_CONN
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -4,8 +4,8 @@
 
 from helpers import Rig
 
-from finchrack.interface import Outcome, Refuse
-from finchrack.objects import Placed
+from cherrycove.scheduling.interface import Outcome, Refuse
+from cherrycove.scheduling.object_placement import Placed
 
 
 def written(rig: Rig, key: str) -> int:
--- a/tests/test_reasons.py
+++ b/tests/test_reasons.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 from support import fuzz
 
-from finchrack import interface as api
-from finchrack.interface import Code, Reason
+from cherrycove.scheduling import interface as api
+from cherrycove.scheduling.interface import Code, Reason
 
 GIVEN_UP = {code for code in Code if code >= Code.NO_CREDIT}
 
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -12,9 +12,9 @@
 from support import Node, World, answer, message, raw, run
 from test_handover import Process, settings
 
-from cherrycove import config
-from cherrycove.core import Attempt, Core, Ending, Member, NodeList, Reply, Request, Verdict
-from finchrack.interface import (
+from cherrycove.broker import config
+from cherrycove.broker.core import Attempt, Core, Ending, Member, NodeList, Reply, Request, Verdict
+from cherrycove.scheduling.interface import (
     AttemptEnded,
     Effect,
     Fail,
@@ -25,7 +25,7 @@
     Refuse,
     RequestClass,
 )
-from finchrack.interface import Node as Entry
+from cherrycove.scheduling.interface import Node as Entry
 
 KEYED = RequestClass(
     "keyed", aim=1.0, deadline=3.0, effect=Effect.KEYED, group=Group.SHARD, repeat_window=2.5, writes=True
--- a/tests/test_return.py
+++ b/tests/test_return.py
@@ -11,7 +11,7 @@
 from test_memory import kept, said, written
 
 from bench.many.rig import Process, Rig
-from cherrycove.memory import file
+from cherrycove.broker.warm_restart import file
 
 
 def nothing_twice_or_foreign(rig: Rig) -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,7 +9,7 @@
 from bench.rules.checker import Checker
 from bench.rules.draw import draw
 from bench.rules.mutants import MUTANTS, Mutant, found_by
-from finchrack import interface as api
+from cherrycove.scheduling import interface as api
 
 
 @pytest.mark.parametrize("first", range(0, 300, 50))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -9,8 +9,9 @@
 import pytest
 from support import raw
 
-from cherrycove import config
-from finchrack import known, wire
+from cherrycove.broker import config
+from cherrycove.scheduling import settings_check as known
+from cherrycove.scheduling import simulator_codec as wire
 
 
 def test_the_example_has_nothing_unknown_and_an_invented_name_is_told() -> None:
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from cherrycove.life.stages import Life
+from cherrycove.broker.lifecycle.stages import Life
 
 MOST = 3  # processes
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -12,10 +12,10 @@
 from hypothesis import strategies as st
 from support import Node, World, fuzz, run, spoiled
 
-from cherrycove import store
-from cherrycove.core import Member, NodeList
-from cherrycove.store import Entry, EntryError, Store
-from finchrack.interface import NodeState
+from cherrycove.broker import shared_map as store
+from cherrycove.broker.core import Member, NodeList
+from cherrycove.broker.shared_map import Entry, EntryError, Store
+from cherrycove.scheduling.interface import NodeState
 
 SAMPLE = Entry("config/log_level", 7, "n1", "INFO")
 
--- a/tests/test_why.py
+++ b/tests/test_why.py
@@ -16,16 +16,16 @@
 from hypothesis import strategies as st
 from support import PLATFORM, fuzz, run, spoiled
 
-import cherrycove.why.book as books
-from cherrycove.codes import Own
-from cherrycove.core import Attempt, Ended, Ending, Request, Verdict
-from cherrycove.why import ask, retries, words
-from cherrycove.why.book import LEAST, SKETCHED, Book, story_of
-from cherrycove.why.pack import PackError, Story, Try, matters, pack, unpack
-from cherrycove.why.ring import Ring
-from cherrycove.why.seen import Seen
-from cherrycove.why.sketches import OPEN, Sketches, SpaceSaving
-from finchrack.interface import Code, Reason
+import cherrycove.broker.decision_log.book as books
+from cherrycove.broker.core import Attempt, Ended, Ending, Request, Verdict
+from cherrycove.broker.decision_log import ask, retries, words
+from cherrycove.broker.decision_log.book import LEAST, SKETCHED, Book, story_of
+from cherrycove.broker.decision_log.pack import PackError, Story, Try, matters, pack, unpack
+from cherrycove.broker.decision_log.ring import Ring
+from cherrycove.broker.decision_log.seen import Seen
+from cherrycove.broker.decision_log.sketches import OPEN, Sketches, SpaceSaving
+from cherrycove.broker.local_codes import Own
+from cherrycove.scheduling.interface import Code, Reason
 
 SETTINGS = PLATFORM.settings
 HEX = "7f3a9c21e0b4d655"
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -6,7 +6,7 @@
 
 from helpers import READ, Rig
 
-from finchrack.interface import Code, Places, Refuse
+from cherrycove.scheduling.interface import Code, Places, Refuse
 
 HIGH, LOW = replace(READ, name="high", worth=3.0), replace(READ, name="low", worth=1.0)
 CLASSES = (HIGH, LOW)
--- a/tests/tier/test_dataplane_wire.py
+++ b/tests/tier/test_dataplane_wire.py
@@ -13,7 +13,7 @@
 from multidict import CIMultiDict
 from wire_support import reset
 
-from cherrycove.http1 import back
+from cherrycove.broker.http1 import back
 from cherrycove.tier.dataplane import connection_pool, upstream
 from cherrycove.tier.dataplane.connection_pool import BrokerConnection
 from examples.toy_broker import SIGNATURE, Received, Script, ToyBroker, Wire, stream
