--- a/cherrycove/broker/admin.py
+++ b/cherrycove/broker/admin.py
@@ -16,7 +16,7 @@
 from cherrycove.broker.core import Figures, Verdict
 from cherrycove.broker.event_log import Log
 
-log = Log("cherrycove.broker.admin")
+log = Log("cherrycove.admin")
 
 MOST_LINE = 512  # bytes
 MOST_CALLERS = 8  # connections at once
--- a/cherrycove/broker/config.py
+++ b/cherrycove/broker/config.py
@@ -25,7 +25,7 @@
 from cherrycove.scheduling import simulator_codec as wire
 from cherrycove.scheduling.interface import Effect, Settings
 
-log = Log("cherrycove.broker.config")
+log = Log("cherrycove.config")
 
 TOP = {
     "admin",
--- a/cherrycove/broker/consul.py
+++ b/cherrycove/broker/consul.py
@@ -21,7 +21,7 @@
 from cherrycove.broker.event_log import Log
 from cherrycove.scheduling.interface import NodeState
 
-log = Log("cherrycove.broker.consul")
+log = Log("cherrycove.consul")
 
 SLACK = 1.0  # s past a blocking query's wait; Consul itself adds up to a sixteenth of the wait
 LEAST_PAUSE, MOST_PAUSE = 0.1, 10.0  # s between calls after failures, doubling
--- a/cherrycove/broker/core.py
+++ b/cherrycove/broker/core.py
@@ -25,7 +25,7 @@
 from cherrycove.scheduling import interface as api
 from cherrycove.scheduling.scheduler import Scheduler
 
-log = Log("cherrycove.broker.core")
+log = Log("cherrycove.core")
 
 # Guard: a machine busy with others can hold this process up for tens of ms, and an answer that goes out after
 # the client's deadline is a request lost. What these give away are answers too late to be worth much.
--- a/cherrycove/broker/decision_log/spans.py
+++ b/cherrycove/broker/decision_log/spans.py
@@ -30,7 +30,7 @@
 from cherrycove.broker.event_log import Log
 from cherrycove.scheduling.interface import Settings
 
-log = Log("cherrycove.broker.decision_log")
+log = Log("cherrycove.why")
 
 MOST_BYTES = 64 << 20  # of the file; then it becomes FILE.1, in the place of the one before
 IDS = ("traceId", "spanId", "parentSpanId")
--- a/cherrycove/broker/http1/front.py
+++ b/cherrycove/broker/http1/front.py
@@ -30,7 +30,7 @@
 from cherrycove.broker.sockets import LOOK, Lookout, unread
 
 # The HTTP library's own log, of requests that it could not read.
-clients_log = logging.getLogger("cherrycove.broker.http1.clients")
+clients_log = logging.getLogger("cherrycove.http1.clients")
 
 IDLE_TIME = 2.4  # s that a connection may stay without a whole head, at its start or between requests
 SETTLED_TIME = 0.2  # s between requests after which a connection gives way where clients are many
--- a/cherrycove/broker/http1/watch.py
+++ b/cherrycove/broker/http1/watch.py
@@ -17,7 +17,7 @@
 from cherrycove.broker.event_log import Log
 from cherrycove.broker.http1.parse import ListError, parse_list
 
-log = Log("cherrycove.broker.http1")
+log = Log("cherrycove.http1")
 
 WATCH_WAIT = 5.0  # s that a watch may wait for news
 WATCH_SLACK = 1.0  # s past that until it counts as silent
--- a/cherrycove/broker/lifecycle/handover.py
+++ b/cherrycove/broker/lifecycle/handover.py
@@ -22,7 +22,7 @@
 from cherrycove.broker.lifecycle.herald import SOCKET, directory, short
 from cherrycove.scheduling.interface import NodeState
 
-log = Log("cherrycove.broker.lifecycle.handover")
+log = Log("cherrycove.life.handover")
 
 MAINTENANCE = "maintenance.json"
 LOCK = "start.lock"  # held by the process that starts, until it can be found
--- a/cherrycove/broker/lifecycle/succession.py
+++ b/cherrycove/broker/lifecycle/succession.py
@@ -20,7 +20,7 @@
 from cherrycove.broker.warm_restart.figures import UnusableError
 from cherrycove.broker.warm_restart.passing import rows_of, take_up
 
-log = Log("cherrycove.broker.lifecycle.handover")
+log = Log("cherrycove.life.handover")
 
 RECORD_TIME = 300.0  # s of the record that a successor is handed
 PIECE_TIME = 0.01  # s between two pieces of it
--- a/cherrycove/broker/nbd.py
+++ b/cherrycove/broker/nbd.py
@@ -26,7 +26,7 @@
 from cherrycove.broker.local_codes import Own
 from cherrycove.broker.sockets import LOOK, ended
 
-log = Log("cherrycove.broker.nbd")
+log = Log("cherrycove.nbd")
 
 NBDMAGIC, IHAVEOPT, OPTION_REPLY = 0x4E42444D41474943, 0x49484156454F5054, 0x0003E889045565A9
 REQUEST, SIMPLE, STRUCTURED = 0x25609513, 0x67446698, 0x668E33EF
--- a/cherrycove/broker/peer_capacity/peers.py
+++ b/cherrycove/broker/peer_capacity/peers.py
@@ -16,7 +16,7 @@
 from cherrycove.broker.event_log import Log
 from cherrycove.broker.peer_capacity import datagram, room
 
-log = Log("cherrycove.broker.peer_capacity")
+log = Log("cherrycove.fleet")
 OPEN_AGAIN = 1.0  # s after which an address that is in use is tried again
 MOST_A_SECOND = 500  # datagrams taken in; a peer that floods costs no more
 Address = tuple[str, int]
--- a/cherrycove/broker/shared_map.py
+++ b/cherrycove/broker/shared_map.py
@@ -22,7 +22,7 @@
 from cherrycove.broker.event_log import Log
 from cherrycove.scheduling.interface import NodeState
 
-log = Log("cherrycove.broker.shared_map")
+log = Log("cherrycove.store")
 
 MOST_BYTES = 256  # of a datagram
 MAGIC, DIGEST, ANSWER, ENTRY = b"CC1", 1, 2, 3
--- a/cherrycove/broker/warm_restart/keeper.py
+++ b/cherrycove/broker/warm_restart/keeper.py
@@ -19,7 +19,7 @@
 from cherrycove.broker.warm_restart import figures, file
 from cherrycove.broker.warm_restart.passing import rows_of, take_up
 
-log = Log("cherrycove.broker.warm_restart")
+log = Log("cherrycove.memory")
 
 READ_TIME = 0.5  # s that a start waits for the file
 LAST_TIME = 0.5  # s that an end waits for its last write
--- a/cherrycove/broker/warm_restart/passing.py
+++ b/cherrycove/broker/warm_restart/passing.py
@@ -16,7 +16,7 @@
 from cherrycove.broker.event_log import Log
 from cherrycove.broker.warm_restart import figures
 
-log = Log("cherrycove.broker.warm_restart")
+log = Log("cherrycove.memory")
 BOOT_ID = "/proc/sys/kernel/random/boot_id"
 
 
