--- a/cherrycove/tier/controlplane/configuration_service.py
+++ b/cherrycove/tier/controlplane/configuration_service.py
@@ -11,8 +11,9 @@
 
 from cherrycove.tier.configuration import parse_configuration
 from cherrycove.tier.controlplane.barrier_proposer import BarrierProposer
+from cherrycove.tier.controlplane.configuration_state import AcceptOutcome, content_digest
 from cherrycove.tier.controlplane.leadership import Leadership
-from cherrycove.tier.controlplane.state import AcceptOutcome, ControlState, content_digest
+from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol.keeper_pb2 import AcceptConfiguration, Command
 from cherrycove.tier.replication.interface import Group
--- a/cherrycove/tier/controlplane/controller_group.py
+++ b/cherrycove/tier/controlplane/controller_group.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Iterable
 
-from cherrycove.tier.controlplane.machines import is_on_machine
 from cherrycove.tier.controlplane.process_registry import Registration
 from cherrycove.tier.controlplane.state import ControlState
+from cherrycove.tier.controlplane.storage_machines import is_on_machine
 from cherrycove.tier.program_names import CONTROLLER_PROGRAM
 from cherrycove.tier.protocol.control_pb2 import Announcement
 from cherrycove.tier.replication.interface import Group, MemberIdentity
--- a/cherrycove/tier/controlplane/retirement.py
+++ b/cherrycove/tier/controlplane/retirement.py
@@ -10,8 +10,8 @@
 
 from cherrycove.tier.controlplane.barrier_proposer import BarrierProposer
 from cherrycove.tier.controlplane.leadership import Leadership
-from cherrycove.tier.controlplane.machines import same_machine
 from cherrycove.tier.controlplane.state import ControlState
+from cherrycove.tier.controlplane.storage_machines import same_machine
 from cherrycove.tier.controlplane.store_group import StoreInventory, retire_command
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol.keeper_pb2 import Command, Retire
--- a/cherrycove/tier/controlplane/retirement_check.py
+++ b/cherrycove/tier/controlplane/retirement_check.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from cherrycove.tier.controlplane.machines import is_on_machine
+from cherrycove.tier.controlplane.storage_machines import is_on_machine
 from cherrycove.tier.protocol.keeper_pb2 import RetireOrder, StoreMembersReply
 from cherrycove.tier.replication.interface import CommittedMembers
 
--- a/cherrycove/tier/controlplane/machines.py
+++ b/cherrycove/tier/controlplane/storage_machines.py
@@ -1,8 +1,8 @@
-"""Storage machines and the orders to empty them: the part of the keepers' replicated state about machines.
+"""Storage machines, and the orders to retire them, in the controllers' replicated state.
 
 A machine is recorded when its store first announces itself, with its address and the disks of its store and
-keeper. A retire order copies what is recorded and goes on learning, so that a keeper that was just elected
-knows from committed state alone which members of both groups stand on the machine.
+its controller. A retire order copies this record and is extended by later ones, so that a newly elected
+primary knows from committed state alone which members of both groups run on the machine.
 """
 
 from __future__ import annotations
@@ -14,30 +14,35 @@
 
 
 def host_of(address: str) -> str:
-    """The host of ``host:port``."""
+    """Return the host of ``host:port``."""
     return address.rpartition(":")[0]
 
 
 def same_machine(order: RetireOrder, machine: StoreMachine) -> bool:
-    """Whether ``machine``, which has the name that ``order`` names, is the machine that was meant.
+    """Whether ``machine``, which has the node name of ``order``, is the machine that was ordered to retire.
 
-    A machine that lost its disk comes back at its address; a new machine of the name has another one."""
+    A machine that lost its disk returns at its address; a new machine of that name has another address."""
     if not order.ips or not machine.ip:
         return machine.store_id in ("", order.member_id)
     return machine.ip in order.ips
 
 
 def is_on_machine(order: RetireOrder, node_name: str, address: str) -> bool:
-    """Whether a member of a group is a process of the machine that ``order`` names.
+    """Whether a group member runs on the machine of ``order``.
 
-    The first members of the keepers' group have no node name: their address tells."""
+    The first members of the controllers' group have no node name; they are compared by ``address``
+    (host:port)."""
     if node_name:
         return node_name == order.node_name
     return host_of(address) in order.ips
 
 
 class StorageMachines:
-    """Records and orders by node name. Every operation is a function of the state and the command alone."""
+    """Machine records and retire orders by node name.
+
+    Part of ``StoreGroupState``, which alone changes it. Pure: every operation is a function of the state and
+    the command. The states of an order are in docs/design/control-plane.md.
+    """
 
     def __init__(self) -> None:
         self._machines: dict[str, StoreMachine] = {}
@@ -45,32 +50,38 @@
 
     @property
     def machines(self) -> Mapping[str, StoreMachine]:
+        """Recorded machines; a record is never removed."""
         return self._machines
 
     @property
     def orders(self) -> Mapping[str, RetireOrder]:
+        """Retire orders, active and completed."""
         return self._orders
 
     def restore(self, machines: Iterable[StoreMachine], orders: Iterable[RetireOrder]) -> None:
+        """Replace everything by the content of a snapshot."""
         self._machines = {machine.node_name: machine for machine in machines}
         self._orders = {order.node_name: order for order in orders}
 
     def record_initial(self, replicas: Iterable[Replica]) -> None:
-        """The stores that begin the store group."""
-        for one in replicas:
-            machine = StoreMachine(node_name=one.node_name, ip=host_of(one.address), store_id=one.member_id)
-            self._merge(machine)
+        """Record the machines of the store group's first members."""
+        for replica in replicas:
+            self._merge(
+                StoreMachine(
+                    node_name=replica.node_name, ip=host_of(replica.address), store_id=replica.member_id
+                )
+            )
 
     def record(self, machine: StoreMachine, revision: int) -> bool:
-        """Note what ``machine`` announced; whether an order learned from it, at ``revision``."""
+        """Record what ``machine`` announced; return whether its order was extended, at ``revision``."""
         known = self._merge(machine)
         order = self._orders.get(machine.node_name)
         if order is None or _is_over(order, known):
             return False
-        return self._learn(order, known, revision)
+        return self._extend(order, known, revision)
 
     def retire(self, command: Retire, revision: int) -> bool:
-        """Take an order, or let one that stands learn; whether anything changed, at ``revision``."""
+        """Add an order, or extend the present one; return whether anything changed, at ``revision``."""
         known = self._merge(
             StoreMachine(
                 node_name=command.node_name,
@@ -81,12 +92,15 @@
         )
         order = self._orders.get(command.node_name)
         if order is not None and not _is_over(order, known):
-            return self._learn(order, known, revision)
-        self._learn(RetireOrder(node_name=command.node_name), known, revision)
+            return self._extend(order, known, revision)
+        self._extend(RetireOrder(node_name=command.node_name), known, revision)
         return True
 
     def complete(self, command: Retired) -> bool:
-        """The machine is free to go, unless its order learned something since that was found."""
+        """Complete an order: its machine may be taken away.
+
+        No effect if the order was extended after the check that led to ``command``: the check did not cover
+        the new disk. Revision 0 comes from releases that sent none."""
         order = self._orders.get(command.node_name)
         if order is None or order.completed or command.revision not in (0, order.revision):
             return False
@@ -97,7 +111,7 @@
         return True
 
     def forget(self, command: ForgetRetired) -> bool:
-        """A new machine has the name of one that was emptied."""
+        """Remove a completed order, since a new machine has its name; return whether it took effect."""
         order = self._orders.get(command.node_name)
         if order is None or not order.completed or order.member_id != command.member_id:
             return False
@@ -105,32 +119,33 @@
         return True
 
     def _merge(self, machine: StoreMachine) -> StoreMachine:
-        """Record what is told of ``machine``; what is not told stays as it was."""
+        """Merge the set fields of ``machine`` into its record and return the record."""
         merged = StoreMachine()
         merged.CopyFrom(self._machines.get(machine.node_name, machine))
         merged.MergeFrom(machine)
         self._machines[machine.node_name] = merged
         return merged
 
-    def _learn(self, order: RetireOrder, machine: StoreMachine, revision: int) -> bool:
-        learned = _copy(order)
-        learned.member_id = machine.store_id or order.member_id
-        _append_newest(learned.ips, machine.ip)
-        _append_newest(learned.store_ids, machine.store_id)
-        _append_newest(learned.keeper_ids, machine.keeper_id)
-        if learned == order and order.node_name in self._orders:
+    def _extend(self, order: RetireOrder, machine: StoreMachine, revision: int) -> bool:
+        """Add the address and disks of ``machine`` to ``order``; return whether any of them was new."""
+        extended = _copy(order)
+        extended.member_id = machine.store_id or order.member_id
+        _append_if_new(extended.ips, machine.ip)
+        _append_if_new(extended.store_ids, machine.store_id)
+        _append_if_new(extended.keeper_ids, machine.keeper_id)
+        if extended == order and order.node_name in self._orders:
             return False
-        learned.revision = revision
-        self._orders[order.node_name] = learned
+        extended.revision = revision
+        self._orders[order.node_name] = extended
         return True
 
 
 def _is_over(order: RetireOrder, machine: StoreMachine) -> bool:
-    """Whether ``order`` was carried out, and ``machine`` is a new one of that name."""
+    """Whether ``order`` is completed and ``machine`` is a new machine of that name."""
     return order.completed and not same_machine(order, machine)
 
 
-def _append_newest(known: MutableSequence[str], value: str) -> None:
+def _append_if_new(known: MutableSequence[str], value: str) -> None:
     if value and value not in known:
         known.append(value)
 
--- a/cherrycove/tier/controlplane/store_group.py
+++ b/cherrycove/tier/controlplane/store_group.py
@@ -6,8 +6,8 @@
 
 import attrs
 
-from cherrycove.tier.controlplane.machines import same_machine
 from cherrycove.tier.controlplane.process_registry import Registration
+from cherrycove.tier.controlplane.storage_machines import same_machine
 from cherrycove.tier.program_names import STORE_PROGRAM
 from cherrycove.tier.protocol.control_pb2 import Announcement, Replica
 from cherrycove.tier.protocol.keeper_pb2 import (
--- a/cherrycove/tier/exploration/mutations.py
+++ b/cherrycove/tier/exploration/mutations.py
@@ -13,8 +13,8 @@
 from result import Ok, Result
 
 from cherrycove.tier.controlplane.barrier_proposer import BarrierProposer
+from cherrycove.tier.controlplane.configuration_state import AcceptOutcome, ConfigurationState
 from cherrycove.tier.controlplane.leadership import Leadership
-from cherrycove.tier.controlplane.state import AcceptOutcome, ControlState
 from cherrycove.tier.errors import Failure
 from cherrycove.tier.exploration import group_model
 from cherrycove.tier.protocol.keeper_pb2 import AcceptConfiguration, Command
@@ -62,7 +62,7 @@
 
 
 def _digests_forgotten() -> Patches:
-    yield mock.patch.object(ControlState, "was_accepted", lambda *arguments: False)
+    yield mock.patch.object(ConfigurationState, "was_accepted", lambda *arguments: False)
 
 
 def _decide_without_lease() -> Patches:
@@ -78,15 +78,15 @@
 
 def _base_checked_once() -> Patches:
     """The base is not checked again when a change is applied, so each of two with one base takes effect."""
-    accept = ControlState._accept
+    accept = ConfigurationState.accept
 
     def accept_any(state: Any, command: AcceptConfiguration) -> AcceptOutcome:
         changed = AcceptConfiguration()
         changed.CopyFrom(command)
-        changed.base_version = state.configuration.version
+        changed.base_version = state.document.version
         return accept(state, changed)
 
-    yield mock.patch.object(ControlState, "_accept", accept_any)
+    yield mock.patch.object(ConfigurationState, "accept", accept_any)
 
 
 def _no_barrier_and_base_checked_once() -> Patches:
--- a/cherrycove/tier/simulation/control/history.py
+++ b/cherrycove/tier/simulation/control/history.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from cherrycove.tier.controlplane.state import content_digest
+from cherrycove.tier.controlplane.configuration_state import content_digest
 from cherrycove.tier.protocol.keeper_pb2 import Command, Snapshot
 from cherrycove.tier.simulation.control.disk import Disk
 from cherrycove.tier.simulation.invariants import InvariantBrokenError
--- a/cherrycove/tier/simulation/control/mutations.py
+++ b/cherrycove/tier/simulation/control/mutations.py
@@ -13,6 +13,7 @@
 
 from cherrycove.tier.controlplane.barrier_proposer import BarrierProposer
 from cherrycove.tier.controlplane.configuration_service import ConfigurationService, _mismatch
+from cherrycove.tier.controlplane.configuration_state import ConfigurationState
 from cherrycove.tier.controlplane.leadership import Leadership
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.distribution.publisher import Publisher
@@ -86,17 +87,17 @@
 
 
 def _base_not_checked_when_applied() -> Patches:
-    original = ControlState._accept
+    original = ConfigurationState.accept
 
     def unchecked(state: Any, command: Any) -> Any:
-        kept = state._configuration
-        state._configuration = type(kept)(version=command.base_version, document=kept.document)
+        kept = state._document
+        state._document = type(kept)(version=command.base_version, document=kept.document)
         outcome = original(state, command)
-        if state._configuration.version == command.base_version:
-            state._configuration = kept
+        if state._document.version == command.base_version:
+            state._document = kept
         return outcome
 
-    yield mock.patch.object(ControlState, "_accept", unchecked)
+    yield mock.patch.object(ConfigurationState, "accept", unchecked)
 
 
 def _no_barrier_after_an_uncertain_change() -> Patches:
@@ -114,7 +115,7 @@
 
 
 def _accepted_digests_forgotten() -> Patches:
-    yield mock.patch.object(ControlState, "was_accepted", lambda state, digest, version: False)
+    yield mock.patch.object(ConfigurationState, "was_accepted", lambda state, digest, version: False)
 
 
 def _decides_before_its_first_entry() -> Patches:
@@ -150,7 +151,7 @@
 def _snapshot_without_digests() -> Patches:
     def restore(state: Any, data: bytes) -> None:
         original(state, data)
-        state._accepted = {}
+        state._configuration._accepted = {}
 
     original = ControlState.restore
     yield mock.patch.object(ControlState, "restore", restore)
--- a/cherrycove/tier/simulation/control/processes.py
+++ b/cherrycove/tier/simulation/control/processes.py
@@ -12,8 +12,9 @@
 from cherrycove.tier.batch.jobs.state import JobsState
 from cherrycove.tier.batch.store.service import BatchStoreService
 from cherrycove.tier.batch.worker.batch_worker import BatchWorker
+from cherrycove.tier.controlplane.configuration_state import AcceptOutcome
 from cherrycove.tier.controlplane.controller import Controller
-from cherrycove.tier.controlplane.state import AcceptOutcome, Applied, ControlState
+from cherrycove.tier.controlplane.state import Applied, ControlState
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.distribution.puller import Puller
 from cherrycove.tier.distribution.topics import CONFIGURATION, VersionVector
--- a/tests/tier/golden_support.py
+++ b/tests/tier/golden_support.py
@@ -19,7 +19,8 @@
 from google.protobuf.message import Message
 
 from cherrycove.tier.batch.jobs.state import JobsState
-from cherrycove.tier.controlplane.state import ControlState, content_digest
+from cherrycove.tier.controlplane.configuration_state import content_digest
+from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.programs.replica import open_group
 from cherrycove.tier.protocol import (
     batch_log_pb2,
--- a/tests/tier/test_control_emptying.py
+++ b/tests/tier/test_control_emptying.py
@@ -7,8 +7,8 @@
 import attrs
 import pytest
 
-from cherrycove.tier.controlplane.machines import is_on_machine
 from cherrycove.tier.controlplane.retirement_check import CommittedMembership, GroupMember, blocking_reason
+from cherrycove.tier.controlplane.storage_machines import is_on_machine
 from cherrycove.tier.protocol.control_pb2 import Replica
 from cherrycove.tier.protocol.keeper_pb2 import RetireOrder, StoreMembersReply
 from cherrycove.tier.replication.interface import CommittedMembers, MemberIdentity
--- a/tests/tier/test_control_operator.py
+++ b/tests/tier/test_control_operator.py
@@ -8,7 +8,7 @@
 import pytest
 from control_support import World, document, replica, store
 
-from cherrycove.tier.controlplane import state as state_module
+from cherrycove.tier.controlplane import configuration_state
 from cherrycove.tier.controlplane.process_registry import RETENTION_S, ProcessRegistry
 from cherrycove.tier.protocol.keeper_pb2 import Command, Retired
 
@@ -224,7 +224,7 @@
 
 
 def test_beyond_the_bounded_memory_nothing_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(state_module, "MAX_ACCEPTED_VERSIONS", 2)
+    monkeypatch.setattr(configuration_state, "MAX_ACCEPTED_VERSIONS", 2)
 
     async def exchange() -> None:
         async with World(2) as world:
--- a/tests/tier/test_control_state.py
+++ b/tests/tier/test_control_state.py
@@ -4,8 +4,9 @@
 
 from control_support import document, replica
 
-from cherrycove.tier.controlplane import state as state_module
-from cherrycove.tier.controlplane.state import AcceptOutcome, Applied, ControlState, content_digest
+from cherrycove.tier.controlplane import configuration_state
+from cherrycove.tier.controlplane.configuration_state import AcceptOutcome, content_digest
+from cherrycove.tier.controlplane.state import Applied, ControlState
 from cherrycove.tier.protocol.keeper_pb2 import (
     AcceptConfiguration,
     Barrier,
@@ -61,7 +62,7 @@
 
 
 def test_beyond_the_known_documents_nothing_is_refused(monkeypatch) -> None:  # type: ignore[no-untyped-def]
-    monkeypatch.setattr(state_module, "MAX_ACCEPTED_VERSIONS", 2)
+    monkeypatch.setattr(configuration_state, "MAX_ACCEPTED_VERSIONS", 2)
     state = ControlState()
     for version, base in ((1, 0), (3, 1), (6, 3), (9, 6)):
         accept(state, version, base)
@@ -80,7 +81,7 @@
 
 def test_the_known_documents_are_bounded_at_thousands() -> None:
     state = ControlState()
-    total = state_module.MAX_ACCEPTED_VERSIONS + 3
+    total = configuration_state.MAX_ACCEPTED_VERSIONS + 3
     for version in range(1, total + 1):
         accept(state, version, version - 1, b"%d" % version)
     restored = ControlState()
--- a/tests/tier/test_distribution_puller.py
+++ b/tests/tier/test_distribution_puller.py
@@ -10,9 +10,10 @@
 from result import Err, Ok, Result
 from virtual_time import run
 
+from cherrycove.tier.controlplane.configuration_state import content_digest
 from cherrycove.tier.controlplane.leadership import Leadership
 from cherrycove.tier.controlplane.leadership_period import LeadershipPeriod, LeadershipPeriodAuthority
-from cherrycove.tier.controlplane.state import ControlState, content_digest
+from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.controlplane.topics import ControlTopics
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.distribution.publisher import Publisher
