--- a/cherrycove/tier/batch/frontend/submission.py
+++ b/cherrycove/tier/batch/frontend/submission.py
@@ -1,4 +1,4 @@
-"""Reads and checks the batch jobs that clients hand in."""
+"""Parses and checks the batch jobs that clients submit."""
 
 from __future__ import annotations
 
@@ -16,13 +16,17 @@
 
 MAX_ITEMS = 200
 MAX_TOKENS = 2**32 - 1
-HEADER_NAME = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
+HEADER_NAME = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")  # a token of RFC 9110, section 5.6.2
 CONTROL = re.compile(r"[\x00-\x08\x0a-\x1f\x7f]")
 BLANK = re.compile(r"\s")
 
 
 def parse_submission(job_id: str, route: Route, body: bytes) -> Result[SubmitRequest, Failure]:
-    """The job in ``body``, or INVALID with the reason."""
+    """The job that the JSON document in ``body`` describes, on the terms of ``route``.
+
+    INVALID with the key and the reason if the document is not a job. The version of the configuration is
+    left for the caller to set.
+    """
     if not job_id:
         return _invalid("Request-Id is missing")
     try:
@@ -34,16 +38,16 @@
         return _invalid("requests: must be a list")
     if len(entries) > MAX_ITEMS:
         return _invalid(f"requests: more than {MAX_ITEMS} items")
-    request = _terms(job_id, route)
-    seen: set[str] = set()
+    submission = _job_without_items(job_id, route)
+    seen_ids: set[str] = set()
     for number, entry in enumerate(entries):
-        fault = _read_item(request.items.add(), entry, seen)
+        fault = _fill_item(submission.items.add(), entry, seen_ids)
         if fault:
             return _invalid(f"requests[{number}]: {fault}")
-    return Ok(request)
+    return Ok(submission)
 
 
-def _terms(job_id: str, route: Route) -> SubmitRequest:
+def _job_without_items(job_id: str, route: Route) -> SubmitRequest:
     return SubmitRequest(
         job_id=job_id,
         route=route.name,
@@ -54,25 +58,25 @@
     )
 
 
-def _read_item(item: Item, entry: Any, seen: set[str]) -> str:
-    """Fill ``item`` from one entry; what is wrong with it, or ''."""
+def _fill_item(item: Item, entry: Any, seen_ids: set[str]) -> str:
+    """Fill ``item`` from one entry of the document; returns what is wrong with the entry, or ''."""
     if not isinstance(entry, dict):
         return "must be an object"
     item_id, path, tokens = entry.get("instanceId"), entry.get("path"), entry.get("tokens")
     if not isinstance(item_id, str) or not item_id or CONTROL.search(item_id):
         return "instanceId: must be a text"
-    if item_id in seen:
+    if item_id in seen_ids:
         return f"instanceId: {item_id} comes twice"
-    seen.add(item_id)
+    seen_ids.add(item_id)
     if not isinstance(path, str) or not path.startswith("/") or CONTROL.search(path) or BLANK.search(path):
         return "path: must begin with a slash and hold no blanks"
     if isinstance(tokens, bool) or not isinstance(tokens, int) or not 0 <= tokens <= MAX_TOKENS:
         return "tokens: must be a whole number"
     item.item_id, item.path, item.tokens = item_id, path, tokens
-    return _read_headers(item, entry.get("headers")) or _read_body(item, entry.get("body"))
+    return _fill_headers(item, entry.get("headers")) or _fill_body(item, entry.get("body"))
 
 
-def _read_headers(item: Item, headers: Any) -> str:
+def _fill_headers(item: Item, headers: Any) -> str:
     if not isinstance(headers, dict):
         return "headers: must be an object"
     for name, value in headers.items():
@@ -84,7 +88,7 @@
     return ""
 
 
-def _read_body(item: Item, text: Any) -> str:
+def _fill_body(item: Item, text: Any) -> str:
     if not isinstance(text, str):
         return "body: must be base64"
     try:
--- a/tests/tier/test_batch_client.py
+++ b/tests/tier/test_batch_client.py
@@ -10,7 +10,8 @@
 from google.protobuf.message import Message
 from result import Err, Ok, Result
 
-from cherrycove.tier.batch.client.batch_client import UNRESPONSIVE_PERIOD_S, BatchClient, PrimaryFinder
+from cherrycove.tier.batch.client.batch_client import BatchClient
+from cherrycove.tier.batch.client.primary_finder import UNRESPONSIVE_PERIOD_S, PrimaryFinder
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol import batch_pb2 as pb
--- a/tests/tier/test_batch_http.py
+++ b/tests/tier/test_batch_http.py
@@ -11,7 +11,7 @@
 import pytest
 from batch_support import PATIENCE_S, ROUTE, Frontend, Tier, configuration, job
 
-from cherrycove.tier.batch.frontend.http_api import MAX_PAGE_BYTES, render_page
+from cherrycove.tier.batch.frontend.result_page import MAX_PAGE_BYTES, render_page
 from cherrycove.tier.batch.jobs.commands import accept_command, results_command
 from cherrycove.tier.batch.jobs.state import ItemKey
 from cherrycove.tier.batch.store.replies import item_result
