--- a/cherrycove/tier/batch/execution.py
+++ b/cherrycove/tier/batch/execution.py
@@ -1,4 +1,4 @@
-"""What batch work asks of the data plane, and what the data plane answers."""
+"""How batch work runs an item: the contract between the worker and the data plane, which executes items."""
 
 from __future__ import annotations
 
@@ -14,14 +14,16 @@
 
 
 class ItemState(Enum):
+    """How one execution of an item ended."""
+
     COMPLETED = "completed"
-    DEAD_LETTERED = "dead_lettered"
+    DEAD_LETTERED = "dead_lettered"  # certainly cannot complete
     RETURNED = "returned"  # not done; may be leased again
 
 
 @attrs.frozen
 class ItemOutcome:
-    """How one execution of an item ended."""
+    """The end of one execution of an item, with what its state needs."""
 
     state: ItemState
     text: bytes = b""  # COMPLETED: the data of all events in order, with line feeds between them
@@ -45,4 +47,5 @@
 
         ``may_send`` is asked just before every send to a broker; after False nothing more is sent and the
         outcome is RETURNED. After each answer of 500 ``record_failures`` is awaited, with their number so
-        far, before the item is sent again. Cancelling the task closes the broker's connection."""
+        far, before the item is sent again. Cancelling the task closes the broker's connection.
+        """
--- a/cherrycove/tier/batch/leasing/job_ages.py
+++ b/cherrycove/tier/batch/leasing/job_ages.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from cherrycove.tier.batch.jobs.state import Job
+from cherrycove.tier.batch.jobs.model import Job
 from cherrycove.tier.batch.leasing.lease_table import LeasableJob
 
 NO_TARGET_S = 60.0  # stands in for a completion target where the route has none
--- a/cherrycove/tier/batch/leasing/lease_table.py
+++ b/cherrycove/tier/batch/leasing/lease_table.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from cherrycove.tier.batch.jobs.state import ItemKey
+from cherrycove.tier.batch.jobs.model import ItemKey
 from cherrycove.tier.batch.leasing.item_durations import ItemDurations
 
 RENEWAL_INTERVAL_S = 0.25  # between two lease requests of a busy proxy
--- a/cherrycove/tier/batch/store/removed_routes.py
+++ b/cherrycove/tier/batch/store/removed_routes.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from cherrycove.tier.batch.jobs.state import Job
+from cherrycove.tier.batch.jobs.model import Job
 from cherrycove.tier.configuration import Configuration
 
 BATCH_KIND = "batch"
--- a/cherrycove/tier/batch/store/replies.py
+++ b/cherrycove/tier/batch/store/replies.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from cherrycove.tier.batch.jobs.state import ItemKey, Job, JobsState
+from cherrycove.tier.batch.jobs.model import Job
+from cherrycove.tier.batch.jobs.state import JobsState
 from cherrycove.tier.batch.leasing.lease_table import Grant, LeaseDecision
 from cherrycove.tier.protocol import batch_pb2 as pb
-from cherrycove.tier.protocol.batch_log_pb2 import ItemResult
 
 READ_BYTES = 768 * 1024  # of texts in one read; the rest follows at the next cursor
 MAX_RETAINED_S = 1e6  # stands in for "for ever" in messages
@@ -35,12 +35,6 @@
     return reply
 
 
-def item_result(key: ItemKey, completed: bool, text: bytes) -> ItemResult:
-    """One result as it is replicated; ``text`` of a dead-lettered item is the reason."""
-    reference = pb.ItemReference(job_id=key.job_id, item_id=key.item_id)
-    return ItemResult(reference=reference, completed=completed, text=text)
-
-
 def _write_grant(leased: pb.LeasedItem, job: Job, grant: Grant, now: float) -> None:
     leased.job_id = job.job_id
     item = job.items[grant.key.item_id]
--- a/cherrycove/tier/batch/store/service.py
+++ b/cherrycove/tier/batch/store/service.py
@@ -16,19 +16,19 @@
 
 from cherrycove.tier.batch.execution import ROUTE_REMOVED
 from cherrycove.tier.batch.jobs.commands import (
-    PROPOSE_TIMEOUT_S,
-    ResultRecorder,
-    SingleFlightProposals,
     accept_command,
     end_command,
     failures_command,
     forget_command,
+    item_result,
 )
-from cherrycove.tier.batch.jobs.state import EndOutcome, ItemKey, Job, JobsState, StoredItem
+from cherrycove.tier.batch.jobs.model import ItemKey, Job, StoredItem
+from cherrycove.tier.batch.jobs.state import EndOutcome, JobsState
 from cherrycove.tier.batch.leasing.job_ages import JobAges
 from cherrycove.tier.batch.leasing.lease_table import LeasableJob, LeaseCall, LeaseTable, LeaseTimes
+from cherrycove.tier.batch.store.proposals import PROPOSE_TIMEOUT_S, ResultRecorder, SingleFlightProposals
 from cherrycove.tier.batch.store.removed_routes import jobs_of_removed_routes
-from cherrycove.tier.batch.store.replies import item_result, lease_reply, read_reply
+from cherrycove.tier.batch.store.replies import lease_reply, read_reply
 from cherrycove.tier.batch.store.result_waiters import ResultWaiters
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ErrorKind, Failure
@@ -220,7 +220,7 @@
             return Err(Failure(ErrorKind.INVALID, "a report without an outcome"))
         completed = outcome == "completed_text"
         text = request.completed_text if completed else request.dead_letter_reason.encode()
-        recorded = await self._recorder.record(item_result(key, completed, text))
+        recorded = await self._recorder.record(item_result(key, text, completed=completed))
         return Err(recorded.err_value) if isinstance(recorded, Err) else Ok(pb.ReportReply())
 
     async def _record_failures(
@@ -285,7 +285,7 @@
         await self._forget_old(now)
 
     async def _give_up(self, keys: Sequence[ItemKey], reason: str) -> None:
-        results = [item_result(key, False, reason.encode()) for key in keys[:GIVEN_UP_AT_ONCE]]
+        results = [item_result(key, reason.encode(), completed=False) for key in keys[:GIVEN_UP_AT_ONCE]]
         await asyncio.gather(*(self._recorder.record(result) for result in results))
 
     async def _forget_old(self, now: float) -> None:
--- a/tests/tier/test_batch_failing_items.py
+++ b/tests/tier/test_batch_failing_items.py
@@ -9,7 +9,7 @@
 from dataplane_world import World, configuration_bytes, route
 from result import Ok
 
-from cherrycove.tier.batch.jobs.state import ItemKey
+from cherrycove.tier.batch.jobs.model import ItemKey
 from cherrycove.tier.batch.worker.batch_worker import BatchWorker
 from examples.toy_broker import Received, ToyBroker, Wire
 
--- a/tests/tier/test_batch_http.py
+++ b/tests/tier/test_batch_http.py
@@ -12,9 +12,8 @@
 from batch_support import PATIENCE_S, ROUTE, Frontend, Tier, configuration, job
 
 from cherrycove.tier.batch.frontend.result_page import MAX_PAGE_BYTES, render_page
-from cherrycove.tier.batch.jobs.commands import accept_command, results_command
-from cherrycove.tier.batch.jobs.state import ItemKey
-from cherrycove.tier.batch.store.replies import item_result
+from cherrycove.tier.batch.jobs.commands import accept_command, item_result, results_command
+from cherrycove.tier.batch.jobs.model import ItemKey
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol import batch_pb2 as pb
 
@@ -45,7 +44,7 @@
 
 
 def record(tier: Tier, job_id: str, item_id: str, text: bytes, completed: bool = True) -> None:
-    command = results_command([item_result(ItemKey(job_id, item_id), completed, text)])
+    command = results_command([item_result(ItemKey(job_id, item_id), text, completed=completed)])
     tier.cluster.commit(tier.nodes[0].group, command)
 
 
--- a/tests/tier/test_batch_jobs.py
+++ b/tests/tier/test_batch_jobs.py
@@ -5,20 +5,21 @@
 from batch_support import item, job
 from pytest import MonkeyPatch
 
-from cherrycove.tier.batch.jobs import state as jobs_module
+from cherrycove.tier.batch.jobs import recent_bodies
 from cherrycove.tier.batch.jobs.commands import (
     accept_command,
     end_command,
     failures_command,
     forget_command,
+    item_result,
     results_command,
 )
-from cherrycove.tier.batch.jobs.state import AcceptOutcome, EndOutcome, ItemKey, JobsState
-from cherrycove.tier.batch.store.replies import item_result
+from cherrycove.tier.batch.jobs.model import ItemKey
+from cherrycove.tier.batch.jobs.state import AcceptOutcome, EndOutcome, JobsState
 
 
 def record(state: JobsState, job_id: str, item_id: str, text: bytes, completed: bool = True) -> None:
-    state.apply(0, results_command([item_result(ItemKey(job_id, item_id), completed, text)]))
+    state.apply(0, results_command([item_result(ItemKey(job_id, item_id), text, completed=completed)]))
 
 
 def listed(state: JobsState, job_id: str) -> list[tuple[str, bool, bytes]]:
@@ -84,7 +85,7 @@
 def test_body_of_an_item_without_result_is_kept_and_the_oldest_of_listed_ones_dropped(
     monkeypatch: MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(jobs_module, "RECENT_BODIES_COUNT", 2)
+    monkeypatch.setattr(recent_bodies, "MAX_RECENT_COUNT", 2)
     state = JobsState()
     state.apply(1, accept_command(job("j", "a", "b", "c", "d"), 0))
     for item_id in ("a", "b", "c"):
@@ -95,7 +96,7 @@
 
 
 def test_snapshot_restores_the_same_state(monkeypatch: MonkeyPatch) -> None:
-    monkeypatch.setattr(jobs_module, "RECENT_BODIES_COUNT", 2)
+    monkeypatch.setattr(recent_bodies, "MAX_RECENT_COUNT", 2)
     state = JobsState()
     state.apply(1, accept_command(job("j", "a", "b", "c", "d"), 77))
     state.apply(2, accept_command(job("k", "a"), 78))
@@ -128,13 +129,13 @@
 
 
 def test_replicas_that_apply_the_same_commands_are_alike() -> None:
-    twice = [item_result(ItemKey("j", "b"), True, text) for text in (b"1", b"2")]
+    twice = [item_result(ItemKey("j", "b"), text, completed=True) for text in (b"1", b"2")]
     commands = [
         accept_command(job("j", "a", "b"), 1),
         results_command(twice),
         accept_command(job("j", "a", "b"), 2),
         end_command("j"),
-        results_command([item_result(ItemKey("j", "a"), True, b"3")]),
+        results_command([item_result(ItemKey("j", "a"), b"3", completed=True)]),
     ]
     replicas = [JobsState(), JobsState()]
     for index, command in enumerate(commands):
--- a/tests/tier/test_batch_leases.py
+++ b/tests/tier/test_batch_leases.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from cherrycove.tier.batch.jobs.state import ItemKey
+from cherrycove.tier.batch.jobs.model import ItemKey
 from cherrycove.tier.batch.leasing.lease_table import (
     LeasableJob,
     LeaseCall,
--- a/tests/tier/test_batch_replicated.py
+++ b/tests/tier/test_batch_replicated.py
@@ -20,7 +20,8 @@
 
 from cherrycove.tier.batch.client.batch_client import BatchClient
 from cherrycove.tier.batch.execution import ItemOutcome, ItemState
-from cherrycove.tier.batch.jobs.state import ItemKey, JobsState
+from cherrycove.tier.batch.jobs.model import ItemKey
+from cherrycove.tier.batch.jobs.state import JobsState
 from cherrycove.tier.batch.store.service import BatchStoreService
 from cherrycove.tier.batch.worker.batch_worker import BatchWorker
 from cherrycove.tier.distribution.cluster_view import ClusterView
--- a/tests/tier/test_batch_worker.py
+++ b/tests/tier/test_batch_worker.py
@@ -19,9 +19,8 @@
 from result import Ok
 
 from cherrycove.tier.batch.execution import ItemOutcome, ItemState
-from cherrycove.tier.batch.jobs.commands import results_command
-from cherrycove.tier.batch.jobs.state import ItemKey
-from cherrycove.tier.batch.store.replies import item_result
+from cherrycove.tier.batch.jobs.commands import item_result, results_command
+from cherrycove.tier.batch.jobs.model import ItemKey
 from cherrycove.tier.batch.worker.batch_worker import BatchWorker
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol import batch_pb2 as pb
@@ -426,7 +425,7 @@
         for job_id in ("ended", "complete", "open"):
             await submit(tier, "a", job_id=job_id)
         await tier.client.end(pb.EndRequest(job_id="ended"), BUDGET_S)
-        large = item_result(ItemKey("complete", "a"), True, bytes(100_000))
+        large = item_result(ItemKey("complete", "a"), bytes(100_000), completed=True)
         tier.cluster.commit(node.group, results_command([large]))
         clock.now += 149.0
         await node.store._forget_old(clock.now)
