--- a/tests/make_golden_broker.py
+++ b/tests/make_golden_broker.py
@@ -260,6 +260,21 @@
     return json.dumps({"answer": HEALTH, "list": golden.to_plain(found)}, indent=1) + "\n"
 
 
+OUT = {"maintenance": [{"=map": [["d2", 4.5]]}, {"=map": [["d1", [0.0, 1700000000999.5]]]}]}
+
+
+def hand_over() -> str:
+    """What two processes of one broker say to each other, as either of them."""
+    with tempfile.TemporaryDirectory() as folder:
+        former = golden.hand_over(Path(folder), SETTINGS, MEMBERS[:2], OUT, STORIES[:4], MOMENT)
+    state, piece = (
+        next(line[2:] for line in former if line.startswith(start)) for start in ('< {"version"', '< {"why"')
+    )
+    with tempfile.TemporaryDirectory() as folder:
+        fresh = golden.take_over(Path(folder), SETTINGS, state, piece)
+    return "".join(f"{line}\n" for line in ["in service", *former, "", "taking over", *fresh])
+
+
 # Configuration and HTTP.
 
 PLATFORM = {
@@ -743,6 +758,7 @@
     "written.json": written,
     "store.txt": store,
     "consul.json": consul,
+    "handover.txt": hand_over,
     "configuration.json": configuration,
     "http.json": http,
     "operators.json": operators,
