--- a/Makefile
+++ b/Makefile
@@ -18,7 +18,9 @@
 	$(PYTHON) -m pytest
 
 lint: $(if $(filter .venv/%,$(PYTHON)),dev)
-	$(PYTHON) -m ruff check --no-cache cherrycove bench tests examples
+	$(PYTHON) -m ruff format --check --no-cache .
+	$(PYTHON) -m ruff check --no-cache .
+	$(PYTHON) -c "from importlinter.cli import lint_imports_command; lint_imports_command(['--no-cache'])"
 	$(PYTHON) -m mypy --cache-dir=/dev/null
 
 run: build
