--- a/cherrycove/tier/controlplane/broker_discovery.py
+++ b/cherrycove/tier/controlplane/broker_discovery.py
@@ -43,7 +43,7 @@
     state: str = READY
     warmup_remaining_ms: float = 0.0
 
-    def entry(self) -> BrokerEntry:
+    def to_entry(self) -> BrokerEntry:
         return BrokerEntry(
             instance_id=self.instance_id,
             service=self.service,
@@ -101,7 +101,7 @@
 def _entry(item: Any) -> BrokerEntry | None:
     try:
         present = {key: value for key, value in item.items() if value is not None}
-        return _CONVERTER.structure(present, Instance).entry()
+        return _CONVERTER.structure(present, Instance).to_entry()
     except (AttributeError, BaseValidationError, TypeError, ValueError, OverflowError) as error:
         _log.warning("broker_entry_invalid", extra={"reason": str(error)})
         return None
--- a/cherrycove/tier/controlplane/controller.py
+++ b/cherrycove/tier/controlplane/controller.py
@@ -35,9 +35,9 @@
 from cherrycove.tier.settings import Settings
 
 TICK_S = 0.1  # leadership and the register are looked at so often
-STORES_HEARD_S = 1.5  # after a term began, every store had time to announce itself
-MEMBERS_HEARD_S = 1.0  # the same, before a list of members replaces that of an earlier primary
-SEED_AGE_S = 5.0  # an earlier primary's list of members that is older is of no use
+STORES_ANNOUNCED_AFTER_S = 1.5  # after a term began, every store had time to announce itself
+MEMBERS_ANNOUNCED_AFTER_S = 1.0  # the same, before a list of members replaces that of an earlier primary
+INHERIT_MAX_AGE_S = 5.0  # an earlier primary's list of members that is older is of no use
 ERROR_PAUSE_S = 0.5
 
 _log = logging.getLogger(__name__)
@@ -76,7 +76,12 @@
         self._brokers = BrokerWatcher(settings, self._period, self._topics, reader)
         decisions = ConfigurationService(group, state, self._leadership)
         retirement = RetirementService(
-            group, state, self._leadership, self._inventory, self._stores_heard, full_size(settings)
+            group,
+            state,
+            self._leadership,
+            self._inventory,
+            self._stores_had_time_to_announce,
+            full_size(settings),
         )
         self.operator_api = OperatorApi(self._leadership, state, decisions, retirement)
         self._tasks: list[asyncio.Task[None]] = []
@@ -121,8 +126,8 @@
             )
         )
 
-    def _stores_heard(self) -> bool:
-        return self._period.is_leading() and _now() - self._leading_since >= STORES_HEARD_S
+    def _stores_had_time_to_announce(self) -> bool:
+        return self._period.is_leading() and _now() - self._leading_since >= STORES_ANNOUNCED_AFTER_S
 
     def _inventory(self) -> StoreInventory:
         recent = _now() - self._leading_since < RETENTION_S
@@ -133,11 +138,11 @@
             initial=self._state.initial_stores,
             orders=self._state.retire_orders,
             machines=machines,
-            keepers=self._keeper_disks(),
-            not_yet_announced=frozenset(machines) if recent else frozenset(),
+            controller_disks=self._controller_disks(),
+            possibly_alive=frozenset(machines) if recent else frozenset(),
         )
 
-    def _keeper_disks(self) -> dict[str, str]:
+    def _controller_disks(self) -> dict[str, str]:
         """The newest disk of the keeper on each machine, as announced to this primary."""
         keepers = (entry.announcement for entry in self._registry.recently_seen(CONTROLLER_PROGRAM))
         names = {keeper.node_name: keeper.member_id for keeper in keepers}
@@ -152,7 +157,7 @@
         self._publisher.wake()
 
     def _on_state_change(self) -> None:
-        self._membership.retire()
+        self._membership.update_retiring()
         if self._period.epoch is not None:
             self._topics.publish_state()
 
@@ -160,7 +165,7 @@
         now = _now()
         self._leading_since = now
         self._members_due_at = now
-        self._membership.retire()
+        self._membership.update_retiring()
         if epoch == self._topics.epoch:
             self._registry.resume(now)
             self._topics.publish_state()
@@ -168,16 +173,16 @@
         self._registry = ProcessRegistry()
         self._stores.on_started_leading()
         inherited = BrokerList()
-        if now - self._views.last_contact < SEED_AGE_S:
-            self._registry.seed(self._views.members, now)
+        if now - self._views.last_contact < INHERIT_MAX_AGE_S:
+            self._registry.inherit(self._views.members, now)
             inherited = BrokerList(brokers=[broker_entry(one) for one in self._views.brokers])
         else:
-            self._members_due_at = now + MEMBERS_HEARD_S
+            self._members_due_at = now + MEMBERS_ANNOUNCED_AFTER_S
         self._brokers.on_started_leading(inherited, now)
         self._topics.begin_epoch(epoch)
 
     def _on_stopped_leading(self) -> None:
-        self._membership.withdraw()
+        self._membership.withdraw_standbys()
         self._publisher.wake()
 
     async def _watch(self) -> None:
@@ -187,7 +192,7 @@
             self._registry.forget_old(now)
             if now >= self._members_due_at:
                 self._topics.publish_members(self._members(now), now)
-            self._membership.update(self._registry.alive(now, CONTROLLER_PROGRAM))
+            self._membership.update_standbys(self._registry.alive(now, CONTROLLER_PROGRAM))
         await asyncio.sleep(TICK_S)
 
     def _members(self, now: float) -> MemberList:
--- a/cherrycove/tier/controlplane/controller_group.py
+++ b/cherrycove/tier/controlplane/controller_group.py
@@ -21,18 +21,18 @@
         self._group = group
         self._state = state
 
-    def update(self, keepers: Iterable[Registration]) -> None:
+    def update_standbys(self, keepers: Iterable[Registration]) -> None:
         """Offer the ``keepers`` alive that are not members, and name those to leave."""
-        self.retire()
+        self.update_retiring()
         announced = (entry.announcement for entry in keepers)
         usable = [self._standby(one) for one in announced if one.member_id and not one.leaving]
         self._group.offer_standbys(self._outside([*usable, *self._retiring_disks()]))
 
-    def withdraw(self) -> None:
+    def withdraw_standbys(self) -> None:
         """Offer nobody: what is known of the keepers is too old by the time that this one leads again."""
         self._group.offer_standbys(self._outside(self._retiring_disks()))
 
-    def retire(self) -> None:
+    def update_retiring(self) -> None:
         """Machines to be emptied, by name and by the disks of their keepers; first members have no name."""
         orders = self._state.retire_orders.values()
         names = {order.node_name for order in orders}
--- a/cherrycove/tier/controlplane/process_registry.py
+++ b/cherrycove/tier/controlplane/process_registry.py
@@ -12,8 +12,8 @@
 LEAVING_TIMEOUT_S = 1.5  # the same, of one that announced to leave
 RETENTION_S = 60.0  # a store that is gone may come back for so long
 MINOR_CHANGE_INTERVAL_S = 1.0  # rates and versions alone are published no more often
-REPLACED_SILENT_S = 1.5  # a process that lives pulls more often than this
-REPLACED_KEPT = 4  # earlier incarnations of one process that are recognised
+REPLACED_TIMEOUT_S = 1.5  # a process that lives pulls more often than this
+MAX_REPLACED_INCARNATIONS = 4  # earlier incarnations of one process that are recognised
 
 
 @attrs.frozen
@@ -31,9 +31,9 @@
     announcement: Announcement
     last_seen_at: float  # s
     inherited: bool = False  # known from an earlier primary's list only
-    replaced: tuple[str, ...] = ()  # earlier incarnations
+    replaced_incarnations: tuple[str, ...] = ()  # earlier incarnations
 
-    def alive(self, now: float) -> bool:
+    def is_alive(self, now: float) -> bool:
         timeout = LEAVING_TIMEOUT_S if self.announcement.leaving else MEMBER_TIMEOUT_S
         return now - self.last_seen_at < timeout
 
@@ -44,7 +44,7 @@
     def __init__(self) -> None:
         self._entries: dict[ProcessKey, Registration] = {}
 
-    def seed(self, members: Iterable[Announcement], now: float) -> None:
+    def inherit(self, members: Iterable[Announcement], now: float) -> None:
         """Processes that an earlier primary knew; each has the usual time to announce itself again."""
         for member in members:
             key = ProcessKey(member.node_name, member.program)
@@ -67,12 +67,17 @@
         known = self._entries.get(key)
         replaced: tuple[str, ...] = ()
         if known is not None:
-            if announcement.incarnation in known.replaced and now - known.last_seen_at < REPLACED_SILENT_S:
+            if (
+                announcement.incarnation in known.replaced_incarnations
+                and now - known.last_seen_at < REPLACED_TIMEOUT_S
+            ):
                 return
-            replaced = tuple(one for one in known.replaced if one != announcement.incarnation)
+            replaced = tuple(one for one in known.replaced_incarnations if one != announcement.incarnation)
             if known.announcement.incarnation != announcement.incarnation:
-                replaced = (*replaced, known.announcement.incarnation)[-REPLACED_KEPT:]
-        self._entries[key] = Registration(announcement=announcement, last_seen_at=now, replaced=replaced)
+                replaced = (*replaced, known.announcement.incarnation)[-MAX_REPLACED_INCARNATIONS:]
+        self._entries[key] = Registration(
+            announcement=announcement, last_seen_at=now, replaced_incarnations=replaced
+        )
 
     def forget_old(self, now: float) -> None:
         """Drop what was not heard of for so long that nothing depends on it."""
@@ -85,7 +90,7 @@
         found = [
             entry
             for entry in self._entries.values()
-            if entry.alive(now) and program in ("", entry.announcement.program)
+            if entry.is_alive(now) and program in ("", entry.announcement.program)
         ]
         return sorted(found, key=lambda entry: (entry.announcement.node_name, entry.announcement.program))
 
--- a/cherrycove/tier/controlplane/retirement.py
+++ b/cherrycove/tier/controlplane/retirement.py
@@ -34,15 +34,15 @@
         state: ControlState,
         leadership: Leadership,
         inventory: Callable[[], StoreInventory],
-        stores_heard: Callable[[], bool],
+        stores_had_time_to_announce: Callable[[], bool],
         group_size: int,
     ) -> None:
-        """``inventory`` is the present view; ``stores_heard``: whether all stores had time to announce."""
+        """``inventory`` is the present view of the stores."""
         self._proposer = BarrierProposer(group)
         self._state = state
         self._leadership = leadership
         self._inventory = inventory
-        self._stores_heard = stores_heard
+        self._stores_had_time_to_announce = stores_had_time_to_announce
         self._group_size = group_size
         self._lock = asyncio.Lock()
 
@@ -93,7 +93,7 @@
         return Err(self._refusal(node_name, inventory))
 
     def _refusal(self, node_name: str, inventory: StoreInventory) -> Failure:
-        if not self._stores_heard() or not inventory.recently_seen:
+        if not self._stores_had_time_to_announce() or not inventory.recently_seen:
             return Failure(ErrorKind.UNAVAILABLE, "the stores have not announced themselves yet")
         if not inventory.is_known(node_name):
             return Failure(ErrorKind.NOT_FOUND, f"no storage machine {node_name!r}")
--- a/cherrycove/tier/controlplane/store_group.py
+++ b/cherrycove/tier/controlplane/store_group.py
@@ -104,10 +104,10 @@
     initial: Sequence[Replica]
     orders: Mapping[str, RetireOrder]
     machines: Mapping[str, StoreMachine] = attrs.field(factory=dict)  # recorded in the replicated state
-    keepers: Mapping[str, str] = attrs.field(factory=dict)  # newest disk of the keeper on each machine
-    not_yet_announced: frozenset[str] = (
-        frozenset()
-    )  # recorded machines that had too little time to announce themselves
+    # Disk (member id) of the newest controller on each machine.
+    controller_disks: Mapping[str, str] = attrs.field(factory=dict)
+    # Recorded machines that had too little time to announce themselves to this primary.
+    possibly_alive: frozenset[str] = frozenset()
 
     def is_known(self, node_name: str) -> bool:
         known = {entry.announcement.node_name for entry in self.recently_seen}
@@ -129,7 +129,7 @@
             node_name=announcement.node_name,
             ip=announcement.ip,
             store_id=announcement.member_id,
-            keeper_id=self.keepers.get(announcement.node_name, ""),
+            keeper_id=self.controller_disks.get(announcement.node_name, ""),
         )
 
     def announced_machines(self) -> list[StoreMachine]:
@@ -145,7 +145,7 @@
     def count_possibly_remaining(self, node_name: str) -> int:
         """The same, with machines that are away at the moment and may come back."""
         names = {entry.announcement.node_name for entry in self.recently_seen}
-        return len((names | self.not_yet_announced) - set(self.orders) - {node_name})
+        return len((names | self.possibly_alive) - set(self.orders) - {node_name})
 
 
 def record_updates(inventory: StoreInventory) -> list[Command]:
--- a/cherrycove/tier/controlplane/store_group_reconciler.py
+++ b/cherrycove/tier/controlplane/store_group_reconciler.py
@@ -50,12 +50,12 @@
         self._period = period
         self._inventory = inventory
         self._reader = StoreMembersReader(client)
-        self._forming = StoreGroupBootstrap(settings)
+        self._bootstrap = StoreGroupBootstrap(settings)
         self._reasons: dict[str, str] = {}
 
     def on_started_leading(self) -> None:
         """What was gathered in an earlier term counts no more."""
-        self._forming = StoreGroupBootstrap(self._settings)
+        self._bootstrap = StoreGroupBootstrap(self._settings)
         self._reasons = {}
 
     async def step(self) -> None:
@@ -75,7 +75,7 @@
         inventory = self._inventory()
         if self._state.initial_stores:
             return [*record_updates(inventory), *order_updates(inventory)]
-        initial = self._forming.choose(inventory.alive, asyncio.get_running_loop().time())
+        initial = self._bootstrap.choose(inventory.alive, asyncio.get_running_loop().time())
         forming = [Command(form_store_group=FormStoreGroup(initial=initial))] if initial else []
         return [*record_updates(inventory), *forming]
 
--- a/tests/tier/test_control_register.py
+++ b/tests/tier/test_control_register.py
@@ -76,7 +76,7 @@
 def test_an_earlier_primarys_list_does_not_hide_what_was_announced() -> None:
     register = ProcessRegistry()
     register.announce(store("s1", incarnation="2"), 0.0)
-    register.seed([store("s1", incarnation="1"), store("s2")], 0.5)
+    register.inherit([store("s1", incarnation="1"), store("s2")], 0.5)
     assert [entry.inherited for entry in register.alive(0.5)] == [False, True]
     register.announce(store("s2"), 0.6)
     assert [entry.inherited for entry in register.alive(0.6)] == [False, False]
--- a/tests/tier/test_control_store_group.py
+++ b/tests/tier/test_control_store_group.py
@@ -131,13 +131,13 @@
 def test_machines_are_recorded_with_address_and_disks() -> None:
     entries = heard(store("s1"), store("s2"))
     seen = StoreInventory(
-        alive=entries, recently_seen=entries, initial=[], orders={}, keepers={"s1": "keeper-s1"}
+        alive=entries, recently_seen=entries, initial=[], orders={}, controller_disks={"s1": "keeper-s1"}
     )
     [command] = record_updates(seen)
     machines = {machine.node_name: machine for machine in command.record_machines.machines}
     assert machines["s1"].keeper_id == "keeper-s1"
     assert (machines["s2"].ip, machines["s2"].store_id) == ("127.0.0.1", "disk-s2")
-    known = attrs.evolve(seen, machines=machines, keepers={})
+    known = attrs.evolve(seen, machines=machines, controller_disks={})
     assert record_updates(known) == []
     moved = heard(store("s1", ip="127.0.0.8"), store("s2"))
     [again] = record_updates(attrs.evolve(known, alive=moved))
--- a/tests/tier/test_control_store_maintenance.py
+++ b/tests/tier/test_control_store_maintenance.py
@@ -153,8 +153,8 @@
     async def play(scene: Scene) -> None:
         last = scene.replicas.groups[-1]
         last.identity = MemberIdentity("first-127.0.0.1", "", "127.0.0.1:7000")
-        wishes = ControllerGroupMembership(SETTINGS, scene.group, scene.state)
-        wishes.update([])
+        membership = ControllerGroupMembership(SETTINGS, scene.group, scene.state)
+        membership.update_standbys([])
         assert scene.group.retiring == {"s3", "first-127.0.0.1"}
         await scene.stores.work()
         assert not scene.completed
@@ -203,13 +203,13 @@
     async def play(scene: Scene) -> None:
         machine = StoreMachine(node_name="s3", ip="127.0.0.1", keeper_id="away")
         await scene.commit(record_machines=RecordMachines(machines=[machine]))
-        wishes = ControllerGroupMembership(SETTINGS, scene.group, scene.state)
+        membership = ControllerGroupMembership(SETTINGS, scene.group, scene.state)
         present = Announcement(node_name="core-8", program="keeper", ip="10.0.0.8", member_id="keeper-8")
         member = Announcement(node_name="core-2", program="keeper", ip="10.0.0.2", member_id="keeper-2")
-        wishes.update([Registration(present, 0.0), Registration(member, 0.0)])
+        membership.update_standbys([Registration(present, 0.0), Registration(member, 0.0)])
         assert [one.member_id for one in scene.group.standbys] == ["keeper-8", "away"]
         assert scene.group.retiring == {"s3", "away"}
-        wishes.withdraw()
+        membership.withdraw_standbys()
         assert [one.member_id for one in scene.group.standbys] == ["away"]
 
     run(play)
