--- a/tests/tier/golden_inputs.py
+++ b/tests/tier/golden_inputs.py
@@ -332,26 +332,34 @@
     }
 )
 
-PLATFORM_PAGE = json.dumps(
-    {
-        "instances": [
-            {
-                "service": "ledger",
-                "address": "10.2.0.1:8080",
-                "zone": "north",
-                "version": "v1",
-                "capacitySlots": 48,
-                "state": "draining",
-                "warmupRemainingMs": 1500.5,
-                "instanceId": "i-1",
-                "stage": "both",
-            },
-            {"service": "ledger", "address": "10.2.0.2:8080", "instanceId": "i-2", "state": "ready"},
-            {"service": "ledger", "address": "10.2.0.3:8080", "instanceId": "i-3"},
-        ],
-        "nextPageToken": None,
-    }
-)
+# The platform's list of brokers.
+PLATFORM_PAGES = [
+    json.dumps(
+        {
+            "instances": [
+                {
+                    "service": "ledger",
+                    "address": "10.2.0.1:8080",
+                    "zone": "north",
+                    "version": "v1",
+                    "capacitySlots": 48,
+                    "state": "draining",
+                    "warmupRemainingMs": 1500.5,
+                    "instanceId": "i-1",
+                    "stage": "both",
+                },
+                {"service": "ledger", "address": "10.2.0.2:8080", "instanceId": "i-2", "state": "ready"},
+            ],
+            "nextPageToken": "page-2",
+        }
+    ),
+    json.dumps(
+        {
+            "instances": [{"service": "ledger", "address": "10.2.0.3:8080", "instanceId": "i-3"}],
+            "nextPageToken": None,
+        }
+    ),
+]
 
 # Requests of an operator and of clients: the first line, further fields, the body.
 Requests = list[tuple[str, dict[str, str], str]]
@@ -393,6 +401,9 @@
     ("DELETE /api/lots/lot-1", {}, ""),
     ("GET /api/lots/other?pageCursor=0", {}, ""),
     ("DELETE /api/lots/other", {}, ""),
+    ("GET /api/lots/lot-done?pageCursor=0", {}, ""),
+    ("GET /api/lots/lot-done?pageCursor=1", {"Wait-Ms": "100"}, ""),
+    ("GET /api/lots/lot-open?pageCursor=0", {}, ""),
     ("PUT /jobs/1", {}, ""),
     ("POST /elsewhere", {}, ""),
 ]
--- a/tests/tier/golden_interfaces.py
+++ b/tests/tier/golden_interfaces.py
@@ -31,7 +31,6 @@
 
 from cherrycove.tier.batch.client.batch_client import BatchClient
 from cherrycove.tier.batch.frontend.http_api import BatchApi
-from cherrycove.tier.batch.jobs.state import JobsState
 from cherrycove.tier.batch.store.service import BatchStoreService
 from cherrycove.tier.cli import application
 from cherrycove.tier.configuration import Configuration, parse_configuration
@@ -96,8 +95,8 @@
 
 
 @asynccontextmanager
-async def recorder(answer: bytes) -> AsyncIterator[tuple[str, list[bytes]]]:
-    """A server that gives every request this answer; its address, and the requests."""
+async def recorder(*answers: bytes) -> AsyncIterator[tuple[str, list[bytes]]]:
+    """A server that gives these answers in turn; its address, and the requests."""
     requests: list[bytes] = []
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -105,7 +104,7 @@
         length = re.search(rb"(?i)content-length: (\d+)", head)
         body = await reader.readexactly(int(length[1])) if length else b""
         requests.append(head + body)
-        writer.write(answer)
+        writer.write(answers[len(requests) - 1])
         await writer.drain()
         writer.close()
 
@@ -243,7 +242,7 @@
 
 async def clients() -> list[list[str]]:
     """What clients ask about batch jobs."""
-    state, wire, address = JobsState(), Wire(), free_address()
+    state, wire, address = support.state_after("store", support.payloads("store")), Wire(), free_address()
     BatchStoreService(settings(), OneReplica(state), state, wire)  # type: ignore[arg-type]
     configuration = parse_configuration(inputs.COMPLETE_CONFIGURATION.encode()).unwrap()
     views = ClusterView(configuration=configuration, members=(announcement("store", 1),))
@@ -287,22 +286,19 @@
 
 
 async def platform_list() -> dict[str, Any]:
-    """How the platform's list of brokers is asked for and read."""
-    body = inputs.PLATFORM_PAGE.encode()
-    head = f"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n"
-    async with recorder(head.encode() + body) as (address, requests):
+    """How the platform's list of brokers is asked for, page by page, and read."""
+    async with recorder(*[_page(text) for text in inputs.PLATFORM_PAGES]) as (address, requests):
         reader = BrokerDiscoveryClient(settings(cloud_api=CloudApi(address=address)))
         await reader.start()
-        await reader.read()
+        found = await reader.read()
         await reader.stop()
     sent = [_normal(one.decode("latin-1"), address) for one in requests]
-    return {"requests": sent, "brokers": [support.plain(one) for one in _page_entries(inputs.PLATFORM_PAGE)]}
+    return {"requests": sent, "brokers": [support.plain(one) for one in found.unwrap().brokers]}
 
 
-def _page_entries(text: str) -> list[Message]:
-    from cherrycove.tier.controlplane.broker_discovery import parse_page
-
-    return list(parse_page(text.encode()).unwrap().instances)
+def _page(text: str) -> bytes:
+    head = f"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {len(text)}\r\n\r\n"
+    return (head + text).encode()
 
 
 def own_answers() -> list[list[Any]]:
--- a/tests/tier/golden_stories.py
+++ b/tests/tier/golden_stories.py
@@ -22,6 +22,7 @@
 from cherrycove.tier.batch.jobs.state import JobsState
 from cherrycove.tier.batch.store.service import BatchStoreService
 from cherrycove.tier.cli import status as status_command
+from cherrycove.tier.configuration import parse_configuration
 from cherrycove.tier.controlplane.controller import Controller
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.controlplane.store_members import StoreMembersReader, StoreMembersService
@@ -433,6 +434,31 @@
 BATCH_METHODS = {name: name for name in ("submit", "read", "body", "end", "lease", "report")}
 
 
+async def given_up() -> Transcript:
+    """A store gives up items: some are past their retention, then the route of the others is removed."""
+    state = support.state_after("store", support.payloads("store"))
+    group, times = OneReplica(state), [1000.0]
+    views = ClusterView()
+    clocks: dict[str, Any] = {"clock": lambda: times[0], "wall_clock": lambda: 1_750_000_001.456}
+    store = BatchStoreService(settings(), group, state, Wire(), views=views, **clocks)  # type: ignore[arg-type]
+    await store.maintain_once()
+    configured = inputs.COMPLETE_CONFIGURATION.encode()  # without the route of the jobs
+    views.configuration = parse_configuration(configured).unwrap()
+    times[0] += 10.0
+    await store.maintain_once()
+    late = OneReplica(support.state_after("store", support.payloads("store")))
+    times[0] = 1000.0
+    store = BatchStoreService(settings(), late, late.state, Wire(), **clocks)  # type: ignore[arg-type]
+    await store.maintain_once()
+    times[0] += 100.0
+    await store.maintain_once()
+    return [
+        {"reason": reason, "bytes": command.hex()}
+        for reason, one in (("route removed", group), ("past retention", late))
+        for command in one.proposed
+    ]
+
+
 async def replication(program: str) -> Transcript:
     """One message between replicas, whose receiver is another disk by now."""
     wire = Wire()
@@ -472,6 +498,7 @@
             "status": await statuses(),
             "store-members": await store_members(),
             "batch": await batch_jobs(),
+            "given-up": await given_up(),
             "replicate": [*await replication("keeper"), *await replication("store")],
         }
 
