--- a/cherrycove/tier/batch/leasing/job_ages.py
+++ b/cherrycove/tier/batch/leasing/job_ages.py
@@ -1,7 +1,7 @@
-"""How long this process has known each job.
+"""How long this process has known each job, and what follows from it for leasing.
 
-Counted by the steady clock from when the job was applied here, which is never before its client sent it:
-whatever may happen only so long after that send happens late after a restart, and never early.
+An age is counted by the monotonic clock from when the job was applied here, which is never before its client
+sent it. What may happen only so long after that send so happens late after a restart, and never early.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 import attrs
 
 from cherrycove.tier.batch.jobs.model import Job
-from cherrycove.tier.batch.leasing.lease_table import LeasableJob
+from cherrycove.tier.batch.leasing.lease_types import LeasableJob
 
-NO_TARGET_S = 60.0  # stands in for a completion target where the route has none
+DEFAULT_TARGET_S = 60.0  # completion target where the route has none
 RETENTION_MARGIN_S = 0.25
 NEVER = float("inf")
 
@@ -22,27 +22,36 @@
 class JobAges:
     """Monotonic seconds at which each job was first seen."""
 
-    _seen: dict[str, float] = attrs.field(factory=dict)
+    _first_seen_s: dict[str, float] = attrs.field(factory=dict)
 
-    def see(self, job_id: str, now: float) -> None:
-        self._seen.setdefault(job_id, now)
+    def add(self, job_id: str, now: float) -> None:
+        """The job is known ``now``; a job that was known before keeps its age."""
+        self._first_seen_s.setdefault(job_id, now)
 
     def keep_only(self, job_ids: Iterable[str]) -> None:
         """Drop all other jobs."""
         kept = set(job_ids)
-        for job_id in [job_id for job_id in self._seen if job_id not in kept]:
-            del self._seen[job_id]
+        for job_id in [job_id for job_id in self._first_seen_s if job_id not in kept]:
+            del self._first_seen_s[job_id]
 
     def older_than(self, age_s: float, now: float) -> list[str]:
-        """Jobs known for longer than ``age_s``."""
-        return [job_id for job_id, seen in self._seen.items() if now - seen > age_s]
-
-    def terms(self, job: Job, now: float, unix_ms: float) -> LeasableJob:
-        """What leasing must know of ``job``. The time of day serves only to order the items."""
-        seen = self._seen.get(job.job_id, now)
-        target_s = job.submission.completion_target_ms / 1000.0 or NO_TARGET_S
-        elapsed_s = max((unix_ms - job.received_unix_ms) / 1000.0, now - seen)
+        """Ids of the jobs that are known for longer than ``age_s``."""
+        return [job_id for job_id, seen_s in self._first_seen_s.items() if now - seen_s > age_s]
+
+    def leasable(self, job: Job, now: float, unix_ms: float) -> LeasableJob:
+        """What leasing must know of ``job``.
+
+        ``unix_ms``, the time of day, only affects the completion target, by which items are ordered:
+        it may jump, and must not decide when items are given up.
+        """
+        first_seen_s = self._first_seen_s.get(job.job_id, now)
+        target_s = job.submission.completion_target_ms / 1000.0 or DEFAULT_TARGET_S
+        elapsed_s = max((unix_ms - job.received_unix_ms) / 1000.0, now - first_seen_s)
         retention_s = job.submission.retention_ms / 1000.0
-        retained_until = seen + retention_s + RETENTION_MARGIN_S if retention_s else NEVER
-        due = now + target_s - elapsed_s
-        return LeasableJob(job.job_id, job.submission.route, due, retained_until, job.unfinished_item_ids())
+        return LeasableJob(
+            job_id=job.job_id,
+            route=job.submission.route,
+            due_at_s=now + target_s - elapsed_s,
+            retained_until_s=first_seen_s + retention_s + RETENTION_MARGIN_S if retention_s else NEVER,
+            item_ids=job.unfinished_item_ids(),
+        )
--- a/cherrycove/tier/batch/store/replies.py
+++ b/cherrycove/tier/batch/store/replies.py
@@ -4,7 +4,7 @@
 
 from cherrycove.tier.batch.jobs.model import Job
 from cherrycove.tier.batch.jobs.state import JobsState
-from cherrycove.tier.batch.leasing.lease_table import Grant, LeaseDecision
+from cherrycove.tier.batch.leasing.lease_types import Grant, LeaseDecision
 from cherrycove.tier.protocol import batch_pb2 as pb
 
 READ_BYTES = 768 * 1024  # of texts in one read; the rest follows at the next cursor
@@ -41,7 +41,7 @@
     leased.item.MergeFromString(item.encoded)
     leased.route = job.submission.route
     leased.host = job.submission.host
-    leased.due_in_ms = int((grant.due - now) * 1000)
-    leased.retained_ms = int(min(grant.retained_until - now, MAX_RETAINED_S) * 1000)
+    leased.due_in_ms = int((grant.due_at_s - now) * 1000)
+    leased.retained_ms = int(min(grant.retained_until_s - now, MAX_RETAINED_S) * 1000)
     leased.failed_attempts = max(item.failed_attempts, grant.failed_attempts)
     leased.max_attempts = job.submission.max_attempts
--- a/cherrycove/tier/batch/store/service.py
+++ b/cherrycove/tier/batch/store/service.py
@@ -25,7 +25,8 @@
 from cherrycove.tier.batch.jobs.model import ItemKey, Job, StoredItem
 from cherrycove.tier.batch.jobs.state import EndOutcome, JobsState
 from cherrycove.tier.batch.leasing.job_ages import JobAges
-from cherrycove.tier.batch.leasing.lease_table import LeasableJob, LeaseCall, LeaseTable, LeaseTimes
+from cherrycove.tier.batch.leasing.lease_table import LeaseTable
+from cherrycove.tier.batch.leasing.lease_types import LeasableJob, LeaseCall, LeaseTimes
 from cherrycove.tier.batch.store.proposals import PROPOSE_TIMEOUT_S, ResultRecorder, SingleFlightProposals
 from cherrycove.tier.batch.store.removed_routes import jobs_of_removed_routes
 from cherrycove.tier.batch.store.replies import lease_reply, read_reply
@@ -102,7 +103,7 @@
     # Observer of the jobs
 
     def job_accepted(self, job: Job) -> None:
-        self._ages.see(job.job_id, self._clock())
+        self._ages.add(job.job_id, self._clock())
         if self._table is not None:
             self._table.add_job(self._terms(job), from_earlier_epoch=False)
 
@@ -126,7 +127,7 @@
         now = self._clock()
         self._ages.keep_only(self._state.jobs)
         for job_id in self._state.jobs:
-            self._ages.see(job_id, now)
+            self._ages.add(job_id, now)
         self._table = None
 
     # Calls
@@ -247,7 +248,7 @@
         return min(memory, limits.disk_mb * DISK_FRACTION * MEGABYTE) if limits.disk_mb else memory
 
     def _terms(self, job: Job) -> LeasableJob:
-        return self._ages.terms(job, self._clock(), self._wall_clock() * 1000.0)
+        return self._ages.leasable(job, self._clock(), self._wall_clock() * 1000.0)
 
     def _current_table(self) -> LeaseTable | None:
         """The leases of this term, begun anew when it is first seen; None while this store does not lead."""
--- a/cherrycove/tier/batch/worker/batch_worker.py
+++ b/cherrycove/tier/batch/worker/batch_worker.py
@@ -17,7 +17,7 @@
 from cherrycove.tier.batch.client.batch_client import BatchClient
 from cherrycove.tier.batch.execution import ROUTE_REMOVED, ItemExecutor, ItemOutcome, ItemState
 from cherrycove.tier.batch.jobs.model import ItemKey
-from cherrycove.tier.batch.leasing.lease_table import RENEWAL_INTERVAL_S
+from cherrycove.tier.batch.leasing.lease_types import RENEWAL_INTERVAL_S
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ErrorKind
 from cherrycove.tier.protocol import batch_pb2 as pb
--- a/tests/tier/batch_support.py
+++ b/tests/tier/batch_support.py
@@ -17,7 +17,7 @@
 from cherrycove.tier.batch.frontend.http_api import BatchApi
 from cherrycove.tier.batch.jobs.model import ItemKey
 from cherrycove.tier.batch.jobs.state import JobsState
-from cherrycove.tier.batch.leasing.lease_table import LeaseTimes
+from cherrycove.tier.batch.leasing.lease_types import LeaseTimes
 from cherrycove.tier.batch.store.service import BatchStoreService
 from cherrycove.tier.batch.worker.batch_worker import BatchWorker
 from cherrycove.tier.configuration import Configuration, Route, Service
--- a/tests/tier/test_batch_leases.py
+++ b/tests/tier/test_batch_leases.py
@@ -5,13 +5,8 @@
 from collections.abc import Sequence
 
 from cherrycove.tier.batch.jobs.model import ItemKey
-from cherrycove.tier.batch.leasing.lease_table import (
-    LeasableJob,
-    LeaseCall,
-    LeaseDecision,
-    LeaseTable,
-    LeaseTimes,
-)
+from cherrycove.tier.batch.leasing.lease_table import LeaseTable
+from cherrycove.tier.batch.leasing.lease_types import LeasableJob, LeaseCall, LeaseDecision, LeaseTimes
 
 TIMES = LeaseTimes(lease_s=1.5, grace_s=1.0)
 LONG = 1000.0
