--- /dev/null
+++ b/cherrycove/tier/controlplane/status_service.py
@@ -0,0 +1,60 @@
+"""Answers the call ``status`` of the command line."""
+
+from __future__ import annotations
+
+import asyncio
+
+import attrs
+from result import Ok, Result
+
+from cherrycove.tier.controlplane.leadership_period import LeadershipPeriod
+from cherrycove.tier.controlplane.process_directory import ProcessDirectory
+from cherrycove.tier.controlplane.state import ControlState
+from cherrycove.tier.controlplane.topics import ControlTopics
+from cherrycove.tier.distribution.cluster_view import ClusterView
+from cherrycove.tier.errors import Failure
+from cherrycove.tier.protocol.control_pb2 import Replica
+from cherrycove.tier.protocol.keeper_pb2 import StatusReply, StatusRequest
+from cherrycove.tier.replication.interface import Group, MemberIdentity
+
+
+@attrs.frozen(kw_only=True)
+class StatusService:
+    """Reports what this controller knows. Reads the parts of the ``Controller`` and changes nothing."""
+
+    node_name: str
+    group: Group
+    state: ControlState
+    period: LeadershipPeriod
+    directory: ProcessDirectory
+    topics: ControlTopics
+    views: ClusterView
+
+    async def status(self, request: StatusRequest) -> Result[StatusReply, Failure]:  # noqa: ARG002 - empty
+        """Return this controller's view; only that of the confirmed primary is complete and current.
+
+        Another controller reports the processes that it pulled from the primary, which may be out of date."""
+        primary = self.group.primary
+        leads = self.period.is_leading()
+        now = asyncio.get_running_loop().time()
+        announcements = self.directory.registry.members(now).members if leads else self.views.members
+        return Ok(
+            StatusReply(
+                node_name=self.node_name,
+                epoch=self.group.epoch,
+                confirmed=leads,
+                primary="" if primary is None else primary.node_name,
+                members=[_replica(member) for member in self.group.members],
+                configuration_version=self.state.configuration.version,
+                store_group=self.state.store_group(),
+                retire_orders=self.state.retire_orders.values(),
+                brokers=self.topics.brokers,
+                announcements=announcements,
+            )
+        )
+
+
+def _replica(member: MemberIdentity) -> Replica:
+    return Replica(
+        member_id=member.member_id, node_name=member.node_name, address=member.address, zone=member.zone
+    )
--- a/tests/tier/test_control_cut_off.py
+++ b/tests/tier/test_control_cut_off.py
@@ -235,7 +235,7 @@
             await world.operator(1, "POST", "/api/retire/s2", b"{}")
             await world.operator(1, "GET", "/api/retire/s2")
             await world.operator(1, "PUT", CONFIGURATION, document(9), "3")
-            world.keepers[1].keeper._leading_since -= 10.0  # a term without a single announcement
+            world.keepers[1].keeper.directory.leading_since -= 10.0  # a term without a single announcement
             await world.operator(1, "POST", "/api/retire/s1", b"{}")
             await world.operator(1, "POST", "/api/retire/unknown", b"{}")
             approved(
@@ -260,7 +260,7 @@
             await prepared(world)
             stores = [await world.client(store(name)) for name in ("s1", "s2")]
             await stores[1].until(lambda views: len(views.stores()) == 2)
-            world.keepers[0].keeper._leading_since -= 10.0
+            world.keepers[0].keeper.directory.leading_since -= 10.0
             assert (await world.operator(0, "POST", "/api/retire/s1", b"{}"))[0] == 409
             machine = StoreMachine(node_name="s4", ip="127.0.0.9", store_id="disk-s4")
             record = Command(record_machines=RecordMachines(machines=[machine]))
@@ -268,7 +268,8 @@
             assert (await world.operator(0, "POST", "/api/retire/s1", b"{}"))[0] == 503
             assert (await world.operator(0, "POST", "/api/retire/s4", b"{}"))[0] == 503
             assert (await world.operator(0, "POST", "/api/retire/s9", b"{}"))[0] == 404
-            world.keepers[0].keeper._leading_since -= RETENTION_S  # none of them came back in all that time
+            # None of them came back in all that time.
+            world.keepers[0].keeper.directory.leading_since -= RETENTION_S
             assert (await world.operator(0, "POST", "/api/retire/s1", b"{}"))[0] == 409
 
     asyncio.run(exchange())
@@ -322,19 +323,19 @@
     async def exchange() -> None:
         async with World(1) as world:
             world.lead(0)
-            keeper = world.keepers[0].keeper
+            directory = world.keepers[0].keeper.directory
             now = asyncio.get_running_loop().time()
-            keeper._registry.announce(store("s1"), now)
-            keeper._registry.announce(Announcement(node_name="f1", program="proxy", incarnation="1"), now)
-            names = {one.node_name for one in keeper._members(now).members if one.program != "keeper"}
+            directory.registry.announce(store("s1"), now)
+            directory.registry.announce(Announcement(node_name="f1", program="proxy", incarnation="1"), now)
+            names = {one.node_name for one in directory.members(now).members if one.program != "keeper"}
             assert names == {"f1"}
             machine = StoreMachine(node_name="s1", ip="127.0.0.1", store_id="disk-s1")
             record = Command(record_machines=RecordMachines(machines=[machine]))
             await world.keepers[0].group.propose(record.SerializeToString(), 1.0)
-            names = {one.node_name for one in keeper._members(now).members if one.program != "keeper"}
+            names = {one.node_name for one in directory.members(now).members if one.program != "keeper"}
             assert names == {"f1", "s1"}
-            keeper._registry.announce(store("s1", incarnation="2", member_id="disk-new"), now)
-            names = {one.node_name for one in keeper._members(now).members if one.program != "keeper"}
+            directory.registry.announce(store("s1", incarnation="2", member_id="disk-new"), now)
+            names = {one.node_name for one in directory.members(now).members if one.program != "keeper"}
             assert names == {"f1"}
 
     asyncio.run(exchange())
--- a/tests/tier/test_control_operator.py
+++ b/tests/tier/test_control_operator.py
@@ -300,12 +300,12 @@
             stores = [await world.client(store(f"s{number}")) for number in range(1, 5)]
             await stores[0].until(lambda views: len(views.stores()) == 4)
             keeper = world.keepers[0].keeper
-            keeper._leading_since -= RETENTION_S
+            keeper.directory.leading_since -= RETENTION_S
             world.replicas.next_outcomes = ["uncertain_lost", "uncertain_lost"]
             await world.operator(0, "POST", "/api/retire/s4", b"{}")
-            keeper._registry = ProcessRegistry()
+            keeper.directory.registry = ProcessRegistry()
             for name in ("s1", "s2"):
-                keeper._registry.announce(store(name), asyncio.get_running_loop().time())
+                keeper.directory.registry.announce(store(name), asyncio.get_running_loop().time())
             first = world.operator(0, "POST", "/api/retire/s4", b"{}")
             assert (await first)[0] == 503
 
