--- a/bench/tier_catch_up.py
+++ b/bench/tier_catch_up.py
@@ -21,8 +21,10 @@
 from result import Ok
 
 from cherrycove.tier.protocol.rpc import RpcClient, RpcServer
+from cherrycove.tier.replication.factory import create_group
 from cherrycove.tier.replication.group import ReplicatedGroup
 from cherrycove.tier.replication.interface import MemberIdentity
+from cherrycove.tier.replication.options import GroupOptions
 from cherrycove.tier.storage.identity import first_member_id, open_identity
 
 MEGABYTE = 1024 * 1024
@@ -68,9 +70,16 @@
         member_id, _ = open_identity(self.directory, first_start, self.name)
         identity = MemberIdentity(member_id, self.name, self.address)
         self.state, self.server, self.client = Bytes(), RpcServer(), RpcClient()
-        self.group = ReplicatedGroup(
-            "bench", identity, self.directory, FAULTS, self.state, self.server, self.client
+        options = GroupOptions(
+            name="bench",
+            identity=identity,
+            directory=self.directory,
+            faults=FAULTS,
+            state_machine=self.state,
+            server=self.server,
+            client=self.client,
         )
+        self.group = create_group(options)
         await self.client.start()
         await self.server.start(self.address)
         await self.group.start(initial)
--- a/cherrycove/tier/programs/replica.py
+++ b/cherrycove/tier/programs/replica.py
@@ -6,8 +6,10 @@
 
 from cherrycove.tier.protocol.calls import Caller, CallRegistry
 from cherrycove.tier.protocol.control_pb2 import Announcement, Replica
+from cherrycove.tier.replication.factory import create_group
 from cherrycove.tier.replication.group import ReplicatedGroup
 from cherrycove.tier.replication.interface import MemberIdentity, StateMachine
+from cherrycove.tier.replication.options import GroupOptions
 from cherrycove.tier.replication.timing import Timing
 from cherrycove.tier.settings import Settings
 from cherrycove.tier.storage.identity import open_identity
@@ -34,10 +36,18 @@
     limit = int(settings.limits.disk_mb * BYTES_PER_MB * DISK_SHARE)
     faults = settings.fault_tolerance.machine_failures
     timing = Timing.for_catch_up(settings.bounds.catch_up_s)
-    group = ReplicatedGroup(
-        program, identity, directory, faults, machine, server, client, limit, timing=timing
+    options = GroupOptions(
+        name=program,
+        identity=identity,
+        directory=directory,
+        faults=faults,
+        state_machine=machine,
+        server=server,
+        client=client,
+        disk_limit_bytes=limit,
+        timing=timing,
     )
-    return group, fresh
+    return create_group(options), fresh
 
 
 def describe(
--- /dev/null
+++ b/cherrycove/tier/replication/applier.py
@@ -0,0 +1,62 @@
+"""Committed entries and snapshots on their way into the state machine."""
+
+from __future__ import annotations
+
+import logging
+
+from cherrycove.tier.replication.interface import StateMachine
+from cherrycove.tier.replication.pending_proposals import PendingProposals
+from cherrycove.tier.replication.snapshot_policy import SnapshotPolicy
+from cherrycove.tier.storage.entries import Entry, EntryKind
+
+_log = logging.getLogger(__name__)
+
+
+class Applier:
+    """Applies committed entries in order, resolves their proposals and takes snapshots when they are due."""
+
+    def __init__(
+        self,
+        group_name: str,
+        state_machine: StateMachine,
+        proposals: PendingProposals,
+        snapshot_policy: SnapshotPolicy,
+    ) -> None:
+        """``group_name`` is named in log lines."""
+        self._group_name = group_name
+        self._state_machine = state_machine
+        self._proposals = proposals
+        self._snapshot_policy = snapshot_policy
+
+    def restore(self, state: bytes) -> None:
+        """Replace the state by that of a snapshot."""
+        self._state_machine.restore(state)
+        self._snapshot_policy.snapshot_in_place(len(state))
+
+    def apply(self, entry: Entry) -> None:
+        """Apply a committed entry and resolve the proposal that waits for it, if there is one."""
+        self._snapshot_policy.entry_applied(entry.size_bytes)
+        outcome: object = None
+        if entry.kind is EntryKind.COMMAND:
+            try:
+                outcome = self._state_machine.apply(entry.index, entry.payload)
+            except Exception:  # noqa: BLE001 -- a command must not stop those behind it; all replicas fare alike
+                _log.exception("apply_failed", extra={"group": self._group_name, "index": entry.index})
+                self._proposals.fail(entry.index)
+        self._proposals.resolve(entry.index, entry.epoch, outcome)
+
+    def take_due_snapshot(self) -> bytes | None:
+        """Return the whole state if a snapshot is due, else None."""
+        if not self._snapshot_policy.is_due:
+            return None
+        state = self._state_machine.snapshot()
+        self._snapshot_policy.snapshot_in_place(len(state))
+        return state
+
+    def snapshot_write_started(self, ticket: int) -> None:
+        """Note the ticket of the write that stores the snapshot taken last."""
+        self._snapshot_policy.write_started(ticket)
+
+    def writes_finished(self, ticket: int) -> None:
+        """Note that all writes up to ``ticket`` are durable or skipped."""
+        self._snapshot_policy.write_finished(ticket)
--- a/cherrycove/tier/replication/call_handler.py
+++ b/cherrycove/tier/replication/call_handler.py
@@ -35,15 +35,15 @@
     """Handles the calls that peers make to one replica. Runs in the event loop."""
 
     def __init__(
-        self, deliver: Callable[[MemberIdentity, Batch], None], is_writing: Callable[[], bool]
+        self, deliver: Callable[[MemberIdentity, Batch], None], has_pending_writes: Callable[[], bool]
     ) -> None:
         """Create a handler.
 
-        ``deliver`` hands a batch to the replica; ``is_writing`` says whether the replica has disk writes that
-        are not finished.
+        ``deliver`` hands a batch to the replica; ``has_pending_writes`` says whether the replica has disk
+        writes that are not finished.
         """
         self._deliver = deliver
-        self._is_writing = is_writing
+        self._has_pending_writes = has_pending_writes
         self._open_calls: list[_OpenCall] = []
 
     async def handle(self, batch: Batch) -> Batch:
@@ -53,7 +53,7 @@
         self._open_calls.append(call)
         try:
             self._deliver(sender, batch)
-            if self._is_writing() and any(_needs_write(message) for message in batch.messages):
+            if self._has_pending_writes() and any(_needs_write(message) for message in batch.messages):
                 await asyncio.wait([call.writes_finished], timeout=MAX_REPLY_DELAY_S)
         finally:
             self._open_calls.remove(call)
--- /dev/null
+++ b/cherrycove/tier/replication/driver.py
@@ -0,0 +1,193 @@
+"""A started replica: events go into its machine, the effects that come out are carried out."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Sequence
+
+import attrs
+
+from cherrycove.tier.protocol.replication_pb2 import Batch
+from cherrycove.tier.replication.applier import Applier
+from cherrycove.tier.replication.change_notifier import ChangeNotifier
+from cherrycove.tier.replication.disk_interface import Storage
+from cherrycove.tier.replication.effects import Effects
+from cherrycove.tier.replication.interface import MemberIdentity
+from cherrycove.tier.replication.machine import ReplicaMachine
+from cherrycove.tier.replication.messenger import PeerMessenger
+from cherrycove.tier.replication.pending_proposals import Outcome, PendingProposals
+from cherrycove.tier.replication.runtime import Runtime
+
+TICK_S = 0.05
+
+_log = logging.getLogger(__name__)
+
+
+@attrs.frozen(kw_only=True, eq=False)
+class GroupParts:
+    """The parts of a group that are there before its replica is started."""
+
+    group_name: str
+    runtime: Runtime
+    messenger: PeerMessenger
+    proposals: PendingProposals
+    applier: Applier
+    notifier: ChangeNotifier
+
+
+class ReplicaDriver:
+    """Drives one replica from its start to its stop. Runs in the event loop.
+
+    Owns the machine, the writer with its storage, and the task that brings the machine the time. Every event
+    (a message, a finished write, the passing of time, a proposal) is handed to the machine together with the
+    time, and the machine's effects are carried out at once, before the next event. After ``close`` events are
+    ignored.
+    """
+
+    def __init__(
+        self, parts: GroupParts, machine: ReplicaMachine, storage: Storage, identity: MemberIdentity
+    ) -> None:
+        """``storage`` has been recovered; ``machine`` was made of what it held."""
+        self._group_name = parts.group_name
+        self._clock = parts.runtime.clock
+        self._messenger = parts.messenger
+        self._proposals = parts.proposals
+        self._applier = parts.applier
+        self._notifier = parts.notifier
+        self._machine = machine
+        self._storage = storage
+        self._identity = identity
+        self._writer = parts.runtime.make_writer(
+            storage, self._on_written, self._on_write_failed, self._on_snapshot_skipped
+        )
+        self._ticker: asyncio.Task[None] | None = None
+        self._is_closed = False
+
+    @property
+    def machine(self) -> ReplicaMachine:
+        """The machine, for questions about its state; events go through the driver."""
+        return self._machine
+
+    @property
+    def identity(self) -> MemberIdentity:
+        """The member that this replica is."""
+        return self._identity
+
+    @property
+    def has_pending_writes(self) -> bool:
+        """Whether any disk write is unfinished."""
+        return self._machine.has_pending_writes
+
+    @property
+    def stored_bytes(self) -> int:
+        """Size of log and snapshot on the disk."""
+        return self._storage.size_bytes
+
+    # Start and stop
+
+    def start(self) -> None:
+        """Start the writer and the ticks."""
+        self._writer.start()
+        self._carry_out_effects()
+        self._ticker = asyncio.get_running_loop().create_task(self._tick())
+
+    def close(self) -> None:
+        """Ignore all further events."""
+        if self._ticker is not None:
+            self._ticker.cancel()
+        self._is_closed = True
+
+    async def stop_writer(self) -> None:
+        """Finish the writes that can be finished and close the storage."""
+        await self._writer.stop()
+
+    # Events
+
+    def bootstrap(self, members: Sequence[MemberIdentity]) -> None:
+        """Begin the group with ``members`` (``ReplicaMachine.bootstrap``)."""
+        self._machine.bootstrap(members, self._clock())
+        self._carry_out_effects()
+
+    def propose(self, command: bytes) -> asyncio.Future[Outcome] | None:
+        """Append ``command`` to the log; None if this replica is not the confirmed primary."""
+        index = self._machine.propose(command, self._clock())
+        if index is None:
+            return None
+        future = self._proposals.add(index, self._machine.epoch)
+        self._carry_out_effects()
+        return future
+
+    def transfer_leadership(self) -> None:
+        """Ask another member to take over as primary, if this replica is the primary."""
+        self._machine.transfer_leadership(self._clock())
+        self._carry_out_effects()
+
+    def deliver(self, sender: MemberIdentity, batch: Batch) -> None:
+        """Take the messages of ``sender``, in order."""
+        if self._is_closed:
+            return
+        if batch.stranger:  # the member that was meant is no longer at its address
+            self._machine.record_disk_replaced(sender.member_id, self._clock())
+            self._carry_out_effects()
+        for message in batch.messages:
+            self._machine.receive(sender, message, self._clock())
+            self._carry_out_effects()
+
+    async def _tick(self) -> None:
+        while not self._is_closed:
+            self._machine.tick(self._clock())
+            self._carry_out_effects()
+            await asyncio.sleep(TICK_S)
+
+    def _on_written(self, ticket: int) -> None:
+        if self._is_closed:
+            return
+        self._applier.writes_finished(ticket)
+        self._machine.complete_writes(ticket, self._clock())
+        self._carry_out_effects()
+        if not self._machine.has_pending_writes:
+            self._messenger.writes_finished()
+
+    def _on_write_failed(self, error: OSError) -> None:
+        _log.error("disk_write_failed", extra={"group": self._group_name, "reason": str(error)})
+        if not self._is_closed:
+            self._machine.record_write_failure(self._clock())
+            self._carry_out_effects()
+
+    def _on_snapshot_skipped(self, ticket: int, error: OSError) -> None:
+        _log.warning("snapshot_skipped", extra={"group": self._group_name, "reason": str(error)})
+        if not self._is_closed:
+            self._machine.skip_snapshot(ticket)
+
+    # Effects
+
+    def _carry_out_effects(self) -> None:
+        """Do what the last event led to: write, send, apply, notify, in this order.
+
+        Messages may leave before the writes are durable: the machine emits a message that vouches for a write
+        only after that write was reported.
+        """
+        if self._is_closed:
+            return
+        effects = self._machine.take_effects()
+        if effects.writes:
+            self._writer.submit(effects.writes)
+        if effects.restore is not None:
+            self._applier.restore(effects.restore.state)
+        for outgoing in effects.messages:
+            self._messenger.send(self._identity, outgoing.receiver, outgoing.message)
+        self._apply_committed(effects)
+        if effects.changed:
+            self._notifier.notify(self._machine)
+
+    def _apply_committed(self, effects: Effects) -> None:
+        if not effects.committed:
+            return
+        for entry in effects.committed:
+            self._applier.apply(entry)
+        state = self._applier.take_due_snapshot()
+        if state is not None:
+            ticket = self._machine.save_snapshot(state, self._clock())
+            self._applier.snapshot_write_started(ticket)
+            self._carry_out_effects()
--- a/cherrycove/tier/simulation/control/mutations.py
+++ b/cherrycove/tier/simulation/control/mutations.py
@@ -18,8 +18,8 @@
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.distribution.publisher import Publisher
 from cherrycove.tier.errors import ErrorKind, Failure
-from cherrycove.tier.replication.group import ReplicatedGroup
 from cherrycove.tier.replication.machine import ReplicaMachine
+from cherrycove.tier.replication.messenger import PeerMessenger
 from cherrycove.tier.replication.peers import Peer
 from cherrycove.tier.replication.pending_proposals import PendingProposals
 from cherrycove.tier.replication.primary import Primary
@@ -161,17 +161,17 @@
 
 
 def _batches_for_another_disk_are_taken() -> Patches:
-    async def receive(group: Any, batch: Any) -> Any:
-        if group._machine is not None:
-            batch.receiver_id = group._identity.member_id
-        return await original(group, batch)
+    async def handle_call(messenger: Any, batch: Any) -> Any:
+        if messenger._replica is not None:
+            batch.receiver_id = messenger._replica.identity.member_id
+        return await original(messenger, batch)
 
     async def serve(endpoint: Any, name: str, body: bytes, receiver: str) -> Any:
         return await serve_to_receiver(endpoint, name, body, "")
 
-    original = ReplicatedGroup._receive
+    original = PeerMessenger._handle_call
     serve_to_receiver = network._serve
-    yield mock.patch.object(ReplicatedGroup, "_receive", receive)
+    yield mock.patch.object(PeerMessenger, "_handle_call", handle_call)
     yield mock.patch.object(network, "_serve", serve)
 
 
--- a/cherrycove/tier/simulation/control/processes.py
+++ b/cherrycove/tier/simulation/control/processes.py
@@ -23,8 +23,10 @@
 from cherrycove.tier.programs.store_membership import StoreMembership
 from cherrycove.tier.protocol.control_methods import PULL
 from cherrycove.tier.protocol.control_pb2 import Announcement, PullReply, PullRequest
+from cherrycove.tier.replication.factory import create_group
 from cherrycove.tier.replication.group import ReplicatedGroup
 from cherrycove.tier.replication.interface import MemberIdentity
+from cherrycove.tier.replication.options import GroupOptions
 from cherrycove.tier.simulation.control.batch_load import FRONT_PORT, Brokers
 from cherrycove.tier.simulation.control.history import change_in
 from cherrycove.tier.simulation.control.loop import Life
@@ -79,17 +81,18 @@
         identity = MemberIdentity(
             member_id, settings.node_name, settings.internal_address(self.program), settings.zone
         )
-        self.group = ReplicatedGroup(
-            self.program,
-            identity,
-            Path("simulated"),
-            self.world.faults,
-            state,
-            self.endpoint,
-            self.client,
+        options = GroupOptions(
+            name=self.program,
+            identity=identity,
+            directory=Path("simulated"),
+            faults=self.world.faults,
+            state_machine=state,
+            server=self.endpoint,
+            client=self.client,
             random=self.random,
             runtime=surroundings.runtime(self.machine.disks[self.program]),
         )
+        self.group = create_group(options)
 
     def announce(self) -> Announcement:
         return describe(self.program, self.settings, self.group, self.fresh, self.life.name, self.leaving)
--- a/tests/tier/golden_stories.py
+++ b/tests/tier/golden_stories.py
@@ -40,9 +40,10 @@
 from cherrycove.tier.protocol.control_methods import PULL
 from cherrycove.tier.protocol.replication_methods import replicate
 from cherrycove.tier.replication.effects import WriteEntries, WriteHardState
-from cherrycove.tier.replication.group import ReplicatedGroup
+from cherrycove.tier.replication.factory import create_group
 from cherrycove.tier.replication.interface import CommittedMembers, MemberIdentity
 from cherrycove.tier.replication.machine import ReplicaMachine
+from cherrycove.tier.replication.options import GroupOptions
 from cherrycove.tier.replication.transport import Transport
 from cherrycove.tier.settings import Settings
 from cherrycove.tier.storage.replica_storage import ReplicaStorage
@@ -459,11 +460,23 @@
     ]
 
 
+def group_options(program: str, identity: MemberIdentity, state: ControlState, wire: Wire) -> GroupOptions:
+    return GroupOptions(
+        name=program,
+        identity=identity,
+        directory=Path("unused"),
+        faults=1,
+        state_machine=state,
+        server=wire,
+        client=wire,
+    )
+
+
 async def replication(program: str) -> Transcript:
     """One message between replicas, whose receiver is another disk by now."""
     wire = Wire()
     identity = MemberIdentity("disk-a", "core-1", "10.1.0.1:7700", "north")
-    ReplicatedGroup(program, identity, Path("unused"), 1, ControlState(), wire, wire)
+    create_group(group_options(program, identity, ControlState(), wire))
     peer = MemberIdentity("disk-b", "core-2", "10.1.0.2:7700", "south")
     transport = Transport(wire, replicate(program), lambda sender, batch: None)
     message = support.build("cherrycove.replication.Message", {"epoch": 5, "append": {"sent_us": 7}})
@@ -483,7 +496,7 @@
         BatchStoreService(settings(), group, JobsState(), wire)
         MembershipService(settings(), "keeper", "process-1", wire, wire, random.Random(1))
         for program in support.STATES:
-            ReplicatedGroup(program, group.identity, Path("unused"), 1, state, wire, wire)
+            create_group(group_options(program, group.identity, state, wire))
         return dict(sorted(wire.requests.items()))
 
     return asyncio.run(register())
--- a/tests/tier/test_batch_replicated.py
+++ b/tests/tier/test_batch_replicated.py
@@ -29,8 +29,9 @@
 from cherrycove.tier.protocol import batch_pb2 as pb
 from cherrycove.tier.protocol.control_pb2 import Announcement
 from cherrycove.tier.protocol.rpc import RpcClient, RpcServer
-from cherrycove.tier.replication.group import ReplicatedGroup
+from cherrycove.tier.replication.factory import create_group
 from cherrycove.tier.replication.interface import MemberIdentity
+from cherrycove.tier.replication.options import GroupOptions
 
 HOSTS = ("127.0.0.1", "127.0.0.2", "127.0.0.3")
 BUDGET_S = 10.0
@@ -47,7 +48,16 @@
         self.server, self.client, self.state = RpcServer(), RpcClient(), JobsState()
         disk = folder / host
         disk.mkdir(exist_ok=True)
-        self.group = ReplicatedGroup("store", self.identity, disk, 1, self.state, self.server, self.client)
+        options = GroupOptions(
+            name="store",
+            identity=self.identity,
+            directory=disk,
+            faults=1,
+            state_machine=self.state,
+            server=self.server,
+            client=self.client,
+        )
+        self.group = create_group(options)
         self.store = BatchStoreService(own, self.group, self.state, self.server)
 
     async def start(self, members: list[MemberIdentity]) -> None:
--- a/tests/tier/test_control_replicated.py
+++ b/tests/tier/test_control_replicated.py
@@ -12,8 +12,9 @@
 from cherrycove.tier.controlplane.controller import Controller
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.protocol.rpc import RpcClient, RpcServer
-from cherrycove.tier.replication.group import ReplicatedGroup
+from cherrycove.tier.replication.factory import create_group
 from cherrycove.tier.replication.interface import MemberIdentity
+from cherrycove.tier.replication.options import GroupOptions
 from cherrycove.tier.settings import CloudApi, ListenAddresses, Settings
 
 HOSTS = ("127.0.0.1", "127.0.0.2", "127.0.0.3")
@@ -42,7 +43,16 @@
         state = ControlState()
         disk = folder / host
         disk.mkdir(exist_ok=True)
-        self.group = ReplicatedGroup("keeper", self.identity, disk, 1, state, self.server, self.client)
+        options = GroupOptions(
+            name="keeper",
+            identity=self.identity,
+            directory=disk,
+            faults=1,
+            state_machine=state,
+            server=self.server,
+            client=self.client,
+        )
+        self.group = create_group(options)
         self.keeper = Controller(settings, self.group, state, self.server, self.client)
 
     async def start(self, members: list[MemberIdentity]) -> None:
--- a/tests/tier/test_replication_loopback.py
+++ b/tests/tier/test_replication_loopback.py
@@ -13,8 +13,10 @@
 
 from cherrycove.tier.errors import ErrorKind
 from cherrycove.tier.protocol.rpc import RpcClient, RpcServer
+from cherrycove.tier.replication.factory import create_group
 from cherrycove.tier.replication.group import ReplicatedGroup
 from cherrycove.tier.replication.interface import MemberIdentity
+from cherrycove.tier.replication.options import GroupOptions
 from cherrycove.tier.storage.identity import first_member_id, open_identity
 
 TIMEOUT_S = 10.0
@@ -55,17 +57,18 @@
         member_id, _ = open_identity(self.directory, self.first_start, self.name)
         self.journal = Journal()
         self.server, self.client, self.changed = RpcServer(), RpcClient(), asyncio.Event()
-        self.group = ReplicatedGroup(
-            "test",
-            MemberIdentity(member_id, self.name, self.address),
-            self.directory,
-            1,
-            self.journal,
-            self.server,
-            self.client,
+        options = GroupOptions(
+            name="test",
+            identity=MemberIdentity(member_id, self.name, self.address),
+            directory=self.directory,
+            faults=1,
+            state_machine=self.journal,
+            server=self.server,
+            client=self.client,
             random=Random(self.name),
             snapshot_log_bytes=snapshot_log_bytes,
         )
+        self.group = create_group(options)
         self.group.on_change(self.changed.set)
         await self.client.start()
         await self.server.start(self.address)
--- a/tests/tier/test_rpc.py
+++ b/tests/tier/test_rpc.py
@@ -315,7 +315,7 @@
         await first._group.stop()
         made = program(settings)
         before = made._server.identity
-        promise = made._group._directory / HARD_STATE_FILE
+        promise = made._group._options.directory / HARD_STATE_FILE
         promise.write_bytes(b"damaged")
         await made._group.start()
         assert made._server.identity == made._group.identity.member_id != before
