--- a/cherrycove/tier/membership/anti_entropy.py
+++ b/cherrycove/tier/membership/anti_entropy.py
@@ -1,11 +1,17 @@
-"""The full exchange between two processes: compare digests, then send only what differs."""
+"""Anti-entropy: two processes compare digests of their tables, then send only the members that differ.
+
+Gossip alone may miss a member for good, since an update is sent a bounded number of times. The exchange is
+the push-pull anti-entropy of Demers et al. ("Epidemic Algorithms for Replicated Database Maintenance", 1987).
+Every interval is multiplied by 0.75 to 1.25 at random, so that the members' exchanges do not coincide.
+"""
 
 from __future__ import annotations
 
 import random
 
-from cherrycove.tier.membership.members import Member, MemberState, MemberStatus, SwimParameters
-from cherrycove.tier.membership.membership_list import MembershipList
+from cherrycove.tier.membership.members import Member, MemberState, MemberStatus
+from cherrycove.tier.membership.membership_list import MembershipList, MergeResult
+from cherrycove.tier.membership.parameters import SwimParameters
 from cherrycove.tier.protocol.membership_pb2 import (
     CompareReply,
     CompareRequest,
@@ -14,9 +20,16 @@
     MergeRequest,
 )
 
+BACKOFF_FACTOR = 2.0
+MIN_JITTER = 0.75
+JITTER_RANGE = 0.5
+
 
 class AntiEntropySchedule:
-    """Exchanges are frequent while they bring news, and become rare while they bring none."""
+    """The time of the next exchange: soon while tables differ, with an exponential backoff while they agree.
+
+    Owned by the ``SwimMachine``.
+    """
 
     def __init__(self, parameters: SwimParameters, rng: random.Random, now: float) -> None:
         self._shortest_s = parameters.exchange_periods * parameters.period_s
@@ -26,72 +39,84 @@
         self.due_at = now + self._shortest_s
 
     def back_off(self, now: float) -> None:
-        """An exchange starts; unless it brings news, the next one comes later."""
-        self.due_at = now + self._interval_s * (0.75 + 0.5 * self._rng.random())
-        self._interval_s = min(2.0 * self._interval_s, self._longest_s)
+        """Schedule the exchange after the one that starts now, later than that one."""
+        self.due_at = now + self._jittered_interval_s()
+        self._interval_s = min(BACKOFF_FACTOR * self._interval_s, self._longest_s)
 
     def hasten(self, now: float) -> None:
-        """Tables were found to differ; compare again soon."""
+        """Schedule an exchange soon, since two tables were found to differ."""
         self._interval_s = self._shortest_s
-        self.due_at = min(self.due_at, now + self._interval_s * (0.75 + 0.5 * self._rng.random()))
+        self.due_at = min(self.due_at, now + self._jittered_interval_s())
+
+    def postpone(self, delay_s: float) -> None:
+        """Move the timer after a stall of the local process."""
+        self.due_at += delay_s
+
+    def _jittered_interval_s(self) -> float:
+        return self._interval_s * (MIN_JITTER + JITTER_RANGE * self._rng.random())
 
 
 class AntiEntropyExchange:
-    """Both sides of the two calls, without the calling."""
+    """The messages of both sides of an exchange; the runtime makes the calls.
+
+    Owned by the ``SwimMachine``. The caller sends ``compare_request`` and passes the reply to
+    ``handle_compare_reply``, which returns the second request if there is one. An exchange that breaks off
+    after any message leaves both tables valid. Every handler raises InvalidMessageError for a message that
+    no correct process sends.
+    """
 
     def __init__(self, members: MembershipList) -> None:
         self._members = members
-        self._news = 0
+        self._changed = 0
         self._contested: list[MemberStatus] = []
 
     def compare_request(self) -> CompareRequest:
-        """The first call of an exchange that starts here."""
+        """Return the first request of an exchange that starts here."""
         return CompareRequest(sender=self._local_record(), digests=self._members.table.digests())
 
     def handle_compare(self, request: CompareRequest, now: float) -> CompareReply:
-        """Answer the first call."""
+        """Answer the first request with the buckets that differ and their members."""
         self._merge_sender(request.sender, now)
         differing = self._members.table.differing_buckets(request.digests)
         known = self._members.table.in_buckets(differing)
-        return CompareReply(
-            sender=self._local_record(), differing=differing, updates=[status.to_update() for status in known]
-        )
+        updates = [status.to_update() for status in known]
+        return CompareReply(sender=self._local_record(), differing=differing, updates=updates)
 
     def handle_compare_reply(self, reply: CompareReply, now: float) -> MergeRequest | None:
-        """Take the answer; returns the second call if there is something to tell."""
+        """Merge the reply; returns the second request, None where the callee has all that is known here."""
         self._merge_sender(reply.sender, now)
-        theirs = [MemberStatus.from_update(update) for update in reply.updates]
-        told = {status.member.key: status.precedence for status in theirs}
-        self._merge(theirs, now)
-        better = [
+        remote = [MemberStatus.from_update(update) for update in reply.updates]
+        remote_precedence = {status.member.key: status.precedence for status in remote}
+        self._merge_table(remote, now)
+        updates = [
             status.to_update()
             for status in self._members.table.in_buckets(reply.differing)
-            if told.get(status.member.key) != status.precedence
+            if remote_precedence.get(status.member.key) != status.precedence
         ]
-        return MergeRequest(sender=self._local_record(), updates=better) if better else None
+        return MergeRequest(sender=self._local_record(), updates=updates) if updates else None
 
     def handle_merge(self, request: MergeRequest, now: float) -> MergeReply:
-        """Answer the second call."""
+        """Answer the second request."""
         self._merge_sender(request.sender, now)
-        self._merge([MemberStatus.from_update(update) for update in request.updates], now)
+        self._merge_table([MemberStatus.from_update(update) for update in request.updates], now)
         return MergeReply()
 
-    def take_result(self) -> tuple[int, list[MemberStatus]]:
-        """News since the last call, and the statuses that the members concerned should hear."""
-        outcome = self._news, self._contested
-        self._news = 0
+    def take_result(self) -> MergeResult:
+        """Return what all exchanges have brought since the last call."""
+        result = MergeResult(self._changed, tuple(self._contested))
+        self._changed = 0
         self._contested = []
-        return outcome
+        return result
 
-    def _merge(self, statuses: list[MemberStatus], now: float) -> None:
-        outcome = self._members.merge_remote_table(statuses, now)
-        self._news += outcome.news
-        self._contested += outcome.contested
+    def _merge_table(self, statuses: list[MemberStatus], now: float) -> None:
+        result = self._members.merge_remote_table(statuses, now)
+        self._changed += result.changed
+        self._contested += result.contested
 
     def _merge_sender(self, record: MemberRecord, now: float) -> None:
         sender = MemberStatus(Member.from_record(record), MemberState.ALIVE)
         if self._members.merge(sender, now):
-            self._news += 1
+            self._changed += 1
 
     def _local_record(self) -> MemberRecord:
         return self._members.local.member.to_record()
--- a/cherrycove/tier/membership/dissemination.py
+++ b/cherrycove/tier/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Updates that are still to be spread, attached to the datagrams that are sent anyway."""
+"""The dissemination component of SWIM (section 4.1): updates are piggybacked on the protocol's datagrams."""
 
 from __future__ import annotations
 
@@ -11,45 +11,56 @@
 from cherrycove.tier.protocol.membership_pb2 import Update
 
 UPDATE_OVERHEAD_BYTES = 3  # tag and length of one entry of a datagram
-CANDIDATES = 24  # more than fit into one datagram
+CANDIDATES_PER_DATAGRAM = 24  # more than fit into one datagram
 
 
 @attrs.define
-class _Pending:
+class _PendingUpdate:
     update: Update
-    size: int
-    sent: int = 0
+    size_bytes: int
+    transmissions: int = 0
 
 
 class DisseminationQueue:
-    """Holds the newest update of each member until it has been sent often enough."""
+    """The newest update of each member, until it has been sent often enough.
+
+    Owned by the ``MembershipList``. An update that is lost with all its datagrams reaches the other members
+    by an anti-entropy exchange.
+    """
 
     def __init__(self) -> None:
-        self._pending: dict[MemberKey, _Pending] = {}
+        self._pending: dict[MemberKey, _PendingUpdate] = {}
 
     def add(self, status: MemberStatus) -> None:
-        """Spread ``status`` in place of what was to be spread of this member before."""
+        """Spread ``status``; it replaces an older update of the same member."""
         update = status.to_update()
-        self._pending[status.member.key] = _Pending(update, update.ByteSize() + UPDATE_OVERHEAD_BYTES)
+        size_bytes = update.ByteSize() + UPDATE_OVERHEAD_BYTES
+        self._pending[status.member.key] = _PendingUpdate(update, size_bytes)
+
+    def take(self, available_bytes: int, max_transmissions: int) -> list[Update]:
+        """Return updates for one datagram, those sent least often first (SWIM, section 4.1).
 
-    def take(self, available_bytes: int, transmissions: int) -> list[Update]:
-        """Updates for one datagram with ``available_bytes`` left, those sent least often first."""
+        They fit into ``available_bytes``. An update leaves the queue with its ``max_transmissions``-th
+        transmission.
+        """
         if not self._pending:
             return []
-        candidates = heapq.nsmallest(CANDIDATES, self._pending.items(), key=lambda item: item[1].sent)
+        candidates = heapq.nsmallest(
+            CANDIDATES_PER_DATAGRAM, self._pending.items(), key=lambda item: item[1].transmissions
+        )
         taken = []
         for key, pending in candidates:
-            if pending.size > available_bytes:
+            if pending.size_bytes > available_bytes:
                 continue
-            available_bytes -= pending.size
+            available_bytes -= pending.size_bytes
             taken.append(pending.update)
-            pending.sent += 1
-            if pending.sent >= transmissions:
+            pending.transmissions += 1
+            if pending.transmissions >= max_transmissions:
                 del self._pending[key]
         return taken
 
     def discard(self, keys: Iterable[MemberKey]) -> None:
-        """Spread nothing of these members."""
+        """Stop spreading the updates of these members."""
         for key in keys:
             self._pending.pop(key, None)
 
--- a/cherrycove/tier/membership/member_table.py
+++ b/cherrycove/tier/membership/member_table.py
@@ -1,4 +1,4 @@
-"""The members known to one process, with digests by which two tables are compared cheaply."""
+"""The known members, with digests by which two processes compare their tables."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 def bucket_of(key: MemberKey) -> int:
-    """The bucket of a member; the same in every process."""
+    """Return the bucket of a member (0 to ``DIGEST_BUCKETS`` - 1); it is the same in every process."""
     return zlib.crc32(f"{key.node_name}/{key.program}".encode()) % DIGEST_BUCKETS
 
 
 def _digest_of(status: MemberStatus) -> int:
-    """A hash of what two agreeing tables have alike; members that do not run add nothing."""
+    """Return a hash of what two converged tables have in common; members that do not run add nothing."""
     if not status.state.is_running:
         return 0
     member = status.member
@@ -27,26 +27,32 @@
 
 
 class MemberTable:
-    """Every member heard of, the own process included; those that do not run stay for a while."""
+    """Every known member, the local one included.
+
+    Owned by the ``MembershipList``. Members that do not run any more stay as tombstones until they are
+    removed, so that an old update does not bring them back. The digest of a bucket is the XOR of its
+    members' digests, which makes a change cheap.
+    """
 
     def __init__(self, local: MemberStatus) -> None:
         self._local_key = local.member.key
         self._statuses: dict[MemberKey, MemberStatus] = {}
         self._buckets: list[set[MemberKey]] = [set() for _ in range(DIGEST_BUCKETS)]
         self._digests = [0] * DIGEST_BUCKETS
-        self._ended_at: dict[MemberKey, float] = {}  # members that do not run, and since when
+        self._ended_at: dict[MemberKey, float] = {}  # tombstones: when the member was found not to run
         self.put(local, 0.0)
 
     def get(self, key: MemberKey) -> MemberStatus | None:
+        """Return the status of a member, None where it is not known."""
         return self._statuses.get(key)
 
     def put(self, status: MemberStatus, now: float) -> None:
-        """Replace what is known of one member."""
+        """Replace the status of one member."""
         key = status.member.key
         bucket = bucket_of(key)
-        former = self._statuses.get(key)
-        if former is not None:
-            self._digests[bucket] ^= _digest_of(former)
+        previous = self._statuses.get(key)
+        if previous is not None:
+            self._digests[bucket] ^= _digest_of(previous)
         self._digests[bucket] ^= _digest_of(status)
         self._buckets[bucket].add(key)
         self._statuses[key] = status
@@ -56,7 +62,7 @@
             self._ended_at[key] = now
 
     def remove_ended(self, before: float) -> None:
-        """Drop the members that ended earlier than ``before``."""
+        """Remove the tombstones that are older than ``before``."""
         removed = [key for key, ended_at in self._ended_at.items() if ended_at < before]
         for key in removed:
             del self._ended_at[key]
@@ -65,36 +71,37 @@
 
     @property
     def running_count(self) -> int:
-        """Running members, the own process included."""
+        """The number of running members, the local one included."""
         return len(self._statuses) - len(self._ended_at)
 
     def running(self) -> Iterator[MemberStatus]:
-        """Running members, the own process included."""
+        """Return the running members, the local one included."""
         return (status for status in self._statuses.values() if status.state.is_running)
 
     def peers(self) -> list[MemberStatus]:
-        """Running members besides the own process."""
+        """Return the running members without the local one."""
         return [status for status in self.running() if status.member.key != self._local_key]
 
     def dead(self) -> list[MemberStatus]:
-        """Members declared dead and still remembered."""
+        """Return the members that were declared dead and are still remembered."""
         ended = (self._statuses[key] for key in self._ended_at)
         return [status for status in ended if status.state is MemberState.DEAD]
 
     def statuses(self) -> tuple[MemberStatus, ...]:
+        """Return every known member, also the tombstones."""
         return tuple(self._statuses.values())
 
     def digests(self) -> tuple[int, ...]:
-        """One hash for each bucket; equal where two tables agree on the running members."""
+        """Return one hash per bucket; equal where two tables agree on the running members."""
         return tuple(self._digests)
 
     def differing_buckets(self, digests: Sequence[int]) -> list[int]:
-        """Buckets in which another table's ``digests`` are not like the own ones."""
+        """Return the buckets in which another table's ``digests`` differ from those of this one."""
         if len(digests) != DIGEST_BUCKETS:
             return list(range(DIGEST_BUCKETS))
         return [bucket for bucket in range(DIGEST_BUCKETS) if digests[bucket] != self._digests[bucket]]
 
     def in_buckets(self, buckets: Sequence[int]) -> list[MemberStatus]:
-        """Everything known of the members in ``buckets``."""
+        """Return every known member of these buckets; numbers of no bucket are ignored."""
         known = [bucket for bucket in buckets if bucket < DIGEST_BUCKETS]
         return [self._statuses[key] for bucket in known for key in self._buckets[bucket]]
--- a/cherrycove/tier/membership/membership_list.py
+++ b/cherrycove/tier/membership/membership_list.py
@@ -1,4 +1,4 @@
-"""What one process believes of all members: how news are merged, doubted, refuted and given up."""
+"""The local membership list: how updates are merged, and suspicions raised, refuted and expired."""
 
 from __future__ import annotations
 
@@ -14,31 +14,45 @@
     MemberKey,
     MemberState,
     MemberStatus,
-    SwimParameters,
     check_incarnation,
 )
+from cherrycove.tier.membership.parameters import SwimParameters
 from cherrycove.tier.protocol.membership_pb2 import ReceiverView, Update
 
 NEVER = float("inf")
-MAX_UPDATES_GOSSIPED_PER_EXCHANGE = 20  # news of one exchange; more of them spread by further exchanges
+MAX_UPDATES_GOSSIPED_PER_EXCHANGE = (
+    20  # with more changes, other members learn them by exchanges of their own
+)
 
 
 @attrs.define
 class Suspicion:
-    """A running time-out of a suspected member."""
+    """The timers of a suspected member; times are seconds of the machine's clock."""
+
+    expires_at: float  # when the member is declared dead
+    verify_at: float  # when it is pinged next; NEVER where this process leaves that to others
 
-    deadline: float  # when it is declared dead
-    verify_at: float  # when it is pinged next; inf: others do
+    def postpone(self, delay_s: float) -> None:
+        """Move both timers after a stall of the local process."""
+        self.expires_at += delay_s
+        self.verify_at += delay_s
 
 
 @attrs.frozen
 class MergeResult:
-    news: int  # members of which something new was learned
-    contested: tuple[MemberStatus, ...]  # statuses that the members concerned should hear and refute
+    """What the merge of another process's table has brought."""
+
+    changed: int = 0  # members whose status changed here
+    contested: tuple[MemberStatus, ...] = ()  # statuses to send to the members concerned, who may refute them
 
 
 class MembershipList:
-    """The table of members, the suspicions, and the updates still to be spread."""
+    """The members as one process knows them, the suspicions, and the updates to be disseminated.
+
+    Owned by the ``SwimMachine``; the failure detector, gossip, discovery and anti-entropy read and change it.
+    ``docs/design/membership.md`` has the state table of a member. Nothing of it survives the process: a new
+    process starts with an incarnation above that of its predecessor and learns the members from the seeds.
+    """
 
     def __init__(self, local: Member, parameters: SwimParameters, rng: random.Random) -> None:
         self.local = MemberStatus(local, MemberState.ALIVE)
@@ -51,13 +65,15 @@
         self._changes: list[MemberChanged] = []
 
     def take_changes(self) -> list[MemberChanged]:
-        """Changes since the last call."""
+        """Return the changes since the last call."""
         changes = self._changes
         self._changes = []
         return changes
 
+    # Merging
+
     def merge(self, status: MemberStatus, now: float) -> bool:
-        """Merge one update that came in a datagram; returns whether it was news."""
+        """Merge one status by the override rules (SWIM, section 4.2); returns whether it was new."""
         if status.member.key == self.local.member.key:
             return self._refute(status, now)
         known = self.table.get(status.member.key)
@@ -72,7 +88,11 @@
         return True
 
     def merge_update(self, update: Update, now: float) -> bool:
-        """Merge one update of a datagram; most are known already, which costs little."""
+        """Merge one piggybacked update; returns whether it was new.
+
+        Most updates are known already, and those are not decoded in full. Raises InvalidMessageError for
+        an invalid one.
+        """
         record = update.member
         known = self.table.get(MemberKey(record.node_name, record.program))
         if known is not None and known.state.value == int(update.state):
@@ -82,18 +102,23 @@
         return self.merge(MemberStatus.from_update(update), now)
 
     def merge_receiver_view(self, view: ReceiverView, now: float) -> None:
-        """Refute, where it is wrong, what another process believes of this one."""
+        """Refute, where it is wrong, the state in which a peer has the local process.
+
+        A peer sends it with each ping, so that a suspected member learns of the suspicion from the first
+        ping and refutes at once (the "Buddy System" of Lifeguard). Raises InvalidMessageError.
+        """
         check_incarnation(view.incarnation)
-        believed = attrs.evolve(self.local.member, process_id=view.process_id, incarnation=view.incarnation)
-        self._refute(MemberStatus(believed, MemberState(view.state)), now)
+        viewed = attrs.evolve(self.local.member, process_id=view.process_id, incarnation=view.incarnation)
+        self._refute(MemberStatus(viewed, MemberState.from_wire(view.state)), now)
 
     def merge_remote_table(self, statuses: list[MemberStatus], now: float) -> MergeResult:
         """Merge the table of another process.
 
-        What it holds dead and runs here, or the other way round, is left to the member concerned: after a cut
-        each side holds the other dead, and no healthy member may be given up for that.
+        Where one table has a member dead and the other has it running, the member concerned decides by a
+        refutation: after a partition heals each side has the other dead, and no healthy member may be
+        declared dead because of that. Suspicions are not taken over; they spread by gossip.
         """
-        news = []
+        changed = []
         contested = []
         for status in statuses:
             contested_status = self._contested_status(status)
@@ -102,34 +127,43 @@
             elif status.state is MemberState.SUSPECT:
                 continue
             elif self.merge(status, now):
-                news.append(status.member.key)
-        if len(news) > MAX_UPDATES_GOSSIPED_PER_EXCHANGE:
-            self.queue.discard(news)
-        return MergeResult(len(news), tuple(contested))
+                changed.append(status.member.key)
+        if len(changed) > MAX_UPDATES_GOSSIPED_PER_EXCHANGE:
+            self.queue.discard(changed)
+        return MergeResult(len(changed), tuple(contested))
+
+    # Suspicion
 
     def suspect(self, member: Member, now: float) -> None:
-        """The member answered neither directly nor through others."""
+        """Suspect a member that answered neither a direct nor an indirect probe (SWIM, section 4.2)."""
         known = self.table.get(member.key)
         if known == MemberStatus(member, MemberState.ALIVE):
-            self._put(MemberStatus(member, MemberState.SUSPECT), now, self._suspicion_s(), verify=True)
+            suspected = MemberStatus(member, MemberState.SUSPECT)
+            self._put(suspected, now, self._suspicion_s(), is_verified_here=True)
 
     def expire_suspicions(self, now: float) -> None:
-        """Declare dead whoever has not refuted its suspicion in time."""
+        """Declare dead every suspected member that did not refute in time (SWIM, section 4.2)."""
         for key, suspicion in list(self.suspicions.items()):
             known = self.table.get(key)
-            if suspicion.deadline <= now and known is not None:
+            if suspicion.expires_at <= now and known is not None:
                 self._put(attrs.evolve(known, state=MemberState.DEAD), now, 0.0)
 
+    def next_suspicion_deadline(self) -> float:
+        """Return when the next suspicion expires or its member is pinged."""
+        timers = (min(suspicion.expires_at, suspicion.verify_at) for suspicion in self.suspicions.values())
+        return min(timers, default=NEVER)
+
     def leave(self, now: float) -> None:
-        """The own process ends."""
+        """Record that the local process shuts down; it refutes nothing any more."""
         self._put_local(attrs.evolve(self.local, state=MemberState.LEFT), now)
 
     def _refute(self, status: MemberStatus, now: float) -> bool:
+        """Raise the local incarnation above that of a wrong status (SWIM, section 4.2)."""
         local = self.local.member
         if self.local.state is MemberState.LEFT:
             return False
-        same_process = status.member.process_id == local.process_id
-        if same_process and status.state is MemberState.ALIVE:
+        is_same_process = status.member.process_id == local.process_id
+        if is_same_process and status.state is MemberState.ALIVE:
             return False
         if status.member.precedence < local.precedence:
             return False
@@ -144,7 +178,7 @@
         return True
 
     def _merge_reported_death(self, known: MemberStatus, status: MemberStatus, now: float) -> None:
-        """Believe it of a member suspected here too; of others only when they do not object soon."""
+        """Declare a member dead that is suspected here too; suspect any other one first."""
         if known.state is MemberState.SUSPECT and known.member.precedence == status.member.precedence:
             self._put(status, now, 0.0)
             return
@@ -152,37 +186,36 @@
         self._put(attrs.evolve(status, state=MemberState.SUSPECT), now, suspicion_s)
 
     def _contested_status(self, status: MemberStatus) -> MemberStatus | None:
-        """What to confront a member with when two tables disagree on whether it runs."""
+        """Return the status that has the member dead, where two tables disagree on whether it runs."""
         known = self.table.get(status.member.key)
         if known is None or known.member.key == self.local.member.key:
             return None
-        if (
-            status.state is MemberState.DEAD
-            and known.state.is_running
-            and status.precedence > known.precedence
-        ):
+        is_newer = status.precedence > known.precedence
+        if status.state is MemberState.DEAD and known.state.is_running and is_newer:
             return status
-        alike = status.member.precedence == known.member.precedence
-        if status.state.is_running and known.state is MemberState.DEAD and alike:
+        is_same_start = status.member.precedence == known.member.precedence
+        if status.state.is_running and known.state is MemberState.DEAD and is_same_start:
             return known
         return None
 
     def _suspicion_s(self) -> float:
         return self._parameters.suspicion_s(self.table.running_count)
 
-    def _put(self, status: MemberStatus, now: float, suspicion_s: float, verify: bool = False) -> None:
+    def _put(
+        self, status: MemberStatus, now: float, suspicion_s: float, *, is_verified_here: bool = False
+    ) -> None:
         key = status.member.key
-        former = self.table.get(key)
+        previous = self.table.get(key)
         self.table.put(status, now)
         self.queue.add(status)
         self.suspicions.pop(key, None)
         if status.state is MemberState.SUSPECT:
-            verifies = verify or self._is_verifier()
+            verifies = is_verified_here or self._is_verifier()
             self.suspicions[key] = Suspicion(now + suspicion_s, now if verifies else NEVER)
-        self._changes.append(MemberChanged(former, status))
+        self._changes.append(MemberChanged(previous, status))
 
     def _is_verifier(self) -> bool:
-        """Whether this process is among the few that ping a suspected member besides its accuser."""
+        """Draw whether this process is among the few that ping a member suspected by another."""
         return self._rng.random() * self.table.running_count < self._parameters.verifying_members
 
     def _put_local(self, status: MemberStatus, now: float) -> None:
--- a/cherrycove/tier/membership/outbox.py
+++ b/cherrycove/tier/membership/outbox.py
@@ -1,58 +1,85 @@
-"""Builds the datagrams of one process and fills them up with updates."""
+"""Builds the datagrams of one process and piggybacks updates on them."""
 
 from __future__ import annotations
 
+import random
+from collections.abc import Callable, Sequence
+
 from cherrycove.tier.membership.effects import SendDatagram
-from cherrycove.tier.membership.members import Member, MemberStatus, SwimParameters
+from cherrycove.tier.membership.members import Member, MemberStatus
 from cherrycove.tier.membership.membership_list import MembershipList
-from cherrycove.tier.protocol.membership_pb2 import Ack, Datagram, IndirectPing, Ping, ReceiverView
+from cherrycove.tier.membership.parameters import SwimParameters
+from cherrycove.tier.protocol.membership_pb2 import Ack, Datagram, IndirectPing, Ping
+
+
+def sample(rng: random.Random, statuses: Sequence[MemberStatus], count: int) -> list[MemberStatus]:
+    """Return ``count`` different members at random, or all where there are fewer."""
+    return rng.sample(statuses, min(count, len(statuses)))
 
 
 class Outbox:
-    """Datagrams to be sent, in order."""
+    """The datagrams to be sent, in order, and the numbers by which acks are matched to pings.
 
-    def __init__(self, members: MembershipList, parameters: SwimParameters) -> None:
+    Owned by the ``SwimMachine``, which empties it after each event. Each datagram to a known member tells it
+    in which state the sender has it.
+    """
+
+    def __init__(
+        self, members: MembershipList, parameters: SwimParameters, address_of: Callable[[Member], str]
+    ) -> None:
         self._members = members
         self._parameters = parameters
+        self._address_of = address_of
+        self._sequence = 0
         self._pending: list[SendDatagram] = []
 
     def take(self) -> list[SendDatagram]:
-        """What was sent since the last call."""
+        """Return the datagrams since the last call."""
         pending = self._pending
         self._pending = []
         return pending
 
-    def ping(self, address: str, believed: MemberStatus | None, sequence: int) -> None:
-        """Ping whoever is at ``address``, and tell it what is believed of the member expected there."""
-        self._send(address, Datagram(receiver=_view_of(believed), ping=Ping(sequence=sequence)))
+    def address_of(self, member: Member) -> str:
+        """Return where a member listens (host:port), for datagrams as for internal calls."""
+        return self._address_of(member)
+
+    def next_sequence(self) -> int:
+        """Return a new sequence number for a ping of this process."""
+        self._sequence += 1
+        return self._sequence
+
+    def ping(self, receiver: MemberStatus, sequence: int) -> None:
+        """Ping a member (SWIM, section 3.1)."""
+        datagram = Datagram(receiver=receiver.to_receiver_view(), ping=Ping(sequence=sequence))
+        self._send(self.address_of(receiver.member), datagram)
+
+    def ping_address(self, address: str, sequence: int) -> None:
+        """Ping whichever process listens at ``address`` (host:port)."""
+        self._send(address, Datagram(ping=Ping(sequence=sequence)))
 
     def ack(self, address: str, receiver: Member, sequence: int) -> None:
-        believed = self._members.table.get(receiver.key)
-        self._send(address, Datagram(receiver=_view_of(believed), ack=Ack(sequence=sequence)))
+        """Answer a ping of ``receiver`` that came from ``address``."""
+        known = self._members.table.get(receiver.key)
+        view = known.to_receiver_view() if known is not None else None
+        self._send(address, Datagram(receiver=view, ack=Ack(sequence=sequence)))
 
     def relayed_ack(self, address: str, sequence: int) -> None:
-        """Tell a member that the one it asked for has answered."""
+        """Answer an indirect ping: its target has answered this process (SWIM, section 3.1)."""
         self._send(address, Datagram(ack=Ack(sequence=sequence)))
 
-    def indirect_ping(self, address: str, helper: MemberStatus, target: Member, sequence: int) -> None:
-        """Ask ``helper`` to ping ``target``."""
+    def indirect_ping(self, helper: MemberStatus, target: Member, sequence: int) -> None:
+        """Ask ``helper`` to ping ``target``: SWIM's ping-req (section 3.1)."""
         request = IndirectPing(sequence=sequence, target=target.to_record())
-        self._send(address, Datagram(receiver=_view_of(helper), indirect_ping=request))
+        datagram = Datagram(receiver=helper.to_receiver_view(), indirect_ping=request)
+        self._send(self.address_of(helper.member), datagram)
 
-    def gossip(self, address: str, receiver: MemberStatus) -> None:
-        """Send nothing but updates."""
-        self._send(address, Datagram(receiver=_view_of(receiver)))
+    def gossip(self, receiver: MemberStatus) -> None:
+        """Send a datagram that only carries updates."""
+        self._send(self.address_of(receiver.member), Datagram(receiver=receiver.to_receiver_view()))
 
     def _send(self, address: str, datagram: Datagram) -> None:
         datagram.sender.CopyFrom(self._members.local.member.to_record())
         available_bytes = self._parameters.max_datagram_bytes - datagram.ByteSize()
-        transmissions = self._parameters.transmissions(self._members.table.running_count)
-        datagram.updates.extend(self._members.queue.take(available_bytes, transmissions))
+        max_transmissions = self._parameters.transmissions(self._members.table.running_count)
+        datagram.updates.extend(self._members.queue.take(available_bytes, max_transmissions))
         self._pending.append(SendDatagram(address, datagram))
-
-
-def _view_of(status: MemberStatus | None) -> ReceiverView | None:
-    if status is None:
-        return None
-    member = status.member
-    return ReceiverView(process_id=member.process_id, incarnation=member.incarnation, state=status.state.name)
--- a/cherrycove/tier/membership/probing.py
+++ b/cherrycove/tier/membership/probing.py
@@ -1,4 +1,4 @@
-"""The order in which members are probed, and the probes under way."""
+"""Probes in flight, and the order in which members are probed (SWIM, sections 3.1 and 4.3)."""
 
 from __future__ import annotations
 
@@ -11,40 +11,51 @@
 
 @attrs.define
 class Probe:
-    """One member being probed in the current period."""
+    """The probe of the current period; times are seconds of the machine's clock."""
 
     target: Member
     sequence: int
-    retry_at: float  # when it is pinged again, and other members are asked to
-    deadline: float  # when it is suspected
-    indirect_sequence: int | None = None  # of the answers that other members pass on
+    retry_at: float  # when it is pinged again, directly and through other members
+    expires_at: float  # when it is suspected
+    indirect_sequence: int | None = None  # of the acks that other members relay
 
     def is_answered_by(self, sender: MemberKey, sequence: int) -> bool:
-        """Whether an answer proves that the target runs; a process that took over its address does not."""
+        """Return whether an ack proves that the target runs.
+
+        A direct ack must come from the target itself: another process may have taken over its address.
+        """
         if sequence == self.sequence:
             return sender == self.target.key
         return sequence == self.indirect_sequence
 
+    def postpone(self, delay_s: float) -> None:
+        """Move both timers after a stall of the local process."""
+        self.retry_at += delay_s
+        self.expires_at += delay_s
+
 
 @attrs.frozen
 class RelayedPing:
-    """A ping sent for another member, which is told of the answer."""
+    """A ping sent on behalf of another member, which gets a relayed ack."""
 
     requester: str  # host:port
     requester_sequence: int
     target: MemberKey
-    expires: float
+    expires_at: float
 
 
 class ProbeOrder:
-    """Round robin over all members in an order that is shuffled after each round."""
+    """Round robin over all members in an order that is shuffled after each traversal (SWIM, section 4.3).
+
+    It bounds the time within which every member is probed. Owned by the ``FailureDetector``.
+    """
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._order: list[MemberKey] = []
+        self._order: list[MemberKey] = []  # the next member to probe is the last one
 
     def insert(self, key: MemberKey) -> None:
-        """A new member comes at a random place of the current round."""
+        """Add a new member at a random position of the current traversal."""
         self._order.insert(self._rng.randint(0, len(self._order)), key)
 
     def insert_next(self, key: MemberKey) -> None:
@@ -52,7 +63,7 @@
         self._order.append(key)
 
     def next(self, running: list[MemberKey]) -> MemberKey | None:
-        """The next member to probe, of those ``running``."""
+        """Return the member to probe now, one of ``running``; None where there is none."""
         eligible = set(running)
         while self._order:
             key = self._order.pop()
--- a/tests/tier/golden_stories.py
+++ b/tests/tier/golden_stories.py
@@ -33,7 +33,8 @@
 from cherrycove.tier.errors import Failure
 from cherrycove.tier.membership.effects import SendDatagram, StartExchange
 from cherrycove.tier.membership.machine import SwimMachine
-from cherrycove.tier.membership.members import Member, SwimParameters
+from cherrycove.tier.membership.members import Member
+from cherrycove.tier.membership.parameters import SwimParameters
 from cherrycove.tier.membership.service import MembershipService
 from cherrycove.tier.programs.replica import describe
 from cherrycove.tier.protocol.calls import RpcMethod
--- a/tests/tier/swim_network.py
+++ b/tests/tier/swim_network.py
@@ -12,7 +12,8 @@
 
 from cherrycove.tier.membership.effects import Effect, MemberChanged, SendDatagram
 from cherrycove.tier.membership.machine import SwimMachine
-from cherrycove.tier.membership.members import Member, MemberState, SwimParameters
+from cherrycove.tier.membership.members import Member, MemberState
+from cherrycove.tier.membership.parameters import SwimParameters
 from cherrycove.tier.protocol.membership_pb2 import Datagram
 
 PERIOD_S = 1.0
--- a/tests/tier/test_membership_machine.py
+++ b/tests/tier/test_membership_machine.py
@@ -10,7 +10,8 @@
 
 from cherrycove.tier.membership.effects import MemberChanged, SendDatagram, StartExchange
 from cherrycove.tier.membership.machine import SwimMachine
-from cherrycove.tier.membership.members import Member, MemberState, MemberStatus, SwimParameters
+from cherrycove.tier.membership.members import Member, MemberState, MemberStatus
+from cherrycove.tier.membership.parameters import SwimParameters
 from cherrycove.tier.protocol.membership_pb2 import Ack, Datagram, Ping, ReceiverView
 
 SIZES = (3, 5, 20, 60)
