--- a/cherrycove/tier/batch/jobs/state.py
+++ b/cherrycove/tier/batch/jobs/state.py
@@ -8,7 +8,6 @@
 
 from collections.abc import Iterable
 from enum import Enum
-from typing import Protocol
 
 from cherrycove.tier.batch.jobs.model import ItemKey, Job, StoredItem, StoredResult
 from cherrycove.tier.batch.jobs.recent_bodies import RecentBodies
@@ -37,8 +36,8 @@
     UNKNOWN = "unknown"
 
 
-class JobsObserver(Protocol):
-    """Is notified of each change after it was applied."""
+class JobsObserver:
+    """Is notified of each change after it was applied. A subclass overrides what it needs."""
 
     def job_accepted(self, job: Job) -> None:
         """``job`` is new."""
--- a/cherrycove/tier/batch/leasing/lease_table.py
+++ b/cherrycove/tier/batch/leasing/lease_table.py
@@ -38,6 +38,11 @@
         self._grant_order = GrantOrder()
         self._durations = ItemDurations()
 
+    @property
+    def lease_s(self) -> float:
+        """For how long a lease is valid without renewal."""
+        return self._times.lease_s
+
     # Changes of the jobs
 
     def add_job(self, job: LeasableJob, *, from_earlier_epoch: bool) -> None:
--- /dev/null
+++ b/cherrycove/tier/batch/store/call_handlers.py
@@ -0,0 +1,170 @@
+"""Answers the calls of the proxies about batch jobs.
+
+The primary answers from its state only while its lease is valid, and checks that again after every wait. A
+job, a result and an end are acknowledged once the group has committed them.
+"""
+
+from __future__ import annotations
+
+import attrs
+from result import Err, Ok, Result
+
+from cherrycove.tier.batch.jobs.commands import accept_command, end_command, failures_command, item_result
+from cherrycove.tier.batch.jobs.model import ItemKey, StoredItem
+from cherrycove.tier.batch.jobs.state import EndOutcome, JobsState
+from cherrycove.tier.batch.leasing.lease_types import LeaseCall
+from cherrycove.tier.batch.store.epoch_leases import Clocks, EpochLeases
+from cherrycove.tier.batch.store.job_capacity import JobCapacity
+from cherrycove.tier.batch.store.proposals import PROPOSE_TIMEOUT_S, ResultRecorder, SingleFlightProposals
+from cherrycove.tier.batch.store.replies import lease_reply, read_reply
+from cherrycove.tier.batch.store.result_waiters import ResultWaiters
+from cherrycove.tier.errors import ErrorKind, Failure
+from cherrycove.tier.protocol import batch_methods
+from cherrycove.tier.protocol import batch_pb2 as pb
+from cherrycove.tier.protocol.calls import CallRegistry
+from cherrycove.tier.replication.interface import Group
+
+MAX_READ_WAIT_S = 2.0
+
+
+@attrs.frozen(eq=False, kw_only=True)
+class BatchCallHandlers:
+    """One handler for each batch call. Every failure but INVALID and NOT_FOUND may be retried."""
+
+    _group: Group
+    _state: JobsState
+    _leases: EpochLeases
+    _capacity: JobCapacity
+    _recorder: ResultRecorder
+    _waiters: ResultWaiters
+    _submissions: SingleFlightProposals
+    _clocks: Clocks
+
+    def register_at(self, server: CallRegistry) -> None:
+        """Serve all batch calls at ``server``."""
+        server.register(batch_methods.SUBMIT, self.submit)
+        server.register(batch_methods.READ, self.read)
+        server.register(batch_methods.BODY, self.body)
+        server.register(batch_methods.END, self.end)
+        server.register(batch_methods.LEASE, self.lease)
+        server.register(batch_methods.REPORT, self.report)
+
+    async def submit(self, request: pb.SubmitRequest) -> Result[pb.SubmitReply, Failure]:
+        """Accept a job, unless it was accepted before; OVERLOADED if the store has no capacity for it."""
+        # The table of this epoch must exist before the job comes, or its items would count as leased earlier.
+        if self._leases.table() is None:
+            return self._not_primary()
+        if request.job_id in self._state.jobs:
+            return Ok(pb.SubmitReply())
+        if len({item.item_id for item in request.items}) != len(request.items):
+            return Err(Failure(ErrorKind.INVALID, "two items have the same id"))
+        if not self._capacity.has_room(self._state.stored_bytes, request.ByteSize()):
+            return Err(Failure(ErrorKind.OVERLOADED, "no room for further jobs"))
+        received_unix_ms = int(self._clocks.unix_s() * 1000)
+        outcome = await self._submissions.propose(
+            request.job_id, lambda: accept_command(request, received_unix_ms)
+        )
+        return outcome if isinstance(outcome, Err) else Ok(pb.SubmitReply())
+
+    async def read(self, request: pb.ReadRequest) -> Result[pb.ReadReply, Failure]:
+        """Results from the cursor on; waits for the next one as long as the request says."""
+        deadline = self._clocks.now() + min(request.wait_ms / 1000.0, MAX_READ_WAIT_S)
+        while True:
+            if not self._group.is_confirmed_primary():
+                return self._not_primary()
+            job = self._state.jobs.get(request.job_id)
+            if job is None:
+                return _unknown_job()
+            remaining_s = deadline - self._clocks.now()
+            if request.cursor < len(job.results) or job.is_done or remaining_s <= 0:
+                return Ok(read_reply(job, request.cursor))
+            await self._waiters.wait(request.job_id, remaining_s)
+
+    async def body(self, request: pb.BodyRequest) -> Result[pb.BodyReply, Failure]:
+        """The body of an item, as long as it is kept."""
+        if not self._group.is_confirmed_primary():
+            return self._not_primary()
+        body = self._state.body(ItemKey(request.job_id, request.item_id))
+        if body is None:
+            return Err(Failure(ErrorKind.NOT_FOUND, "no such item, or it is listed"))
+        return Ok(pb.BodyReply(body=body))
+
+    async def end(self, request: pb.EndRequest) -> Result[pb.EndReply, Failure]:
+        """End a job; ending it again is acknowledged too."""
+        if not self._group.is_confirmed_primary():
+            return self._not_primary()
+        job = self._state.jobs.get(request.job_id)
+        if job is None:
+            return _unknown_job()
+        if job.ended:
+            return Ok(pb.EndReply())
+        outcome = await self._group.propose(end_command(request.job_id), PROPOSE_TIMEOUT_S)
+        if isinstance(outcome, Err):
+            return outcome
+        return _unknown_job() if outcome.ok_value is EndOutcome.UNKNOWN else Ok(pb.EndReply())
+
+    async def lease(self, request: pb.LeaseRequest) -> Result[pb.LeaseReply, Failure]:
+        """Renew the leases of a proxy, and grant it further items."""
+        table = self._leases.table()
+        if table is None:
+            return self._not_primary()
+        now = self._clocks.now()
+        call = LeaseCall(
+            proxy=request.proxy,
+            incarnation=request.incarnation,
+            sequence=request.sequence,
+            running=[ItemKey.of(entry) for entry in request.running],
+            capacity=request.capacity,
+            routes=frozenset(request.routes),
+        )
+        decision = table.exchange(call, now)
+        return Ok(lease_reply(decision, self._state, table.epoch, table.lease_s, now))
+
+    async def report(self, request: pb.ReportRequest) -> Result[pb.ReportReply, Failure]:
+        """Record the outcome of an item, or its failed attempts so far."""
+        table = self._leases.table()
+        if table is None:
+            return self._not_primary()
+        key = ItemKey.of(request.reference)
+        job = self._state.jobs.get(key.job_id)
+        item = job.items.get(key.item_id) if job is not None else None
+        if job is None or item is None:
+            return _unknown_job()
+        if job.ended or item.has_result:
+            return Ok(pb.ReportReply())
+        match request.WhichOneof("outcome"):
+            case "completed_text":
+                return await self._record(key, request.completed_text, completed=True)
+            case "dead_letter_reason":
+                return await self._record(key, request.dead_letter_reason.encode(), completed=False)
+            case "failures_so_far":
+                return await self._record_failures(key, item, request.failures_so_far)
+            case "failed_attempts":
+                reply = await self._record_failures(key, item, request.failed_attempts)
+                if isinstance(reply, Ok):
+                    table.release(request.incarnation, key, request.failed_attempts)
+                return reply
+        return Err(Failure(ErrorKind.INVALID, "a report without an outcome"))
+
+    async def _record(self, key: ItemKey, text: bytes, *, completed: bool) -> Result[pb.ReportReply, Failure]:
+        outcome = await self._recorder.record(item_result(key, text, completed=completed))
+        return outcome if isinstance(outcome, Err) else Ok(pb.ReportReply())
+
+    async def _record_failures(
+        self, key: ItemKey, item: StoredItem, failed_attempts: int
+    ) -> Result[pb.ReportReply, Failure]:
+        """The count is replicated: the next lease holder or primary must not begin at zero."""
+        if failed_attempts > item.failed_attempts:
+            outcome = await self._group.propose(failures_command(key, failed_attempts), PROPOSE_TIMEOUT_S)
+            if isinstance(outcome, Err):
+                return outcome
+        return Ok(pb.ReportReply())
+
+    def _not_primary(self) -> Err[Failure]:
+        primary = self._group.primary
+        hint = primary.address if primary is not None else ""
+        return Err(Failure(ErrorKind.NOT_PRIMARY, "this store does not lead", hint))
+
+
+def _unknown_job() -> Err[Failure]:
+    return Err(Failure(ErrorKind.NOT_FOUND, "no such batch job"))
--- /dev/null
+++ b/cherrycove/tier/batch/store/epoch_leases.py
@@ -0,0 +1,100 @@
+"""The lease table of the epoch in which this store is the primary."""
+
+from __future__ import annotations
+
+import logging
+import time
+from collections.abc import Callable, Iterable
+
+import attrs
+
+from cherrycove.tier.batch.jobs.model import ItemKey, Job
+from cherrycove.tier.batch.jobs.state import JobsObserver, JobsState
+from cherrycove.tier.batch.leasing.job_ages import JobAges
+from cherrycove.tier.batch.leasing.lease_table import LeaseTable
+from cherrycove.tier.batch.leasing.lease_types import LeasableJob, LeaseTimes
+from cherrycove.tier.replication.interface import Group
+
+_log = logging.getLogger(__name__)
+
+
+@attrs.frozen
+class Clocks:
+    """Where the store gets its time from."""
+
+    now: Callable[[], float] = time.monotonic  # monotonic seconds
+    unix_s: Callable[[], float] = time.time  # time of day
+
+
+class EpochLeases(JobsObserver):
+    """Keeps the lease table in step with the jobs, and starts a new one in each epoch of this store.
+
+    Leases and ages are soft state: they are lost with the process, and built anew from the replicated jobs.
+    """
+
+    def __init__(self, group: Group, state: JobsState, times: LeaseTimes, clocks: Clocks) -> None:
+        self._group = group
+        self._state = state
+        self._times = times
+        self._clocks = clocks
+        self._table: LeaseTable | None = None
+        self._ages = JobAges()
+        self.state_restored()
+        state.observe(self)
+
+    def table(self) -> LeaseTable | None:
+        """The table of the present epoch; None while this store is not the confirmed primary."""
+        if not self._group.is_confirmed_primary():
+            return None
+        if self._table is None or self._table.epoch != self._group.epoch:
+            self._table = self._new_table()
+        return self._table
+
+    def jobs_older_than(self, age_s: float, now: float) -> list[Job]:
+        """Jobs that this process has known for longer than ``age_s``."""
+        jobs = self._state.jobs
+        return [jobs[job_id] for job_id in self._ages.older_than(age_s, now) if job_id in jobs]
+
+    # JobsObserver
+
+    def job_accepted(self, job: Job) -> None:
+        """Offer the items of a new job."""
+        self._ages.add(job.job_id, self._clocks.now())
+        if self._table is not None:
+            self._table.add_job(self._leasable(job), from_earlier_epoch=False)
+
+    def result_recorded(self, job: Job, item_id: str) -> None:
+        """The item needs no lease any more."""
+        if self._table is not None:
+            self._table.resolve(ItemKey(job.job_id, item_id), self._clocks.now())
+
+    def job_ended(self, job: Job) -> None:
+        """The leases of its items end."""
+        if self._table is not None:
+            self._table.remove_job(job.job_id)
+
+    def jobs_forgotten(self, job_ids: Iterable[str]) -> None:
+        """The leases of their items end, and their ages are dropped."""
+        if self._table is not None:
+            for job_id in job_ids:
+                self._table.remove_job(job_id)
+        self._ages.keep_only(self._state.jobs)
+
+    def state_restored(self) -> None:
+        """The next table is built from the jobs of the snapshot."""
+        now = self._clocks.now()
+        self._ages.keep_only(self._state.jobs)
+        for job_id in self._state.jobs:
+            self._ages.add(job_id, now)
+        self._table = None
+
+    def _new_table(self) -> LeaseTable:
+        table = LeaseTable(self._group.epoch, self._clocks.now(), self._times)
+        for job in self._state.jobs.values():
+            if not job.is_done:
+                table.add_job(self._leasable(job), from_earlier_epoch=True)
+        _log.info("batch_leases_begun", extra={"epoch": table.epoch, "jobs": len(self._state.jobs)})
+        return table
+
+    def _leasable(self, job: Job) -> LeasableJob:
+        return self._ages.leasable(job, self._clocks.now(), self._clocks.unix_s() * 1000.0)
--- /dev/null
+++ b/cherrycove/tier/batch/store/maintenance.py
@@ -0,0 +1,86 @@
+"""The periodic work of the primary: expired leases, items to be given up, and jobs to be forgotten."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Sequence
+
+import attrs
+
+from cherrycove.tier.batch.execution import ROUTE_REMOVED
+from cherrycove.tier.batch.jobs.commands import forget_command, item_result
+from cherrycove.tier.batch.jobs.model import ItemKey
+from cherrycove.tier.batch.jobs.state import JobsState
+from cherrycove.tier.batch.store.epoch_leases import Clocks, EpochLeases
+from cherrycove.tier.batch.store.job_capacity import JobCapacity
+from cherrycove.tier.batch.store.proposals import PROPOSE_TIMEOUT_S, ResultRecorder
+from cherrycove.tier.batch.store.removed_routes import jobs_of_removed_routes
+from cherrycove.tier.distribution.cluster_view import ClusterView
+from cherrycove.tier.replication.interface import Group
+
+_log = logging.getLogger(__name__)
+
+MAINTENANCE_INTERVAL_S = 0.5
+FORGET_MARGIN_S = 30.0  # beyond the time for which clients may ask for the status of a job
+EXPIRED = "expired"  # reason for which an item is dead-lettered
+MAX_GIVEN_UP = 64  # items in one run, for each reason
+
+
+@attrs.define(eq=False, kw_only=True)
+class BatchMaintenance:
+    """Owns the task of the periodic work. It does nothing while this store is not the confirmed primary."""
+
+    _group: Group
+    _state: JobsState
+    _leases: EpochLeases
+    _capacity: JobCapacity
+    _recorder: ResultRecorder
+    _views: ClusterView
+    _clocks: Clocks
+    _status_s: float  # for which clients may ask for the status of a job
+    _task: asyncio.Task[None] | None = attrs.field(default=None, init=False)
+
+    async def start(self) -> None:
+        """Begin the periodic work."""
+        self._task = asyncio.create_task(self._run())
+
+    async def stop(self) -> None:
+        """End it, whether it was started or not."""
+        if self._task is not None:
+            self._task.cancel()
+            await asyncio.gather(self._task, return_exceptions=True)
+            self._task = None
+
+    async def run_once(self) -> None:
+        """Free expired leases, give up items past their retention or without a route, forget old jobs."""
+        table = self._leases.table()
+        if table is None:
+            return
+        now = self._clocks.now()
+        table.expire(now)
+        await self._give_up(table.past_retention(now), EXPIRED)
+        removed = jobs_of_removed_routes(self._state.jobs.values(), self._views.configuration)
+        waiting = [key for job_id in removed for key in table.waiting_items(job_id, now)]
+        await self._give_up(waiting, ROUTE_REMOVED)
+        await self.forget_old_jobs(now)
+
+    async def forget_old_jobs(self, now: float) -> None:
+        """Forget old jobs that were ended, and when crowded also those that are complete."""
+        old = self._leases.jobs_older_than(self._status_s + FORGET_MARGIN_S, now)
+        crowded = self._capacity.is_crowded(self._state.stored_bytes)
+        forgotten = [job.job_id for job in old if job.ended or (crowded and job.is_done)]
+        if forgotten and self._group.is_confirmed_primary():
+            await self._group.propose(forget_command(forgotten), PROPOSE_TIMEOUT_S)
+
+    async def _run(self) -> None:
+        while True:
+            await asyncio.sleep(MAINTENANCE_INTERVAL_S)
+            try:
+                await self.run_once()
+            except Exception:  # noqa: BLE001 - one failed run must not end the periodic work
+                _log.exception("batch_maintenance_failed")
+
+    async def _give_up(self, keys: Sequence[ItemKey], reason: str) -> None:
+        results = [item_result(key, reason.encode(), completed=False) for key in keys[:MAX_GIVEN_UP]]
+        await asyncio.gather(*(self._recorder.record(result) for result in results))
--- a/cherrycove/tier/batch/store/removed_routes.py
+++ b/cherrycove/tier/batch/store/removed_routes.py
@@ -1,4 +1,4 @@
-"""Which jobs can be run no more, since their route has left the configuration. Pure."""
+"""Which jobs cannot be run any more, since their route was removed from the configuration."""
 
 from __future__ import annotations
 
@@ -11,8 +11,11 @@
 
 
 def jobs_of_removed_routes(jobs: Iterable[Job], configuration: Configuration | None) -> list[str]:
-    """Ids of open jobs whose route is not there. One that came under a newer configuration than this is not
-    among them, nor one of which that is not known: its route may have been added since."""
+    """Ids of unfinished jobs whose route is not in ``configuration``.
+
+    Jobs that were submitted under a newer configuration than this are left out, as are those for which the
+    version is not known: their route may have been added since.
+    """
     if configuration is None:
         return []
     routes = {route.name for route in configuration.routes if route.route_kind == BATCH_KIND}
--- a/cherrycove/tier/batch/store/replies.py
+++ b/cherrycove/tier/batch/store/replies.py
@@ -1,4 +1,4 @@
-"""Writes what the stores answer from the state of the jobs and the decisions about leases."""
+"""Builds the replies of the store from the state of the jobs and the decisions about leases."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from cherrycove.tier.batch.leasing.lease_types import Grant, LeaseDecision
 from cherrycove.tier.protocol import batch_pb2 as pb
 
-READ_BYTES = 768 * 1024  # of texts in one read; the rest follows at the next cursor
-MAX_RETAINED_S = 1e6  # stands in for "for ever" in messages
+MAX_READ_BYTES = 768 * 1024  # of the texts in one read; the rest follows at the next cursor
+MAX_RETAINED_S = 1e6  # stands for "without end" in messages
 
 
 def read_reply(job: Job, cursor: int) -> pb.ReadReply:
     """Results from ``cursor`` on, as many as fit one read, and at least one if there is one."""
     reply = pb.ReadReply(total=job.total)
-    size = 0
+    text_bytes = 0
     for result in job.results[cursor:]:
-        size += len(result.text)
-        if reply.results and size > READ_BYTES:
+        text_bytes += len(result.text)
+        if reply.results and text_bytes > MAX_READ_BYTES:
             break
         reply.results.add(item_id=result.item_id, completed=result.completed, text=result.text)
     return reply
--- a/cherrycove/tier/batch/store/result_waiters.py
+++ b/cherrycove/tier/batch/store/result_waiters.py
@@ -1,18 +1,21 @@
-"""Wakes readers that wait for the next result of a job."""
+"""Wakes reads that wait for the next result of a job."""
 
 from __future__ import annotations
 
 import asyncio
 
+from cherrycove.tier.batch.jobs.model import Job
+from cherrycove.tier.batch.jobs.state import JobsObserver
 
-class ResultWaiters:
-    """One event for each job that somebody waits for."""
+
+class ResultWaiters(JobsObserver):
+    """The reads that wait, by job."""
 
     def __init__(self) -> None:
         self._waiters: dict[str, set[asyncio.Future[None]]] = {}
 
     async def wait(self, job_id: str, timeout_s: float) -> None:
-        """Return at the next signal of ``job_id``, or after ``timeout_s`` seconds."""
+        """Return at the next change of ``job_id``, or after ``timeout_s`` seconds."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         waiters = self._waiters.setdefault(job_id, set())
         waiters.add(future)
@@ -23,13 +26,21 @@
             if not waiters and self._waiters.get(job_id) is waiters:
                 del self._waiters[job_id]
 
-    def signal(self, job_id: str) -> None:
-        """Wake the readers of one job."""
+    def wake(self, job_id: str) -> None:
+        """Wake the reads of one job."""
         for future in self._waiters.get(job_id, ()):
             if not future.done():
                 future.set_result(None)
 
-    def signal_all(self) -> None:
-        """Wake all readers."""
+    def wake_all(self) -> None:
+        """Wake all reads, as when this store is no longer the primary."""
         for job_id in list(self._waiters):
-            self.signal(job_id)
+            self.wake(job_id)
+
+    def result_recorded(self, job: Job, item_id: str) -> None:  # noqa: ARG002 - part of JobsObserver
+        """A read may return the result."""
+        self.wake(job.job_id)
+
+    def job_ended(self, job: Job) -> None:
+        """No further result will come."""
+        self.wake(job.job_id)
--- a/tests/tier/test_batch_worker.py
+++ b/tests/tier/test_batch_worker.py
@@ -21,6 +21,7 @@
 from cherrycove.tier.batch.execution import ItemOutcome, ItemState
 from cherrycove.tier.batch.jobs.commands import item_result, results_command
 from cherrycove.tier.batch.jobs.model import ItemKey
+from cherrycove.tier.batch.store.job_capacity import JobCapacity
 from cherrycove.tier.batch.worker.batch_worker import BatchWorker
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol import batch_pb2 as pb
@@ -428,13 +429,14 @@
         large = item_result(ItemKey("complete", "a"), bytes(100_000), completed=True)
         tier.cluster.commit(node.group, results_command([large]))
         clock.now += 149.0
-        await node.store._forget_old(clock.now)
+        await node.store._maintenance.forget_old_jobs(clock.now)
         assert set(node.state.jobs) == {"ended", "complete", "open"}
         clock.now += 2.0
-        await node.store._forget_old(clock.now)
+        await node.store._maintenance.forget_old_jobs(clock.now)
         assert set(node.state.jobs) == {"complete", "open"}
-        node.store._settings = settings(tier.port, node.ip, memory_mb=1.0)
-        await node.store._forget_old(clock.now)
+        small = settings(tier.port, node.ip, memory_mb=1.0)
+        node.store._maintenance._capacity = JobCapacity(small.limits)
+        await node.store._maintenance.forget_old_jobs(clock.now)
         assert set(node.state.jobs) == {"open"}
 
     play(scene, clock=clock)
