--- a/cherrycove/tier/controlplane/barrier_proposer.py
+++ b/cherrycove/tier/controlplane/barrier_proposer.py
@@ -1,4 +1,4 @@
-"""What became of proposals whose outcome stayed open."""
+"""Proposals whose outcome can be determined later, where it was uncertain at first."""
 
 from __future__ import annotations
 
@@ -10,17 +10,23 @@
 
 
 class BarrierProposer:
-    """Proposes commands one at a time, and knows whether the outcome of the last one is open.
+    """Proposes commands one at a time, and records whether the outcome of the last one is open.
 
-    Before anything else is decided, a barrier is committed: an entry in the same log behind the open one, so
-    that by then the open one took effect or never will."""
+    Each service has its own, and serializes its calls. ``resolve`` commits a barrier: an entry behind the
+    open one in the same log. Once it is committed, the open one took effect or never will. The record is lost
+    in a crash; another primary needs none, since it has applied everything committed before it decides.
+    """
 
     def __init__(self, group: Group) -> None:
+        """``group`` is the controllers' own."""
         self._group = group
         self._open = False
 
     async def resolve(self, timeout_s: float) -> Result[None, Failure]:
-        """Ok once the outcome of every earlier proposal is known here."""
+        """Wait until the outcome of every earlier proposal is known here.
+
+        UNAVAILABLE: the barrier was not committed within ``timeout_s``; the outcome stays open.
+        """
         if not self._open:
             return Ok(None)
         outcome = await self._group.propose(Command(barrier=Barrier()).SerializeToString(), timeout_s)
@@ -30,8 +36,8 @@
         return Ok(None)
 
     async def propose(self, command: Command, timeout_s: float) -> Result[object, Failure]:
-        """Replicate ``command`` and apply it."""
-        self._open = True  # stays so when this call is cancelled
+        """Replicate ``command`` and apply it; results and errors are those of ``Group.propose``."""
+        self._open = True  # before the wait: if this call is cancelled, the outcome is open
         outcome = await self._group.propose(command.SerializeToString(), timeout_s)
         self._open = isinstance(outcome, Err) and not outcome.err_value.is_certain
         return outcome
--- a/cherrycove/tier/controlplane/broker_changes.py
+++ b/cherrycove/tier/controlplane/broker_changes.py
@@ -36,7 +36,8 @@
 class AbsenceCheck:
     """Believes that a broker is gone after two reads without it, where a list has several pages.
 
-    Pages are read one after the other; when the list shifts in between, a broker can be on none of them."""
+    Pages are read one after the other; when the list shifts in between, a broker can be on none of them.
+    """
 
     def __init__(self) -> None:
         self._known: dict[str, BrokerEntry] = {}  # of the last read
--- a/cherrycove/tier/controlplane/configuration_service.py
+++ b/cherrycove/tier/controlplane/configuration_service.py
@@ -15,39 +15,56 @@
 from cherrycove.tier.controlplane.leadership import Leadership
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.errors import ErrorKind, Failure
+from cherrycove.tier.protocol.control_pb2 import ConfigurationDocument
 from cherrycove.tier.protocol.keeper_pb2 import AcceptConfiguration, Command
 from cherrycove.tier.replication.interface import Group
 
-DECISION_TIMEOUT_S = 2.0  # a change is decided within this time or answered as uncertain
+DECISION_TIMEOUT_S = 2.0  # a change is decided within this time, or its outcome is reported as uncertain
 MAX_VERSION = 2**63 - 1  # versions travel as 64-bit integers
 
 _log = logging.getLogger(__name__)
 
 
 class ConfigurationService:
-    """Serialises the changes, so that of two built on one version the second sees the first committed.
+    """Serializes the changes, so that of two built on one version the second sees the first committed.
 
-    Only the confirmed primary decides, and it is asked again after every wait. After a change whose outcome
-    is uncertain, a barrier is committed before anything else is decided: by then the change took effect or
-    never will.
+    Owned by the ``Controller``. It changes nothing itself: a change is a command of the replicated state.
+    Only the confirmed primary decides, and that is checked again after every wait. After a change whose
+    outcome is uncertain, a barrier is committed before anything else is decided: by then the change took
+    effect or never will. The states of a change are in docs/design/control-plane.md.
     """
 
     def __init__(self, group: Group, state: ControlState, leadership: Leadership) -> None:
+        """``state`` is the state machine of ``group``, the controllers' own."""
         self._proposer = BarrierProposer(group)
         self._state = state
         self._leadership = leadership
         self._lock = asyncio.Lock()
 
+    def current(self) -> Result[ConfigurationDocument, Failure]:
+        """Return the newest configuration; NOT_FOUND before the first.
+
+        The caller has checked that this controller is the confirmed primary.
+        """
+        configuration = self._state.configuration
+        if not configuration.version:
+            return Err(Failure(ErrorKind.NOT_FOUND, "no configuration was taken yet"))
+        return Ok(configuration)
+
     async def put(self, body: bytes, base_version: int) -> Result[None, Failure]:
-        """Take ``body`` as the configuration that builds on ``base_version``."""
+        """Commit ``body`` as the configuration that builds on ``base_version``.
+
+        Ok: it is committed, or was earlier. Errors: INVALID and VERSION_MISMATCH are final; NOT_PRIMARY and
+        UNAVAILABLE: certainly not committed, may be sent again; DEADLINE: it may have been committed.
+        """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + DECISION_TIMEOUT_S
-        async with self._exclusive_access(DECISION_TIMEOUT_S) as has_turn:
-            if not has_turn:
+        async with self._exclusive_access(DECISION_TIMEOUT_S) as acquired:
+            if not acquired:
                 return Err(Failure(ErrorKind.UNAVAILABLE, "earlier changes are still being decided"))
-            settled = await self._proposer.resolve(deadline - loop.time())
-            if isinstance(settled, Err):
-                return settled
+            resolved = await self._proposer.resolve(deadline - loop.time())
+            if isinstance(resolved, Err):
+                return resolved
             command = self._check(body, base_version)
             if isinstance(command, Err):
                 return command
@@ -57,6 +74,7 @@
 
     @asynccontextmanager
     async def _exclusive_access(self, timeout_s: float) -> AsyncIterator[bool]:
+        """Hold the lock; yields False where it was not free within ``timeout_s``."""
         try:
             async with asyncio.timeout(timeout_s):
                 await self._lock.acquire()
@@ -69,7 +87,10 @@
             self._lock.release()
 
     def _check(self, body: bytes, base_version: int) -> Result[AcceptConfiguration | None, Failure]:
-        """The command to commit, or None when exactly this document was taken already. Does not wait."""
+        """Return the command to commit, or None when exactly this document is committed already.
+
+        Must not wait: the leadership that it checks first has to hold for every answer.
+        """
         if not self._leadership.is_confirmed_primary():
             return Err(self._leadership.not_primary_failure())
         parsed = parse_configuration(body)
@@ -101,6 +122,7 @@
         return self._committed(command, outcome.ok_value)
 
     def _uncommitted(self, failure: Failure) -> Failure:
+        """Return the answer to a change whose proposal failed; never a final refusal."""
         if failure.kind is ErrorKind.NOT_PRIMARY:
             return self._leadership.not_primary_failure()
         if not failure.is_certain:
@@ -108,6 +130,7 @@
         return Failure(ErrorKind.UNAVAILABLE, failure.detail)
 
     def _committed(self, command: AcceptConfiguration, outcome: object) -> Result[None, Failure]:
+        """Return the answer to a change whose command was applied with ``outcome``."""
         current = self._state.configuration.version
         if outcome is AcceptOutcome.BASE_MISMATCH:
             return Err(_mismatch(command.base_version, current))
@@ -129,5 +152,5 @@
 
 
 def _forgotten(version: int) -> Failure:
-    """Neither an acknowledgement nor a refusal: the version may have been taken with just this content."""
+    """Return an answer that neither confirms nor refuses: just this content may have been accepted."""
     return Failure(ErrorKind.DEADLINE, f"version: {version} is too old to tell whether it was taken")
--- a/cherrycove/tier/controlplane/configuration_state.py
+++ b/cherrycove/tier/controlplane/configuration_state.py
@@ -76,7 +76,8 @@
         """Apply ``command``.
 
         Its base version is checked here again: of two commands built on one version, only the first in commit
-        order takes effect."""
+        order takes effect.
+        """
         if self.was_accepted(command.digest, command.version):
             return AcceptOutcome.ALREADY_ACCEPTED
         if self.is_forgotten(command.version):
--- a/cherrycove/tier/controlplane/controller.py
+++ b/cherrycove/tier/controlplane/controller.py
@@ -47,7 +47,8 @@
 
         The caller starts and stops ``group``, ``server`` and ``client``. ``state`` is the group's state
         machine. ``views`` is what a ``Puller`` of this process receives from the primary while this
-        controller does not lead. ``reader`` replaces the client of the platform's list of brokers."""
+        controller does not lead. ``reader`` replaces the client of the platform's list of brokers.
+        """
         self._settings = settings
         self._group = group
         self._state = state
@@ -75,7 +76,8 @@
     async def start(self) -> None:
         """Listen for operators and begin the background work.
 
-        Raises ``OSError`` where the operators' address cannot be bound."""
+        Raises ``OSError`` where the operators' address cannot be bound.
+        """
         await self._coordinator.brokers.start()
         await self.operator_api.start(self._settings.listen_addresses.control_plane)
         self._tasks.start(
@@ -87,7 +89,7 @@
         )
 
     async def stop(self) -> None:
-        """Answer waiting pulls first, so that their callers turn to another controller; then stop the parts."""
+        """Answer waiting pulls first, so that their callers ask another controller; then stop the parts."""
         self._publisher.close()
         await self._tasks.stop()
         await self.operator_api.stop()
@@ -118,7 +120,7 @@
             self._coordinator.stores_had_time_to_announce,
             full_size(self._settings),
         )
-        return OperatorApi(self._leadership, self._state, configuration, retirement)
+        return OperatorApi(self._leadership, configuration, retirement)
 
     def _register_calls(self, server: CallRegistry) -> None:
         self._publisher.serve_on(server)
--- a/cherrycove/tier/controlplane/controller_group.py
+++ b/cherrycove/tier/controlplane/controller_group.py
@@ -46,7 +46,8 @@
 
     def _retiring_disks(self) -> list[MemberIdentity]:
         """Disks to be excluded, also of machines that are away; they are offered so that the group, which
-        takes none of them in, commits that it never will."""
+        takes none of them in, commits that it never will.
+        """
         return [
             MemberIdentity(
                 disk, order.node_name, self._settings.peer_address(order.ips[-1], CONTROLLER_PROGRAM)
--- a/cherrycove/tier/controlplane/leader_coordinator.py
+++ b/cherrycove/tier/controlplane/leader_coordinator.py
@@ -32,10 +32,10 @@
     """Decides what the other parts do, by the leadership of this controller.
 
     Owned by the ``Controller``, which also owns the parts and routes events here. States: not leading
-    (nothing is published, nobody is offered as a standby) and leading in an epoch. To lose the lease and regain it in
-    one epoch is a pause: what was learned before stays. In a new epoch everything is learned anew; until the
-    processes announce themselves, what an earlier primary published lately serves. Soft state only: a crash
-    loses it, and the next primary rebuilds it.
+    (nothing is published, nobody is offered as a standby) and leading in an epoch. To lose the lease and
+    regain it in one epoch is a pause: what was learned before stays. In a new epoch everything is learned
+    anew; until the processes announce themselves, what an earlier primary published lately serves. Soft state
+    only: a crash loses it, and the next primary rebuilds it.
     """
 
     period: LeadershipPeriod
@@ -101,7 +101,8 @@
     def _inherit(self, now: float) -> BrokerList:
         """Take over the members that the earlier primary published, and return its brokers.
 
-        Without a recent contact with it, the first member list waits until processes announced themselves."""
+        Without a recent contact with it, the first member list waits until processes announced themselves.
+        """
         if now - self.views.last_contact >= INHERIT_MAX_AGE_S:
             self._members_due_at = now + MEMBERS_ANNOUNCED_AFTER_S
             return BrokerList()
--- a/cherrycove/tier/controlplane/leadership.py
+++ b/cherrycove/tier/controlplane/leadership.py
@@ -39,7 +39,8 @@
 
         A member learns of its group's primary by heartbeats and forgets it when they stay away. A keeper
         outside the group hears none, nor does one that was removed and does not know of it: only the answers
-        to its own pulls tell it, where they still come long after the heartbeats."""
+        to its own pulls tell it, where they still come long after the heartbeats.
+        """
         self._note_primary()
         now = asyncio.get_running_loop().time()
         group, views = self._group, self._views
@@ -68,7 +69,8 @@
     async def wait_until_confirmed(self, timeout_s: float = SETTLE_TIMEOUT_S) -> Result[None, Failure]:
         """Ok when this replica is confirmed; else a refusal, given once another leads or the time is over.
 
-        A caller that awaits anything afterwards must ask ``confirmed`` again before it refuses for good."""
+        A caller that awaits anything afterwards must ask ``confirmed`` again before it refuses for good.
+        """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
         while not self._group.is_confirmed_primary():
--- a/cherrycove/tier/controlplane/leadership_period.py
+++ b/cherrycove/tier/controlplane/leadership_period.py
@@ -54,7 +54,8 @@
     """The leadership as the publisher asks for it: each question brings what is published up to date.
 
     A lease can begin to hold without a change that the group reports. Without the update, a pull that was
-    held meanwhile would be answered with what was published in an earlier term."""
+    held meanwhile would be answered with what was published in an earlier term.
+    """
 
     def __init__(self, period: LeadershipPeriod, leadership: Leadership) -> None:
         self._period = period
--- /dev/null
+++ b/cherrycove/tier/controlplane/operator_answers.py
@@ -0,0 +1,63 @@
+"""What the operator's HTTP interface answers, and how an answer becomes a response."""
+
+from __future__ import annotations
+
+import attrs
+from aiohttp import web
+
+from cherrycove.tier.controlplane.retirement import RetireState
+from cherrycove.tier.errors import ErrorKind, Failure
+from cherrycove.tier.protocol.control_pb2 import ConfigurationDocument
+
+JSON_TYPE = "application/json"
+
+
+@attrs.frozen
+class Accepted:
+    """The order is committed."""
+
+
+@attrs.frozen
+class CurrentConfiguration:
+    """The newest configuration, as the operator sent it."""
+
+    document: ConfigurationDocument
+
+
+@attrs.frozen
+class RetireStatus:
+    """How far a retire order is."""
+
+    state: RetireState
+
+
+OperatorAnswer = Accepted | CurrentConfiguration | RetireStatus
+
+
+def success_response(answer: OperatorAnswer) -> web.Response:
+    """Return the response with status 200 for ``answer``."""
+    if isinstance(answer, CurrentConfiguration):
+        return web.Response(
+            body=answer.document.document,
+            content_type=JSON_TYPE,
+            headers={"ETag": f'"{answer.document.version}"'},
+        )
+    if isinstance(answer, RetireStatus):
+        return web.json_response({"state": answer.state.value})
+    return web.json_response({})
+
+
+def failure_response(failure: Failure, raw_path: str, port: int) -> web.Response:
+    """Return the response for ``failure`` of a request for ``raw_path``.
+
+    Where another controller is known to lead: 307 to the same path on its host, at this interface's ``port``.
+    Otherwise the status and the advised pause that ``errors.py`` has for the kind of failure.
+    """
+    body = {"error": failure.kind.value, "detail": failure.detail}
+    if failure.kind is ErrorKind.NOT_PRIMARY and failure.primary:
+        host = failure.primary.rpartition(":")[0]
+        location = f"http://{host}:{port}{raw_path}"
+        return web.json_response(body, status=307, headers={"Location": location})
+    answer = failure.answer
+    headers = {} if answer.retry_after_s is None else {"Retry-After": f"{answer.retry_after_s:g}"}
+    return web.json_response(body, status=answer.status, headers=headers)
--- a/cherrycove/tier/controlplane/periodic_tasks.py
+++ b/cherrycove/tier/controlplane/periodic_tasks.py
@@ -17,7 +17,8 @@
 class PeriodicTasks:
     """Owns one task for each step, from ``start`` to ``stop``.
 
-    A step contains its own pause. An unforeseen error in a step is logged and ends only that pass."""
+    A step contains its own pause. An unforeseen error in a step is logged and ends only that pass.
+    """
 
     def __init__(self) -> None:
         self._tasks: list[asyncio.Task[None]] = []
--- a/cherrycove/tier/controlplane/process_directory.py
+++ b/cherrycove/tier/controlplane/process_directory.py
@@ -46,7 +46,8 @@
         """Return the processes alive, without stores whose present disk is not recorded yet.
 
         The store group takes its standbys from this list, and a retire order must know every disk that could
-        become a member."""
+        become a member.
+        """
         announced = self.registry.members(now).members
         return MemberList(
             members=[one for one in announced if one.program != STORE_PROGRAM or self._is_recorded(one)]
--- a/cherrycove/tier/controlplane/process_registry.py
+++ b/cherrycove/tier/controlplane/process_registry.py
@@ -62,7 +62,8 @@
 
         Which of two is newer is told by the order in which they come. An announcement that a cut held up may
         come first after that of a newer incarnation and so replace it; then the one in place is not heard
-        again, and the other one takes its place back."""
+        again, and the other one takes its place back.
+        """
         key = ProcessKey(announcement.node_name, announcement.program)
         known = self._entries.get(key)
         replaced: tuple[str, ...] = ()
--- a/cherrycove/tier/controlplane/retirement_check.py
+++ b/cherrycove/tier/controlplane/retirement_check.py
@@ -57,7 +57,8 @@
 ) -> str | None:
     """What keeps the machine of ``order`` from being taken away; None if nothing does.
 
-    ``group_size`` is the size at which a group bears all losses that may come."""
+    ``group_size`` is the size at which a group bears all losses that may come.
+    """
     if not order.ips or not order.store_ids:
         return "the address or the disk of the machine is not known"
     in_stores = _blocking_reason_in("store", stores, order, order.store_ids)
--- a/cherrycove/tier/controlplane/state.py
+++ b/cherrycove/tier/controlplane/state.py
@@ -83,7 +83,8 @@
     def apply(self, index: int, command: bytes) -> AcceptOutcome | Applied:  # noqa: ARG002 - StateMachine's
         """Apply a serialized ``Command``.
 
-        A barrier and a command of a later release change nothing."""
+        A barrier and a command of a later release change nothing.
+        """
         message = Command.FromString(command)
         if message.WhichOneof("body") == "accept_configuration":
             return self._accept(message.accept_configuration)
--- a/cherrycove/tier/controlplane/status_service.py
+++ b/cherrycove/tier/controlplane/status_service.py
@@ -33,7 +33,8 @@
     async def status(self, request: StatusRequest) -> Result[StatusReply, Failure]:  # noqa: ARG002 - empty
         """Return this controller's view; only that of the confirmed primary is complete and current.
 
-        Another controller reports the processes that it pulled from the primary, which may be out of date."""
+        Another controller reports the processes that it pulled from the primary, which may be out of date.
+        """
         primary = self.group.primary
         leads = self.period.is_leading()
         now = asyncio.get_running_loop().time()
--- a/cherrycove/tier/controlplane/storage_machines.py
+++ b/cherrycove/tier/controlplane/storage_machines.py
@@ -21,7 +21,8 @@
 def same_machine(order: RetireOrder, machine: StoreMachine) -> bool:
     """Whether ``machine``, which has the node name of ``order``, is the machine that was ordered to retire.
 
-    A machine that lost its disk returns at its address; a new machine of that name has another address."""
+    A machine that lost its disk returns at its address; a new machine of that name has another address.
+    """
     if not order.ips or not machine.ip:
         return machine.store_id in ("", order.member_id)
     return machine.ip in order.ips
@@ -31,7 +32,8 @@
     """Whether a group member runs on the machine of ``order``.
 
     The first members of the controllers' group have no node name; they are compared by ``address``
-    (host:port)."""
+    (host:port).
+    """
     if node_name:
         return node_name == order.node_name
     return host_of(address) in order.ips
@@ -100,7 +102,8 @@
         """Complete an order: its machine may be taken away.
 
         No effect if the order was extended after the check that led to ``command``: the check did not cover
-        the new disk. Revision 0 comes from releases that sent none."""
+        the new disk. Revision 0 comes from releases that sent none.
+        """
         order = self._orders.get(command.node_name)
         if order is None or order.completed or command.revision not in (0, order.revision):
             return False
--- a/cherrycove/tier/controlplane/store_group.py
+++ b/cherrycove/tier/controlplane/store_group.py
@@ -150,7 +150,8 @@
 
 def record_updates(inventory: StoreInventory) -> list[Command]:
     """The command that records machines that are new, or have another address or disk; an open order learns
-    from it as well."""
+    from it as well.
+    """
     changed = [
         machine
         for machine in inventory.announced_machines()
--- a/cherrycove/tier/controlplane/store_group_reconciler.py
+++ b/cherrycove/tier/controlplane/store_group_reconciler.py
@@ -83,7 +83,8 @@
         """Complete the orders whose machines both groups have left, by their committed lists.
 
         The stores' list is asked for anew each time. What it excludes stays excluded under every later
-        primary, so a change of primary between the answer and the removal changes nothing."""
+        primary, so a change of primary between the answer and the removal changes nothing.
+        """
         if not self._open_orders():
             return
         reply = await self._reader.read(self._store_addresses())
--- a/cherrycove/tier/programs/store_membership.py
+++ b/cherrycove/tier/programs/store_membership.py
@@ -42,7 +42,8 @@
 
     def _standbys(self, leaving: list[MemberIdentity]) -> list[MemberIdentity]:
         """Stores that are present, and disks to be emptied, also of machines that are away: the group takes
-        none of the latter in, and commits that it never will."""
+        none of the latter in, and commits that it never will.
+        """
         present = [standby_of(store, self._settings) for store in self._views.stores() if not store.leaving]
         known = {disk.member_id for disk in present}
         return [*present, *(disk for disk in leaving if disk.member_id not in known)]
