--- a/cherrycove/tier/exploration/copying.py
+++ b/cherrycove/tier/exploration/copying.py
@@ -23,7 +23,7 @@
 Canonical = Callable[[Any, dict[int, int]], Any]
 
 # Counters that only name writes in order; they differ without a difference in behaviour.
-_IGNORED_FIELDS = frozenset({"ticket", "_tickets"})
+_IGNORED_FIELDS = frozenset({"ticket", "_last_ticket"})
 _WRITES = (WriteEntries, WriteHardState, WriteSnapshot)
 _PLAIN = (int, str, bytes, float, bool, type(None))
 _numbers: dict[Any, int] = {}  # of values met so far, which stand for them in canonical forms
--- a/cherrycove/tier/exploration/group_invariants.py
+++ b/cherrycove/tier/exploration/group_invariants.py
@@ -9,7 +9,7 @@
 from cherrycove.tier.exploration.node import Disk, Node
 from cherrycove.tier.exploration.reactions import Reaction
 from cherrycove.tier.protocol.replication_pb2 import MemberList
-from cherrycove.tier.replication.core import INITIAL_EPOCH
+from cherrycove.tier.replication.group_membership import INITIAL_EPOCH
 from cherrycove.tier.storage.entries import Entry, EntryKind
 
 
--- a/cherrycove/tier/exploration/mutations.py
+++ b/cherrycove/tier/exploration/mutations.py
@@ -19,9 +19,10 @@
 from cherrycove.tier.exploration import group_model
 from cherrycove.tier.protocol.keeper_pb2 import AcceptConfiguration, Command
 from cherrycove.tier.protocol.replication_pb2 import VoteRequest
-from cherrycove.tier.replication.elections import Elections
+from cherrycove.tier.replication.candidate import Candidate
 from cherrycove.tier.replication.interface import MemberIdentity
 from cherrycove.tier.replication.membership_policy import GroupView, MembershipStep, next_step
+from cherrycove.tier.replication.voter import PendingGrant, Voter
 from cherrycove.tier.simulation.mutations import MUTATIONS as SIMULATION_MUTATIONS
 from cherrycove.tier.storage.hard_state import HardState
 
@@ -29,25 +30,25 @@
 
 
 def _vote_twice_in_an_epoch() -> Patches:
-    def vote(elections: Any, sender: MemberIdentity, request: VoteRequest, now: float) -> None:
-        core = elections._core
+    def vote(voter: Any, sender: MemberIdentity, request: VoteRequest, now: float) -> None:
+        core = voter._core
         core.write_hard_state(
             HardState(core.hard_state.epoch, sender.member_id, core.hard_state.commit_index)
         )
-        elections._pending_grant = (sender, request)
+        voter._pending_grant = PendingGrant(sender, request)
 
-    yield mock.patch.object(Elections, "_cast_vote", vote)
+    yield mock.patch.object(Voter, "_cast_vote", vote)
 
 
 def _vote_for_itself_within_lease() -> Patches:
-    ask = Elections._request_votes
+    request_votes = Candidate._request_votes
 
-    def ask_with_own_vote(elections: Any, now: float) -> None:
-        ask(elections, now)
-        if elections._campaign is not None:
-            elections._campaign.votes.add(elections._core.identity.member_id)
+    def request_votes_with_own(candidate: Any, now: float) -> None:
+        request_votes(candidate, now)
+        if candidate._campaign is not None:
+            candidate._campaign.votes.add(candidate._core.identity.member_id)
 
-    yield mock.patch.object(Elections, "_request_votes", ask_with_own_vote)
+    yield mock.patch.object(Candidate, "_request_votes", request_votes_with_own)
 
 
 def _excluded_disks_come_back() -> Patches:
--- a/cherrycove/tier/exploration/reactions.py
+++ b/cherrycove/tier/exploration/reactions.py
@@ -8,7 +8,7 @@
 
 from cherrycove.tier.exploration.node import Node
 from cherrycove.tier.protocol.replication_pb2 import Message
-from cherrycove.tier.replication import peers
+from cherrycove.tier.replication import replicator
 from cherrycove.tier.replication.effects import Effects
 from cherrycove.tier.replication.interface import MemberIdentity
 from cherrycove.tier.replication.machine import ReplicaMachine
@@ -125,7 +125,7 @@
 
     def __init__(self, faults: int, entries_alone: bool) -> None:
         self._faults = faults
-        self._append_bytes = 1 if entries_alone else peers.APPEND_BYTES
+        self._append_bytes = 1 if entries_alone else replicator.MAX_APPEND_BYTES
         self._nodes: dict[bytes, Node] = {}
         self._letters: dict[tuple[MemberIdentity, MemberIdentity, bytes], Letter] = {}
         self._known: dict[tuple[Node, int, Event], Reaction] = {}
@@ -162,7 +162,7 @@
         key = (node, now, event)
         known = self._known.get(key)
         if known is None:
-            with mock.patch.object(peers, "APPEND_BYTES", self._append_bytes):
+            with mock.patch.object(replicator, "MAX_APPEND_BYTES", self._append_bytes):
                 known = self._known[key] = self._compute(node, now * QUANTUM_S, event)
         return known
 
--- a/cherrycove/tier/replication/__init__.py
+++ b/cherrycove/tier/replication/__init__.py
@@ -1,6 +1,12 @@
 """Primary-backup replication of a log of opaque commands.
 
-``machine`` and what it is made of are pure: messages, time and finished writes come in as arguments,
-messages, writes and committed entries go out. ``group`` runs a machine with a clock, a writer thread and
-internal calls. ``quorums`` holds the argument why nothing that was committed is lost.
+``machine`` and what it is made of are pure: messages, time and finished writes come in as arguments, and
+messages, writes and committed entries go out as ``effects``. ``group`` runs a machine with a clock, a writer
+thread and internal calls.
+
+The machine by concern: ``core`` (state that all roles share), ``log``, ``membership`` and
+``group_membership``, ``pending_writes``; ``roles`` with ``elections`` (``candidate``, ``voter``), ``backup``
+and ``primary`` (``peer_set``, ``replicator``, ``progress``, ``snapshot_sender``, ``learners``,
+``membership_policy``). ``quorums`` has the argument why nothing that was committed is lost, ``elections`` the
+argument about leases; ``docs/design/replication.md`` has the states.
 """
--- a/cherrycove/tier/replication/backup.py
+++ b/cherrycove/tier/replication/backup.py
@@ -15,111 +15,124 @@
 )
 from cherrycove.tier.replication.core import ReplicaCore
 from cherrycove.tier.replication.interface import MemberIdentity
-from cherrycove.tier.replication.log import encode_members, from_message
+from cherrycove.tier.replication.membership import encode_members, member_from_message
 from cherrycove.tier.storage.entries import Entry, EntryKind
 from cherrycove.tier.storage.snapshots import Snapshot
 
 
 @attrs.define
 class IncomingSnapshot:
-    """A snapshot of which a part has come."""
+    """A snapshot of which the first bytes have arrived."""
 
     index: int
     entry_epoch: int
-    data: BytesIO = attrs.field(factory=BytesIO)  # gives what it holds without another copy of it
+    data: BytesIO = attrs.field(factory=BytesIO)  # returns its content without another copy of it
 
 
 class Backup:
-    """Follows the primary of the newest epoch."""
+    """Follows the primary of the newest epoch.
+
+    Owned by ``ReplicaRoles`` for the lifetime of the process, and used whenever a primary is heard. For each
+    epoch that it follows it begins anew: nothing verified, nothing acknowledged. An incomplete snapshot is
+    lost with the process or the epoch, and the primary sends it again.
+    """
 
     def __init__(self, core: ReplicaCore) -> None:
         self._core = core
         self._followed_epoch = 0
-        self._verified = 0  # up to here the log equals that of the primary of the followed epoch
-        self._acknowledged = 0
-        self._sent_us = 0  # newest message of the primary
+        self._verified_index = 0  # up to here the log equals that of the primary of the followed epoch
+        self._acknowledged_index = 0
+        self._newest_sent_us = 0  # sending time of the newest message of the primary
         self._incoming: IncomingSnapshot | None = None
 
     def follow(self, primary: MemberIdentity) -> None:
-        """``primary`` leads the newest epoch."""
+        """Become a backup of ``primary``, which leads the newest epoch."""
         core = self._core
         if self._followed_epoch != core.epoch:
             self._followed_epoch = core.epoch
-            self._verified = 0
-            self._acknowledged = 0
-            self._sent_us = 0
+            self._verified_index = 0
+            self._acknowledged_index = 0
+            self._newest_sent_us = 0
             self._incoming = None
         core.follow(primary)
 
+    # Entries
+
     def receive_append(self, sender: MemberIdentity, append: Append, now: float) -> None:
-        self._sent_us = max(self._sent_us, append.sent_us)
-        hint = self._mismatch(append)
+        """Append the entries of ``append`` if they join this log, and answer (Raft, section 5.3)."""
+        self._newest_sent_us = max(self._newest_sent_us, append.sent_us)
+        hint = self._find_mismatch(append)
         if hint is not None:
             self._reply(sender, accepted=False, sent_us=append.sent_us, last_index=hint)
             return
-        self._take(append, now)
-        self._core.advance_commit(min(append.commit_index, self._verified))
+        self._append_new(append, now)
+        self._core.advance_commit(min(append.commit_index, self._verified_index))
         self._reply(sender, accepted=True, sent_us=append.sent_us)
 
-    def _mismatch(self, append: Append) -> int | None:
-        """Where the primary should go on instead, if its entries do not join this log."""
+    def _find_mismatch(self, append: Append) -> int | None:
+        """Return the index after which the primary should go on; None if its entries join this log."""
         log = self._core.log
         if append.previous_index > log.last_index:
             return log.last_index
-        if append.previous_index <= self._core.commit_index:
+        if append.previous_index <= log.commit_index:
             return None
         if log.epoch_at(append.previous_index) != append.previous_epoch:
-            return self._core.commit_index
+            return log.commit_index
         return None
 
-    def _take(self, append: Append, now: float) -> None:
+    def _append_new(self, append: Append, now: float) -> None:
+        """Append the entries from the first one that this log lacks, or has from another epoch."""
         log = self._core.log
         new: list[Entry] = []
         for message in append.entries:
-            known = message.index <= self._core.commit_index or log.epoch_at(message.index) == message.epoch
+            known = message.index <= log.commit_index or log.epoch_at(message.index) == message.epoch
             if new or not known:
                 new.append(Entry(message.index, message.epoch, EntryKind(message.kind), message.payload))
         if new:
             self._core.append(new, now)
-        self._verified = max(self._verified, append.previous_index + len(append.entries))
+        self._verified_index = max(self._verified_index, append.previous_index + len(append.entries))
 
     def acknowledge_synced(self) -> None:
-        """The disk made progress: tell the primary what is synced by now."""
+        """The disk made progress: report to the primary what is synced now."""
         primary = self._core.primary
         if primary is None or self._followed_epoch != self._core.epoch:
             return
-        if self._match_index() > self._acknowledged:
-            self._reply(primary, accepted=True, sent_us=self._sent_us)
+        if self._match_index() > self._acknowledged_index:
+            self._reply(primary, accepted=True, sent_us=self._newest_sent_us)
 
     def _match_index(self) -> int:
-        return min(self._verified, self._core.synced_index)
+        """Return the index up to which the log is synced here and equal to the primary's."""
+        return min(self._verified_index, self._core.writes.synced_index)
 
-    def _reply(self, receiver: MemberIdentity, accepted: bool, sent_us: int, last_index: int = 0) -> None:
+    def _reply(self, receiver: MemberIdentity, *, accepted: bool, sent_us: int, last_index: int = 0) -> None:
         if not self._core.is_hard_state_durable:
-            return  # a promise that could be forgotten is not acted on
+            return  # after a crash this replica could go back to an older epoch
         match_index = self._match_index()
         if accepted:
-            self._acknowledged = match_index
+            self._acknowledged_index = match_index
         reply = AppendReply(
             sent_us=sent_us, accepted=accepted, match_index=match_index, last_index=last_index
         )
         self._core.send(receiver, Message(append_reply=reply))
 
-    def refuse(self, sender: MemberIdentity) -> None:
-        """Tell a primary of an older epoch that there is a newer one."""
+    def reject_older_epoch(self, sender: MemberIdentity) -> None:
+        """Answer a primary of an older epoch with the newer one."""
         self._core.send(sender, Message(append_reply=AppendReply(accepted=False)))
 
+    # Snapshots
+
     def receive_chunk(self, sender: MemberIdentity, chunk: SnapshotChunk, now: float) -> None:
-        self._sent_us = max(self._sent_us, chunk.sent_us)
+        """Collect one chunk, install the snapshot when it is complete, and answer."""
+        self._newest_sent_us = max(self._newest_sent_us, chunk.sent_us)
         received = self._collect(chunk, now)
         if self._core.is_hard_state_durable:
             reply = SnapshotReply(sent_us=chunk.sent_us, index=chunk.index, received=received)
             self._core.send(sender, Message(snapshot_reply=reply))
 
     def _collect(self, chunk: SnapshotChunk, now: float) -> int:
-        """How much of the snapshot is here, with this chunk."""
-        if chunk.index <= self._core.commit_index:
-            self._verified = max(self._verified, chunk.index)
+        """Return how many bytes of the snapshot are here, from its start, with this chunk."""
+        if chunk.index <= self._core.log.commit_index:
+            self._verified_index = max(self._verified_index, chunk.index)
             return chunk.size
         incoming = self._incoming
         if incoming is None or (incoming.index, incoming.entry_epoch) != (chunk.index, chunk.entry_epoch):
@@ -134,9 +147,9 @@
 
     def _install(self, chunk: SnapshotChunk, state: bytes, now: float) -> None:
         core = self._core
-        self._verified = max(self._verified, chunk.index)
+        self._verified_index = max(self._verified_index, chunk.index)
         if core.log.epoch_at(chunk.index) == chunk.entry_epoch:
             core.advance_commit(chunk.index)
             return
-        members = encode_members([from_message(member) for member in chunk.members], chunk.excluded)
+        members = encode_members([member_from_message(member) for member in chunk.members], chunk.excluded)
         core.install_snapshot(Snapshot(chunk.index, chunk.entry_epoch, members, state), now)
--- a/cherrycove/tier/replication/effects.py
+++ b/cherrycove/tier/replication/effects.py
@@ -13,7 +13,7 @@
 
 @attrs.frozen
 class WriteHardState:
-    """Store the promise, behind all earlier writes."""
+    """Store epoch, vote and commit index. ``ticket`` numbers the writes of a machine in order."""
 
     ticket: int
     hard_state: HardState
@@ -21,7 +21,7 @@
 
 @attrs.frozen
 class WriteEntries:
-    """Append the entries; the first one replaces what stands at its index and behind."""
+    """Append the entries; the first one replaces the entry at its index and all after it."""
 
     ticket: int
     entries: list[Entry]
@@ -29,12 +29,16 @@
 
 @attrs.frozen
 class WriteSnapshot:
-    """Store the snapshot in place of the log up to its index, and ``tail`` behind it."""
+    """Store the snapshot in place of the log up to its index, followed by ``tail``.
+
+    A ``required`` snapshot came from the primary, and later entries need it; any other may be skipped when
+    the disk has no space for it.
+    """
 
     ticket: int
     snapshot: Snapshot
     tail: list[Entry]
-    required: bool  # it came from the primary, and later entries need it; else it may be skipped
+    required: bool
 
 
 Write = WriteHardState | WriteEntries | WriteSnapshot
@@ -42,7 +46,7 @@
 
 @attrs.frozen
 class OutgoingMessage:
-    """A message to one replica."""
+    """A message to one replica. It may be lost, duplicated or reordered."""
 
     receiver: MemberIdentity
     message: Message
@@ -50,10 +54,15 @@
 
 @attrs.define
 class Effects:
-    """Everything that came out of the machine since effects were taken last. Writes are done in order."""
+    """Everything that a machine asked for since its effects were taken last.
+
+    The runtime hands ``writes`` to the writer in order, restores ``restore`` before it applies ``committed``,
+    and sends ``messages`` at once: none of them needs a write that is not yet durable. ``changed`` means that
+    role, epoch, primary or members are not what they were.
+    """
 
     writes: list[Write] = attrs.field(factory=list)
     messages: list[OutgoingMessage] = attrs.field(factory=list)
-    restore: Snapshot | None = None  # to be restored before ``committed`` is applied
+    restore: Snapshot | None = None
     committed: list[Entry] = attrs.field(factory=list)
-    changed: bool = False  # role, epoch, primary or members
+    changed: bool = False
--- a/cherrycove/tier/replication/elections.py
+++ b/cherrycove/tier/replication/elections.py
@@ -1,4 +1,7 @@
-"""Elections: when a replica stands, whom it grants its vote, and when it has won.
+"""Elections: which leases a vote must wait for, and why a group that was killed need not wait.
+
+The protocol is Raft's (section 5.2) with pre-vote (Ongaro's thesis, section 9.6) and a primary's lease
+(section 6.4.1): ``candidate`` asks for votes, ``voter`` grants them.
 
 *With a lease.* A primary is confirmed while an election quorum has answered what it sent less than lease_s
 ago. A voter grants nothing within election_timeout_s > lease_s of what it heard last, so whoever is elected
@@ -39,301 +42,75 @@
 
 from __future__ import annotations
 
-import attrs
-
-from cherrycove.tier.protocol.replication_pb2 import Message, VoteReply, VoteRequest
-from cherrycove.tier.replication.core import ReplicaCore, Role
+from cherrycove.tier.protocol.replication_pb2 import VoteReply, VoteRequest
+from cherrycove.tier.replication.candidate import Candidate
+from cherrycove.tier.replication.core import ReplicaCore
+from cherrycove.tier.replication.election_timer import ElectionTimer
 from cherrycove.tier.replication.interface import MemberIdentity
-from cherrycove.tier.storage.hard_state import HardState
-
-NEVER = float("-inf")
-NO_INCARNATION = 0  # of a replica that does not run any more
-INCARNATION_BITS = 62
-
-
-@attrs.define
-class Campaign:
-    """One round of votes that this replica asks for."""
-
-    number: int
-    pre_vote: bool
-    epoch: int
-    started_at: float
-    handed_over: bool = False
-    votes_requested: bool = False
-    votes: set[str] = attrs.field(factory=set)
-    incarnations: dict[str, int] = attrs.field(factory=dict)  # of replicas that follow nobody, by member id
+from cherrycove.tier.replication.primary_contact import PrimaryContact
+from cherrycove.tier.replication.voter import Voter
 
 
 class Elections:
-    """Stands for election and votes. A won election shows as ``won``."""
-
-    def __init__(self, core: ReplicaCore, now: float, fresh: bool) -> None:
-        """``fresh``: the disk was empty, so no primary was ever heard of."""
-        self._core = core
-        self._lease_start_at = NEVER if fresh else now  # what was heard before the start is forgotten
-        self._contact_at = NEVER  # a primary, in this life of the process
-        self._started_at = now
-        self._incarnation = core.random.getrandbits(INCARNATION_BITS) + 1
-        self._heard_epoch = core.epoch
-        self._campaign: Campaign | None = None
-        self._campaigns = self._incarnation  # so that no number comes again in another life
-        self._deadline = now + core.timing.pre_vote_window_s + self._jitter_s()
-        self._pending_grant: tuple[MemberIdentity, VoteRequest] | None = None  # sent when it is synced
-        self.won = False
-
-    # Time-outs
+    """Both sides of an election: this replica as a candidate, and as a voter for others.
 
-    def _jitter_s(self) -> float:
-        """Share of a time-out that keeps members from standing at the same moment."""
-        timing = self._core.timing
-        ids = sorted(member.member_id for member in self._core.members)
-        own = self._core.identity.member_id
-        rank = ids.index(own) if own in ids else len(ids)
-        return rank * timing.stagger_s + self._core.random.random() * timing.jitter_s
+    Owned by ``ReplicaRoles`` for the lifetime of the process. After a restart only the vote is known (it is
+    in the hard state); which primary was heard is not, and is made up for by waiting.
+    """
 
-    def _timeout_s(self) -> float:
-        return self._core.timing.election_timeout_s + self._jitter_s()
+    def __init__(self, core: ReplicaCore, now: float, *, is_disk_new: bool) -> None:
+        """``is_disk_new``: the disk was empty, so this replica has never renewed a lease."""
+        self._contact = PrimaryContact(core, now, is_disk_new=is_disk_new)
+        self._timer = ElectionTimer(core, now)
+        self._candidate = Candidate(core, self._contact, self._timer)
+        self._voter = Voter(core, self._contact, self._candidate)
 
-    def record_primary_contact(self, now: float) -> None:
-        """The primary of the newest epoch has sent something."""
-        self._lease_start_at = self._contact_at = now
-        self._heard_epoch = self._core.epoch
-        self._campaign = None
-        self._deadline = now + self._timeout_s()
-
-    def postpone(self, now: float) -> None:
-        """Give others time before standing."""
-        self._campaign = None
-        self._deadline = now + self._timeout_s()
-
-    def hasten_first_election(self, now: float) -> None:
-        """Stand soon: the whole group starts for the first time."""
-        self._deadline = now + self._core.timing.bootstrap_timeout_s + self._jitter_s()
-
-    def _heard_lately(self, now: float) -> bool:
-        return now - self._lease_start_at < self._core.timing.election_timeout_s
-
-    # Standing
+    # Time
 
     def tick(self, now: float) -> None:
-        core = self._core
-        if core.role is Role.PRIMARY or now < self._deadline or not core.is_electable or core.disk_failing:
-            return
-        if self._campaign is not None and not self._campaign.votes_requested:
-            return  # its own promise is not synced yet: a slow disk is no reason to begin anew
-        self._deadline = now + core.timing.campaign_retry_s + self._jitter_s()
-        core.become(Role.BACKUP, None)
-        self._campaign = Campaign(self._next_campaign(), True, core.epoch + 1, now)
-        self._request_votes(now)
-        self._count_votes(now)
-
-    def _next_campaign(self) -> int:
-        self._campaigns += 1
-        return self._campaigns
+        """Begin a campaign if the election time-out is over. Called while this replica does not lead."""
+        self._candidate.tick(now)
 
-    def campaign(
-        self, now: float, handed_over: bool = False, incarnations: dict[str, int] | None = None
-    ) -> None:
-        """Vote for itself in a new epoch; other votes are requested when that is synced.
-
-        ``incarnations``: of all other replicas, when none of them follows a primary."""
-        core = self._core
-        epoch = core.epoch + 1
-        core.write_hard_state(HardState(epoch, core.identity.member_id, core.hard_state.commit_index))
-        core.become(Role.CANDIDATE, None)
-        core.effects.changed = True
-        self._campaign = Campaign(
-            self._next_campaign(), False, epoch, now, handed_over, incarnations=incarnations or {}
-        )
-        self._deadline = now + self._timeout_s()
-
-    def start_synced_campaign(self, now: float) -> None:
-        """The disk made progress."""
-        campaign = self._campaign
-        if campaign is not None and not campaign.votes_requested and self._core.is_hard_state_durable:
-            self._deadline = now + self._timeout_s()
-            self._request_votes(now)
-            self._count_votes(now)
+    def postpone(self, now: float) -> None:
+        """Give up a campaign and give others an election time-out before the next one."""
+        self._candidate.postpone(now)
 
-    def _request_votes(self, now: float) -> None:
-        campaign = self._campaign
-        if campaign is None:
-            return
-        core = self._core
-        campaign.votes_requested = True
-        if not campaign.pre_vote or not self._heard_lately(now):
-            # One that has just started may have renewed a lease in the life before, as any other voter.
-            campaign.votes.add(core.identity.member_id)
-        for peer in core.peers():
-            request = VoteRequest(
-                preliminary=campaign.pre_vote,
-                epoch=campaign.epoch,
-                last_index=core.log.last_index,
-                last_epoch=core.log.last_epoch,
-                handed_over=campaign.handed_over,
-                life=0 if campaign.pre_vote else campaign.incarnations.get(peer.member_id, 0),
-                campaign=campaign.number,
-            )
-            core.send(peer, Message(vote_request=request))
+    def expect_first_election(self, now: float) -> None:
+        """The whole group starts for the first time: begin a campaign soon."""
+        self._timer.expire_early(now)
 
-    def _count_votes(self, now: float) -> None:
-        campaign = self._campaign
-        if campaign is not None and campaign.pre_vote and self._is_group_unbound(campaign, now):
-            self.campaign(now, incarnations=campaign.incarnations)
-            return
-        if campaign is None or not self._core.joint_configuration().has_election_quorum(campaign.votes):
-            return
-        if campaign.pre_vote:
-            self.campaign(now)
-        elif self._core.role is Role.CANDIDATE and self._core.epoch == campaign.epoch:
-            self._campaign = None
-            self.won = True
+    def record_primary_contact(self, now: float) -> None:
+        """The primary of the newest epoch has sent something."""
+        self._contact.record(now)
+        self._candidate.postpone(now)
 
-    def _is_group_unbound(self, campaign: Campaign, now: float) -> bool:
-        """Whether every replica, this one included, follows no primary: then no lease can be in force, and
-        those that have just started need not wait for one to end."""
-        core = self._core
-        if now - self._contact_at < core.timing.election_timeout_s:
-            return False
-        if any(peer.member_id not in campaign.incarnations for peer in core.peers()):
-            return False
-        able = {
-            member_id
-            for member_id, incarnation in campaign.incarnations.items()
-            if incarnation != NO_INCARNATION
-        }
-        return core.joint_configuration().has_election_quorum({*able, core.identity.member_id})
+    # Campaign
 
-    def record_disk_replaced(self, member_id: str, now: float) -> None:
-        """The process at a member's address has another disk: the replica of that id does not run."""
-        campaign = self._campaign
-        if campaign is not None and campaign.pre_vote:
-            self._record_unbound(campaign, member_id, NO_INCARNATION, now)
+    def campaign_after_transfer(self, now: float) -> None:
+        """Campaign at once, because the primary transferred its leadership to this replica."""
+        self._candidate.campaign(now, handed_over=True)
 
-    def _record_unbound(self, campaign: Campaign, member_id: str, incarnation: int, now: float) -> None:
-        if now - campaign.started_at <= self._core.timing.pre_vote_window_s:
-            campaign.incarnations[member_id] = incarnation
-            self._count_votes(now)
+    def take_victory(self) -> bool:
+        """Whether this replica was elected since the last call."""
+        return self._candidate.take_victory()
 
     def receive_vote_reply(self, sender: MemberIdentity, epoch: int, reply: VoteReply, now: float) -> None:
-        self._learn_commit(reply)
-        campaign = self._campaign
-        if epoch > self._core.epoch:
-            self._core.adopt_epoch(epoch)
-            self._campaign = None
-        elif campaign is None or (campaign.number, campaign.epoch) != (reply.campaign, reply.epoch):
-            return
-        elif reply.removed:
-            self.postpone(now)
-            self._deadline += self._core.timing.removed_backoff_s
-        elif reply.granted:
-            campaign.votes.add(sender.member_id)
-            self._count_votes(now)
-        if reply.unbound and self._campaign is campaign and campaign is not None and campaign.pre_vote:
-            self._record_unbound(campaign, sender.member_id, reply.life, now)
+        """Handle the answer of ``sender``, whose epoch is ``epoch``, to a vote request."""
+        self._candidate.receive_vote_reply(sender, epoch, reply, now)
 
-    def _learn_commit(self, reply: VoteReply) -> None:
-        """What a voter knows to be committed may close a change of members: the old list has no say then."""
-        if self._core.log.epoch_at(reply.commit_index) == reply.commit_epoch:
-            self._core.advance_commit(reply.commit_index)
+    def record_disk_replaced(self, member_id: str, now: float) -> None:
+        """The process at the address of ``member_id`` has another disk: that replica does not run."""
+        self._candidate.record_disk_replaced(member_id, now)
 
-    # Voting
+    # Votes
 
     def receive_vote_request(
-        self, sender: MemberIdentity, request: VoteRequest, confirmed: bool, now: float
+        self, sender: MemberIdentity, request: VoteRequest, now: float, *, is_confirmed_primary: bool
     ) -> None:
-        """``confirmed``: this replica itself leads under a valid lease."""
-        if request.preliminary:
-            granted = request.epoch > self._core.epoch and not self._rejects(request, confirmed, now)
-            removed = not granted and self._is_removed(sender, confirmed, now)
-            self._reply(sender, request, granted, removed, self._is_unbound(request, now))
-            return
-        if request.epoch < self._core.epoch or self._is_bound_to_primary(request, confirmed, now):
-            self._reply(sender, request, False)
-            return
-        vote = sender.member_id if self._is_log_up_to_date(request) else ""
-        self._core.adopt_epoch(request.epoch, vote)
-        self._cast_vote(sender, request, now)
+        """Answer ``request``; ``is_confirmed_primary``: this replica itself leads under a valid lease."""
+        self._voter.receive_vote_request(sender, request, now, is_confirmed_primary=is_confirmed_primary)
 
-    def _rejects(self, request: VoteRequest, confirmed: bool, now: float) -> bool:
-        return self._is_bound_to_primary(request, confirmed, now) or not self._is_log_up_to_date(request)
-
-    def _is_unbound(self, request: VoteRequest, now: float) -> bool:
-        """Whether only what it may have promised a primary in an earlier life could keep this replica from
-        voting."""
-        core = self._core
-        return (
-            core.role is not Role.PRIMARY
-            and now - self._started_at >= core.timing.pre_vote_window_s
-            and now - self._contact_at >= core.timing.election_timeout_s
-            and request.epoch > core.epoch
-            and self._is_log_up_to_date(request)
-        )
-
-    def _is_removed(self, sender: MemberIdentity, confirmed: bool, now: float) -> bool:
-        """Whether there is a primary whose group has dropped ``sender``, which does not know it yet."""
-        if not (confirmed or self._heard_lately(now)) or self._core.has_uncommitted_change():
-            return False
-        members = self._core.members  # empty where the first list has not come yet
-        return bool(members) and all(member.member_id != sender.member_id for member in members)
-
-    def _is_bound_to_primary(self, request: VoteRequest, confirmed: bool, now: float) -> bool:
-        """Whether a primary may still hold a lease that counts on this replica."""
-        if confirmed:
-            return True
-        lease_given_up = request.handed_over and request.epoch == self._heard_epoch + 1
-        if lease_given_up:
-            return False
-        heard_at = self._contact_at if request.life == self._incarnation else self._lease_start_at
-        return now - heard_at < self._core.timing.election_timeout_s
-
-    def _is_log_up_to_date(self, request: VoteRequest) -> bool:
-        log = self._core.log
-        return (request.last_epoch, request.last_index) >= (log.last_epoch, log.last_index)
-
-    def _cast_vote(self, sender: MemberIdentity, request: VoteRequest, now: float) -> None:
-        core = self._core
-        hard_state = core.hard_state
-        if hard_state.voted_for == "" and self._is_log_up_to_date(request):
-            core.write_hard_state(HardState(hard_state.epoch, sender.member_id, hard_state.commit_index))
-        granted = core.hard_state.voted_for == sender.member_id
-        if granted:
-            self.postpone(now)
-        if granted and not core.is_hard_state_durable:
-            self._pending_grant = (sender, request)
-        else:
-            self._reply(sender, request, granted)
-
-    def send_pending_grant(self) -> None:
-        if self._pending_grant is None or not self._core.is_hard_state_durable:
-            return
-        sender, request = self._pending_grant
-        self._pending_grant = None
-        if (
-            self._core.hard_state.epoch == request.epoch
-            and self._core.hard_state.voted_for == sender.member_id
-        ):
-            self._reply(sender, request, True)
-
-    def _reply(
-        self,
-        sender: MemberIdentity,
-        request: VoteRequest,
-        granted: bool,
-        removed: bool = False,
-        unbound: bool = False,
-    ) -> None:
-        commit_index = self._core.commit_index
-        reply = VoteReply(
-            preliminary=request.preliminary,
-            epoch=request.epoch,
-            granted=granted,
-            removed=removed,
-            unbound=unbound,
-            life=self._incarnation if unbound else NO_INCARNATION,
-            commit_index=commit_index,
-            commit_epoch=self._core.log.epoch_at(commit_index) or 0,
-            campaign=request.campaign,
-        )
-        self._core.send(sender, Message(vote_reply=reply))
+    def complete_writes(self, now: float) -> None:
+        """The disk made progress: send what waited for a durable hard state."""
+        self._voter.send_pending_grant()
+        self._candidate.continue_when_durable(now)
--- /dev/null
+++ b/cherrycove/tier/replication/group_membership.py
@@ -0,0 +1,111 @@
+"""Which members count for one replica: derived from its log, nothing of it stored elsewhere."""
+
+from __future__ import annotations
+
+import attrs
+
+from cherrycove.tier.replication.interface import MemberIdentity
+from cherrycove.tier.replication.log import ReplicatedLog
+from cherrycove.tier.replication.membership import IndexedMembership, Members, Membership
+from cherrycove.tier.replication.quorums import JointConfiguration
+
+#: Epoch of the entry with the initial members, which counts as committed.
+INITIAL_EPOCH = 0
+
+
+@attrs.frozen
+class _CachedConfiguration:
+    newest: IndexedMembership
+    configuration: JointConfiguration
+
+
+class GroupMembership:
+    """The members of the group as the log of one replica has them.
+
+    Owned by ``ReplicaCore``. A membership is either committed, and then alone in force, or uncommitted: then
+    the one before it counts as well (``quorums.JointConfiguration``). Truncating or replacing the log brings
+    an earlier membership back.
+    """
+
+    def __init__(self, identity: MemberIdentity, faults: int, log: ReplicatedLog) -> None:
+        """``faults``: number of disks whose loss the group must survive."""
+        self._identity = identity
+        self._faults = faults
+        self._log = log
+        self._cached: _CachedConfiguration | None = None
+
+    @property
+    def members(self) -> Members:
+        """Members of the newest membership, committed or not."""
+        return self._log.newest_membership.members
+
+    @property
+    def newest(self) -> Membership:
+        """The newest membership, committed or not."""
+        return self._log.newest_membership.membership
+
+    @property
+    def target_size(self) -> int:
+        """Number of members with which a majority survives the loss of ``faults`` disks."""
+        return 2 * self._faults + 1
+
+    @property
+    def is_member(self) -> bool:
+        """Whether the newest membership includes this replica."""
+        return any(member.member_id == self._identity.member_id for member in self.members)
+
+    @property
+    def is_voter(self) -> bool:
+        """Whether the joint configuration includes this replica."""
+        return self._voter_identity() is not None
+
+    @property
+    def is_electable(self) -> bool:
+        """Whether the joint configuration includes this replica at the address that it has.
+
+        A replica that is being removed may have the only log that is up to date, so it must be able to lead
+        until the change is committed. A disk that was moved to another address must not lead: whoever has
+        its earlier address answers that the replica of this disk does not run.
+        """
+        voter = self._voter_identity()
+        return voter is not None and voter.address == self._identity.address
+
+    def _voter_identity(self) -> MemberIdentity | None:
+        voters = self.joint_configuration().voters
+        return next((voter for voter in voters if voter.member_id == self._identity.member_id), None)
+
+    def has_uncommitted_change(self) -> bool:
+        """Whether the newest membership is not known to be committed."""
+        newest = self._log.newest_membership
+        if newest.index <= self._log.commit_index:
+            return False
+        return self._log.epoch_at(newest.index) != INITIAL_EPOCH
+
+    def joint_configuration(self) -> JointConfiguration:
+        """Return the members whose votes and replicas count now."""
+        newest = self._log.newest_membership
+        cached = self._cached
+        if cached is not None and cached.newest is newest:
+            is_joint = cached.configuration.previous is not None
+            if is_joint == self.has_uncommitted_change():
+                return cached.configuration
+        configuration = self._make_joint_configuration(newest)
+        self._cached = _CachedConfiguration(newest, configuration)
+        return configuration
+
+    def _make_joint_configuration(self, newest: IndexedMembership) -> JointConfiguration:
+        if not self.has_uncommitted_change():
+            return JointConfiguration(self._faults, newest.members)
+        previous = self._log.membership_at(newest.index - 1).members
+        return JointConfiguration(self._faults, newest.members, previous, newest.index)
+
+    def peers(self) -> list[MemberIdentity]:
+        """Return the other replicas of the joint configuration."""
+        known = {voter.member_id: voter for voter in self.joint_configuration().voters}
+        known.pop(self._identity.member_id, None)
+        return list(known.values())
+
+    def identity_of(self, replica: MemberIdentity) -> MemberIdentity:
+        """Return the full identity of ``replica`` where the newest membership has it, else ``replica``."""
+        known = (member for member in self.members if member.member_id == replica.member_id)
+        return next(known, replica)
--- a/cherrycove/tier/replication/interface.py
+++ b/cherrycove/tier/replication/interface.py
@@ -13,31 +13,39 @@
 
 @attrs.frozen
 class MemberIdentity:
-    """One replica. ``member_id`` names the disk: an emptied disk gets a new one, and so is a new member."""
+    """One replica.
+
+    ``member_id`` names the disk: an emptied disk gets a new one, and so is a new member. ``address`` is
+    host:port of its internal calls. ``zone`` is its failure domain, "" where none is known.
+    """
 
     member_id: str
     node_name: str
-    address: str  # host:port of its internal calls
+    address: str
     zone: str = ""
 
 
 @attrs.frozen
 class CommittedMembers:
-    """A member list that is committed and in force, as its primary knows it under a valid lease."""
+    """The members in force, committed, as their primary knows them under a valid lease.
+
+    ``index``: they are in force from this log index on at the latest; a later membership never has a lower
+    one. ``excluded``: ids of disks that are never added again.
+    """
 
-    index: int  # the list is in force from here on at the latest; a later list never has a lower one
+    index: int
     members: tuple[MemberIdentity, ...]
-    excluded: frozenset[str]  # ids of disks that are never taken in again
+    excluded: frozenset[str]
 
 
 class StateMachine(Protocol):
     """State that is a function of the commands applied so far. Runs in the event loop; must not block."""
 
     def apply(self, index: int, command: bytes) -> object:
-        """Apply one committed command; the return value is the outcome of its ``propose`` at the primary."""
+        """Apply one committed command; what it returns is the outcome of its ``propose`` at the primary."""
 
     def snapshot(self) -> bytes:
-        """The whole state."""
+        """Return the complete state."""
 
     def restore(self, data: bytes) -> None:
         """Replace the state by that of a snapshot."""
@@ -47,7 +55,8 @@
     """A replicated group as its plane sees it."""
 
     @property
-    def identity(self) -> MemberIdentity: ...
+    def identity(self) -> MemberIdentity:
+        """This replica."""
 
     @property
     def epoch(self) -> int:
@@ -64,25 +73,34 @@
     def is_confirmed_primary(self) -> bool:
         """Whether this replica leads under a valid lease and has applied all that is committed.
 
-        While true, a read of the local state machine is linearizable."""
+        While true, a read of the local state machine is linearizable.
+        """
 
     async def propose(self, command: bytes, timeout_s: float) -> Result[object, Failure]:
-        """Replicate ``command`` and apply it. Ok holds what ``apply`` returned, after the command was synced
-        on as many disks as may be lost, plus one. NOT_PRIMARY: certainly not taken. UNCERTAIN: unknown."""
+        """Replicate ``command`` and apply it.
+
+        Ok holds what ``apply`` returned, after the command was synced on as many disks as may be lost, plus
+        one. Err: NOT_PRIMARY or OVERLOADED: certainly not applied. UNCERTAIN: unknown.
+        """
 
     def offer_standbys(self, standbys: Sequence[MemberIdentity]) -> None:
-        """Replicas alive outside the group; the primary takes them in where members are missing or gone."""
+        """Name replicas alive outside the group; the primary adds them where members are missing or lost."""
 
     def voting_member_ids(self) -> frozenset[str]:
-        """Ids of all members whose votes count, also those of the former list while a change is open."""
+        """Return the ids of all members whose votes count, during a change also the previous ones."""
 
     def committed_members(self) -> CommittedMembers | None:
-        """The member list in force. None while a change of members is open, or this replica does not lead
-        under a valid lease."""
+        """Return the members in force.
+
+        None while a change of members is uncommitted, or if this replica is not the confirmed primary.
+        """
 
     def retire(self, names: frozenset[str]) -> None:
-        """Machines that must leave the group, by node name or member id; the primary moves their place to
-        standbys, or shrinks. Their ids are excluded: committed as never to be taken in again."""
+        """Name the machines that must leave the group, by node name or member id.
+
+        The primary replaces them by standbys, or removes them from a group that is larger than it must be.
+        Their ids are excluded: committed as never to be added again.
+        """
 
     def on_change(self, callback: Callable[[], None]) -> None:
-        """Call back after each change of role, epoch, primary or members."""
+        """Call ``callback`` after each change of role, epoch, primary or members."""
--- a/cherrycove/tier/replication/learners.py
+++ b/cherrycove/tier/replication/learners.py
@@ -1,4 +1,4 @@
-"""How a primary takes standbys in: one at a time, caught up first, then by a members entry."""
+"""How a primary adds standbys: one at a time, as a learner until it is caught up, then by a members entry."""
 
 from __future__ import annotations
 
@@ -12,65 +12,84 @@
     MembershipStep,
     next_step,
 )
-from cherrycove.tier.replication.peers import Peer, SnapshotSource
+from cherrycove.tier.replication.replicator import PeerReplicator
+from cherrycove.tier.replication.snapshot_sender import SnapshotSource
 
-NEARLY_CAUGHT_UP_ENTRIES = 16
+#: A learner that lacks no more entries may become a member.
+MAX_LEARNER_LAG_ENTRIES = 16
 
 
 @attrs.define
 class MembershipRequests:
-    """What the plane asks of the group's members; kept through changes of role."""
+    """What the user of a group asks of its members; kept through changes of role.
+
+    ``standbys`` are replicas alive, members included. ``retiring`` holds node names or member ids of machines
+    that must leave the group.
+    """
 
     standbys: tuple[MemberIdentity, ...] = ()
     retiring: frozenset[str] = frozenset()
 
 
 class LearnerPromotion:
-    """Chooses the next change of members and prepares it, for one time as primary."""
+    """Chooses the next change of members and prepares it.
+
+    Owned by ``Primary`` for its period. States: no learner; a learner that is catching up (it receives the
+    log but does not count for any quorum). A learner that does not answer is dropped, and its standby is
+    chosen after all others for standby_backoff_s; another step of the policy drops the learner as well.
+    """
 
-    def __init__(
-        self, core: ReplicaCore, membership_requests: MembershipRequests, source: SnapshotSource
-    ) -> None:
+    def __init__(self, core: ReplicaCore, requests: MembershipRequests, source: SnapshotSource) -> None:
         self._core = core
-        self._membership_requests = membership_requests
+        self._requests = requests
         self._source = source
-        self._set_aside: dict[str, float] = {}  # member id of a standby that did not answer: until when
-        self.learner: Peer | None = None
+        self._backoff_until: dict[str, float] = {}  # by member id of a standby that did not answer
+        self.learner: PeerReplicator | None = None
 
     def step(
         self, unreachable: frozenset[str], unresponsive: frozenset[str], now: float
     ) -> MembershipStep | None:
-        """The change to make now, if one is wanted and prepared. ``unresponsive``: did not answer lately."""
+        """Return the step to take now, if one is wanted and prepared.
+
+        ``unreachable`` and ``unresponsive`` are ids of members (``membership_policy.GroupView``).
+        """
         step = next_step(self._view(unreachable, unresponsive, now))
         if not isinstance(step, MembershipChange) or step.add is None:
             self.learner = None
             return step
-        learner = self._learn(step.add, now)
-        if now - learner.heard_at > self._core.timing.unreachable_timeout_s:
-            self._set_aside[step.add.member_id] = now + self._core.timing.standby_backoff_s
+        learner = self._replicate_to(step.add, now)
+        if now - learner.progress.heard_at > self._core.timing.unreachable_timeout_s:
+            self._backoff_until[step.add.member_id] = now + self._core.timing.standby_backoff_s
             self.learner = None
             return None
-        ready = learner.match_index > 0 and learner.caught_up(NEARLY_CAUGHT_UP_ENTRIES)
-        return step if ready else None
+        has_synced = learner.progress.match_index > 0
+        return step if has_synced and learner.is_caught_up(MAX_LEARNER_LAG_ENTRIES) else None
 
-    def _learn(self, standby: MemberIdentity, now: float) -> Peer:
+    def take_learner(self, member_id: str) -> PeerReplicator | None:
+        """Return the learner and forget it, if it is the replica ``member_id``."""
+        learner = self.learner
+        if learner is None or learner.member.member_id != member_id:
+            return None
+        self.learner = None
+        return learner
+
+    def _replicate_to(self, standby: MemberIdentity, now: float) -> PeerReplicator:
         if self.learner is None or self.learner.member.member_id != standby.member_id:
-            self.learner = Peer(self._core, standby, self._source, now)
+            self.learner = PeerReplicator(self._core, standby, self._source, now)
         self.learner.tick(now)
         return self.learner
 
     def _view(self, unreachable: frozenset[str], unresponsive: frozenset[str], now: float) -> GroupView:
-        unresponsive_standbys = frozenset(
-            member_id for member_id, until in self._set_aside.items() if until > now
-        )
+        in_backoff = frozenset(member_id for member_id, until in self._backoff_until.items() if until > now)
+        membership = self._core.membership
         return GroupView(
             primary=self._core.identity,
-            members=self._core.members,
-            standbys=self._membership_requests.standbys,
+            members=membership.members,
+            standbys=self._requests.standbys,
             unreachable=unreachable,
-            retiring=self._membership_requests.retiring,
-            target_size=2 * self._core.faults + 1,
-            excluded=frozenset(self._core.membership.excluded),
+            retiring=self._requests.retiring,
+            target_size=membership.target_size,
+            excluded=frozenset(membership.newest.excluded),
             unresponsive=unresponsive,
-            unresponsive_standbys=unresponsive_standbys,
+            unresponsive_standbys=in_backoff,
         )
--- /dev/null
+++ b/cherrycove/tier/replication/replicator.py
@@ -0,0 +1,105 @@
+"""Replicates the log of a primary to one other replica."""
+
+from __future__ import annotations
+
+from cherrycove.tier.protocol.replication_pb2 import Append, AppendReply, Message, SnapshotReply
+from cherrycove.tier.protocol.replication_pb2 import Entry as EntryMessage
+from cherrycove.tier.replication.core import ReplicaCore
+from cherrycove.tier.replication.interface import MemberIdentity
+from cherrycove.tier.replication.progress import ReplicationProgress
+from cherrycove.tier.replication.snapshot_sender import SnapshotSender, SnapshotSource
+from cherrycove.tier.replication.timing import NEVER, microseconds
+from cherrycove.tier.storage.entries import Entry
+
+#: Size of the entries in one message, except that a single entry may be larger.
+MAX_APPEND_BYTES = 512 * 1024
+
+
+def _to_message(entry: Entry) -> EntryMessage:
+    return EntryMessage(index=entry.index, epoch=entry.epoch, kind=entry.kind, payload=entry.payload)
+
+
+class PeerReplicator:
+    """Sends entries, heartbeats and snapshots to one member or learner.
+
+    Owned by ``PeerSet`` (a member) or ``LearnerPromotion`` (a learner) for one period as primary. Lost
+    messages are found by a later rejection or the chunk time-out and sent again; a replica that falls silent
+    gets heartbeats only, until it answers.
+    """
+
+    def __init__(self, core: ReplicaCore, member: MemberIdentity, source: SnapshotSource, now: float) -> None:
+        self.member = member
+        self.progress = ReplicationProgress(next_index=core.log.last_index + 1, heard_at=now)
+        self._core = core
+        self._snapshots = SnapshotSender(core, member, source)
+        self._sent_at = NEVER  # of the newest append, with entries or without
+        self._announced_commit_index = 0
+
+    def is_caught_up(self, within: int) -> bool:
+        """Whether it lacks at most ``within`` entries of the log."""
+        if self._snapshots.is_active:
+            return False
+        return self.progress.match_index + within >= self._core.log.last_index
+
+    # Sending
+
+    def replicate(self, now: float) -> None:
+        """Send what it lacks, as far as unanswered messages allow."""
+        if not self.progress.is_responsive(now):
+            return
+        if self._needs_snapshot():
+            self._snapshots.send_chunk(now)
+            return
+        log = self._core.log
+        while self.progress.next_index <= log.last_index and self.progress.has_window:
+            entries = log.entries_within(self.progress.next_index, MAX_APPEND_BYTES)
+            self._send_append(now, entries)
+            self.progress.record_sent(len(entries), entries[-1].index)
+
+    def tick(self, now: float) -> None:
+        """Send a heartbeat if one is due or the commit index is news, and again what was lost."""
+        has_news = self._announced_commit_index < self._core.log.commit_index
+        is_heartbeat_due = now - self._sent_at >= self._core.timing.heartbeat_s
+        if is_heartbeat_due or (has_news and self.progress.is_responsive(now)):
+            self._send_append(now, [])
+        self.replicate(now)
+
+    def announce_commit(self, now: float) -> None:
+        """Send the commit index at once."""
+        if self.progress.is_responsive(now):
+            self._send_append(now, [])
+
+    def _needs_snapshot(self) -> bool:
+        return self._snapshots.is_active or self.progress.next_index <= self._core.log.base_index
+
+    def _send_append(self, now: float, entries: list[Entry]) -> None:
+        log = self._core.log
+        # Index 0 precedes every log: during a snapshot transfer it makes the message a mere heartbeat.
+        previous_index = 0 if self._needs_snapshot() else self.progress.next_index - 1
+        append = Append(
+            sent_us=microseconds(now),
+            previous_index=previous_index,
+            previous_epoch=log.epoch_at(previous_index) or 0 if previous_index else 0,
+            commit_index=log.commit_index,
+            entries=[_to_message(entry) for entry in entries],
+        )
+        self._sent_at = now
+        self._announced_commit_index = log.commit_index
+        self._core.send(self.member, Message(append=append))
+
+    # Replies
+
+    def receive_append_reply(self, reply: AppendReply, now: float) -> None:
+        """Handle the answer to an append, and send what may follow."""
+        self.progress.record_answer(reply.sent_us, now)
+        self.progress.record_append_reply(reply, now)
+        self.replicate(now)
+
+    def receive_snapshot_reply(self, reply: SnapshotReply, now: float) -> None:
+        """Handle the answer to a snapshot chunk, and send what may follow."""
+        self.progress.record_answer(reply.sent_us, now)
+        if not self._snapshots.record_reply(reply):
+            return
+        if not self._snapshots.is_active:
+            self.progress.record_snapshot_received(reply.index)
+        self.replicate(now)
--- a/cherrycove/tier/replication/timing.py
+++ b/cherrycove/tier/replication/timing.py
@@ -4,6 +4,9 @@
 
 import attrs
 
+#: A time before all others, for events that have not happened.
+NEVER = float("-inf")
+MICROSECONDS = 1_000_000
 #: Part of the time to catch up; an election, the transfer of the log and a commit need the rest.
 UNREACHABLE_FRACTION = 0.25
 MAX_UNREACHABLE_TIMEOUT_S = 2.0
@@ -52,3 +55,8 @@
         """
         wanted = min(catch_up_s * UNREACHABLE_FRACTION, MAX_UNREACHABLE_TIMEOUT_S)
         return cls(unreachable_timeout_s=max(wanted, cls().election_timeout_s))
+
+
+def microseconds(seconds: float) -> int:
+    """Convert a time of the monotonic clock to the whole microseconds that messages carry."""
+    return int(seconds * MICROSECONDS)
--- a/cherrycove/tier/simulation/control/mutations.py
+++ b/cherrycove/tier/simulation/control/mutations.py
@@ -18,11 +18,11 @@
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.distribution.publisher import Publisher
 from cherrycove.tier.errors import ErrorKind, Failure
-from cherrycove.tier.replication.machine import ReplicaMachine
+from cherrycove.tier.replication.message_dispatcher import MessageDispatcher
 from cherrycove.tier.replication.messenger import PeerMessenger
-from cherrycove.tier.replication.peers import Peer
 from cherrycove.tier.replication.pending_proposals import PendingProposals
 from cherrycove.tier.replication.primary import Primary
+from cherrycove.tier.replication.replicator import PeerReplicator
 from cherrycove.tier.simulation import mutations as of_the_group
 from cherrycove.tier.simulation.control import network
 from cherrycove.tier.simulation.control.machines import Surroundings
@@ -44,7 +44,7 @@
 
 def _lease_without_end() -> Patches:
     def is_confirmed_primary(primary: Any, now: float) -> bool:
-        return bool(primary._core.commit_index >= primary._noop_index)
+        return bool(primary._core.log.commit_index >= primary._noop_index)
 
     yield mock.patch.object(Primary, "is_confirmed_primary", is_confirmed_primary)
 
@@ -142,7 +142,7 @@
 
 
 def _taken_in_before_it_caught_up() -> Patches:
-    yield mock.patch.object(Peer, "caught_up", lambda peer, within: True)
+    yield mock.patch.object(PeerReplicator, "is_caught_up", lambda peer, within: True)
 
 
 # 4. A restarted member
@@ -185,12 +185,12 @@
 
 
 def _replies_of_older_epochs_count() -> Patches:
-    def receive(machine: Any, sender: Any, message: Any, now: float) -> None:
-        message.epoch = max(message.epoch, machine._core.epoch) if message.epoch else message.epoch
-        original(machine, sender, message, now)
+    def receive(dispatcher: Any, sender: Any, message: Any, now: float) -> None:
+        message.epoch = max(message.epoch, dispatcher._core.epoch) if message.epoch else message.epoch
+        original(dispatcher, sender, message, now)
 
-    original = ReplicaMachine._receive_from_backup
-    yield mock.patch.object(ReplicaMachine, "_receive_from_backup", receive)
+    original = MessageDispatcher._receive_from_backup
+    yield mock.patch.object(MessageDispatcher, "_receive_from_backup", receive)
 
 
 def _replies_by_place() -> Patches:
--- a/cherrycove/tier/simulation/mutations.py
+++ b/cherrycove/tier/simulation/mutations.py
@@ -11,18 +11,20 @@
 
 from cherrycove.tier.replication import membership_policy, quorums
 from cherrycove.tier.replication.backup import Backup
+from cherrycove.tier.replication.candidate import Candidate
 from cherrycove.tier.replication.core import ReplicaCore
-from cherrycove.tier.replication.elections import Elections
+from cherrycove.tier.replication.group_membership import GroupMembership
 from cherrycove.tier.replication.learners import LearnerPromotion
 from cherrycove.tier.replication.primary import Primary
 from cherrycove.tier.replication.quorums import JointConfiguration
+from cherrycove.tier.replication.voter import Voter
 
 Patches = Iterator[Any]
 
 
 def _acknowledge_before_sync() -> Patches:
     def match_index(backup: Any) -> int:
-        return int(backup._verified)
+        return int(backup._verified_index)
 
     yield mock.patch.object(Backup, "_match_index", match_index)
 
@@ -32,13 +34,13 @@
 
     def synced_at_once(core: ReplicaCore, *arguments: Any) -> None:
         append(core, *arguments)
-        core.synced_index = core.log.last_index
+        core.writes.synced_index = core.log.last_index
 
     yield mock.patch.object(ReplicaCore, "append", synced_at_once)
 
 
 def _vote_without_log_check() -> Patches:
-    yield mock.patch.object(Elections, "_is_log_up_to_date", lambda elections, request: True)
+    yield mock.patch.object(Voter, "_is_log_up_to_date", lambda voter, request: True)
 
 
 def _one_copy_fewer() -> Patches:
@@ -57,7 +59,7 @@
 
 
 def _vote_within_lease() -> Patches:
-    yield mock.patch.object(Elections, "_is_bound_to_primary", lambda *arguments: False)
+    yield mock.patch.object(Voter, "_is_bound_to_primary", lambda *arguments, **options: False)
 
 
 def _count_copies_of_older_epochs() -> Patches:
@@ -71,36 +73,37 @@
 
 
 def _new_list_alone() -> Patches:
-    def joint_configuration(core: ReplicaCore) -> JointConfiguration:
-        return JointConfiguration(core.faults, core.members)
+    def joint_configuration(membership: Any) -> JointConfiguration:
+        return JointConfiguration(membership._faults, membership.members)
 
-    yield mock.patch.object(ReplicaCore, "joint_configuration", joint_configuration)
+    yield mock.patch.object(GroupMembership, "joint_configuration", joint_configuration)
 
 
 def _restarted_quorum_needs_no_lease_to_end() -> Patches:
-    def nobody_leads(elections: Any, campaign: Any, now: float) -> bool:
-        core = elections._core
-        return bool(
-            core.joint_configuration().has_election_quorum({*campaign.incarnations, core.identity.member_id})
-        )
+    def is_group_unbound(candidate: Any, campaign: Any, now: float) -> bool:
+        core = candidate._core
+        voters = {*campaign.incarnations, core.identity.member_id}
+        return bool(core.membership.joint_configuration().has_election_quorum(voters))
 
-    yield mock.patch.object(Elections, "_is_group_unbound", nobody_leads)
+    yield mock.patch.object(Candidate, "_is_group_unbound", is_group_unbound)
 
 
 def _life_not_compared() -> Patches:
-    def bound(elections: Any, request: Any, confirmed: bool, now: float) -> bool:
-        heard_at = elections._contact_at if request.life else elections._lease_start_at
-        return bool(confirmed or now - heard_at < elections._core.timing.election_timeout_s)
+    def is_bound(voter: Any, request: Any, now: float, *, is_confirmed_primary: bool) -> bool:
+        contact = voter._contact
+        if request.life:
+            return bool(is_confirmed_primary or contact.has_heard_primary(now))
+        return bool(is_confirmed_primary or contact.may_have_renewed_lease(now))
 
-    yield mock.patch.object(Elections, "_is_bound_to_primary", bound)
+    yield mock.patch.object(Voter, "_is_bound_to_primary", is_bound)
 
 
 def _removed_primary_stays_confirmed() -> Patches:
-    yield mock.patch.object(ReplicaCore, "is_voter", True)
+    yield mock.patch.object(GroupMembership, "is_voter", True)
 
 
 def _silent_members_stay() -> Patches:
-    yield mock.patch.object(membership_policy, "_unreachable", lambda view, standbys: None)
+    yield mock.patch.object(membership_policy, "_replace_unreachable_member", lambda view, standbys: None)
 
 
 def _retiring_while_others_are_silent() -> Patches:
--- a/tests/tier/golden_support.py
+++ b/tests/tier/golden_support.py
@@ -32,7 +32,7 @@
 )
 from cherrycove.tier.protocol.rpc import RpcClient, RpcServer
 from cherrycove.tier.replication.interface import MemberIdentity
-from cherrycove.tier.replication.log import encode_members
+from cherrycove.tier.replication.membership import encode_members
 from cherrycove.tier.settings import ProcessLimits, Settings
 from cherrycove.tier.storage import identity as identity_module
 from cherrycove.tier.storage.entries import Entry, EntryKind
--- a/tests/tier/test_replication_machine.py
+++ b/tests/tier/test_replication_machine.py
@@ -11,8 +11,8 @@
 from cherrycove.tier.replication.core import Role
 from cherrycove.tier.replication.effects import Effects, WriteHardState
 from cherrycove.tier.replication.interface import MemberIdentity
-from cherrycove.tier.replication.log import encode_members
 from cherrycove.tier.replication.machine import ReplicaMachine
+from cherrycove.tier.replication.membership import encode_members
 from cherrycove.tier.simulation.disk import SimulatedDisk
 from cherrycove.tier.simulation.faults import Faults
 from cherrycove.tier.simulation.replica import Replica
