--- a/cherrycove/tier/batch/client/primary_call.py
+++ b/cherrycove/tier/batch/client/primary_call.py
@@ -23,7 +23,7 @@
     """All attempts of one call. Every method that is called so is idempotent, so attempts may be repeated.
 
     The call ends with the first reply, with a failure that only a primary gives, or at its deadline. Only
-    if every attempt certainly had no effect does the whole call fail as certain.
+    if every attempt certainly had no effect is the failure of the call certain too.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         return None
 
     async def _attempt(self, address: str, remaining_s: float) -> Result[ReplyT, Failure] | Failure:
-        """The outcome of the whole call, or the failure of this attempt alone."""
+        """The outcome of the call, or the failure of this attempt alone."""
         timeout_s = min(self._attempt_timeout_s, remaining_s)
         outcome = await self._client.call(address, self._method, self._request, timeout_s)
         if isinstance(outcome, Ok):
--- a/cherrycove/tier/batch/leasing/lease_holders.py
+++ b/cherrycove/tier/batch/leasing/lease_holders.py
@@ -26,7 +26,7 @@
 class LeaseHolders:
     """All lease holders by incarnation.
 
-    A proxy has one current process. What a holder that is dropped held is returned, for the caller to free.
+    A proxy has one current process. When a holder is dropped, its items are returned for the caller to free.
     """
 
     def __init__(self, lease_s: float) -> None:
@@ -59,7 +59,7 @@
         )
 
     def make_current(self, call: LeaseCall) -> Sequence[ItemKey]:
-        """Make the caller the current process of its proxy; returns what the one before held.
+        """Make the caller the current process of its proxy; returns the items of the one before.
 
         A late request that was delayed on the network may so replace the current process by an earlier one.
         The current one becomes current again once the lease of the earlier one has expired.
@@ -77,7 +77,7 @@
         return self._drop(before) if before in self._holders else ()
 
     def expire(self, now: float) -> Sequence[ItemKey]:
-        """Drop every holder that did not renew in time; returns what they held."""
+        """Drop every holder that did not renew in time; returns their items."""
         expired = [name for name, holder in self._holders.items() if holder.expires_at_s <= now]
         return [key for incarnation in expired for key in self._drop(incarnation)]
 
--- a/tests/tier/test_batch_failing_items.py
+++ b/tests/tier/test_batch_failing_items.py
@@ -20,7 +20,7 @@
 
 def crash(worker: BatchWorker) -> None:
     """End all of its tasks at once, with nothing more told."""
-    runs = [task for run in worker._runs.values() for task in (run.task, run.execution)]
+    runs = [task for run in worker._runs.active() for task in (run.task, run.execution)]
     for task in [worker._loop_task, *runs]:
         assert task is not None
         task.cancel()
