--- a/cherrycove/tier/programs/__init__.py
+++ b/cherrycove/tier/programs/__init__.py
@@ -1,1 +1,1 @@
-"""The thin binaries: each assembles the libraries of its planes and hands them to the process's life."""
+"""The daemons: each module assembles the parts of one program, and ``process`` runs it until a signal."""
--- a/cherrycove/tier/programs/controller.py
+++ b/cherrycove/tier/programs/controller.py
@@ -1,59 +1,30 @@
-"""The keeper: configuration, register of processes and brokers, operator's API; replicated."""
+"""The controller: configuration, known processes and brokers, and the operator's interface; replicated."""
 
 from __future__ import annotations
 
+from collections.abc import Sequence
+
 from cherrycove.tier.controlplane.controller import Controller
 from cherrycove.tier.controlplane.state import ControlState
-from cherrycove.tier.distribution.cluster_view import ClusterView
-from cherrycove.tier.distribution.puller import Puller
 from cherrycove.tier.program_names import CONTROLLER_PROGRAM
-from cherrycove.tier.programs.process import new_incarnation
-from cherrycove.tier.programs.replica import describe, open_group
-from cherrycove.tier.protocol.control_pb2 import Announcement
-from cherrycove.tier.protocol.rpc import RpcClient, RpcServer
+from cherrycove.tier.programs.replica_program import ReplicaProgram
 from cherrycove.tier.replication.interface import MemberIdentity
 from cherrycove.tier.settings import Settings
 
 
-class ControllerProgram:
-    """Assembles the control plane of one machine."""
+class ControllerProgram(ReplicaProgram):
+    """The control plane of one machine as a daemon."""
 
     def __init__(self, settings: Settings) -> None:
-        self._settings = settings
-        self._server = RpcServer()
-        self._client = RpcClient()
+        """Open the disk that ``settings`` names; raises ``OSError`` where it cannot be used."""
         self._state = ControlState()
-        self._incarnation = new_incarnation()
-        self._leaving = False
-        self._group, self._fresh = open_group(
-            CONTROLLER_PROGRAM, settings, self._state, self._server, self._client
-        )
-        self._server.identify(lambda: self._group.identity.member_id)
-        self._views = ClusterView()
-        self._keeper = Controller(settings, self._group, self._state, self._server, self._client, self._views)
-        self._puller = Puller(settings, self._client, self._views, self._announce)
-
-    async def start(self) -> None:
-        await self._client.start()
-        await self._group.start(self._initial_members())
-        await self._keeper.start()
-        await self._server.start(self._settings.internal_address(CONTROLLER_PROGRAM))
-        await self._puller.start()
+        super().__init__(CONTROLLER_PROGRAM, settings, self._state)
 
-    async def stop(self) -> None:
-        self._leaving = True
-        self._puller.announce_now()
-        await self._group.stop()
-        await self._puller.stop()
-        await self._keeper.stop()
-        await self._server.stop()
-        await self._client.stop()
+    def _assemble_service(self) -> Controller:
+        return Controller(self._settings, self._group, self._state, self._server, self._client, self._views)
 
-    def reload(self, settings: Settings) -> None:
-        self._puller.reload(settings)
-
-    def _initial_members(self) -> list[MemberIdentity]:
-        """The seeds' first disks: the group that a first start begins with."""
+    def _initial_members(self) -> Sequence[MemberIdentity]:
+        """Return the replicas on the seeds' first disks, at a first start of the deployment."""
         if not self._settings.first_start:
             return []
         return [
@@ -61,11 +32,7 @@
             for ip in sorted(set(self._settings.seed_ips()))
         ]
 
-    def _announce(self) -> Announcement:
-        return describe(
-            CONTROLLER_PROGRAM, self._settings, self._group, self._fresh, self._incarnation, self._leaving
-        )
-
 
 def assemble(settings: Settings) -> ControllerProgram:
+    """Return the program; raises ``OSError`` where its disk cannot be used."""
     return ControllerProgram(settings)
--- a/cherrycove/tier/programs/process.py
+++ b/cherrycove/tier/programs/process.py
@@ -1,4 +1,4 @@
-"""The life of a daemon: settings, log, event loop, signals, orderly end."""
+"""The lifecycle of a daemon: settings, log, event loop, signals, graceful stop, exit code."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 import signal
 import sys
 from collections.abc import Sequence
+from enum import IntEnum
 from typing import Protocol
 
+from cherrycove.tier.logs import configure
 from cherrycove.tier.settings import Settings, SettingsError, load_settings
 
-EXIT_BAD_SETTINGS = 2
-EXIT_CANNOT_START = 1
 INCARNATION_BYTES = 6
 # Module that assembles each daemon, by its name on the command line. The controller was called "keeper" in
 # earlier releases; deploy files, unit files and scripts that name it so go on working.
@@ -25,66 +25,76 @@
     "keeper": "cherrycove.tier.programs.controller",
     "store": "cherrycove.tier.programs.store",
 }
-YOUNGEST_COLLECTION = 20_000  # objects made before the collector looks; requests free theirs by count
+# Thresholds of the garbage collector's generations. The youngest one is far above the default: requests are
+# freed by reference counts, so frequent collections would find little.
+GC_THRESHOLDS = (20_000, 20, 50)
 
 _log = logging.getLogger(__name__)
 
 
+class DaemonExit(IntEnum):
+    """Exit codes of a daemon."""
+
+    STOPPED = 0
+    CANNOT_START = 1  # an address could not be bound, or a disk not opened
+    INVALID_SETTINGS = 2
+
+
 class Program(Protocol):
     """One daemon, assembled."""
 
-    async def start(self) -> None: ...
+    async def start(self) -> None:
+        """Start in order. Raises ``OSError`` where an address or the disk cannot be used."""
 
     async def stop(self) -> None:
-        """End in order, within the grace period of the settings."""
+        """Stop in order, within the grace period of the settings."""
 
     def reload(self, settings: Settings) -> None:
-        """The settings file was read again (SIGHUP)."""
+        """Use ``settings``, which were read again after SIGHUP, as far as a running daemon can."""
 
 
 def new_incarnation() -> str:
-    """A name for this start of the process."""
+    """Return a random name for this start of the process."""
     return secrets.token_hex(INCARNATION_BYTES)
 
 
 def run_daemon(name: str) -> int:
-    """Run the daemon ``name`` (a key of ``DAEMON_MODULES``) until SIGTERM; return its exit code."""
-    early: list[int] = []  # SIGHUPs that come before the event loop takes them
-    signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
+    """Run the daemon ``name`` (a key of ``DAEMON_MODULES``) until SIGTERM or SIGINT; return its exit code."""
+    early_reloads: list[int] = []  # SIGHUPs that come before the event loop handles them
+    signal.signal(signal.SIGHUP, lambda number, _: early_reloads.append(number))
     try:
         settings = load_settings()
     except SettingsError as error:
         print(f"cherrycove {name}: {error}", file=sys.stderr)
-        return EXIT_BAD_SETTINGS
+        return DaemonExit.INVALID_SETTINGS
     _configure_log(name, settings)
-    gc.set_threshold(YOUNGEST_COLLECTION, 20, 50)
+    gc.set_threshold(*GC_THRESHOLDS)
     module = importlib.import_module(DAEMON_MODULES[name])
     try:
-        asyncio.run(_run_until_signalled(module.assemble(settings), early))
+        asyncio.run(_run_until_signalled(module.assemble(settings), early_reloads))
     except OSError as error:
         print(f"cherrycove {name}: {error}", file=sys.stderr)
-        return EXIT_CANNOT_START
-    return 0
+        return DaemonExit.CANNOT_START
+    return DaemonExit.STOPPED
 
 
 def _configure_log(name: str, settings: Settings) -> None:
-    from cherrycove.tier.logs import configure
-
     configure(name, settings.node_name)
 
 
-async def _run_until_signalled(program: Program, early: Sequence[int]) -> None:
+async def _run_until_signalled(program: Program, early_reloads: Sequence[int]) -> None:
     loop = asyncio.get_running_loop()
-    ended = asyncio.Event()
-    loop.add_signal_handler(signal.SIGTERM, ended.set)
-    loop.add_signal_handler(signal.SIGINT, ended.set)
+    stopping = asyncio.Event()
+    loop.add_signal_handler(signal.SIGTERM, stopping.set)
+    loop.add_signal_handler(signal.SIGINT, stopping.set)
     loop.add_signal_handler(signal.SIGHUP, _reload, program)
     await program.start()
-    if early:
+    if early_reloads:
         _reload(program)
+    # What exists now lives as long as the process: the collector need not visit it again.
     gc.collect()
     gc.freeze()
-    await ended.wait()
+    await stopping.wait()
     _log.info("process_stopping")
     await program.stop()
 
--- a/cherrycove/tier/programs/proxy.py
+++ b/cherrycove/tier/programs/proxy.py
@@ -1,4 +1,4 @@
-"""The proxy: carries requests between clients, model brokers and stores; on every frontend machine."""
+"""The proxy: forwards requests between clients, model brokers and stores; on every frontend machine."""
 
 from __future__ import annotations
 
@@ -19,9 +19,14 @@
 
 
 class ProxyProgram:
-    """Assembles the data plane of one machine."""
+    """Assembles, starts and stops the data plane of one machine; implements ``process.Program``.
+
+    Owns the data plane, the batch worker, the puller and the client of internal calls. Nothing survives a
+    crash: configuration, brokers and stores are pulled from the controllers anew.
+    """
 
     def __init__(self, settings: Settings) -> None:
+        """Connect the parts; nothing is started yet."""
         self._settings = settings
         self._client = RpcClient()
         self._incarnation = new_incarnation()
@@ -36,12 +41,14 @@
         )
 
     async def start(self) -> None:
+        """Start in order. Raises ``OSError`` where an address cannot be bound."""
         await self._client.start()
         await self._data_plane.start()
         await self._puller.start()
         await self._worker.start()
 
     async def stop(self) -> None:
+        """Shut down gracefully: open requests and leased items have the grace period of the settings."""
         self._leaving = True
         self._puller.announce_now()
         await asyncio.gather(self._worker.stop(), self._data_plane.drain())
@@ -50,6 +57,7 @@
         await self._client.stop()
 
     def reload(self, settings: Settings) -> None:
+        """Use the seed nodes of ``settings`` from now on; nothing else changes in a running daemon."""
         self._puller.reload(settings)
 
     def _announce(self) -> Announcement:
@@ -68,4 +76,5 @@
 
 
 def assemble(settings: Settings) -> ProxyProgram:
+    """Return the program, not started yet."""
     return ProxyProgram(settings)
--- a/cherrycove/tier/programs/replica.py
+++ b/cherrycove/tier/programs/replica.py
@@ -1,11 +1,13 @@
-"""What the two replicated programs share: the disk's identity, the group, the announcement to the keepers."""
+"""The replica that a controller or a store runs: its group on this machine's disk, and its announcement."""
 
 from __future__ import annotations
 
 from pathlib import Path
 
+import attrs
+
 from cherrycove.tier.protocol.calls import Caller, CallRegistry
-from cherrycove.tier.protocol.control_pb2 import Announcement, Replica
+from cherrycove.tier.protocol.control_pb2 import Announcement
 from cherrycove.tier.replication.factory import create_group
 from cherrycove.tier.replication.group import ReplicatedGroup
 from cherrycove.tier.replication.interface import MemberIdentity, StateMachine
@@ -14,46 +16,60 @@
 from cherrycove.tier.settings import Settings
 from cherrycove.tier.storage.identity import open_identity
 
-DISK_SHARE = 0.8  # part of the disk that a group may use
+DISK_FRACTION = 0.8  # of the disk that a group may use
 BYTES_PER_MB = 1_000_000
 
 
+@attrs.frozen
+class OpenedGroup:
+    """The replica of a group on this machine's disk, not started yet."""
+
+    group: ReplicatedGroup
+    fresh: bool  # whether the disk was empty, so that it got a new identity
+
+
 def open_group(
-    program: str,
-    settings: Settings,
-    machine: StateMachine,
-    server: CallRegistry,
-    client: Caller,
-) -> tuple[ReplicatedGroup, bool]:
-    """The group of ``program`` on this machine's disk, and whether the disk was empty."""
+    program: str, settings: Settings, machine: StateMachine, server: CallRegistry, client: Caller
+) -> OpenedGroup:
+    """Open the group of ``program`` (a name of ``program_names``) in the data directory of ``settings``.
+
+    The group's calls are registered at ``server`` and made with ``client``; committed commands are applied to
+    ``machine``. Blocks on the disk. Raises ``OSError`` without a data directory, or where it cannot be used.
+    """
     if settings.data_directory is None:
         raise OSError(f"{program}: the settings name no dataDirectory")
     directory = Path(settings.data_directory) / program
     member_id, fresh = open_identity(directory, settings.first_start, settings.ip_address)
-    identity = MemberIdentity(
-        member_id, settings.node_name, settings.internal_address(program), settings.zone
-    )
-    limit = int(settings.limits.disk_mb * BYTES_PER_MB * DISK_SHARE)
-    faults = settings.fault_tolerance.machine_failures
-    timing = Timing.for_catch_up(settings.bounds.catch_up_s)
     options = GroupOptions(
         name=program,
-        identity=identity,
+        identity=MemberIdentity(
+            member_id, settings.node_name, settings.internal_address(program), settings.zone
+        ),
         directory=directory,
-        faults=faults,
+        faults=settings.fault_tolerance.machine_failures,
         state_machine=machine,
         server=server,
         client=client,
-        disk_limit_bytes=limit,
-        timing=timing,
+        disk_limit_bytes=int(settings.limits.disk_mb * BYTES_PER_MB * DISK_FRACTION),
+        timing=Timing.for_catch_up(settings.bounds.catch_up_s),
     )
-    return create_group(options), fresh
+    return OpenedGroup(create_group(options), fresh)
 
 
-def describe(
-    program: str, settings: Settings, group: ReplicatedGroup, fresh: bool, incarnation: str, leaving: bool
+def replica_announcement(
+    program: str,
+    settings: Settings,
+    group: ReplicatedGroup,
+    *,
+    fresh: bool,
+    incarnation: str,
+    leaving: bool,
 ) -> Announcement:
-    """What a replica tells the keepers of itself."""
+    """Describe a replica to the controllers.
+
+    ``fresh``: its disk was empty at this start. ``leaving``: a graceful shutdown has begun. Only the
+    confirmed primary names the voting members.
+    """
     primary = group.is_confirmed_primary()
     return Announcement(
         node_name=settings.node_name,
@@ -69,14 +85,3 @@
         group_members=sorted(group.voting_member_ids()) if primary else [],
         leaving=leaving,
     )
-
-
-def identity_of(replica: Replica) -> MemberIdentity:
-    """A member as the keepers name it."""
-    return MemberIdentity(replica.member_id, replica.node_name, replica.address, replica.zone)
-
-
-def standby_of(announcement: Announcement, settings: Settings) -> MemberIdentity:
-    """A member as it announced itself."""
-    address = settings.peer_address(announcement.ip, announcement.program)
-    return MemberIdentity(announcement.member_id, announcement.node_name, address, announcement.zone)
--- a/cherrycove/tier/programs/store_membership.py
+++ b/cherrycove/tier/programs/store_membership.py
@@ -1,4 +1,4 @@
-"""How a store follows the keepers: who begins its group, who may be taken in, who must leave."""
+"""How a store's group follows the controllers: its first members, its standbys, and who must leave it."""
 
 from __future__ import annotations
 
@@ -6,44 +6,58 @@
 
 from cherrycove.tier.controlplane.store_members import StoreMembersService
 from cherrycove.tier.distribution.cluster_view import ClusterView
-from cherrycove.tier.programs.replica import identity_of, standby_of
 from cherrycove.tier.protocol.calls import CallRegistry
+from cherrycove.tier.protocol.control_pb2 import Announcement, Replica
 from cherrycove.tier.replication.group import ReplicatedGroup
 from cherrycove.tier.replication.interface import MemberIdentity
 from cherrycove.tier.settings import Settings
 
 
 class StoreMembership:
-    """Passes on to the store group what the keepers tell, and tells the keepers the group's members."""
+    """Passes what the controllers publish on to the store group, and reports the group's members to them.
+
+    Owned by the store program. It keeps no membership of its own: the group commits its members, and the
+    published topics are applied anew after each change of them.
+    """
 
     def __init__(
         self, settings: Settings, group: ReplicatedGroup, views: ClusterView, server: CallRegistry
     ) -> None:
+        """Follow the changes of ``views``, and register the call ``store-members`` at ``server``."""
         self._settings = settings
         self._group = group
         self._views = views
-        self._joining: asyncio.Task[None] | None = None
+        self._joining: asyncio.Task[None] | None = None  # kept, since the event loop holds tasks weakly
         StoreMembersService(group, views).serve_on(server)
         views.on_change(self._follow)
 
     def _follow(self) -> None:
         self._join()
-        leaving = [identity_of(replica) for replica in self._views.store_group.retiring_disks]
+        retiring = [_replica_identity(replica) for replica in self._views.store_group.retiring_disks]
         names = frozenset(self._views.store_group.retiring)
-        self._group.retire(names | {disk.member_id for disk in leaving})
-        self._group.offer_standbys(self._standbys(leaving))
+        self._group.retire(names | {disk.member_id for disk in retiring})
+        self._group.offer_standbys(self._standbys(retiring))
 
     def _join(self) -> None:
-        """Begin the group, once, if this store is one of the first members."""
-        initial = [identity_of(replica) for replica in self._views.store_group.initial]
-        named = {member.member_id for member in initial}
-        if self._joining is None and self._group.identity.member_id in named:
+        """Begin the group, once, if this store is one of its first members."""
+        initial = [_replica_identity(replica) for replica in self._views.store_group.initial]
+        initial_ids = {member.member_id for member in initial}
+        if self._joining is None and self._group.identity.member_id in initial_ids:
             self._joining = asyncio.ensure_future(self._group.start(initial))
 
-    def _standbys(self, leaving: list[MemberIdentity]) -> list[MemberIdentity]:
-        """Stores that are present, and disks to be emptied, also of machines that are away: the group takes
-        none of the latter in, and commits that it never will.
+    def _standbys(self, retiring: list[MemberIdentity]) -> list[MemberIdentity]:
+        """Return the stores alive, and the disks that must leave, also those of machines that are away.
+
+        The group adds none of the latter; it is offered them so that it commits that it never will.
         """
-        present = [standby_of(store, self._settings) for store in self._views.stores() if not store.leaving]
-        known = {disk.member_id for disk in present}
-        return [*present, *(disk for disk in leaving if disk.member_id not in known)]
+        alive = [self._standby(store) for store in self._views.stores() if not store.leaving]
+        known = {disk.member_id for disk in alive}
+        return [*alive, *(disk for disk in retiring if disk.member_id not in known)]
+
+    def _standby(self, store: Announcement) -> MemberIdentity:
+        address = self._settings.peer_address(store.ip, store.program)
+        return MemberIdentity(store.member_id, store.node_name, address, store.zone)
+
+
+def _replica_identity(replica: Replica) -> MemberIdentity:
+    return MemberIdentity(replica.member_id, replica.node_name, replica.address, replica.zone)
--- a/cherrycove/tier/simulation/control/processes.py
+++ b/cherrycove/tier/simulation/control/processes.py
@@ -19,7 +19,7 @@
 from cherrycove.tier.distribution.puller import Puller
 from cherrycove.tier.distribution.topics import CONFIGURATION, VersionVector
 from cherrycove.tier.errors import Failure
-from cherrycove.tier.programs.replica import describe
+from cherrycove.tier.programs.replica import replica_announcement
 from cherrycove.tier.programs.store_membership import StoreMembership
 from cherrycove.tier.protocol.control_methods import PULL
 from cherrycove.tier.protocol.control_pb2 import Announcement, PullReply, PullRequest
@@ -95,7 +95,14 @@
         self.group = create_group(options)
 
     def announce(self) -> Announcement:
-        return describe(self.program, self.settings, self.group, self.fresh, self.life.name, self.leaving)
+        return replica_announcement(
+            self.program,
+            self.settings,
+            self.group,
+            fresh=self.fresh,
+            incarnation=self.life.name,
+            leaving=self.leaving,
+        )
 
 
 class WatchedState(ControlState):
--- a/tests/tier/golden_stories.py
+++ b/tests/tier/golden_stories.py
@@ -36,7 +36,7 @@
 from cherrycove.tier.membership.members import Member
 from cherrycove.tier.membership.parameters import SwimParameters
 from cherrycove.tier.membership.service import MembershipService
-from cherrycove.tier.programs.replica import describe
+from cherrycove.tier.programs.replica import replica_announcement
 from cherrycove.tier.protocol.calls import RpcMethod
 from cherrycove.tier.protocol.control_methods import PULL
 from cherrycove.tier.protocol.replication_methods import replicate
@@ -363,7 +363,14 @@
 
 def announcement(program: str, number: int) -> Any:
     group = OneReplica(None)
-    return describe(program, settings(), group, True, f"process-{number}", False)  # type: ignore[arg-type]
+    return replica_announcement(
+        program,
+        settings(),
+        group,  # type: ignore[arg-type]
+        fresh=True,
+        incarnation=f"process-{number}",
+        leaving=False,
+    )
 
 
 def control_state() -> ControlState:
--- a/tests/tier/golden_support.py
+++ b/tests/tier/golden_support.py
@@ -331,12 +331,13 @@
             limits=ProcessLimits(disk_mb=100.0),
             data_directory=str(data_directory),
         )
-        group, fresh = open_group(program, settings, state, RpcServer(), RpcClient())
+        opened = open_group(program, settings, state, RpcServer(), RpcClient())
+        group = opened.group
         await group.start()
         try:
             return {
                 "member_id": group.identity.member_id,
-                "fresh": fresh,
+                "fresh": opened.fresh,
                 "epoch": group.epoch,
                 "members": [[one.member_id, one.node_name, one.address, one.zone] for one in group.members],
                 "state": describe(state),
