--- a/cherrycove/tier/__main__.py
+++ b/cherrycove/tier/__main__.py
@@ -16,9 +16,9 @@
         from cherrycove.tier.programs.process import run_daemon
 
         return run_daemon(name)
-    from cherrycove.tier.cli import application
+    from cherrycove.tier.cli import create_application
 
-    return application().run()
+    return create_application().run()
 
 
 if __name__ == "__main__":
--- a/cherrycove/tier/cli/__init__.py
+++ b/cherrycove/tier/cli/__init__.py
@@ -12,11 +12,11 @@
     from cleo.application import Application
 
 
-def application() -> Application:
+def create_application() -> Application:
     """The command line with all its commands; libraries are imported here and not before."""
-    from cherrycove.tier.cli.application import CommandLine
     from cherrycove.tier.cli.batch import BatchStatusCommand
     from cherrycove.tier.cli.check import CheckConfigurationCommand, CheckSettingsCommand
+    from cherrycove.tier.cli.command_line import CommandLine
     from cherrycove.tier.cli.configuration import (
         ConfigDiffCommand,
         ConfigGetCommand,
--- a/cherrycove/tier/cli/batch.py
+++ b/cherrycove/tier/cli/batch.py
@@ -10,8 +10,8 @@
 from cleo.helpers import argument, option
 
 from cherrycove.tier.cli.command import JSON_OPTION, CommandError, ExitCode, Outcome, Problem, TierCommand
-from cherrycove.tier.cli.operator_client import DEFAULT_TIMEOUT_S, HttpCall, call
-from cherrycove.tier.cli.operator_command import TIMEOUT_OPTION, document_of, refusal
+from cherrycove.tier.cli.http_client import DEFAULT_TIMEOUT_S, HttpRequest, send
+from cherrycove.tier.cli.operator_command import TIMEOUT_OPTION, parse_object, rejection
 
 COMPLETED = "completed"
 DEAD_LETTERED = "dead_lettered"
@@ -68,14 +68,14 @@
             cursor += len(results)
 
     def _page(self, job: str, cursor: int) -> dict[str, Any]:
-        request = HttpCall(
+        request = HttpRequest(
             "GET", f"/api/lots/{quote(job, safe='')}?pageCursor={cursor}", {"Host": self._required("host")}
         )
-        timeout_s = self.whole_number("timeout") or DEFAULT_TIMEOUT_S
-        answer = call([self._required("proxy")], request, timeout_s)
+        timeout_s = self.integer_option("timeout") or DEFAULT_TIMEOUT_S
+        answer = send([self._required("proxy")], request, timeout_s)
         if answer.status != 200:
-            raise refusal(answer)
-        return document_of(answer.body, answer.address)
+            raise rejection(answer)
+        return parse_object(answer.body, answer.address)
 
     def _required(self, name: str) -> str:
         value = self.option(name)
--- a/cherrycove/tier/cli/check.py
+++ b/cherrycove/tier/cli/check.py
@@ -11,7 +11,7 @@
 from cherrycove.tier.configuration import Configuration, parse_configuration
 from cherrycove.tier.settings import SettingsError, load_settings
 
-KEY_MARK = " @ $"  # stands between reason and key in the reports of cattrs
+KEY_SEPARATOR = " @ $"  # stands between reason and key in the reports of cattrs
 
 
 def read_file(path: str) -> bytes:
@@ -22,24 +22,24 @@
         raise CommandError(ExitCode.INVALID, Problem(error.strerror or str(error), path)) from error
 
 
-def problems_of(report: str, source: str) -> list[Problem]:
+def parse_problems(report: str, source: str) -> list[Problem]:
     """The single problems of a report that names them one after another."""
-    return [_problem_of(part, source) for part in report.removeprefix(f"{source}: ").split("; ")]
+    return [_parse_problem(part, source) for part in report.removeprefix(f"{source}: ").split("; ")]
 
 
-def _problem_of(part: str, source: str) -> Problem:
-    reason, mark, key = part.rpartition(KEY_MARK)
+def _parse_problem(part: str, source: str) -> Problem:
+    reason, mark, key = part.rpartition(KEY_SEPARATOR)
     if mark:
         return Problem(reason, source, key.lstrip("."))
     key, colon, reason = part.partition(": ")
     return Problem(reason, source, key) if colon else Problem(part, source)
 
 
-def checked_configuration(body: bytes, source: str) -> Configuration:
+def check_configuration(body: bytes, source: str) -> Configuration:
     """The configuration in ``body``; ends the command where it is invalid."""
     parsed = parse_configuration(body, source)
     if isinstance(parsed, Err):
-        raise CommandError(ExitCode.INVALID, *problems_of(parsed.err_value.detail, source))
+        raise CommandError(ExitCode.INVALID, *parse_problems(parsed.err_value.detail, source))
     return parsed.ok_value
 
 
@@ -53,7 +53,7 @@
         try:
             settings = load_settings(path)
         except SettingsError as error:
-            raise CommandError(ExitCode.INVALID, *problems_of(str(error), path)) from error
+            raise CommandError(ExitCode.INVALID, *parse_problems(str(error), path)) from error
         document = {
             "file": path,
             "valid": True,
@@ -71,7 +71,7 @@
 
     def perform(self) -> Outcome:
         path = self.argument("file")
-        configuration = checked_configuration(read_file(path), path)
+        configuration = check_configuration(read_file(path), path)
         routes, services = len(configuration.routes), len(configuration.services)
         document = {
             "file": path,
--- a/cherrycove/tier/cli/command.py
+++ b/cherrycove/tier/cli/command.py
@@ -76,7 +76,7 @@
                 self._print(line)
         return int(outcome.exit_code)
 
-    def whole_number(self, name: str) -> int | None:
+    def integer_option(self, name: str) -> int | None:
         """The value of the option ``name``, which must be a whole number if it is given."""
         text = self.option(name)
         if text is None:
--- a/cherrycove/tier/cli/differences.py
+++ b/cherrycove/tier/cli/differences.py
@@ -27,7 +27,7 @@
         return f"~ {self.key}: {json.dumps(self.before)} -> {json.dumps(self.after)}"
 
 
-def differences(before: Any, after: Any) -> list[Difference]:
+def find_differences(before: Any, after: Any) -> list[Difference]:
     """All keys in which the documents differ. Lists of named objects are compared by name, not by place."""
     return list(_compare("", before, after))
 
--- a/cherrycove/tier/cli/operator_client.py
+++ b/cherrycove/tier/cli/http_client.py
@@ -16,21 +16,21 @@
 MAX_REDIRECTS = 2
 ATTEMPT_TIMEOUT_S = 2.0
 CONNECT_TIMEOUT_S = 1.0
-FIRST_PAUSE_S = 0.1
-MAX_PAUSE_S = 1.0
-RETRIED_STATUSES = (408, 429)  # besides all from 500 on
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 1.0
+RETRYABLE_STATUSES = (408, 429)  # besides all from 500 on
 DEFAULT_TIMEOUT_S = 10
 
 
 @attrs.frozen
-class HttpAnswer:
+class HttpResponse:
     status: int
     body: bytes
     address: str  # host:port that gave it
 
 
 @attrs.frozen
-class HttpCall:
+class HttpRequest:
     """One call as it is sent, again and again, until an answer is clear."""
 
     method: str
@@ -39,31 +39,33 @@
     body: bytes | None = None
 
 
-def call(addresses: Sequence[str], request: HttpCall, timeout_s: float) -> HttpAnswer:
+def send(addresses: Sequence[str], request: HttpRequest, timeout_s: float) -> HttpResponse:
     """The first clear answer from ``addresses`` (host:port); ends the command if none comes in time."""
-    return asyncio.run(_call(addresses, request, timeout_s))
+    return asyncio.run(_send(addresses, request, timeout_s))
 
 
-async def _call(addresses: Sequence[str], request: HttpCall, timeout_s: float) -> HttpAnswer:
+async def _send(addresses: Sequence[str], request: HttpRequest, timeout_s: float) -> HttpResponse:
     for address in addresses:
         _check_address(address)
     last = Problem("no answer", ", ".join(addresses))
     try:
         async with asyncio.timeout(timeout_s), client_session() as session:
-            pause_s = FIRST_PAUSE_S
+            backoff_s = INITIAL_BACKOFF_S
             while True:
                 for address in addresses:
-                    answer = await attempt(session, address, request)
-                    if isinstance(answer, HttpAnswer):
+                    answer = await send_once(session, address, request)
+                    if isinstance(answer, HttpResponse):
                         return answer
                     last = answer
-                await asyncio.sleep(pause_s)
-                pause_s = min(2.0 * pause_s, MAX_PAUSE_S)
+                await asyncio.sleep(backoff_s)
+                backoff_s = min(2.0 * backoff_s, MAX_BACKOFF_S)
     except TimeoutError:
         raise CommandError(ExitCode.UNANSWERED, last) from None
 
 
-async def attempt(session: aiohttp.ClientSession, address: str, request: HttpCall) -> HttpAnswer | Problem:
+async def send_once(
+    session: aiohttp.ClientSession, address: str, request: HttpRequest
+) -> HttpResponse | Problem:
     """A clear answer, or why there is none."""
     timeout = aiohttp.ClientTimeout(total=ATTEMPT_TIMEOUT_S, sock_connect=CONNECT_TIMEOUT_S)
     url = f"http://{address}{request.path}"
@@ -81,16 +83,16 @@
                 if response.status == 307 and "Location" in response.headers:
                     url = response.headers["Location"]
                     continue
-                return _judge(HttpAnswer(response.status, body, urlsplit(url).netloc))
+                return _classify(HttpResponse(response.status, body, urlsplit(url).netloc))
     except (aiohttp.ClientError, TimeoutError, OSError) as error:
         return Problem(str(error) or "no answer in time", urlsplit(url).netloc)
     return Problem("too many redirects", address)
 
 
-def _judge(answer: HttpAnswer) -> HttpAnswer | Problem:
-    if answer.status < 500 and answer.status not in RETRIED_STATUSES:
+def _classify(answer: HttpResponse) -> HttpResponse | Problem:
+    if answer.status < 500 and answer.status not in RETRYABLE_STATUSES:
         return answer
-    return Problem(f"status {answer.status} {reason_of(answer)}".rstrip(), answer.address)
+    return Problem(f"status {answer.status} {failure_reason(answer)}".rstrip(), answer.address)
 
 
 def _check_address(address: str) -> None:
@@ -99,7 +101,7 @@
         raise CommandError(ExitCode.INVALID, Problem(f"{address!r} is not HOST:PORT"))
 
 
-def reason_of(answer: HttpAnswer) -> str:
+def failure_reason(answer: HttpResponse) -> str:
     """The sentence that came with a failure."""
     text = answer.body.decode("utf-8", "replace").strip()
     if not text.startswith("{"):
--- a/cherrycove/tier/cli/status.py
+++ b/cherrycove/tier/cli/status.py
@@ -11,7 +11,7 @@
 from result import Err, Ok, Result
 
 from cherrycove.tier.cli.command import JSON_OPTION, CommandError, ExitCode, Outcome, Problem, TierCommand
-from cherrycove.tier.cli.operator_client import DEFAULT_TIMEOUT_S
+from cherrycove.tier.cli.http_client import DEFAULT_TIMEOUT_S
 from cherrycove.tier.cli.operator_command import TIMEOUT_OPTION
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol.calls import Caller
@@ -39,39 +39,41 @@
     ]
 
     def perform(self) -> Outcome:
-        keepers = self.option("keeper")
-        if not keepers:
+        controllers = self.option("keeper")
+        if not controllers:
             raise CommandError(ExitCode.INVALID, Problem("name at least one keeper", key="--keeper"))
-        timeout_s = self.whole_number("timeout") or DEFAULT_TIMEOUT_S
-        reply = asyncio.run(_ask_primary(keepers, timeout_s))
+        timeout_s = self.integer_option("timeout") or DEFAULT_TIMEOUT_S
+        reply = asyncio.run(_fetch_status(controllers, timeout_s))
         exit_code = ExitCode.DONE if reply.confirmed else ExitCode.FAILED
         return Outcome(_document(reply), _lines(reply), exit_code)
 
 
-async def _ask_primary(keepers: Sequence[str], timeout_s: float) -> StatusReply:
+async def _fetch_status(controllers: Sequence[str], timeout_s: float) -> StatusReply:
     """The status that the primary gives; if it does not answer, that of any keeper."""
     client = RpcClient()
     await client.start()
     try:
         async with asyncio.timeout(timeout_s):
-            return await _ask(client, keepers)
+            return await _request_first_status(client, controllers)
     except TimeoutError:
-        raise CommandError(ExitCode.UNANSWERED, Problem("no answer in time", ", ".join(keepers))) from None
+        raise CommandError(
+            ExitCode.UNANSWERED, Problem("no answer in time", ", ".join(controllers))
+        ) from None
     finally:
         await client.stop()
 
 
-async def _ask(client: Caller, keepers: Sequence[str]) -> StatusReply:
+async def _request_first_status(client: Caller, controllers: Sequence[str]) -> StatusReply:
     problems = []
     found: StatusReply | None = None
-    for keeper in keepers:
-        outcome = await _ask_one(client, keeper)
+    for controller in controllers:
+        outcome = await request_status(client, controller)
         if isinstance(outcome, Err):
-            problems.append(Problem(_explain(outcome.err_value), keeper))
+            problems.append(Problem(_explain(outcome.err_value), controller))
             continue
         found = outcome.ok_value
         if not found.confirmed:
-            found = await _ask_named_primary(client, found)
+            found = await _request_status_of_primary(client, found)
         if found.confirmed:
             return found
     if found is None:
@@ -79,17 +81,17 @@
     return found
 
 
-async def _ask_named_primary(client: Caller, reply: StatusReply) -> StatusReply:
+async def _request_status_of_primary(client: Caller, reply: StatusReply) -> StatusReply:
     """The primary's own status, or else ``reply``."""
     for member in reply.members:
         if reply.primary and member.node_name == reply.primary:
-            outcome = await _ask_one(client, member.address)
+            outcome = await request_status(client, member.address)
             if isinstance(outcome, Ok):
                 return outcome.ok_value
     return reply
 
 
-async def _ask_one(client: Caller, address: str) -> Result[StatusReply, Failure]:
+async def request_status(client: Caller, address: str) -> Result[StatusReply, Failure]:
     return await client.call(address, STATUS, StatusRequest(), CALL_TIMEOUT_S)
 
 
--- a/cherrycove/tier/cli/storage.py
+++ b/cherrycove/tier/cli/storage.py
@@ -30,7 +30,7 @@
     damaged_hard_state_copies: int  # another copy is whole
 
 
-def inspect(directory: Path) -> Inspection:
+def inspect_replica(directory: Path) -> Inspection:
     """Recover a copy of ``directory``, just as its replica would; DamagedStorageError where that fails."""
     with tempfile.TemporaryDirectory(prefix="cherrycove-") as scratch:
         copy = Path(scratch) / "copy"
@@ -59,13 +59,13 @@
 
     arguments = [DIRECTORY_ARGUMENT]
 
-    def inspected(self) -> Inspection:
+    def inspect_directory(self) -> Inspection:
         """What the folder holds; ends the command where it is damaged or holds no replica."""
         path = Path(self.argument("directory"))
         if not (path / IDENTITY_FILE).is_file():
             raise CommandError(ExitCode.INVALID, Problem("holds no replica", str(path), IDENTITY_FILE))
         try:
-            return inspect(path)
+            return inspect_replica(path)
         except DamagedStorageError as error:
             raise CommandError(ExitCode.FAILED, Problem(str(error), str(path))) from error
         except OSError as error:
@@ -77,7 +77,7 @@
     description = "Shows what a replica's folder holds."
 
     def perform(self) -> Outcome:
-        document = _document(self.inspected())
+        document = _document(self.inspect_directory())
         lines = [f"{name}: {value}" for name, value in document.items() if name != "segments"]
         lines += [f"segment {segment['file']}: {segment['bytes']} bytes" for segment in document["segments"]]
         return Outcome(document, lines)
@@ -88,7 +88,7 @@
     description = "Tells whether a replica could start from its folder; 0 if so."
 
     def perform(self) -> Outcome:
-        inspection = self.inspected()
+        inspection = self.inspect_directory()
         path = self.argument("directory")
         damaged = inspection.damaged_hard_state_copies
         document: dict[str, Any] = {"directory": path, "whole": True, "tornBytes": inspection.torn_bytes}
--- a/tests/tier/golden_interfaces.py
+++ b/tests/tier/golden_interfaces.py
@@ -32,7 +32,7 @@
 from cherrycove.tier.batch.client.batch_client import BatchClient
 from cherrycove.tier.batch.frontend.http_api import BatchApi
 from cherrycove.tier.batch.store.service import BatchStoreService
-from cherrycove.tier.cli import application
+from cherrycove.tier.cli import create_application
 from cherrycove.tier.configuration import Configuration, parse_configuration
 from cherrycove.tier.controlplane.broker_discovery import BrokerDiscoveryClient
 from cherrycove.tier.controlplane.controller import Controller
@@ -373,7 +373,7 @@
 def command_line() -> list[str]:
     """Every command with its arguments and its own options."""
     lines = []
-    for name, command in sorted(application().all().items()):
+    for name, command in sorted(create_application().all().items()):
         arguments = [one.name.upper() for one in command.definition.arguments]
         lines.append(
             " ".join([name, *arguments, *sorted(f"--{one.name}" for one in command.definition.options)])
@@ -383,7 +383,7 @@
 
 def run_command(name: str, arguments: str) -> list[Any]:
     """Exit code and JSON document of one command."""
-    tester = CommandTester(application().find(name))
+    tester = CommandTester(create_application().find(name))
     exit_code = tester.execute(f"{arguments.replace('DATA', str(support.DATA))} --json")
     document = json.loads(tester.io.fetch_output().replace(str(support.DATA), "DATA"))
     return [exit_code, "errors" if "errors" in document else document]
--- a/tests/tier/golden_stories.py
+++ b/tests/tier/golden_stories.py
@@ -409,7 +409,7 @@
     Controller(settings(), OneReplica(state), state, wire, wire)  # type: ignore[arg-type]
     announced = {"announcement": support.plain(announcement("store", 1))}
     await wire.call(KEEPER, PULL, support.build("cherrycove.control.PullRequest", announced), 1.0)
-    await status_command._ask_one(wire, KEEPER)
+    await status_command.request_status(wire, KEEPER)
     return wire.transcript[1:]
 
 
--- a/tests/tier/test_sessions.py
+++ b/tests/tier/test_sessions.py
@@ -13,7 +13,7 @@
 from wire_support import Arrival, Line, LineServer, Script
 
 import cherrycove.tier
-from cherrycove.tier.cli.operator_client import HttpCall, attempt
+from cherrycove.tier.cli.http_client import HttpRequest, send_once
 from cherrycove.tier.controlplane.broker_discovery import BrokerDiscoveryClient
 from cherrycove.tier.dataplane.upstream import ResponseStarted, UpstreamClient, UpstreamRequest
 from cherrycove.tier.distribution.cluster_view import Broker
@@ -142,7 +142,7 @@
     async def use(address: str, number: int) -> bool:
         if number == 1:
             sessions.append(client_session())
-        answer = await attempt(sessions[0], address, HttpCall("PUT", "/api/configuration", body=b"{}"))
+        answer = await send_once(sessions[0], address, HttpRequest("PUT", "/api/configuration", body=b"{}"))
         if number == 2:
             await sessions[0].close()
         return getattr(answer, "status", 0) == 200
--- a/tests/tier/test_storage_damage.py
+++ b/tests/tier/test_storage_damage.py
@@ -11,7 +11,7 @@
 import pytest
 from cleo.testers.command_tester import CommandTester
 
-from cherrycove.tier.cli import application
+from cherrycove.tier.cli import create_application
 from cherrycove.tier.storage.entries import Entry, EntryKind
 from cherrycove.tier.storage.errors import DamagedStorageError
 from cherrycove.tier.storage.hard_state import HARD_STATE_FILE, HardState
@@ -269,7 +269,7 @@
 def test_verify_tells_each_damage(disk: Path, damage: Callable[[Path], None], told: str) -> None:
     damage(disk)
     before = {path.name: path.read_bytes() for path in disk.iterdir()}
-    tester = CommandTester(application().find("storage verify"))
+    tester = CommandTester(create_application().find("storage verify"))
     assert tester.execute(str(disk)) == 1
     assert told in tester.io.fetch_error()
     assert {path.name: path.read_bytes() for path in disk.iterdir()} == before
@@ -278,7 +278,7 @@
 def test_verify_tells_of_a_damaged_copy_of_the_promise(disk: Path) -> None:
     path = disk / HARD_STATE_FILE
     flip(path, path.read_bytes().index(MEMBER.encode()))
-    tester = CommandTester(application().find("storage verify"))
+    tester = CommandTester(create_application().find("storage verify"))
     assert tester.execute(str(disk)) == 0
     assert "one of two copies of the promise is damaged" in tester.io.fetch_output()
 
@@ -286,6 +286,6 @@
 def test_verify_counts_what_a_torn_write_left(disk: Path) -> None:
     path = only(disk, "*.log")
     path.write_bytes(path.read_bytes() + b"CvF1 torn")
-    tester = CommandTester(application().find("storage verify"))
+    tester = CommandTester(create_application().find("storage verify"))
     assert tester.execute(f"{disk} --json") == 0
     assert json.loads(tester.io.fetch_output())["tornBytes"] == 9
--- a/tests/tier/test_tier_cli.py
+++ b/tests/tier/test_tier_cli.py
@@ -19,8 +19,8 @@
 from loopback_ports import free_address
 from result import Err, Ok, Result
 
-from cherrycove.tier.cli import application
-from cherrycove.tier.cli.differences import differences
+from cherrycove.tier.cli import create_application
+from cherrycove.tier.cli.differences import find_differences
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol.control_pb2 import Announcement, BrokerEntry, BrokerList, Replica
 from cherrycove.tier.protocol.controller_methods import STATUS
@@ -70,7 +70,7 @@
 
 
 def run(command: str, arguments: str = "") -> Run:
-    tester = CommandTester(application().find(command))
+    tester = CommandTester(create_application().find(command))
     exit_code = tester.execute(arguments)
     return Run(exit_code, tester.io.fetch_output(), tester.io.fetch_error())
 
@@ -346,7 +346,7 @@
 
 
 def test_lists_without_different_names_are_compared_whole() -> None:
-    (difference,) = differences({"a": [{"name": "x"}, {"name": "x"}]}, {"a": [{"name": "x"}]})
+    (difference,) = find_differences({"a": [{"name": "x"}, {"name": "x"}]}, {"a": [{"name": "x"}]})
     assert difference.key == "a"
 
 
@@ -574,7 +574,7 @@
     ),
 )
 def test_exit_codes_of_wrong_usage(arguments: str, exit_code: int) -> None:
-    assert ApplicationTester(application()).execute(arguments) == exit_code
+    assert ApplicationTester(create_application()).execute(arguments) == exit_code
 
 
 def test_importing_the_package_imports_no_library() -> None:
