--- a/tests/tier/golden_stories.py
+++ b/tests/tier/golden_stories.py
@@ -13,6 +13,7 @@
 from pathlib import Path
 from typing import Any
 
+import attrs
 import golden_inputs as inputs
 import golden_support as support
 from google.protobuf.message import Message
@@ -382,7 +383,7 @@
 KEEPER = "10.1.0.1:7700"
 
 
-async def pulls() -> Transcript:
+async def pulls(view: ClusterView) -> Transcript:
     """A process pulls until it has all topics; then from a keeper that does not lead."""
     state, wire, announced = control_state(), Wire(), []
     publisher = Publisher(Leader(leads=True), announced.append)
@@ -391,7 +392,7 @@
     topics.begin_epoch(5)
     topics.publish_members(support.build("cherrycove.control.MemberList", inputs.MEMBER_LIST), 1.0)
     topics.publish_brokers(support.build("cherrycove.control.BrokerList", inputs.BROKER_LIST))
-    puller = Puller(settings(), wire, ClusterView(), lambda: announcement("store", 1))
+    puller = Puller(settings(), wire, view, lambda: announcement("store", 1))
     await puller.start()
     await wire.answered(1)
     topics.publish_members(support.build("cherrycove.control.MemberList", {}), 2.0)
@@ -403,6 +404,24 @@
     return wire.transcript[:3]
 
 
+async def learned() -> Transcript:
+    """What that process knows after each pull that brought something."""
+    view, transcript = ClusterView(), []
+    view.on_change(lambda: transcript.append(_known(view)))
+    await pulls(view)
+    return transcript
+
+
+def _known(view: ClusterView) -> dict[str, Any]:
+    return {
+        "configuration": 0 if view.configuration is None else view.configuration.version,
+        "document": view.document.decode(),
+        "brokers": [list(attrs.astuple(broker)) for broker in view.brokers],
+        "members": [support.plain(member) for member in view.members],
+        "store_group": support.plain(view.store_group),
+    }
+
+
 async def statuses() -> Transcript:
     """The command line asks the primary keeper for its status."""
     state, wire = control_state(), Wire()
@@ -515,7 +534,8 @@
 
     async def play() -> dict[str, Transcript]:
         return {
-            "pull": await pulls(),
+            "pull": await pulls(ClusterView()),
+            "learned": await learned(),
             "status": await statuses(),
             "store-members": await store_members(),
             "batch": await batch_jobs(),
--- a/tests/tier/test_golden_calls.py
+++ b/tests/tier/test_golden_calls.py
@@ -14,7 +14,7 @@
 import golden_support as support
 import pytest
 
-CONVERSATIONS = ("pull", "status", "store-members", "batch", "given-up", "replicate")
+CONVERSATIONS = ("pull", "learned", "status", "store-members", "batch", "given-up", "replicate")
 SERVED = {  # name of each call, with its request
     "batch/body": "cherrycove.batch.BodyRequest",
     "batch/end": "cherrycove.batch.EndRequest",
