--- /dev/null
+++ b/cherrycove/tier/protocol/_rpc_client.py
@@ -0,0 +1,127 @@
+"""The client of internal calls over HTTP, and the connections that it keeps."""
+
+from __future__ import annotations
+
+import asyncio
+import itertools
+import secrets
+from collections.abc import Mapping
+
+import aiohttp
+from aiohttp import StreamReader
+from aiohttp.connector import Connection
+from aiohttp.http import RawResponseMessage
+from google.protobuf.message import DecodeError
+from result import Err, Ok, Result
+
+from cherrycove.tier.errors import ErrorKind, Failure
+from cherrycove.tier.protocol._rpc_wire import (
+    CALL_HEADER,
+    IDENTITY_HEADERS,
+    PATH_PREFIX,
+    RECEIVER_HEADER,
+    parse_failure,
+)
+from cherrycove.tier.protocol.calls import ReplyT, RequestT, RpcMethod
+from cherrycove.tier.protocol.errors import StrayReplyError
+from cherrycove.tier.protocol.sessions import NoRetryConnection, NoRetryConnector, client_session
+
+INCARNATION_BYTES = 6
+CONNECT_TIMEOUT_S = 0.5
+KEEP_ALIVE_S = 30.0
+
+
+class CallConnection(NoRetryConnection):
+    """A connection that takes the reply to the call that was sent last, and nothing else.
+
+    aiohttp puts all replies into one queue, where a second or late one would be taken for the next call's.
+    """
+
+    def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        super().__init__(loop)
+        self._expected: dict[str, str | None] = {}
+
+    def expect(self, headers: Mapping[str, str]) -> None:
+        """From now on take only the reply to the call with these header fields."""
+        self._expected = {name: headers.get(name) for name in IDENTITY_HEADERS}
+
+    def feed_data(self, data: tuple[RawResponseMessage, StreamReader], size: int = 0) -> None:
+        """Called by aiohttp's parser with the head of a reply, and its body to come."""
+        headers = data[0].headers
+        expected, self._expected = self._expected, {}
+        if expected and all(headers.get(name) == value for name, value in expected.items()):
+            super().feed_data(data, size)
+            return
+        self.set_exception(StrayReplyError("the reply to another call"))
+        if self.transport is not None:
+            self.transport.close()
+
+
+class CallRequest(aiohttp.ClientRequest):
+    """A request that tells its connection which reply to take."""
+
+    async def send(self, conn: Connection) -> aiohttp.ClientResponse:
+        """Called by aiohttp once the request has its connection."""
+        protocol = conn.protocol
+        assert isinstance(protocol, CallConnection)
+        protocol.expect(self.headers)
+        return await super().send(conn)
+
+
+class RpcClient:
+    """Makes internal calls over pooled connections; implements ``Caller``."""
+
+    def __init__(self) -> None:
+        self._session: aiohttp.ClientSession | None = None
+        self._incarnation = secrets.token_hex(INCARNATION_BYTES)
+        self._numbers = itertools.count(1)
+
+    async def start(self) -> None:
+        """Open the pool; calls before that fail as UNREACHABLE."""
+        connector = NoRetryConnector(CallConnection, limit=0, keepalive_timeout=KEEP_ALIVE_S)
+        self._session = client_session(connector, request_class=CallRequest, auto_decompress=False)
+
+    async def stop(self) -> None:
+        """Close all connections; calls that are pending fail."""
+        if self._session is not None:
+            await self._session.close()
+            self._session = None
+
+    async def call(
+        self,
+        address: str,
+        method: RpcMethod[RequestT, ReplyT],
+        request: RequestT,
+        timeout_s: float,
+        receiver: str = "",
+    ) -> Result[ReplyT, Failure]:
+        """One call to ``address`` (host:port), as ``Caller.call`` describes."""
+        if self._session is None:
+            return Err(Failure(ErrorKind.UNREACHABLE, "client is not started"))
+        target = f"{address} {method.name}"
+        try:
+            async with self._session.post(
+                f"http://{address}{PATH_PREFIX}{method.name}",
+                data=request.SerializeToString(),
+                headers=self._identity_headers(receiver),
+                timeout=_timeout(timeout_s),
+                allow_redirects=False,
+            ) as response:
+                body = await response.read()
+                if response.status == 200:
+                    return Ok(method.reply_type.FromString(body))
+                return Err(parse_failure(response.headers, body))
+        except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
+            return Err(Failure(ErrorKind.UNREACHABLE, f"{target}: {error}"))
+        except (TimeoutError, aiohttp.ClientError, OSError, DecodeError) as error:
+            return Err(Failure(ErrorKind.UNCERTAIN, f"{target}: {type(error).__name__} {error}"))
+
+    def _identity_headers(self, receiver: str) -> dict[str, str]:
+        identity = {CALL_HEADER: f"{self._incarnation}.{next(self._numbers)}"}
+        if receiver:
+            identity[RECEIVER_HEADER] = receiver
+        return identity
+
+
+def _timeout(timeout_s: float) -> aiohttp.ClientTimeout:
+    return aiohttp.ClientTimeout(total=timeout_s, sock_connect=min(CONNECT_TIMEOUT_S, timeout_s))
--- /dev/null
+++ b/cherrycove/tier/protocol/_rpc_server.py
@@ -0,0 +1,97 @@
+"""The server of internal calls over HTTP."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import Any
+
+from aiohttp import web
+from result import Err
+
+from cherrycove.tier.errors import ErrorKind, Failure
+from cherrycove.tier.protocol._rpc_wire import (
+    IDENTITY_HEADERS,
+    PATH_PREFIX,
+    RECEIVER_HEADER,
+    failure_response,
+)
+from cherrycove.tier.protocol.calls import HandlerTable
+
+MAX_MESSAGE_BYTES = 64 * 1024 * 1024
+SHUTDOWN_TIMEOUT_S = 0.2
+
+
+class RpcServer(HandlerTable):
+    """Serves the registered calls on one address.
+
+    A call that is meant for another member than this process is rejected without running it.
+    """
+
+    def __init__(self) -> None:
+        super().__init__()
+        self._member_id: Callable[[], str] = lambda: ""
+        self._runner: web.ServerRunner | None = None
+
+    def identify(self, member_id: Callable[[], str]) -> None:
+        """Reject calls that are meant for another member from now on.
+
+        ``member_id`` returns the id of this process and is asked at each call, since a disk that turns out
+        to be damaged gets a new id. Without it, handlers check the receiver themselves.
+        """
+        self._member_id = member_id
+
+    @property
+    def identity(self) -> str:
+        """Id of the member that this process is; empty before ``identify``."""
+        return self._member_id()
+
+    async def start(self, address: str) -> None:
+        """Listen on ``address`` (host:port); ``OSError`` if that is not possible."""
+        host, _, port = address.rpartition(":")
+        server = web.Server(self._handle, request_factory=_request_factory(), access_log=None)
+        self._runner = web.ServerRunner(server, shutdown_timeout=SHUTDOWN_TIMEOUT_S)
+        await self._runner.setup()
+        await web.TCPSite(self._runner, host, int(port)).start()
+
+    async def stop(self) -> None:
+        """Close the listener and all connections; a server that was not started stays as it is."""
+        if self._runner is not None:
+            await self._runner.cleanup()
+            self._runner = None
+
+    async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
+        response = await self._respond(request)
+        for name in IDENTITY_HEADERS:
+            if name in request.headers:
+                response.headers[name] = request.headers[name]
+        return response
+
+    async def _respond(self, request: web.BaseRequest) -> web.Response:
+        name = request.path.removeprefix(PATH_PREFIX)
+        if not self.is_registered(name):
+            return failure_response(Failure(ErrorKind.UNAVAILABLE, f"no call {name!r}"))
+        receiver = request.headers.get(RECEIVER_HEADER, "")
+        if receiver and self.identity and receiver != self.identity:
+            detail = f"meant for {receiver}, this is {self.identity}"
+            return failure_response(Failure(ErrorKind.MISDIRECTED, detail))
+        try:
+            body = await request.read()
+        except web.HTTPRequestEntityTooLarge as error:
+            return failure_response(Failure(ErrorKind.INVALID, f"{name}: {error}"))
+        outcome = await self.serve(name, body)
+        if isinstance(outcome, Err):
+            return failure_response(outcome.err_value)
+        return web.Response(body=outcome.ok_value)
+
+
+def _request_factory() -> Callable[..., web.BaseRequest]:
+    """Makes requests with bodies up to MAX_MESSAGE_BYTES; those of aiohttp's own factory end at 1 MiB."""
+    loop = asyncio.get_running_loop()
+
+    def make(message: Any, payload: Any, protocol: Any, writer: Any, task: Any) -> web.BaseRequest:
+        return web.BaseRequest(
+            message, payload, protocol, writer, task, loop, client_max_size=MAX_MESSAGE_BYTES
+        )
+
+    return make
--- a/tests/tier/golden_interfaces.py
+++ b/tests/tier/golden_interfaces.py
@@ -11,6 +11,7 @@
 import json
 import os
 import re
+import secrets
 import subprocess
 import sys
 from collections.abc import AsyncIterator, Awaitable, Callable, Iterator
@@ -41,7 +42,6 @@
 from cherrycove.tier.dataplane.stream_relay import proxy_response
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ANSWERS, ErrorKind, Failure
-from cherrycove.tier.protocol import rpc as rpc_module
 from cherrycove.tier.protocol.batch_methods import BODY
 from cherrycove.tier.protocol.calls import RpcMethod
 from cherrycove.tier.protocol.control_methods import PULL
@@ -186,7 +186,7 @@
 
 async def _sent_call(answer: bytes) -> list[Any]:
     async with recorder(answer) as (address, requests):
-        with mock.patch.object(rpc_module.secrets, "token_hex", return_value="0123456789ab"):
+        with mock.patch.object(secrets, "token_hex", return_value="0123456789ab"):
             client = RpcClient()
         await client.start()
         message = support.build("cherrycove.batch.BodyRequest", {"job_id": "job", "item_id": "item"})
