--- a/cherrycove/tier/exploration/node.py
+++ b/cherrycove/tier/exploration/node.py
@@ -134,10 +134,10 @@
             reader,
             NamedLife(self.lives + 1),
             now,
-            timing,
-            wishes,
-            KEPT_ENTRIES,
-            CHUNK_BYTES,
+            timing=timing,
+            membership_requests=wishes,
+            retained_entries=KEPT_ENTRIES,
+            chunk_bytes=CHUNK_BYTES,
         )
         return attrs.evolve(self, lives=self.lives + 1, process=Process(machine, wishes, reader))
 
--- a/cherrycove/tier/replication/candidate.py
+++ b/cherrycove/tier/replication/candidate.py
@@ -41,7 +41,7 @@
 
     Owned by ``Elections``. States: no campaign; pre-vote (role BACKUP); campaign whose own vote is not yet
     durable; campaign with votes requested (both role CANDIDATE); won, until ``take_victory``. A lost message
-    or a dead voter ends a campaign by time-out; a newer epoch or a primary that is heard ends it at once.
+    or a dead voter ends a campaign by time-out; a newer epoch or a message of a primary ends it at once.
     """
 
     def __init__(self, core: ReplicaCore, contact: PrimaryContact, timer: ElectionTimer) -> None:
--- a/cherrycove/tier/replication/core.py
+++ b/cherrycove/tier/replication/core.py
@@ -190,7 +190,7 @@
         """Store ``snapshot`` in place of the log up to it; return the ticket of the write."""
         tail = self.log.entries(snapshot.index + 1, self.log.last_index)
         ticket = self.writes.add_snapshot(SnapshotHeader.of(snapshot), self.log.last_index, now)
-        self._effects.writes.append(WriteSnapshot(ticket, snapshot, tail, required))
+        self._effects.writes.append(WriteSnapshot(ticket, snapshot, tail, required=required))
         return ticket
 
     def install_snapshot(self, snapshot: Snapshot, now: float) -> None:
--- a/cherrycove/tier/replication/elections.py
+++ b/cherrycove/tier/replication/elections.py
@@ -55,7 +55,7 @@
     """Both sides of an election: this replica as a candidate, and as a voter for others.
 
     Owned by ``ReplicaRoles`` for the lifetime of the process. After a restart only the vote is known (it is
-    in the hard state); which primary was heard is not, and is made up for by waiting.
+    in the hard state); contact with a primary is not, so the replica waits as if it had just had some.
     """
 
     def __init__(self, core: ReplicaCore, now: float, *, is_disk_new: bool) -> None:
@@ -76,7 +76,7 @@
         self._candidate.postpone(now)
 
     def expect_first_election(self, now: float) -> None:
-        """The whole group starts for the first time: begin a campaign soon."""
+        """All members start for the first time: begin a campaign soon."""
         self._timer.expire_early(now)
 
     def record_primary_contact(self, now: float) -> None:
--- a/cherrycove/tier/replication/group.py
+++ b/cherrycove/tier/replication/group.py
@@ -143,8 +143,8 @@
             recovered.storage,
             options.random,
             self._now(),
-            options.timing,
-            self._membership_requests,
+            timing=options.timing,
+            membership_requests=self._membership_requests,
         )
         # Listeners ask this group as soon as the driver starts, so it must be in place before.
         self._driver = ReplicaDriver(self._parts, machine, recovered.storage, self.identity)
--- a/cherrycove/tier/replication/interface.py
+++ b/cherrycove/tier/replication/interface.py
@@ -15,7 +15,7 @@
 class MemberIdentity:
     """One replica.
 
-    ``member_id`` names the disk: an emptied disk gets a new one, and so is a new member. ``address`` is
+    ``member_id`` names the disk: a wiped disk gets a new one, and so is a new member. ``address`` is
     host:port of its internal calls. ``zone`` is its failure domain, "" where none is known.
     """
 
--- a/cherrycove/tier/replication/machine.py
+++ b/cherrycove/tier/replication/machine.py
@@ -43,6 +43,7 @@
         source: SnapshotSource,
         random: Random,
         now: float,
+        *,
         timing: Timing | None = None,
         membership_requests: MembershipRequests | None = None,
         retained_entries: int = RETAINED_ENTRIES,
--- a/cherrycove/tier/replication/membership_policy.py
+++ b/cherrycove/tier/replication/membership_policy.py
@@ -19,7 +19,7 @@
     standbys: tuple[MemberIdentity, ...]
     """Replicas alive, members included."""
     unreachable: frozenset[str]
-    """Members not heard for unreachable_timeout_s: they may be replaced."""
+    """Members not heard from for unreachable_timeout_s: they may be replaced."""
     retiring: frozenset[str]
     """Node names or member ids of machines that must leave the group."""
     target_size: int
@@ -72,7 +72,7 @@
     """
     standbys = _eligible_standbys(view)
     return (
-        _replace_emptied_member(view, standbys)
+        _replace_wiped_member(view, standbys)
         or _replace_unreachable_member(view, standbys)
         or _replace_retiring_member(view, standbys)
         or _exclude_retiring_standbys(view)
@@ -111,8 +111,8 @@
     return MembershipChange(add=standby, remove=member, exclude=exclude)
 
 
-def _replace_emptied_member(view: GroupView, standbys: list[MemberIdentity]) -> MembershipChange | None:
-    """Replace a member by the empty disk on the same machine, unless that does not answer this primary."""
+def _replace_wiped_member(view: GroupView, standbys: list[MemberIdentity]) -> MembershipChange | None:
+    """Replace a member by the new, empty disk of its machine, unless that does not answer this primary."""
     for standby in standbys:
         if standby.member_id in view.unresponsive_standbys:
             continue
--- a/cherrycove/tier/replication/peer_set.py
+++ b/cherrycove/tier/replication/peer_set.py
@@ -56,7 +56,7 @@
         return {member_id: peer.progress.acknowledged_at for member_id, peer in self._peers.items()}
 
     def unreachable(self, now: float) -> frozenset[str]:
-        """Return the ids of peers not heard for longer than unreachable_timeout_s."""
+        """Return the ids of peers not heard from for longer than unreachable_timeout_s."""
         timeout_s = self._core.timing.unreachable_timeout_s
         return frozenset(
             member_id for member_id, peer in self._peers.items() if now - peer.progress.heard_at > timeout_s
--- a/cherrycove/tier/replication/primary_contact.py
+++ b/cherrycove/tier/replication/primary_contact.py
@@ -1,4 +1,4 @@
-"""When a replica last heard a primary, in this incarnation of its process and possibly before it."""
+"""When a replica last heard from a primary, in this incarnation of its process or possibly before."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
         return now - self._lease_renewed_at < self._core.timing.election_timeout_s
 
     def has_heard_primary(self, now: float) -> bool:
-        """Whether this incarnation heard a primary within the election time-out."""
+        """Whether this incarnation heard from a primary within the election time-out."""
         return now - self._heard_at < self._core.timing.election_timeout_s
 
-    def is_settled(self, now: float) -> bool:
+    def has_minimum_uptime(self, now: float) -> bool:
         """Whether the process runs for so long that no campaign can count an answer of an earlier one."""
         return now - self._started_at >= self._core.timing.pre_vote_window_s
 
     def was_lease_released_for(self, epoch: int) -> bool:
-        """Whether a transfer of leadership to ``epoch`` was begun by the primary that was heard last."""
+        """Whether a transfer of leadership to ``epoch`` was begun by the primary that was heard from last."""
         return epoch == self._heard_epoch + 1
--- a/cherrycove/tier/replication/progress.py
+++ b/cherrycove/tier/replication/progress.py
@@ -11,7 +11,7 @@
 
 #: Messages with entries that may be unanswered.
 MAX_IN_FLIGHT = 8
-#: A replica that was not heard for longer gets heartbeats only.
+#: A replica that was not heard from for longer gets heartbeats only.
 RESPONSIVE_S = 0.6
 
 
@@ -27,7 +27,7 @@
     next_index: int
     """Index of the next entry to send."""
     heard_at: float
-    """When it was last heard; at first the time at which the primary began to send."""
+    """When it was last heard from; at first the time at which the primary began to send."""
     match_index: int = 0
     """Index up to which its log is synced and equal to the primary's."""
     acknowledged_at: float = NEVER
@@ -37,7 +37,7 @@
     _probed_us: int = -1  # rejections of messages sent before this are outdated
 
     def is_responsive(self, now: float) -> bool:
-        """Whether it was heard lately enough to get more than heartbeats."""
+        """Whether it was heard from lately enough to get more than heartbeats."""
         return now - self.heard_at < RESPONSIVE_S
 
     def has_answered_lately(self, now: float) -> bool:
--- a/cherrycove/tier/replication/quorums.py
+++ b/cherrycove/tier/replication/quorums.py
@@ -36,7 +36,7 @@
 own replica and vote count in C alone. Then it transfers its leadership.
 
 A voter needs no configuration of its own: it is asked under its member id by a candidate whose configuration
-has that id, and the argument counts voters by the candidate's configuration. An emptied disk has a new id, is
+has that id, and the argument counts voters by the candidate's configuration. A wiped disk has a new id, is
 asked by nobody, and so neither acknowledges nor votes before a members entry names it.
 """
 
--- a/cherrycove/tier/replication/replicator.py
+++ b/cherrycove/tier/replication/replicator.py
@@ -23,8 +23,8 @@
     """Sends entries, heartbeats and snapshots to one member or learner.
 
     Owned by ``PeerSet`` (a member) or ``LearnerPromotion`` (a learner) for one period as primary. Lost
-    messages are found by a later rejection or the chunk time-out and sent again; a replica that falls silent
-    gets heartbeats only, until it answers.
+    messages are found by a later rejection or the chunk time-out and sent again; a replica that stops
+    answering gets heartbeats only, until it answers again.
     """
 
     def __init__(self, core: ReplicaCore, member: MemberIdentity, source: SnapshotSource, now: float) -> None:
@@ -57,7 +57,7 @@
             self.progress.record_sent(len(entries), entries[-1].index)
 
     def tick(self, now: float) -> None:
-        """Send a heartbeat if one is due or the commit index is news, and again what was lost."""
+        """Send a heartbeat if one is due or the commit index has advanced; resend what was lost."""
         has_news = self._announced_commit_index < self._core.log.commit_index
         is_heartbeat_due = now - self._sent_at >= self._core.timing.heartbeat_s
         if is_heartbeat_due or (has_news and self.progress.is_responsive(now)):
@@ -79,7 +79,7 @@
         append = Append(
             sent_us=microseconds(now),
             previous_index=previous_index,
-            previous_epoch=log.epoch_at(previous_index) or 0 if previous_index else 0,
+            previous_epoch=log.epoch_at(previous_index) or 0,
             commit_index=log.commit_index,
             entries=[_to_message(entry) for entry in entries],
         )
--- a/cherrycove/tier/replication/timing.py
+++ b/cherrycove/tier/replication/timing.py
@@ -21,7 +21,7 @@
 
     heartbeat_s: float = 0.15
     lease_s: float = 0.7
-    # A backup that heard its primary within this time grants no vote.
+    # A backup that heard from its primary within this time grants no vote.
     election_timeout_s: float = 0.9
     # Added for each rank of the member id, so that one backup campaigns first.
     stagger_s: float = 0.1
@@ -40,7 +40,7 @@
     check_quorum_timeout_s: float = 1.5
     # A primary whose own sync takes longer, while others sync, transfers its leadership.
     disk_stall_timeout_s: float = 1.0
-    # A member that was not heard for so long may be replaced; see ``for_catch_up``.
+    # A member that was not heard from for so long may be replaced; see ``for_catch_up``.
     unreachable_timeout_s: float = 1.2
     # An unanswered snapshot chunk is sent again after this time.
     chunk_resend_s: float = 0.4
@@ -58,5 +58,5 @@
 
 
 def microseconds(seconds: float) -> int:
-    """Convert a time of the monotonic clock to the whole microseconds that messages carry."""
+    """Convert a time of the monotonic clock to the integer microseconds that messages carry."""
     return int(seconds * MICROSECONDS)
--- a/cherrycove/tier/replication/voter.py
+++ b/cherrycove/tier/replication/voter.py
@@ -51,7 +51,7 @@
     def _answer_pre_vote(
         self, sender: MemberIdentity, request: VoteRequest, now: float, *, is_confirmed_primary: bool
     ) -> None:
-        """Say whether the vote would be granted; nothing changes."""
+        """Answer whether the vote would be granted; nothing changes."""
         is_bound = self._is_bound_to_primary(request, now, is_confirmed_primary=is_confirmed_primary)
         granted = request.epoch > self._core.epoch and not is_bound and self._is_log_up_to_date(request)
         follows_primary = is_confirmed_primary or self._contact.may_have_renewed_lease(now)
@@ -69,10 +69,13 @@
         return self._contact.may_have_renewed_lease(now)
 
     def _is_unbound(self, request: VoteRequest, now: float) -> bool:
-        """Whether only a lease renewed by an earlier incarnation could keep this replica from voting."""
+        """Whether only a lease renewed by an earlier incarnation could keep this replica from voting.
+
+        If all replicas are unbound, no lease can be valid (``elections``).
+        """
         return (
             self._core.role is not Role.PRIMARY
-            and self._contact.is_settled(now)
+            and self._contact.has_minimum_uptime(now)
             and not self._contact.has_heard_primary(now)
             and request.epoch > self._core.epoch
             and self._is_log_up_to_date(request)
--- a/tests/tier/test_replication_machine.py
+++ b/tests/tier/test_replication_machine.py
@@ -583,10 +583,11 @@
 # Elections without waiting for a lease
 
 
-def unbound(campaign: int, life: int = 7) -> Message:
+def unbound(campaign: int, incarnation: int = 7) -> Message:
     """Answer of a replica that follows nobody."""
     return Message(
-        epoch=0, vote_reply=VoteReply(preliminary=True, epoch=1, unbound=True, life=life, campaign=campaign)
+        epoch=0,
+        vote_reply=VoteReply(preliminary=True, epoch=1, unbound=True, life=incarnation, campaign=campaign),
     )
 
 
