--- a/tests/golden_broker.py
+++ b/tests/golden_broker.py
@@ -367,10 +367,13 @@
     known: Plain = None
 
 
-def record_day(seed: int, settings: Mapping[str, Plain], vary: Callable[[], Variation]) -> list[Recording]:
+def record_day(
+    seed: int, day: Mapping[str, float], settings: Mapping[str, Plain], vary: Callable[[], Variation]
+) -> list[Recording]:
     """Play the day of this seed (bench/rules) and record each life of each of its schedulers.
 
-    ``settings``, by golden names, take the place of those that are drawn, for the schedulers alone. ``vary``
+    ``day`` (seconds, gap, volumes, crashes) takes the place of what is drawn of the day, ``settings``, by
+    golden names, of the settings that are drawn, these for the schedulers alone. ``vary``
     makes, for each scheduler, what changes a batch before it is handed over; it is given the time, the events
     and the actions of the call before.
     """
@@ -394,7 +397,7 @@
             return acts
 
     with mock.patch.object(play, "Scheduler", Recorded):
-        play.Day(draw.draw(seed)).play()
+        play.Day(dataclasses.replace(draw.draw(seed), **day)).play()  # type: ignore[arg-type]
     for recording, scheduler in recordings:
         recording.known = to_plain([scheduler.remember(), scheduler.sent(), sorted(scheduler.in_use())])
     return [recording for recording, _ in recordings]
--- a/tests/make_golden_broker.py
+++ b/tests/make_golden_broker.py
@@ -14,12 +14,13 @@
 import sys
 import tempfile
 import tomllib
+from collections import Counter
 from collections.abc import Callable
 from functools import partial
 from itertools import count
 from math import ceil, inf
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import golden_broker as golden
 
@@ -523,9 +524,10 @@
     """Changes the batches of one scheduler, by its own dice: times and figures in microseconds, so that the
     data stay small, and what no day of bench/rules has."""
 
-    def __init__(self, seed: int, jumps: bool) -> None:
+    def __init__(self, seed: int, jumps: bool, evidence: bool) -> None:
         self._dice, self._jumps, self._shift, self._last = random.Random(seed), jumps, 0.0, -inf
         self._receiving: dict[int, int] = {}  # requests whose last byte is still to come: calls until then
+        self._evidence = Evidence(seed) if evidence else None
 
     def __call__(self, now: float, events: list[Plain], acts: list[Plain]) -> golden.Batch:
         dice = self._dice
@@ -544,6 +546,8 @@
         if self._jumps and dice.random() < 0.004:
             self._shift += dice.choice((0.5, 2.0, 11.0))  # the host stood still
         self._last = max(ceil((now + self._shift) * 1e6) / 1e6, self._last)
+        if self._evidence is not None:
+            events = self._evidence.added(self._last, events)
         return self._last, events
 
     def _each(self, name: str, fields: list[Plain]) -> Plain:
@@ -597,14 +601,102 @@
         )
 
 
-def decisions(seed: int, schedulers: int = 0, jumps: bool = False, lives: int = 2) -> str:
-    """The day of this seed, as its first lives of schedulers saw it: settings, then for each call its time,
-    its events (<) and its actions (>), and what the scheduler knows at the end."""
-    settings = {"schedulers": schedulers} if schedulers else {}
+class Evidence:
+    """Adds what other processes may tell of listed nodes: an earlier life's figures, of any age and some
+    of them wrong, another process's sends, loans of room."""
+
+    def __init__(self, seed: int) -> None:
+        self._dice = random.Random(seed + 500)
+        self._nodes: dict[str, list[Plain]] = {}
+
+    def added(self, now: float, events: list[Plain]) -> list[Plain]:
+        """The events, with some more."""
+        first = not self._nodes
+        for event in events:
+            for node in event.get("nodes_listed", (0, "", ()))[2]:
+                self._nodes[node["node"][0]] = node["node"]
+        if self._nodes and first:
+            return [*events, self._recalled(now)]
+        if not self._nodes or self._dice.random() > 0.05:
+            return events
+        name = self._dice.choice(list(self._nodes))
+        more = self._dice.choice(
+            (
+                self._recalled(now),
+                {"shared": [0.5, {"=map": [[name, self._figure(0.0, 6.0)]]}]},
+                {"shared": [1.0, {"=map": []}]},
+                {"room_lent": [name, self._figure(0.0, 8.0), self._figure(0.0, 0.5)]},
+            )
+        )
+        return [more, *events]
+
+    def _figure(self, least: float, most: float) -> float:
+        return round(self._dice.uniform(least, most), 6)
+
+    def _recalled(self, now: float) -> Plain:
+        dice, figure = self._dice, self._figure
+        nodes = [
+            {
+                "node_memory": [
+                    node[0],
+                    node[4] if node[4] is None else round(node[4] + dice.choice((0.0, 0.0, 0.0005, 0.5)), 6),
+                    figure(0.001, 0.5),
+                    round(now - figure(-0.2, 8.0), 6),
+                    figure(1.0, 8.0),
+                    dice.random() < 0.5,
+                    dice.choice((0, 0, 1, 3)),
+                    round(now + figure(-7.0, 7.0), 6),
+                    dice.randint(-1, 3),
+                    dice.choice((0.0, figure(0.0, 6.0))),
+                    round(now - figure(-0.2, 3.0), 6),
+                ]
+            }
+            for node in self._nodes.values()
+        ]
+        volumes = [
+            {
+                "volume_memory": [
+                    f"v{number}",
+                    figure(-9.0, 9.0),
+                    round(now - figure(-0.1, 2.0), 6),
+                    dice.choice(("=-inf", round(now - figure(-0.1, 5.0), 6))),
+                ]
+            }
+            for number in range(6)
+        ]
+        return {"recalled": [nodes, volumes, {"=map": [[0, figure(0.0, 0.5)]]}, dice.random() < 0.7]}
+
+
+class Day(NamedTuple):
+    """A day of bench/rules, and what is changed of it."""
+
+    seed: int
+    crowded: bool = False  # forty schedulers, as far as each knows
+    jumps: bool = False  # the host stands still now and then
+    evidence: bool = False
+    busy: bool = False  # more volumes, for longer
+    lives: int = 2  # of schedulers that are recorded
+
+    def name(self) -> str:
+        """The file's."""
+        marks = [name for name in ("crowded", "jumps", "evidence", "busy") if getattr(self, name)]
+        return f"decisions-{'-'.join([str(self.seed), *marks])}.txt.xz"
+
+
+def decisions(day: Day) -> str:
+    """A day as its first lives of schedulers saw it: settings, then for each call its time, its events (<)
+    and actions (>), and what the scheduler knows at the end."""
+    settings = {"schedulers": 40} if day.crowded else {}
+    drawn = {"seconds": 6.0, "volumes": 6, "gap": 0.03} if day.busy else {}
     number = count()
-    recordings = golden.record_day(seed, settings, lambda: Vary(1000 * seed + next(number), jumps))
+    recordings = golden.record_day(
+        day.seed,
+        drawn,
+        settings,
+        lambda: Vary(1000 * day.seed + next(number), day.jumps, day.evidence),
+    )
     lines = []
-    for each in recordings[:lives]:
+    for each in recordings[: day.lives]:
         lines.append(f"scheduler {each.seed} {_compact(each.settings)}")
         for now, events, acts in each.calls:
             lines.append(f"at {now!r}")
@@ -617,16 +709,99 @@
     return json.dumps(value, separators=(",", ":"))
 
 
-# seed, schedulers (0: as drawn), jumps. Chosen so that together they take each branch of the decision module
-# that the days of 150 seeds take, and more of what crowded and quiet deployments do.
+# Chosen so that together they take each branch of the decision module that the days of 150 seeds take, more
+# of what crowded and quiet deployments do, and what changes where a term is taken out of the module.
 DAYS = [
-    *((seed, 0, True) for seed in (103, 42, 23, 49, 125, 126, 44, 109, 59, 33)),
-    *((seed, 40, True) for seed in (138, 48, 82, 39, 88, 50, 91, 32, 102)),
-    *((seed, 0, False) for seed in (144, 56, 140, 59, 31, 72)),
-    *((seed, 40, False) for seed in (20, 2)),
+    *(Day(seed, jumps=True) for seed in (103, 42, 23, 49, 125, 126, 44, 109, 59, 33)),
+    *(Day(seed, crowded=True, jumps=True) for seed in (138, 48, 82, 39, 88, 50, 91, 32, 102)),
+    *(Day(seed) for seed in (144, 56, 140, 59, 31, 72)),
+    *(Day(seed, crowded=True) for seed in (20, 2)),
+    *(Day(seed, evidence=True, lives=1) for seed in (213, 235, 211, 225)),
+    *(Day(seed, crowded=True, evidence=True, lives=1) for seed in (205,)),
+    *(Day(seed, crowded=True, evidence=True, busy=True, lives=1) for seed in (200,)),
 ]
 
 
+class Steady:
+    """One scheduler under a steady stream, more of it at each node than the days have: windows of many
+    answers, nodes that are cold for long, a node that is lost while another drains."""
+
+    BEGIN_S, TICK_S = 100.0, 0.002
+
+    def __init__(self, seed: int, changes: dict[str, Plain], started: float | None) -> None:
+        fields = dict(zip(golden.TYPES["settings"][1].split(), SETTINGS["settings"], strict=True))
+        self._settings = {"settings": list((fields | changes).values())}
+        self._dice, self._decider = random.Random(seed), golden.Decider(self._settings, seed)
+        self._due: list[tuple[float, int, Plain]] = []
+        self._serial, self._started = 0, started
+        self._out: Counter[str] = Counter()
+        self._attempts: Counter[int] = Counter()
+        self._lines = [f"scheduler {seed} {_compact(self._settings)}"]
+
+    def _at(self, when: float, event: Plain) -> None:
+        self._serial += 1
+        self._due.append((round(when, 6), self._serial, event))
+
+    def _listed(self, when: float, kind: str, *nodes: tuple[str, int, float | None, str]) -> None:
+        entries = [{"node": [name, shard, 0, 1.0, at, f"=state.{state}"]} for name, shard, at, state in nodes]
+        self._at(when, {"nodes_listed": [int(when), f"=kind.{kind}", entries]})
+
+    def play(self, requests: int, gap: float) -> str:
+        """So many requests, on average so far apart (s)."""
+        begin, dice = self.BEGIN_S, self._dice
+        self._listed(begin, "restored", ("d0", 0, self._started, "up"), ("d1", 1, self._started, "up"))
+        when = begin
+        for number in range(requests):
+            when += dice.expovariate(1 / gap)
+            cls, shard, units = dice.choice((0, 0, 0, 1)), dice.choice((0, 1)), float(dice.randint(1, 6))
+            volume, key = number % 5, f"k{dice.randrange(40)}"
+            fields = [number, cls, volume // 4, f"v{volume}", units, shard, 1, (3.0, 4.0)[cls], key]
+            self._at(when, {"arrived": [*fields, False, False]})
+        lost = begin + 0.6 * (when - begin)
+        self._listed(lost, "changes", ("d0", 0, None, "gone"), ("d1", 1, self._started, "draining"))
+        self._listed(lost + 0.5, "changes", ("d1", 1, self._started, "up"), ("d2", 0, round(lost, 3), "up"))
+        last = 0.0
+        while self._due and last < when + 2.0:
+            self._due.sort()
+            last = max(self._due[0][0], round(last + self.TICK_S, 6))
+            events = [event for at, _, event in self._due if at <= last]
+            self._due = [each for each in self._due if each[0] > last]
+            self._call(last, events)
+        self._lines.append(f"knows {_compact(self._decider.known())}")
+        return "".join(f"{line}\n" for line in self._lines)
+
+    def _call(self, now: float, events: list[Plain]) -> None:
+        for event in events:
+            if "attempt_ended" in event:
+                self._out[event["attempt_ended"][2]] -= 1
+        acts = self._decider.decide(now, events)
+        self._lines.append(f"at {now!r}")
+        self._lines += [f"< {_compact(event)}" for event in events] + [f"> {_compact(act)}" for act in acts]
+        for act in acts:
+            if "set_timer" in act:
+                self._at(now + act["set_timer"][1] + 1e-6, {"timer_fired": [act["set_timer"][0]]})
+            elif "send" in act:
+                self._answer(now, *act["send"][:2])
+
+    def _answer(self, now: float, request: int, node: str) -> None:
+        self._out[node] += 1
+        took = round(0.01 + 0.01 * self._out[node] * self._dice.uniform(0.5, 2.0), 6)
+        attempt, self._attempts[request] = self._attempts[request], self._attempts[request] + 1
+        fields = [request, attempt, node, "=outcome.served", True, took, None, 0.0, {"=map": []}]
+        self._at(now + took, {"attempt_ended": fields})
+
+
+STEADY: dict[str, Callable[[], str]] = {
+    "decisions-steady.txt.xz": lambda: Steady(1, {}, None).play(500, 0.01),
+    "decisions-steady-cold.txt.xz": lambda: Steady(
+        2, {"schedulers": 10, "fall_window": 0.5, "warm_after": 5.0}, 99.5
+    ).play(400, 0.01),
+    "decisions-steady-crowded.txt.xz": lambda: Steady(
+        3, {"schedulers": 40, "fall_window": 0.5, "warm_after": 5.0}, 99.5
+    ).play(300, 0.01),
+}
+
+
 class WireWorld:
     """Two schedulers on the wire, disk nodes that answer, and lines that cannot be read."""
 
@@ -737,9 +912,9 @@
 
 def _recorded() -> dict[str, Callable[[], str]]:
     made: dict[str, Callable[[], str]] = {"wirehost.txt.xz": lambda: WireWorld().play()}
-    for seed, schedulers, jumps in DAYS:
-        name = f"decisions-{seed}{'-crowded' * bool(schedulers)}{'-jumps' * jumps}.txt.xz"
-        made[name] = partial(decisions, seed, schedulers, jumps)
+    made |= STEADY
+    for day in DAYS:
+        made[day.name()] = partial(decisions, day)
     return made
 
 
