--- a/cherrycove/tier/controlplane/broker_changes.py
+++ b/cherrycove/tier/controlplane/broker_changes.py
@@ -1,4 +1,4 @@
-"""What changed between two reads of the platform's list. Pure."""
+"""What changed between two reads of the platform's list of brokers. Pure."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def broker_entry(broker: Broker) -> BrokerEntry:
-    """The message that a view of a broker was made of."""
+    """Return the message that ``broker`` was made of."""
     return BrokerEntry(
         instance_id=broker.instance_id,
         service=broker.service,
@@ -21,7 +21,7 @@
 
 
 def same_brokers(left: BrokerList, right: BrokerList) -> bool:
-    """Whether two lists say the same, apart from the time that warm-ups still take."""
+    """Whether two lists are equal, apart from the remaining warm-up times."""
     return _without_warmup(left) == _without_warmup(right)
 
 
@@ -34,20 +34,21 @@
 
 
 class AbsenceCheck:
-    """Believes that a broker is gone after two reads without it, where a list has several pages.
+    """Takes a broker as gone after two reads without it, where a list has several pages.
 
-    Pages are read one after the other; when the list shifts in between, a broker can be on none of them.
+    Owned by the ``BrokerWatcher``, which makes a new one for each epoch. Pages are read one after the other;
+    when the list shifts in between, a broker can be on none of them.
     """
 
     def __init__(self) -> None:
         self._known: dict[str, BrokerEntry] = {}  # of the last read
-        self._missed: dict[str, BrokerEntry] = {}  # kept although the last read was without them
+        self._missed: dict[str, BrokerEntry] = {}  # still published although the last read was without them
 
     def fold(self, read: BrokerList, pages: int) -> BrokerList:
-        """The list to believe after ``read``, which took ``pages`` calls."""
+        """Return the list to publish after ``read``, which took ``pages`` calls."""
         present = {entry.instance_id: entry for entry in read.brokers}
         missed = {key: entry for key, entry in self._known.items() if key not in present}
         self._known = present
         self._missed = missed if pages > 1 else {}
-        believed = {**present, **self._missed}
-        return BrokerList(brokers=[believed[key] for key in sorted(believed)])
+        published = {**present, **self._missed}
+        return BrokerList(brokers=[published[key] for key in sorted(published)])
--- a/cherrycove/tier/controlplane/broker_discovery.py
+++ b/cherrycove/tier/controlplane/broker_discovery.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list of brokers, page by page; a sequence of pages counts only when complete."""
+"""Reads the platform's list of brokers over HTTP, page by page; only a complete list is used."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 from cherrycove.tier.protocol.sessions import NoRetryConnector, client_session
 from cherrycove.tier.settings import Settings
 
-READS_PER_DRAIN = 5.0  # the list is read so often within bounds.drain_ms
+READS_PER_DRAIN = 5.0  # reads of the list within bounds.drain_ms
 MIN_INTERVAL_S = 0.3
 MAX_INTERVAL_S = 1.0
-RATE_SHARE = 0.5  # of the platform's rate, which all callers share
+RATE_SHARE = 0.5  # of the platform's rate limit, which all callers share
 MAX_BACKOFF_S = 2.0
 CALL_TIMEOUT_S = 1.0
 MAX_PAGES = 1000
@@ -32,7 +32,7 @@
 
 @attrs.frozen(kw_only=True)
 class Instance:
-    """One entry of the platform's list."""
+    """One entry of the platform's list; its JSON keys are the names in camel case."""
 
     instance_id: str
     service: str
@@ -44,6 +44,7 @@
     warmup_remaining_ms: float = 0.0
 
     def to_entry(self) -> BrokerEntry:
+        """Return the entry as it is published; a broker that is not ready counts as draining."""
         return BrokerEntry(
             instance_id=self.instance_id,
             service=self.service,
@@ -58,7 +59,7 @@
 
 @attrs.frozen
 class Page:
-    """One answer of the platform."""
+    """One response of the platform."""
 
     instances: tuple[BrokerEntry, ...]
     next_token: str  # empty on the last page
@@ -81,7 +82,7 @@
 
 
 def parse_page(body: bytes) -> Result[Page, Failure]:
-    """The entries of one page; an entry that cannot be read is left out."""
+    """Return the entries of one page; INVALID if it is not one. An invalid entry is logged and left out."""
     try:
         document = json.loads(body)
     except (ValueError, RecursionError) as error:
@@ -108,7 +109,7 @@
 
 
 class ReadPacing:
-    """When to read next: as often as draining asks for, within a share of the platform's rate. Pure."""
+    """When to read next: often enough to notice draining brokers, within a share of the rate limit. Pure."""
 
     def __init__(self, settings: Settings) -> None:
         interval = settings.bounds.drain_ms / 1000.0 / READS_PER_DRAIN
@@ -117,49 +118,62 @@
         self._failures = 0
 
     def succeeded(self, calls: int) -> float:
-        """Seconds until the next read after one that took ``calls`` calls."""
+        """Return the seconds until the next read after one that took ``calls`` calls."""
         self._failures = 0
         return max(self._interval_s, calls / self._calls_per_s)
 
     def failed(self, calls: int) -> float:
-        """Seconds until the next read after one that failed."""
+        """Return the seconds until the next read after one that failed, with a linear backoff."""
         self._failures += 1
         backoff = self._interval_s * min(self._failures, 4)
         return max(min(backoff, MAX_BACKOFF_S), calls / self._calls_per_s)
 
 
 class BrokerReader(Protocol):
-    """Reads the whole list of brokers."""
+    """Reads the complete list of brokers; implemented by ``BrokerDiscoveryClient``."""
 
-    calls: int  # made by the read that is under way or ended last
+    calls: int  # made by the read in progress, or by the last one
 
-    async def start(self) -> None: ...
+    async def start(self) -> None:
+        """Prepare to read."""
 
-    async def stop(self) -> None: ...
+    async def stop(self) -> None:
+        """Release what ``start`` opened."""
 
-    async def read(self) -> Result[BrokerList, Failure]: ...
+    async def read(self) -> Result[BrokerList, Failure]:
+        """Return the complete list, by instance id."""
 
 
 class BrokerDiscoveryClient:
-    """Calls the platform."""
+    """Reads the platform's list at ``cloudApi.address``.
+
+    Owned by the ``BrokerWatcher``, one read at a time. Each call is sent once; a failed read is repeated only
+    by the next one.
+    """
 
     def __init__(self, settings: Settings) -> None:
         self._url = f"http://{settings.cloud_api.address}/instances"
         self._session: aiohttp.ClientSession | None = None
-        self.calls = 0  # made by the read that is under way or ended last
+        self.calls = 0  # made by the read in progress, or by the last one
 
     async def start(self) -> None:
+        """Open the session; one connection at a time."""
         timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
         connector = NoRetryConnector(limit=1, keepalive_timeout=10.0)
         self._session = client_session(connector, timeout=timeout)
 
     async def stop(self) -> None:
+        """Close the session."""
         if self._session is not None:
             await self._session.close()
             self._session = None
 
     async def read(self) -> Result[BrokerList, Failure]:
-        """The whole list, by instance id."""
+        """Return the complete list, by instance id.
+
+        UNREACHABLE before ``start``; UNAVAILABLE where a call failed; INVALID where a page cannot be parsed,
+        or a page token repeats or the pages do not end within ``MAX_PAGES``.
+        """
         self.calls = 0
         brokers: dict[str, BrokerEntry] = {}
         tokens: set[str] = set()
--- a/cherrycove/tier/controlplane/broker_watcher.py
+++ b/cherrycove/tier/controlplane/broker_watcher.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list of brokers again and again while this keeper leads, and publishes it."""
+"""Reads the platform's list of brokers periodically while this controller leads, and publishes it."""
 
 from __future__ import annotations
 
@@ -14,14 +14,19 @@
 from cherrycove.tier.protocol.control_pb2 import BrokerList
 from cherrycove.tier.settings import Settings
 
-IDLE_S = 0.1  # a keeper that does not lead looks again after this time
-INHERIT_AFTER_S = 2.0  # a list of brokers that cannot be read for so long is taken from the earlier primary
+IDLE_S = 0.1  # between two checks while this controller does not lead
+INHERIT_AFTER_S = 2.0  # without a first read for so long, the earlier primary's list is published
 
 _log = logging.getLogger(__name__)
 
 
 class BrokerWatcher:
-    """One reader of the platform's list: the primary keeper."""
+    """Makes the primary controller the one reader of the platform's list.
+
+    Owned by the ``Controller``; the ``LeaderCoordinator`` notifies it of new epochs. Soft state: after a
+    crash or a change of primary the list is read anew. While the platform does not answer, the last list
+    stays published.
+    """
 
     def __init__(
         self,
@@ -30,7 +35,7 @@
         topics: ControlTopics,
         reader: BrokerReader | None = None,
     ) -> None:
-        """``reader`` stands in for the one that calls the platform."""
+        """``reader`` replaces the client that calls the platform."""
         self._period = period
         self._topics = topics
         self._reader = reader or BrokerDiscoveryClient(settings)
@@ -40,19 +45,24 @@
         self._began = 0.0
 
     async def start(self) -> None:
+        """Open the reader."""
         await self._reader.start()
 
     async def stop(self) -> None:
+        """Close the reader; no step is in progress."""
         await self._reader.stop()
 
     def on_started_leading(self, inherited: BrokerList, now: float) -> None:
-        """A term began. ``inherited`` is the list of the primary before, empty where that is not known."""
+        """Leadership began in a new epoch, at ``now`` (monotonic s).
+
+        ``inherited`` is the list that the primary before published, empty where that is not known.
+        """
         self._absences = AbsenceCheck()
         self._inherited = inherited
         self._began = now
 
     async def step(self) -> None:
-        """One read and the pause after it."""
+        """Read the list once, publish it, then pause."""
         if not self._period.is_leading():
             await asyncio.sleep(IDLE_S)
             return
@@ -68,7 +78,7 @@
         await asyncio.sleep(self._pacing.succeeded(self._reader.calls))
 
     def _inherit(self) -> None:
-        """While the platform does not answer, processes that start still learn what was known last."""
+        """Publish the earlier primary's list while the platform does not answer, for processes that start."""
         waited = asyncio.get_running_loop().time() - self._began
         unknown = self._topics.brokers is None and len(self._inherited.brokers) > 0
         if self._period.is_leading() and unknown and waited >= INHERIT_AFTER_S:
--- a/cherrycove/tier/controlplane/controller.py
+++ b/cherrycove/tier/controlplane/controller.py
@@ -15,7 +15,7 @@
 from cherrycove.tier.controlplane.retirement import RetirementService
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.controlplane.status_service import StatusService
-from cherrycove.tier.controlplane.store_group import full_size
+from cherrycove.tier.controlplane.store_group_bootstrap import full_size
 from cherrycove.tier.controlplane.store_group_reconciler import StoreGroupReconciler
 from cherrycove.tier.controlplane.topics import ControlTopics
 from cherrycove.tier.distribution.cluster_view import ClusterView
--- a/cherrycove/tier/controlplane/controller_group.py
+++ b/cherrycove/tier/controlplane/controller_group.py
@@ -1,4 +1,4 @@
-"""What the control plane asks of the keepers' own group: whom to take in, and whose place to move."""
+"""Which controllers should be members of the controllers' own group, and which must leave it."""
 
 from __future__ import annotations
 
@@ -14,58 +14,68 @@
 
 
 class ControllerGroupMembership:
-    """Standbys come from the announcements; who must leave comes from the replicated state alone."""
+    """Requests changes of the controllers' group; the group decides on them and commits them.
+
+    Owned by the ``Controller``, called by the ``LeaderCoordinator``. It keeps nothing: standbys come from the
+    announcements, and members that must leave come from the replicated state alone, so that every controller
+    names the same ones.
+    """
 
     def __init__(self, settings: Settings, group: Group, state: ControlState) -> None:
         self._settings = settings
         self._group = group
         self._state = state
 
-    def update_standbys(self, keepers: Iterable[Registration]) -> None:
-        """Offer the ``keepers`` alive that are not members, and name those to leave."""
+    def update_standbys(self, controllers: Iterable[Registration]) -> None:
+        """Offer the ``controllers`` alive that are not members, and name the members that must leave."""
         self.update_retiring()
-        announced = (entry.announcement for entry in keepers)
+        announced = (entry.announcement for entry in controllers)
         usable = [self._standby(one) for one in announced if one.member_id and not one.leaving]
-        self._group.offer_standbys(self._outside([*usable, *self._retiring_disks()]))
+        self._group.offer_standbys(self._outside_group([*usable, *self._retiring_disks()]))
 
     def withdraw_standbys(self) -> None:
-        """Offer nobody: what is known of the keepers is too old by the time that this one leads again."""
-        self._group.offer_standbys(self._outside(self._retiring_disks()))
+        """Offer no controller: what is known of them is too old by the time that this one leads again."""
+        self._group.offer_standbys(self._outside_group(self._retiring_disks()))
 
     def update_retiring(self) -> None:
-        """Machines to be emptied, by name and by the disks of their keepers; first members have no name."""
+        """Name the machines with a retire order, by node name and by the disks of their controllers.
+
+        First members have no node name, so members at an address of such a machine are named by their ids.
+        """
         orders = self._state.retire_orders.values()
         names = {order.node_name for order in orders}
         disks = {disk for order in orders for disk in order.keeper_ids}
-        standing = {
+        present = {
             member.member_id
             for member in self._group.members
             if any(is_on_machine(order, member.node_name, member.address) for order in orders)
         }
-        self._group.retire(frozenset(names | disks | standing))
+        self._group.retire(frozenset(names | disks | present))
 
     def _retiring_disks(self) -> list[MemberIdentity]:
-        """Disks to be excluded, also of machines that are away; they are offered so that the group, which
-        takes none of them in, commits that it never will.
+        """Return the disks to exclude, also those of machines that are away.
+
+        The group adds none of them; it is offered them so that it commits that it never will.
         """
         return [
-            MemberIdentity(
-                disk, order.node_name, self._settings.peer_address(order.ips[-1], CONTROLLER_PROGRAM)
-            )
+            MemberIdentity(disk, order.node_name, self._address(order.ips[-1]))
             for order in self._state.retire_orders.values()
             for disk in order.keeper_ids
             if order.ips
         ]
 
-    def _standby(self, keeper: Announcement) -> MemberIdentity:
+    def _standby(self, controller: Announcement) -> MemberIdentity:
         return MemberIdentity(
-            member_id=keeper.member_id,
-            node_name=keeper.node_name,
-            address=self._settings.peer_address(keeper.ip, CONTROLLER_PROGRAM),
-            zone=keeper.zone,
+            member_id=controller.member_id,
+            node_name=controller.node_name,
+            address=self._address(controller.ip),
+            zone=controller.zone,
         )
 
-    def _outside(self, keepers: Iterable[MemberIdentity]) -> list[MemberIdentity]:
+    def _address(self, ip: str) -> str:
+        return self._settings.peer_address(ip, CONTROLLER_PROGRAM)
+
+    def _outside_group(self, controllers: Iterable[MemberIdentity]) -> list[MemberIdentity]:
         members = {member.member_id for member in self._group.members}
-        known = {keeper.member_id: keeper for keeper in keepers if keeper.member_id not in members}
-        return list(known.values())
+        outside = {one.member_id: one for one in controllers if one.member_id not in members}
+        return list(outside.values())
--- a/cherrycove/tier/controlplane/leadership.py
+++ b/cherrycove/tier/controlplane/leadership.py
@@ -1,4 +1,4 @@
-"""Whether this keeper decides, and who does instead."""
+"""Whether this controller may decide, and which one does instead."""
 
 from __future__ import annotations
 
@@ -10,17 +10,22 @@
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.replication.interface import Group
 
-POLL_S = 0.05  # a lease can end or begin to hold without a change that the group reports
-SETTLE_TIMEOUT_S = 0.7  # below the silence after which callers turn to another keeper
-WITHOUT_HEARTBEATS_S = 1.5  # who knows no primary for so long, though its pulls are answered, was removed
-HINT_FRESH_S = 3.0  # a primary of which nothing was heard for so long is not pointed to
+POLL_S = 0.05  # a lease can end or begin without a change that the group reports
+CONFIRMATION_TIMEOUT_S = 0.7  # below the time-out after which callers ask another controller
+WITHOUT_HEARTBEATS_S = 1.5  # a member without a primary for so long, whose pulls are answered, was removed
+HINT_FRESH_S = 3.0  # callers are not directed to a primary without a sign of life for so long
 
 
 class Leadership:
-    """The group's leadership as the publisher and the operator's interface need it."""
+    """The group's leadership as the publisher and the operator's interface need it.
+
+    Owned by the ``Controller``; read-only for all others. It combines the heartbeats of the group with the
+    answers to this process's own pulls. Soft state: a crash loses it, and nothing safe depends on it. Only
+    ``is_confirmed_primary`` permits a decision; the address of another primary is a hint.
+    """
 
     def __init__(self, group: Group, views: ClusterView) -> None:
-        """``views`` tells which keeper answered this process as the primary, and when."""
+        """``views`` has the controller that answered this process's last pull as the primary, and when."""
         self._group = group
         self._views = views
         self._primary_id = ""
@@ -29,17 +34,19 @@
 
     @property
     def epoch(self) -> int:
+        """The newest epoch known here."""
         return self._group.epoch
 
     def is_confirmed_primary(self) -> bool:
+        """Whether this replica leads under a valid lease and has applied everything committed."""
         return self._group.is_confirmed_primary()
 
     def primary_address(self) -> str:
-        """RPC address of the keeper that leads, by the newest evidence; empty while that is too old.
+        """Return the RPC address (host:port) of the leading controller; empty while that is too uncertain.
 
-        A member learns of its group's primary by heartbeats and forgets it when they stay away. A keeper
-        outside the group hears none, nor does one that was removed and does not know of it: only the answers
-        to its own pulls tell it, where they still come long after the heartbeats.
+        A member learns of its group's primary by heartbeats, and forgets it when they stay away. A controller
+        outside the group receives none; neither does one that was removed and does not know. Those two learn
+        the primary only by answers to their own pulls, which go on long after the heartbeats.
         """
         self._note_primary()
         now = asyncio.get_running_loop().time()
@@ -48,28 +55,22 @@
         listed = group.identity.member_id in group.voting_member_ids()
         if primary is None and listed and views.last_contact - self._primary_since < WITHOUT_HEARTBEATS_S:
             return ""
-        last_seen_at, address = views.last_contact, views.primary_address
-        if primary is not None and self._primary_since >= last_seen_at:
-            last_seen_at, address = self._primary_since, primary.address
-        if now - last_seen_at >= HINT_FRESH_S or address == group.identity.address:
+        seen_at, address = views.last_contact, views.primary_address
+        if primary is not None and self._primary_since >= seen_at:
+            seen_at, address = self._primary_since, primary.address
+        if now - seen_at >= HINT_FRESH_S or address == group.identity.address:
             return ""
         return address
 
-    def _note_primary(self) -> None:
-        primary = self._group.primary
-        member_id = "" if primary is None else primary.member_id
-        if member_id != self._primary_id:
-            self._primary_id = member_id
-            self._primary_since = asyncio.get_running_loop().time()
-
     def not_primary_failure(self) -> Failure:
-        """The failure of a call that only the confirmed primary may decide."""
-        return Failure(ErrorKind.NOT_PRIMARY, "not the primary keeper", self.primary_address())
+        """Return the failure of a call that only the confirmed primary may decide."""
+        return Failure(ErrorKind.NOT_PRIMARY, "not the primary controller", self.primary_address())
 
-    async def wait_until_confirmed(self, timeout_s: float = SETTLE_TIMEOUT_S) -> Result[None, Failure]:
-        """Ok when this replica is confirmed; else a refusal, given once another leads or the time is over.
+    async def wait_until_confirmed(self, timeout_s: float = CONFIRMATION_TIMEOUT_S) -> Result[None, Failure]:
+        """Wait until this replica is the confirmed primary.
 
-        A caller that awaits anything afterwards must ask ``confirmed`` again before it refuses for good.
+        NOT_PRIMARY as soon as another controller is known to lead, or after ``timeout_s``. A caller that
+        waits for anything afterwards must ask ``is_confirmed_primary`` again before it refuses for good.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
@@ -78,3 +79,10 @@
                 return Err(self.not_primary_failure())
             await asyncio.sleep(POLL_S)
         return Ok(None)
+
+    def _note_primary(self) -> None:
+        primary = self._group.primary
+        member_id = "" if primary is None else primary.member_id
+        if member_id != self._primary_id:
+            self._primary_id = member_id
+            self._primary_since = asyncio.get_running_loop().time()
--- a/cherrycove/tier/controlplane/process_directory.py
+++ b/cherrycove/tier/controlplane/process_directory.py
@@ -6,7 +6,7 @@
 
 from cherrycove.tier.controlplane.process_registry import RETENTION_S, ProcessRegistry, Registration
 from cherrycove.tier.controlplane.state import ControlState
-from cherrycove.tier.controlplane.store_group import StoreInventory
+from cherrycove.tier.controlplane.store_inventory import StoreInventory
 from cherrycove.tier.program_names import CONTROLLER_PROGRAM, STORE_PROGRAM
 from cherrycove.tier.protocol.control_pb2 import Announcement, MemberList
 from cherrycove.tier.replication.interface import Group
--- a/cherrycove/tier/controlplane/retirement.py
+++ b/cherrycove/tier/controlplane/retirement.py
@@ -1,4 +1,4 @@
-"""Answers the operator's orders to empty a storage machine."""
+"""Accepts the operator's orders to retire a storage machine, and reports how far they are."""
 
 from __future__ import annotations
 
@@ -12,21 +12,28 @@
 from cherrycove.tier.controlplane.leadership import Leadership
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.controlplane.storage_machines import same_machine
-from cherrycove.tier.controlplane.store_group import StoreInventory, retire_command
+from cherrycove.tier.controlplane.store_inventory import StoreInventory, retire_command
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol.keeper_pb2 import Command, Retire
 from cherrycove.tier.replication.interface import Group
 
-RETIRE_TIMEOUT_S = 2.5  # an order is taken within this time or answered as uncertain
+RETIRE_TIMEOUT_S = 2.5  # an order is accepted within this time, or its outcome is reported as uncertain
 
 
 class RetireState(Enum):
-    ACTIVE = "active"
-    COMPLETED = "completed"
+    """How far a retire order is; the values appear in the operator's interface."""
+
+    ACTIVE = "active"  # the machine still counts for a group, or may
+    COMPLETED = "completed"  # the machine may be taken away
 
 
 class RetirementService:
-    """Only the confirmed primary decides; nothing is refused for good before the stores could be heard."""
+    """Decides on retire orders, one at a time.
+
+    Owned by the ``Controller``. It changes nothing itself: an order is a command of the replicated state, and
+    ``StoreGroupReconciler`` completes it. Only the confirmed primary decides, and nothing is refused for good
+    before all stores could announce themselves. The states of an order are in docs/design/control-plane.md.
+    """
 
     def __init__(
         self,
@@ -37,7 +44,7 @@
         stores_had_time_to_announce: Callable[[], bool],
         group_size: int,
     ) -> None:
-        """``inventory`` is the present view of the stores."""
+        """``inventory`` is the present view of the stores; ``group_size``: members of a complete group."""
         self._proposer = BarrierProposer(group)
         self._state = state
         self._leadership = leadership
@@ -47,7 +54,12 @@
         self._lock = asyncio.Lock()
 
     async def order(self, node_name: str) -> Result[None, Failure]:
-        """Take the order to empty ``node_name``; Ok also where it was taken earlier."""
+        """Order the machine ``node_name`` to retire.
+
+        Ok: the order is committed, or was earlier. Errors: NOT_FOUND (no such machine) and CONFLICT (too few
+        would remain) are final; NOT_PRIMARY and UNAVAILABLE: certainly not committed, may be sent again;
+        DEADLINE: it may have been committed.
+        """
         deadline = asyncio.get_running_loop().time() + RETIRE_TIMEOUT_S
         try:
             async with asyncio.timeout_at(deadline):
@@ -59,11 +71,20 @@
         finally:
             self._lock.release()
 
+    def state(self, node_name: str) -> Result[RetireState, Failure]:
+        """Return how far the order for ``node_name`` is; NOT_FOUND without one, or NOT_PRIMARY."""
+        if not self._leadership.is_confirmed_primary():
+            return Err(self._leadership.not_primary_failure())
+        order = self._state.retire_orders.get(node_name)
+        if order is None:
+            return Err(Failure(ErrorKind.NOT_FOUND, f"no order to empty {node_name!r}"))
+        return Ok(RetireState.COMPLETED if order.completed else RetireState.ACTIVE)
+
     async def _order(self, node_name: str, deadline: float) -> Result[None, Failure]:
         loop = asyncio.get_running_loop()
-        settled = await self._proposer.resolve(deadline - loop.time())
-        if isinstance(settled, Err):
-            return settled
+        resolved = await self._proposer.resolve(deadline - loop.time())
+        if isinstance(resolved, Err):
+            return resolved
         checked = self._check(node_name)
         if isinstance(checked, Err):
             return checked
@@ -79,7 +100,10 @@
         return Err(Failure(kind, failure.detail))
 
     def _check(self, node_name: str) -> Result[Retire | None, Failure]:
-        """The command to commit, or None when the order is in force already. Does not wait."""
+        """Return the command to commit, or None when the order is in force already.
+
+        Must not wait: the leadership that it checks first has to hold for every answer.
+        """
         if not self._leadership.is_confirmed_primary():
             return Err(self._leadership.not_primary_failure())
         inventory = self._inventory()
@@ -93,6 +117,7 @@
         return Err(self._refusal(node_name, inventory))
 
     def _refusal(self, node_name: str, inventory: StoreInventory) -> Failure:
+        """Return why the order is not accepted: for good only where no absent store could change that."""
         if not self._stores_had_time_to_announce() or not inventory.recently_seen:
             return Failure(ErrorKind.UNAVAILABLE, "the stores have not announced themselves yet")
         if not inventory.is_known(node_name):
@@ -100,11 +125,3 @@
         if inventory.count_possibly_remaining(node_name) >= self._group_size:
             return Failure(ErrorKind.UNAVAILABLE, "a storage machine is away at the moment")
         return Failure(ErrorKind.CONFLICT, "too few storage machines would remain")
-
-    def state(self, node_name: str) -> Result[RetireState, Failure]:
-        if not self._leadership.is_confirmed_primary():
-            return Err(self._leadership.not_primary_failure())
-        order = self._state.retire_orders.get(node_name)
-        if order is None:
-            return Err(Failure(ErrorKind.NOT_FOUND, f"no order to empty {node_name!r}"))
-        return Ok(RetireState.COMPLETED if order.completed else RetireState.ACTIVE)
--- a/cherrycove/tier/controlplane/retirement_check.py
+++ b/cherrycove/tier/controlplane/retirement_check.py
@@ -1,7 +1,7 @@
-"""Whether a machine that is to be emptied can be taken away. Pure.
+"""Whether a machine with a retire order may be taken away. Pure.
 
-The decision is made from the committed member lists of both groups alone. What processes announced, and what
-a keeper remembers of them, has no part in it: after a cut or a change of primary that can be empty or old.
+The decision is made from the committed members of both groups alone, never from announcements: after a
+partition or a change of primary those can be missing or old.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class GroupMember:
-    """What tells on which machine a member of a group stands."""
+    """A member of a group, as far as its machine can be recognized by it."""
 
     member_id: str
     node_name: str
@@ -26,24 +26,26 @@
 
 @attrs.frozen
 class CommittedMembership:
-    """A member list that its group has committed, from the primary under a valid lease."""
+    """The members that a group has committed, from its primary under a valid lease."""
 
     members: tuple[GroupMember, ...]
-    excluded: frozenset[str]  # disks that are never taken in again
-    revision: int | None = None  # of the orders that its primary knows; None: all, the orders are its state
+    excluded: frozenset[str]  # disks that never become members again
+    revision: int | None = None  # of the orders that its primary has seen; None: all, they are its own state
 
     @staticmethod
     def of_controllers(committed: CommittedMembers) -> CommittedMembership:
+        """Return that of the controllers' group."""
         members = (GroupMember(one.member_id, one.node_name, one.address) for one in committed.members)
         return CommittedMembership(tuple(members), committed.excluded)
 
     @staticmethod
     def of_stores(reply: StoreMembersReply) -> CommittedMembership:
+        """Return that of the store group, from the answer of its primary."""
         members = (GroupMember(one.member_id, one.node_name, one.address) for one in reply.members)
         return CommittedMembership(tuple(members), frozenset(reply.excluded), reply.revision)
 
     def on_machine(self, order: RetireOrder, disks: Iterable[str]) -> list[str]:
-        """Ids of members that stand on the machine of ``order``, or on one of its ``disks``."""
+        """Return the ids of members on the machine of ``order``, or on one of its ``disks``."""
         known = frozenset(disks)
         return [
             one.member_id
@@ -53,11 +55,13 @@
 
 
 def blocking_reason(
-    order: RetireOrder, keepers: CommittedMembership, stores: CommittedMembership, group_size: int
+    order: RetireOrder, controllers: CommittedMembership, stores: CommittedMembership, group_size: int
 ) -> str | None:
-    """What keeps the machine of ``order`` from being taken away; None if nothing does.
+    """Return what prevents the machine of ``order`` from being taken away; None if nothing does.
 
-    ``group_size`` is the size at which a group bears all losses that may come.
+    ``group_size`` is the size at which a group tolerates as many losses as the settings name. The stores are
+    checked for every order; the controllers' group has to be complete only where a controller ran on the
+    machine.
     """
     if not order.ips or not order.store_ids:
         return "the address or the disk of the machine is not known"
@@ -66,11 +70,11 @@
         return in_stores
     if len(stores.members) < group_size:
         return f"the store group has {len(stores.members)} members of {group_size}"
-    in_keepers = _blocking_reason_in("keeper", keepers, order, order.keeper_ids)
-    if in_keepers is not None:
-        return in_keepers
-    if order.keeper_ids and len(keepers.members) < group_size:
-        return f"the keeper group has {len(keepers.members)} members of {group_size}"
+    in_controllers = _blocking_reason_in("controller", controllers, order, order.keeper_ids)
+    if in_controllers is not None:
+        return in_controllers
+    if order.keeper_ids and len(controllers.members) < group_size:
+        return f"the controller group has {len(controllers.members)} members of {group_size}"
     return None
 
 
@@ -82,7 +86,7 @@
     counting = committed.on_machine(order, disks)
     if counting:
         return f"the {group} group counts on {', '.join(counting)}"
-    open_to_return = sorted(frozenset(disks) - committed.excluded)
-    if open_to_return:
-        return f"the {group} group has not excluded {', '.join(open_to_return)}"
+    not_excluded = sorted(frozenset(disks) - committed.excluded)
+    if not_excluded:
+        return f"the {group} group has not excluded {', '.join(not_excluded)}"
     return None
--- a/cherrycove/tier/controlplane/store_group_reconciler.py
+++ b/cherrycove/tier/controlplane/store_group_reconciler.py
@@ -1,4 +1,4 @@
-"""The primary keeper's work on the store group: form it, record its machines, carry out retire orders."""
+"""The primary controller's work on the store group: form it, record machines, complete retire orders."""
 
 from __future__ import annotations
 
@@ -11,13 +11,8 @@
 from cherrycove.tier.controlplane.leadership_period import LeadershipPeriod
 from cherrycove.tier.controlplane.retirement_check import CommittedMembership, blocking_reason
 from cherrycove.tier.controlplane.state import ControlState
-from cherrycove.tier.controlplane.store_group import (
-    StoreGroupBootstrap,
-    StoreInventory,
-    full_size,
-    order_updates,
-    record_updates,
-)
+from cherrycove.tier.controlplane.store_group_bootstrap import StoreGroupBootstrap, full_size
+from cherrycove.tier.controlplane.store_inventory import StoreInventory, order_updates, record_updates
 from cherrycove.tier.controlplane.store_members import StoreMembersReader
 from cherrycove.tier.program_names import STORE_PROGRAM
 from cherrycove.tier.protocol.calls import Caller
@@ -25,14 +20,19 @@
 from cherrycove.tier.replication.interface import Group
 from cherrycove.tier.settings import Settings
 
-INTERVAL_S = 0.1
-COMMAND_TIMEOUT_S = 2.0
+INTERVAL_S = 0.1  # between two passes
+COMMAND_TIMEOUT_S = 2.0  # for the commit of one command
 
 _log = logging.getLogger(__name__)
 
 
 class StoreGroupReconciler:
-    """Acts only in a term that holds; every change is a command of the replicated state."""
+    """Compares the stores with the replicated state, and proposes the commands that bring them together.
+
+    Owned by the ``Controller``; the ``LeaderCoordinator`` notifies it of new epochs. It acts only while this
+    controller leads, and changes nothing itself: every change is a command of the replicated state. A command
+    that fails is proposed again by a later pass. Nothing of its own survives a crash.
+    """
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         client: Caller,
         inventory: Callable[[], StoreInventory],
     ) -> None:
-        """``group`` is the keepers' own; ``inventory`` tells what the stores announced to this primary."""
+        """``group`` is the controllers' own; ``inventory`` is the present view of the stores."""
         self._settings = settings
         self._group = group
         self._state = state
@@ -51,20 +51,20 @@
         self._inventory = inventory
         self._reader = StoreMembersReader(client)
         self._bootstrap = StoreGroupBootstrap(settings)
-        self._reasons: dict[str, str] = {}
+        self._reasons: dict[str, str] = {}  # logged last, by node name
 
     def on_started_leading(self) -> None:
-        """What was gathered in an earlier term counts no more."""
+        """Leadership began in a new epoch: discard what was collected in earlier ones."""
         self._bootstrap = StoreGroupBootstrap(self._settings)
         self._reasons = {}
 
     async def step(self) -> None:
-        """One look at the stores and the pause after it."""
+        """Make one pass, then pause."""
         await self.work()
         await asyncio.sleep(INTERVAL_S)
 
     async def work(self) -> None:
-        """What is to be done now, if this keeper leads."""
+        """Propose what is due now, if this controller leads."""
         if not self._period.is_leading():
             return
         for command in self._commands():
@@ -72,40 +72,41 @@
         await self._complete_orders()
 
     def _commands(self) -> list[Command]:
+        """Return the commands that follow from the announcements."""
         inventory = self._inventory()
         if self._state.initial_stores:
             return [*record_updates(inventory), *order_updates(inventory)]
         initial = self._bootstrap.choose(inventory.alive, asyncio.get_running_loop().time())
-        forming = [Command(form_store_group=FormStoreGroup(initial=initial))] if initial else []
-        return [*record_updates(inventory), *forming]
+        formation = [Command(form_store_group=FormStoreGroup(initial=initial))] if initial else []
+        return [*record_updates(inventory), *formation]
 
     async def _complete_orders(self) -> None:
-        """Complete the orders whose machines both groups have left, by their committed lists.
+        """Complete the active orders whose machines both groups have excluded, by their committed members.
 
-        The stores' list is asked for anew each time. What it excludes stays excluded under every later
-        primary, so a change of primary between the answer and the removal changes nothing.
+        The stores' primary is asked anew in each pass. A disk that its answer excludes stays excluded under
+        every later primary, so a change of primary between the answer and the commit does no harm.
         """
-        if not self._open_orders():
+        if not self._active_orders():
             return
         reply = await self._reader.read(self._store_addresses())
         if isinstance(reply, Err):
             return
         stores = CommittedMembership.of_stores(reply.ok_value)
-        for order in self._open_orders():
+        for order in self._active_orders():
             committed = self._group.committed_members()
             if committed is None or not self._period.is_leading():
                 return
-            keepers = CommittedMembership.of_controllers(committed)
-            hindrance = blocking_reason(order, keepers, stores, full_size(self._settings))
-            self._note(order, hindrance or "")
-            if hindrance is None:
+            controllers = CommittedMembership.of_controllers(committed)
+            reason = blocking_reason(order, controllers, stores, full_size(self._settings))
+            self._log_reason(order, reason or "")
+            if reason is None:
                 await self._propose(Command(retired=_retired(order)))
 
-    def _open_orders(self) -> list[RetireOrder]:
+    def _active_orders(self) -> list[RetireOrder]:
         return [order for order in self._state.retire_orders.values() if not order.completed]
 
     def _store_addresses(self) -> list[str]:
-        """Stores to ask: those that say they lead first, the newest epoch before others, then all known."""
+        """Return the stores to ask: those that claim to lead, newest epoch first, then all others known."""
         alive = self._inventory().alive
         leaders = [one.announcement for one in alive if one.announcement.group_primary]
         leaders.sort(key=lambda leader: leader.group_epoch, reverse=True)
@@ -113,10 +114,11 @@
         ips = [*(one.ip for one in (*leaders, *others)), *(one.ip for one in self._state.machines.values())]
         return [self._settings.peer_address(ip, STORE_PROGRAM) for ip in dict.fromkeys(ips) if ip]
 
-    def _note(self, order: RetireOrder, hindrance: str) -> None:
-        if hindrance != self._reasons.get(order.node_name, ""):
-            _log.info("retire_order_blocked", extra={"machine": order.node_name, "reason": hindrance})
-        self._reasons[order.node_name] = hindrance
+    def _log_reason(self, order: RetireOrder, reason: str) -> None:
+        """Log what prevents ``order`` from being completed, when that changes; empty: nothing."""
+        if reason != self._reasons.get(order.node_name, ""):
+            _log.info("retire_order_blocked", extra={"machine": order.node_name, "reason": reason})
+        self._reasons[order.node_name] = reason
 
     async def _propose(self, command: Command) -> None:
         outcome = await self._group.propose(command.SerializeToString(), COMMAND_TIMEOUT_S)
--- a/cherrycove/tier/controlplane/store_members.py
+++ b/cherrycove/tier/controlplane/store_members.py
@@ -1,4 +1,4 @@
-"""The store group's committed member list: asked for by the primary keeper, told by the group's primary."""
+"""The call ``store-members``: the store group's primary reports its committed members to the controllers."""
 
 from __future__ import annotations
 
@@ -12,22 +12,32 @@
 from cherrycove.tier.protocol.control_pb2 import Replica
 from cherrycove.tier.protocol.controller_methods import STORE_MEMBERS
 from cherrycove.tier.protocol.keeper_pb2 import StoreMembersReply, StoreMembersRequest
-from cherrycove.tier.replication.interface import Group
+from cherrycove.tier.replication.interface import Group, MemberIdentity
 
 CALL_TIMEOUT_S = 0.5
 
 
 class StoreMembersService:
-    """Answers at a store, only while it leads under a valid lease and no change of members is open."""
+    """Answers at a store.
+
+    Owned by the store's ``StoreMembership``. It answers only while its replica leads under a valid lease and
+    no change of members is open.
+    """
 
     def __init__(self, group: Group, views: ClusterView) -> None:
+        """``group`` is the store group; ``views`` has the revision of the orders that this store applied."""
         self._group = group
         self._views = views
 
     def serve_on(self, server: CallRegistry) -> None:
+        """Register the call at ``server``."""
         server.register(STORE_MEMBERS, self.members)
 
-    async def members(self, request: StoreMembersRequest) -> Result[StoreMembersReply, Failure]:
+    async def members(
+        self,
+        request: StoreMembersRequest,  # noqa: ARG002 - empty
+    ) -> Result[StoreMembersReply, Failure]:
+        """Return the members in force; NOT_PRIMARY, with the primary's address if known, where unsure."""
         committed = self._group.committed_members()
         if committed is None:
             primary = self._group.primary
@@ -37,12 +47,7 @@
             StoreMembersReply(
                 epoch=self._group.epoch,
                 index=committed.index,
-                members=[
-                    Replica(
-                        member_id=one.member_id, node_name=one.node_name, address=one.address, zone=one.zone
-                    )
-                    for one in committed.members
-                ],
+                members=[_replica(member) for member in committed.members],
                 excluded=sorted(committed.excluded),
                 revision=self._views.store_group.revision,
             )
@@ -50,13 +55,17 @@
 
 
 class StoreMembersReader:
-    """Asks stores in turn until the primary of their group answers. An answer is never kept for later."""
+    """Asks stores in turn until the primary of their group answers. An answer is used once, never stored."""
 
     def __init__(self, client: Caller) -> None:
         self._client = client
 
     async def read(self, addresses: Sequence[str]) -> Result[StoreMembersReply, Failure]:
-        """The list in force, from the first of ``addresses``, or those that they point at, that knows it."""
+        """Return the members in force, from the first store that knows them.
+
+        Asks ``addresses`` (host:port) in turn, each once, and next the store that one of them names as its
+        primary. The last failure where none knows them; UNAVAILABLE without an address.
+        """
         failure = Failure(ErrorKind.UNAVAILABLE, "no store is known")
         waiting = list(dict.fromkeys(addresses))
         asked: set[str] = set()
@@ -70,3 +79,9 @@
             if failure.primary and failure.primary not in asked:
                 waiting = [failure.primary, *(one for one in waiting if one != failure.primary)]
         return Err(failure)
+
+
+def _replica(member: MemberIdentity) -> Replica:
+    return Replica(
+        member_id=member.member_id, node_name=member.node_name, address=member.address, zone=member.zone
+    )
--- a/cherrycove/tier/controlplane/topics.py
+++ b/cherrycove/tier/controlplane/topics.py
@@ -1,11 +1,11 @@
-"""Turns the keepers' state into topics for the data plane."""
+"""Publishes the controllers' state as topics, which all processes of the tier pull."""
 
 from __future__ import annotations
 
 import logging
 
 from cherrycove.tier.controlplane.broker_changes import same_brokers
-from cherrycove.tier.controlplane.process_registry import MemberListThrottle
+from cherrycove.tier.controlplane.member_list_throttle import MemberListThrottle
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.distribution.publisher import Publisher
 from cherrycove.tier.distribution.topics import BROKERS, CONFIGURATION, MEMBERS, STORE_GROUP
@@ -15,39 +15,48 @@
 
 
 class ControlTopics:
-    """Publishes committed state under epoch 0, and soft state under the epoch of the term it belongs to."""
+    """Numbers and publishes the topics; pullers keep the newest version of each.
+
+    Owned by the ``Controller``; the ``LeaderCoordinator`` and the ``BrokerWatcher`` publish through it.
+    Committed state (configuration, store group) is numbered by its own version under epoch 0, the same at
+    every primary. Soft state (members, brokers) is numbered by the epoch in which it was learned and a
+    counter. Nothing survives a crash: the next primary publishes anew, in a later epoch.
+    """
 
     def __init__(self, publisher: Publisher, state: ControlState) -> None:
         self._publisher = publisher
         self._state = state
         self._epoch = 0
         self._sequence = 0
-        self._member_changes = MemberListThrottle()
+        self._member_throttle = MemberListThrottle()
         self._member_names: set[str] = set()
         self._brokers: BrokerList | None = None
 
     @property
     def epoch(self) -> int:
-        """Epoch of the newest term that was begun here; 0 before the first."""
+        """The newest epoch in which this controller led; 0 before the first."""
         return self._epoch
 
     @property
     def brokers(self) -> BrokerList | None:
-        """The newest list of this term; None before the first."""
+        """The newest list of brokers of this epoch; None before the first."""
         return self._brokers
 
     def begin_epoch(self, epoch: int) -> None:
-        """Forget what was published in earlier epochs; pullers keep theirs until something newer comes."""
+        """Withdraw what was published in earlier epochs, and publish the committed state.
+
+        Pullers keep what they have until a newer version is published.
+        """
         self._epoch = epoch
         self._sequence = 0
-        self._member_changes = MemberListThrottle()
+        self._member_throttle = MemberListThrottle()
         self._brokers = None
         for topic in (CONFIGURATION, STORE_GROUP, BROKERS, MEMBERS):
             self._publisher.board.withdraw(topic)
         self.publish_state()
 
     def publish_state(self) -> None:
-        """Publish what is committed, as far as it is newer than before."""
+        """Publish the committed state, as far as it is newer than what is published."""
         document = self._state.configuration
         if document.version:
             version = TopicVersion(topic=CONFIGURATION, epoch=0, sequence=document.version)
@@ -58,14 +67,16 @@
             self._publish(TopicUpdate(version=version, store_group=self._state.store_group()))
 
     def publish_members(self, members: MemberList, now: float) -> None:
-        if self._member_changes.should_publish(members, now):
+        """Publish the processes alive if the list changed; minor changes wait for their interval."""
+        if self._member_throttle.should_publish(members, now):
             self._log_members(members)
-            self._publish(TopicUpdate(version=self._next(MEMBERS), members=members))
+            self._publish(TopicUpdate(version=self._next_version(MEMBERS), members=members))
 
     def publish_brokers(self, brokers: BrokerList) -> None:
+        """Publish the list of brokers if it changed, apart from remaining warm-up times."""
         if self._brokers is None or not same_brokers(self._brokers, brokers):
             self._brokers = brokers
-            self._publish(TopicUpdate(version=self._next(BROKERS), brokers=brokers))
+            self._publish(TopicUpdate(version=self._next_version(BROKERS), brokers=brokers))
 
     def _log_members(self, members: MemberList) -> None:
         names = {f"{member.program}/{member.node_name}" for member in members.members}
@@ -74,7 +85,7 @@
             _log.info("members_changed", extra={"joined": joined, "gone": gone, "alive": len(names)})
             self._member_names = names
 
-    def _next(self, topic: str) -> TopicVersion:
+    def _next_version(self, topic: str) -> TopicVersion:
         self._sequence += 1
         return TopicVersion(topic=topic, epoch=self._epoch, sequence=self._sequence)
 
--- a/tests/tier/test_control_emptying.py
+++ b/tests/tier/test_control_emptying.py
@@ -63,18 +63,18 @@
     [
         (
             {"members": (member(1), member(2), member(3, name="", disk="first-10.0.0.3"))},
-            "the keeper group counts on first-10.0.0.3",
+            "the controller group counts on first-10.0.0.3",
         ),
         (
             {"members": (member(1), member(2), member(3, name="", disk="unheard"))},
-            "the keeper group counts on unheard",
+            "the controller group counts on unheard",
         ),
         (
             {"members": (member(1), member(2), member(8, name="m3", disk="moved"))},
-            "the keeper group counts on moved",
+            "the controller group counts on moved",
         ),
-        ({"members": (member(1), member(2))}, "the keeper group has 2 members of 3"),
-        ({"excluded": frozenset()}, "the keeper group has not excluded first-10.0.0.3"),
+        ({"members": (member(1), member(2))}, "the controller group has 2 members of 3"),
+        ({"excluded": frozenset()}, "the controller group has not excluded first-10.0.0.3"),
     ],
 )
 def test_the_keeper_group_holds_a_machine_back(changes: dict[str, Any], reason: str) -> None:
--- a/tests/tier/test_control_register.py
+++ b/tests/tier/test_control_register.py
@@ -4,12 +4,11 @@
 
 from control_support import store
 
+from cherrycove.tier.controlplane.member_list_throttle import MINOR_CHANGE_INTERVAL_S, MemberListThrottle
 from cherrycove.tier.controlplane.process_registry import (
     LEAVING_TIMEOUT_S,
     MEMBER_TIMEOUT_S,
-    MINOR_CHANGE_INTERVAL_S,
     RETENTION_S,
-    MemberListThrottle,
     ProcessRegistry,
 )
 from cherrycove.tier.protocol.control_pb2 import Announcement, MemberList
--- a/tests/tier/test_control_store_group.py
+++ b/tests/tier/test_control_store_group.py
@@ -8,15 +8,13 @@
 from control_support import replica, store
 
 from cherrycove.tier.controlplane.process_registry import Registration
-from cherrycove.tier.controlplane.store_group import (
+from cherrycove.tier.controlplane.store_group_bootstrap import (
     GATHER_S,
     LAST_RESORT_S,
     SPARSE_GATHER_S,
     StoreGroupBootstrap,
-    StoreInventory,
-    order_updates,
-    record_updates,
 )
+from cherrycove.tier.controlplane.store_inventory import StoreInventory, order_updates, record_updates
 from cherrycove.tier.protocol.control_pb2 import Announcement
 from cherrycove.tier.protocol.keeper_pb2 import RetireOrder
 from cherrycove.tier.settings import FaultTolerance, Settings
--- a/tests/tier/test_control_store_maintenance.py
+++ b/tests/tier/test_control_store_maintenance.py
@@ -14,8 +14,8 @@
 from cherrycove.tier.controlplane.leadership_period import LeadershipPeriod
 from cherrycove.tier.controlplane.process_registry import Registration
 from cherrycove.tier.controlplane.state import ControlState
-from cherrycove.tier.controlplane.store_group import StoreInventory
 from cherrycove.tier.controlplane.store_group_reconciler import StoreGroupReconciler
+from cherrycove.tier.controlplane.store_inventory import StoreInventory
 from cherrycove.tier.controlplane.store_members import StoreMembersReader, StoreMembersService
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ErrorKind, Failure
