--- a/tests/data/make_tier.py
+++ b/tests/data/make_tier.py
@@ -24,11 +24,13 @@
 
 
 def write_json(path: Path, document: Any) -> None:
+    """Write an indented JSON document."""
     text = json.dumps(document, indent=1, sort_keys=False, ensure_ascii=True)
     path.write_text(text + "\n", encoding="utf-8")
 
 
 def write_schema(target: Path) -> None:
+    """Write the fields of all messages."""
     (target / "schema.txt").write_text(support.schema(), encoding="utf-8")
 
 
@@ -53,6 +55,7 @@
 
 
 def write_lines(path: Path, entries: list[Any]) -> None:
+    """Write one JSON value a line."""
     path.write_text("".join(json.dumps(entry) + "\n" for entry in entries), encoding="utf-8")
 
 
@@ -86,6 +89,7 @@
 
 
 def main() -> None:
+    """Make the directory that the command line names, with all files."""
     target = Path(sys.argv[1]).resolve()
     target.mkdir(parents=True)
     write_schema(target)
--- a/tests/tier/golden_interfaces.py
+++ b/tests/tier/golden_interfaces.py
@@ -229,7 +229,7 @@
     loop = asyncio.get_running_loop()
     now = loop.time()
     try:
-        with mock.patch.object(loop, "time", lambda: now):  # some answers depend on the age of the term
+        with mock.patch.object(loop, "time", return_value=now):  # some answers depend on the age of the term
             return [
                 [
                     line,
@@ -436,6 +436,7 @@
         self.heard = asyncio.Event()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection."""
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode()
--- a/tests/tier/golden_stories.py
+++ b/tests/tier/golden_stories.py
@@ -80,6 +80,7 @@
         )
 
     def write(self, write: Any) -> None:
+        """Do one write of the machine."""
         if isinstance(write, WriteHardState):
             self.storage.write_hard_state(write.hard_state)
         elif isinstance(write, WriteEntries):
@@ -100,9 +101,11 @@
             one.machine.bootstrap([each.identity for each in self.replicas], self.now)
 
     def leading(self) -> Replica | None:
+        """The replica that leads under a valid lease, if any."""
         return next((one for one in self.replicas if one.machine.is_confirmed_primary(self.now)), None)
 
     def run(self, seconds: float) -> None:
+        """Let time pass in steps of 50 ms."""
         for _ in range(round(seconds / 0.05)):
             self.now += 0.05
             for one in self.replicas:
@@ -193,6 +196,7 @@
         }
 
     def run(self, seconds: float) -> None:
+        """Let time pass in steps of 50 ms."""
         for _ in range(round(seconds / 0.05)):
             self.now += 0.05
             for address, machine in self.machines.items():
@@ -200,6 +204,7 @@
                     self.perform(address, machine.tick(self.now))
 
     def perform(self, address: str, effects: Sequence[Any]) -> None:
+        """Do what came out of the machine at ``address``, and all that follows from it."""
         for effect in effects:
             if isinstance(effect, SendDatagram):
                 self._queue.append((address, effect.address, effect.datagram))
@@ -299,12 +304,14 @@
         self._handlers: dict[str, Callable[[Any], Awaitable[Result[Any, Failure]]]] = {}
 
     def register(self, method: RpcMethod[Any, Any], handler: Any) -> None:
+        """Serve the calls of ``method`` by ``handler``."""
         self.requests[method.name] = support.former_type(method.request_type.DESCRIPTOR.full_name)
         self._handlers[method.name] = handler
 
     async def call(
         self, address: str, method: RpcMethod[Any, Any], request: Any, timeout_s: float, receiver: str = ""
     ) -> Result[Any, Failure]:
+        """Pass one call on and add it to the transcript."""
         assert support.former_type(request.DESCRIPTOR.full_name) == self.requests[method.name]
         line: dict[str, Any] = {
             "call": method.name,
@@ -363,6 +370,7 @@
 
 
 def announcement(program: str, number: int) -> Any:
+    """How a replica on the first core machine announces itself."""
     group = OneReplica(None)
     return replica_announcement(
         program,
@@ -375,6 +383,7 @@
 
 
 def control_state() -> ControlState:
+    """The state of the keepers after all commands."""
     state = support.state_after("keeper", support.payloads("keeper"))
     assert isinstance(state, ControlState)
     return state
