--- a/cherrycove/tier/dataplane/arrival_rates.py
+++ b/cherrycove/tier/dataplane/arrival_rates.py
@@ -1,29 +1,32 @@
-"""How many requests of each route come, for this proxy's description of itself."""
+"""Arrival rates by route, which a proxy announces to the controllers. Pure."""
 
 from __future__ import annotations
 
 from cherrycove.scheduling.state import Recent
 
-SPAN_S = 5.0  # over which a rate is taken
+WINDOW_S = 5.0  # over which a rate is taken
+MIN_WINDOW_S = 1.0  # just after the first arrival
 
 
 class ArrivalRates:
-    """Counts arrivals by route name; time is monotonic seconds."""
+    """Counts arrivals by route name in a sliding window; time is monotonic seconds. Owned by the ingress."""
 
     def __init__(self) -> None:
-        self._recent: dict[str, Recent] = {}
-        self._began: float | None = None
+        self._arrivals: dict[str, Recent] = {}
+        self._first_arrival_at: float | None = None
 
     def add(self, route: str, now: float) -> None:
-        if self._began is None:
-            self._began = now
-        self._recent.setdefault(route, Recent(SPAN_S)).add(now)
+        """Count one arrival."""
+        if self._first_arrival_at is None:
+            self._first_arrival_at = now
+        self._arrivals.setdefault(route, Recent(WINDOW_S)).add(now)
 
     def per_second(self, now: float) -> dict[str, float]:
-        """Requests a second by route, of routes that had any lately."""
-        if self._began is None:
+        """Arrivals a second by route, of routes with any in the window."""
+        if self._first_arrival_at is None:
             return {}
-        span = min(max(now - self._began, 1.0), SPAN_S)
-        rates = {route: recent.total(now) / span for route, recent in self._recent.items()}
-        self._recent = {route: self._recent[route] for route, rate in rates.items() if rate > 0}
-        return {route: rate for route, rate in rates.items() if rate > 0}
+        window_s = min(max(now - self._first_arrival_at, MIN_WINDOW_S), WINDOW_S)
+        rates = {route: recent.total(now) / window_s for route, recent in self._arrivals.items()}
+        active = {route: rate for route, rate in rates.items() if rate > 0}
+        self._arrivals = {route: self._arrivals[route] for route in active}
+        return active
--- a/cherrycove/tier/dataplane/batch_routing.py
+++ b/cherrycove/tier/dataplane/batch_routing.py
@@ -1,27 +1,29 @@
-"""Which requests hand a batch job in, or ask for one. Pure."""
+"""Which requests are calls of the batch API: submit a job, or ask for one. Pure."""
 
 from __future__ import annotations
 
 from cherrycove.tier.configuration import Configuration, Route
 
-BATCH_KIND = "batch"
+BATCH_KIND = "batch"  # of a route, in the configuration
 BATCH_PATHS = ("/api/lots/", "/api/items/")
 
 
-def is_batch_api_request(method: str, path: str, route: Route | None, lots: Route | None) -> bool:
-    """Whether the request is for the batch plane; ``route`` is what it matches, ``lots`` its host's batch
-    route. Paths of batch jobs belong to no other route, unless its prefix is one of them, or its host has no
-    batch jobs."""
+def is_batch_api_request(method: str, path: str, route: Route | None, host_batch_route: Route | None) -> bool:
+    """Whether a request is for the batch API.
+
+    ``route`` is what the request matches, ``host_batch_route`` the batch route of its host. Paths of batch
+    jobs belong to no other route, unless its prefix is one of them, or its host has no batch route.
+    """
     if route is None:
         return path.startswith(BATCH_PATHS)
     if route.route_kind == BATCH_KIND and method == "POST":
         return True
-    asks = path.startswith(BATCH_PATHS) and method in ("GET", "DELETE")
-    return lots is not None and asks and not route.path_prefix.startswith(BATCH_PATHS)
+    is_query = path.startswith(BATCH_PATHS) and method in ("GET", "DELETE")
+    return host_batch_route is not None and is_query and not route.path_prefix.startswith(BATCH_PATHS)
 
 
 def find_batch_route(configuration: Configuration, host: str) -> Route | None:
-    """The first batch route of a host."""
+    """The first batch route of the host in a ``Host`` field."""
     name = host.partition(":")[0].lower()
-    of_host = (each for each in configuration.routes if each.hostname.lower() == name)
-    return next((each for each in of_host if each.route_kind == BATCH_KIND), None)
+    of_host = (route for route in configuration.routes if route.hostname.lower() == name)
+    return next((route for route in of_host if route.route_kind == BATCH_KIND), None)
--- a/cherrycove/tier/dataplane/connection_pool.py
+++ b/cherrycove/tier/dataplane/connection_pool.py
@@ -1,8 +1,7 @@
-"""Connections to model brokers: the pool of the present broker, told apart by request id.
+"""The pool of connections to model brokers: which connection may carry the next request.
 
-It owns when a connection may be used again. It must never hand out one on which bytes of an earlier answer
-may still come, one on which bytes of an earlier request are still to go, or one that the broker is about to
-close.
+A connection is not reused while bytes of an earlier response may still come, while bytes of an earlier
+request are still unsent, or when its broker is about to close it (RFC 9112, 9.3 to 9.6).
 """
 
 from __future__ import annotations
@@ -25,91 +24,109 @@
 from cherrycove.broker.http1.back import Connector, NodeConnection
 from cherrycove.tier.dataplane.headers import DEADLINE_MS, REQUEST_ID, parse_keep_alive_s, parse_unsigned
 
-REST_S = 0.008  # behind an answer before its connection is used again; a second answer comes a few ms late
-IDLE_S = 4.0  # that a connection is kept where the broker tells nothing
-ONCE_IDLE_S = 1.0  # the same for a request that may not be repeated: it would be lost to a dead connection
-KEPT_PART = 0.7  # of the time a broker keeps an idle connection that is used; the rest is for the way
+REUSE_DELAY_S = 0.008  # after a response; a stray second response comes a few ms late
+IDLE_TIMEOUT_S = 4.0  # of a connection whose broker does not say for how long it keeps one
+SINGLE_EXECUTION_IDLE_TIMEOUT_S = 1.0  # the same for a request that may run once only
+KEEP_ALIVE_FRACTION = 0.7  # of the time for which a broker keeps an idle connection; the rest is for the way
+POOL_IDLE_FACTOR = 4  # times IDLE_TIMEOUT_S after which the pool closes any idle connection
 
-_once_only: ContextVar[bool] = ContextVar("once_only", default=False)
+_single_execution: ContextVar[bool] = ContextVar("single_execution", default=False)
 
 
 @contextmanager
-def single_execution(once: bool) -> Iterator[None]:
-    """For requests that are sent within, whether they may not be repeated. Such a request would be lost to a
-    connection whose other end is gone without a word, so it is trusted to fewer of them."""
-    before = _once_only.set(once)
+def single_execution(*, enabled: bool) -> Iterator[None]:
+    """Send requests within the block only over connections that are certainly alive, if ``enabled``.
+
+    A request on a connection whose other end is gone may have run, as far as the proxy knows; one that may
+    run once only would then be lost (RFC 9112, 9.3.1).
+    """
+    token = _single_execution.set(enabled)
     try:
         yield
     finally:
-        _once_only.reset(before)
+        _single_execution.reset(token)
 
 
 class BrokerConnection(NodeConnection):
-    """One connection; takes the answer that carries the id of the request that was sent."""
+    """One connection, owned by the pool; accepts only the response with the id of the request that was sent.
+
+    A response with another id is a stray, a late second response to an earlier request: its body is skipped,
+    and the connection is closed after the response that was expected.
+    """
 
     def __init__(self, loop: Any) -> None:
         super().__init__(loop)
         self._expected_id = ""
-        self._idle_s = IDLE_S
-        self._told = False  # by the broker, for how long it keeps an idle connection
-        self._answered_at = inf
-        self._stray: StreamReader | None = None  # the body of an answer that is passed over
+        self._idle_timeout_s = IDLE_TIMEOUT_S
+        self._has_keep_alive = False  # the broker said for how long it keeps an idle connection
+        self._response_ended_at = inf
+        self._stray: StreamReader | None = None  # the body of a stray response
 
     def expect(self, request_id: str) -> None:
-        """From now on only the answer to this request is taken."""
+        """From now on accept only the response to this request."""
         self._expected_id = request_id
-        self._answered_at = inf
+        self._response_ended_at = inf
 
     @property
     def should_close(self) -> bool:
-        """Also where an answer came before its request went out whole: the broker may read on later, and
-        then nothing but the rest of that request may come."""
-        return super().should_close or self._unsent()
+        """Whether it must not be reused.
+
+        Also where a response came before its request was sent completely (RFC 9112, 9.5): the broker may read
+        on, and then nothing but the rest of that request may come.
+        """
+        return super().should_close or self._has_unsent_bytes()
 
-    def _unsent(self) -> bool:
+    def _has_unsent_bytes(self) -> bool:
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
     def feed_data(self, data: tuple[RawResponseMessage, StreamReader], size: int = 0) -> None:
+        """A head was parsed; called by the library."""
         message, body = data
-        identity = message.headers.get(REQUEST_ID)
-        if self._answer is None and identity != self._expected_id:
+        request_id = message.headers.get(REQUEST_ID)
+        if self._answer is None and request_id != self._expected_id:
             self._should_close = True
-            if identity is not None:  # the late second answer to another request
+            if request_id is not None:
                 self._stray = body
                 return
-        kept = parse_keep_alive_s(message.headers)
-        if kept is not None:
-            self._idle_s, self._told = kept * KEPT_PART, True
+        keep_alive_s = parse_keep_alive_s(message.headers)
+        if keep_alive_s is not None:
+            self._idle_timeout_s = keep_alive_s * KEEP_ALIVE_FRACTION
+            self._has_keep_alive = True
         super().feed_data(data, size)
 
     def data_received(self, data: bytes) -> None:
+        """Bytes came; called by the event loop."""
         if self._stray is not None and not self._stray.is_eof():
-            self._heads = 0  # these are no bytes of a head, whatever their number
+            self._heads = 0  # these bytes are not of a head, whatever their number
         super().data_received(data)
         if self._stray is not None and self._stray.exception() is None:
-            self._stray.read_nowait()  # else the library stops reading once much has come that nobody takes
+            self._stray.read_nowait()  # otherwise the library stops reading at its limit of unread bytes
         if self._answer is not None and self._answer.is_eof():
-            self._answered_at = min(self._answered_at, monotonic())
+            self._response_ended_at = min(self._response_ended_at, monotonic())
 
     def is_connected(self) -> bool:
-        return super().is_connected() and self._age_s() < self._idle_s
+        """Whether it can be reused for a request that may be repeated."""
+        return super().is_connected() and self._idle_s() < self._idle_timeout_s
 
     def is_fit_for_single_execution(self) -> bool:
-        """Whether a request that may not be repeated can be trusted to it."""
-        return self.is_connected() and (self._told or self._age_s() < ONCE_IDLE_S)
+        """Whether it can be reused for a request that may run once only."""
+        if not self.is_connected():
+            return False
+        return self._has_keep_alive or self._idle_s() < SINGLE_EXECUTION_IDLE_TIMEOUT_S
 
-    def _age_s(self) -> float:
-        return monotonic() - self._answered_at
+    def _idle_s(self) -> float:
+        return monotonic() - self._response_ended_at
 
 
 class BrokerRequest(aiohttp.ClientRequest):
-    """A request that tells its connection which answer to take, and its broker what time is left."""
+    """A request that sets its connection's expected id, and the remaining time when it is sent."""
 
     def __init__(self, *arguments: Any, **settings: Any) -> None:
         super().__init__(*arguments, **settings)
-        self._made_at = monotonic()
+        self._created_at = monotonic()
 
     async def send(self, conn: Connection) -> aiohttp.ClientResponse:
+        """Send over a connection of the pool; called by the library."""
         self.update_remaining_time()
         protocol = conn.protocol
         if isinstance(protocol, BrokerConnection):
@@ -117,37 +134,38 @@
         return await super().send(conn)
 
     def update_remaining_time(self) -> None:
-        """The time that was left when the request was made, less what the wait for a connection took."""
-        left_ms = parse_unsigned(self.headers.get(DEADLINE_MS))
-        if left_ms is not None:
-            waited_ms = math.ceil((monotonic() - self._made_at) * 1000)
-            self._made_at = monotonic()
-            self.headers[DEADLINE_MS] = str(max(left_ms - waited_ms, 1))
+        """Subtract the wait for a connection from ``Deadline-Ms``: no broker gets more time than is left."""
+        remaining_ms = parse_unsigned(self.headers.get(DEADLINE_MS))
+        if remaining_ms is not None:
+            waited_ms = math.ceil((monotonic() - self._created_at) * 1000)
+            self._created_at = monotonic()
+            self.headers[DEADLINE_MS] = str(max(remaining_ms - waited_ms, 1))
 
 
 class BrokerConnector(Connector):
-    """The pool; ``set_limit`` bounds the connections to each broker."""
+    """The pool, owned by the session of the ``UpstreamClient``; ``set_limit`` bounds it by broker."""
 
-    def __init__(self, most: int, most_per_broker: int) -> None:
+    def __init__(self, max_connections: int, max_per_broker: int) -> None:
         super().__init__(
-            REST_S, IDLE_S * 4, limit=most, limit_per_host=most_per_broker,
-            happy_eyeballs_delay=None, use_dns_cache=False,
+            REUSE_DELAY_S, IDLE_TIMEOUT_S * POOL_IDLE_FACTOR, limit=max_connections,
+            limit_per_host=max_per_broker, happy_eyeballs_delay=None, use_dns_cache=False,
         )  # fmt: skip
         self._factory = partial(BrokerConnection, loop=self._loop)  # type: ignore[assignment]
 
+    def set_limit(self, max_per_broker: int) -> None:
+        """Bound the connections to each broker; open ones stay."""
+        self._limit_per_host = max_per_broker
+
     async def _get(self, key: Any, traces: Any) -> Any:
-        """A kept connection that the request can be trusted to, or None where a new one should be made."""
-        while _once_only.get() and (kept := self._conns.get(key)):
-            connection = kept[0][0]
+        """A pooled connection that is fit for the request, or None where a new one should be opened."""
+        while _single_execution.get() and (pooled := self._conns.get(key)):
+            connection = pooled[0][0]
             if not isinstance(connection, BrokerConnection) or connection.is_fit_for_single_execution():
                 break
-            kept.popleft()
+            pooled.popleft()
             connection.close()
         return await super()._get(key, traces)
 
-    def set_limit(self, most_per_broker: int) -> None:
-        self._limit_per_host = most_per_broker
-
     async def _create_connection(self, *request: Any) -> ResponseHandler:
         protocol = await super()._create_connection(*request)
         if isinstance(protocol, BrokerConnection):
--- a/cherrycove/tier/dataplane/data_plane.py
+++ b/cherrycove/tier/dataplane/data_plane.py
@@ -1,4 +1,4 @@
-"""The data plane of one proxy: its parts put together, and their life."""
+"""The data plane of one proxy: assembles its parts, starts and drains them."""
 
 from __future__ import annotations
 
@@ -19,31 +19,37 @@
 
 _log = logging.getLogger(__name__)
 
-SPARE_DESCRIPTORS = 400  # kept from the limit for files, internal calls and listeners
-CLIENT_PART = 0.5  # of the other descriptors, for clients
-QUIET_S = 0.3  # without an open request after which nothing more is expected
-POLL_S = 0.05
+RESERVED_DESCRIPTORS = 400  # of the limit, for files, internal calls and listeners
+MIN_DESCRIPTORS = 64
+CLIENT_FRACTION = 0.5  # of the other descriptors, for clients; the rest is for brokers
+QUIET_S = 0.3  # without an open request, after which a draining proxy expects no more
+POLL_INTERVAL_S = 0.05
 
 
 class DataPlane:
-    """Serves live requests and runs batch items on one machine."""
+    """Serves live requests and runs batch items on one machine; owned by the proxy program.
+
+    States: *stopped*, *serving* between ``start`` and ``drain``, *draining* until ``stop``. It is ready while
+    it serves with a configuration and brokers. Nothing here survives the process: an open request that
+    reaches the end of the grace period gets 504 or a broken stream, and batch items are leased again.
+    """
 
     def __init__(self, settings: Settings, views: ClusterView, rng: random.Random) -> None:
         self._settings = settings
         self._views = views
-        self._draining = False
-        descriptors = max(settings.limits.file_descriptors - SPARE_DESCRIPTORS, 64)
-        self._most_connections = int(descriptors * (1 - CLIENT_PART))
-        self._upstream = UpstreamClient(self._most_connections)
+        self._is_draining = False
+        descriptors = max(settings.limits.file_descriptors - RESERVED_DESCRIPTORS, MIN_DESCRIPTORS)
+        self._max_connections = int(descriptors * (1 - CLIENT_FRACTION))
+        self._upstream = UpstreamClient(self._max_connections)
         self._admission = AdmissionController(views, rng)
         self._drain = DrainDeadline()
-        dispatcher = RequestForwarder(self._admission, self._upstream, rng, self._drain)
-        self._ingress = Ingress(settings, views, dispatcher, self._drain)
-        self._readiness = ReadinessServer(settings.listen_addresses.readiness, self._ready)
+        forwarder = RequestForwarder(self._admission, self._upstream, rng, self._drain)
+        self._ingress = Ingress(settings, views, forwarder, self._drain)
+        self._readiness = ReadinessServer(settings.listen_addresses.readiness, self._is_ready)
         self.executor: ItemExecutor = BrokerItemExecutor(views, self._admission, self._upstream, rng)
 
     def attach_batch(self, batch_api: BatchApi) -> None:
-        """Calls for batch jobs go to ``batch_api``; before ``start``."""
+        """Let ``batch_api`` serve the calls for batch jobs; before ``start``."""
         self._ingress.batch_api = batch_api
 
     def arrivals(self) -> dict[str, float]:
@@ -51,50 +57,55 @@
         return self._ingress.arrivals.per_second(asyncio.get_running_loop().time())
 
     async def start(self) -> None:
+        """Listen; raises ``OSError`` if an address is taken."""
         await self._upstream.start()
         self._admission.start()
-        self._views.on_change(self._views_changed)
-        self._views_changed()
+        self._views.on_change(self._update_connection_limit)
+        self._update_connection_limit()
         await self._ingress.start()
         await self._readiness.start()
         _log.info("dataplane_listening", extra={"address": self._settings.listen_addresses.frontend})
 
     async def stop(self) -> None:
-        """End; behind a drain only once what is open has been answered, and with nothing new taken."""
+        """End; after a drain only once open requests are answered, or the grace period is over."""
         loop = asyncio.get_running_loop()
         self._drain.close()
-        while self._draining and self._ingress.open_requests and loop.time() < self._drain.at:
-            await asyncio.sleep(POLL_S)
+        # By polling, since the wait ends by time as well.
+        while self._is_draining and self._ingress.open_requests and loop.time() < self._drain.at:  # noqa: ASYNC110
+            await asyncio.sleep(POLL_INTERVAL_S)
         await self._readiness.stop()
         await self._ingress.stop()
         self._admission.stop()
         await self._upstream.stop()
 
     async def drain(self, grace_s: float | None = None, notice_s: float = NOTICE_S) -> None:
-        """Leave in order: unready at once, serve until the platform knows, then wait for what is open. What
-        may not be answered by then is told at once to go elsewhere."""
+        """Shut down gracefully: unready at once; serve until the platform has noticed; finish open requests.
+
+        ``grace_s`` is the time until the process must have ended, by default the setting ``gracePeriodS``;
+        what may not be answered within it is rejected at once.
+        """
         loop = asyncio.get_running_loop()
-        grace = self._settings.bounds.grace_period_s if grace_s is None else grace_s
-        self._draining = True
+        grace_s = self._settings.bounds.grace_period_s if grace_s is None else grace_s
+        self._is_draining = True
         _log.info("dataplane_draining", extra={"open_requests": self._ingress.open_requests})
         self._ingress.close_connections()
-        self._drain.begin(loop.time(), grace, notice_s)
+        self._drain.begin(loop.time(), grace_s, notice_s)
         self._admission.limit_deadlines(self._drain.at)
-        while loop.time() < self._drain.at and not self._quiet(loop.time()):
-            await asyncio.sleep(POLL_S)
+        while loop.time() < self._drain.at and not self._is_quiet(loop.time()):  # noqa: ASYNC110
+            await asyncio.sleep(POLL_INTERVAL_S)
         _log.info("dataplane_drained", extra={"open_requests": self._ingress.open_requests})
 
-    def _quiet(self, now: float) -> bool:
+    def _is_quiet(self, now: float) -> bool:
         ingress = self._ingress
-        rested = ingress.open_requests == 0 and now - ingress.last_active >= QUIET_S
-        return rested and self._drain.notice_elapsed(now)
+        is_idle = ingress.open_requests == 0 and now - ingress.last_active_at >= QUIET_S
+        return is_idle and self._drain.notice_elapsed(now)
 
-    def _ready(self) -> bool:
-        return not self._draining and self._views.configuration is not None and bool(self._views.brokers)
+    def _is_ready(self) -> bool:
+        return not self._is_draining and self._views.configuration is not None and bool(self._views.brokers)
 
-    def _views_changed(self) -> None:
-        """The pool's bound on connections to one broker; admission keeps to that of each service."""
+    def _update_connection_limit(self) -> None:
+        """Bound the pool's connections to any broker; admission keeps to the limit of each service."""
         configuration = self._views.configuration
         limits = [service.connection_limit for service in configuration.services] if configuration else []
-        most = max(limits, default=0) // max(len(self._views.proxies()), 1)
-        self._upstream.limit_connections(max(most - 1, 1) if most else self._most_connections)
+        share = max(limits, default=0) // max(len(self._views.proxies()), 1)
+        self._upstream.limit_connections(max(share - 1, 1) if share else self._max_connections)
--- a/cherrycove/tier/dataplane/event_stream.py
+++ b/cherrycove/tier/dataplane/event_stream.py
@@ -1,4 +1,7 @@
-"""Events of a stream (``text/event-stream``), cut from the bytes of an answer. Pure."""
+"""Incremental parser of ``text/event-stream`` (WHATWG HTML, 9.2 Server-sent events). Pure.
+
+It keeps the bytes of each event, so that they can be forwarded unchanged.
+"""
 
 from __future__ import annotations
 
@@ -6,19 +9,19 @@
 
 import attrs
 
-_END = re.compile(rb"\r\n\r\n|\n\n|\r\r")
-_LINE = re.compile(rb"\r\n|\n|\r")
-LONGEST_EVENT_END = 4  # bytes
-MOST_EVENT_BYTES = 4 * 1024 * 1024
+_EVENT_END = re.compile(rb"\r\n\r\n|\n\n|\r\r")
+_LINE_END = re.compile(rb"\r\n|\n|\r")
+MAX_EVENT_END_BYTES = 4
+MAX_EVENT_BYTES = 4 * 1024 * 1024
 
 
 class EventTooLongError(ValueError):
-    """An event has no end within the bound on its size."""
+    """An event does not end within ``MAX_EVENT_BYTES``; the fault is the broker's."""
 
 
 @attrs.frozen
 class StreamEvent:
-    """One whole event: its bytes with the empty line, its id if it has one, and its data."""
+    """One complete event: its bytes with the empty line, its id if it has one, and its data."""
 
     raw: bytes
     id: int | None
@@ -26,41 +29,44 @@
 
 
 class EventStreamParser:
-    """Collects bytes and gives back each event once it is whole."""
+    """Parses the body of one response; the caller that reads the response owns it."""
 
     def __init__(self) -> None:
-        self._pending = b""
+        self._incomplete = b""
 
     @property
-    def pending(self) -> bytes:
+    def incomplete(self) -> bytes:
         """Bytes of an event that has not ended."""
-        return self._pending
+        return self._incomplete
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """The events that end within ``data``."""
-        buffer, start, events = self._pending + data, 0, []
-        for end in _END.finditer(buffer):
-            events.append(_event(buffer[start : end.end()]))
+        """The events that end within ``data``. Raises ``EventTooLongError``."""
+        buffer = self._incomplete + data
+        start = 0
+        events = []
+        for end in _EVENT_END.finditer(buffer):
+            events.append(_parse_event(buffer[start : end.end()]))
             start = end.end()
-        self._pending = buffer[start:]
-        if len(self._pending) > MOST_EVENT_BYTES:
-            raise EventTooLongError(f"an event is longer than {MOST_EVENT_BYTES} bytes")
+        self._incomplete = buffer[start:]
+        if len(self._incomplete) > MAX_EVENT_BYTES:
+            raise EventTooLongError(f"an event is longer than {MAX_EVENT_BYTES} bytes")
         return events
 
 
 def ends_with_event(tail: bytes) -> bool:
-    """Whether a stream with these last bytes ends behind a whole event."""
+    """Whether a stream with these last bytes ends with a complete event."""
     return tail.endswith((b"\n\n", b"\r\r", b"\r\n\r\n"))
 
 
-def _event(raw: bytes) -> StreamEvent:
-    identity: int | None = None
+def _parse_event(raw: bytes) -> StreamEvent:
+    """The fields of an event (9.2.6); ids other than unsigned numbers are ignored."""
+    event_id: int | None = None
     data: list[bytes] = []
-    for line in _LINE.split(raw):
+    for line in _LINE_END.split(raw):
         name, _, value = line.partition(b":")
         value = value.removeprefix(b" ")
         if name == b"data":
             data.append(value)
         elif name == b"id" and value.isdigit():
-            identity = int(value)
-    return StreamEvent(raw, identity, b"\n".join(data) if data else None)
+            event_id = int(value)
+    return StreamEvent(raw, event_id, b"\n".join(data) if data else None)
--- a/cherrycove/tier/dataplane/headers.py
+++ b/cherrycove/tier/dataplane/headers.py
@@ -1,6 +1,7 @@
-"""Header fields that the data plane reads, drops or adds.
+"""Codec of the header fields that the data plane reads, drops or adds.
 
-It owns the names and their parsing. A field that cannot be read counts as absent.
+A field that cannot be parsed counts as absent. The names are words of the wire, defined by the model brokers'
+protocol except where an RFC is named.
 """
 
 from __future__ import annotations
@@ -12,40 +13,47 @@
 from multidict import CIMultiDict, CIMultiDictProxy
 
 REQUEST_ID = "Request-Id"
-DEADLINE_MS = "Deadline-Ms"
+DEADLINE_MS = "Deadline-Ms"  # what is left of the client's timeout
 EXPECTED_INSTANCE = "Expected-Instance"
 EXPECT_VERSION = "Expect-Version"
 RESPONSE_SIGNATURE = "Response-Signature"
 NOT_EXECUTED = "Not-Executed"
-LAST_EVENT_ID = "Last-Event-Id"
+LAST_EVENT_ID = "Last-Event-Id"  # WHATWG HTML, 9.2.4
 INSTANCE_LOAD = "Instance-Load"
 TOKEN_USAGE = "Token-Usage"
 PROMPT_PREFIX = "Prompt-Prefix"
-RETRY_AFTER = "Retry-After"
-EVENT_STREAM = "text/event-stream"
+RETRY_AFTER = "Retry-After"  # RFC 9110, 10.2.3; here with a fraction
+EVENT_STREAM = "text/event-stream"  # a media type, WHATWG HTML, 9.2.5
 
-_ONE_CONNECTION = frozenset({
+_HOP_BY_HOP = frozenset({
     "connection", "keep-alive", "proxy-connection", "proxy-authenticate", "proxy-authorization", "te",
     "trailer", "transfer-encoding", "upgrade", "content-length", "expect",
 })  # fmt: skip
-_WHOLE = re.compile(r"\d{1,15}")
+_UNSIGNED = re.compile(r"\d{1,15}")
+_LOAD_NUMBERS = 3
 
 
 def end_to_end_headers(headers: CIMultiDictProxy[str] | CIMultiDict[str]) -> CIMultiDict[str]:
-    """The fields that are passed on: all but those that concern one connection."""
+    """The fields that a proxy forwards: all but those of one connection (RFC 9110, 7.6.1).
+
+    ``Content-Length`` and ``Expect`` are dropped as well: the body is framed anew, and was read already.
+    """
     named = {name.strip().lower() for value in headers.getall("Connection", ()) for name in value.split(",")}
-    dropped = _ONE_CONNECTION | named
+    dropped = _HOP_BY_HOP | named
     return CIMultiDict((name, value) for name, value in headers.items() if name.lower() not in dropped)
 
 
 def parse_unsigned(text: str | None) -> int | None:
-    """A number without sign or fraction, None if it is not one."""
+    """A number without sign or fraction, of at most 15 digits; None if it is not one."""
     stripped = (text or "").strip()
-    return int(stripped) if _WHOLE.fullmatch(stripped) else None
+    return int(stripped) if _UNSIGNED.fullmatch(stripped) else None
 
 
 def parse_keep_alive_s(headers: Mapping[str, str]) -> int | None:
-    """The time that a broker keeps an idle connection, None if it does not tell."""
+    """The time for which a broker keeps an idle connection; None if it does not say.
+
+    ``Keep-Alive: timeout=5`` (RFC 2068, 19.7.1.1) or a bare number.
+    """
     value = headers.get("Keep-Alive")
     if value is None:
         return None
@@ -58,7 +66,7 @@
 
 @attrs.frozen
 class InstanceLoad:
-    """What a broker said of its load: requests running and waiting, and its slots."""
+    """A broker's report of its load: requests running and waiting, and its slots."""
 
     running: int
     waiting: int
@@ -66,8 +74,9 @@
 
 
 def parse_instance_load(headers: Mapping[str, str]) -> InstanceLoad | None:
-    numbers = [parse_unsigned(part) for part in headers.get(INSTANCE_LOAD, "").split(",")]
-    if len(numbers) != 3 or None in numbers:
+    """The load in ``Instance-Load: running,waiting,slots``; None without a valid one."""
+    numbers = [parse_unsigned(text) for text in headers.get(INSTANCE_LOAD, "").split(",")]
+    if len(numbers) != _LOAD_NUMBERS or None in numbers:
         return None
     running, waiting, slots = (number or 0 for number in numbers)
     return InstanceLoad(running, waiting, slots)
--- a/cherrycove/tier/dataplane/ingress.py
+++ b/cherrycove/tier/dataplane/ingress.py
@@ -1,21 +1,11 @@
-"""Clients over HTTP/1.1: their connections, the whole of each request, and where it goes.
-
-It owns the bounds on what a client may send and the choice by host and path. It decides nothing about a
-request that has a route.
-"""
+"""The frontend of a proxy: reads requests of clients, finds their routes, and hands them on."""
 
 from __future__ import annotations
 
 import asyncio
-import logging
-import socket
-from typing import Any, Protocol
+from typing import Protocol
 
-import aiohttp
 from aiohttp import web
-from aiohttp.abc import AbstractStreamWriter
-from aiohttp.http import HttpProcessingError, RawRequestMessage
-from aiohttp.streams import StreamReader
 
 from cherrycove.tier.batch.frontend.http_api import MAX_BATCH_CALL_S
 from cherrycove.tier.configuration import ClientLimits, Route
@@ -26,230 +16,173 @@
     find_batch_route,
     is_batch_api_request,
 )
-from cherrycove.tier.dataplane.draining import DrainDeadline, RecentMaxDuration
+from cherrycove.tier.dataplane.client_connection import ClientConnection, ClientServer
+from cherrycove.tier.dataplane.client_request import ClientRequestError, read_request_body
+from cherrycove.tier.dataplane.draining import DrainDeadline
 from cherrycove.tier.dataplane.headers import REQUEST_ID
+from cherrycove.tier.dataplane.request_durations import RecentMaxDuration
 from cherrycove.tier.dataplane.request_forwarder import RequestForwarder, response_deadline
-from cherrycove.tier.dataplane.stream_relay import proxy_response
+from cherrycove.tier.dataplane.responses import proxy_response
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.settings import Settings
 
-BACKLOG = 1024  # connections to be accepted
-PARSER_LINE_BYTES = 256 * 1024  # the configuration's own bound is below it
-SHORTEST_FIELD_BYTES = len("n:\r\n")  # of a head; the library bounds the number of fields
-LEAST_FIELDS = 128  # that it is set to allow
-READ_BYTES = 32 * 1024
-UNACKNOWLEDGED_MS = 20_000  # after which a client that takes nothing of what it is sent is cut off
-UNCONFIGURED_RETRY_S = 0.5
-LEAVING_RETRY_S = 0.05  # another proxy can take it at once
+LISTEN_BACKLOG = 1024
+UNCONFIGURED_RETRY_AFTER_S = 0.5
+DRAINING_RETRY_AFTER_S = 0.05  # another proxy can serve it at once
 SHUTDOWN_TIMEOUT_S = 0.3
+NOT_FOUND = 404
+SERVICE_UNAVAILABLE = 503
+GATEWAY_TIMEOUT = 504
 
 
 class BatchApi(Protocol):
     """Serves the calls for batch jobs."""
 
-    async def handle(
-        self, request: web.BaseRequest, body: bytes, route: Route | None
-    ) -> web.StreamResponse: ...
-
-
-_log = logging.getLogger(__name__)
-_log.addFilter(lambda record: not _fault_of_client(record))
-
-
-def _fault_of_client(record: logging.LogRecord) -> bool:
-    """Whether the library tells of a request that it could not read; any client could fill the log so."""
-    return bool(record.exc_info and isinstance(record.exc_info[1], HttpProcessingError | ConnectionError))
-
-
-class ClientConnection(web.RequestHandler):
-    """The library's connection to a client, closed if the rest of a head does not come in time."""
-
-    def __init__(self, manager: web.Server, *, head_timeout_s: float, **settings: Any) -> None:
-        super().__init__(manager, **settings)
-        self._head_timeout_s = head_timeout_s
-        self._head_timer: asyncio.TimerHandle | None = None
-        self.busy = False  # a request is open
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        super().connection_made(transport)
-        client = transport.get_extra_info("socket")
-        if client is not None:
-            client.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
-
-    def data_received(self, data: bytes) -> None:
-        if not self.busy and self._head_timer is None:
-            self._head_timer = self._loop.call_later(self._head_timeout_s, self.force_close)
-        super().data_received(data)
-
-    def connection_lost(self, exc: BaseException | None) -> None:
-        self.head_came()
-        super().connection_lost(exc)
-
-    def head_came(self) -> None:
-        if self._head_timer is not None:
-            self._head_timer.cancel()
-            self._head_timer = None
-
-
-class ClientServer(web.Server):
-    """The library's server; each new connection gets the time-outs in force."""
-
-    def __init__(self, ingress: Ingress) -> None:
-        super().__init__(ingress.handle, request_factory=ingress.make_request, handler_cancellation=True)
-        self._ingress = ingress
-
-    def __call__(self) -> web.RequestHandler:
-        limits = self._ingress.limits
-        return ClientConnection(
-            self, logger=_log, head_timeout_s=limits.header_timeout_ms / 1000,
-            loop=asyncio.get_running_loop(), access_log=None,
-            keepalive_timeout=limits.idle_timeout_ms / 1000, auto_decompress=False,
-            max_line_size=PARSER_LINE_BYTES, max_field_size=PARSER_LINE_BYTES,
-            max_headers=max(limits.max_header_bytes // SHORTEST_FIELD_BYTES, LEAST_FIELDS),
-            lingering_time=0.0, read_bufsize=READ_BYTES,
-        )  # fmt: skip
+    async def handle(self, request: web.BaseRequest, body: bytes, route: Route | None) -> web.StreamResponse:
+        """The response to a call; ``route`` is the batch route that it concerns, if any."""
 
 
 class Ingress:
-    """Takes clients' requests on the frontend address."""
+    """Serves the frontend address; owned by the ``DataPlane``.
+
+    States: *serving*; *draining* from ``close_connections``, when each response closes its connection and
+    only requests that the ``DrainDeadline`` accepts are served; *stopped*. A request is rejected by it only
+    for a fault of the client's (4xx), before the first configuration, or during a drain (503, which another
+    proxy can serve).
+    """
 
     def __init__(
-        self, settings: Settings, views: ClusterView, dispatcher: RequestForwarder, drain: DrainDeadline
+        self, settings: Settings, views: ClusterView, forwarder: RequestForwarder, drain: DrainDeadline
     ) -> None:
         self._settings = settings
         self._views = views
-        self._dispatcher = dispatcher
+        self._forwarder = forwarder
         self._drain = drain
         self._durations = RecentMaxDuration()
         self.batch_api: BatchApi | None = None
         self.arrivals = ArrivalRates()
         self.open_requests = 0
-        self.last_active = 0.0  # loop time at which a request last began or ended
-        self._closing = False
+        self.last_active_at = 0.0  # loop time at which a request last began or ended
+        self._closes_connections = False
         self._runner: web.ServerRunner | None = None
 
     @property
     def limits(self) -> ClientLimits:
+        """The limits of the configuration in force, or the default ones before the first."""
         configuration = self._views.configuration
         return configuration.limits if configuration else ClientLimits()
 
     async def start(self) -> None:
-        self._runner = web.ServerRunner(ClientServer(self), shutdown_timeout=SHUTDOWN_TIMEOUT_S)
+        """Listen; raises ``OSError`` if the address is taken."""
+        server = ClientServer(self.handle, lambda: self.limits)
+        self._runner = web.ServerRunner(server, shutdown_timeout=SHUTDOWN_TIMEOUT_S)
         await self._runner.setup()
         host, _, port = self._settings.listen_addresses.frontend.rpartition(":")
-        await web.TCPSite(self._runner, host, int(port), backlog=BACKLOG).start()
+        await web.TCPSite(self._runner, host, int(port), backlog=LISTEN_BACKLOG).start()
 
     async def stop(self) -> None:
+        """Close the listener and all connections."""
         if self._runner is not None:
             await self._runner.cleanup()
             self._runner = None
 
     def close_connections(self) -> None:
-        """From now on each answer ends its connection."""
-        self._closing = True
-
-    def closing(self) -> bool:
-        return self._closing
-
-    def make_request(
-        self, message: RawRequestMessage, payload: StreamReader, protocol: web.RequestHandler,
-        writer: AbstractStreamWriter, task: asyncio.Task[None],
-    ) -> web.BaseRequest:  # fmt: skip
-        """A request whose body is read up to the bound in force."""
-        if isinstance(protocol, ClientConnection):
-            protocol.busy = True
-            protocol.head_came()
-        return web.BaseRequest(
-            message, payload, protocol, writer, task, asyncio.get_running_loop(),
-            client_max_size=self.limits.max_body_bytes,
-        )  # fmt: skip
+        """From now on each response closes its connection."""
+        self._closes_connections = True
+
+    def closes_connections(self) -> bool:
+        """Whether responses close their connections."""
+        return self._closes_connections
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
+        """The response to a client's request; called by the server, and cancelled if the client leaves."""
         loop = asyncio.get_running_loop()
         self.open_requests += 1
-        self.last_active = arrived = loop.time()
+        self.last_active_at = arrived_at = loop.time()
         try:
-            return await self._respond(request, arrived)
+            return await self._read_and_route(request, arrived_at)
         finally:
             self.open_requests -= 1
-            self.last_active = loop.time()
+            self.last_active_at = loop.time()
             if isinstance(request.protocol, ClientConnection):
-                request.protocol.busy = False
+                request.protocol.request_ended()
 
-    async def _respond(self, request: web.BaseRequest, arrived: float) -> web.StreamResponse:
-        if _head_bytes(request) > self.limits.max_header_bytes:
-            return self._own(request, 431, "the head is too long", whole=False)
+    async def _read_and_route(self, request: web.BaseRequest, arrived_at: float) -> web.StreamResponse:
         try:
-            async with asyncio.timeout(self.limits.idle_timeout_ms / 1000):
-                body = await _body(request)
-        except web.HTTPRequestEntityTooLarge:
-            return self._own(request, 413, "the body is too long", whole=False)
-        except TimeoutError:
-            return self._own(request, 408, "the body did not come in time", whole=False)
-        except (web.RequestPayloadError, aiohttp.ClientPayloadError, ValueError):
-            return self._own(request, 400, "the body cannot be read", whole=False)
-        return await self._route(request, body, arrived)
+            body = await read_request_body(request, self.limits)
+        except ClientRequestError as error:
+            return self._proxy_response(request, error.status, error.reason, is_request_read=False)
+        return await self._route(request, body, arrived_at)
 
-    async def _route(self, request: web.BaseRequest, body: bytes, arrived: float) -> web.StreamResponse:
+    async def _route(self, request: web.BaseRequest, body: bytes, arrived_at: float) -> web.StreamResponse:
         configuration = self._views.configuration
         if configuration is None:
-            return self._own(request, 503, "no configuration yet", retry_after_s=UNCONFIGURED_RETRY_S)
+            return self._proxy_response(
+                request,
+                SERVICE_UNAVAILABLE,
+                "no configuration yet",
+                retry_after_s=UNCONFIGURED_RETRY_AFTER_S,
+            )
         path = request.raw_path.partition("?")[0]
-        route = configuration.match(request.headers.get("Host", ""), path)
-        of_batch = path.startswith(BATCH_PATHS)
-        lots = find_batch_route(configuration, request.headers.get("Host", "")) if of_batch else None
-        if self.batch_api is not None and is_batch_api_request(request.method, path, route, lots):
-            return await self._batch(self.batch_api, request, body, lots if route is None else route)
+        host = request.headers.get("Host", "")
+        route = configuration.match(host, path)
+        batch_route = find_batch_route(configuration, host) if path.startswith(BATCH_PATHS) else None
+        if self.batch_api is not None and is_batch_api_request(request.method, path, route, batch_route):
+            return await self._serve_batch(
+                self.batch_api, request, body, batch_route if route is None else route
+            )
         if route is None or route.route_kind == BATCH_KIND:
-            return self._own(request, 404, "no route")
-        return await self._live(request, body, route, arrived)
+            return self._proxy_response(request, NOT_FOUND, "no route")
+        return await self._serve_live(request, body, route, arrived_at)
 
-    async def _live(
-        self, request: web.BaseRequest, body: bytes, route: Route, arrived: float
+    async def _serve_live(
+        self, request: web.BaseRequest, body: bytes, route: Route, arrived_at: float
     ) -> web.StreamResponse:
         loop = asyncio.get_running_loop()
-        self.arrivals.add(route.name, arrived)
-        usual_s = self._durations.longest_s(route.name, arrived)
-        if not self._drain.accepts(loop.time(), response_deadline(request, route, arrived), usual_s):
-            return self._leaving(request)
+        self.arrivals.add(route.name, arrived_at)
+        usual_s = self._durations.longest_s(route.name, arrived_at)
+        if not self._drain.accepts(loop.time(), response_deadline(request, route, arrived_at), usual_s):
+            return self._draining_response(request)
         try:
-            return await self._dispatcher.handle(request, body, route, arrived, self.closing)
+            return await self._forwarder.forward(request, body, route, arrived_at, self.closes_connections)
         finally:
             now = loop.time()
-            self._durations.add(route.name, now - arrived, now)
+            self._durations.add(route.name, now - arrived_at, now)
 
-    async def _batch(
+    async def _serve_batch(
         self, api: BatchApi, request: web.BaseRequest, body: bytes, route: Route | None
     ) -> web.StreamResponse:
         now = asyncio.get_running_loop().time()
         if not self._drain.accepts(now, now + MAX_BATCH_CALL_S, 0.0):
-            return self._leaving(request)
+            return self._draining_response(request)
         try:
             async with self._drain.limit():
                 response = await api.handle(request, body, route)
         except TimeoutError:
-            return self._own(request, 504, "this proxy is leaving")
-        if self._closing:
+            return self._proxy_response(request, GATEWAY_TIMEOUT, "this proxy is leaving")
+        if self._closes_connections:
             response.force_close()
         return response
 
-    def _leaving(self, request: web.BaseRequest) -> web.Response:
-        return self._own(request, 503, "this proxy is leaving", retry_after_s=LEAVING_RETRY_S)
-
-    def _own(self, request: web.BaseRequest, status: int, text: str, whole: bool = True,
-             retry_after_s: float | None = None) -> web.Response:  # fmt: skip
-        identity = request.headers.get(REQUEST_ID, "")
-        return proxy_response(status, text, identity, self._closing or not whole, retry_after_s)
-
-
-def _head_bytes(request: web.BaseRequest) -> int:
-    fields = sum(len(name) + len(value) + len(": \r\n") for name, value in request.raw_headers)
-    return len(request.method) + len(request.raw_path) + fields
-
-
-async def _body(request: web.BaseRequest) -> bytes:
-    if not request.body_exists:
-        return b""
-    if request.headers.get("Expect", "").lower() == "100-continue" and request.transport is not None:
-        request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-    return await request.read()
+    def _draining_response(self, request: web.BaseRequest) -> web.Response:
+        return self._proxy_response(
+            request, SERVICE_UNAVAILABLE, "this proxy is leaving", retry_after_s=DRAINING_RETRY_AFTER_S
+        )
+
+    def _proxy_response(
+        self,
+        request: web.BaseRequest,
+        status: int,
+        text: str,
+        *,
+        is_request_read: bool = True,
+        retry_after_s: float | None = None,
+    ) -> web.Response:
+        """A response of the proxy; where the request was not read completely it closes the connection."""
+        return proxy_response(
+            status,
+            text,
+            request.headers.get(REQUEST_ID, ""),
+            close=self._closes_connections or not is_request_read,
+            retry_after_s=retry_after_s,
+        )
--- a/cherrycove/tier/dataplane/readiness.py
+++ b/cherrycove/tier/dataplane/readiness.py
@@ -1,4 +1,4 @@
-"""The platform's question whether this machine should get new connections."""
+"""The platform's readiness probe: whether this machine should get new connections."""
 
 from __future__ import annotations
 
@@ -11,14 +11,18 @@
 
 
 class ReadinessServer:
-    """Serves ``GET /api/readiness`` on its own address: 200 while ``ready`` says so, else 503."""
+    """Serves ``GET /api/readiness`` on its own address: 200 while ``is_ready`` says so, else 503.
 
-    def __init__(self, address: str, ready: Callable[[], bool]) -> None:
+    Owned by the ``DataPlane``. The listener of its own answers also while the frontend address is saturated.
+    """
+
+    def __init__(self, address: str, is_ready: Callable[[], bool]) -> None:
         self._address = address
-        self._ready = ready
+        self._is_ready = is_ready
         self._runner: web.ServerRunner | None = None
 
     async def start(self) -> None:
+        """Listen; raises ``OSError`` if the address is taken."""
         host, _, port = self._address.rpartition(":")
         self._runner = web.ServerRunner(
             web.Server(self._handle, access_log=None), shutdown_timeout=SHUTDOWN_TIMEOUT_S
@@ -27,6 +31,7 @@
         await web.TCPSite(self._runner, host, int(port)).start()
 
     async def stop(self) -> None:
+        """Close the listener and its connections."""
         if self._runner is not None:
             await self._runner.cleanup()
             self._runner = None
@@ -34,4 +39,4 @@
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         if request.path != READINESS_PATH:
             return web.Response(status=404)
-        return web.Response(status=200 if self._ready() else 503)
+        return web.Response(status=200 if self._is_ready() else 503)
--- /dev/null
+++ b/cherrycove/tier/dataplane/responses.py
@@ -0,0 +1,35 @@
+"""Responses that a proxy sends as one message: a buffered one of a broker, or one of its own."""
+
+from __future__ import annotations
+
+from aiohttp import web
+from multidict import CIMultiDict
+
+from cherrycove.tier.dataplane.headers import REQUEST_ID, RETRY_AFTER, end_to_end_headers
+from cherrycove.tier.dataplane.upstream_response import UpstreamResponse
+
+
+def buffered_response(upstream: UpstreamResponse, body: bytes, *, close: bool) -> web.Response:
+    """A broker's response that was read to its end; ``close``: its client connection ends with it."""
+    response = web.Response(status=upstream.status, headers=end_to_end_headers(upstream.headers), body=body)
+    if close:
+        response.force_close()
+    return response
+
+
+def proxy_response(
+    status: int, text: str, request_id: str, *, close: bool, retry_after_s: float | None = None
+) -> web.Response:
+    """A response that the proxy generates; ``text`` says why.
+
+    ``Retry-After`` (RFC 9110, 10.2.3) is given in seconds with a fraction, which the clients understand.
+    """
+    headers: CIMultiDict[str] = CIMultiDict({"Content-Type": "text/plain"})
+    if request_id:
+        headers[REQUEST_ID] = request_id
+    if retry_after_s is not None:
+        headers[RETRY_AFTER] = f"{retry_after_s:.3f}"
+    response = web.Response(status=status, headers=headers, body=text.encode() + b"\n")
+    if close:
+        response.force_close()
+    return response
--- /dev/null
+++ b/cherrycove/tier/dataplane/upstream_response.py
@@ -0,0 +1,86 @@
+"""A response of a broker whose head has come, and the faults of one that does not come completely."""
+
+from __future__ import annotations
+
+import asyncio
+from contextlib import suppress
+from enum import Enum
+
+import aiohttp
+from multidict import CIMultiDictProxy
+
+from cherrycove.tier.dataplane.headers import parse_instance_load
+
+MAX_BUFFERED_BYTES = 32 * 1024 * 1024  # of a body that is read as one piece
+DISCARD_TIMEOUT_S = 0.05
+MAX_DISCARDED_BYTES = 64 * 1024
+
+
+class ResponseFault(Enum):
+    """What is wrong with a response; the fault is the broker's or its connection's."""
+
+    CLOSED = "closed"  # reset or closed before its end
+    MALFORMED = "malformed"  # what came is not a response to the request
+
+
+class IncompleteResponseError(Exception):
+    """A response did not come completely."""
+
+    def __init__(self, fault: ResponseFault, detail: str = "") -> None:
+        super().__init__(f"{fault.value} {detail}")
+        self.fault = fault
+
+
+class UpstreamResponse:
+    """A response whose body is read once, by the attempt that owns it; ``close`` must follow in any case."""
+
+    def __init__(self, response: aiohttp.ClientResponse) -> None:
+        self._response = response
+        self.status = response.status
+        self.headers: CIMultiDictProxy[str] = response.headers
+        self.load = parse_instance_load(response.headers)
+
+    @property
+    def is_framed(self) -> bool:
+        """Whether its end is marked (RFC 9112, 6.3); if not, an orderly end of its connection is its end."""
+        coding = self.headers.get("Transfer-Encoding", "").lower()
+        return "Content-Length" in self.headers or "chunked" in coding
+
+    @property
+    def is_success(self) -> bool:
+        """Whether the status is 2xx."""
+        return self.status // 100 == 2
+
+    @property
+    def media_type(self) -> str:
+        """The content type without parameters, in lower case."""
+        return self.headers.get("Content-Type", "").partition(";")[0].strip().lower()
+
+    async def read_chunk(self) -> bytes:
+        """More of the body as it comes; empty only after its end. Raises ``IncompleteResponseError``."""
+        try:
+            return await self._response.content.readany()
+        except (aiohttp.ClientError, OSError) as error:
+            raise IncompleteResponseError(ResponseFault.CLOSED, str(error)) from error
+
+    async def read(self) -> bytes:
+        """The complete body. Raises ``IncompleteResponseError``, also where it is too long."""
+        body = bytearray()
+        while chunk := await self.read_chunk():
+            body += chunk
+            if len(body) > MAX_BUFFERED_BYTES:
+                raise IncompleteResponseError(ResponseFault.MALFORMED, "the answer is too long")
+        return bytes(body)
+
+    async def discard(self) -> None:
+        """Read the rest of a short response that is not forwarded, so that its connection can be reused."""
+        with suppress(TimeoutError, aiohttp.ClientError, OSError):
+            async with asyncio.timeout(DISCARD_TIMEOUT_S):
+                await self._response.content.read(MAX_DISCARDED_BYTES)
+        self.close()
+
+    def close(self) -> None:
+        """Return the connection to the pool if the response has come to its end, else close it."""
+        if not self._response.content.is_eof():
+            self._response.close()
+        self._response.release()
--- a/tests/tier/golden_interfaces.py
+++ b/tests/tier/golden_interfaces.py
@@ -39,7 +39,7 @@
 from cherrycove.tier.controlplane.controller import Controller
 from cherrycove.tier.dataplane import headers as header_module
 from cherrycove.tier.dataplane.readiness import ReadinessServer
-from cherrycove.tier.dataplane.stream_relay import proxy_response
+from cherrycove.tier.dataplane.responses import proxy_response
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ANSWERS, ErrorKind, Failure
 from cherrycove.tier.protocol.batch_methods import BODY
@@ -310,7 +310,10 @@
 
 def own_answers() -> list[list[Any]]:
     """Status and fields of answers that a proxy gives of its own."""
-    answers = [proxy_response(404, "no route", "", False), proxy_response(503, "later", "id-1", False, 0.5)]
+    answers = [
+        proxy_response(404, "no route", "", close=False),
+        proxy_response(503, "later", "id-1", close=False, retry_after_s=0.5),
+    ]
     return [[one.status, dict(one.headers), bytes(one.body or b"").decode()] for one in answers]  # type: ignore[arg-type]
 
 
--- a/tests/tier/test_dataplane_drain.py
+++ b/tests/tier/test_dataplane_drain.py
@@ -7,7 +7,8 @@
 from dataplane_world import TIMEOUT_S, Reply, World, configuration_bytes, route
 from test_dataplane_items import RecordingBatchApi
 
-from cherrycove.tier.dataplane.draining import END_RESERVE_S, DrainDeadline, RecentMaxDuration
+from cherrycove.tier.dataplane.draining import END_RESERVE_S, DrainDeadline
+from cherrycove.tier.dataplane.request_durations import RecentMaxDuration
 from examples.toy_broker import Received, ToyBroker, Wire, stream
 
 ROUTES = [
@@ -57,7 +58,7 @@
 
 
 def test_the_longest_request_is_forgotten_after_two_spans() -> None:
-    longest = RecentMaxDuration(span_s=10.0)
+    longest = RecentMaxDuration(window_s=10.0)
     longest.add("r", 4.0, 0.0)
     longest.add("r", 1.0, 11.0)
     assert (longest.longest_s("r", 12.0), longest.longest_s("other", 12.0)) == (4.0, 0.0)
--- a/tests/tier/test_dataplane_parts.py
+++ b/tests/tier/test_dataplane_parts.py
@@ -34,14 +34,14 @@
     splitter, events = EventStreamParser(), []
     for start, end in zip(cuts, cuts[1:], strict=False):
         events += splitter.feed(STREAM[start:end])
-    assert b"".join(event.raw for event in events) == STREAM and splitter.pending == b""
+    assert b"".join(event.raw for event in events) == STREAM and splitter.incomplete == b""
     assert [event.id for event in events] == [1, 2, None, 3]
     assert [event.data for event in events] == [b"a", b"b\nc", None, b"d"]
 
 
 def test_an_unfinished_event_stays_pending() -> None:
     splitter = EventStreamParser()
-    assert splitter.feed(b"id: 1\ndata: a\n") == [] and splitter.pending
+    assert splitter.feed(b"id: 1\ndata: a\n") == [] and splitter.incomplete
 
 
 def test_fields_of_one_connection_are_not_passed_on() -> None:
--- a/tests/tier/test_dataplane_wire.py
+++ b/tests/tier/test_dataplane_wire.py
@@ -462,7 +462,7 @@
             for send in sends:
                 outcome = await send
                 assert isinstance(outcome, upstream.ResponseStarted)
-                await outcome.answer.read()
+                await outcome.response.read()
             await sender.stop()
             assert [request.headers["deadline-ms"] for request in broker.received] == ["1000", "500"]
 
--- a/tests/tier/test_sessions.py
+++ b/tests/tier/test_sessions.py
@@ -110,8 +110,8 @@
         outgoing = UpstreamRequest(f"r{number}", method, "/x", CIMultiDict({"Request-Id": f"r{number}"}), b"")
         outcome = await upstream.send(broker, outgoing, None)
         if isinstance(outcome, ResponseStarted):
-            await outcome.answer.read()
-            outcome.answer.close()
+            await outcome.response.read()
+            outcome.response.close()
         if number == 2:
             await upstream.stop()
         return isinstance(outcome, ResponseStarted)
