--- a/cherrycove/tier/controlplane/broker_discovery.py
+++ b/cherrycove/tier/controlplane/broker_discovery.py
@@ -4,6 +4,7 @@
 
 import json
 import logging
+from http import HTTPStatus
 from typing import Any, Protocol
 
 import aiohttp
@@ -23,6 +24,8 @@
 MAX_INTERVAL_S = 1.0
 RATE_SHARE = 0.5  # of the platform's rate limit, which all callers share
 MAX_BACKOFF_S = 2.0
+MAX_BACKOFF_INTERVALS = 4  # the backoff grows by one interval with each failure
+MIN_CALLS_PER_S = 0.1
 CALL_TIMEOUT_S = 1.0
 MAX_PAGES = 1000
 READY = "ready"
@@ -112,9 +115,9 @@
     """When to read next: often enough to notice draining brokers, within a share of the rate limit. Pure."""
 
     def __init__(self, settings: Settings) -> None:
-        interval = settings.bounds.drain_ms / 1000.0 / READS_PER_DRAIN
-        self._interval_s = min(max(interval, MIN_INTERVAL_S), MAX_INTERVAL_S)
-        self._calls_per_s = max(settings.cloud_api.rate_per_s * RATE_SHARE, 0.1)
+        interval_s = settings.bounds.drain_ms / 1000.0 / READS_PER_DRAIN
+        self._interval_s = min(max(interval_s, MIN_INTERVAL_S), MAX_INTERVAL_S)
+        self._calls_per_s = max(settings.cloud_api.rate_per_s * RATE_SHARE, MIN_CALLS_PER_S)
         self._failures = 0
 
     def succeeded(self, calls: int) -> float:
@@ -125,8 +128,8 @@
     def failed(self, calls: int) -> float:
         """Return the seconds until the next read after one that failed, with a linear backoff."""
         self._failures += 1
-        backoff = self._interval_s * min(self._failures, 4)
-        return max(min(backoff, MAX_BACKOFF_S), calls / self._calls_per_s)
+        backoff_s = self._interval_s * min(self._failures, MAX_BACKOFF_INTERVALS)
+        return max(min(backoff_s, MAX_BACKOFF_S), calls / self._calls_per_s)
 
 
 class BrokerReader(Protocol):
@@ -202,6 +205,6 @@
                 body = await response.read()
         except (TimeoutError, aiohttp.ClientError, OSError, ValueError) as error:
             return Err(Failure(ErrorKind.UNAVAILABLE, f"list of brokers: {type(error).__name__} {error}"))
-        if response.status != 200:
+        if response.status != HTTPStatus.OK:
             return Err(Failure(ErrorKind.UNAVAILABLE, f"list of brokers: status {response.status}"))
         return parse_page(body)
--- a/cherrycove/tier/controlplane/broker_watcher.py
+++ b/cherrycove/tier/controlplane/broker_watcher.py
@@ -42,7 +42,7 @@
         self._pacing = ReadPacing(settings)
         self._absences = AbsenceCheck()
         self._inherited = BrokerList()
-        self._began = 0.0
+        self._leading_since = 0.0
 
     async def start(self) -> None:
         """Open the reader."""
@@ -59,7 +59,7 @@
         """
         self._absences = AbsenceCheck()
         self._inherited = inherited
-        self._began = now
+        self._leading_since = now
 
     async def step(self) -> None:
         """Read the list once, publish it, then pause."""
@@ -79,7 +79,7 @@
 
     def _inherit(self) -> None:
         """Publish the earlier primary's list while the platform does not answer, for processes that start."""
-        waited = asyncio.get_running_loop().time() - self._began
+        waited_s = asyncio.get_running_loop().time() - self._leading_since
         unknown = self._topics.brokers is None and len(self._inherited.brokers) > 0
-        if self._period.is_leading() and unknown and waited >= INHERIT_AFTER_S:
+        if self._period.is_leading() and unknown and waited_s >= INHERIT_AFTER_S:
             self._topics.publish_brokers(self._inherited)
--- a/cherrycove/tier/controlplane/controller.py
+++ b/cherrycove/tier/controlplane/controller.py
@@ -54,24 +54,14 @@
         self._state = state
         self._views = ClusterView() if views is None else views
         self._leadership = Leadership(group, self._views)
-        # The coordinator needs the period and the publisher, so these look it up when they call it.
-        self._period = LeadershipPeriod(
-            group,
-            lambda epoch: self._coordinator.on_started_leading(epoch),
-            lambda: self._coordinator.on_stopped_leading(),
-        )
-        self._publisher = Publisher(
-            LeadershipPeriodAuthority(self._period, self._leadership),
-            lambda request: self._coordinator.on_pull(request),
-        )
+        self._period = self._assemble_period()
+        self._publisher = self._assemble_publisher()
         self._topics = ControlTopics(self._publisher, state)
         self.directory = ProcessDirectory(settings, group, state)
         self._coordinator = self._assemble_coordinator(client, reader)
         self.operator_api = self._assemble_operator_api()
         self._tasks = PeriodicTasks()
-        self._register_calls(server)
-        state.on_change(self._coordinator.on_state_change)
-        group.on_change(self._coordinator.on_group_change)
+        self._register(server)
 
     async def start(self) -> None:
         """Listen for operators and begin the background work.
@@ -95,6 +85,21 @@
         await self.operator_api.stop()
         await self._coordinator.brokers.stop()
 
+    # The coordinator needs the period and the publisher, so these two look it up when they call it.
+
+    def _assemble_period(self) -> LeadershipPeriod:
+        return LeadershipPeriod(
+            self._group,
+            lambda epoch: self._coordinator.on_started_leading(epoch),
+            lambda: self._coordinator.on_stopped_leading(),
+        )
+
+    def _assemble_publisher(self) -> Publisher:
+        return Publisher(
+            LeadershipPeriodAuthority(self._period, self._leadership),
+            lambda request: self._coordinator.on_pull(request),
+        )
+
     def _assemble_coordinator(self, client: Caller, reader: BrokerReader | None) -> LeaderCoordinator:
         settings, group, state = self._settings, self._group, self._state
         return LeaderCoordinator(
@@ -122,7 +127,8 @@
         )
         return OperatorApi(self._leadership, configuration, retirement)
 
-    def _register_calls(self, server: CallRegistry) -> None:
+    def _register(self, server: CallRegistry) -> None:
+        """Receive calls from now on, and the changes of the replicated state and of the group."""
         self._publisher.serve_on(server)
         status = StatusService(
             node_name=self._settings.node_name,
@@ -134,3 +140,5 @@
             views=self._views,
         )
         server.register(STATUS, status.status)
+        self._state.on_change(self._coordinator.on_state_change)
+        self._group.on_change(self._coordinator.on_group_change)
--- a/cherrycove/tier/controlplane/status_service.py
+++ b/cherrycove/tier/controlplane/status_service.py
@@ -9,13 +9,13 @@
 
 from cherrycove.tier.controlplane.leadership_period import LeadershipPeriod
 from cherrycove.tier.controlplane.process_directory import ProcessDirectory
+from cherrycove.tier.controlplane.replica_message import replica_message
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.controlplane.topics import ControlTopics
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import Failure
-from cherrycove.tier.protocol.control_pb2 import Replica
 from cherrycove.tier.protocol.keeper_pb2 import StatusReply, StatusRequest
-from cherrycove.tier.replication.interface import Group, MemberIdentity
+from cherrycove.tier.replication.interface import Group
 
 
 @attrs.frozen(kw_only=True)
@@ -45,7 +45,7 @@
                 epoch=self.group.epoch,
                 confirmed=leads,
                 primary="" if primary is None else primary.node_name,
-                members=[_replica(member) for member in self.group.members],
+                members=[replica_message(member) for member in self.group.members],
                 configuration_version=self.state.configuration.version,
                 store_group=self.state.store_group(),
                 retire_orders=self.state.retire_orders.values(),
@@ -53,9 +53,3 @@
                 announcements=announcements,
             )
         )
-
-
-def _replica(member: MemberIdentity) -> Replica:
-    return Replica(
-        member_id=member.member_id, node_name=member.node_name, address=member.address, zone=member.zone
-    )
--- a/cherrycove/tier/controlplane/store_members.py
+++ b/cherrycove/tier/controlplane/store_members.py
@@ -6,13 +6,13 @@
 
 from result import Err, Ok, Result
 
+from cherrycove.tier.controlplane.replica_message import replica_message
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol.calls import Caller, CallRegistry
-from cherrycove.tier.protocol.control_pb2 import Replica
 from cherrycove.tier.protocol.controller_methods import STORE_MEMBERS
 from cherrycove.tier.protocol.keeper_pb2 import StoreMembersReply, StoreMembersRequest
-from cherrycove.tier.replication.interface import Group, MemberIdentity
+from cherrycove.tier.replication.interface import Group
 
 CALL_TIMEOUT_S = 0.5
 
@@ -47,7 +47,7 @@
             StoreMembersReply(
                 epoch=self._group.epoch,
                 index=committed.index,
-                members=[_replica(member) for member in committed.members],
+                members=[replica_message(member) for member in committed.members],
                 excluded=sorted(committed.excluded),
                 revision=self._views.store_group.revision,
             )
@@ -79,9 +79,3 @@
             if failure.primary and failure.primary not in asked:
                 waiting = [failure.primary, *(one for one in waiting if one != failure.primary)]
         return Err(failure)
-
-
-def _replica(member: MemberIdentity) -> Replica:
-    return Replica(
-        member_id=member.member_id, node_name=member.node_name, address=member.address, zone=member.zone
-    )
