--- a/cherrycove/tier/cli/storage.py
+++ b/cherrycove/tier/cli/storage.py
@@ -14,7 +14,7 @@
 from cherrycove.tier.storage.errors import DamagedStorageError
 from cherrycove.tier.storage.identity import IDENTITY_FILE, open_identity
 from cherrycove.tier.storage.replica_storage import RecoveredState, ReplicaStorage
-from cherrycove.tier.storage.segments import segment_names
+from cherrycove.tier.storage.segments import list_segments
 
 DIRECTORY_ARGUMENT = argument("directory", "Folder of one replica (dataDirectory/keeper or .../store).")
 
@@ -38,7 +38,7 @@
         member_id, created = open_identity(copy, first_start=False, ip="")
         if created:
             raise DamagedStorageError(f"{directory / IDENTITY_FILE}: not an identity")
-        segments = [(name.file_name, (copy / name.file_name).stat().st_size) for name in segment_names(copy)]
+        segments = [(name.file_name, (copy / name.file_name).stat().st_size) for name in list_segments(copy)]
         return _recover(copy, member_id, segments)
 
 
--- a/cherrycove/tier/programs/replica.py
+++ b/cherrycove/tier/programs/replica.py
@@ -39,7 +39,7 @@
     if settings.data_directory is None:
         raise OSError(f"{program}: the settings name no dataDirectory")
     directory = Path(settings.data_directory) / program
-    member_id, fresh = open_identity(directory, settings.first_start, settings.ip_address)
+    member_id, fresh = open_identity(directory, first_start=settings.first_start, ip=settings.ip_address)
     options = GroupOptions(
         name=program,
         identity=MemberIdentity(
--- a/cherrycove/tier/storage/entries.py
+++ b/cherrycove/tier/storage/entries.py
@@ -81,7 +81,7 @@
     return _decode_body(body), start + length
 
 
-def valid_frame_after(data: bytes, offset: int, seed: int) -> bool:
+def has_valid_frame_after(data: bytes, offset: int, seed: int) -> bool:
     """Whether any valid frame starts behind ``offset``."""
     position = data.find(FRAME_MAGIC, offset + 1)
     while position >= 0:
--- a/cherrycove/tier/storage/hard_state.py
+++ b/cherrycove/tier/storage/hard_state.py
@@ -87,16 +87,16 @@
         self._descriptor = os.open(self._path, os.O_WRONLY)
         self.damaged_copies = _COPIES - valid.count(self._slot)
         if self.damaged_copies:
-            self._store(self._slot)
+            self._write_slot(self._slot)
         return self._slot.hard_state
 
     def write(self, hard_state: HardState) -> None:
         """Store ``promise`` and sync it."""
         slot = _Slot(self._slot.sequence + 1, hard_state)
-        self._store(slot)
+        self._write_slot(slot)
         self._slot = slot
 
-    def _store(self, slot: _Slot) -> None:
+    def _write_slot(self, slot: _Slot) -> None:
         data = _encode(slot)
         for copy in range(_COPIES):
             position = (slot.sequence % _SLOTS + copy * _SLOTS) * _SLOT_BYTES
--- a/cherrycove/tier/storage/replica_storage.py
+++ b/cherrycove/tier/storage/replica_storage.py
@@ -13,13 +13,13 @@
 from cherrycove.tier.storage.errors import DamagedStorageError
 from cherrycove.tier.storage.files import sync_directory
 from cherrycove.tier.storage.hard_state import HardState, HardStateFile
-from cherrycove.tier.storage.segments import SEGMENT_BYTES, SegmentLog, no_space, segment_names
+from cherrycove.tier.storage.segments import SEGMENT_BYTES, SegmentLog, limit_exceeded, list_segments
 from cherrycove.tier.storage.snapshots import (
     Snapshot,
     StoredSnapshot,
+    list_snapshots,
     read_snapshot,
     remove_other_snapshots,
-    snapshot_paths,
     write_snapshot,
 )
 
@@ -43,8 +43,8 @@
     def __init__(self, directory: Path, limit_bytes: int = 0, segment_bytes: int = SEGMENT_BYTES) -> None:
         """``limit_bytes`` bounds the directory; 0 sets no bound."""
         self._directory = directory
-        self._limit = limit_bytes - RESERVED_BYTES if limit_bytes else 0
-        self._promises = HardStateFile(directory)
+        self._limit_bytes = limit_bytes - RESERVED_BYTES if limit_bytes else 0
+        self._hard_state_file = HardStateFile(directory)
         self._log = SegmentLog(directory, segment_bytes)
         self._snapshot: StoredSnapshot | None = None
 
@@ -56,7 +56,7 @@
     @property
     def damaged_hard_state_copies(self) -> int:
         """How many copies of the newest promise ``recover`` found damaged, or torn, and wrote again."""
-        return self._promises.damaged_copies
+        return self._hard_state_file.damaged_copies
 
     def recover(self) -> RecoveredState:
         """Read everything; cut a torn tail. Raises DamagedStorageError where synced data is lost."""
@@ -65,14 +65,14 @@
         sync_directory(
             self._directory
         )  # a killed process may have left this to do; what follows relies on it
-        paths = snapshot_paths(self._directory)
-        may_create = not paths and not segment_names(self._directory)
-        hard_state = self._promises.open(may_create)
-        snapshot, first_number = read_snapshot(paths[-1]) if paths else (None, 1)
+        paths = list_snapshots(self._directory)
+        may_create = not paths and not list_segments(self._directory)
+        hard_state = self._hard_state_file.open(may_create)
+        snapshot, first_segment_number = read_snapshot(paths[-1]) if paths else (None, 1)
         if snapshot is not None:
             self._snapshot = StoredSnapshot.of(paths[-1], snapshot)
             remove_other_snapshots(paths[-1])
-        entries = self._log.recover(snapshot.index if snapshot else 0, first_number)
+        entries = self._log.recover(snapshot.index if snapshot else 0, first_segment_number)
         newest = entries[-1].epoch if entries else snapshot.epoch if snapshot else 0
         if newest > hard_state.epoch:
             raise DamagedStorageError(f"log of epoch {newest}, promise of epoch {hard_state.epoch}")
@@ -85,25 +85,25 @@
 
     def write_hard_state(self, hard_state: HardState) -> None:
         """Store and sync the newest promise."""
-        self._promises.write(hard_state)
+        self._hard_state_file.write(hard_state)
 
     def append(self, entries: Sequence[Entry]) -> None:
         """Store and sync entries; one that is not above the last replaces its position and all behind."""
-        self._check_room(FRAME_OVERHEAD_BYTES + sum(entry.size_bytes for entry in entries))
+        self._check_limit(FRAME_OVERHEAD_BYTES + sum(entry.size_bytes for entry in entries))
         self._log.append(entries)
 
     def save_snapshot(self, snapshot: Snapshot, tail: Sequence[Entry]) -> None:
         """Store a snapshot with the entries behind it, then remove what both make superfluous."""
         room = snapshot.size_bytes + sum(entry.size_bytes for entry in tail) + ENTRY_OVERHEAD_BYTES
-        self._check_room(room)
+        self._check_limit(room)
         self._log.roll()
-        first_number = self._log.next_number
+        first_segment_number = self._log.next_segment_number
         if tail:
             self._log.append(tail)
-        path = write_snapshot(self._directory, snapshot, first_number)
+        path = write_snapshot(self._directory, snapshot, first_segment_number)
         self._snapshot = StoredSnapshot.of(path, snapshot)
         with contextlib.suppress(OSError):  # the snapshot counts; the next one, or a start, removes the rest
-            self._log.remove_below(first_number)
+            self._log.remove_segments_below(first_segment_number)
             remove_other_snapshots(path)
 
     def read_state(self, index: int, offset: int, size: int) -> bytes:
@@ -119,10 +119,10 @@
             _log.error("snapshot_unreadable", extra={"path": str(snapshot.path), "reason": str(error)})
             return b""
 
-    def _check_room(self, wanted: int) -> None:
-        if self._limit and self.size_bytes + wanted > self._limit:
-            raise no_space()
+    def _check_limit(self, wanted: int) -> None:
+        if self._limit_bytes and self.size_bytes + wanted > self._limit_bytes:
+            raise limit_exceeded()
 
     def close(self) -> None:
         self._log.close()
-        self._promises.close()
+        self._hard_state_file.close()
--- a/cherrycove/tier/storage/segments.py
+++ b/cherrycove/tier/storage/segments.py
@@ -15,7 +15,7 @@
 
 import attrs
 
-from cherrycove.tier.storage.entries import Entry, decode_frame, encode_frame, valid_frame_after
+from cherrycove.tier.storage.entries import Entry, decode_frame, encode_frame, has_valid_frame_after
 from cherrycove.tier.storage.errors import DamagedStorageError
 from cherrycove.tier.storage.files import sync_directory, sync_file, write_all
 
@@ -33,12 +33,12 @@
         return f"{self.number:010d}-{self.first_index:016d}{SEGMENT_SUFFIX}"
 
     @property
-    def seed(self) -> int:
+    def checksum_seed(self) -> int:
         """Start value of the checksums, so that a frame is valid only in its own segment."""
         return zlib.crc32(self.file_name.encode("ascii"))
 
 
-def segment_names(directory: Path) -> list[SegmentName]:
+def list_segments(directory: Path) -> list[SegmentName]:
     """The segments of ``directory`` in order."""
     names: list[SegmentName] = []
     for path in directory.glob(f"*{SEGMENT_SUFFIX}"):
@@ -55,9 +55,9 @@
     entries: list[Entry] = []
     offset = 0
     while offset < len(data):
-        frame = decode_frame(data, offset, name.seed)
+        frame = decode_frame(data, offset, name.checksum_seed)
         if frame is None:
-            if not last or valid_frame_after(data, offset, name.seed):
+            if not last or has_valid_frame_after(data, offset, name.checksum_seed):
                 raise DamagedStorageError(f"{name.file_name}: invalid frame at byte {offset}")
             break
         entries.extend(frame[0])
@@ -65,7 +65,7 @@
     return entries, offset, offset < len(data)
 
 
-def _replay(log: list[Entry], base_index: int, entries: Sequence[Entry]) -> None:
+def _replay_entries(log: list[Entry], base_index: int, entries: Sequence[Entry]) -> None:
     for entry in entries:
         if entry.index <= base_index:
             continue  # in the snapshot, which is taken of committed entries only
@@ -83,41 +83,41 @@
         self._directory = directory
         self._segment_bytes = segment_bytes
         self._descriptor = -1
-        self._seed = 0
+        self._checksum_seed = 0
         self._length = 0  # synced bytes of the open segment
-        self._number = 0  # of the open or last segment
-        self._dirty = False  # a write failed, and bytes of it may stand behind the synced ones
-        self.closed_bytes = 0  # of the segments before the open one
+        self._segment_number = 0  # of the open or last segment
+        self._has_failed_write = False  # a write failed, and bytes of it may stand behind the synced ones
+        self._closed_bytes = 0  # of the segments before the open one
 
     @property
     def size_bytes(self) -> int:
         """Bytes of all segments."""
-        return self.closed_bytes + self._length
+        return self._closed_bytes + self._length
 
     @property
-    def next_number(self) -> int:
-        return self._number + 1
+    def next_segment_number(self) -> int:
+        return self._segment_number + 1
 
-    def recover(self, base_index: int, first_number: int) -> list[Entry]:
-        """The entries behind ``base_index``, from segments numbered ``first_number`` and above.
+    def recover(self, base_index: int, first_segment_number: int) -> list[Entry]:
+        """The entries behind ``base_index``, from segments numbered ``first_segment_number`` and above.
 
         They are durable when this returns: a killed process may have left its last frame unsynced."""
-        self.remove_below(first_number)
-        names = segment_names(self._directory)
-        self._number = first_number - 1
+        self.remove_segments_below(first_segment_number)
+        names = list_segments(self._directory)
+        self._segment_number = first_segment_number - 1
         log: list[Entry] = []
         for name in names:
-            self._number = name.number
+            self._segment_number = name.number
             entries, valid, torn = _read_segment(self._directory, name, name is names[-1])
-            _replay(log, base_index, entries)
+            _replay_entries(log, base_index, entries)
             if torn:
-                self._cut(name, valid)
+                self._truncate_torn_tail(name, valid)
             elif name is names[-1]:
                 sync_file(self._directory / name.file_name)
-            self.closed_bytes += valid
+            self._closed_bytes += valid
         return log
 
-    def _cut(self, name: SegmentName, length: int) -> None:
+    def _truncate_torn_tail(self, name: SegmentName, length: int) -> None:
         path = self._directory / name.file_name
         if length == 0:
             path.unlink()
@@ -132,57 +132,57 @@
 
     def append(self, entries: Sequence[Entry]) -> None:
         """Write ``entries`` as one frame and sync it. After an OSError none of it counts; try again."""
-        self._clean()
+        self._truncate_failed_write()
         if self._descriptor < 0 or self._length >= self._segment_bytes:
-            self._begin(entries[0].index)
-        frame = encode_frame(entries, self._seed)
-        self._dirty = True
+            self._open_segment(entries[0].index)
+        frame = encode_frame(entries, self._checksum_seed)
+        self._has_failed_write = True
         os.lseek(self._descriptor, self._length, os.SEEK_SET)
         write_all(self._descriptor, frame)
         os.fsync(self._descriptor)
         if self._length == 0:
             sync_directory(self._directory)
-        self._dirty = False
+        self._has_failed_write = False
         self._length += len(frame)
 
-    def _clean(self) -> None:
+    def _truncate_failed_write(self) -> None:
         """Cut what a failed write left, so that no later frame comes to stand behind it."""
-        if self._dirty:
+        if self._has_failed_write:
             os.ftruncate(self._descriptor, self._length)
             os.fsync(self._descriptor)
-            self._dirty = False
+            self._has_failed_write = False
 
-    def _begin(self, first_index: int) -> None:
+    def _open_segment(self, first_index: int) -> None:
         self.close()
-        name = SegmentName(self._number + 1, first_index)
+        name = SegmentName(self._segment_number + 1, first_index)
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC
         self._descriptor = os.open(self._directory / name.file_name, flags, 0o600)
-        self._number = name.number
-        self._seed = name.seed
+        self._segment_number = name.number
+        self._checksum_seed = name.checksum_seed
         self._length = 0
 
     def roll(self) -> None:
         """Let the next frame begin a new segment."""
-        self._clean()
+        self._truncate_failed_write()
         self.close()
 
-    def remove_below(self, number: int) -> None:
+    def remove_segments_below(self, number: int) -> None:
         """Remove the segments numbered below ``number``."""
-        for name in segment_names(self._directory):
+        for name in list_segments(self._directory):
             if name.number < number:
                 path = self._directory / name.file_name
-                self.closed_bytes -= path.stat().st_size
+                self._closed_bytes -= path.stat().st_size
                 path.unlink()
-        self.closed_bytes = max(self.closed_bytes, 0)
+        self._closed_bytes = max(self._closed_bytes, 0)
 
     def close(self) -> None:
         if self._descriptor >= 0:
             os.close(self._descriptor)
             self._descriptor = -1
-            self.closed_bytes += self._length
+            self._closed_bytes += self._length
             self._length = 0
 
 
-def no_space() -> OSError:
+def limit_exceeded() -> OSError:
     """What a write over the disk's limit raises."""
     return OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
--- a/cherrycove/tier/storage/snapshots.py
+++ b/cherrycove/tier/storage/snapshots.py
@@ -49,14 +49,14 @@
     return path
 
 
-def snapshot_paths(directory: Path) -> list[Path]:
+def list_snapshots(directory: Path) -> list[Path]:
     """The snapshot files of ``directory``, the newest one last."""
     return sorted(directory.glob(f"{SNAPSHOT_PREFIX}*"))
 
 
 def remove_other_snapshots(kept: Path) -> None:
     """Remove the snapshots beside ``kept``, whose name must last already."""
-    for path in snapshot_paths(kept.parent):
+    for path in list_snapshots(kept.parent):
         if path != kept:
             path.unlink(missing_ok=True)
 
--- a/tests/tier/golden_support.py
+++ b/tests/tier/golden_support.py
@@ -219,7 +219,7 @@
 def make_identity(directory: Path, *, first_start: bool, ip: str, random_id: str) -> str:
     """The member id of a disk that is empty; ``random_id`` is what chance brings."""
     with mock.patch.object(identity_module.uuid, "uuid4", return_value=UUID(random_id)):
-        return identity_module.open_identity(directory, first_start, ip)[0]
+        return identity_module.open_identity(directory, first_start=first_start, ip=ip)[0]
 
 
 def make_replica(
--- a/tests/tier/test_replication_loopback.py
+++ b/tests/tier/test_replication_loopback.py
@@ -54,7 +54,7 @@
     changed: asyncio.Event = attrs.field(init=False)
 
     async def start(self, initial: list[MemberIdentity], snapshot_log_bytes: int = 1024 * 1024) -> None:
-        member_id, _ = open_identity(self.directory, self.first_start, self.name)
+        member_id, _ = open_identity(self.directory, first_start=self.first_start, ip=self.name)
         self.journal = Journal()
         self.server, self.client, self.changed = RpcServer(), RpcClient(), asyncio.Event()
         options = GroupOptions(
--- a/tests/tier/test_replication_storage.py
+++ b/tests/tier/test_replication_storage.py
@@ -286,18 +286,18 @@
 
 def test_identity_is_kept_and_an_emptied_disk_gets_another(tmp_path: Path) -> None:
     directory = tmp_path / "disk"
-    assert open_identity(directory, True, "10.0.0.1") == ("first-10.0.0.1", True)
-    assert open_identity(directory, False, "10.0.0.1") == ("first-10.0.0.1", False)
+    assert open_identity(directory, first_start=True, ip="10.0.0.1") == ("first-10.0.0.1", True)
+    assert open_identity(directory, first_start=False, ip="10.0.0.1") == ("first-10.0.0.1", False)
     shutil.rmtree(directory)
-    member_id, fresh = open_identity(directory, False, "10.0.0.1")
+    member_id, fresh = open_identity(directory, first_start=False, ip="10.0.0.1")
     assert fresh
     assert member_id != "first-10.0.0.1"
-    assert open_identity(directory, True, "10.0.0.1") == (member_id, False)
+    assert open_identity(directory, first_start=True, ip="10.0.0.1") == (member_id, False)
 
 
 def test_files_without_an_identity_are_not_trusted(tmp_path: Path) -> None:
     new_storage(tmp_path).close()
-    member_id, fresh = open_identity(tmp_path, True, "10.0.0.1")
+    member_id, fresh = open_identity(tmp_path, first_start=True, ip="10.0.0.1")
     assert fresh
     assert member_id != "first-10.0.0.1"
     assert [path.name for path in tmp_path.iterdir()] == ["identity"]
