--- a/bench/tier_catch_up.py
+++ b/bench/tier_catch_up.py
@@ -67,7 +67,7 @@
     client: RpcClient = attrs.field(init=False)
 
     async def start(self, initial: list[MemberIdentity], first_start: bool) -> None:
-        member_id, _ = open_identity(self.directory, first_start=first_start, ip=self.name)
+        member_id = open_identity(self.directory, first_start=first_start, ip=self.name).member_id
         identity = MemberIdentity(member_id, self.name, self.address)
         self.state, self.server, self.client = Bytes(), RpcServer(), RpcClient()
         options = GroupOptions(
--- a/cherrycove/tier/cli/storage.py
+++ b/cherrycove/tier/cli/storage.py
@@ -35,11 +35,11 @@
     with tempfile.TemporaryDirectory(prefix="cherrycove-") as scratch:
         copy = Path(scratch) / "copy"
         shutil.copytree(directory, copy)
-        member_id, created = open_identity(copy, first_start=False, ip="")
-        if created:
+        identity = open_identity(copy, first_start=False, ip="")
+        if identity.is_new:
             raise DamagedStorageError(f"{directory / IDENTITY_FILE}: not an identity")
         segments = [(name.file_name, (copy / name.file_name).stat().st_size) for name in list_segments(copy)]
-        return _recover(copy, member_id, segments)
+        return _recover(copy, identity.member_id, segments)
 
 
 def _recover(copy: Path, member_id: str, segments: list[tuple[str, int]]) -> Inspection:
--- a/cherrycove/tier/replication/disk_interface.py
+++ b/cherrycove/tier/replication/disk_interface.py
@@ -15,7 +15,8 @@
 class Storage(Protocol):
     """The durable state of one replica (``storage.replica_storage.ReplicaStorage``: in files).
 
-    Every write is durable when its method returns, and has not taken place when it raises ``OSError``.
+    Every write is durable when its method returns. One that raises ``OSError`` does not count and is to be
+    attempted again; a start before that may find it or not.
     """
 
     @property
--- a/cherrycove/tier/storage/files.py
+++ b/cherrycove/tier/storage/files.py
@@ -1,4 +1,7 @@
-"""Small helpers for files that must survive a loss of power."""
+"""Operations on files and directories that must survive a loss of power.
+
+An fsync of a file makes its contents durable, but not its name: that takes an fsync of the directory.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 
 
 def sync_directory(directory: Path) -> None:
-    """Make names that were created, renamed or removed in ``directory`` last."""
+    """Make the names that were created, renamed or removed in ``directory`` durable."""
     descriptor = os.open(directory, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -17,7 +20,7 @@
 
 
 def sync_file(path: Path) -> None:
-    """Make the contents of ``path`` last as they are read now, also what a killed process left unsynced."""
+    """Make the contents of ``path`` durable as they are read now, also what a killed process left."""
     descriptor = os.open(path, os.O_WRONLY)
     try:
         os.fsync(descriptor)
@@ -26,28 +29,36 @@
 
 
 def make_directory(directory: Path) -> None:
-    """Make ``directory`` and the folders above it that are missing, and their names last."""
+    """Create ``directory`` and its missing parents, durably.
+
+    The parent is synced also where ``directory`` exists: the process that created it may have been killed
+    before it synced the name.
+    """
     if not directory.parent.is_dir():
         make_directory(directory.parent)
     directory.mkdir(exist_ok=True)
-    sync_directory(directory.parent)  # also where it was there: the process that made it may have been killed
+    sync_directory(directory.parent)
 
 
 def write_all(descriptor: int, data: bytes | memoryview) -> None:
-    """Write every byte of ``data`` at the file's position."""
+    """Write all bytes of ``data`` at the current position of the file."""
     view = memoryview(data)
     while view:
         view = view[os.write(descriptor, view) :]
 
 
-def replace_file(path: Path, *parts: bytes) -> None:
-    """Give ``path`` new contents as a whole: after a loss of power it holds the old ones or the new ones."""
+def replace_file(path: Path, *chunks: bytes) -> None:
+    """Replace the contents of ``path`` by ``chunks``, one after the other, atomically and durably.
+
+    After a loss of power the file has the former contents or the new ones. After an ``OSError`` the former
+    ones stand, unless the sync of the directory failed: then it is not known which of them last.
+    """
     temporary = path.with_name(path.name + ".tmp")
     try:
         descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
         try:
-            for part in parts:
-                write_all(descriptor, part)
+            for chunk in chunks:
+                write_all(descriptor, chunk)
             os.fsync(descriptor)
         finally:
             os.close(descriptor)
@@ -60,7 +71,7 @@
 
 
 def remove_files(directory: Path, kept: Path) -> None:
-    """Remove every file of ``directory`` but ``kept`` for good."""
+    """Remove all files of ``directory`` but ``kept``, durably."""
     for path in directory.iterdir():
         if path.is_file() and path != kept:
             path.unlink()
