--- a/cherrycove/tier/batch/store/call_handlers.py
+++ b/cherrycove/tier/batch/store/call_handlers.py
@@ -6,39 +6,36 @@
 
 from __future__ import annotations
 
-import attrs
 from result import Err, Ok, Result
 
 from cherrycove.tier.batch.jobs.commands import accept_command, end_command, failures_command, item_result
 from cherrycove.tier.batch.jobs.model import ItemKey, StoredItem
-from cherrycove.tier.batch.jobs.state import EndOutcome, JobsState
+from cherrycove.tier.batch.jobs.state import EndOutcome
 from cherrycove.tier.batch.leasing.lease_types import LeaseCall
-from cherrycove.tier.batch.store.epoch_leases import Clocks, EpochLeases
-from cherrycove.tier.batch.store.job_capacity import JobCapacity
-from cherrycove.tier.batch.store.proposals import PROPOSE_TIMEOUT_S, ResultRecorder, SingleFlightProposals
+from cherrycove.tier.batch.store.context import StoreContext
+from cherrycove.tier.batch.store.proposals import PROPOSE_TIMEOUT_S, SingleFlightProposals
 from cherrycove.tier.batch.store.replies import lease_reply, read_reply
 from cherrycove.tier.batch.store.result_waiters import ResultWaiters
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol import batch_methods
 from cherrycove.tier.protocol import batch_pb2 as pb
 from cherrycove.tier.protocol.calls import CallRegistry
-from cherrycove.tier.replication.interface import Group
 
 MAX_READ_WAIT_S = 2.0
 
 
-@attrs.frozen(eq=False, kw_only=True)
 class BatchCallHandlers:
     """One handler for each batch call. Every failure but INVALID and NOT_FOUND may be retried."""
 
-    _group: Group
-    _state: JobsState
-    _leases: EpochLeases
-    _capacity: JobCapacity
-    _recorder: ResultRecorder
-    _waiters: ResultWaiters
-    _submissions: SingleFlightProposals
-    _clocks: Clocks
+    def __init__(self, context: StoreContext, waiters: ResultWaiters) -> None:
+        self._group = context.group
+        self._state = context.state
+        self._leases = context.leases
+        self._capacity = context.capacity
+        self._recorder = context.recorder
+        self._clocks = context.clocks
+        self._waiters = waiters
+        self._submissions = SingleFlightProposals(context.group)
 
     def register_at(self, server: CallRegistry) -> None:
         """Serve all batch calls at ``server``."""
--- a/cherrycove/tier/batch/store/maintenance.py
+++ b/cherrycove/tier/batch/store/maintenance.py
@@ -6,18 +6,13 @@
 import logging
 from collections.abc import Sequence
 
-import attrs
-
 from cherrycove.tier.batch.execution import ROUTE_REMOVED
 from cherrycove.tier.batch.jobs.commands import forget_command, item_result
 from cherrycove.tier.batch.jobs.model import ItemKey
-from cherrycove.tier.batch.jobs.state import JobsState
-from cherrycove.tier.batch.store.epoch_leases import Clocks, EpochLeases
-from cherrycove.tier.batch.store.job_capacity import JobCapacity
-from cherrycove.tier.batch.store.proposals import PROPOSE_TIMEOUT_S, ResultRecorder
+from cherrycove.tier.batch.store.context import StoreContext
+from cherrycove.tier.batch.store.proposals import PROPOSE_TIMEOUT_S
 from cherrycove.tier.batch.store.removed_routes import jobs_of_removed_routes
 from cherrycove.tier.distribution.cluster_view import ClusterView
-from cherrycove.tier.replication.interface import Group
 
 _log = logging.getLogger(__name__)
 
@@ -27,19 +22,20 @@
 MAX_GIVEN_UP = 64  # items in one run, for each reason
 
 
-@attrs.define(eq=False, kw_only=True)
 class BatchMaintenance:
     """Owns the task of the periodic work. It does nothing while this store is not the confirmed primary."""
 
-    _group: Group
-    _state: JobsState
-    _leases: EpochLeases
-    _capacity: JobCapacity
-    _recorder: ResultRecorder
-    _views: ClusterView
-    _clocks: Clocks
-    _status_s: float  # for which clients may ask for the status of a job
-    _task: asyncio.Task[None] | None = attrs.field(default=None, init=False)
+    def __init__(self, context: StoreContext, views: ClusterView, status_s: float) -> None:
+        """``status_s`` is how long clients may ask for the status of a job."""
+        self._group = context.group
+        self._state = context.state
+        self._leases = context.leases
+        self._capacity = context.capacity
+        self._recorder = context.recorder
+        self._clocks = context.clocks
+        self._views = views
+        self._status_s = status_s
+        self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Begin the periodic work."""
--- a/cherrycove/tier/batch/store/service.py
+++ b/cherrycove/tier/batch/store/service.py
@@ -8,10 +8,11 @@
 from cherrycove.tier.batch.jobs.state import JobsState
 from cherrycove.tier.batch.leasing.lease_types import LeaseTimes
 from cherrycove.tier.batch.store.call_handlers import BatchCallHandlers
+from cherrycove.tier.batch.store.context import StoreContext
 from cherrycove.tier.batch.store.epoch_leases import Clocks, EpochLeases
 from cherrycove.tier.batch.store.job_capacity import JobCapacity
 from cherrycove.tier.batch.store.maintenance import BatchMaintenance
-from cherrycove.tier.batch.store.proposals import ResultRecorder, SingleFlightProposals
+from cherrycove.tier.batch.store.proposals import ResultRecorder
 from cherrycove.tier.batch.store.result_waiters import ResultWaiters
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.protocol.calls import CallRegistry
@@ -40,34 +41,20 @@
     ) -> None:
         """Registers the batch calls at ``server``. ``clock`` and ``wall_clock`` return seconds."""
         clocks = Clocks(clock, wall_clock)
-        capacity = JobCapacity(settings.limits)
-        leases = EpochLeases(group, state, times or LeaseTimes(), clocks)
-        self._recorder = ResultRecorder(group)
-        self._waiters = ResultWaiters()
-        self._submissions = SingleFlightProposals(group)
-        state.observe(self._waiters)
-        group.on_change(self._waiters.wake_all)
-        self._handlers = BatchCallHandlers(
+        context = StoreContext(
             group=group,
             state=state,
-            leases=leases,
-            capacity=capacity,
-            recorder=self._recorder,
-            waiters=self._waiters,
-            submissions=self._submissions,
+            leases=EpochLeases(group, state, times or LeaseTimes(), clocks),
+            capacity=JobCapacity(settings.limits),
+            recorder=ResultRecorder(group),
             clocks=clocks,
         )
+        waiters = ResultWaiters()
+        state.observe(waiters)
+        group.on_change(waiters.wake_all)
+        self._handlers = BatchCallHandlers(context, waiters)
         self._handlers.register_at(server)
-        self._maintenance = BatchMaintenance(
-            group=group,
-            state=state,
-            leases=leases,
-            capacity=capacity,
-            recorder=self._recorder,
-            views=views or ClusterView(),
-            clocks=clocks,
-            status_s=settings.bounds.status_s,
-        )
+        self._maintenance = BatchMaintenance(context, views or ClusterView(), settings.bounds.status_s)
 
     async def start(self) -> None:
         """Begin the periodic work."""
--- a/cherrycove/tier/batch/worker/batch_worker.py
+++ b/cherrycove/tier/batch/worker/batch_worker.py
@@ -7,6 +7,7 @@
 import time
 from collections.abc import Callable
 
+import attrs
 from result import Err
 
 from cherrycove.tier.batch.client.batch_client import BatchClient
@@ -18,18 +19,36 @@
 from cherrycove.tier.batch.worker.reports import ReportSender
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.protocol import batch_pb2 as pb
-from cherrycove.tier.settings import Settings
+from cherrycove.tier.settings import Bounds, Settings
 
 _log = logging.getLogger(__name__)
 
 IDLE_INTERVAL_S = 2 * RENEWAL_INTERVAL_S
 MIN_INTERVAL_S = 0.1  # between two lease requests, however many items finish
 LEASE_BUDGET_S = 0.9
-SEND_FRACTION_OF_CANCEL = 0.5  # of cancelMs: nothing is sent on a lease older than this
+SEND_FRACTION_OF_CANCEL = 0.5
 MAX_CAPACITY = 256  # items asked for at once
 MAX_UNREPORTED_BYTES = 16 * 1024 * 1024  # texts that wait for the stores; above it no more items are leased
-STOP_FRACTION_OF_GRACE = 0.5  # of gracePeriodS: for which running items may finish
-REPORT_FRACTION_OF_GRACE = 0.25  # and for which then the items that were given back may be reported
+STOP_FRACTION_OF_GRACE = 0.5
+REPORT_FRACTION_OF_GRACE = 0.25
+
+
+@attrs.frozen
+class WorkerTimes:
+    """Durations of a worker, in seconds, which follow from the bounds of the deployment."""
+
+    max_lease_age_s: float  # nothing is sent to a broker on a lease that was renewed longer ago
+    stop_s: float  # for which running items may finish at a graceful shutdown
+    report_s: float  # for which then the items that were given back may be reported
+
+    @classmethod
+    def of(cls, bounds: Bounds) -> WorkerTimes:
+        """Fractions of cancelMs and of the grace period."""
+        return cls(
+            max_lease_age_s=bounds.cancel_ms * SEND_FRACTION_OF_CANCEL / 1000.0,
+            stop_s=bounds.grace_period_s * STOP_FRACTION_OF_GRACE,
+            report_s=bounds.grace_period_s * REPORT_FRACTION_OF_GRACE,
+        )
 
 
 class BatchWorker:
@@ -50,27 +69,29 @@
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         """``incarnation`` is that of the process; ``clock`` returns monotonic seconds."""
-        bounds = settings.bounds
         self._proxy = settings.node_name
         self._client = client
         self._executor = executor
         self._views = views
         self._incarnation = incarnation
         self._clock = clock
-        self._stop_time_s = bounds.grace_period_s * STOP_FRACTION_OF_GRACE
-        self._report_time_s = bounds.grace_period_s * REPORT_FRACTION_OF_GRACE
+        self._times = WorkerTimes.of(settings.bounds)
         self._lease = LeaseStatus()
         self._sequence = 0
         self._stopping = False
         self._wake = asyncio.Event()
         self._loop_task: asyncio.Task[None] | None = None
-        self._runs = ItemRuns(
-            executor,
-            ReportSender(client, self._proxy, incarnation, lambda: self._lease.epoch),
+        self._runs = self._create_runs()
+
+    def _create_runs(self) -> ItemRuns:
+        reports = ReportSender(self._client, self._proxy, self._incarnation, lambda: self._lease.epoch)
+        return ItemRuns(
+            self._executor,
+            reports,
             self._lease,
-            views,
-            clock=clock,
-            max_lease_age_s=bounds.cancel_ms * SEND_FRACTION_OF_CANCEL / 1000.0,
+            self._views,
+            clock=self._clock,
+            max_lease_age_s=self._times.max_lease_age_s,
             on_finished=self._wake.set,
         )
 
@@ -87,9 +108,9 @@
         """Lease nothing more, let items finish for a part of the grace period, and give the rest back."""
         self._stopping = True
         self._wake.set()
-        await self._runs.wait(self._stop_time_s)
+        await self._runs.wait(self._times.stop_s)
         self._runs.cancel_executions()
-        await self._runs.wait(self._report_time_s)
+        await self._runs.wait(self._times.report_s)
         tasks = self._runs.tasks()
         if self._loop_task is not None:
             tasks.append(self._loop_task)
--- a/tests/tier/test_batch_http.py
+++ b/tests/tier/test_batch_http.py
@@ -139,7 +139,7 @@
 def test_held_read_answers_as_soon_as_a_result_exists() -> None:
     async def scene(tier: Tier, frontend: Frontend) -> None:
         await frontend.exchange("POST", "/jobs/1", submission("a"), Request_Id="j1")
-        signals = tier.nodes[0].store._waiters
+        signals = tier.nodes[0].store._handlers._waiters
         waiting = asyncio.Event()
         original = signals.wait
 
@@ -159,7 +159,7 @@
 def test_held_read_is_not_answered_by_a_store_that_lost_its_lead() -> None:
     async def scene(tier: Tier, frontend: Frontend) -> None:
         await frontend.exchange("POST", "/jobs/1", submission("a"), Request_Id="j1")
-        signals = tier.nodes[0].store._waiters
+        signals = tier.nodes[0].store._handlers._waiters
         original = signals.wait
 
         async def deposed(job_id: str, timeout_s: float) -> None:
@@ -256,15 +256,15 @@
         group = tier.nodes[0].group
         group.gate = asyncio.Event()
         submit = asyncio.create_task(frontend.exchange("POST", "/jobs/1", submission("a"), Request_Id="j1"))
-        store, asked_again = tier.nodes[0].store, asyncio.Event()
-        propose = store._submissions.propose
+        submissions, asked_again = tier.nodes[0].store._handlers._submissions, asyncio.Event()
+        propose = submissions.propose
 
         async def observed(key: str, command: Callable[[], bytes]) -> object:
             if group.proposals:
                 asked_again.set()
             return await propose(key, command)
 
-        store._submissions.propose = observed  # type: ignore[method-assign, assignment]
+        submissions.propose = observed  # type: ignore[method-assign, assignment]
         await asked_again.wait()  # the first try took too long for the proxy
         group.gate.set()
         assert await submit == "POST /jobs/1 -> 202 {}"
--- a/tests/tier/test_batch_worker.py
+++ b/tests/tier/test_batch_worker.py
@@ -290,7 +290,7 @@
         keys = [await executor.next_started() for _ in names]
         group = tier.nodes[0].group
         group.gate = asyncio.Event()
-        recorder = tier.nodes[0].store._recorder
+        recorder = tier.nodes[0].store._handlers._recorder
         all_came = asyncio.Event()
         record = recorder.record
         came: list[object] = []
