--- a/cherrycove/tier/replication/interface.py
+++ b/cherrycove/tier/replication/interface.py
@@ -56,7 +56,7 @@
 
     @property
     def identity(self) -> MemberIdentity:
-        """This replica."""
+        """Identity of this replica."""
 
     @property
     def epoch(self) -> int:
