--- a/tests/make_golden_broker.py
+++ b/tests/make_golden_broker.py
@@ -728,7 +728,16 @@
 
     BEGIN_S, TICK_S = 100.0, 0.002
 
-    def __init__(self, seed: int, changes: dict[str, Plain], started: float | None) -> None:
+    def __init__(
+        self,
+        seed: int,
+        changes: dict[str, Plain],
+        started: float | None,
+        slowness: float = 1.0,
+        faults: bool = False,
+        tail: float = 0.0,
+    ) -> None:
+        self._slowness, self._faults, self._tail = slowness, faults, tail
         fields = dict(zip(golden.TYPES["settings"][1].split(), SETTINGS["settings"], strict=True))
         self._settings = {"settings": list((fields | changes).values())}
         self._dice, self._decider = random.Random(seed), golden.Decider(self._settings, seed)
@@ -760,10 +769,16 @@
         lost = begin + 0.6 * (when - begin)
         self._listed(lost, "changes", ("d0", 0, None, "gone"), ("d1", 1, self._started, "draining"))
         self._listed(lost + 0.5, "changes", ("d1", 1, self._started, "up"), ("d2", 0, round(lost, 3), "up"))
+        if self._faults:
+            for number in range(1, 24):
+                start = round(begin + 0.2 * number, 3)
+                self._listed(start, "changes", ("d1", 1, start, "up"))
         last = 0.0
         while self._due and last < when + 2.0:
             self._due.sort()
             last = max(self._due[0][0], round(last + self.TICK_S, 6))
+            if self._faults and dice.random() < 0.02:
+                last = round(last + 0.05, 6)  # the host stood still
             events = [event for at, _, event in self._due if at <= last]
             self._due = [each for each in self._due if each[0] > last]
             self._call(last, events)
@@ -785,9 +800,17 @@
 
     def _answer(self, now: float, request: int, node: str) -> None:
         self._out[node] += 1
-        took = round(0.01 + 0.01 * self._out[node] * self._dice.uniform(0.5, 2.0), 6)
+        dice = self._dice
+        took = round(0.01 + self._slowness * 0.01 * self._out[node] * dice.uniform(0.5, 2.0), 6)
+        if self._tail and dice.random() < self._tail:
+            took = round(dice.uniform(0.15, 0.45), 6)  # a few answers are far slower than the others
         attempt, self._attempts[request] = self._attempts[request], self._attempts[request] + 1
-        fields = [request, attempt, node, "=outcome.served", True, took, None, 0.0, {"=map": []}]
+        outcome = "served"
+        if self._faults:
+            outcome = dice.choices(("served", "error", "timeout", "reset", "moot"), (76, 6, 8, 3, 7))[0]
+            took = 0.8 if outcome == "timeout" else took
+        answer = [f"=outcome.{outcome}", outcome == "served", took]
+        fields = [request, attempt, node, *answer, None, 0.0, {"=map": []}]
         self._at(now + took, {"attempt_ended": fields})
 
 
@@ -799,6 +822,13 @@
     "decisions-steady-crowded.txt.xz": lambda: Steady(
         3, {"schedulers": 40, "fall_window": 0.5, "warm_after": 5.0}, 99.5
     ).play(300, 0.01),
+    "decisions-steady-overload.txt.xz": lambda: Steady(
+        5, {"schedulers": 1, "max_attempts": 5}, None, slowness=8.0
+    ).play(500, 0.01),
+    "decisions-steady-tail.txt.xz": lambda: Steady(8, {}, None, slowness=0.1, tail=0.07).play(700, 0.007),
+    "decisions-steady-faults.txt.xz": lambda: Steady(
+        6, {"extra_spare": None, "cold_units": 200.0}, None, faults=True
+    ).play(400, 0.012),
 }
 
 
