--- a/cherrycove/tier/dataplane/client_exchange.py
+++ b/cherrycove/tier/dataplane/client_exchange.py
@@ -4,6 +4,7 @@
 
 import asyncio
 from collections.abc import Callable
+from http import HTTPStatus
 
 import attrs
 from aiohttp import web
@@ -11,13 +12,13 @@
 from cherrycove.tier.configuration import Route
 from cherrycove.tier.dataplane.admission import AdmissionRequest, AttemptOutcome, Reject
 from cherrycove.tier.dataplane.admission_controller import AdmissionController, Permit
+from cherrycove.tier.dataplane.attempt_outcomes import not_executed_outcome
 from cherrycove.tier.dataplane.draining import DrainDeadline
 from cherrycove.tier.dataplane.headers import EVENT_STREAM, EXPECT_VERSION, LAST_EVENT_ID, parse_unsigned
 from cherrycove.tier.dataplane.responses import buffered_response, proxy_response
 from cherrycove.tier.dataplane.stream_relay import StreamRelay
 from cherrycove.tier.dataplane.upstream import (
     NotExecuted,
-    NotExecutedReason,
     PossiblyExecuted,
     UpstreamClient,
     UpstreamRequest,
@@ -27,16 +28,6 @@
 MAX_ATTEMPTS_STARTED = 24  # of one request, also those that brokers rejected
 DEFAULT_RETRY_AFTER_S = 0.3
 RESUME_BACKOFF_S = 0.1  # before a stream that has begun asks for a broker again
-INTERNAL_SERVER_ERROR = 500
-BAD_GATEWAY = 502
-SERVICE_UNAVAILABLE = 503
-GATEWAY_TIMEOUT = 504
-
-NOT_EXECUTED_OUTCOMES = {
-    NotExecutedReason.UNREACHABLE: AttemptOutcome.UNREACHABLE,
-    NotExecutedReason.REJECTED: AttemptOutcome.REJECTED,
-    NotExecutedReason.OTHER_INSTANCE: AttemptOutcome.MISDIRECTED,
-}
 
 
 @attrs.frozen
@@ -85,21 +76,21 @@
             async with self.drain.limit(self.admission_request.deadline):
                 return await self._attempt_until_final()
         except TimeoutError:
-            return self._failure_response(GATEWAY_TIMEOUT)
+            return self._failure_response(HTTPStatus.GATEWAY_TIMEOUT)
 
     async def _attempt_until_final(self) -> web.StreamResponse:
         while True:
             permit = await self.admission.acquire(self.admission_request)
             if isinstance(permit, Reject):
                 if not self._relay.has_begun:
-                    return self._failure_response(BAD_GATEWAY, permit.retry_after_s)
+                    return self._failure_response(HTTPStatus.BAD_GATEWAY, permit.retry_after_s)
                 await asyncio.sleep(RESUME_BACKOFF_S)  # its client has a part, and time is left for the rest
                 continue
             response = await self._attempt(permit)
             if response is not None:
                 return response
             if not self._may_retry():
-                return self._failure_response(BAD_GATEWAY)
+                return self._failure_response(HTTPStatus.BAD_GATEWAY)
 
     def _may_retry(self) -> bool:
         if self.admission_request.attempts >= MAX_ATTEMPTS_STARTED:
@@ -134,7 +125,8 @@
         result = await self.upstream.send(permit.broker, self._next_request(), remaining_s)
         if isinstance(result, NotExecuted):
             self._is_undecided = False
-            return _AttemptResult(None, self._not_executed_outcome(result.reason))
+            expects_version = EXPECT_VERSION in self.upstream_request.headers
+            return _AttemptResult(None, not_executed_outcome(result.reason, expects_version=expects_version))
         self._count_execution()
         if isinstance(result, PossiblyExecuted):
             return _AttemptResult(None, AttemptOutcome.INCOMPLETE)
@@ -143,12 +135,6 @@
         finally:
             result.response.close()
 
-    def _not_executed_outcome(self, reason: NotExecutedReason) -> AttemptOutcome:
-        """With ``Expect-Version``, 421 also means that the broker's weights have another version."""
-        if reason is NotExecutedReason.OTHER_INSTANCE and EXPECT_VERSION in self.upstream_request.headers:
-            return AttemptOutcome.VERSION_MISMATCH
-        return NOT_EXECUTED_OUTCOMES[reason]
-
     def _count_execution(self) -> None:
         if self._is_undecided:
             self._is_undecided = False
@@ -169,12 +155,14 @@
             return await self._relay.feed(upstream, permit.body_received)
         body = await upstream.read()
         permit.body_received()
-        if self._relay.has_begun or (upstream.status == INTERNAL_SERVER_ERROR and self._may_retry()):
+        if self._relay.has_begun or (
+            upstream.status == HTTPStatus.INTERNAL_SERVER_ERROR and self._may_retry()
+        ):
             return None
         return buffered_response(upstream, body, close=self.closes_connection())
 
     def _failure_response(
-        self, status: int, retry_after_s: float = DEFAULT_RETRY_AFTER_S
+        self, status: HTTPStatus, retry_after_s: float = DEFAULT_RETRY_AFTER_S
     ) -> web.StreamResponse:
         """The final response where no broker gave one: ``status`` if the request may have run, else 503."""
         if self._relay.has_begun:
@@ -184,5 +172,9 @@
         if self._executions or self._is_undecided:
             return proxy_response(status, "no whole answer came", request_id, close=close)
         return proxy_response(
-            SERVICE_UNAVAILABLE, "no broker has room", request_id, close=close, retry_after_s=retry_after_s
+            HTTPStatus.SERVICE_UNAVAILABLE,
+            "no broker has room",
+            request_id,
+            close=close,
+            retry_after_s=retry_after_s,
         )
--- a/cherrycove/tier/dataplane/client_request.py
+++ b/cherrycove/tier/dataplane/client_request.py
@@ -3,23 +3,20 @@
 from __future__ import annotations
 
 import asyncio
+from http import HTTPStatus
 
 import aiohttp
 from aiohttp import web
 
 from cherrycove.tier.configuration import ClientLimits
 
-BAD_REQUEST = 400
-REQUEST_TIMEOUT = 408
-CONTENT_TOO_LARGE = 413
-REQUEST_HEADER_FIELDS_TOO_LARGE = 431  # RFC 6585, 5
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class ClientRequestError(Exception):
     """A request that could not be read; the fault is the client's, and its connection must be closed."""
 
-    def __init__(self, status: int, reason: str) -> None:
+    def __init__(self, status: HTTPStatus, reason: str) -> None:
         super().__init__(reason)
         self.status = status
         self.reason = reason
@@ -28,16 +25,16 @@
 async def read_request_body(request: web.BaseRequest, limits: ClientLimits) -> bytes:
     """The complete body of a request, empty if it has none. Raises ``ClientRequestError``."""
     if _head_bytes(request) > limits.max_header_bytes:
-        raise ClientRequestError(REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too long")
+        raise ClientRequestError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too long")
     try:
         async with asyncio.timeout(limits.idle_timeout_ms / 1000):
             return await _read_body(request)
     except web.HTTPRequestEntityTooLarge as error:
-        raise ClientRequestError(CONTENT_TOO_LARGE, "the body is too long") from error
+        raise ClientRequestError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too long") from error
     except TimeoutError as error:
-        raise ClientRequestError(REQUEST_TIMEOUT, "the body did not come in time") from error
+        raise ClientRequestError(HTTPStatus.REQUEST_TIMEOUT, "the body did not come in time") from error
     except (web.RequestPayloadError, aiohttp.ClientPayloadError, ValueError) as error:
-        raise ClientRequestError(BAD_REQUEST, "the body cannot be read") from error
+        raise ClientRequestError(HTTPStatus.BAD_REQUEST, "the body cannot be read") from error
 
 
 def _head_bytes(request: web.BaseRequest) -> int:
--- a/cherrycove/tier/dataplane/ingress.py
+++ b/cherrycove/tier/dataplane/ingress.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+from http import HTTPStatus
 from typing import Protocol
 
 from aiohttp import web
@@ -30,9 +31,6 @@
 UNCONFIGURED_RETRY_AFTER_S = 0.5
 DRAINING_RETRY_AFTER_S = 0.05  # another proxy can serve it at once
 SHUTDOWN_TIMEOUT_S = 0.3
-NOT_FOUND = 404
-SERVICE_UNAVAILABLE = 503
-GATEWAY_TIMEOUT = 504
 
 
 class BatchApi(Protocol):
@@ -119,7 +117,7 @@
         if configuration is None:
             return self._proxy_response(
                 request,
-                SERVICE_UNAVAILABLE,
+                HTTPStatus.SERVICE_UNAVAILABLE,
                 "no configuration yet",
                 retry_after_s=UNCONFIGURED_RETRY_AFTER_S,
             )
@@ -132,7 +130,7 @@
                 self.batch_api, request, body, batch_route if route is None else route
             )
         if route is None or route.route_kind == BATCH_KIND:
-            return self._proxy_response(request, NOT_FOUND, "no route")
+            return self._proxy_response(request, HTTPStatus.NOT_FOUND, "no route")
         return await self._serve_live(request, body, route, arrived_at)
 
     async def _serve_live(
@@ -159,20 +157,23 @@
             async with self._drain.limit():
                 response = await api.handle(request, body, route)
         except TimeoutError:
-            return self._proxy_response(request, GATEWAY_TIMEOUT, "this proxy is leaving")
+            return self._proxy_response(request, HTTPStatus.GATEWAY_TIMEOUT, "this proxy is leaving")
         if self._closes_connections:
             response.force_close()
         return response
 
     def _draining_response(self, request: web.BaseRequest) -> web.Response:
         return self._proxy_response(
-            request, SERVICE_UNAVAILABLE, "this proxy is leaving", retry_after_s=DRAINING_RETRY_AFTER_S
+            request,
+            HTTPStatus.SERVICE_UNAVAILABLE,
+            "this proxy is leaving",
+            retry_after_s=DRAINING_RETRY_AFTER_S,
         )
 
     def _proxy_response(
         self,
         request: web.BaseRequest,
-        status: int,
+        status: HTTPStatus,
         text: str,
         *,
         is_request_read: bool = True,
--- a/cherrycove/tier/dataplane/item_execution.py
+++ b/cherrycove/tier/dataplane/item_execution.py
@@ -4,6 +4,7 @@
 
 import asyncio
 from collections.abc import Callable
+from http import HTTPStatus
 
 import attrs
 from multidict import CIMultiDict
@@ -11,7 +12,7 @@
 from cherrycove.tier.batch.execution import ItemOutcome, ItemState, RecordFailures
 from cherrycove.tier.dataplane.admission import AdmissionRequest, AttemptOutcome, Reject
 from cherrycove.tier.dataplane.admission_controller import AdmissionController, Permit
-from cherrycove.tier.dataplane.client_exchange import INTERNAL_SERVER_ERROR, NOT_EXECUTED_OUTCOMES
+from cherrycove.tier.dataplane.attempt_outcomes import not_executed_outcome
 from cherrycove.tier.dataplane.event_stream import EventStreamParser, EventTooLongError, StreamEvent
 from cherrycove.tier.dataplane.headers import DEADLINE_MS, LAST_EVENT_ID, REQUEST_ID, end_to_end_headers
 from cherrycove.tier.dataplane.upstream import NotExecuted, PossiblyExecuted, UpstreamClient, UpstreamRequest
@@ -26,7 +27,6 @@
 MAX_BACKOFF_S = 1.0
 STALL_TIMEOUT_S = 5.0  # without a byte after which an attempt is given up
 MAX_FRUITLESS_ATTEMPTS = 20  # in a row, before the item is returned
-UNPROCESSABLE = 422  # RFC 9110, 15.5.21
 
 
 @attrs.frozen
@@ -120,7 +120,7 @@
             permit.on_stalled = lambda: stall_timeout.reschedule(0.0)
             result = await self.upstream.send(permit.broker, self._upstream_request(), None)
             if isinstance(result, NotExecuted):
-                return _AttemptResult(None, NOT_EXECUTED_OUTCOMES[result.reason])
+                return _AttemptResult(None, not_executed_outcome(result.reason, expects_version=False))
             if isinstance(result, PossiblyExecuted):
                 return _AttemptResult(None, AttemptOutcome.INCOMPLETE)
             try:
@@ -157,11 +157,11 @@
 
     def _failure_outcome(self, status: int) -> ItemOutcome | None:
         """The outcome of a response that is no success; None if the item may be attempted again."""
-        if status == UNPROCESSABLE:
+        if status == HTTPStatus.UNPROCESSABLE_ENTITY:
             return ItemOutcome(
                 ItemState.DEAD_LETTERED, reason="unprocessable", failed_attempts=self.failed_attempts
             )
-        if status == INTERNAL_SERVER_ERROR:
+        if status == HTTPStatus.INTERNAL_SERVER_ERROR:
             self.failed_attempts += 1
             if self.has_failed:
                 return self.dead_lettered()
--- a/cherrycove/tier/dataplane/readiness.py
+++ b/cherrycove/tier/dataplane/readiness.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from http import HTTPStatus
 
 from aiohttp import web
 
@@ -38,5 +39,5 @@
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         if request.path != READINESS_PATH:
-            return web.Response(status=404)
-        return web.Response(status=200 if self._is_ready() else 503)
+            return web.Response(status=HTTPStatus.NOT_FOUND)
+        return web.Response(status=HTTPStatus.OK if self._is_ready() else HTTPStatus.SERVICE_UNAVAILABLE)
--- a/cherrycove/tier/dataplane/upstream.py
+++ b/cherrycove/tier/dataplane/upstream.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from enum import Enum
+from http import HTTPStatus
 from types import SimpleNamespace
 from typing import Any
 
@@ -27,8 +28,10 @@
 
 CONNECT_TIMEOUT_S = 0.25
 POOL_TIMEOUT_S = 0.5  # for a place in the pool of a broker, and the connection itself
-MISDIRECTED = 421  # RFC 9110, 15.5.20
-NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})  # by which a broker may say that it ran nothing
+NOT_EXECUTED_STATUSES = frozenset({  # by which a broker may say that it did not run the request
+    HTTPStatus.REQUEST_TIMEOUT, HTTPStatus.MISDIRECTED_REQUEST, HTTPStatus.TOO_MANY_REQUESTS,
+    HTTPStatus.SERVICE_UNAVAILABLE,
+})  # fmt: skip
 
 
 class NotExecutedReason(Enum):
@@ -168,7 +171,7 @@
     if response.headers.get(REQUEST_ID) != request_id:
         response.close()
         return PossiblyExecuted(ResponseFault.MALFORMED)
-    if response.status == MISDIRECTED:
+    if response.status == HTTPStatus.MISDIRECTED_REQUEST:
         await upstream.discard()
         return NotExecuted(NotExecutedReason.OTHER_INSTANCE)
     if NOT_EXECUTED in response.headers and response.status in NOT_EXECUTED_STATUSES:
--- a/tests/tier/admission_model.py
+++ b/tests/tier/admission_model.py
@@ -30,8 +30,8 @@
 QUEUE = 4  # requests that a broker holds beyond its slots
 EVENT_S = 0.045  # between events of a stream
 READ_TOKENS_PER_S = 128_000
-AIM_S = 0.2
-PATIENCE_S = 6.0
+TARGET_LATENCY_S = 0.2
+CLIENT_TIMEOUT_S = 6.0
 ITEM_DUE_S = 8.0
 EVENTS = {"chat": 15, "report": 8, "lots": 30}
 
@@ -133,10 +133,10 @@
     def _try(self, work: Work) -> None:
         proxy = self._rng.randrange(self.proxies)
         work.tries, work.try_began = work.tries + 1, self.now
-        left = PATIENCE_S - (self.now - work.began)
+        left = CLIENT_TIMEOUT_S - (self.now - work.began)
         self._arrivals[proxy].add(work.kind, self.now)
         self._arrive(proxy, work, AdmissionRequest(
-            route=work.kind, service="lm", arrived_at=self.now, target_latency_s=AIM_S,
+            route=work.kind, service="lm", arrived_at=self.now, target_latency_s=TARGET_LATENCY_S,
             deadline=self.now + left, client_timeout_s=left, prompt=work.prompt,
         ))  # fmt: skip
 
@@ -190,7 +190,7 @@
             self._carry_out(proxy, self.schedulers[proxy].wake(self.now))
 
     def _refused(self, work: Work, advice: float) -> None:
-        left = PATIENCE_S - (self.now - work.began)
+        left = CLIENT_TIMEOUT_S - (self.now - work.began)
         if work.tries < 2:
             self._at(self.now + min(advice, left / 3), self._try, work)
         else:
@@ -260,7 +260,9 @@
 
 
 CONFIGURATION = parse_configuration(configuration_bytes([
-    route("chat", "/chat/", "streaming", targetLatencyMs=AIM_S * 1000, timeoutMs=PATIENCE_S * 1000),
-    route("report", "/report/", "streaming", targetLatencyMs=AIM_S * 1000, timeoutMs=PATIENCE_S * 1000),
+    route("chat", "/chat/", "streaming", targetLatencyMs=TARGET_LATENCY_S * 1000,
+          timeoutMs=CLIENT_TIMEOUT_S * 1000),
+    route("report", "/report/", "streaming", targetLatencyMs=TARGET_LATENCY_S * 1000,
+          timeoutMs=CLIENT_TIMEOUT_S * 1000),
     route("lots", "/lots/", "batch", timeoutMs=60000, completionTargetMs=8000, retentionS=60),
 ])).unwrap()  # fmt: skip
--- a/tests/tier/test_admission.py
+++ b/tests/tier/test_admission.py
@@ -23,12 +23,12 @@
 from cherrycove.tier.dataplane.prompt import NO_PROMPT, Prompt, PromptSegment
 from cherrycove.tier.distribution.cluster_view import Broker
 
-AIM_S = 0.3
-PATIENCE_S = 3.0
+TARGET_LATENCY_S = 0.3
+CLIENT_TIMEOUT_S = 3.0
 ROUTES = [
-    route("chat", "/chat/", "streaming", resumable=True, targetLatencyMs=AIM_S * 1000),
-    route("report", "/report/", "streaming", targetLatencyMs=AIM_S * 1000),
-    route("later", "/later/", "streaming", targetLatencyMs=AIM_S * 1000, priority=1),
+    route("chat", "/chat/", "streaming", resumable=True, targetLatencyMs=TARGET_LATENCY_S * 1000),
+    route("report", "/report/", "streaming", targetLatencyMs=TARGET_LATENCY_S * 1000),
+    route("later", "/later/", "streaming", targetLatencyMs=TARGET_LATENCY_S * 1000, priority=1),
     route("lots", "/lots/", "batch", timeoutMs=60000, completionTargetMs=8000, retentionS=60),
 ]
 
@@ -67,9 +67,9 @@
 
     def arrive(self, route: str = "chat", **fields: Any) -> AdmissionRequest:
         prompt = fields.pop("prompt", NO_PROMPT)
-        client_timeout_s = fields.pop("client_timeout_s", PATIENCE_S)
+        client_timeout_s = fields.pop("client_timeout_s", CLIENT_TIMEOUT_S)
         request = AdmissionRequest(
-            route=route, service="lm", arrived_at=self.now, target_latency_s=AIM_S,
+            route=route, service="lm", arrived_at=self.now, target_latency_s=TARGET_LATENCY_S,
             deadline=self.now + client_timeout_s, client_timeout_s=client_timeout_s, prompt=prompt, **fields,
         )  # fmt: skip
         self._take(self.scheduler.request_arrived(self.now, request))
@@ -139,7 +139,7 @@
     proxy = Proxy([broker("a")])
     requests = [proxy.arrive() for _ in range(6)]
     assert [request in proxy.sent for request in requests] == [True] * 4 + [False] * 2
-    proxy.wait(AIM_S + 0.05)
+    proxy.wait(TARGET_LATENCY_S + 0.05)
     assert all(request in proxy.sent for request in requests)
 
 
@@ -166,7 +166,7 @@
     proxy.arrive("chat")  # from now on the patience of this kind is known
     late = proxy.arrive("report", client_timeout_s=2.0)
     proxy.now += 0.01
-    returned = proxy.arrive("chat", client_timeout_s=PATIENCE_S - 1.0)  # its first try was 1 s ago
+    returned = proxy.arrive("chat", client_timeout_s=CLIENT_TIMEOUT_S - 1.0)  # its first try was 1 s ago
     assert late not in proxy.sent and returned not in proxy.sent
     proxy.end(out[0])
     assert returned in proxy.sent and late not in proxy.sent
@@ -233,7 +233,7 @@
     node.threshold = 32.0
     for _ in range(3):  # streams that last longer than a window, their first events in half the aim
         requests = [proxy.arrive() for _ in range(5)]
-        proxy.wait(AIM_S / 2)
+        proxy.wait(TARGET_LATENCY_S / 2)
         proxy.heard(*requests)
         proxy.wait(1.0, streaming=True)
     assert not node.overload
@@ -246,14 +246,14 @@
     requests = [proxy.arrive() for _ in range(4)]
     assert all(request in proxy.refused for request in requests[1:])
     for request in requests[1:]:
-        assert 0.1 <= proxy.refused[request] <= PATIENCE_S / 3
+        assert 0.1 <= proxy.refused[request] <= CLIENT_TIMEOUT_S / 3
 
 
 def test_a_returned_request_is_held_as_long_as_it_can_be_served() -> None:
     proxy = Proxy([broker("a")])
     out = full(proxy)
     proxy.scheduler.state.latency("lm").slot_hold_s = 2.0
-    returned = proxy.arrive(client_timeout_s=PATIENCE_S / 2)
+    returned = proxy.arrive(client_timeout_s=CLIENT_TIMEOUT_S / 2)
     proxy.wait(0.6, streaming=True)
     assert returned not in proxy.refused
     proxy.end(out[0])
@@ -264,14 +264,14 @@
     proxy = Proxy([broker("a")])
     full(proxy)
     request = proxy.arrive()
-    proxy.wait(PATIENCE_S / 2, streaming=True)
+    proxy.wait(CLIENT_TIMEOUT_S / 2, streaming=True)
     assert request in proxy.refused
 
 
 def test_without_a_broker_that_answers_requests_are_refused_soon() -> None:
     proxy = Proxy([])
     request = proxy.arrive()
-    proxy.wait(AIM_S / 4)
+    proxy.wait(TARGET_LATENCY_S / 4)
     assert request in proxy.refused
 
 
--- a/tests/tier/test_admission_model.py
+++ b/tests/tier/test_admission_model.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from admission_model import AIM_S, ITEM_DUE_S, Fleet, Work
+from admission_model import ITEM_DUE_S, TARGET_LATENCY_S, Fleet, Work
 
 END_S = 10.0
 SETTLED_S = 25.0
 
 
 def in_time(work: Work) -> bool:
-    return work.first_s is not None and work.try_began + work.first_s - work.began <= AIM_S
+    return work.first_s is not None and work.try_began + work.first_s - work.began <= TARGET_LATENCY_S
 
 
 def calm(seed: int = 1) -> Fleet:
