--- a/tests/tier/test_control_simulation.py
+++ b/tests/tier/test_control_simulation.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import logging
+from collections.abc import Iterator
 from random import Random
 
 import pytest
@@ -103,6 +104,18 @@
 
         self.loop.spawn(self.caller, once())
 
+    def end(self) -> None:
+        """End both processes, and with them what has not begun to run there."""
+        for life in (self.caller, self.server):
+            self.loop.end(life)
+
+
+@pytest.fixture
+def pair() -> Iterator[Pair]:
+    connected = Pair()
+    yield connected
+    connected.end()
+
 
 @pytest.mark.parametrize(
     ("trouble", "answer", "served"),
@@ -116,8 +129,7 @@
         ("replies cut on an open connection", ErrorKind.UNCERTAIN.value, 2),
     ],
 )
-def test_calls_in_trouble(trouble: str, answer: str, served: int) -> None:
-    pair = Pair()
+def test_calls_in_trouble(pair: Pair, trouble: str, answer: str, served: int) -> None:
     forth, back = ("10.0.0.1", "10.0.0.2"), ("10.0.0.2", "10.0.0.1")
     if trouble == "dead":
         pair.loop.end(pair.server)
@@ -136,8 +148,7 @@
     assert (pair.answers[-1], pair.served) == (answer, served)
 
 
-def test_a_request_held_up_by_a_cut_may_come_through_after_it() -> None:
-    pair = Pair()
+def test_a_request_held_up_by_a_cut_may_come_through_after_it(pair: Pair) -> None:
     link = {("10.0.0.1", "10.0.0.2")}
     pair.call()
     pair.loop.run_until(0.5)
