--- a/bench/tier_proxies.py
+++ b/bench/tier_proxies.py
@@ -22,7 +22,7 @@
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.distribution.puller import Puller
 from cherrycove.tier.errors import Failure
-from cherrycove.tier.protocol.calls import Caller, ReplyT, RequestT, RpcMethod
+from cherrycove.tier.protocol.calls import Caller, OutgoingCall, ReplyT, RequestT
 from cherrycove.tier.protocol.control_pb2 import Announcement
 from cherrycove.tier.protocol.rpc import RpcClient
 from cherrycove.tier.settings import parse_settings
@@ -43,24 +43,17 @@
     received: int = 0
 
 
-class CountingCaller:
-    """Implements ``Caller``; counts what another one carries."""
+class CountingCaller(Caller):
+    """Counts what another caller sends and receives."""
 
     def __init__(self, caller: Caller, traffic: Traffic) -> None:
         self._caller = caller
         self._traffic = traffic
 
-    async def call(
-        self,
-        address: str,
-        method: RpcMethod[RequestT, ReplyT],
-        request: RequestT,
-        timeout_s: float,
-        receiver: str = "",
-    ) -> Result[ReplyT, Failure]:
+    async def send(self, call: OutgoingCall[RequestT, ReplyT]) -> Result[ReplyT, Failure]:
         self._traffic.calls += 1
-        self._traffic.sent += request.ByteSize()
-        outcome = await self._caller.call(address, method, request, timeout_s, receiver)
+        self._traffic.sent += call.request.ByteSize()
+        outcome = await self._caller.send(call)
         if isinstance(outcome, Ok):
             self._traffic.received += outcome.ok_value.ByteSize()
         return outcome
--- a/cherrycove/tier/protocol/_rpc_client.py
+++ b/cherrycove/tier/protocol/_rpc_client.py
@@ -22,7 +22,7 @@
     RECEIVER_HEADER,
     parse_failure,
 )
-from cherrycove.tier.protocol.calls import ReplyT, RequestT, RpcMethod
+from cherrycove.tier.protocol.calls import Caller, OutgoingCall, ReplyT, RequestT
 from cherrycove.tier.protocol.errors import StrayReplyError
 from cherrycove.tier.protocol.sessions import NoRetryConnection, NoRetryConnector, client_session
 
@@ -68,8 +68,8 @@
         return await super().send(conn)
 
 
-class RpcClient:
-    """Makes internal calls over pooled connections; implements ``Caller``."""
+class RpcClient(Caller):
+    """Makes internal calls over pooled connections."""
 
     def __init__(self) -> None:
         self._session: aiohttp.ClientSession | None = None
@@ -87,29 +87,22 @@
             await self._session.close()
             self._session = None
 
-    async def call(
-        self,
-        address: str,
-        method: RpcMethod[RequestT, ReplyT],
-        request: RequestT,
-        timeout_s: float,
-        receiver: str = "",
-    ) -> Result[ReplyT, Failure]:
-        """One call to ``address`` (host:port), as ``Caller.call`` describes."""
+    async def send(self, call: OutgoingCall[RequestT, ReplyT]) -> Result[ReplyT, Failure]:
+        """Send a call over a connection of the pool, or over a new one."""
         if self._session is None:
             return Err(Failure(ErrorKind.UNREACHABLE, "client is not started"))
-        target = f"{address} {method.name}"
+        target = f"{call.address} {call.method.name}"
         try:
             async with self._session.post(
-                f"http://{address}{PATH_PREFIX}{method.name}",
-                data=request.SerializeToString(),
-                headers=self._identity_headers(receiver),
-                timeout=_timeout(timeout_s),
+                f"http://{call.address}{PATH_PREFIX}{call.method.name}",
+                data=call.request.SerializeToString(),
+                headers=self._identity_headers(call.receiver),
+                timeout=_timeout(call.timeout_s),
                 allow_redirects=False,
             ) as response:
                 body = await response.read()
                 if response.status == 200:
-                    return Ok(method.reply_type.FromString(body))
+                    return Ok(call.method.reply_type.FromString(body))
                 return Err(parse_failure(response.headers, body))
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             return Err(Failure(ErrorKind.UNREACHABLE, f"{target}: {error}"))
--- a/cherrycove/tier/protocol/calls.py
+++ b/cherrycove/tier/protocol/calls.py
@@ -1,12 +1,13 @@
 """Internal calls between processes of the tier: what a call is, how it is made and how it is served.
 
-The planes depend on the protocols ``Caller`` and ``CallRegistry`` and not on a transport. ``rpc`` has the
-transport over HTTP; a simulated network can stand in for it. The calls themselves are listed in the
+The planes depend on ``Caller`` and ``CallRegistry`` and not on a transport. ``rpc`` has the transport over
+HTTP; a simulated network can stand in for it. The calls themselves are listed in the
 ``*_methods`` modules, one for each ``.proto`` file.
 """
 
 from __future__ import annotations
 
+from abc import ABC, abstractmethod
 from collections.abc import Awaitable, Callable
 from typing import Any, Generic, Protocol, TypeVar
 
@@ -31,8 +32,19 @@
     reply_type: type[ReplyT]
 
 
-class Caller(Protocol):
-    """Makes internal calls."""
+@attrs.frozen
+class OutgoingCall(Generic[RequestT, ReplyT]):
+    """One call to be sent; see ``Caller.call``."""
+
+    address: str
+    method: RpcMethod[RequestT, ReplyT]
+    request: RequestT
+    timeout_s: float
+    receiver: str = ""
+
+
+class Caller(ABC):
+    """Makes internal calls. A transport implements ``send``."""
 
     async def call(
         self,
@@ -48,6 +60,11 @@
         as MISDIRECTED without running it. Empty: it is meant for whoever is there. A failure for which
         ``is_certain`` is false may have run.
         """
+        return await self.send(OutgoingCall(address, method, request, timeout_s, receiver))
+
+    @abstractmethod
+    async def send(self, call: OutgoingCall[RequestT, ReplyT]) -> Result[ReplyT, Failure]:
+        """Send ``call`` once and await its outcome, as ``call`` describes."""
 
 
 class CallRegistry(Protocol):
--- a/cherrycove/tier/simulation/control/network.py
+++ b/cherrycove/tier/simulation/control/network.py
@@ -15,7 +15,7 @@
 from result import Err, Ok, Result
 
 from cherrycove.tier.errors import ErrorKind, Failure
-from cherrycove.tier.protocol.calls import HandlerTable, ReplyT, RequestT, RpcMethod
+from cherrycove.tier.protocol.calls import Caller, HandlerTable, OutgoingCall, ReplyT, RequestT
 from cherrycove.tier.simulation.control.loop import Life, VirtualLoop
 
 CONNECT_TIMEOUT_S = 0.5
@@ -192,8 +192,8 @@
         self._finish(Err(Failure(ErrorKind.UNCERTAIN, f"{self._address}: connection reset")))
 
 
-class Client:
-    """The internal calls of one process; implements ``Caller``."""
+class Client(Caller):
+    """The internal calls of one process."""
 
     def __init__(self, network: Network, host: str, life: Life) -> None:
         self._network = network
@@ -201,30 +201,23 @@
         self._life = life
         self._earlier: dict[str, bytes] = {}  # an earlier reply from each address, which may come again
 
-    async def call(
-        self,
-        address: str,
-        method: RpcMethod[RequestT, ReplyT],
-        request: RequestT,
-        timeout_s: float,
-        receiver: str = "",
-    ) -> Result[ReplyT, Failure]:
-        body = request.SerializeToString()
+    async def send(self, call: OutgoingCall[RequestT, ReplyT]) -> Result[ReplyT, Failure]:
+        body = call.request.SerializeToString()
 
         async def serve(endpoint: Endpoint) -> Result[bytes, Failure]:
-            return await _serve(endpoint, method.name, body, receiver)
+            return await _serve(endpoint, call.method.name, body, call.receiver)
 
-        outcome = await self._network.exchange(self._host, self._life, address, serve, timeout_s)
+        outcome = await self._network.exchange(self._host, self._life, call.address, serve, call.timeout_s)
         if isinstance(outcome, Err):
             return outcome
         answer: Result[bytes, Failure] = outcome.ok_value
         if isinstance(answer, Err):
             return answer
-        stray = self._earlier.get(address)
+        stray = self._earlier.get(call.address)
         if stray is not None and self._network.is_stray():
-            return self.take_stray(stray, method.reply_type)
-        self._earlier[address] = answer.ok_value
-        return Ok(method.reply_type.FromString(answer.ok_value))
+            return self.take_stray(stray, call.method.reply_type)
+        self._earlier[call.address] = answer.ok_value
+        return Ok(call.method.reply_type.FromString(answer.ok_value))
 
     def take_stray(self, body: bytes, reply_type: type[ReplyT]) -> Result[ReplyT, Failure]:
         """A reply to another call is dropped with its connection, as ``protocol.rpc`` does by its number."""
--- a/tests/tier/golden_stories.py
+++ b/tests/tier/golden_stories.py
@@ -38,7 +38,7 @@
 from cherrycove.tier.membership.parameters import SwimParameters
 from cherrycove.tier.membership.service import MembershipService
 from cherrycove.tier.programs.replica import replica_announcement
-from cherrycove.tier.protocol.calls import RpcMethod
+from cherrycove.tier.protocol.calls import Caller, OutgoingCall, RpcMethod
 from cherrycove.tier.protocol.control_methods import PULL
 from cherrycove.tier.protocol.replication_methods import replicate
 from cherrycove.tier.replication.effects import WriteEntries, WriteHardState
@@ -294,7 +294,7 @@
         """Nothing changes."""
 
 
-class Wire:
+class Wire(Caller):
     """Takes handlers and passes calls on to them, as ``RpcServer`` and ``RpcClient`` do over a network."""
 
     def __init__(self) -> None:
@@ -308,23 +308,21 @@
         self.requests[method.name] = support.former_type(method.request_type.DESCRIPTOR.full_name)
         self._handlers[method.name] = handler
 
-    async def call(
-        self, address: str, method: RpcMethod[Any, Any], request: Any, timeout_s: float, receiver: str = ""
-    ) -> Result[Any, Failure]:
+    async def send(self, call: OutgoingCall[Any, Any]) -> Result[Any, Failure]:
         """Pass one call on and add it to the transcript."""
-        assert support.former_type(request.DESCRIPTOR.full_name) == self.requests[method.name]
+        assert support.former_type(call.request.DESCRIPTOR.full_name) == self.requests[call.method.name]
         line: dict[str, Any] = {
-            "call": method.name,
-            "to": address,
-            "receiver": receiver,
-            "request": shown(request),
+            "call": call.method.name,
+            "to": call.address,
+            "receiver": call.receiver,
+            "request": shown(call.request),
         }
-        outcome = await self._handlers[method.name](request)
+        outcome = await self._handlers[call.method.name](call.request)
         if isinstance(outcome, Err):
             failure = outcome.err_value
             line["failure"] = {"kind": failure.kind.value, "primary": failure.primary}
         else:
-            assert isinstance(outcome.ok_value, method.reply_type)
+            assert isinstance(outcome.ok_value, call.method.reply_type)
             line["reply"] = shown(outcome.ok_value)
         self.transcript.append(line)
         self._answered.set()
--- a/tests/tier/test_batch_client.py
+++ b/tests/tier/test_batch_client.py
@@ -15,6 +15,7 @@
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol import batch_pb2 as pb
+from cherrycove.tier.protocol.calls import OutgoingCall
 from cherrycove.tier.protocol.control_pb2 import Announcement
 from cherrycove.tier.protocol.rpc import RpcClient
 
@@ -41,9 +42,9 @@
         self.answers = answers
         self.asked: list[str] = []
 
-    async def call(self, address, method, request, timeout_s):  # type: ignore[no-untyped-def]
-        self.asked.append(address)
-        return self.answers[address]
+    async def send(self, call: OutgoingCall[Any, Any]) -> Result[Any, Failure]:
+        self.asked.append(call.address)
+        return self.answers[call.address]
 
 
 def fails(kind: ErrorKind, primary: str = "") -> Err[Failure]:
--- a/tests/tier/test_control_store_maintenance.py
+++ b/tests/tier/test_control_store_maintenance.py
@@ -19,7 +19,7 @@
 from cherrycove.tier.controlplane.store_members import StoreMembersReader, StoreMembersService
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ErrorKind, Failure
-from cherrycove.tier.protocol.calls import RpcMethod
+from cherrycove.tier.protocol.calls import Caller, OutgoingCall
 from cherrycove.tier.protocol.control_pb2 import Announcement, StoreGroup
 from cherrycove.tier.protocol.keeper_pb2 import (
     Command,
@@ -47,18 +47,16 @@
 Answer = Callable[[], Result[Any, Failure]]
 
 
-class ScriptedCaller:
+class ScriptedCaller(Caller):
     """Answers calls by address, and notes whom was called."""
 
     def __init__(self) -> None:
         self.answers: dict[str, Answer] = {}
         self.called: list[str] = []
 
-    async def call(
-        self, address: str, method: RpcMethod[Any, Any], request: Any, timeout_s: float, receiver: str = ""
-    ) -> Any:
-        self.called.append(f"{address} {method.name}")
-        return self.answers.get(address, lambda: Err(UNREACHABLE))()
+    async def send(self, call: OutgoingCall[Any, Any]) -> Any:
+        self.called.append(f"{call.address} {call.method.name}")
+        return self.answers.get(call.address, lambda: Err(UNREACHABLE))()
 
 
 class Scene:
--- a/tests/tier/test_distribution_puller.py
+++ b/tests/tier/test_distribution_puller.py
@@ -19,7 +19,7 @@
 from cherrycove.tier.distribution.publisher import Publisher
 from cherrycove.tier.distribution.puller import CALL_MARGIN_S, WAIT_MS, Puller
 from cherrycove.tier.errors import ErrorKind, Failure
-from cherrycove.tier.protocol.calls import RpcMethod
+from cherrycove.tier.protocol.calls import Caller, OutgoingCall
 from cherrycove.tier.protocol.control_pb2 import (
     Announcement,
     ConfigurationDocument,
@@ -56,7 +56,7 @@
     )
 
 
-class Keepers:
+class Keepers(Caller):
     """Keepers by number; what each does with a pull is the test's to say. Counts as the network as well."""
 
     def __init__(self) -> None:
@@ -68,27 +68,20 @@
         self.calls: list[tuple[float, int]] = []
         self.bodies_sent = 0
 
-    async def call(
-        self,
-        target: str,
-        method: RpcMethod[PullRequest, PullReply],
-        request: PullRequest,
-        timeout_s: float,
-        receiver: str = "",
-    ) -> Any:
-        number = int(target.partition(":")[0].rpartition(".")[2])
+    async def send(self, call: OutgoingCall[Any, Any]) -> Any:
+        number = int(call.address.partition(":")[0].rpartition(".")[2])
         self.calls.append((round(asyncio.get_running_loop().time(), 2), number))
         if len(self.calls) > MOST_CALLS:
-            await asyncio.sleep(timeout_s)
+            await asyncio.sleep(call.timeout_s)
         if number in self.refusing:
             return Err(Failure(ErrorKind.UNREACHABLE, "refused"))
         if number in self.silent:
-            await asyncio.sleep(timeout_s)
+            await asyncio.sleep(call.timeout_s)
             return Err(Failure(ErrorKind.UNCERTAIN, "no answer"))
         if number != self.primary:
             hint = self.hints.get(number)
             return Err(Failure(ErrorKind.NOT_PRIMARY, "backup", address(hint) if hint else ""))
-        return await self._answer(request, number, timeout_s)
+        return await self._answer(call.request, number, call.timeout_s)
 
     async def _answer(
         self, request: PullRequest, number: int, timeout_s: float
--- a/tests/tier/test_replication_transport.py
+++ b/tests/tier/test_replication_transport.py
@@ -3,11 +3,13 @@
 from __future__ import annotations
 
 import asyncio
+from typing import Any
 
 import pytest
 from result import Err, Ok, Result
 
 from cherrycove.tier.errors import ErrorKind, Failure
+from cherrycove.tier.protocol.calls import Caller, OutgoingCall
 from cherrycove.tier.protocol.replication_methods import replicate
 from cherrycove.tier.protocol.replication_pb2 import Batch, Message
 from cherrycove.tier.replication.interface import MemberIdentity
@@ -17,15 +19,15 @@
 PEER = MemberIdentity("m-2", "n-2", "10.0.0.2:7720")
 
 
-class ScriptedCaller:
+class ScriptedCaller(Caller):
     """Answers each call with ``outcome``; tells for whom it was meant."""
 
     def __init__(self, outcome: Result[Batch, Failure]) -> None:
         self.outcome = outcome
         self.receivers: list[str] = []
 
-    async def call(self, address, method, request, timeout_s, receiver=""):  # type: ignore[no-untyped-def]
-        self.receivers.append(receiver)
+    async def send(self, call: OutgoingCall[Any, Any]) -> Result[Any, Failure]:
+        self.receivers.append(call.receiver)
         return self.outcome
 
 
