--- a/cherrycove/tier/controlplane/topics.py
+++ b/cherrycove/tier/controlplane/topics.py
@@ -52,7 +52,7 @@
         self._member_throttle = MemberListThrottle()
         self._brokers = None
         for topic in (CONFIGURATION, STORE_GROUP, BROKERS, MEMBERS):
-            self._publisher.board.withdraw(topic)
+            self._publisher.topics.withdraw(topic)
         self.publish_state()
 
     def publish_state(self) -> None:
@@ -90,5 +90,5 @@
         return TopicVersion(topic=topic, epoch=self._epoch, sequence=self._sequence)
 
     def _publish(self, update: TopicUpdate) -> None:
-        if self._publisher.board.publish(update):
+        if self._publisher.topics.publish(update):
             self._publisher.wake()
--- a/cherrycove/tier/distribution/publisher.py
+++ b/cherrycove/tier/distribution/publisher.py
@@ -8,7 +8,7 @@
 
 from result import Err, Ok, Result
 
-from cherrycove.tier.distribution.topics import TopicBoard, VersionVector
+from cherrycove.tier.distribution.topics import PublishedTopics, VersionVector
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol.calls import CallRegistry
 from cherrycove.tier.protocol.control_methods import PULL
@@ -33,10 +33,10 @@
     """Holds pulls until something newer than the caller's vector is published, or their wait is over."""
 
     def __init__(self, authority: Authority, on_pull: Callable[[PullRequest], None]) -> None:
-        self.board = TopicBoard()
+        self.topics = PublishedTopics()
         self._authority = authority
         self._on_pull = on_pull
-        self._news = asyncio.Event()
+        self._changed = asyncio.Event()
         self._closed = False
 
     def serve_on(self, server: CallRegistry) -> None:
@@ -44,8 +44,8 @@
 
     def wake(self) -> None:
         """Let every held pull look again: something was published, or the leadership changed."""
-        self._news.set()
-        self._news = asyncio.Event()
+        self._changed.set()
+        self._changed = asyncio.Event()
 
     def close(self) -> None:
         """Answer held and later pulls at once, as a replica that does not lead."""
@@ -60,11 +60,11 @@
         loop = asyncio.get_running_loop()
         deadline = loop.time() + min(request.wait_ms / 1000.0, MAX_WAIT_S)
         while self._leads():
-            updates = self.board.missing(vector)
+            updates = self.topics.newer_than(vector)
             remaining = deadline - loop.time()
             if updates or remaining <= 0:
                 return Ok(PullReply(updates=updates, epoch=self._authority.epoch))
-            await _wait(self._news, remaining)
+            await _wait(self._changed, remaining)
         return Err(self._not_primary())
 
     def _leads(self) -> bool:
--- a/cherrycove/tier/distribution/puller.py
+++ b/cherrycove/tier/distribution/puller.py
@@ -11,7 +11,7 @@
 
 from cherrycove.tier.configuration import parse_configuration
 from cherrycove.tier.distribution.cluster_view import Broker, ClusterView
-from cherrycove.tier.distribution.controller_selector import MAX_PAUSE_S, ControllerSelector
+from cherrycove.tier.distribution.controller_selector import MAX_BACKOFF_S, ControllerSelector
 from cherrycove.tier.distribution.topics import VersionVector
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol.calls import Caller
@@ -25,9 +25,9 @@
 )
 from cherrycove.tier.settings import Settings
 
-WAIT_MS = 700  # how long the keeper may hold a pull
+LONG_POLL_MS = 700  # how long the keeper may hold a pull
 CALL_MARGIN_S = 0.6  # after the wait, an unanswered pull is given up
-UNUSABLE_PAUSE_S = 0.3  # an update that cannot be read would otherwise come back at once
+UNREADABLE_BACKOFF_S = 0.3  # an update that cannot be read would otherwise come back at once
 
 _log = logging.getLogger(__name__)
 
@@ -41,7 +41,7 @@
     def __init__(self, views: ClusterView) -> None:
         self._views = views
         self.vector = VersionVector()
-        self.unusable = False  # the last updates held one that is newer and could not be read
+        self.has_unreadable = False  # the last updates held one that is newer and could not be read
 
     def apply(self, updates: list[TopicUpdate]) -> bool:
         """Take over each update that is newer than what the views hold; tell whether there was one."""
@@ -51,7 +51,7 @@
             self.vector.advance(update.version)
         if taken:
             self._views.changed()
-        self.unusable = len(taken) < len(newer)
+        self.has_unreadable = len(taken) < len(newer)
         return bool(taken)
 
     def _apply_one(self, update: TopicUpdate) -> bool:
@@ -123,10 +123,10 @@
         self._views = views
         self._announce = announce
         self._updater = ClusterViewUpdater(views)
-        self._choice = ControllerSelector(_seeds(settings))
+        self._selector = ControllerSelector(_seeds(settings))
         self._task: asyncio.Task[None] | None = None
-        self._call: asyncio.Task[None] | None = None
-        self._restart = False
+        self._pull_task: asyncio.Task[None] | None = None
+        self._pull_again = False
 
     async def start(self) -> None:
         self._task = asyncio.create_task(self._run(), name="puller")
@@ -141,63 +141,65 @@
     def reload(self, settings: Settings) -> None:
         """The settings were read again; the seeds may differ."""
         self._settings = settings
-        self._choice.reseed(_seeds(settings))
+        self._selector.replace_seeds(_seeds(settings))
 
     def announce_now(self) -> None:
         """Give up the pull that is held and pull again at once, since the announcement changed."""
-        if self._call is not None:
-            self._restart = True
-            self._call.cancel()
+        if self._pull_task is not None:
+            self._pull_again = True
+            self._pull_task.cancel()
 
     async def _run(self) -> None:
         while True:
             call = asyncio.create_task(self._pull_once())
-            self._call = call
+            self._pull_task = call
             try:
                 await call
             except asyncio.CancelledError:
-                if not self._restart or _is_cancelled():
+                if not self._pull_again or _is_cancelled():
                     call.cancel()
                     raise
             except Exception:
                 _log.exception("pull_failed")
-                await asyncio.sleep(MAX_PAUSE_S)
+                await asyncio.sleep(MAX_BACKOFF_S)
             finally:
-                self._call = None
-                self._restart = False
+                self._pull_task = None
+                self._pull_again = False
 
     async def _pull_once(self) -> None:
-        target = self._choice.target()
+        target = self._selector.target()
         if not target:
-            await asyncio.sleep(MAX_PAUSE_S)
+            await asyncio.sleep(MAX_BACKOFF_S)
             return
-        wait_ms = WAIT_MS if self._choice.is_primary(target) else 0  # a keeper that hangs costs little time
+        wait_ms = (
+            LONG_POLL_MS if self._selector.is_known_primary(target) else 0
+        )  # a keeper that hangs costs little time
         request = PullRequest(
             announcement=self._announce(), versions=self._updater.vector.messages(), wait_ms=wait_ms
         )
         outcome = await self._client.call(target, PULL, request, wait_ms / 1000.0 + CALL_MARGIN_S)
         if isinstance(outcome, Ok):
-            await asyncio.sleep(self._answered(target, outcome.ok_value))
+            await asyncio.sleep(self._handle_reply(target, outcome.ok_value))
         else:
-            await asyncio.sleep(self._after_failure(target, outcome.err_value))
+            await asyncio.sleep(self._handle_failure(target, outcome.err_value))
 
-    def _answered(self, target: str, reply: PullReply) -> float:
+    def _handle_reply(self, target: str, reply: PullReply) -> float:
         """Take ``reply`` over; returns the pause in s."""
-        self._choice.answered(target)
+        self._selector.record_answer(target)
         self._views.last_contact = asyncio.get_running_loop().time()
         self._views.primary_address = target
         if self._updater.apply(list(reply.updates)):
-            self._choice.learn(self._keepers())
-        return UNUSABLE_PAUSE_S if self._updater.unusable else 0.0
+            self._selector.replace_discovered(self._controller_addresses())
+        return UNREADABLE_BACKOFF_S if self._updater.has_unreadable else 0.0
 
-    def _after_failure(self, target: str, failure: Failure) -> float:
+    def _handle_failure(self, target: str, failure: Failure) -> float:
         now = asyncio.get_running_loop().time()
         if failure.kind is ErrorKind.NOT_PRIMARY:
-            return self._choice.not_primary(target, failure.primary, now)
+            return self._selector.record_not_primary(target, failure.primary, now)
         if target == self._views.primary_address:
             self._views.primary_address = ""
-        return self._choice.failed(target, now)
+        return self._selector.record_failure(target, now)
 
-    def _keepers(self) -> list[str]:
+    def _controller_addresses(self) -> list[str]:
         keepers = [member.ip for member in self._views.members if member.program == "keeper"]
         return [self._settings.peer_address(ip, "keeper") for ip in keepers]
--- a/cherrycove/tier/distribution/topics.py
+++ b/cherrycove/tier/distribution/topics.py
@@ -56,7 +56,7 @@
         ]
 
 
-class TopicBoard:
+class PublishedTopics:
     """The newest update of every topic, at the publisher."""
 
     def __init__(self) -> None:
@@ -81,6 +81,6 @@
     def get(self, topic: str) -> TopicUpdate | None:
         return self._updates.get(topic)
 
-    def missing(self, vector: VersionVector) -> list[TopicUpdate]:
+    def newer_than(self, vector: VersionVector) -> list[TopicUpdate]:
         """Updates newer than what ``vector`` tells of."""
         return [update for topic, update in self._updates.items() if self.version(topic) > vector.get(topic)]
--- a/tests/tier/test_distribution_puller.py
+++ b/tests/tier/test_distribution_puller.py
@@ -17,7 +17,7 @@
 from cherrycove.tier.controlplane.topics import ControlTopics
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.distribution.publisher import Publisher
-from cherrycove.tier.distribution.puller import CALL_MARGIN_S, WAIT_MS, Puller
+from cherrycove.tier.distribution.puller import CALL_MARGIN_S, LONG_POLL_MS, Puller
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol.calls import Caller, OutgoingCall
 from cherrycove.tier.protocol.control_pb2 import (
@@ -33,7 +33,7 @@
 from cherrycove.tier.replication.interface import CommittedMembers, MemberIdentity
 from cherrycove.tier.settings import Settings
 
-PULL_TIMEOUT_S = WAIT_MS / 1000.0 + CALL_MARGIN_S
+PULL_TIMEOUT_S = LONG_POLL_MS / 1000.0 + CALL_MARGIN_S
 MOST_CALLS = 200  # a caller that spins is slowed down behind these, so that its test ends
 APPLY_S = 2.0  # a proxy in touch has an acknowledged configuration after so long
 
--- a/tests/tier/test_distribution_topics.py
+++ b/tests/tier/test_distribution_topics.py
@@ -1,4 +1,4 @@
-"""Version vectors, the publisher's board, the choice of a keeper and the updating of views, step by step."""
+"""Version vectors, the published topics, the choice of a keeper and the updating of views, step by step."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.distribution.controller_selector import (
     HINT_IGNORED_S,
-    MAX_PAUSE_S,
-    MIN_PAUSE_S,
+    MAX_BACKOFF_S,
+    MIN_BACKOFF_S,
     ControllerSelector,
 )
 from cherrycove.tier.distribution.puller import ClusterViewUpdater
-from cherrycove.tier.distribution.topics import TopicBoard, Version, VersionVector
+from cherrycove.tier.distribution.topics import PublishedTopics, Version, VersionVector
 from cherrycove.tier.protocol.control_pb2 import (
     Announcement,
     BrokerEntry,
@@ -51,16 +51,16 @@
 
 
 def test_the_board_gives_what_is_missing() -> None:
-    board = TopicBoard()
-    assert board.publish(configuration(4))
-    assert board.publish(brokers(2, 1, "a"))
-    assert not board.publish(brokers(1, 7, "b"))
-    assert len(board.missing(VersionVector())) == 2
+    topics = PublishedTopics()
+    assert topics.publish(configuration(4))
+    assert topics.publish(brokers(2, 1, "a"))
+    assert not topics.publish(brokers(1, 7, "b"))
+    assert len(topics.newer_than(VersionVector())) == 2
     has_brokers = VersionVector([version("brokers", 2, 1)])
-    assert board.missing(has_brokers) == [configuration(4)]
-    assert board.missing(VersionVector([version("brokers", 2, 1), version("configuration", 0, 9)])) == []
-    board.withdraw("configuration")
-    assert board.missing(has_brokers) == []
+    assert topics.newer_than(has_brokers) == [configuration(4)]
+    assert topics.newer_than(VersionVector([version("brokers", 2, 1), version("configuration", 0, 9)])) == []
+    topics.withdraw("configuration")
+    assert topics.newer_than(has_brokers) == []
 
 
 def test_views_never_go_back() -> None:
@@ -105,41 +105,41 @@
 def test_hints_are_followed_and_failures_rotate() -> None:
     choice = ControllerSelector(["a", "b"])
     assert choice.target() == "a"
-    assert choice.not_primary("a", "c", 0.0) == 0.0
+    assert choice.record_not_primary("a", "c", 0.0) == 0.0
     assert choice.target() == "c"
-    choice.answered("c")
+    choice.record_answer("c")
     assert choice.target() == "c"
-    assert choice.failed("c", 1.0) == MIN_PAUSE_S
+    assert choice.record_failure("c", 1.0) == MIN_BACKOFF_S
     assert choice.target() == "b"
-    assert choice.not_primary("b", "c", 1.1) > 0.0
+    assert choice.record_not_primary("b", "c", 1.1) > 0.0
     assert choice.target() == "a"
-    assert choice.not_primary("a", "c", 1.0 + HINT_IGNORED_S) == 0.0
+    assert choice.record_not_primary("a", "c", 1.0 + HINT_IGNORED_S) == 0.0
     assert choice.target() == "c"
 
 
 def test_hints_in_a_circle_are_slowed_down() -> None:
     choice = ControllerSelector(["a", "b"])
-    pauses = [choice.not_primary(*pair, 0.0) for pair in (("a", "b"), ("b", "a"), ("a", "b"))]
+    pauses = [choice.record_not_primary(*pair, 0.0) for pair in (("a", "b"), ("b", "a"), ("a", "b"))]
     assert pauses[:2] == [0.0, 0.0]
     assert pauses[2] > 0.0
 
 
 def test_pauses_grow_to_a_bound() -> None:
     choice = ControllerSelector(["a"])
-    pauses = [choice.failed("a", float(turn)) for turn in range(20)]
-    assert pauses[0] == MIN_PAUSE_S
+    pauses = [choice.record_failure("a", float(turn)) for turn in range(20)]
+    assert pauses[0] == MIN_BACKOFF_S
     assert pauses == sorted(pauses)
-    assert pauses[-1] == MAX_PAUSE_S
+    assert pauses[-1] == MAX_BACKOFF_S
 
 
 def test_keepers_learned_from_the_members_are_tried_after_the_seeds() -> None:
     choice = ControllerSelector(["a"])
-    choice.learn(["a", "d"])
+    choice.replace_discovered(["a", "d"])
     tried = []
     for turn in range(4):
         tried.append(choice.target())
-        choice.failed(tried[-1], float(turn))
+        choice.record_failure(tried[-1], float(turn))
     assert tried == ["a", "d", "a", "d"]
-    choice.reseed(["e"])
+    choice.replace_seeds(["e"])
     assert ControllerSelector([]).target() == ""
     assert choice.target() in ("e", "a", "d")
