--- a/cherrycove/tier/dataplane/client_request.py
+++ b/cherrycove/tier/dataplane/client_request.py
@@ -9,11 +9,12 @@
 from aiohttp import web
 
 from cherrycove.tier.configuration import ClientLimits
+from cherrycove.tier.dataplane.errors import DataPlaneError
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-class ClientRequestError(Exception):
+class ClientRequestError(DataPlaneError):
     """A request that could not be read; the fault is the client's, and its connection must be closed."""
 
     def __init__(self, status: HTTPStatus, reason: str) -> None:
--- a/cherrycove/tier/dataplane/event_stream.py
+++ b/cherrycove/tier/dataplane/event_stream.py
@@ -9,13 +9,15 @@
 
 import attrs
 
+from cherrycove.tier.dataplane.errors import DataPlaneError
+
 _EVENT_END = re.compile(rb"\r\n\r\n|\n\n|\r\r")
 _LINE_END = re.compile(rb"\r\n|\n|\r")
 MAX_EVENT_END_BYTES = 4
 MAX_EVENT_BYTES = 4 * 1024 * 1024
 
 
-class EventTooLongError(ValueError):
+class EventTooLongError(DataPlaneError):
     """An event does not end within ``MAX_EVENT_BYTES``; the fault is the broker's."""
 
 
--- a/cherrycove/tier/dataplane/upstream_response.py
+++ b/cherrycove/tier/dataplane/upstream_response.py
@@ -9,6 +9,7 @@
 import aiohttp
 from multidict import CIMultiDictProxy
 
+from cherrycove.tier.dataplane.errors import DataPlaneError
 from cherrycove.tier.dataplane.headers import parse_instance_load
 
 MAX_BUFFERED_BYTES = 32 * 1024 * 1024  # of a body that is read as one piece
@@ -23,8 +24,8 @@
     MALFORMED = "malformed"  # what came is not a response to the request
 
 
-class IncompleteResponseError(Exception):
-    """A response did not come completely."""
+class IncompleteResponseError(DataPlaneError):
+    """A response did not come completely; the fault is the broker's or its connection's."""
 
     def __init__(self, fault: ResponseFault, detail: str = "") -> None:
         super().__init__(f"{fault.value} {detail}")
