--- a/cherrycove/tier/dataplane/stream_relay.py
+++ b/cherrycove/tier/dataplane/stream_relay.py
@@ -63,7 +63,7 @@
     async def feed(self, upstream: UpstreamResponse, on_body: BodyCallback) -> web.StreamResponse:
         """Forward what is new in ``upstream``, and return the response once that has ended completely.
 
-        Backpressure: each chunk is written before the next one is read, so a slow client slows its broker down.
+        Backpressure: each chunk is written before the next one is read, so a slow client slows its broker.
         Raises ``IncompleteResponseError``; another broker's response may then continue the stream.
         """
         if self._is_resumable:
