--- a/cherrycove/tier/controlplane/topics.py
+++ b/cherrycove/tier/controlplane/topics.py
@@ -52,7 +52,7 @@
         self._member_throttle = MemberListThrottle()
         self._brokers = None
         for topic in (CONFIGURATION, STORE_GROUP, BROKERS, MEMBERS):
-            self._publisher.topics.withdraw(topic)
+            self._publisher.withdraw(topic)
         self.publish_state()
 
     def publish_state(self) -> None:
@@ -60,23 +60,23 @@
         document = self._state.configuration
         if document.version:
             version = TopicVersion(topic=CONFIGURATION, epoch=0, sequence=document.version)
-            self._publish(TopicUpdate(version=version, configuration=document))
+            self._publisher.publish(TopicUpdate(version=version, configuration=document))
         revision = self._state.store_group_revision
         if revision:
             version = TopicVersion(topic=STORE_GROUP, epoch=0, sequence=revision)
-            self._publish(TopicUpdate(version=version, store_group=self._state.store_group()))
+            self._publisher.publish(TopicUpdate(version=version, store_group=self._state.store_group()))
 
     def publish_members(self, members: MemberList, now: float) -> None:
         """Publish the processes alive if the list changed; minor changes wait for their interval."""
         if self._member_throttle.should_publish(members, now):
             self._log_members(members)
-            self._publish(TopicUpdate(version=self._next_version(MEMBERS), members=members))
+            self._publisher.publish(TopicUpdate(version=self._next_version(MEMBERS), members=members))
 
     def publish_brokers(self, brokers: BrokerList) -> None:
         """Publish the list of brokers if it changed, apart from remaining warm-up times."""
         if self._brokers is None or not same_brokers(self._brokers, brokers):
             self._brokers = brokers
-            self._publish(TopicUpdate(version=self._next_version(BROKERS), brokers=brokers))
+            self._publisher.publish(TopicUpdate(version=self._next_version(BROKERS), brokers=brokers))
 
     def _log_members(self, members: MemberList) -> None:
         names = {f"{member.program}/{member.node_name}" for member in members.members}
@@ -88,7 +88,3 @@
     def _next_version(self, topic: str) -> TopicVersion:
         self._sequence += 1
         return TopicVersion(topic=topic, epoch=self._epoch, sequence=self._sequence)
-
-    def _publish(self, update: TopicUpdate) -> None:
-        if self._publisher.topics.publish(update):
-            self._publisher.wake()
--- a/cherrycove/tier/distribution/cluster_view.py
+++ b/cherrycove/tier/distribution/cluster_view.py
@@ -1,4 +1,4 @@
-"""What a process of the tier currently knows from the keepers: typed views, replaced whole at each update."""
+"""What a process of the tier currently knows from the controllers: typed, replaced at each update."""
 
 from __future__ import annotations
 
@@ -7,18 +7,19 @@
 import attrs
 
 from cherrycove.tier.configuration import Configuration
+from cherrycove.tier.program_names import PROXY_PROGRAM, STORE_PROGRAM
 from cherrycove.tier.protocol.control_pb2 import Announcement, StoreGroup
 
 
 @attrs.frozen
 class Broker:
-    """One start of a model broker, as the platform lists it."""
+    """One incarnation of a model broker, as the platform lists it."""
 
     instance_id: str
     service: str
     address: str  # host:port
     zone: str
-    capacity_slots: int
+    capacity_slots: int  # requests that it runs at the same time
     draining: bool
     warmup_remaining_ms: int = 0
     version: str = ""
@@ -26,15 +27,19 @@
 
 @attrs.define
 class ClusterView:
-    """The newest of every topic. ``configuration`` is None until the first one has come."""
+    """The newest value of every topic that reached this process.
 
-    configuration: Configuration | None = None
+    One per process, written by its ``puller.Puller`` alone and read by all else in the event loop. It starts
+    empty, and is not kept over a restart.
+    """
+
+    configuration: Configuration | None = None  # None until the first one was received
     document: bytes = b""  # the configuration as the operator sent it
     brokers: tuple[Broker, ...] = ()
     members: tuple[Announcement, ...] = ()  # processes of the tier that are alive
     store_group: StoreGroup = attrs.field(factory=StoreGroup)
-    last_contact: float = float("-inf")  # monotonic s of the last answer from a primary keeper
-    primary_address: str = ""  # RPC address of that keeper; empty once it left a pull unanswered
+    last_contact: float = float("-inf")  # monotonic time in s of the last answer from a primary controller
+    primary_address: str = ""  # RPC address of that controller; empty once a pull from it failed
     _listeners: list[Callable[[], None]] = attrs.field(factory=list)
 
     def on_change(self, callback: Callable[[], None]) -> None:
@@ -42,11 +47,16 @@
         self._listeners.append(callback)
 
     def changed(self) -> None:
+        """Call the listeners, after an update."""
         for callback in self._listeners:
             callback()
 
     def proxies(self) -> tuple[Announcement, ...]:
-        return tuple(member for member in self.members if member.program == "proxy" and not member.leaving)
+        """Proxies that are alive and not shutting down."""
+        return tuple(
+            member for member in self.members if member.program == PROXY_PROGRAM and not member.leaving
+        )
 
     def stores(self) -> tuple[Announcement, ...]:
-        return tuple(member for member in self.members if member.program == "store")
+        """Stores that are alive, also those that are shutting down."""
+        return tuple(member for member in self.members if member.program == STORE_PROGRAM)
--- a/cherrycove/tier/distribution/publisher.py
+++ b/cherrycove/tier/distribution/publisher.py
@@ -1,9 +1,10 @@
-"""The publisher's side of pulling: answers the call "pull" while this replica is the confirmed primary."""
+"""The publishing side of pulls: the call "pull", answered by the primary controller."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
+from contextlib import suppress
 from typing import Protocol
 
 from result import Err, Ok, Result
@@ -12,47 +13,65 @@
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol.calls import CallRegistry
 from cherrycove.tier.protocol.control_methods import PULL
-from cherrycove.tier.protocol.control_pb2 import PullReply, PullRequest
+from cherrycove.tier.protocol.control_pb2 import PullReply, PullRequest, TopicUpdate
 
-MAX_WAIT_S = 5.0  # a call is never held longer, whatever it asks for
+MAX_WAIT_S = 5.0  # a pull is answered after so long, however long it asks to wait
 
 
 class Authority(Protocol):
-    """Whether this process may speak for the tier, and who else may."""
+    """Whether this controller may publish, and which one else may."""
 
     @property
-    def epoch(self) -> int: ...
+    def epoch(self) -> int:
+        """The epoch in which this controller is primary."""
 
-    def is_confirmed_primary(self) -> bool: ...
+    def is_confirmed_primary(self) -> bool:
+        """Whether this controller is the primary under a valid lease."""
 
     def primary_address(self) -> str:
-        """RPC address of another replica that leads; empty while unknown."""
+        """RPC address of another controller that is the primary; empty while unknown."""
 
 
 class Publisher:
-    """Holds pulls until something newer than the caller's vector is published, or their wait is over."""
+    """Answers pulls with what is newer than the caller's versions, by long poll.
+
+    One per controller, in memory only. A pull waits until something newer is published or its wait is over.
+    It is answered NOT_PRIMARY, with a hint to the primary, while this controller is not the confirmed primary.
+    """
 
     def __init__(self, authority: Authority, on_pull: Callable[[PullRequest], None]) -> None:
-        self.topics = PublishedTopics()
+        """``on_pull`` is called with each pull that is not rejected, before it is answered."""
+        self._topics = PublishedTopics()
         self._authority = authority
         self._on_pull = on_pull
         self._changed = asyncio.Event()
         self._closed = False
 
     def serve_on(self, server: CallRegistry) -> None:
+        """Register the call with ``server``."""
         server.register(PULL, self.pull)
 
+    def publish(self, update: TopicUpdate) -> None:
+        """Publish ``update`` if it is newer than what is published, and answer the pulls that wait."""
+        if self._topics.publish(update):
+            self.wake()
+
+    def withdraw(self, topic: str) -> None:
+        """Publish nothing under ``topic`` any more; pullers keep what they have."""
+        self._topics.withdraw(topic)
+
     def wake(self) -> None:
-        """Let every held pull look again: something was published, or the leadership changed."""
+        """Let every waiting pull check again: something was published, or the leadership changed."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     def close(self) -> None:
-        """Answer held and later pulls at once, as a replica that does not lead."""
+        """Answer waiting and later pulls at once with NOT_PRIMARY."""
         self._closed = True
         self.wake()
 
     async def pull(self, request: PullRequest) -> Result[PullReply, Failure]:
+        """Answer one pull."""
         if not self._leads():
             return Err(self._not_primary())
         self._on_pull(request)
@@ -60,11 +79,12 @@
         loop = asyncio.get_running_loop()
         deadline = loop.time() + min(request.wait_ms / 1000.0, MAX_WAIT_S)
         while self._leads():
-            updates = self.topics.newer_than(vector)
-            remaining = deadline - loop.time()
-            if updates or remaining <= 0:
+            updates = self._topics.newer_than(vector)
+            remaining_s = deadline - loop.time()
+            if updates or remaining_s <= 0:
                 return Ok(PullReply(updates=updates, epoch=self._authority.epoch))
-            await _wait(self._changed, remaining)
+            with suppress(TimeoutError):
+                await asyncio.wait_for(self._changed.wait(), remaining_s)
         return Err(self._not_primary())
 
     def _leads(self) -> bool:
@@ -72,10 +92,3 @@
 
     def _not_primary(self) -> Failure:
         return Failure(ErrorKind.NOT_PRIMARY, "not the primary keeper", self._authority.primary_address())
-
-
-async def _wait(event: asyncio.Event, timeout_s: float) -> None:
-    try:
-        await asyncio.wait_for(event.wait(), timeout_s)
-    except TimeoutError:
-        return
--- a/cherrycove/tier/distribution/puller.py
+++ b/cherrycove/tier/distribution/puller.py
@@ -1,137 +1,62 @@
-"""Keeps the views of one process as new as the primary keeper's, by long-poll pulls."""
+"""Pulls from the primary controller by long poll, which keep the cluster view of one process up to date."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from contextlib import suppress
 
-from result import Err, Ok
+from result import Ok
 
-from cherrycove.tier.configuration import parse_configuration
-from cherrycove.tier.distribution.cluster_view import Broker, ClusterView
+from cherrycove.tier.distribution.cluster_view import ClusterView
+from cherrycove.tier.distribution.cluster_view_updater import ClusterViewUpdater
 from cherrycove.tier.distribution.controller_selector import MAX_BACKOFF_S, ControllerSelector
-from cherrycove.tier.distribution.topics import VersionVector
 from cherrycove.tier.errors import ErrorKind, Failure
+from cherrycove.tier.program_names import CONTROLLER_PROGRAM
 from cherrycove.tier.protocol.calls import Caller
 from cherrycove.tier.protocol.control_methods import PULL
-from cherrycove.tier.protocol.control_pb2 import (
-    Announcement,
-    BrokerEntry,
-    PullReply,
-    PullRequest,
-    TopicUpdate,
-)
+from cherrycove.tier.protocol.control_pb2 import Announcement, PullReply, PullRequest
 from cherrycove.tier.settings import Settings
 
-LONG_POLL_MS = 700  # how long the keeper may hold a pull
-CALL_MARGIN_S = 0.6  # after the wait, an unanswered pull is given up
-UNREADABLE_BACKOFF_S = 0.3  # an update that cannot be read would otherwise come back at once
+LONG_POLL_MS = 700  # how long the controller may wait for something newer before it answers
+CALL_MARGIN_S = 0.6  # a pull that is not answered so long after its wait has failed
+UNREADABLE_BACKOFF_S = 0.3  # an update that cannot be read would otherwise be received again at once
 
 _log = logging.getLogger(__name__)
 
 
-class ClusterViewUpdater:
-    """Applies updates of topics to the views. Within one life no topic goes back.
-
-    The vector tells what the views hold: it advances with an update that was applied and with no other, so
-    one that could not be read comes again with every pull until it, or a newer one, can be."""
-
-    def __init__(self, views: ClusterView) -> None:
-        self._views = views
-        self.vector = VersionVector()
-        self.has_unreadable = False  # the last updates held one that is newer and could not be read
-
-    def apply(self, updates: list[TopicUpdate]) -> bool:
-        """Take over each update that is newer than what the views hold; tell whether there was one."""
-        newer = [update for update in updates if self.vector.is_newer(update.version)]
-        taken = [update for update in newer if self._apply_one(update)]
-        for update in taken:
-            self.vector.advance(update.version)
-        if taken:
-            self._views.changed()
-        self.has_unreadable = len(taken) < len(newer)
-        return bool(taken)
-
-    def _apply_one(self, update: TopicUpdate) -> bool:
-        """Whether the views hold ``update`` now."""
-        body = update.WhichOneof("body")
-        if body == "configuration":
-            return self._apply_configuration(update)
-        if body == "brokers":
-            self._views.brokers = tuple(_broker(entry) for entry in update.brokers.brokers)
-        elif body == "members":
-            self._views.members = tuple(update.members.members)
-        elif body == "store_group":
-            self._views.store_group = update.store_group
-        return body is not None
-
-    def _apply_configuration(self, update: TopicUpdate) -> bool:
-        document = update.configuration
-        parsed = parse_configuration(document.document)
-        if isinstance(parsed, Err):
-            _log.error("configuration_unreadable", extra={"reason": parsed.err_value.detail})
-            return False
-        current = self._views.configuration
-        version = parsed.ok_value.version
-        if version != update.version.sequence or (current is not None and version < current.version):
-            _log.error("configuration_misnumbered", extra={"version": version})
-            return False
-        self._views.configuration = parsed.ok_value
-        self._views.document = document.document
-        _log.info("configuration_in_force", extra={"version": version})
-        return True
-
-
-def _is_cancelled() -> bool:
-    """Whether the present task itself was cancelled, not only what it waits for."""
-    task = asyncio.current_task()
-    return task is not None and task.cancelling() > 0
-
-
-def _seeds(settings: Settings) -> list[str]:
-    return [settings.peer_address(ip, "keeper") for ip in settings.seed_ips()]
-
-
-def _broker(entry: BrokerEntry) -> Broker:
-    return Broker(
-        instance_id=entry.instance_id,
-        service=entry.service,
-        address=entry.address,
-        zone=entry.zone,
-        capacity_slots=entry.capacity_slots,
-        draining=entry.draining,
-        warmup_remaining_ms=entry.warmup_remaining_ms,
-        version=entry.version,
-    )
-
-
 class Puller:
-    """One task that pulls for as long as the process lives."""
+    """Pulls for as long as its process lives, one call at a time.
+
+    Each program owns one, and with it the task that pulls. While no controller answers, the view stays as it
+    is, and the controllers that ``ControllerSelector`` knows are asked in turn.
+    """
 
     def __init__(
         self,
         settings: Settings,
         client: Caller,
-        views: ClusterView,
+        view: ClusterView,
         announce: Callable[[], Announcement],
     ) -> None:
         """``announce`` describes this process at the time of each pull."""
         self._settings = settings
         self._client = client
-        self._views = views
+        self._view = view
         self._announce = announce
-        self._updater = ClusterViewUpdater(views)
+        self._updater = ClusterViewUpdater(view)
         self._selector = ControllerSelector(_seeds(settings))
         self._task: asyncio.Task[None] | None = None
         self._pull_task: asyncio.Task[None] | None = None
         self._pull_again = False
 
     async def start(self) -> None:
+        """Start to pull."""
         self._task = asyncio.create_task(self._run(), name="puller")
 
     async def stop(self) -> None:
+        """Cancel the pull in progress and stop."""
         if self._task is not None:
             self._task.cancel()
             with suppress(asyncio.CancelledError):
@@ -139,27 +64,27 @@
             self._task = None
 
     def reload(self, settings: Settings) -> None:
-        """The settings were read again; the seeds may differ."""
+        """Take over settings that were read again; the seeds may differ."""
         self._settings = settings
         self._selector.replace_seeds(_seeds(settings))
 
     def announce_now(self) -> None:
-        """Give up the pull that is held and pull again at once, since the announcement changed."""
+        """Cancel the pull that waits and pull again at once, since the announcement changed."""
         if self._pull_task is not None:
             self._pull_again = True
             self._pull_task.cancel()
 
     async def _run(self) -> None:
         while True:
-            call = asyncio.create_task(self._pull_once())
-            self._pull_task = call
+            pull = asyncio.create_task(self._pull_once())
+            self._pull_task = pull
             try:
-                await call
+                await pull
             except asyncio.CancelledError:
                 if not self._pull_again or _is_cancelled():
-                    call.cancel()
+                    pull.cancel()
                     raise
-            except Exception:
+            except Exception:  # noqa: BLE001 -- top of the task: without pulls the process would go stale
                 _log.exception("pull_failed")
                 await asyncio.sleep(MAX_BACKOFF_S)
             finally:
@@ -171,11 +96,10 @@
         if not target:
             await asyncio.sleep(MAX_BACKOFF_S)
             return
-        wait_ms = (
-            LONG_POLL_MS if self._selector.is_known_primary(target) else 0
-        )  # a keeper that hangs costs little time
+        # Only the known primary is asked to wait: others answer at once, or are found hanging soon.
+        wait_ms = LONG_POLL_MS if self._selector.is_known_primary(target) else 0
         request = PullRequest(
-            announcement=self._announce(), versions=self._updater.vector.messages(), wait_ms=wait_ms
+            announcement=self._announce(), versions=self._updater.versions.messages(), wait_ms=wait_ms
         )
         outcome = await self._client.call(target, PULL, request, wait_ms / 1000.0 + CALL_MARGIN_S)
         if isinstance(outcome, Ok):
@@ -184,22 +108,38 @@
             await asyncio.sleep(self._handle_failure(target, outcome.err_value))
 
     def _handle_reply(self, target: str, reply: PullReply) -> float:
-        """Take ``reply`` over; returns the pause in s."""
+        """Apply ``reply``; return the pause before the next pull in s."""
         self._selector.record_answer(target)
-        self._views.last_contact = asyncio.get_running_loop().time()
-        self._views.primary_address = target
-        if self._updater.apply(list(reply.updates)):
+        self._view.last_contact = asyncio.get_running_loop().time()
+        self._view.primary_address = target
+        if self._updater.apply(reply.updates):
             self._selector.replace_discovered(self._controller_addresses())
         return UNREADABLE_BACKOFF_S if self._updater.has_unreadable else 0.0
 
     def _handle_failure(self, target: str, failure: Failure) -> float:
+        """Note that ``target`` did not answer as the primary; return the pause before the next pull in s."""
         now = asyncio.get_running_loop().time()
         if failure.kind is ErrorKind.NOT_PRIMARY:
             return self._selector.record_not_primary(target, failure.primary, now)
-        if target == self._views.primary_address:
-            self._views.primary_address = ""
+        if target == self._view.primary_address:
+            self._view.primary_address = ""
         return self._selector.record_failure(target, now)
 
     def _controller_addresses(self) -> list[str]:
-        keepers = [member.ip for member in self._views.members if member.program == "keeper"]
-        return [self._settings.peer_address(ip, "keeper") for ip in keepers]
+        ips = [member.ip for member in self._view.members if member.program == CONTROLLER_PROGRAM]
+        return _addresses(self._settings, ips)
+
+
+def _is_cancelled() -> bool:
+    """Whether the present task itself was cancelled, not only the one that it awaits."""
+    task = asyncio.current_task()
+    return task is not None and task.cancelling() > 0
+
+
+def _seeds(settings: Settings) -> list[str]:
+    return _addresses(settings, settings.seed_ips())
+
+
+def _addresses(settings: Settings, ips: Iterable[str]) -> list[str]:
+    """RPC addresses of the controllers at ``ips``."""
+    return [settings.peer_address(ip, CONTROLLER_PROGRAM) for ip in ips]
--- a/tests/tier/test_distribution_topics.py
+++ b/tests/tier/test_distribution_topics.py
@@ -11,7 +11,7 @@
     MIN_BACKOFF_S,
     ControllerSelector,
 )
-from cherrycove.tier.distribution.puller import ClusterViewUpdater
+from cherrycove.tier.distribution.cluster_view_updater import ClusterViewUpdater
 from cherrycove.tier.distribution.topics import PublishedTopics, Version, VersionVector
 from cherrycove.tier.protocol.control_pb2 import (
     Announcement,
