--- a/cherrycove/tier/distribution/publisher.py
+++ b/cherrycove/tier/distribution/publisher.py
@@ -36,7 +36,7 @@
     """Answers pulls with what is newer than the caller's versions, by long poll.
 
     One per controller, in memory only. A pull waits until something newer is published or its wait is over.
-    It is answered NOT_PRIMARY, with a hint to the primary, while this controller is not the confirmed primary.
+    It is answered NOT_PRIMARY, with a hint to the primary, while this controller is not the confirmed one.
     """
 
     def __init__(self, authority: Authority, on_pull: Callable[[PullRequest], None]) -> None:
--- a/cherrycove/tier/replication/applier.py
+++ b/cherrycove/tier/replication/applier.py
@@ -46,7 +46,7 @@
         self._proposals.resolve(entry.index, entry.epoch, outcome)
 
     def take_due_snapshot(self) -> bytes | None:
-        """Return the whole state if a snapshot is due, else None."""
+        """Return the complete state if a snapshot is due, else None."""
         if not self._snapshot_policy.is_due:
             return None
         state = self._state_machine.snapshot()
--- a/cherrycove/tier/replication/driver.py
+++ b/cherrycove/tier/replication/driver.py
@@ -25,8 +25,8 @@
 
 
 @attrs.frozen(kw_only=True, eq=False)
-class GroupParts:
-    """The parts of a group that are there before its replica is started."""
+class GroupComponents:
+    """The components of a group that are there before its replica is started."""
 
     group_name: str
     runtime: Runtime
@@ -46,19 +46,19 @@
     """
 
     def __init__(
-        self, parts: GroupParts, machine: ReplicaMachine, storage: Storage, identity: MemberIdentity
+        self, components: GroupComponents, machine: ReplicaMachine, storage: Storage, identity: MemberIdentity
     ) -> None:
         """``storage`` has been recovered; ``machine`` was made of what it held."""
-        self._group_name = parts.group_name
-        self._clock = parts.runtime.clock
-        self._messenger = parts.messenger
-        self._proposals = parts.proposals
-        self._applier = parts.applier
-        self._notifier = parts.notifier
+        self._group_name = components.group_name
+        self._clock = components.runtime.clock
+        self._messenger = components.messenger
+        self._proposals = components.proposals
+        self._applier = components.applier
+        self._notifier = components.notifier
         self._machine = machine
         self._storage = storage
         self._identity = identity
-        self._writer = parts.runtime.make_writer(
+        self._writer = components.runtime.make_writer(
             storage, self._on_written, self._on_write_failed, self._on_snapshot_skipped
         )
         self._ticker: asyncio.Task[None] | None = None
--- a/cherrycove/tier/replication/factory.py
+++ b/cherrycove/tier/replication/factory.py
@@ -1,10 +1,10 @@
-"""Builds a replicated group out of its parts."""
+"""Builds a replicated group from its components."""
 
 from __future__ import annotations
 
 from cherrycove.tier.replication.applier import Applier
 from cherrycove.tier.replication.change_notifier import ChangeNotifier
-from cherrycove.tier.replication.driver import GroupParts
+from cherrycove.tier.replication.driver import GroupComponents
 from cherrycove.tier.replication.group import ReplicatedGroup
 from cherrycove.tier.replication.messenger import PeerMessenger
 from cherrycove.tier.replication.options import GroupOptions
@@ -16,7 +16,7 @@
     """Return a group that is not started; its call is registered with the server of ``options``."""
     proposals = PendingProposals()
     snapshot_policy = SnapshotPolicy(options.snapshot_log_bytes)
-    parts = GroupParts(
+    components = GroupComponents(
         group_name=options.name,
         runtime=options.runtime,
         messenger=PeerMessenger(options.name, options.server, options.client),
@@ -24,4 +24,4 @@
         applier=Applier(options.name, options.state_machine, proposals, snapshot_policy),
         notifier=ChangeNotifier(options.name),
     )
-    return ReplicatedGroup(options, parts)
+    return ReplicatedGroup(options, components)
--- a/cherrycove/tier/replication/group.py
+++ b/cherrycove/tier/replication/group.py
@@ -9,7 +9,7 @@
 
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.replication.core import Role
-from cherrycove.tier.replication.driver import GroupParts, ReplicaDriver
+from cherrycove.tier.replication.driver import GroupComponents, ReplicaDriver
 from cherrycove.tier.replication.interface import CommittedMembers, MemberIdentity
 from cherrycove.tier.replication.learners import MembershipRequests
 from cherrycove.tier.replication.machine import ReplicaMachine
@@ -29,9 +29,9 @@
     disk is damaged, ``start`` goes on with an empty one under a new identity.
     """
 
-    def __init__(self, options: GroupOptions, parts: GroupParts) -> None:
+    def __init__(self, options: GroupOptions, components: GroupComponents) -> None:
         self._options = options
-        self._parts = parts
+        self._components = components
         self._recovery = ReplicaRecovery(options)
         self._membership_requests = MembershipRequests()
         self._driver: ReplicaDriver | None = None  # while the replica is started
@@ -89,7 +89,7 @@
         future = driver.propose(command)
         if future is None:
             return Err(self._not_primary())
-        return await self._parts.proposals.wait(future, timeout_s)
+        return await self._components.proposals.wait(future, timeout_s)
 
     def offer_standbys(self, standbys: Sequence[MemberIdentity]) -> None:
         """Name the replicas outside the group that the primary may add; replaces those named before."""
@@ -101,7 +101,7 @@
 
     def on_change(self, callback: Callable[[], None]) -> None:
         """Call back after each change of role, epoch, primary or members."""
-        self._parts.notifier.subscribe(callback)
+        self._components.notifier.subscribe(callback)
 
     # Lifecycle
 
@@ -125,14 +125,14 @@
         if driver is None:
             return
         if driver.machine.role is Role.PRIMARY:
-            await self._parts.proposals.wait_for_all(STOP_COMMIT_TIMEOUT_S)
+            await self._components.proposals.wait_for_all(STOP_COMMIT_TIMEOUT_S)
             driver.transfer_leadership()
-            await self._parts.messenger.flush(STOP_FLUSH_TIMEOUT_S)
+            await self._components.messenger.flush(STOP_FLUSH_TIMEOUT_S)
         driver.close()
         self._driver = None
-        self._parts.messenger.close()
+        self._components.messenger.close()
         await driver.stop_writer()
-        self._parts.proposals.abandon_all()
+        self._components.proposals.abandon_all()
 
     def _start_driver(self, recovered: RecoveredReplica) -> None:
         options = self._options
@@ -147,8 +147,8 @@
             membership_requests=self._membership_requests,
         )
         # Listeners ask this group as soon as the driver starts, so it must be in place before.
-        self._driver = ReplicaDriver(self._parts, machine, recovered.storage, self.identity)
-        self._parts.messenger.attach(self._driver)
+        self._driver = ReplicaDriver(self._components, machine, recovered.storage, self.identity)
+        self._components.messenger.attach(self._driver)
         self._driver.start()
 
     def _now(self) -> float:
--- a/cherrycove/tier/replication/machine.py
+++ b/cherrycove/tier/replication/machine.py
@@ -29,7 +29,7 @@
 class ReplicaMachine:
     """One replica of a group.
 
-    Owned by ``ReplicatedGroup``, or by a simulated process, for the lifetime of that process; a new process
+    Owned by ``ReplicaDriver``, or by a simulated process, for the lifetime of that process; a new process
     makes a new machine from what its disk has. States are the roles (``core.Role``). The machine fails only
     with its process: a failed write makes it give up leading, a lost message is repeated, and its methods
     raise nothing for what other replicas send.
--- a/cherrycove/tier/storage/hard_state.py
+++ b/cherrycove/tier/storage/hard_state.py
@@ -18,7 +18,7 @@
 from cherrycove.tier.storage.errors import DamagedStorageError
 from cherrycove.tier.storage.files import replace_file, sync_file, write_all
 
-HARD_STATE_FILE = "promise"
+HARD_STATE_FILE = "promise"  # the name that existing disks have
 _SLOTS = 2
 _COPIES = 2  # of each slot; the second copies follow all first ones
 _SLOT_BYTES = 4096
