--- a/cherrycove/tier/dataplane/admission/_admission_state.py
+++ b/cherrycove/tier/dataplane/admission/_admission_state.py
@@ -50,7 +50,10 @@
 
     def latency(self, service: str) -> LatencyEstimate:
         """The latency estimate of a service, made where there is none."""
-        return self.latencies.setdefault(service, LatencyEstimate())
+        estimate = self.latencies.get(service)
+        if estimate is None:
+            estimate = self.latencies[service] = LatencyEstimate()
+        return estimate
 
     def start_attempt(self, request: AdmissionRequest, broker: BrokerState, now: float) -> StartAttempt:
         """Account for an attempt, and return the action that starts it."""
--- a/cherrycove/tier/dataplane/admission/_batch_backfill.py
+++ b/cherrycove/tier/dataplane/admission/_batch_backfill.py
@@ -18,6 +18,8 @@
 
     def dispatch(self, now: float) -> list[Action]:
         """Start attempts, the earliest due first; while live requests are pending only urgent items."""
+        if not self._state.batch_queue:
+            return []
         proxies = self._state.proxies
         brokers = self._state.brokers.values()
         actions: list[Action] = []
--- a/cherrycove/tier/dataplane/admission/_live_dispatcher.py
+++ b/cherrycove/tier/dataplane/admission/_live_dispatcher.py
@@ -27,6 +27,8 @@
 
     def dispatch(self, now: float, window_end: float) -> list[Action]:
         """Start attempts in dispatch order; requests past their target may exceed L."""
+        if not self._state.pending:
+            return []
         proxies = self._state.proxies
         brokers = self._state.brokers.values()
         free: BrokerSet = dict.fromkeys(each for each in brokers if each.has_live_capacity(now, proxies))
