--- /dev/null
+++ b/cherrycove/tier/simulation/control/cluster.py
@@ -0,0 +1,180 @@
+"""The machines of a simulated deployment: built, started, killed, frozen, emptied, replaced and removed."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from functools import partial
+
+from cherrycove.tier.program_names import CONTROLLER_PROGRAM, PROXY_PROGRAM, STORE_PROGRAM
+from cherrycove.tier.simulation.control.environment import Environment
+from cherrycove.tier.simulation.control.machines import Machine
+from cherrycove.tier.simulation.control.processes import PROCESS_TYPES, ControllerProcess
+
+START_S = 0.3  # the machines of a new deployment start within this time of each other
+SEEDS = 3
+SEED_LAG_S = 3.0  # age of the list of machines that the seeds of a start are drawn from
+STALE_SEEDS_SHARE = 0.1  # of the starts, which have the seeds of the start before
+ADDRESS_REUSE_S = 2.0  # an address is given to another machine only after this time
+ADDRESS_REUSE_SHARE = 0.5
+
+
+class Cluster:
+    """Owns the machines of one world. ``machines`` can be members of groups; ``proxies`` cannot."""
+
+    def __init__(self, environment: Environment) -> None:
+        self._environment = environment
+        self.machines: list[Machine] = []
+        self.proxies: list[Machine] = []
+        self.retiring: set[str] = set()  # names of machines that are ordered to retire and still there
+        self._addresses = 0  # given out so far
+        self._placed = 0  # machines so far
+        self._freed_addresses: dict[int, float] = {}  # number of the address, and when it became free
+        self._past_hosts: list[tuple[float, list[str]]] = []  # time, and the hosts of the machines then
+
+    # Building
+
+    def build(self) -> None:
+        """Place the machines of the topology; all start within START_S with the same seeds."""
+        environment, topology = self._environment, self._environment.topology
+        programs = (CONTROLLER_PROGRAM, STORE_PROGRAM) if topology.stores else (CONTROLLER_PROGRAM,)
+        self.machines = [self.place("storage", programs) for _ in range(topology.machines)]
+        self.proxies = [self.place("frontend", (PROXY_PROGRAM,)) for _ in range(topology.proxies)]
+        seeds = tuple(machine.host for machine in self.machines[: max(SEEDS, 2 * topology.faults + 1)])
+        for machine in (*self.machines, *self.proxies):
+            machine.seeds = seeds
+            machine.first_start = True
+            delay_s = environment.random.uniform(0.0, START_S)
+            environment.after(delay_s, partial(self.power_up, machine))
+
+    def place(self, kind: str, programs: tuple[str, ...]) -> Machine:
+        """Return a new machine that has not started yet, at an address that no other machine has."""
+        number = self._free_address()
+        self._placed += 1
+        return Machine(f"{kind}-{self._placed}", f"10.0.0.{number}", f"zone-{number % 3}", programs)
+
+    def _free_address(self) -> int:
+        now, random = self._environment.now, self._environment.random
+        free = [number for number, at in self._freed_addresses.items() if now - at >= ADDRESS_REUSE_S]
+        if free and random.random() < ADDRESS_REUSE_SHARE:
+            del self._freed_addresses[free[0]]
+            return free[0]
+        self._addresses += 1
+        return self._addresses
+
+    def record_hosts(self) -> None:
+        """Record which machines there are, for the seeds of starts SEED_LAG_S later."""
+        now = self._environment.now
+        self._past_hosts.append((now, [machine.host for machine in self.machines]))
+        while len(self._past_hosts) > 1 and self._past_hosts[1][0] <= now - SEED_LAG_S:
+            self._past_hosts.pop(0)
+
+    def _draw_seeds(self) -> tuple[str, ...]:
+        hosts = self._past_hosts[0][1]
+        return tuple(self._environment.random.sample(hosts, min(SEEDS, len(hosts))))
+
+    # Power and processes
+
+    def power_up(self, machine: Machine) -> None:
+        """Give ``machine`` power and start its processes; nothing if it runs or was removed."""
+        if machine.removed or machine.running:
+            return
+        self._environment.network.powered.add(machine.host)
+        self._start(machine)
+
+    def _start(self, machine: Machine) -> None:
+        if not machine.first_start and (
+            not machine.seeds or self._environment.random.random() >= STALE_SEEDS_SHARE
+        ):
+            machine.seeds = self._draw_seeds()
+        for program in machine.programs:
+            process = PROCESS_TYPES[program](self._environment, machine)
+            machine.running[program] = process
+            process.begin()
+        self.update_contacts()
+
+    def kill(self, machine: Machine, *, power: bool = False) -> None:
+        """Kill the processes of ``machine``; with ``power`` it is also switched off.
+
+        Of the writes in progress some may have reached the disks."""
+        machine.first_start = False
+        for process in machine.running.values():
+            self._environment.loop.end(process.life)
+        machine.running.clear()
+        for disk in machine.disks.values():
+            disk.process_ended(self._environment.random)
+        if power:
+            self._environment.network.powered.discard(machine.host)
+        self.update_contacts()
+
+    def lose_disks(self, machine: Machine) -> None:
+        """Kill the processes of ``machine``, and lose what they stored."""
+        self.kill(machine)
+        machine.disks = {}
+        machine.first_start = False
+
+    def remove(self, machine: Machine) -> None:
+        """Switch ``machine`` off and take it away for good, with its disks."""
+        self.kill(machine, power=True)
+        machine.removed = True
+        machine.disks = {}
+        self.retiring.discard(machine.name)
+        self._freed_addresses[int(machine.host.rpartition(".")[2])] = self._environment.now
+        if machine in self.machines:
+            self.machines.remove(machine)
+
+    def freeze(self, machine: Machine) -> None:
+        """Stop the processes of ``machine`` where they are, as SIGSTOP does."""
+        for process in machine.running.values():
+            process.life.frozen = True
+        self.update_contacts()
+
+    def thaw(self, machine: Machine) -> None:
+        """Let the frozen processes of ``machine`` go on."""
+        for process in machine.running.values():
+            if process.life.frozen:
+                self._environment.loop.thaw(process.life)
+        self.update_contacts()
+
+    # Look-ups
+
+    def controller(self, machine: Machine) -> ControllerProcess | None:
+        """Return the running controller of ``machine``, None if there is none."""
+        process = machine.running.get(CONTROLLER_PROGRAM)
+        return process if isinstance(process, ControllerProcess) else None
+
+    def primary(self) -> Machine | None:
+        """Return the machine whose controller leads; for faults that strike it on purpose."""
+        for machine in self.machines:
+            process = self.controller(machine)
+            if process is not None and process.group.is_confirmed_primary():
+                return machine
+        return None
+
+    def present(self, names: Iterable[str]) -> list[Machine]:
+        """Return the machines of ``names`` that are there, running or not."""
+        wanted = set(names)
+        return [machine for machine in self.machines if machine.name in wanted]
+
+    # Contacts
+
+    def update_contacts(self) -> None:
+        """Record since when each machine is without contact to as many others as a quorum needs.
+
+        To be called after each change of processes or links."""
+        for machine in self.machines:
+            reachable = sum(self._is_in_contact(machine, other) for other in self.machines)
+            if reachable >= self._environment.faults:
+                machine.isolated_since = None
+            elif machine.isolated_since is None:
+                machine.isolated_since = self._environment.now
+
+    def _is_in_contact(self, machine: Machine, other: Machine) -> bool:
+        process = other.running.get(CONTROLLER_PROGRAM)
+        network = self._environment.network
+        return (
+            other is not machine
+            and process is not None
+            and not process.life.frozen
+            and not network.is_cut(machine.host, other.host)
+            and not network.is_cut(other.host, machine.host)
+        )
--- a/cherrycove/tier/simulation/control/command.py
+++ b/cherrycove/tier/simulation/control/command.py
@@ -8,7 +8,7 @@
 from multiprocessing import Pool
 
 from cherrycove.tier.simulation.control.mutations import without
-from cherrycove.tier.simulation.control.scenarios import Run, run_world
+from cherrycove.tier.simulation.control.run import Run, run_world
 from cherrycove.tier.simulation.invariants import InvariantBrokenError
 
 
@@ -42,7 +42,7 @@
     """The events of one world, and how it ended."""
     run = Run(scenario, seed)
     try:
-        print(run.go())
+        print(run.run())
     except InvariantBrokenError as error:
         print(error)
-    print("\n".join(run.world.history.trace))
+    print("\n".join(run.world.environment.history.trace))
--- a/cherrycove/tier/simulation/control/disk.py
+++ b/cherrycove/tier/simulation/control/disk.py
@@ -22,7 +22,7 @@
 LATE_SYNC_S = (0.03, 0.2)
 SLOW_SYNC_S = (0.1, 0.5)
 RETRY_S = 0.25
-STANDING_STEP_S = 0.05  # a disk that stands still is looked at again so often
+STALLED_POLL_S = 0.05  # a stalled disk is looked at again so often
 
 
 @attrs.define(eq=False)
@@ -35,7 +35,7 @@
     entries: list[Entry] = attrs.field(factory=list)
     slow: bool = False
     full: bool = False
-    standing_until: float = 0.0
+    stalled_until: float = 0.0
     in_progress: list[Write] = attrs.field(factory=list)
     lost: bool = False
 
@@ -154,8 +154,8 @@
     def _finish(self) -> None:
         if self._stopped:
             return
-        if self._disk.standing_until > self._loop.time():
-            self._loop.call_in(self._life, STANDING_STEP_S, self._finish)
+        if self._disk.stalled_until > self._loop.time():
+            self._loop.call_in(self._life, STALLED_POLL_S, self._finish)
             return
         if self._disk.full and self._refuse():
             return
--- a/cherrycove/tier/simulation/control/history.py
+++ b/cherrycove/tier/simulation/control/history.py
@@ -101,6 +101,10 @@
 
     # Configurations
 
+    def check_authority(self, who: str, action: str, isolated_s: float) -> None:
+        """``who`` did ``action`` in the group's name, ``isolated_s`` after its last contact to a quorum."""
+        self.require(isolated_s <= LEASE_BOUND_S, f"{who} {action}, {isolated_s:.2f} s without a quorum")
+
     def accepted(self, who: str, index: int, change: Change) -> None:
         """A keeper applied ``change`` at ``index`` as taken."""
         known = self._chain.setdefault(index, change)
--- a/cherrycove/tier/simulation/control/job_history.py
+++ b/cherrycove/tier/simulation/control/job_history.py
@@ -47,10 +47,10 @@
 
 @attrs.define
 class JobRecord:
-    """One job from its first try on."""
+    """One job from its first submission on."""
 
     request: SubmitRequest
-    tries: int = 0
+    submissions: int = 0  # attempts
     refused: int = 0
     acknowledged_at: float | None = None
     ended_at: float | None = None
@@ -78,14 +78,14 @@
 
     # Answers, as they leave a proxy
 
-    def accepted(self, who: str, job_id: str, now: float, places: Iterable[str], wanted: int) -> None:
-        held = sorted(places)
+    def accepted(self, who: str, job_id: str, now: float, holders: Iterable[str], required: int) -> None:
+        names = sorted(holders)
         job = self.jobs[job_id]
         if job.acknowledged_at is None:
             job.acknowledged_at = now
-            self._history.note(f"{who} 202 {job_id} on {held}")
-        if len(held) < wanted:
-            self._history.fail(f"{who} took {job_id} on {held}, not {wanted}")
+            self._history.note(f"{who} 202 {job_id} on {names}")
+        if len(names) < required:
+            self._history.fail(f"{who} accepted {job_id} on {names}, not {required}")
 
     def refused(self, job_id: str) -> None:
         job = self.jobs[job_id]
@@ -127,5 +127,5 @@
             self._history.fail(f"{who} starts an item of {job_id}, {now - job.ended_at:.2f} s after its end")
 
     def _judge_refusals(self, job_id: str, job: JobRecord) -> None:
-        if job.started and job.tries == job.refused:
-            self._history.fail(f"{job_id} runs, though every try was refused")
+        if job.started and job.submissions == job.refused:
+            self._history.fail(f"{job_id} runs, though every submission was rejected")
--- a/cherrycove/tier/simulation/control/mutations.py
+++ b/cherrycove/tier/simulation/control/mutations.py
@@ -25,8 +25,8 @@
 from cherrycove.tier.replication.replicator import PeerReplicator
 from cherrycove.tier.simulation import mutations as of_the_group
 from cherrycove.tier.simulation.control import network
-from cherrycove.tier.simulation.control.machines import Surroundings
 from cherrycove.tier.simulation.control.network import Client
+from cherrycove.tier.simulation.control.runtime import SimulatedRuntime
 
 Patches = Iterator[Any]
 
@@ -129,16 +129,16 @@
 
 
 def _emptied_keeps_identity() -> Patches:
-    identity = Surroundings.identity
+    identity = SimulatedRuntime.identity
     kept: dict[tuple[str, str], str] = {}
 
-    def same(surroundings: Any, machine: Any, program: str) -> tuple[str, bool]:
-        member_id, fresh = identity(surroundings, machine, program)
+    def same(runtime: Any, machine: Any, program: str) -> tuple[str, bool]:
+        member_id, fresh = identity(runtime, machine, program)
         first = kept.setdefault((machine.host, program), member_id)
         machine.disks[program].member_id = first
         return first, fresh
 
-    yield mock.patch.object(Surroundings, "identity", same)
+    yield mock.patch.object(SimulatedRuntime, "identity", same)
 
 
 def _taken_in_before_it_caught_up() -> Patches:
--- a/cherrycove/tier/simulation/control/operators.py
+++ b/cherrycove/tier/simulation/control/operators.py
@@ -13,13 +13,18 @@
 from multidict import CIMultiDict
 from result import Err
 
-from cherrycove.tier.simulation.control.batch_load import BATCH_ROUTE
+from cherrycove.tier.simulation.control.deployment import (
+    ACKNOWLEDGE_S,
+    BATCH_ROUTE,
+    CONTACT_S,
+    CONTROL_PORT,
+    OPERATOR_HOST,
+)
 from cherrycove.tier.simulation.control.history import FINAL_REFUSALS, Change, digest_of
 from cherrycove.tier.simulation.control.loop import Life
-from cherrycove.tier.simulation.control.machines import ACKNOWLEDGE_S, CONTACT_S, CONTROL_PORT
 from cherrycove.tier.simulation.control.network import Endpoint
-from cherrycove.tier.simulation.control.processes import KeeperProcess
-from cherrycove.tier.simulation.control.world import OPERATOR_HOST, World
+from cherrycove.tier.simulation.control.processes import ControllerProcess
+from cherrycove.tier.simulation.control.world import World
 
 TRY_S = 1.0  # without an answer for so long, the next keeper is asked
 GIVE_UP_S = 20.0
@@ -136,9 +141,12 @@
     """All operators of one world. Each is a task; they share what a person would: nothing but the keepers."""
 
     def __init__(self, world: World, habits: Habits) -> None:
-        self._world = world
+        self._environment = world.environment
+        self._cluster = world.cluster
+        self._invariants = world.invariants
+        self._history = world.environment.history
         self._habits = habits
-        self._random = Random(world.random.random())
+        self._random = Random(world.environment.random.random())
         self.life = Life("operators")
         self._sent: list[Order] = []
         self._in_flight = 0
@@ -150,7 +158,7 @@
 
     def start(self) -> None:
         for _ in range(self._habits.operators):
-            self._world.loop.spawn(self.life, self._work())
+            self._environment.loop.spawn(self.life, self._work())
 
     async def _work(self) -> None:
         random = self._random
@@ -161,7 +169,7 @@
             order = self._choose()
             times = 2 if random.random() < self._habits.twice else 1
             for _ in range(times):
-                self._world.loop.spawn(self.life, self.send(order))
+                self._environment.loop.spawn(self.life, self.send(order))
 
     # Orders
 
@@ -203,7 +211,7 @@
         reply = await self.send(self.retire_order(node))
         if reply is None or reply.status != 200:
             return
-        while node not in self._world.history.retired:
+        while node not in self._history.retired:
             await asyncio.sleep(RETIRE_POLL_S)
             await self.send(self.retire_state(node))
 
@@ -212,11 +220,11 @@
     async def send(self, order: Order, give_up_s: float = GIVE_UP_S) -> Reply | None:
         """The clear answer to ``order``, or None."""
         self._in_flight += 1
-        began = self._world.now
+        began = self._environment.now
         clear = self._clear_answers.get(order, 0)
         tries = 0
         try:
-            while self._world.now - began < give_up_s:
+            while self._environment.now - began < give_up_s:
                 reply = await self._try(order)
                 if reply is not None:
                     self.answered += 1
@@ -232,24 +240,24 @@
 
     def _judge_delay(self, began: float) -> None:
         """An order is answered within acknowledgeMs of calm."""
-        waited = self._world.now - began
-        calm = min(self._world.terms.calm_for() - CONTACT_S, waited)
+        waited = self._environment.now - began
+        calm = min(self._environment.fault_budget.faultless_s() - CONTACT_S, waited)
         detail = f"an order has no answer after {calm:.2f} s of calm"
-        self._world.history.require(calm <= ACKNOWLEDGE_S, detail)
+        self._history.require(calm <= ACKNOWLEDGE_S, detail)
 
     async def _try(self, order: Order) -> Reply | None:
         """One round: a keeper, and whom it points to."""
-        hosts = [machine.host for machine in self._world.machines]
+        hosts = [machine.host for machine in self._cluster.machines]
         host = self._random.choice(hosts)
         for _ in range(REDIRECTS + 1):
             reply = await self._ask(host, order)
             if reply is None or reply.status in (408, 429) or reply.status >= 500:
-                self._world.history.note(f"{host} {order.kind.value} {reply and reply.status}")
+                self._history.note(f"{host} {order.kind.value} {reply and reply.status}")
                 return None
             if reply.status != 307:
                 self._learn(order, reply)
                 return reply
-            self._world.history.note(f"{host} points to {reply.location}")
+            self._history.note(f"{host} points to {reply.location}")
             host = reply.location.partition("://")[2].partition("/")[0].rpartition(":")[0]
         return None
 
@@ -265,7 +273,7 @@
         async def serve(endpoint: Endpoint) -> Reply | None:
             return await self._serve(endpoint, order)
 
-        outcome = await self._world.network.exchange(
+        outcome = await self._environment.network.exchange(
             OPERATOR_HOST, self.life, f"{host}:{CONTROL_PORT}", serve, TRY_S
         )
         if isinstance(outcome, Err) or self._random.random() < self._habits.lost_answers:
@@ -278,10 +286,10 @@
     async def _serve(self, endpoint: Endpoint, order: Order) -> Reply | None:
         """Run at the keeper; what leaves it is judged there."""
         process = endpoint.process
-        if not isinstance(process, KeeperProcess):
+        if not isinstance(process, ControllerProcess):
             return None
-        floor = self._world.history.newest_version
-        response = await process.keeper.operator_api.answer(order.request)  # type: ignore[arg-type]
+        floor = self._history.newest_version
+        response = await process.controller.operator_api.answer(order.request)  # type: ignore[arg-type]
         body = response.body if isinstance(response.body, bytes) else b""
         reply = Reply(response.status, response.headers.get("Location", ""), body)
         if reply.status == 200 or reply.status in FINAL_REFUSALS:
@@ -289,24 +297,24 @@
         self._judge(process, order, reply, floor)
         return reply
 
-    def _judge(self, process: KeeperProcess, order: Order, reply: Reply, floor: int) -> None:
-        world, name = self._world, process.life.name
+    def _judge(self, process: ControllerProcess, order: Order, reply: Reply, floor: int) -> None:
+        history, invariants, name = self._history, self._invariants, process.life.name
         if reply.status in FINAL_REFUSALS:
-            world.spoke_for_the_tier(process, f"answered {reply.status}")
+            invariants.check_authority(process, f"answered {reply.status}")
         if order.kind is Kind.CHANGE and order.change is not None:
             if reply.status == 200:
-                world.history.require(order.valid, f"{name} confirmed an invalid configuration")
-                world.acknowledged(process, order.change)
+                history.require(order.valid, f"{name} confirmed an invalid configuration")
+                invariants.acknowledged(process, order.change)
             elif reply.status in FINAL_REFUSALS and order.valid:
-                world.history.refuse(name, order.change, reply.status)
+                history.refuse(name, order.change, reply.status)
         elif reply.status == 200:
-            world.spoke_for_the_tier(process, "answered a read")
+            invariants.check_authority(process, "answered a read")
             if order.kind is Kind.READ:
                 version = int(json.loads(reply.body)["version"])
-                world.history.read(name, version, digest_of(reply.body), floor)
+                history.read(name, version, digest_of(reply.body), floor)
             elif order.kind is Kind.RETIRE_STATE and json.loads(reply.body)["state"] == "completed":
-                world.retired(process, order.request.match_info["node"])
+                invariants.retired(process, order.request.match_info["node"])
         elif order.kind is Kind.RETIRE and reply.status in FINAL_REFUSALS:
-            world.judge_retire_refusal(process, order.request.match_info["node"], reply.status)
+            invariants.retirement_refused(process, order.request.match_info["node"], reply.status)
         elif reply.status == 404 and order.kind is Kind.READ:
-            world.history.require(floor == 0, f"{name} knows no configuration, after {floor} was confirmed")
+            history.require(floor == 0, f"{name} knows no configuration, after {floor} was confirmed")
--- a/cherrycove/tier/simulation/control/processes.py
+++ b/cherrycove/tier/simulation/control/processes.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 from random import Random
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from result import Ok, Result
 
@@ -19,6 +19,7 @@
 from cherrycove.tier.distribution.puller import Puller
 from cherrycove.tier.distribution.topics import CONFIGURATION, VersionVector
 from cherrycove.tier.errors import Failure
+from cherrycove.tier.program_names import CONTROLLER_PROGRAM, PROXY_PROGRAM, STORE_PROGRAM
 from cherrycove.tier.programs.replica import replica_announcement
 from cherrycove.tier.programs.store_membership import StoreMembership
 from cherrycove.tier.protocol.control_methods import PULL
@@ -27,17 +28,13 @@
 from cherrycove.tier.replication.group import ReplicatedGroup
 from cherrycove.tier.replication.interface import MemberIdentity
 from cherrycove.tier.replication.options import GroupOptions
-from cherrycove.tier.simulation.control.batch_load import FRONT_PORT, Brokers
+from cherrycove.tier.simulation.control.batch_execution import SimulatedExecutor
+from cherrycove.tier.simulation.control.deployment import CONTROL_PORT, FRONT_PORT
+from cherrycove.tier.simulation.control.environment import Environment
 from cherrycove.tier.simulation.control.history import change_in
 from cherrycove.tier.simulation.control.loop import Life
-from cherrycove.tier.simulation.control.machines import EmptyPlatform, Machine
-
-if TYPE_CHECKING:
-    from cherrycove.tier.simulation.control.world import World
-
-KEEPER = "keeper"
-STORE = "store"
-PROXY = "proxy"
+from cherrycove.tier.simulation.control.machines import Machine
+from cherrycove.tier.simulation.control.runtime import EmptyPlatform
 
 
 class Process:
@@ -45,19 +42,19 @@
 
     program = ""
 
-    def __init__(self, world: World, machine: Machine) -> None:
-        self.world = world
+    def __init__(self, environment: Environment, machine: Machine) -> None:
+        self.environment = environment
         self.machine = machine
         machine.starts += 1
         self.life = Life(f"{self.program}@{machine.name}/{machine.host}#{machine.starts}")
-        self.settings = machine.settings(world.faults)
+        self.settings = machine.settings(environment.faults)
         self.leaving = False
-        self.random = Random(world.random.random())
-        self.client = world.surroundings.client(machine, self.life)
-        self.endpoint = world.surroundings.serve(machine, self.life, self.program)
+        self.random = Random(environment.random.random())
+        self.client = environment.runtime.client(machine, self.life)
+        self.endpoint = environment.runtime.serve(machine, self.life, self.program)
 
     def begin(self) -> None:
-        self.world.loop.spawn(self.life, self.start(), name=self.life.name)
+        self.environment.loop.spawn(self.life, self.start(), name=self.life.name)
 
     async def start(self) -> None:
         raise NotImplementedError
@@ -74,8 +71,8 @@
     fresh: bool
 
     def open_group(self, state: Any) -> None:
-        surroundings = self.world.surroundings
-        member_id, self.fresh = surroundings.identity(self.machine, self.program)
+        runtime = self.environment.runtime
+        member_id, self.fresh = runtime.identity(self.machine, self.program)
         self.endpoint.identity = member_id
         settings = self.settings
         identity = MemberIdentity(
@@ -85,12 +82,12 @@
             name=self.program,
             identity=identity,
             directory=Path("simulated"),
-            faults=self.world.faults,
+            faults=self.environment.faults,
             state_machine=state,
             server=self.endpoint,
             client=self.client,
             random=self.random,
-            runtime=surroundings.runtime(self.machine.disks[self.program]),
+            runtime=runtime.replication_runtime(self.machine.disks[self.program]),
         )
         self.group = create_group(options)
 
@@ -116,21 +113,21 @@
         outcome = super().apply(index, command)
         change = change_in(command) if outcome is AcceptOutcome.ACCEPTED else None
         if change is not None:
-            self._process.world.accepted(self._process, index, change)
+            self._process.environment.history.accepted(self._process.life.name, index, change)
         return outcome
 
 
-class KeeperProcess(ReplicaProcess):
+class ControllerProcess(ReplicaProcess):
     """As ``programs.keeper``."""
 
-    program = KEEPER
+    program = CONTROLLER_PROGRAM
 
-    def __init__(self, world: World, machine: Machine) -> None:
-        super().__init__(world, machine)
+    def __init__(self, environment: Environment, machine: Machine) -> None:
+        super().__init__(environment, machine)
         self.state = WatchedState(self)
         self.open_group(self.state)
         self.views = ClusterView()
-        self.keeper = Controller(
+        self.controller = Controller(
             self.settings,
             self.group,
             self.state,
@@ -144,14 +141,15 @@
     async def start(self) -> None:
         self._watch_pulls()
         await self.group.start(self._initial_members())
-        await self.keeper.start()
-        self.world.serve_operators(self)
+        await self.controller.start()
+        self.environment.network.open(self.endpoint, f"{self.machine.host}:{CONTROL_PORT}")
+        self.endpoint.process = self
         await self.puller.start()
 
     def _watch_pulls(self) -> None:
         """What is handed out to a puller is judged as it leaves."""
         pull = self.endpoint.handler(PULL)
-        history = self.world.history
+        history = self.environment.history
 
         async def watched(request: PullRequest) -> Result[PullReply, Failure]:
             floor = history.newest_version
@@ -160,7 +158,8 @@
                 held = VersionVector(request.versions).get(CONFIGURATION).sequence
                 newer = [update.configuration.version for update in outcome.ok_value.updates]
                 history.read(self.life.name, max([held, *newer]), None, floor)
-                self.world.spoke_for_the_tier(self, "handed out")
+                isolated_s = self.machine.isolated_for_s(self.environment.now)
+                history.check_authority(self.life.name, "handed out", isolated_s)
             return outcome
 
         self.endpoint.register(PULL, watched)
@@ -170,13 +169,13 @@
         self.puller.announce_now()
         await self.group.stop()
         await self.puller.stop()
-        await self.keeper.stop()
+        await self.controller.stop()
 
     def _initial_members(self) -> list[MemberIdentity]:
         if not self.settings.first_start:
             return []
         return [
-            MemberIdentity(f"first-{ip}", "", self.settings.peer_address(ip, KEEPER))
+            MemberIdentity(f"first-{ip}", "", self.settings.peer_address(ip, CONTROLLER_PROGRAM))
             for ip in sorted(set(self.settings.seed_ips()))
         ]
 
@@ -184,10 +183,10 @@
 class StoreProcess(ReplicaProcess):
     """As ``programs.store``."""
 
-    program = STORE
+    program = STORE_PROGRAM
 
-    def __init__(self, world: World, machine: Machine) -> None:
-        super().__init__(world, machine)
+    def __init__(self, environment: Environment, machine: Machine) -> None:
+        super().__init__(environment, machine)
         self.state = JobsState()
         self.open_group(self.state)
         self.views = ClusterView()
@@ -196,8 +195,8 @@
             self.group,
             self.state,
             self.endpoint,
-            clock=world.loop.time,
-            wall_clock=world.loop.time,
+            clock=environment.loop.time,
+            wall_clock=environment.loop.time,
             views=self.views,
         )
         self.puller = Puller(self.settings, self.client, self.views, self.announce)
@@ -219,15 +218,16 @@
 class ProxyProcess(Process):
     """The part of a proxy that follows the keepers."""
 
-    program = PROXY
+    program = PROXY_PROGRAM
 
-    def __init__(self, world: World, machine: Machine) -> None:
-        super().__init__(world, machine)
+    def __init__(self, environment: Environment, machine: Machine) -> None:
+        super().__init__(environment, machine)
         self.views = ClusterView()
         self.puller = Puller(self.settings, self.client, self.views, self.announce)
         self.batch = BatchClient(self.client, self.views, self.settings)
+        executor = SimulatedExecutor(environment, self.life.name, self.random)
         self.worker = BatchWorker(
-            self.settings, self.batch, Brokers(self), self.views, self.life.name, clock=world.loop.time
+            self.settings, self.batch, executor, self.views, self.life.name, clock=environment.loop.time
         )
         self._newest = 0
         self.views.on_change(self._changed)
@@ -238,10 +238,10 @@
 
     async def start(self) -> None:
         await self.puller.start()
-        if self.world.shape.stores:
+        if self.environment.topology.stores:
             await self.worker.start()
             self.endpoint.process = self
-            self.world.network.open(self.endpoint, f"{self.machine.host}:{FRONT_PORT}")
+            self.environment.network.open(self.endpoint, f"{self.machine.host}:{FRONT_PORT}")
 
     async def stop(self) -> None:
         self.leaving = True
@@ -251,7 +251,7 @@
     def announce(self) -> Announcement:
         return Announcement(
             node_name=self.settings.node_name,
-            program=PROXY,
+            program=PROXY_PROGRAM,
             ip=self.settings.ip_address,
             zone=self.settings.zone,
             incarnation=self.life.name,
@@ -259,10 +259,14 @@
         )
 
     def _changed(self) -> None:
-        self.world.history.require(
+        self.environment.history.require(
             self.version >= self._newest, f"{self.life.name} went back from {self._newest} to {self.version}"
         )
         self._newest = self.version
 
 
-PROGRAMS: dict[str, type[Process]] = {KEEPER: KeeperProcess, STORE: StoreProcess, PROXY: ProxyProcess}
+PROCESS_TYPES: dict[str, type[Process]] = {
+    CONTROLLER_PROGRAM: ControllerProcess,
+    STORE_PROGRAM: StoreProcess,
+    PROXY_PROGRAM: ProxyProcess,
+}
--- /dev/null
+++ b/cherrycove/tier/simulation/control/run.py
@@ -0,0 +1,146 @@
+"""Runs one world of a scenario: a time with faults, a time without, then all that was acknowledged is read."""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+import logging
+from random import Random
+
+import attrs
+
+from cherrycove.tier.simulation.control.batch_clients import BatchClients
+from cherrycove.tier.simulation.control.deployment import ACKNOWLEDGE_S
+from cherrycove.tier.simulation.control.fault_injector import FaultInjector
+from cherrycove.tier.simulation.control.fault_schedule import FaultSchedule
+from cherrycove.tier.simulation.control.operators import Operators
+from cherrycove.tier.simulation.control.scenarios import SCENARIOS
+from cherrycove.tier.simulation.control.world import World
+
+BATCH_CLIENTS = 4
+RECOVERY_S = 6.5  # without faults, after the last of the schedule
+FINAL_RECOVERY_S = 6.5  # after the final loss, before all is read back
+LAST_ORDERS_S = 1.0  # for the orders in flight at the end
+READ_STEP_S = 0.25
+READ_JOBS_S = 8.0
+
+
+@attrs.frozen
+class Outcome:
+    """What a run came to.
+
+    Counts: changes acknowledged, orders answered, jobs acknowledged, callbacks run, faults by kind."""
+
+    seed: int
+    acknowledged: int
+    reads: int
+    jobs: int
+    callbacks: int
+    faults: dict[str, int]
+
+
+class Run:
+    """One world of one scenario, from its seed. ``close`` ends it."""
+
+    def __init__(self, name: str, seed: int, duration_s: float = 0.0) -> None:
+        """``duration_s`` replaces the time with faults that the scenario asks for, if it is not 0."""
+        self._scenario = SCENARIOS[name]
+        self._duration_s = duration_s
+        self._seed = seed
+        self._random = Random(f"{name}/{seed}")
+        topology = self._random.choice(self._scenario.topologies)
+        self.world = World(self._random.getrandbits(48), topology)
+        self._injector = FaultInjector(self.world, Random(self._random.random()))
+        self.operators = Operators(self.world, self._scenario.habits)
+        self._clients = BatchClients(self.world)
+        self._schedule = FaultSchedule(
+            self._scenario, self.world, self._injector, self.operators, self._random
+        )
+
+    def run(self) -> Outcome:
+        """Run to the end; raises ``InvariantBrokenError`` at the first violation."""
+        world, environment, random = self.world, self.world.environment, self._random
+        self.begin()
+        world.run_until(self._duration_s or random.uniform(*self._scenario.duration_s))
+        self._schedule.stop()
+        world.run_until(world.now + RECOVERY_S)
+        newest = environment.history.newest
+        if random.random() < self._scenario.final_loss_share and newest is not None:
+            self._schedule.lose_holders(newest)
+        world.run_until(world.now + FINAL_RECOVERY_S)
+        self._read_configuration()
+        self._read_jobs()
+        return Outcome(
+            self._seed,
+            environment.history.acknowledged,
+            self.operators.answered,
+            len(environment.jobs.acknowledged()),
+            environment.loop.callbacks,
+            self._injector.counts,
+        )
+
+    def begin(self) -> None:
+        """Start machines, operators, clients and the fault schedule."""
+        self.world.build()
+        self.operators.start()
+        if self.world.environment.topology.stores:
+            self._clients.start(BATCH_CLIENTS)
+        self._schedule.start()
+
+    def close(self) -> None:
+        """End all processes, so that no task of them is left pending."""
+        loop, cluster = self.world.environment.loop, self.world.cluster
+        for machine in (*cluster.machines, *cluster.proxies):
+            for process in machine.running.values():
+                loop.end(process.life)
+        loop.end(self.operators.life)
+        loop.end(self._clients.life)
+
+    def _read_configuration(self) -> None:
+        """The configuration can be read within the time that is promised without faults."""
+        world, environment, operators = self.world, self.world.environment, self.operators
+        history = environment.history
+        history.require(history.acknowledged > 0, "no change was ever acknowledged")
+        answered = operators.answered
+        operators.active = False
+        world.run_until(world.now + LAST_ORDERS_S)
+        environment.loop.spawn(operators.life, operators.send(operators.read_order()))
+        deadline = world.now + ACKNOWLEDGE_S
+        while operators.answered == answered and world.now < deadline:
+            world.run_until(world.now + READ_STEP_S)
+        history.require(operators.answered > answered, "the configuration can't be read back")
+
+    def _read_jobs(self) -> None:
+        """Every acknowledged job can be read, with the results that were read before."""
+        world, environment = self.world, self.world.environment
+        self._clients.active = False
+        unread = {job.request.job_id for job in environment.jobs.acknowledged()}
+
+        async def read(job_id: str) -> None:
+            while await self._clients.read(job_id, 0) is None:
+                await asyncio.sleep(READ_STEP_S)
+            unread.discard(job_id)
+
+        for job_id in sorted(unread):
+            environment.loop.spawn(self._clients.life, read(job_id))
+        deadline = world.now + READ_JOBS_S
+        while unread and world.now < deadline:
+            world.run_until(world.now + READ_STEP_S)
+        environment.history.require(not unread, f"{sorted(unread)} can't be read")
+
+
+def run_world(name: str, seed: int, duration_s: float = 0.0) -> Outcome:
+    """Run one world without logs; raises ``InvariantBrokenError`` at the first violation.
+
+    Garbage is collected after the run only: a world makes many objects and few cycles."""
+    disabled_before = logging.root.manager.disable
+    logging.disable(logging.CRITICAL)
+    gc.disable()
+    run = Run(name, seed, duration_s)
+    try:
+        return run.run()
+    finally:
+        run.close()
+        logging.disable(disabled_before)
+        gc.enable()
+        gc.collect()
--- /dev/null
+++ b/cherrycove/tier/simulation/control/runtime.py
@@ -0,0 +1,91 @@
+"""What simulated processes get in place of sockets, files and threads."""
+
+from __future__ import annotations
+
+from pathlib import Path
+from random import Random
+from typing import Any
+
+from result import Ok, Result
+
+from cherrycove.tier.errors import Failure
+from cherrycove.tier.protocol.control_pb2 import BrokerList
+from cherrycove.tier.replication.runtime import Runtime
+from cherrycove.tier.simulation.control.disk import Disk, DiskQueue, DiskStorage
+from cherrycove.tier.simulation.control.loop import Life, VirtualLoop
+from cherrycove.tier.simulation.control.machines import Machine
+from cherrycove.tier.simulation.control.network import Client, Endpoint, Network
+from cherrycove.tier.storage.identity import first_member_id
+
+
+class EmptyPlatform:
+    """A platform whose list of brokers is empty; implements ``BrokerReader``."""
+
+    def __init__(self) -> None:
+        self.calls = 1
+
+    async def start(self) -> None:
+        """Do nothing: there is no connection."""
+
+    async def stop(self) -> None:
+        """Do nothing: there is no connection."""
+
+    async def read(self) -> Result[BrokerList, Failure]:
+        """Return no brokers."""
+        return Ok(BrokerList())
+
+
+class SimulatedRuntime:
+    """Gives the processes of one world their clients, endpoints, member identities and storage."""
+
+    def __init__(self, loop: VirtualLoop, network: Network, random: Random, faults: int) -> None:
+        self._loop = loop
+        self._network = network
+        self._random = random
+        self._faults = faults
+
+    def client(self, machine: Machine, life: Life) -> Client:
+        """Return the client for the internal calls of a process on ``machine``."""
+        return Client(self._network, machine.host, life)
+
+    def serve(self, machine: Machine, life: Life, program: str) -> Endpoint:
+        """Open the endpoint of ``program`` at its internal address on ``machine``."""
+        endpoint = Endpoint(life)
+        address = machine.settings(self._faults).internal_address(program)
+        self._network.open(endpoint, address)
+        return endpoint
+
+    def identity(self, machine: Machine, program: str) -> tuple[str, bool]:
+        """Return the disk's member id and whether the disk was empty, as ``storage.identity`` decides."""
+        disk = machine.disks.setdefault(program, Disk())
+        is_fresh = not disk.member_id
+        if is_fresh:
+            disk.member_id = first_member_id(machine.host) if machine.first_start else self._new_id()
+        return disk.member_id, is_fresh
+
+    def _new_id(self) -> str:
+        return f"{self._random.getrandbits(64):016x}"
+
+    def replication_runtime(self, disk: Disk) -> Runtime:
+        """Return what a replicated group with its data on ``disk`` needs of its surroundings."""
+
+        async def run_at_once(function: Any, *arguments: Any) -> Any:
+            return function(*arguments)
+
+        def make_writer(storage: Any, *callbacks: Any) -> DiskQueue:
+            return DiskQueue(self._loop, self._random, storage, *callbacks)
+
+        def open_storage(_: Path, __: int) -> DiskStorage:
+            return DiskStorage(disk)
+
+        def renew_identity(_: Path) -> str:
+            disk.member_id = self._new_id()
+            return disk.member_id
+
+        return Runtime(
+            clock=self._loop.time,
+            open_storage=open_storage,
+            make_writer=make_writer,
+            renew_identity=renew_identity,
+            run_blocking=run_at_once,
+        )
--- a/tests/tier/test_control_simulation.py
+++ b/tests/tier/test_control_simulation.py
@@ -14,15 +14,17 @@
 from cherrycove.tier.protocol.controller_methods import STATUS
 from cherrycove.tier.protocol.keeper_pb2 import StatusReply, StatusRequest
 from cherrycove.tier.replication.effects import WriteEntries
+from cherrycove.tier.simulation.control.deployment import CATCH_UP_S, Topology
 from cherrycove.tier.simulation.control.disk import Disk
+from cherrycove.tier.simulation.control.fault_budget import FaultBudget
 from cherrycove.tier.simulation.control.loop import Life, VirtualLoop
-from cherrycove.tier.simulation.control.machines import CATCH_UP_S, Machine
+from cherrycove.tier.simulation.control.machines import Machine
 from cherrycove.tier.simulation.control.mutations import MUTATIONS, without
 from cherrycove.tier.simulation.control.network import Client, Endpoint, Network
 from cherrycove.tier.simulation.control.operators import Habits, Operators
-from cherrycove.tier.simulation.control.scenarios import NAMES, Run, run_world
-from cherrycove.tier.simulation.control.terms import Terms
-from cherrycove.tier.simulation.control.world import Shape, World
+from cherrycove.tier.simulation.control.run import Run, run_world
+from cherrycove.tier.simulation.control.scenarios import NAMES
+from cherrycove.tier.simulation.control.world import World
 from cherrycove.tier.simulation.invariants import InvariantBrokenError
 from cherrycove.tier.storage.entries import Entry, EntryKind
 
@@ -162,7 +164,7 @@
     assert pair.served > 1
 
 
-# Disks and terms
+# Disks and the fault budget
 
 
 def test_a_loss_of_power_keeps_what_was_synced_and_a_part_of_the_rest() -> None:
@@ -181,16 +183,16 @@
 
 def test_a_machine_counts_as_lost_until_it_had_the_time_to_catch_up() -> None:
     now = 0.0
-    terms = Terms(1, lambda: now)
-    terms.begin({"a"}, disk=True)
-    assert terms.may_lose({"a"}) and not terms.may_lose({"b"})
+    budget = FaultBudget(1, lambda: now)
+    budget.fault_began({"a"}, disk=True)
+    assert budget.allows({"a"}) and not budget.allows({"b"})
     now = 10.0
-    terms.end({"a"})
-    assert not terms.may_lose({"b"}) and terms.lost_disks() == 1
-    assert terms.next_chance() == 10.0 + CATCH_UP_S
+    budget.fault_ended({"a"})
+    assert not budget.allows({"b"}) and budget.lost_disks() == 1
+    assert budget.next_recovery() == 10.0 + CATCH_UP_S
     now = 10.1 + CATCH_UP_S
-    assert terms.may_lose({"b"}) and terms.lost_disks() == 0
-    assert terms.calm_for() == pytest.approx(0.1 + CATCH_UP_S)
+    assert budget.allows({"b"}) and budget.lost_disks() == 0
+    assert budget.faultless_s() == pytest.approx(0.1 + CATCH_UP_S)
 
 
 # Worlds
@@ -212,7 +214,7 @@
         run = Run("races", 5)
         run.begin()
         run.world.run_until(5.0)
-        counts.append((run.world.loop.callbacks, run.world.history.trace))
+        counts.append((run.world.environment.loop.callbacks, run.world.environment.history.trace))
     assert counts[0] == counts[1]
 
 
@@ -240,28 +242,28 @@
 
 def test_a_keeper_outside_the_group_points_to_the_primary() -> None:
     """It knows the primary from its own pulls; holding an order and answering 503 costs its sender time."""
-    world = World(3, Shape(faults=1, machines=4, proxies=0))
+    world = World(3, Topology(faults=1, machines=4, proxies=0))
     world.build()
     operators = Operators(world, Habits(lost_answers=0.0))
     world.run_until(4.0)
-    primary = world.primary()
-    outside = world.machines[3]
+    primary = world.cluster.primary()
+    outside = world.cluster.machines[3]
     assert primary is not None and primary is not outside
     assert ask_for_configuration(world, operators, outside) == (307, primary.host)
 
 
 def test_a_keeper_that_was_replaced_while_it_was_away_points_to_the_primary() -> None:
     """Its own list still names it, and nobody tells it otherwise: it is a member that hears no primary."""
-    world = World(4, Shape(faults=1, machines=4, proxies=0))
+    world = World(4, Topology(faults=1, machines=4, proxies=0))
     world.build()
     operators = Operators(world, Habits(lost_answers=0.0))
     world.run_until(4.0)
-    away = next(machine for machine in world.machines[:3] if machine is not world.primary())
-    world.kill(away, power=True)
+    away = next(machine for machine in world.cluster.machines[:3] if machine is not world.cluster.primary())
+    world.cluster.kill(away, power=True)
     world.run_until(14.0)
-    world.power_up(away)
+    world.cluster.power_up(away)
     world.run_until(17.0)
-    primary = world.primary()
+    primary = world.cluster.primary()
     assert primary is not None
     assert ask_for_configuration(world, operators, away) == (307, primary.host)
 
@@ -275,6 +277,6 @@
         assert reply is not None
         statuses.append((reply.status, reply.location.partition("://")[2].partition(":")[0]))
 
-    world.loop.spawn(operators.life, ask())
+    world.environment.loop.spawn(operators.life, ask())
     world.run_until(world.now + 1.0)
     return statuses[0]
