--- a/cherrycove/tier/simulation/control/deployment.py
+++ b/cherrycove/tier/simulation/control/deployment.py
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class Topology:
-    """Size of a deployment; of ``machines``, which run controllers (and stores), ``faults`` may be lost at once."""
+    """Size of a deployment; ``faults`` of its ``machines``, which run controllers, may be lost at once."""
 
     faults: int = 1
     machines: int = 3
--- a/cherrycove/tier/simulation/control/run.py
+++ b/cherrycove/tier/simulation/control/run.py
@@ -1,4 +1,4 @@
-"""Runs one world of a scenario: a time with faults, a time without, then all that was acknowledged is read."""
+"""Runs one world of a scenario: a time with faults, a time without, then reads what was acknowledged."""
 
 from __future__ import annotations
 
