--- a/cherrycove/tier/simulation/control/cluster.py
+++ b/cherrycove/tier/simulation/control/cluster.py
@@ -101,7 +101,7 @@
             self._environment.loop.end(process.life)
         machine.running.clear()
         for disk in machine.disks.values():
-            disk.process_ended(self._environment.random)
+            disk.crash(self._environment.random)
         if power:
             self._environment.network.powered.discard(machine.host)
         self.update_contacts()
--- a/cherrycove/tier/simulation/control/history.py
+++ b/cherrycove/tier/simulation/control/history.py
@@ -14,7 +14,7 @@
 
 from cherrycove.tier.controlplane.configuration_state import content_digest
 from cherrycove.tier.protocol.keeper_pb2 import Command, Snapshot
-from cherrycove.tier.simulation.control.disk import Disk
+from cherrycove.tier.simulation.control.machine_disk import MachineDisk
 from cherrycove.tier.simulation.invariants import InvariantBrokenError
 from cherrycove.tier.storage.entries import EntryKind
 
@@ -51,7 +51,7 @@
     return {entry.version: entry.digest for entry in Snapshot.FromString(state).accepted}
 
 
-def holds(disk: Disk, change: Change) -> bool:
+def holds(disk: MachineDisk, change: Change) -> bool:
     """Whether ``change`` is synced on ``disk``."""
     if disk.snapshot is not None and _accepted_in(disk.snapshot.state).get(change.version) == change.digest:
         return True
--- a/cherrycove/tier/simulation/control/job_history.py
+++ b/cherrycove/tier/simulation/control/job_history.py
@@ -9,8 +9,8 @@
 
 from cherrycove.tier.protocol.batch_log_pb2 import BatchCommand, BatchSnapshot
 from cherrycove.tier.protocol.batch_pb2 import ReadReply, SubmitRequest
-from cherrycove.tier.simulation.control.disk import Disk
 from cherrycove.tier.simulation.control.history import History
+from cherrycove.tier.simulation.control.machine_disk import MachineDisk
 from cherrycove.tier.storage.entries import EntryKind
 
 CANCEL_S = 3.0  # after its end was acknowledged, no item of a job is started later than this
@@ -28,7 +28,7 @@
     return frozenset(job.terms.job_id for job in BatchSnapshot.FromString(state).jobs)
 
 
-def holds_job(disk: Disk, job_id: str) -> bool:
+def holds_job(disk: MachineDisk, job_id: str) -> bool:
     """Whether the job is synced on ``disk``."""
     if disk.snapshot is not None and job_id in _jobs_in(disk.snapshot.state):
         return True
--- a/cherrycove/tier/simulation/control/machines.py
+++ b/cherrycove/tier/simulation/control/machines.py
@@ -15,8 +15,8 @@
     Settings,
 )
 from cherrycove.tier.simulation.control.deployment import CATCH_UP_S, CONTROL_PORT, INTERNAL_PORT_RANGE
-from cherrycove.tier.simulation.control.disk import Disk
 from cherrycove.tier.simulation.control.loop import Life
+from cherrycove.tier.simulation.control.machine_disk import MachineDisk
 
 
 class RunningProcess(Protocol):
@@ -45,7 +45,7 @@
     programs: tuple[str, ...]
     first_start: bool = False
     seeds: tuple[str, ...] = ()
-    disks: dict[str, Disk] = attrs.field(factory=dict)  # by program
+    disks: dict[str, MachineDisk] = attrs.field(factory=dict)  # by program
     running: dict[str, RunningProcess] = attrs.field(factory=dict)  # by program
     starts: int = 0
     removed: bool = False
--- a/cherrycove/tier/simulation/control/runtime.py
+++ b/cherrycove/tier/simulation/control/runtime.py
@@ -11,8 +11,8 @@
 from cherrycove.tier.errors import Failure
 from cherrycove.tier.protocol.control_pb2 import BrokerList
 from cherrycove.tier.replication.runtime import Runtime
-from cherrycove.tier.simulation.control.disk import Disk, DiskQueue, DiskStorage
 from cherrycove.tier.simulation.control.loop import Life, VirtualLoop
+from cherrycove.tier.simulation.control.machine_disk import MachineDisk, SimulatedStorage, SimulatedWriter
 from cherrycove.tier.simulation.control.machines import Machine
 from cherrycove.tier.simulation.control.network import Client, Endpoint, Network
 from cherrycove.tier.storage.identity import first_member_id
@@ -57,7 +57,7 @@
 
     def identity(self, machine: Machine, program: str) -> tuple[str, bool]:
         """Return the disk's member id and whether the disk was empty, as ``storage.identity`` decides."""
-        disk = machine.disks.setdefault(program, Disk())
+        disk = machine.disks.setdefault(program, MachineDisk())
         is_fresh = not disk.member_id
         if is_fresh:
             disk.member_id = first_member_id(machine.host) if machine.first_start else self._new_id()
@@ -66,17 +66,17 @@
     def _new_id(self) -> str:
         return f"{self._random.getrandbits(64):016x}"
 
-    def replication_runtime(self, disk: Disk) -> Runtime:
+    def replication_runtime(self, disk: MachineDisk) -> Runtime:
         """Return what a replicated group with its data on ``disk`` needs of its surroundings."""
 
         async def run_at_once(function: Any, *arguments: Any) -> Any:
             return function(*arguments)
 
-        def make_writer(storage: Any, *callbacks: Any) -> DiskQueue:
-            return DiskQueue(self._loop, self._random, storage, *callbacks)
+        def make_writer(storage: Any, *callbacks: Any) -> SimulatedWriter:
+            return SimulatedWriter(self._loop, self._random, storage, *callbacks)
 
-        def open_storage(_: Path, __: int) -> DiskStorage:
-            return DiskStorage(disk)
+        def open_storage(_: Path, __: int) -> SimulatedStorage:
+            return SimulatedStorage(disk)
 
         def renew_identity(_: Path) -> str:
             disk.member_id = self._new_id()
--- a/cherrycove/tier/simulation/replica.py
+++ b/cherrycove/tier/simulation/replica.py
@@ -12,7 +12,7 @@
 from cherrycove.tier.replication.interface import MemberIdentity
 from cherrycove.tier.replication.learners import MembershipRequests
 from cherrycove.tier.replication.machine import ReplicaMachine
-from cherrycove.tier.simulation.disk import SimulatedDisk
+from cherrycove.tier.simulation.disk import BufferedDisk
 from cherrycove.tier.storage.entries import Entry, EntryKind
 
 _STATE = struct.Struct("<QI")  # last index, checksum of the commands so far
@@ -56,7 +56,7 @@
     name: str
     address: str
     zone: str
-    disk: SimulatedDisk
+    disk: BufferedDisk
     machine: ReplicaMachine | None = None
     state: State = State()
     wishes: MembershipRequests = attrs.field(factory=MembershipRequests)
@@ -71,7 +71,7 @@
     def __attrs_post_init__(self) -> None:
         self.replace_disk(self.disk)
 
-    def replace_disk(self, disk: SimulatedDisk) -> None:
+    def replace_disk(self, disk: BufferedDisk) -> None:
         """The machine has ``disk`` from now on, and so another identity."""
         self.disk = disk
         self.identity = MemberIdentity(disk.member_id, self.name, self.address, self.zone)
@@ -104,4 +104,4 @@
         self.machine = None
         self.frozen = False
         self.deferred.clear()
-        self.disk.stop(random)
+        self.disk.crash(random)
--- a/cherrycove/tier/simulation/world.py
+++ b/cherrycove/tier/simulation/world.py
@@ -14,7 +14,7 @@
 from cherrycove.tier.replication.effects import Effects, OutgoingMessage
 from cherrycove.tier.replication.interface import MemberIdentity
 from cherrycove.tier.replication.machine import ReplicaMachine
-from cherrycove.tier.simulation.disk import SimulatedDisk
+from cherrycove.tier.simulation.disk import BufferedDisk
 from cherrycove.tier.simulation.invariants import Invariants
 from cherrycove.tier.simulation.replica import Replica, State
 from cherrycove.tier.simulation.terms import OperatorTerms
@@ -42,7 +42,7 @@
     """A disk that is gone, and since when."""
 
     lost_at: float
-    disk: SimulatedDisk
+    disk: BufferedDisk
 
 
 class World:
@@ -76,7 +76,7 @@
     def _place(self, number: int, first: bool) -> Replica:
         address = f"n{number}"
         member_id = f"first-{address}" if first else f"new-{address}"
-        return Replica(address, address, f"z{number % 3}", SimulatedDisk(member_id))
+        return Replica(address, address, f"z{number % 3}", BufferedDisk(member_id))
 
     # Events
 
@@ -130,9 +130,9 @@
         self.lost_disks.append(LostDisk(self.now, replica.disk))
         replica.replace_disk(self._new_disk())
 
-    def _new_disk(self) -> SimulatedDisk:
+    def _new_disk(self) -> BufferedDisk:
         self._made_disks += 1
-        return SimulatedDisk(f"disk{self._made_disks}")
+        return BufferedDisk(f"disk{self._made_disks}")
 
     def remove(self, replica: Replica) -> None:
         """The machine is switched off for good, with its disk."""
@@ -184,7 +184,7 @@
         if replica.since_snapshot >= SNAPSHOT_ENTRIES and not replica.snapshot_ticket:
             self._take_snapshot(replica, machine)
 
-    def _disks_that_count(self) -> list[SimulatedDisk]:
+    def _disks_that_count(self) -> list[BufferedDisk]:
         """All disks that there are, and those lost while what they acknowledged was on its way."""
         since = self.now - ON_ITS_WAY_S
         gone = [lost_disk.disk for lost_disk in self.lost_disks if lost_disk.lost_at >= since]
--- a/tests/tier/test_control_simulation.py
+++ b/tests/tier/test_control_simulation.py
@@ -15,9 +15,9 @@
 from cherrycove.tier.protocol.keeper_pb2 import StatusReply, StatusRequest
 from cherrycove.tier.replication.effects import WriteEntries
 from cherrycove.tier.simulation.control.deployment import CATCH_UP_S, Topology
-from cherrycove.tier.simulation.control.disk import Disk
 from cherrycove.tier.simulation.control.fault_budget import FaultBudget
 from cherrycove.tier.simulation.control.loop import Life, VirtualLoop
+from cherrycove.tier.simulation.control.machine_disk import MachineDisk
 from cherrycove.tier.simulation.control.machines import Machine
 from cherrycove.tier.simulation.control.mutations import MUTATIONS, without
 from cherrycove.tier.simulation.control.network import Client, Endpoint, Network
@@ -168,14 +168,14 @@
 
 
 def test_a_loss_of_power_keeps_what_was_synced_and_a_part_of_the_rest() -> None:
-    disk = Disk("m1")
+    disk = MachineDisk("m1")
     entries = [Entry(index, 1, EntryKind.COMMAND, b"%d" % index) for index in range(1, 5)]
     disk.perform(WriteEntries(1, entries[:2]))
     kept = set()
     for seed in range(20):
-        lost = Disk("m1", entries=list(disk.entries))
+        lost = MachineDisk("m1", entries=list(disk.entries))
         lost.in_progress = [WriteEntries(2, [entries[2]]), WriteEntries(3, [entries[3]])]
-        lost.process_ended(Random(seed))
+        lost.crash(Random(seed))
         kept.add(len(lost.entries))
         assert lost.entries == entries[: len(lost.entries)]
     assert kept == {2, 3, 4}
--- a/tests/tier/test_replication_machine.py
+++ b/tests/tier/test_replication_machine.py
@@ -13,7 +13,7 @@
 from cherrycove.tier.replication.interface import MemberIdentity
 from cherrycove.tier.replication.machine import ReplicaMachine
 from cherrycove.tier.replication.membership import encode_members
-from cherrycove.tier.simulation.disk import SimulatedDisk
+from cherrycove.tier.simulation.disk import BufferedDisk
 from cherrycove.tier.simulation.faults import Faults
 from cherrycove.tier.simulation.replica import Replica
 from cherrycove.tier.simulation.world import NetworkConditions, World
@@ -351,8 +351,8 @@
 GROUP = tuple(identity(number) for number in range(3))
 
 
-def single(number: int = 0) -> tuple[ReplicaMachine, SimulatedDisk]:
-    disk = SimulatedDisk(f"m{number}")
+def single(number: int = 0) -> tuple[ReplicaMachine, BufferedDisk]:
+    disk = BufferedDisk(f"m{number}")
     machine = ReplicaMachine(identity(number), 1, disk.recovered(), disk, Random(1), 0.0)
     machine.bootstrap(GROUP, 0.0)
     sync(machine, disk, 0.0)
@@ -360,7 +360,7 @@
     return machine, disk
 
 
-def sync(machine: ReplicaMachine, disk: SimulatedDisk, now: float) -> None:
+def sync(machine: ReplicaMachine, disk: BufferedDisk, now: float) -> None:
     """Make all writes that are asked for durable; other effects of the machine are dropped."""
     disk.submit(machine.take_effects().writes)
     disk.begin()
@@ -568,7 +568,7 @@
 
 
 def test_a_voter_without_a_list_does_not_tell_a_candidate_that_it_was_removed() -> None:
-    disk = SimulatedDisk("m0")
+    disk = BufferedDisk("m0")
     empty = ReplicaMachine(identity(0), 1, disk.recovered(), disk, Random(1), 0.0)
     empty.receive(identity(1), Message(epoch=1, append=Append(sent_us=1, previous_index=5)), 1.0)
     empty.take_effects()
@@ -593,7 +593,7 @@
 
 def asking(now: float = 0.3) -> tuple[ReplicaMachine, int]:
     """A machine of three that has just started, and the campaign that it began at ``now``."""
-    disk = SimulatedDisk("m0")
+    disk = BufferedDisk("m0")
     first = ReplicaMachine(identity(0), 1, disk.recovered(), disk, Random(1), 0.0)
     first.bootstrap(GROUP, 0.0)
     sync(first, disk, 0.0)
@@ -639,7 +639,7 @@
 
 
 def test_a_disk_that_was_moved_to_another_address_does_not_stand() -> None:
-    disk = SimulatedDisk("m0")
+    disk = BufferedDisk("m0")
     first = ReplicaMachine(identity(0), 1, disk.recovered(), disk, Random(1), 0.0)
     first.bootstrap(GROUP, 0.0)
     sync(first, disk, 0.0)
