--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -56,7 +56,7 @@
 
 
 @functools.cache
-def tests() -> frozenset[str]:
+def names_of_tests() -> frozenset[str]:
     """Names of all test functions and test modules."""
     names: set[str] = set()
     for path in (ROOT / "tests").rglob("*.py"):
@@ -106,6 +106,8 @@
 def test_each_test_named_on_a_page_exists(page: str) -> None:
     named = {name for span in spans(page) for name in TEST.findall(span)}
     missing = {
-        name for name in named if name not in tests() and not any(one.startswith(name) for one in tests())
+        name
+        for name in named
+        if name not in names_of_tests() and not any(one.startswith(name) for one in names_of_tests())
     }
     assert not missing
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -56,6 +56,7 @@
     async def __aexit__(self, *_: object) -> None:
         if self.process.returncode is None:
             self.process.kill()
+        await self.process.communicate()  # closes the pipe while the loop that serves it still runs
 
     async def line(self, text: str) -> str:
         assert self.process.stderr is not None
