--- a/bench/tier_worlds.py
+++ b/bench/tier_worlds.py
@@ -16,9 +16,10 @@
 from unittest import mock
 
 from cherrycove.tier.replication.candidate import Candidate
-from cherrycove.tier.simulation.faults import Faults
+from cherrycove.tier.simulation.fault_injector import FaultInjector
+from cherrycove.tier.simulation.network import NetworkConditions
 from cherrycove.tier.simulation.scenario import FAULTY_S, run_seed
-from cherrycove.tier.simulation.world import NetworkConditions, World
+from cherrycove.tier.simulation.world import World
 
 MINUTE_S = 60.0
 STEP_S = 0.005
@@ -41,12 +42,12 @@
 def time_to_primary(seed: int) -> float:
     """Simulated seconds from the moment that all run again to a confirmed primary."""
     world = World(Random(seed), 1, 3, 0)
-    world.network = NetworkConditions(slow_share=0.0, loss=0.0, doubled=0.0)
+    world.network.conditions = NetworkConditions(slow_share=0.0, loss=0.0, duplicated=0.0)
     for replica in world.replicas:
         world.start(replica)
     while world.confirmed_primary() is None:
         world.run_until(world.now + STEP_S)
-    faults = Faults(world, Random(seed), emptied_keeps_identity=False)
+    faults = FaultInjector(world, Random(seed), emptied_keeps_identity=False)
     for replica in world.replicas:
         faults.kill(replica, RESTART_S)
     world.run_until(world.now + RESTART_S)
--- a/cherrycove/tier/simulation/__main__.py
+++ b/cherrycove/tier/simulation/__main__.py
@@ -1,5 +1,8 @@
-"""Run many seeds of one group: ``python -m cherrycove.tier.simulation --seeds 2000``; or worlds of the whole
-control side: ``--scenario cut-off --seeds 100``, and ``--scenario cut-off --trace 17`` to see one of them."""
+"""Runs many seeds of one replicated group, or of one scenario of the control side.
+
+``--seeds 2000`` runs worlds of one group, ``--scenario cut-off --seeds 100`` worlds of the control side, and
+``--scenario cut-off --trace 17`` prints the events of one of them.
+"""
 
 from __future__ import annotations
 
@@ -16,14 +19,35 @@
 from cherrycove.tier.simulation.mutations import EMPTIED_KEEPS_IDENTITY, NAMES, without
 from cherrycove.tier.simulation.scenario import FAULTY_S, run_seed
 
+NO_COMMIT = "-"  # detail of a run that broke nothing, as nothing was acknowledged
+
 
-def _attempt(mutation: str, faulty_s: float, seed: int) -> tuple[int, str]:
+def _run_seed(mutation: str, faulty_s: float, seed: int) -> tuple[int, str]:
+    """Return the seed, and the violated invariant or "" or NO_COMMIT."""
+    keeps_identity = mutation == EMPTIED_KEEPS_IDENTITY
     try:
         with without(mutation):
-            outcome = run_seed(seed, faulty_s, mutation == EMPTIED_KEEPS_IDENTITY)
+            outcome = run_seed(seed, faulty_s, emptied_keeps_identity=keeps_identity)
     except InvariantBrokenError as error:
         return seed, str(error)
-    return seed, "" if outcome.acknowledged else "-"
+    return seed, "" if outcome.acknowledged else NO_COMMIT
+
+
+def _run_group(options: argparse.Namespace) -> int:
+    started = time.monotonic()
+    broken = idle = 0
+    seeds = range(options.first, options.first + options.seeds)
+    with Pool(options.processes) as pool:
+        run = partial(_run_seed, options.without, options.seconds)
+        for seed, detail in pool.imap_unordered(run, seeds, chunksize=4):
+            if detail == NO_COMMIT:
+                idle += 1
+            elif detail:
+                broken += 1
+                print(f"seed {seed}: {detail}", flush=True)
+    duration_s = time.monotonic() - started
+    print(f"{options.seeds} seeds in {duration_s:.1f} s: {broken} broken, {idle} without any commit")
+    return 1 if broken else 0
 
 
 def _run_scenario(options: argparse.Namespace) -> int:
@@ -34,7 +58,7 @@
     return 1 if control.run_many(options.scenario, seeds, options.processes, options.without) else 0
 
 
-def main() -> int:
+def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(prog="python -m cherrycove.tier.simulation", description=__doc__)
     parser.add_argument("--seeds", type=int, default=200)
     parser.add_argument("--first", type=int, default=0)
@@ -43,27 +67,17 @@
     parser.add_argument("--scenario", choices=scenarios.NAMES, default="", help="of the whole control side")
     parser.add_argument("--trace", type=int, default=None, help="print what happens in this world of it")
     parser.add_argument("--seconds", type=float, default=FAULTY_S, help="simulated time with faults")
+    return parser
+
+
+def main() -> int:
+    """Run what the command line asks for; 1 if an invariant broke."""
+    parser = _parser()
     options = parser.parse_args()
     known = control_mutations.NAMES if options.scenario else NAMES
     if options.without and options.without not in known:
         parser.error(f"--without: one of {', '.join(known)}")
-    if options.scenario:
-        return _run_scenario(options)
-    started = time.monotonic()
-    broken = 0
-    idle = 0
-    with Pool(options.processes) as pool:
-        seeds = range(options.first, options.first + options.seeds)
-        attempt = partial(_attempt, options.without, options.seconds)
-        for seed, detail in pool.imap_unordered(attempt, seeds, chunksize=4):
-            if detail == "-":
-                idle += 1
-            elif detail:
-                broken += 1
-                print(f"seed {seed}: {detail}", flush=True)
-    duration = time.monotonic() - started
-    print(f"{options.seeds} seeds in {duration:.1f} s: {broken} broken, {idle} without any commit")
-    return 1 if broken else 0
+    return _run_scenario(options) if options.scenario else _run_group(options)
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/cherrycove/tier/simulation/effects_runner.py
@@ -0,0 +1,98 @@
+"""Performs what a replica's machine asks for: writes, messages, commands to apply and snapshots."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from random import Random
+
+from cherrycove.tier.replication.effects import Effects
+from cherrycove.tier.replication.machine import ReplicaMachine
+from cherrycove.tier.simulation.disk import SimulatedDisk
+from cherrycove.tier.simulation.events import EventQueue
+from cherrycove.tier.simulation.invariants import Invariants
+from cherrycove.tier.simulation.network import MachineAction, SimulatedNetwork
+from cherrycove.tier.simulation.replica import Replica, State
+from cherrycove.tier.storage.entries import Entry
+
+SYNC_S = (0.0005, 0.012)
+SNAPSHOT_ENTRIES = 12  # committed since the last snapshot, after which another is taken
+
+
+class EffectsRunner:
+    """Stands where ``replication.group`` stands in a process. ``acknowledged`` counts confirmed proposals."""
+
+    def __init__(
+        self,
+        random: Random,
+        events: EventQueue,
+        network: SimulatedNetwork,
+        invariants: Invariants,
+        handle: Callable[[Replica, int, MachineAction], None],
+        disks: Callable[[], list[SimulatedDisk]],
+    ) -> None:
+        """``disks`` returns those whose replicas count for a commit now."""
+        self._random = random
+        self._events = events
+        self._network = network
+        self._invariants = invariants
+        self._handle = handle
+        self._disks = disks
+        self._proposals: set[tuple[str, int, int]] = set()  # member id, index and epoch of those pending
+        self.acknowledged = 0
+        self.on_effects: Callable[[Replica, Effects], None] = lambda replica, effects: None
+
+    def add_proposal(self, replica: Replica, index: int, epoch: int) -> None:
+        """Record a proposal of ``replica``, which counts as acknowledged when it applies it."""
+        self._proposals.add((replica.disk.member_id, index, epoch))
+
+    def run(self, replica: Replica, machine: ReplicaMachine) -> None:
+        """Perform the effects of the event that ``machine`` has handled."""
+        effects = machine.take_effects()
+        self.on_effects(replica, effects)
+        replica.disk.submit(effects.writes)
+        self._sync(replica)
+        if not (effects.messages or effects.committed or effects.restore):
+            return
+        self._apply(replica, effects)
+        for outgoing in effects.messages:
+            self._network.send(replica.identity, outgoing)
+        if replica.entries_since_snapshot >= SNAPSHOT_ENTRIES and not replica.snapshot_ticket:
+            self._take_snapshot(replica, machine)
+
+    def _apply(self, replica: Replica, effects: Effects) -> None:
+        if effects.restore is not None:
+            replica.state = State.decode(effects.restore.state)
+            replica.entries_since_snapshot = 0
+            self._invariants.applied(replica)
+        for entry in effects.committed:
+            self._invariants.committed(replica, entry, self._disks, self._events.now)
+            replica.state = replica.state.applied(entry)
+            self._acknowledge(replica, entry)
+        if effects.committed:
+            self._invariants.applied(replica)
+            replica.entries_since_snapshot += len(effects.committed)
+
+    def _acknowledge(self, replica: Replica, entry: Entry) -> None:
+        proposal = (replica.disk.member_id, entry.index, entry.epoch)
+        if proposal in self._proposals:
+            self._proposals.remove(proposal)
+            self.acknowledged += 1
+
+    def _take_snapshot(self, replica: Replica, machine: ReplicaMachine) -> None:
+        replica.entries_since_snapshot = 0
+        replica.snapshot_ticket = machine.save_snapshot(replica.state.encode(), self._events.now)
+        self.run(replica, machine)
+
+    def _sync(self, replica: Replica) -> None:
+        if not replica.disk.begin():
+            return
+        incarnation, now = replica.incarnation, self._events.now
+        end = max(now + self._random.uniform(*SYNC_S), replica.stalled_until)
+
+        def complete(machine: ReplicaMachine) -> None:
+            ticket = replica.disk.finish()
+            if replica.snapshot_ticket and ticket >= replica.snapshot_ticket:
+                replica.snapshot_ticket = 0
+            machine.complete_writes(ticket, self._events.now)
+
+        self._events.after(end - now, lambda: self._handle(replica, incarnation, complete))
--- /dev/null
+++ b/cherrycove/tier/simulation/fault_schedule.py
@@ -0,0 +1,191 @@
+"""Decides which fault strikes which replica, and when."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from random import Random
+
+from cherrycove.tier.simulation.fault_injector import FaultInjector
+from cherrycove.tier.simulation.replica import Replica
+from cherrycove.tier.simulation.targeted_faults import TargetedFaults
+from cherrycove.tier.simulation.world import CATCH_UP_S, World
+
+FIRST_FAULT_S = 1.0
+FAULT_PAUSE_S = 0.5  # between two faults, on average
+NEXT_LOSS_DELAY_S = 0.005  # after the fault budget allows another loss
+NEXT_LOSS_SHARE = 0.7  # of the faults after which another machine is lost as early as the budget allows
+PRIMARY_SHARE = 0.3  # of the faults that strike a primary on purpose
+WITHIN_BUDGET_SHARE = 0.6  # of the worlds in which faults of single machines keep to the fault budget
+STRIKE_ALL_SHARE = 0.2  # in these worlds, of the faults that may strike all machines
+EXHAUSTED_SHARE = 0.15  # in these worlds, of the faults that come though no further machine may be lost
+AFTER_RETIREMENT_SHARE = 0.5  # of the retired machines, which another loss follows at once
+SAME_ADDRESS_SHARE = 0.5  # of the replaced machines
+SHORT_S = (0.3, 0.8, 1.5, 3.0)
+LONG_S = (0.3, 0.8, 1.5, 3.0, 8.0, 25.0)
+WIPE_S = (0.1, 0.6, 3.0)
+REPLACE_S = (0.0, 0.5, 3.0)
+RESTART_ALL_S = (0.1, 1.0)
+STORM_S = (0.5, 2.0)
+
+ReplicaFault = Callable[[Replica], None]
+
+
+class FaultSchedule:
+    """The faults of one run, from ``start`` until ``stop``."""
+
+    def __init__(
+        self,
+        world: World,
+        random: Random,
+        injector: FaultInjector,
+        targeted: TargetedFaults,
+    ) -> None:
+        self._world = world
+        self._random = random
+        self._injector = injector
+        self._targeted = targeted
+        self._keeps_to_budget = random.random() < WITHIN_BUDGET_SHARE
+        self._is_active = True
+        injector.on_end = self._lose_next
+
+    def start(self) -> None:
+        """Schedule the first fault."""
+        self._world.after(FIRST_FAULT_S, self._strike)
+
+    def stop(self) -> None:
+        """Schedule no more faults."""
+        self._is_active = False
+        self._targeted.disarm()
+
+    def _strike(self) -> None:
+        if not self._is_active:
+            return
+        if self._world.replicas and not self._pauses():
+            self._world.check_fault_tolerance()
+            self._random.choice(self._kinds())(self._choose_victim())
+        self._world.after(self._random.uniform(0, 2 * FAULT_PAUSE_S), self._strike)
+
+    def _pauses(self) -> bool:
+        """Whether the lost machines are left alone until the budget allows another loss; mostly so."""
+        lost = len(self._world.fault_budget.lost(self._world.now))
+        return (
+            self._keeps_to_budget and lost >= self._world.faults and self._random.random() > EXHAUSTED_SHARE
+        )
+
+    def _choose_victim(self) -> Replica:
+        """Return a replica to be struck, one that the budget allows to be lost if there is any."""
+        candidates = list(self._world.replicas)
+        primaries = self._world.primaries()
+        if primaries and self._random.random() < PRIMARY_SHARE:
+            candidates = list(primaries)
+        allowed = [replica for replica in candidates if self._injector.may_lose(replica)]
+        return self._random.choice(allowed or candidates)
+
+    def _kinds(self) -> list[ReplicaFault]:
+        """Return the faults to choose from.
+
+        A world within the budget strikes all machines only now and then, or all would be lost always."""
+        if self._keeps_to_budget and self._random.random() > STRIKE_ALL_SHARE:
+            return self._single_faults()
+        return [*self._single_faults(), *self._common_faults()]
+
+    def _single_faults(self) -> list[ReplicaFault]:
+        injector = self._injector
+        return [
+            self._if_allowed(lambda replica: injector.kill(replica, self._draw_duration_s())),
+            self._if_allowed(lambda replica: injector.freeze(replica, self._draw_duration_s())),
+            self._if_allowed(lambda replica: injector.isolate(replica, self._draw_duration_s())),
+            self._if_allowed(lambda replica: injector.cut_one_way(replica, self._draw_duration_s())),
+            self._if_allowed(lambda replica: injector.stall(replica, self._draw_duration_s())),
+            self._wipe,
+            self._wipe,
+            self._replace,
+            self._retire,
+        ]
+
+    def _common_faults(self) -> list[ReplicaFault]:
+        return [
+            lambda _: self._transfer_leadership(),
+            lambda _: self._targeted.arm(),
+            lambda _: self._targeted.arm(),
+            lambda _: self._targeted.arm(),
+            lambda _: self._kill_all(),
+            lambda _: self._injector.storm(self._random.uniform(*STORM_S)),
+        ]
+
+    def _draw_duration_s(self) -> float:
+        return self._random.choice(LONG_S if self._keeps_to_budget else SHORT_S)
+
+    def _if_allowed(self, fault: ReplicaFault) -> ReplicaFault:
+        """In a world within the budget ``fault`` strikes only where the budget allows it."""
+
+        def strike(replica: Replica) -> None:
+            if not self._keeps_to_budget or self._injector.may_lose(replica):
+                fault(replica)
+
+        return strike
+
+    def _kill_all(self) -> None:
+        for replica in self._world.replicas:
+            self._injector.kill(replica, self._random.uniform(*RESTART_ALL_S))
+
+    def _wipe(self, replica: Replica) -> None:
+        if self._injector.may_lose(replica):
+            self._injector.wipe(replica, self._random.choice(WIPE_S))
+
+    def _replace(self, replica: Replica) -> None:
+        if self._injector.may_lose(replica):
+            pause_s = self._random.choice(REPLACE_S)
+            same_address = self._random.random() < SAME_ADDRESS_SHARE
+            self._injector.replace(replica, pause_s, same_address=same_address)
+
+    def _transfer_leadership(self) -> None:
+        """As a primary does whose disk stalls or that shuts down; counts as a fault of its machine."""
+        for primary in self._world.primaries():
+            self._world.transfer_leadership(primary)
+            self._injector.stall(primary, 0.0)
+
+    # Orders to retire
+
+    def _retire(self, replica: Replica) -> None:
+        """Order a machine to retire, if enough others remain. An order is never taken back."""
+        world = self._world
+        staying = [other for other in world.replicas if other.name not in world.retiring]
+        if len(staying) > 2 * world.faults + 1:
+            world.retiring |= {replica.name}
+
+    def switch_off_retired(self) -> None:
+        """Switch a machine off whose order to retire is completed, at times while others are lost."""
+        if not self._is_active:
+            return
+        world = self._world
+        for replica in world.replicas:
+            if replica.name in world.retiring and world.has_retired(replica):
+                self._injector.switch_off(replica)
+                if self._random.random() < AFTER_RETIREMENT_SHARE:
+                    self._lose_another()
+                return
+
+    # The next loss, as early as possible
+
+    def _lose_next(self) -> None:
+        if self._is_active and self._random.random() < NEXT_LOSS_SHARE:
+            self._world.after(CATCH_UP_S + NEXT_LOSS_DELAY_S, self._lose_another)
+
+    def _lose_another(self) -> None:
+        """Lose a machine if the budget allows it, and have all others lose power at times."""
+        if not self._is_active or not self._world.replicas:
+            return
+        victim = self._choose_victim()
+        if not self._injector.may_lose(victim):
+            return
+        self._world.check_fault_tolerance()
+        kind = self._random.randrange(4)
+        if kind == 0:
+            self._replace(victim)
+        elif kind == 1:
+            self._injector.freeze(victim, self._draw_duration_s())
+        else:
+            self._injector.wipe(victim)
+        if kind == 3:
+            self._kill_all()
--- a/cherrycove/tier/simulation/invariants.py
+++ b/cherrycove/tier/simulation/invariants.py
@@ -1,7 +1,7 @@
-"""What must hold in a simulated world: after every step, and by the operators' terms.
+"""What must hold in a simulated world: after every step, and of the losses that are borne.
 
-Nothing here asks the replicas how many copies or votes they want: copies are counted on the disks and
-compared with the number of faults to be borne, and the members are those of the last list that was committed.
+No replica is asked how many replicas or votes it needs: synced entries are counted on the disks and compared
+with the number of faults to be borne, and the members are those of the last committed change of members.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from cherrycove.tier.storage.entries import Entry, EntryKind
 
 INITIAL_EPOCH = 0  # of the entry with the initial members, which each of them has from the start
-LAG_S = 2.0  # a member without any trouble lacks nothing that was committed so long ago
+MAX_LAG_S = 2.0  # a member without faults lacks nothing that was committed so long ago
 
 
 class InvariantBrokenError(AssertionError):
@@ -24,7 +24,7 @@
 
 
 class Invariants:
-    """Remembers all that was committed and who led."""
+    """Records what was committed and who led, and compares each step with it."""
 
     def __init__(self, faults: int) -> None:
         self._faults = faults
@@ -38,6 +38,7 @@
         self.last_index = 0
 
     def require(self, condition: bool, detail: str) -> None:
+        """Raise ``InvariantBrokenError`` with ``detail`` unless ``condition`` holds."""
         if not condition:
             raise InvariantBrokenError(detail)
 
@@ -46,7 +47,7 @@
     def committed(
         self, replica: Replica, entry: Entry, disks: Callable[[], Iterable[SimulatedDisk]], now: float
     ) -> None:
-        """``replica`` takes ``entry`` as committed; ``disks`` gives those whose copies count now."""
+        """Check that ``replica`` takes ``entry`` as committed; ``disks`` returns those that count now."""
         known = self._committed.get(entry.index)
         if known is None:
             self._first_committed(replica, entry, disks, now)
@@ -58,8 +59,8 @@
     ) -> None:
         self.require(entry.index == self.last_index + 1, f"{entry.index} committed before its predecessor")
         before = self._committed.get(self.last_index)
-        grows = before is None or before.epoch <= entry.epoch
-        self.require(grows, f"{entry.index} is of an older epoch than its predecessor")
+        is_ordered = before is None or before.epoch <= entry.epoch
+        self.require(is_ordered, f"{entry.index} is of an older epoch than its predecessor")
         self._committed[entry.index] = entry
         self._committed_at.append(now)
         self._committed_in.append(replica.machine.epoch if replica.machine is not None else 0)
@@ -70,27 +71,27 @@
         if entry.epoch != INITIAL_EPOCH:
             machine = replica.machine
             leads = machine is not None and machine.role is Role.PRIMARY
-            self.require(leads, f"{replica.name} committed {entry.index} first, and does not lead")
-            copies = sum(disk.holds(entry.index, entry.epoch) for disk in disks())
-            self.require(copies > self._faults, f"{entry.index} committed with {copies} synced copies")
+            self.require(leads, f"{replica.name} committed {entry.index} first, and is not primary")
+            holders = sum(disk.holds(entry.index, entry.epoch) for disk in disks())
+            self.require(holders > self._faults, f"{entry.index} committed on {holders} disks")
 
     def _members_committed(self, entry: Entry) -> None:
         message = MemberList.FromString(entry.payload)
         self._members = frozenset(member.member_id for member in message.members)
         excluded = frozenset(message.excluded)
         self.require(self._excluded <= excluded, f"{entry.index} forgets excluded disks")
-        self.require(not excluded & self._members, f"{entry.index} takes in an excluded disk")
+        self.require(not excluded & self._members, f"{entry.index} adds an excluded disk")
         self._excluded = excluded
 
     def applied(self, replica: Replica) -> None:
-        """The state of ``replica`` is that of all commands up to its index."""
+        """Check that the state of ``replica`` is that of all commands up to its index."""
         expected = self._states.get(replica.state.index)
         self.require(expected == replica.state, f"{replica.name} holds a wrong state")
 
     # Primaries
 
     def stepped_as_primary(self, replica: Replica, machine: ReplicaMachine, now: float) -> None:
-        """``replica`` has handled an event, and leads."""
+        """Check ``replica``, which has handled an event and leads, at ``now`` in seconds."""
         member = replica.identity.member_id
         if machine.epoch not in self._primaries:
             self._holds_committed(replica, machine)
@@ -106,23 +107,25 @@
         """A new primary holds all that was committed in epochs before its own, and its snapshot is of that.
 
         That is all that was committed, unless a primary of a newer epoch has led already. Then the votes for
-        this one were on their way for longer than the others' election took. No protocol without a common
-        clock can rule that out; what the newer one commits is on disks whose promise outruns this one, so it
-        is never confirmed and commits nothing, which is checked at each of its steps."""
+        this one were on their way for longer than the other election took, which no protocol without a common
+        clock can rule out. What the newer primary commits is on disks that have voted in its epoch, so this
+        one is never confirmed and commits nothing, which is checked at each of its steps."""
         base = self._committed.get(machine.base_index)
         known = machine.base_index == 0 or base is not None
         self.require(known, f"{replica.name} has a snapshot at {machine.base_index} that nobody committed")
-        outrun = max(self._primaries, default=0) > machine.epoch
+        is_superseded = max(self._primaries, default=0) > machine.epoch
         for index in range(machine.base_index + 1, self.last_index + 1):
-            if outrun and self._committed_in[index] > machine.epoch:
+            if is_superseded and self._committed_in[index] > machine.epoch:
                 break
-            held = machine.epoch_at(index) == self._committed[index].epoch
-            self.require(held, f"{replica.name} leads epoch {machine.epoch} without entry {index}")
+            has_entry = machine.epoch_at(index) == self._committed[index].epoch
+            self.require(has_entry, f"{replica.name} leads epoch {machine.epoch} without entry {index}")
 
-    # By the operators' terms
+    # Losses that are borne
 
-    def judge(self, replicas: Sequence[Replica], lost: set[str], now: float) -> None:
-        """As many further machines as the terms allow may be lost now, with their disks."""
+    def check_fault_tolerance(self, replicas: Sequence[Replica], lost: set[str], now: float) -> None:
+        """As many further machines as the fault budget allows may be lost now, with their disks.
+
+        ``lost`` are the names of the machines that are lost at ``now``, in seconds."""
         further = self._faults - len(lost)
         if further < 0 or not self._members:
             return
@@ -136,27 +139,28 @@
         if not lost:
             self._caught_up(safe, now)
 
-    def _held(self, replica: Replica, index: int) -> bool:
+    def _has_synced(self, replica: Replica, index: int) -> bool:
         return replica.disk.holds(index, self._committed[index].epoch)
 
     def _survives(self, safe: Sequence[Replica], further: int) -> None:
-        copies = sum(self._held(replica, self.last_index) for replica in safe)
+        holders = sum(self._has_synced(replica, self.last_index) for replica in safe)
         self.require(
-            copies > further, f"entry {self.last_index} has {copies} copies where {further} may be lost"
+            holders > further,
+            f"entry {self.last_index} is on {holders} disks where {further} may be lost",
         )
 
     def _elects(self, safe: Sequence[Replica], further: int) -> None:
-        """The members left can elect: a majority, and all but as many as may lack an entry."""
+        """The remaining members can elect: a majority, and all but as many as may lack an entry."""
         size = len(self._members)
-        wanted = max(size // 2 + 1, size - self._faults)
+        required = max(size // 2 + 1, size - self._faults)
         self.require(
-            len(safe) - further >= wanted,
-            f"of {size} members {len(safe)} are there; {further} may be lost, and {wanted} must elect",
+            len(safe) - further >= required,
+            f"of {size} members {len(safe)} are there; {further} may be lost, and {required} must elect",
         )
 
     def _caught_up(self, safe: Sequence[Replica], now: float) -> None:
         index = self.last_index
-        while index > 0 and self._committed_at[index] > now - LAG_S:
+        while index > 0 and self._committed_at[index] > now - MAX_LAG_S:
             index -= 1
-        behind = [replica.name for replica in safe if index and not self._held(replica, index)]
+        behind = [replica.name for replica in safe if index and not self._has_synced(replica, index)]
         self.require(not behind, f"{behind} have not caught up with entry {index}")
--- a/tests/tier/test_replication_machine.py
+++ b/tests/tier/test_replication_machine.py
@@ -14,9 +14,10 @@
 from cherrycove.tier.replication.machine import ReplicaMachine
 from cherrycove.tier.replication.membership import encode_members
 from cherrycove.tier.simulation.disk import BufferedDisk
-from cherrycove.tier.simulation.faults import Faults
+from cherrycove.tier.simulation.fault_injector import FaultInjector
+from cherrycove.tier.simulation.network import NetworkConditions
 from cherrycove.tier.simulation.replica import Replica
-from cherrycove.tier.simulation.world import NetworkConditions, World
+from cherrycove.tier.simulation.world import World
 from cherrycove.tier.storage.entries import EntryKind
 
 STEP_S = 0.01
@@ -25,7 +26,7 @@
 def quiet_world(members: int = 3, standbys: int = 0, seed: int = 1, faults: int = 1) -> World:
     """A world in which no message is lost, with every replica started."""
     world = World(Random(seed), faults, members, standbys)
-    world.network = NetworkConditions(slow_share=0.0, loss=0.0, doubled=0.0)
+    world.network.conditions = NetworkConditions(slow_share=0.0, loss=0.0, duplicated=0.0)
     for replica in world.replicas:
         world.start(replica)
     return world
@@ -49,13 +50,13 @@
 
 def commit(world: World, limit_s: float) -> float:
     """Seconds until a further proposal is committed, proposing again at whoever leads."""
-    before = world.acknowledged
+    before = world.effects.acknowledged
 
     def committed() -> bool:
         primary = world.confirmed_primary()
-        if world.acknowledged == before and primary is not None:
+        if world.effects.acknowledged == before and primary is not None:
             world.propose(primary, b"command")
-        return world.acknowledged > before
+        return world.effects.acknowledged > before
 
     return wait(world, committed, limit_s)
 
@@ -89,7 +90,7 @@
     world = quiet_world(seed=seed)
     commit(world, 3.0)
     before = primary_of(world)
-    world.hand_over(before)
+    world.transfer_leadership(before)
     assert not machine_of(before).is_confirmed_primary(world.now)
     assert commit(world, 0.3) < 0.2
     assert world.confirmed_primary() is not before
@@ -99,7 +100,7 @@
     world = quiet_world()
     commit(world, 3.0)
     frozen = primary_of(world)
-    frozen.frozen = True
+    frozen.is_frozen = True
     commit(world, 2.0)
     machine = machine_of(frozen)
     assert machine.role is Role.PRIMARY
@@ -116,9 +117,9 @@
     epoch = machine_of(primary).epoch
     backup = next(replica for replica in world.replicas if replica is not primary)
     for other in world.replicas:
-        world.cuts |= {(other.address, backup.address), (backup.address, other.address)}
+        world.network.cuts |= {(other.address, backup.address), (backup.address, other.address)}
     world.run_until(world.now + 5.0)
-    world.cuts.clear()
+    world.network.cuts.clear()
     world.run_until(world.now + 3.0)
     assert world.confirmed_primary() is primary
     assert machine_of(primary).epoch == epoch
@@ -129,8 +130,8 @@
     commit(world, 3.0)
     primary = primary_of(world)
     for other in world.replicas:
-        world.cuts.add((other.address, primary.address))
-        world.cuts.add((primary.address, other.address))
+        world.network.cuts.add((other.address, primary.address))
+        world.network.cuts.add((primary.address, other.address))
     wait(world, lambda: not machine_of(primary).is_confirmed_primary(world.now), 0.75)
     wait(world, lambda: machine_of(primary).role is Role.BACKUP, 1.6)
 
@@ -163,7 +164,7 @@
     world.wipe(lost)
     world.start(lost)
     assert machine_of(lost).members == ()
-    world.offer()
+    world.update_membership_requests()
     wait(world, lambda: lost.disk.member_id in member_ids(primary), 1.0)
     wait(world, lambda: lost.disk.member_id in member_ids(lost), 1.0)
     assert old_id not in member_ids(primary)
@@ -178,7 +179,7 @@
     primary = primary_of(world)
     silent = next(replica for replica in world.replicas[:3] if replica is not primary)
     silent.end(Random(1))
-    world.offer()
+    world.update_membership_requests()
     wait(world, lambda: "new-n3" in member_ids(primary), 3.0)
     assert silent.disk.member_id not in member_ids(primary)
     world.start(silent)
@@ -193,17 +194,17 @@
     primary = primary_of(world)
     cut_off = next(replica for replica in world.replicas[:3] if replica is not primary)
     pairs = {(other.address, cut_off.address) for other in world.replicas}
-    world.cuts |= pairs | {(one, other) for other, one in pairs}
-    world.offer()
+    world.network.cuts |= pairs | {(one, other) for other, one in pairs}
+    world.update_membership_requests()
     wait(world, lambda: "new-n3" in member_ids(primary), 3.0)
     world.run_until(world.now + 1.0)
-    world.cuts.clear()
+    world.network.cuts.clear()
     requests: list[float] = []
 
     def count(replica: Replica, effects: Effects) -> None:
         requests.extend(world.now for body in bodies(effects) if body == "vote_request")
 
-    world.on_effects = count
+    world.effects.on_effects = count
     world.run_until(world.now + 10.0)
     assert 0 < len(requests) <= 6
     assert world.confirmed_primary() is primary
@@ -214,7 +215,7 @@
     commit(world, 3.0)
     full = primary_of(world)
     full.stalled_until = world.now + 5.0
-    world.on_replica(full, full.life, lambda machine: machine.record_write_failure(world.now))
+    world.handle_event(full, full.incarnation, lambda machine: machine.record_write_failure(world.now))
     assert commit(world, 0.3) < 0.3
     second = primary_of(world)
     world.run_until(world.now + 1.0)
@@ -230,7 +231,7 @@
     commit(world, 3.0)
     retiring = primary_of(world)
     world.retiring = frozenset({retiring.address})
-    world.offer()
+    world.update_membership_requests()
 
     def left() -> bool:
         primary = world.confirmed_primary()
@@ -254,7 +255,7 @@
     assert before is not None
     assert before.excluded == frozenset()
     world.retiring = frozenset({standby.address})
-    world.offer()
+    world.update_membership_requests()
 
     def excluded(replica: Replica) -> bool:
         known = machine_of(replica).committed_members(world.now)
@@ -270,12 +271,12 @@
     lost = next(replica for replica in world.replicas[:3] if replica is not primary)
     world.wipe(lost)
     world.start(lost)
-    world.offer()
+    world.update_membership_requests()
     wait(world, lambda: lost.disk.member_id in member_ids(lost), 3.0)
     assert lost.disk.snapshot is not None
     world.retiring = frozenset()
-    world.offer()
-    world.hand_over(primary)
+    world.update_membership_requests()
+    world.transfer_leadership(primary)
     wait(
         world,
         lambda: world.confirmed_primary() is not None and world.confirmed_primary() is not primary,
@@ -296,7 +297,7 @@
     for backup in backups:
         backup.stalled_until = world.now + 60.0
     world.retiring = frozenset({world.replicas[3].address})
-    world.offer()
+    world.update_membership_requests()
     world.run_until(world.now + 0.3)
     assert machine_of(primary).is_confirmed_primary(world.now)
     assert machine_of(primary).committed_members(world.now) is None
@@ -311,14 +312,14 @@
 
     def cut_off_at_change(replica: Replica, effects: Effects) -> None:
         if leaving.disk.member_id not in member_ids(primary):
-            world.cuts |= {(primary.address, other.address) for other in unaware}
+            world.network.cuts |= {(primary.address, other.address) for other in unaware}
 
-    world.on_effects = cut_off_at_change
+    world.effects.on_effects = cut_off_at_change
     world.retiring = frozenset({leaving.address})
-    world.offer()
+    world.update_membership_requests()
     wait(world, lambda: leaving.disk.member_id not in member_ids(leaving), 1.0)
     wait(world, lambda: not machine_of(leaving).has_pending_writes, 0.1)
-    world.on_effects = lambda replica, effects: None
+    world.effects.on_effects = lambda replica, effects: None
     primary.end(Random(1))
     assert all(leaving.disk.member_id in member_ids(replica) for replica in unaware)
     commit(world, 4.0)
@@ -335,7 +336,7 @@
     lost = next(replica for replica in world.replicas if replica is not primary)
     world.wipe(lost)
     world.start(lost)
-    world.offer()
+    world.update_membership_requests()
     wait(world, lambda: lost.disk.member_id in member_ids(lost), 1.0)
     assert lost.disk.snapshot is not None
     wait(world, lambda: lost.state == primary.state, 0.5)
@@ -486,7 +487,7 @@
 
 
 def restart(world: World, replicas: list[Replica], after_s: float) -> None:
-    faults = Faults(world, Random(1), emptied_keeps_identity=False)
+    faults = FaultInjector(world, Random(1), emptied_keeps_identity=False)
     for replica in replicas:
         faults.kill(replica, after_s)
 
@@ -507,7 +508,7 @@
     commit(world, 1.0)
     others = [replica for replica in world.replicas if replica is not primary]
     for other in others:
-        world.cuts |= {(primary.address, other.address), (other.address, primary.address)}
+        world.network.cuts |= {(primary.address, other.address), (other.address, primary.address)}
     restart(world, others, 0.1)
     wait(world, lambda: not machine_of(primary).is_confirmed_primary(world.now), 1.0)
     assert world.confirmed_primary() is None
@@ -690,11 +691,11 @@
 
     def cut_off_at_change(replica: Replica, effects: Effects) -> None:
         if leaving.disk.member_id not in member_ids(primary):
-            world.cuts |= {(primary.address, other.address) for other in unaware}
+            world.network.cuts |= {(primary.address, other.address) for other in unaware}
 
-    world.on_effects = cut_off_at_change
+    world.effects.on_effects = cut_off_at_change
     world.retiring = frozenset({leaving.address})
-    world.offer()
+    world.update_membership_requests()
     wait(world, lambda: leaving.disk.member_id not in member_ids(leaving), 1.0)
     wait(world, lambda: not machine_of(leaving).has_pending_writes, 0.1)
     confirmed: list[bool] = []
@@ -703,7 +704,7 @@
         if replica is leaving and machine_of(leaving).role is Role.PRIMARY:
             confirmed.append(machine_of(leaving).is_confirmed_primary(world.now))
 
-    world.on_effects = note
+    world.effects.on_effects = note
     primary.end(Random(1))
     wait(world, lambda: world.confirmed_primary() in unaware, 6.0)
     assert confirmed
