--- a/bench/serve_cost.py
+++ b/bench/serve_cost.py
@@ -65,7 +65,7 @@
 async def measure(pairs: int, requests: int, bound: int) -> list[tuple[float, float]]:
     """CPU seconds a request with the record off and on, pair by pair, in turns."""
     whole = json.loads((Path(__file__).parent.parent / "examples/config.json").read_text())
-    settings = config.read_platform(whole, {}).settings
+    settings = config.parse_platform_config(whole, {}).settings
     found: list[tuple[float, float]] = []
     cores = []
     for on in (False, True):
--- a/bench/why.py
+++ b/bench/why.py
@@ -172,7 +172,7 @@
     )
     given = parser.parse_args()
     whole_file = json.loads((Path(__file__).parent.parent / "examples/config.json").read_text())
-    settings = config.read_platform(whole_file, {}).settings
+    settings = config.parse_platform_config(whole_file, {}).settings
     rows: list[tuple[str, str]] = []
 
     def book(sketches: bool = False) -> Book:
--- a/cherrycove/__main__.py
+++ b/cherrycove/__main__.py
@@ -98,7 +98,7 @@
 from cherrycove.broker.core import Core, NodeList
 from cherrycove.broker.event_log import Log
 from cherrycove.broker.peer_capacity import peers
-from cherrycove.broker.http1 import back, front
+from cherrycove.broker.http1 import server, upstream
 from cherrycove.broker.http1.watch import watch
 from cherrycove.broker.lifecycle.handover import Place
 from cherrycove.broker.lifecycle.leaving import Timetable
@@ -114,13 +114,13 @@
 class Broker:
     """All parts of one broker, started and stopped together."""
 
-    def __init__(self, platform: config.Platform, operator: config.Operator) -> None:
+    def __init__(self, platform: config.PlatformConfig, operator: config.OperatorConfig) -> None:
         self.platform, self.operator = platform, operator
         self.core = Core(platform.settings, platform.seed)
         self.life = Life(platform.sockets, platform.memory_mb)
         budget = self.life.budget()
-        self.pool = back.Pool(platform.dial_timeout, platform.conn_idle, most=budget.nodes)
-        self.front = front.Front(
+        self.pool = upstream.ConnectionPool(platform.dial_timeout, platform.conn_idle, most=budget.nodes)
+        self.front = server.Server(
             self.core,
             self.pool,
             most_connections=budget.clients,
@@ -130,10 +130,10 @@
         self.stop = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
         self._watch: asyncio.Task[None] | None = None  # of the platform's discovery
-        self._nbd: nbd.Front | None = None
-        self._nbd_pool: nbd.Pool | None = None
-        self._consul: consul.Consul | None = None
-        self._gossip: store.Gossip | None = None
+        self._nbd: nbd.Server | None = None
+        self._nbd_pool: nbd.ConnectionPool | None = None
+        self._consul: consul.ConsulClient | None = None
+        self._gossip: store.GossipProtocol | None = None
         self._desk = admin.Desk(self._call)
         self.succession = Succession(
             platform.name,
@@ -189,8 +189,10 @@
         if operator.consul is None:
             self._watch = self._run(watch(self.core, platform.discovery, platform.zones))
         if operator.nbd is not None:
-            self._nbd_pool = nbd.Pool(operator.nbd, platform.dial_timeout, most=platform.sockets // 16)
-            self._nbd = nbd.Front(self.core, self._nbd_pool, operator.nbd)
+            self._nbd_pool = nbd.ConnectionPool(
+                operator.nbd, platform.dial_timeout, most=platform.sockets // 16
+            )
+            self._nbd = nbd.Server(self.core, self._nbd_pool, operator.nbd)
             for entry in kept.items("config/").values() if kept is not None else ():
                 self._stored(entry)
             ports = await self._nbd.listen(given[1] if given and len(given) > 1 else None)
@@ -198,7 +200,7 @@
         port = await (self.front.accept(given[0]) if given else self.front.listen(*platform.listen))
         log.info("broker.serves", name=platform.name, host=platform.listen[0], port=port)
         if operator.consul is not None:
-            self._consul = consul.Consul(
+            self._consul = consul.ConsulClient(
                 self.core, operator.consul, platform.zones, platform.name, (platform.listen[0], port)
             )
             self._run(self._consul.watch())
@@ -242,7 +244,7 @@
     def reload(self) -> None:
         """Read the platform's file again and follow its discovery; nothing in flight is touched."""
         try:
-            fresh = config.platform()
+            fresh = config.load_platform_config()
         except config.ConfigError as error:
             log.error("config.not_used", why=error)
             return
@@ -343,12 +345,12 @@
             log.critical("broker.part_failed", fault=task.exception())
             self.stop.set()
 
-    async def _start_store(self, setup: store.Setup) -> store.Store:
-        kept = store.Store(self.platform.name, self._stored)
-        gossip = self._gossip = store.Gossip(kept, setup)
+    async def _start_store(self, setup: store.SharedMapConfig) -> store.SharedMap:
+        kept = store.SharedMap(self.platform.name, self._stored)
+        gossip = self._gossip = store.GossipProtocol(kept, setup)
 
         def told(news: NodeList) -> None:
-            gossip.tell(store.remember(kept, news))
+            gossip.tell(store.record_node_list(kept, news))
 
         for key, (version, value) in setup.entries.items():
             kept.put(key, value, version)
@@ -359,14 +361,14 @@
     def _stored(self, entry: store.Entry) -> None:
         """A change of the store takes effect: it may tune the log or take something away, nothing else."""
         if entry.key.startswith("node/"):
-            store.restrict(self.core, entry)
+            store.apply_peer_drain(self.core, entry)
         elif entry.key == "config/log_level":
             logging.getLogger("cherrycove").setLevel(entry.value if entry.value in LEVELS else "INFO")
         elif entry.key.startswith("config/closed/") and self._nbd is not None:
             self._nbd.close_export(entry.key.removeprefix("config/closed/"), entry.value is not None)
 
 
-async def run(platform: config.Platform, operator: config.Operator, heard: list[int]) -> None:
+async def run(platform: config.PlatformConfig, operator: config.OperatorConfig, heard: list[int]) -> None:
     """Until a signal ends it. ``heard``: each SIGHUP since before the platform's file was read."""
     loop = asyncio.get_running_loop()
     broker = Broker(platform, operator)
@@ -397,13 +399,15 @@
     signal.signal(signal.SIGHUP, lambda number, _: heard.append(number))
     events.start()
     try:
-        platform = config.platform()
-        operator = config.operator(Path(os.environ.get("CHERRYCOVE_OPERATOR", OPERATOR)), platform.settings)
+        platform = config.load_platform_config()
+        operator = config.load_operator_config(
+            Path(os.environ.get("CHERRYCOVE_OPERATOR", OPERATOR)), platform.settings
+        )
     except config.ConfigError as error:
         print(f"cherrycove: {error}", file=sys.stderr)
         return 2
     events.start(operator.log.form, operator.log.level)
-    config.tell(platform)
+    config.log_unsupported_settings(platform)
     try:
         asyncio.run(run(platform, operator, heard))
     except ModuleNotFoundError as error:
--- a/cherrycove/broker/cli/commands.py
+++ b/cherrycove/broker/cli/commands.py
@@ -85,8 +85,8 @@
     if operator and not path.exists():
         _end(f"{path}: no such file", USAGE)
     try:
-        told = config.platform(env)
-        found = config.operator(path, told.settings)
+        told = config.load_platform_config(env)
+        found = config.load_operator_config(path, told.settings)
     except config.ConfigError as error:
         if as_json:
             click.echo(json.dumps({"ok": False, "error": str(error)}))
--- a/cherrycove/broker/cli/memory.py
+++ b/cherrycove/broker/cli/memory.py
@@ -50,11 +50,11 @@
     sys.exit(code)
 
 
-def _configured(as_json: bool) -> tuple[config.Platform, config.Operator]:
+def _configured(as_json: bool) -> tuple[config.PlatformConfig, config.OperatorConfig]:
     path = Path(os.environ.get("CHERRYCOVE_OPERATOR", "deploy/operator.toml"))
     try:
-        platform = config.platform()
-        return platform, config.operator(path, platform.settings)
+        platform = config.load_platform_config()
+        return platform, config.load_operator_config(path, platform.settings)
     except config.ConfigError as error:
         _end(str(error), USAGE, as_json)
 
--- a/cherrycove/broker/config.py
+++ b/cherrycove/broker/config.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tier:
+class BrokerTierConfig:
     """All brokers of the tier, where they may send each other datagrams."""
 
     number: int  # this broker's
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Platform:
+class PlatformConfig:
     """What the platform tells a broker."""
 
     name: str
@@ -74,13 +74,13 @@
     conn_idle: float
     known: NodeList | None
     admin: tuple[str, int] | None = None  # where operators call
-    tier: Tier | None = None  # the other brokers; None: the deployment lets them not talk
+    tier: BrokerTierConfig | None = None  # the other brokers; None: the deployment lets them not talk
     unknown: tuple[str, ...] = ()  # names of settings that this program has never heard of
     unmet: tuple[str, ...] = ()  # what the settings ask that it does not do, in words
 
 
 @dataclass(frozen=True, slots=True)
-class Why:
+class DecisionLogConfig:
     """The record of recent decisions."""
 
     bytes: int  # in all
@@ -90,7 +90,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LogSetup:
+class LogConfig:
     """The log's form and least level."""
 
     form: str = "human"
@@ -98,7 +98,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Memory:
+class WarmRestartConfig:
     """What the broker has learned, kept for its next life."""
 
     folder: str  # that lasts
@@ -106,15 +106,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Operator:
+class OperatorConfig:
     """What the operator's file turns on beyond the platform's port."""
 
-    nbd: nbd.Setup | None = None
-    consul: consul.Setup | None = None
-    store: store.Setup | None = None
-    why: Why | None = None
-    log: LogSetup = LogSetup()
-    memory: Memory | None = None
+    nbd: nbd.NbdConfig | None = None
+    consul: consul.ConsulConfig | None = None
+    store: store.SharedMapConfig | None = None
+    why: DecisionLogConfig | None = None
+    log: LogConfig = LogConfig()
+    memory: WarmRestartConfig | None = None
 
 
 def host_port(text: Any, what: str) -> tuple[str, int]:
@@ -134,7 +134,7 @@
     return float(value) * wire.NS
 
 
-def platform(env: Mapping[str, str] = os.environ) -> Platform:
+def load_platform_config(env: Mapping[str, str] = os.environ) -> PlatformConfig:
     """The platform's configuration, from the file that RELAY_CONFIG names."""
     path = env.get("RELAY_CONFIG")
     if not path:
@@ -148,14 +148,14 @@
     if not isinstance(raw, dict):
         raise ConfigError(f"{path}: not a JSON object")
     try:
-        return read_platform(raw, env)
+        return parse_platform_config(raw, env)
     except ConfigError as error:
         raise ConfigError(f"{path}: {error}") from None
     except RecursionError:
         raise ConfigError(f"{path}: a value is nested too deeply") from None
 
 
-def read_platform(raw: dict[str, Any], env: Mapping[str, str]) -> Platform:
+def parse_platform_config(raw: dict[str, Any], env: Mapping[str, str]) -> PlatformConfig:
     settings: Any = raw.get("settings")
     if wrong := known_settings.misfit(settings, place="settings"):
         raise ConfigError(wrong)
@@ -192,7 +192,7 @@
     admin = raw.get("admin") or env.get("RELAY_ADMIN")
     discovery = raw.get("discovery") or env.get("RELAY_DISCOVERY")
     host_port(discovery, "discovery")
-    return Platform(
+    return PlatformConfig(
         name=str(raw.get("name") or env.get("RELAY_NAME") or "broker"),
         listen=host_port(raw.get("listen") or env.get("RELAY_LISTEN"), "listen"),
         discovery=str(discovery),
@@ -211,7 +211,7 @@
     )
 
 
-def tell(platform: Platform) -> None:
+def log_unsupported_settings(platform: PlatformConfig) -> None:
     """Name what is not understood. Guard: a rule that comes with it would be broken unseen."""
     if platform.unknown:
         log.warning("config.settings_unknown", settings=" ".join(platform.unknown))
@@ -219,7 +219,7 @@
         log.warning("config.setting_unmet", what=words)
 
 
-def _tier(raw: dict[str, Any], settings: Any, brokers: int) -> Tier | None:
+def _tier(raw: dict[str, Any], settings: Any, brokers: int) -> BrokerTierConfig | None:
     """Where the settings allow no talk, or the configuration names nobody, there is none."""
     if not settings["limits"].get("mayTell") or not raw.get("peers") or not raw.get("peer_listen"):
         return None
@@ -228,7 +228,7 @@
         raise ConfigError(f"peers must be a list of {brokers} addresses, one for each broker of the settings")
     if type(number) is not int or not 0 <= number < brokers:
         raise ConfigError(f"settings.me must be a number from 0 to {brokers - 1}, not {number!r}")
-    return Tier(
+    return BrokerTierConfig(
         number,
         host_port(raw["peer_listen"], "peer_listen"),
         tuple(host_port(peer, "peers") for peer in peers),
@@ -292,23 +292,23 @@
             raise ConfigError(f"{self.name(min(self._left))} is not a setting of this program")
 
 
-def operator(path: Path, settings: Settings) -> Operator:
+def load_operator_config(path: Path, settings: Settings) -> OperatorConfig:
     """The operator's file; one that is absent turns nothing on."""
     try:
         text = path.read_text(encoding="utf-8")
     except FileNotFoundError:
-        return Operator()
+        return OperatorConfig()
     except (OSError, UnicodeDecodeError) as error:
         raise ConfigError(f"{path}: {error}") from None
     try:
-        return read_operator(tomllib.loads(text), settings)
+        return parse_operator_config(tomllib.loads(text), settings)
     except (tomllib.TOMLDecodeError, ConfigError) as error:
         raise ConfigError(f"{path}: {error}") from None
 
 
-def read_operator(raw: dict[str, Any], settings: Settings) -> Operator:
+def parse_operator_config(raw: dict[str, Any], settings: Settings) -> OperatorConfig:
     top = _Table(raw, "")
-    found = Operator(
+    found = OperatorConfig(
         nbd=_nbd(top.table("nbd"), settings),
         consul=_consul(top.table("consul")),
         store=_store(top.table("store")),
@@ -320,7 +320,7 @@
     return found
 
 
-def _nbd(table: _Table, settings: Settings) -> nbd.Setup | None:
+def _nbd(table: _Table, settings: Settings) -> nbd.NbdConfig | None:
     table.switch()
     names = [cls.name for cls in settings.classes]
     classes = table.table("classes")
@@ -337,7 +337,7 @@
         if not table.off and settings.classes[places[words[word]]].effect is not Effect.UNSAFE:
             raise ConfigError(f"{classes.name(word)} must name a class that never runs twice")
     nodes, exports = table.table("nodes"), table.table("exports")
-    setup = nbd.Setup(
+    setup = nbd.NbdConfig(
         listen=table.address("listen"),
         classes=places,
         exports={name: _export(name, exports.table(name), settings) for name in exports.names()},
@@ -362,20 +362,20 @@
         volume=volume,
         shard=table.number("shard", 0, 1 << 30),
         plan=table.choice("plan", [plan.name for plan in settings.plans]),
-        size=table.number("size", nbd.LEAST_BLOCK, (1 << 63) - 1),
+        size=table.number("size", nbd.MIN_BLOCK_BYTES, (1 << 63) - 1),
         hosts=table.number("hosts", 1, settings.schedulers, 1),
         read_only=table.take("read_only", bool, False),
         description=table.take("description", str, ""),
     )
-    if export.size % nbd.LEAST_BLOCK and not table.off:
-        raise ConfigError(f"{table.name('size')} must be a multiple of {nbd.LEAST_BLOCK}")
+    if export.size % nbd.MIN_BLOCK_BYTES and not table.off:
+        raise ConfigError(f"{table.name('size')} must be a multiple of {nbd.MIN_BLOCK_BYTES}")
     table.done()
     return export
 
 
-def _consul(table: _Table) -> consul.Setup | None:
+def _consul(table: _Table) -> consul.ConsulConfig | None:
     table.switch()
-    setup = consul.Setup(
+    setup = consul.ConsulConfig(
         agent=table.address("agent", "127.0.0.1:8500"),
         service=table.take("service", str),
         wait=table.number("wait_s", 1, 600, 30),
@@ -388,12 +388,12 @@
     return None if table.off else setup
 
 
-def _store(table: _Table) -> store.Setup | None:
+def _store(table: _Table) -> store.SharedMapConfig | None:
     table.switch()
     peers: list[Any] = table.take("peers", list)
     rows = table.table("config")
     entries = {f"config/{key}": _entry(rows.table(key)) for key in rows.names()}
-    setup = store.Setup(
+    setup = store.SharedMapConfig(
         listen=table.address("listen"),
         entries=entries,
         peers=() if table.off else tuple(host_port(peer, table.name("peers")) for peer in peers),
@@ -410,18 +410,18 @@
     return setup
 
 
-def _log(table: _Table) -> LogSetup:
+def _log(table: _Table) -> LogConfig:
     levels, forms = ["DEBUG", "INFO", "WARNING", "ERROR"], list(events.FORMS)
-    setup = LogSetup(
+    setup = LogConfig(
         forms[table.choice("form", forms, "human")], levels[table.choice("level", levels, "INFO")]
     )
     table.done()
     return setup
 
 
-def _why(table: _Table) -> Why | None:
+def _why(table: _Table) -> DecisionLogConfig | None:
     table.switch()
-    setup = Why(
+    setup = DecisionLogConfig(
         bytes=table.number("bytes", 192 << 10, 1 << 30, 2 << 20),
         spans=table.take("spans", str, ""),
         sampled=float(table.take("sampled", float, 0.0)),
@@ -433,9 +433,9 @@
     return None if table.off else setup
 
 
-def _memory(table: _Table) -> Memory | None:
+def _memory(table: _Table) -> WarmRestartConfig | None:
     table.switch()
-    setup = Memory(
+    setup = WarmRestartConfig(
         folder=table.take("folder", str), interval=table.number("interval_ms", 50, 600_000, 1000) / 1000
     )
     table.done()
@@ -446,7 +446,7 @@
 
 
 def _entry(table: _Table) -> tuple[int, str | None]:
-    version = table.number("version", 1, store.MOST_COUNTER)
+    version = table.number("version", 1, store.MAX_COUNTER)
     value = None if table.take("deleted", bool, False) else table.take("value", str)
     table.done()
     return version, value
--- a/cherrycove/broker/consul.py
+++ b/cherrycove/broker/consul.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Setup:
+class ConsulConfig:
     agent: tuple[str, int]
     service: str  # the disk nodes' service
     wait: float = 30.0
@@ -124,11 +124,11 @@
     return index if index >= max(last, 1) else 0
 
 
-class Consul:
+class ConsulClient:
     """Talks to one agent."""
 
     def __init__(
-        self, core: Core, setup: Setup, zones: Mapping[str, int], name: str, listen: tuple[str, int]
+        self, core: Core, setup: ConsulConfig, zones: Mapping[str, int], name: str, listen: tuple[str, int]
     ) -> None:
         self._core, self._setup, self._zones = core, setup, zones
         self._name, self._listen = name, listen
--- a/cherrycove/broker/http1/front.py
+++ b/cherrycove/broker/http1/server.py
@@ -21,9 +21,9 @@
 from yarl import URL
 
 from cherrycove.broker.core import Answer, Core, Ending, Reply, Request, Verdict
-from cherrycove.broker.http1.back import PIECE, Call, Pool, Rest, SpoiltAnswer
 from cherrycove.broker.http1.body import FLOW, ROOM_TIME, Room, Upload, need, taken
 from cherrycove.broker.http1.parse import BodyError, Head, Names, RequestError, origin, parse_head, single
+from cherrycove.broker.http1.upstream import PIECE, Call, ConnectionPool, Rest, SpoiltAnswer
 from cherrycove.broker.lifecycle.handover import listener
 from cherrycove.broker.lifecycle.leaving import Timetable
 from cherrycove.broker.local_codes import BY_STATUS, Own
@@ -203,10 +203,12 @@
             self._move(handler, self._idle)
 
 
-class Front:
+class Server:
     """Clients' connections. Draining it is not ready; parting, it closes each behind its next answer."""
 
-    def __init__(self, core: Core, pool: Pool, most_connections: int, crowd: int, most_bytes: int) -> None:
+    def __init__(
+        self, core: Core, pool: ConnectionPool, most_connections: int, crowd: int, most_bytes: int
+    ) -> None:
         self._core, self._pool = core, pool
         self._names = Names(core.settings)
         self._draining = self._parting = False
--- a/cherrycove/broker/http1/back.py
+++ b/cherrycove/broker/http1/upstream.py
@@ -182,7 +182,7 @@
         return await super()._create_connection(*request)
 
 
-class Pool:
+class ConnectionPool:
     """Connections to disk nodes, and how each attempt over them ended."""
 
     def __init__(self, dial_timeout: float, conn_idle: float, most: int, rest: float = REST_TIME) -> None:
@@ -348,7 +348,7 @@
 
     def __init__(
         self,
-        pool: Pool,
+        pool: ConnectionPool,
         method: str,
         target: str,
         request_id: str,
--- a/cherrycove/broker/nbd.py
+++ b/cherrycove/broker/nbd.py
@@ -37,12 +37,21 @@
 ERR_UNSUP, ERR_INVALID, ERR_UNKNOWN, ERR_SHUTDOWN = (1 << 31) + 1, (1 << 31) + 3, (1 << 31) + 6, (1 << 31) + 7
 INFO_EXPORT, INFO_DESCRIPTION, INFO_BLOCK_SIZE = 0, 2, 3
 NONE, OFFSET_DATA, OFFSET_HOLE, ERROR, ERROR_OFFSET = 0, 1, 2, (1 << 15) + 1, (1 << 15) + 2
-LEAST_BLOCK, USUAL_BLOCK, MOST_BLOCK = 512, 4096, 64 * 1024  # clients that ask for no sizes assume the first
-MOST_OPTION = 8 * 1024  # bytes of an option's data; a name holds at most 4,096
-MOST_OPTIONS = 64  # that one client may send
-MOST_SKIPPED = 32 * 1024 * 1024  # bytes of a payload too large that are read past; over that, the client goes
-HANDSHAKE_TIME, SEND_TIME = 10.0, 30.0  # s that a client has to negotiate, to take a reply
-IDLE_TIME, MOST_IDLE = 10.0, 8  # s that a node's connection is kept, how many for each node and export
+MIN_BLOCK_BYTES, PREFERRED_BLOCK_BYTES, MAX_PAYLOAD_BYTES = (
+    512,
+    4096,
+    64 * 1024,
+)  # clients that ask for no sizes assume the first
+MAX_OPTION_BYTES = 8 * 1024  # bytes of an option's data; a name holds at most 4,096
+MAX_OPTIONS = 64  # that one client may send
+MAX_SKIPPED_BYTES = (
+    32 * 1024 * 1024
+)  # bytes of a payload too large that are read past; over that, the client goes
+HANDSHAKE_TIMEOUT_S, SEND_TIMEOUT_S = 10.0, 30.0  # s that a client has to negotiate, to take a reply
+MAX_IDLE_S, MAX_IDLE_CONNECTIONS = (
+    10.0,
+    8,
+)  # s that a node's connection is kept, how many for each node and export
 
 
 class Option(IntEnum):
@@ -84,7 +93,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
+class CommandRequest:
     """One command as it stands on the wire; a WRITE's payload follows it."""
 
     command: int
@@ -100,7 +109,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Chunk:
+class ReplyChunk:
     """One structured reply chunk."""
 
     flags: int
@@ -113,38 +122,38 @@
         return head + self.data
 
 
-def simple_reply(cookie: int, errno: int = 0, data: bytes = b"") -> bytes:
+def pack_simple_reply(cookie: int, errno: int = 0, data: bytes = b"") -> bytes:
     return struct.pack(">IIQ", SIMPLE, errno, cookie) + data
 
 
-def error_chunk(cookie: int, errno: int, message: str = "") -> Chunk:
+def make_error_chunk(cookie: int, errno: int, message: str = "") -> ReplyChunk:
     text = message.encode()[:1024]
-    return Chunk(DONE, ERROR, cookie, struct.pack(">IH", errno, len(text)) + text)
+    return ReplyChunk(DONE, ERROR, cookie, struct.pack(">IH", errno, len(text)) + text)
 
 
-def data_chunk(cookie: int, offset: int, data: bytes, flags: int = DONE) -> Chunk:
-    return Chunk(flags, OFFSET_DATA, cookie, struct.pack(">Q", offset) + data)
+def make_data_chunk(cookie: int, offset: int, data: bytes, flags: int = DONE) -> ReplyChunk:
+    return ReplyChunk(flags, OFFSET_DATA, cookie, struct.pack(">Q", offset) + data)
 
 
-def greeting() -> bytes:
+def pack_greeting() -> bytes:
     return struct.pack(">QQH", NBDMAGIC, IHAVEOPT, FIXED_NEWSTYLE | NO_ZEROES)
 
 
-def option(number: int, data: bytes = b"") -> bytes:
+def pack_option(number: int, data: bytes = b"") -> bytes:
     return struct.pack(">QII", IHAVEOPT, number, len(data)) + data
 
 
-def option_reply(number: int, kind: int, data: bytes = b"") -> bytes:
+def pack_option_reply(number: int, kind: int, data: bytes = b"") -> bytes:
     return struct.pack(">QIII", OPTION_REPLY, number, kind, len(data)) + data
 
 
-def go(name: str, infos: Iterable[int] = ()) -> bytes:
+def pack_go_data(name: str, infos: Iterable[int] = ()) -> bytes:
     """The data of GO or INFO."""
     wanted, text = list(infos), name.encode()
     return struct.pack(">I", len(text)) + text + struct.pack(f">H{len(wanted)}H", len(wanted), *wanted)
 
 
-def parse_go(data: bytes) -> tuple[str, list[int]]:
+def parse_go_data(data: bytes) -> tuple[str, list[int]]:
     """The export's name and the kinds of information asked for."""
     try:
         (size,) = struct.unpack_from(">I", data)
@@ -166,42 +175,42 @@
     magic, number, size = await _unpack(reader, ">QII")
     if magic != IHAVEOPT:
         raise ProtocolError("an option without its magic")
-    if size > MOST_OPTION:
+    if size > MAX_OPTION_BYTES:
         raise ProtocolError("an option of too many bytes")
     return number, await reader.readexactly(size)
 
 
 async def read_option_reply(reader: asyncio.StreamReader, number: int) -> tuple[int, bytes]:
-    magic, told, kind, size = await _unpack(reader, ">QIII")
-    if magic != OPTION_REPLY or told != number or size > MOST_OPTION:
+    magic, covered, kind, size = await _unpack(reader, ">QIII")
+    if magic != OPTION_REPLY or covered != number or size > MAX_OPTION_BYTES:
         raise ProtocolError("an option's reply is malformed")
     return kind, await reader.readexactly(size)
 
 
-async def read_call(reader: asyncio.StreamReader) -> Call:
+async def read_command_request(reader: asyncio.StreamReader) -> CommandRequest:
     magic, flags, command, cookie, offset, length = await _unpack(reader, ">IHHQQI")
     if magic != REQUEST:
         raise ProtocolError("a command without its magic")
-    return Call(command, flags, cookie, offset, length)
+    return CommandRequest(command, flags, cookie, offset, length)
 
 
 @dataclass(slots=True)
-class Gathered:
+class CommandReply:
     """A reply to one command, put together from its chunks."""
 
-    call: Call
+    call: CommandRequest
     errno: int = 0
     message: str = ""
     data: bytearray = field(default_factory=bytearray)
-    pieces: list[tuple[int, int]] = field(default_factory=list)
+    ranges: list[tuple[int, int]] = field(default_factory=list)
 
-    def take(self, chunk: Chunk) -> None:
+    def take(self, chunk: ReplyChunk) -> None:
         body = chunk.data
         if chunk.kind == OFFSET_DATA and len(body) > 8:
             self._place(struct.unpack_from(">Q", body)[0], body[8:])
         elif chunk.kind == OFFSET_HOLE and len(body) == 12:
             offset, size = struct.unpack(">QI", body)
-            if not 0 < size <= MOST_BLOCK:
+            if not 0 < size <= MAX_PAYLOAD_BYTES:
                 raise ProtocolError("a hole of a size that was not asked for")
             self._place(offset, bytes(size))
         elif chunk.kind in (ERROR, ERROR_OFFSET) and len(body) >= 6:
@@ -219,41 +228,41 @@
             self.call.command != Command.READ
             or start < 0
             or end > self.call.length
-            or any(start < there and first < end for first, there in self.pieces)
+            or any(start < there and first < end for first, there in self.ranges)
         ):
             raise ProtocolError("data that was not asked for, or twice")
         self.data = self.data or bytearray(self.call.length)
         self.data[start:end] = data
-        self.pieces.append((start, end))
+        self.ranges.append((start, end))
 
-    def finish(self) -> Gathered:
-        told = sum(end - start for start, end in self.pieces)
-        if self.call.command == Command.READ and not self.errno and told != self.call.length:
+    def finish(self) -> CommandReply:
+        covered = sum(end - start for start, end in self.ranges)
+        if self.call.command == Command.READ and not self.errno and covered != self.call.length:
             raise ProtocolError("the reply is done but its data is not whole")
         return self
 
 
-async def read_reply(reader: asyncio.StreamReader, call: Call, structured: bool) -> Gathered:
+async def read_reply(reader: asyncio.StreamReader, call: CommandRequest, structured: bool) -> CommandReply:
     """The whole reply to a command that is the only one out on its connection."""
-    gathered = Gathered(call)
+    command_reply = CommandReply(call)
     while True:
         (magic,) = await _unpack(reader, ">I")
-        if magic == SIMPLE and not gathered.pieces and not (structured and call.command == Command.READ):
+        if magic == SIMPLE and not command_reply.ranges and not (structured and call.command == Command.READ):
             errno, cookie = await _unpack(reader, ">IQ")
             if cookie != call.cookie:
                 raise ProtocolError("a reply to no command of ours")
-            gathered.errno = errno
+            command_reply.errno = errno
             if not errno and call.command == Command.READ:
-                gathered._place(call.offset, await reader.readexactly(call.length))
-            return gathered.finish()
+                command_reply._place(call.offset, await reader.readexactly(call.length))
+            return command_reply.finish()
         if magic != STRUCTURED or not structured:
             raise ProtocolError("a reply without its magic")
         flags, kind, cookie, size = await _unpack(reader, ">HHQI")
-        if cookie != call.cookie or size > MOST_BLOCK + 8:
+        if cookie != call.cookie or size > MAX_PAYLOAD_BYTES + 8:
             raise ProtocolError("a chunk of no command of ours, or of too many bytes")
-        gathered.take(Chunk(flags, kind, cookie, await reader.readexactly(size)))
+        command_reply.take(ReplyChunk(flags, kind, cookie, await reader.readexactly(size)))
         if flags & DONE:
-            return gathered.finish()
+            return command_reply.finish()
 
 
 # What the operator sets up.
@@ -276,7 +285,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Setup:
+class NbdConfig:
     listen: tuple[str, int]
     exports: Mapping[str, Export]
     classes: Mapping[Command, int]  # place in Settings.classes
@@ -286,11 +295,11 @@
     connections: int = 64
     pipeline: int = 16
 
-    def units(self, call: Call, most: float) -> float:
+    def units(self, call: CommandRequest, most: float) -> float:
         return min(max(ceil(call.length / self.unit_bytes), 1), most)
 
 
-def check(call: Call, export: Export, structured: bool) -> Errno | None:
+def check(call: CommandRequest, export: Export, structured: bool) -> Errno | None:
     """What is wrong with a command, before anything is done about it."""
     allowed = FLAG_DF if structured and call.command == Command.READ else 0
     if call.command not in list(Command) or call.flags & ~allowed:
@@ -299,8 +308,8 @@
         return Errno.EINVAL if call.offset or call.length or export.read_only else None
     if export.read_only and call.command in (Command.WRITE, Command.TRIM):
         return Errno.EPERM
-    too_large = call.length > MOST_BLOCK and call.command != Command.TRIM
-    if not call.length or too_large or call.offset % LEAST_BLOCK or call.length % LEAST_BLOCK:
+    too_large = call.length > MAX_PAYLOAD_BYTES and call.command != Command.TRIM
+    if not call.length or too_large or call.offset % MIN_BLOCK_BYTES or call.length % MIN_BLOCK_BYTES:
         return Errno.EINVAL
     if call.offset + call.length > export.size:
         return Errno.ENOSPC if call.command == Command.WRITE else Errno.EINVAL
@@ -311,7 +320,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Link:
+class Connection:
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
     structured: bool
@@ -319,7 +328,7 @@
     cookie: int = 0
 
 
-class Unflushed:
+class UnflushedWrites:
     """Which lives of nodes hold writes of an export that were answered and not flushed since.
 
     Guard: a flush vouches only for what the same life of the same node was told. One that comes to another
@@ -349,57 +358,61 @@
             del self._last[life]
 
 
-class NotServedError(Exception):
+class ExportUnavailableError(Exception):
     """The node speaks NBD but does not offer the export in the way that is needed."""
 
 
-class Pool:
+class ConnectionPool:
     """Connections to nodes' exports. One carries one command at a time."""
 
-    def __init__(self, setup: Setup, dial_timeout: float, most: int) -> None:
+    def __init__(self, setup: NbdConfig, dial_timeout: float, most: int) -> None:
         self._setup, self._dial = setup, dial_timeout
-        self._idle: dict[tuple[str, int, str], deque[_Link]] = {}
+        self._idle: dict[tuple[str, int, str], deque[Connection]] = {}
         self._places = asyncio.Semaphore(most)
-        self.unflushed: dict[str, Unflushed] = {}  # by export
+        self.unflushed: dict[str, UnflushedWrites] = {}  # by export
 
     def address(self, attempt: Attempt) -> tuple[str, int]:
         host = attempt.address.rpartition(":")[0].strip("[]")
         return self._setup.nodes.get(attempt.node, (host, self._setup.node_port))
 
     @asynccontextmanager
-    async def link(self, attempt: Attempt, export: str) -> AsyncIterator[_Link]:
+    async def connection(self, attempt: Attempt, export: str) -> AsyncIterator[Connection]:
         """A connection with nothing out on it. It is kept afterwards only if the command ended whole."""
         place = (*self.address(attempt), export)
         async with self._places:
-            link = self._take(place) or await self._open(place)
+            connection = self._take(place) or await self._open(place)
             keep = False
             try:
-                yield link
+                yield connection
                 keep = True
             finally:
                 kept = self._idle.setdefault(place, deque())
-                if keep and len(kept) < MOST_IDLE:
-                    link.used = asyncio.get_running_loop().time()
-                    kept.append(link)
+                if keep and len(kept) < MAX_IDLE_CONNECTIONS:
+                    connection.used = asyncio.get_running_loop().time()
+                    kept.append(connection)
                 else:
-                    link.writer.transport.abort()
+                    connection.writer.transport.abort()
 
-    def _take(self, place: tuple[str, int, str]) -> _Link | None:
+    def _take(self, place: tuple[str, int, str]) -> Connection | None:
         kept, now = self._idle.get(place, deque()), asyncio.get_running_loop().time()
         while kept:
-            link = kept.pop()
-            if now - link.used < IDLE_TIME and not link.reader.at_eof() and not link.writer.is_closing():
-                return link
-            link.writer.transport.abort()
+            connection = kept.pop()
+            if (
+                now - connection.used < MAX_IDLE_S
+                and not connection.reader.at_eof()
+                and not connection.writer.is_closing()
+            ):
+                return connection
+            connection.writer.transport.abort()
         return None
 
-    async def _open(self, place: tuple[str, int, str]) -> _Link:
+    async def _open(self, place: tuple[str, int, str]) -> Connection:
         host, port, export = place
         writer: asyncio.StreamWriter | None = None
         try:
             async with asyncio.timeout(self._dial):
                 reader, writer = await asyncio.open_connection(host, port)
-                return _Link(reader, writer, await _negotiate(reader, writer, export))
+                return Connection(reader, writer, await _negotiate(reader, writer, export))
         except BaseException:
             if writer is not None:
                 writer.transport.abort()
@@ -407,8 +420,8 @@
 
     def close(self) -> None:
         for kept in self._idle.values():
-            for link in kept:
-                link.writer.transport.abort()
+            for connection in kept:
+                connection.writer.transport.abort()
         self._idle.clear()
 
 
@@ -417,49 +430,53 @@
     magic, style, flags = await _unpack(reader, ">QQH")
     if magic != NBDMAGIC or style != IHAVEOPT or not flags & FIXED_NEWSTYLE:
         raise ProtocolError("no fixed newstyle greeting")
-    writer.write(struct.pack(">I", flags & (FIXED_NEWSTYLE | NO_ZEROES)) + option(Option.STRUCTURED_REPLY))
+    writer.write(
+        struct.pack(">I", flags & (FIXED_NEWSTYLE | NO_ZEROES)) + pack_option(Option.STRUCTURED_REPLY)
+    )
     kind, _ = await read_option_reply(reader, Option.STRUCTURED_REPLY)
     structured = kind == ACK
-    writer.write(option(Option.GO, go(export)))
+    writer.write(pack_option(Option.GO, pack_go_data(export)))
     offered = 0
-    for _ in range(MOST_OPTIONS):
+    for _ in range(MAX_OPTIONS):
         kind, data = await read_option_reply(reader, Option.GO)
         if kind == ACK:
             if not offered & READ_ONLY and not (offered & SEND_FLUSH and offered & MULTI_CONN):
-                raise NotServedError("its flush does not cover what other connections wrote")
+                raise ExportUnavailableError("its flush does not cover what other connections wrote")
             return structured
         if kind & (1 << 31):
-            raise NotServedError(f"it refuses the export: {kind:#x}")
+            raise ExportUnavailableError(f"it refuses the export: {kind:#x}")
         if kind == INFO and len(data) == 12 and data[:2] == struct.pack(">H", INFO_EXPORT):
             (offered,) = struct.unpack_from(">H", data, 10)
     raise ProtocolError("GO without an end")
 
 
-class Job:
+class CommandBackend:
     """One client's command as the back sends it; the core's Backend."""
 
-    def __init__(self, pool: Pool, export: Export, call: Call, payload: bytes) -> None:
+    def __init__(self, pool: ConnectionPool, export: Export, call: CommandRequest, payload: bytes) -> None:
         self.errno = 0  # the last word of a node on it
         self._lost = False  # a flush that cannot cover all it should
         self._pool, self._export, self._call, self._payload = pool, export, call, payload
 
     async def attempt(self, attempt: Attempt) -> Reply:
-        unflushed = self._pool.unflushed.setdefault(self._export.name, Unflushed())
+        unflushed = self._pool.unflushed.setdefault(self._export.name, UnflushedWrites())
         flushes, mark = self._call.command == Command.FLUSH, unflushed.mark()
         self._lost = self._lost or (flushes and unflushed.lost(attempt.life))
         if self._lost:
             self.errno = Errno.EIO
             return Reply(Ending.NODE_ERROR)
         try:
-            async with self._pool.link(attempt, self._export.name) as link:
-                link.cookie += 1
-                call = Call(self._call.command, 0, link.cookie, self._call.offset, self._call.length)
-                if link.writer.is_closing():
+            async with self._pool.connection(attempt, self._export.name) as connection:
+                connection.cookie += 1
+                call = CommandRequest(
+                    self._call.command, 0, connection.cookie, self._call.offset, self._call.length
+                )
+                if connection.writer.is_closing():
                     return Reply(Ending.BROKEN_UNSENT)
                 attempt.wrote()  # from here on nobody can tell what has left
-                link.writer.write(call.pack() + self._payload)
-                reply = await read_reply(link.reader, call, link.structured)
-        except NotServedError as error:
+                connection.writer.write(call.pack() + self._payload)
+                reply = await read_reply(connection.reader, call, connection.structured)
+        except ExportUnavailableError as error:
             log.warning("nbd.node_unusable", node=attempt.node, export=self._export.name, why=error)
             return Reply(Ending.TURNED_AWAY)
         except ProtocolError as error:
@@ -483,10 +500,10 @@
 # The front.
 
 
-class Front:
+class Server:
     """NBD clients' connections."""
 
-    def __init__(self, core: Core, pool: Pool, setup: Setup) -> None:
+    def __init__(self, core: Core, pool: ConnectionPool, setup: NbdConfig) -> None:
         self._core, self._pool, self._setup = core, pool, setup
         self._sessions: set[asyncio.Task[None]] = set()
         self._draining = False
@@ -538,10 +555,10 @@
         self._sessions.add(task)
         protocol = writer.transport.get_protocol()
         try:
-            async with asyncio.timeout(HANDSHAKE_TIME):
+            async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
                 chosen = await self._handshake(reader, writer)
             if chosen is not None and isinstance(protocol, _Protocol):
-                session = _Session(self._core, self._pool, self._setup, *chosen, reader, writer)
+                session = _TransmissionSession(self._core, self._pool, self._setup, *chosen, reader, writer)
                 protocol.on_gone = session.gone
                 await session.run()
         except ProtocolError as error:
@@ -557,12 +574,12 @@
     async def _handshake(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> tuple[Export, bool] | None:
-        writer.write(greeting())
+        writer.write(pack_greeting())
         (flags,) = await _unpack(reader, ">I")
         if flags & ~(FIXED_NEWSTYLE | NO_ZEROES) or not flags & FIXED_NEWSTYLE:
             raise ProtocolError("unknown client flags, or no fixed newstyle")
         structured = False
-        for _ in range(MOST_OPTIONS):
+        for _ in range(MAX_OPTIONS):
             await writer.drain()
             number, data = await read_option(reader)
             if number == Option.EXPORT_NAME:
@@ -573,11 +590,11 @@
                 writer.write(struct.pack(">QH", export.size, export.flags(structured)) + zeroes)
                 return export, structured
             if number == Option.ABORT:
-                writer.write(option_reply(number, ACK))
+                writer.write(pack_option_reply(number, ACK))
                 return None
             if number == Option.STRUCTURED_REPLY:
                 structured = structured or not data
-                writer.write(option_reply(number, ERR_INVALID if data else ACK))
+                writer.write(pack_option_reply(number, ERR_INVALID if data else ACK))
             elif number == Option.LIST:
                 self._list(writer, data)
             elif number in (Option.INFO, Option.GO):
@@ -585,38 +602,41 @@
                 if export is not None and number == Option.GO:
                     return export, structured
             else:
-                writer.write(option_reply(number, ERR_UNSUP))
+                writer.write(pack_option_reply(number, ERR_UNSUP))
         raise ProtocolError("too many options")
 
     def _list(self, writer: asyncio.StreamWriter, data: bytes) -> None:
         if data:
-            writer.write(option_reply(Option.LIST, ERR_INVALID))
+            writer.write(pack_option_reply(Option.LIST, ERR_INVALID))
             return
         for name in self._setup.exports:
             text = name.encode()
-            writer.write(option_reply(Option.LIST, SERVER, struct.pack(">I", len(text)) + text))
-        writer.write(option_reply(Option.LIST, ACK))
+            writer.write(pack_option_reply(Option.LIST, SERVER, struct.pack(">I", len(text)) + text))
+        writer.write(pack_option_reply(Option.LIST, ACK))
 
     def _inform(
         self, writer: asyncio.StreamWriter, number: int, data: bytes, structured: bool
     ) -> Export | None:
         try:
-            name, wanted = parse_go(data)
+            name, wanted = parse_go_data(data)
         except ProtocolError as error:
-            writer.write(option_reply(number, ERR_INVALID, str(error).encode()))
+            writer.write(pack_option_reply(number, ERR_INVALID, str(error).encode()))
             return None
         export = self._export(name)
         if export is None:
             kind = ERR_SHUTDOWN if name in self._setup.exports else ERR_UNKNOWN
-            writer.write(option_reply(number, kind))
+            writer.write(pack_option_reply(number, kind))
             return None
-        told = [
+        covered = [
             struct.pack(">HQH", INFO_EXPORT, export.size, export.flags(structured)),
-            struct.pack(">HIII", INFO_BLOCK_SIZE, LEAST_BLOCK, USUAL_BLOCK, MOST_BLOCK),
+            struct.pack(">HIII", INFO_BLOCK_SIZE, MIN_BLOCK_BYTES, PREFERRED_BLOCK_BYTES, MAX_PAYLOAD_BYTES),
         ]
         if INFO_DESCRIPTION in wanted:
-            told.append(struct.pack(">H", INFO_DESCRIPTION) + export.description.encode())
-        writer.write(b"".join(option_reply(number, INFO, each) for each in told) + option_reply(number, ACK))
+            covered.append(struct.pack(">H", INFO_DESCRIPTION) + export.description.encode())
+        writer.write(
+            b"".join(pack_option_reply(number, INFO, each) for each in covered)
+            + pack_option_reply(number, ACK)
+        )
         return export
 
 
@@ -627,7 +647,7 @@
         self, accept: Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
     ) -> None:
         self.on_gone: Callable[[], None] | None = None
-        super().__init__(asyncio.StreamReader(limit=2 * MOST_BLOCK), accept)
+        super().__init__(asyncio.StreamReader(limit=2 * MAX_PAYLOAD_BYTES), accept)
 
     def eof_received(self) -> bool | None:
         if self.on_gone is not None:
@@ -643,14 +663,14 @@
 _SESSIONS = count(1)  # of this process
 
 
-class _Session:
+class _TransmissionSession:
     """The transmission phase of one client."""
 
     def __init__(
         self,
         core: Core,
-        pool: Pool,
-        setup: Setup,
+        pool: ConnectionPool,
+        setup: NbdConfig,
         export: Export,
         structured: bool,
         reader: asyncio.StreamReader,
@@ -670,7 +690,7 @@
                 await self._enter()
                 if self._gone:
                     raise EOFError
-                call = await read_call(self._reader)
+                call = await read_command_request(self._reader)
                 if call.command == Command.DISC:
                     break
                 payload = await self._payload(call)
@@ -714,23 +734,23 @@
     async def _finish(self) -> None:
         await asyncio.gather(*self._jobs, return_exceptions=True)
 
-    async def _payload(self, call: Call) -> bytes | None:
+    async def _payload(self, call: CommandRequest) -> bytes | None:
         """A WRITE's data; None where it was too much, and read past."""
         if call.command != Command.WRITE:
             return b""
-        if call.length <= MOST_BLOCK:
+        if call.length <= MAX_PAYLOAD_BYTES:
             return await self._reader.readexactly(call.length)
-        if call.length > MOST_SKIPPED:
+        if call.length > MAX_SKIPPED_BYTES:
             raise ProtocolError("a payload far over the maximum")
         left = call.length
         while left:
-            piece = await self._reader.read(min(left, MOST_BLOCK))
+            piece = await self._reader.read(min(left, MAX_PAYLOAD_BYTES))
             if not piece:
                 raise EOFError
             left -= len(piece)
         return None
 
-    async def _serve(self, call: Call, payload: bytes | None) -> None:
+    async def _serve(self, call: CommandRequest, payload: bytes | None) -> None:
         errno, data = check(call, self._export, self._structured), b""
         message = "not a command that this export takes"
         if errno is not None or payload is None:
@@ -746,7 +766,7 @@
             settings, command = self._core.settings, Command(call.command)
             cls, export = self._setup.classes[command], self._export
             deadline = asyncio.get_running_loop().time() + settings.classes[cls].deadline
-            job = Job(self._pool, export, call, payload)
+            job = CommandBackend(self._pool, export, call, payload)
             answer = await self._core.serve(
                 Request(
                     cls,
@@ -756,7 +776,7 @@
                     export.shard,
                     export.hosts,
                     deadline,
-                    f"{export.volume}/{call.offset // MOST_BLOCK}",
+                    f"{export.volume}/{call.offset // MAX_PAYLOAD_BYTES}",
                     id=self._id(call),
                     front="nbd",
                 ),
@@ -767,29 +787,29 @@
                 data = answer.reply.body
         await self._write(self._reply(call, errno, message, data))
 
-    def _id(self, call: Call) -> str:
+    def _id(self, call: CommandRequest) -> str:
         """What a command is known by: its client has no id for it, and cookies are each session's own."""
         return f"nbd:{self._export.name[:64]}:{self._number}:{call.cookie:x}"
 
-    def _reply(self, call: Call, errno: Errno | None, message: str, data: bytes) -> bytes:
+    def _reply(self, call: CommandRequest, errno: Errno | None, message: str, data: bytes) -> bytes:
         if not self._structured:
-            return simple_reply(call.cookie, errno or 0, data)
+            return pack_simple_reply(call.cookie, errno or 0, data)
         if errno is not None:
-            return error_chunk(call.cookie, errno, message).pack()
+            return make_error_chunk(call.cookie, errno, message).pack()
         if call.command == Command.READ:
-            return data_chunk(call.cookie, call.offset, data).pack()
-        return Chunk(DONE, NONE, call.cookie, b"").pack()
+            return make_data_chunk(call.cookie, call.offset, data).pack()
+        return ReplyChunk(DONE, NONE, call.cookie, b"").pack()
 
     async def _write(self, reply: bytes) -> None:
         self._writer.write(reply)  # in one piece: replies of other commands come before or behind it
         try:
-            async with asyncio.timeout(SEND_TIME):
+            async with asyncio.timeout(SEND_TIMEOUT_S):
                 await self._writer.drain()
         except (OSError, TimeoutError):
             self._writer.transport.abort()
 
 
-def _told(answer: Answer, job: Job) -> tuple[Errno | None, str]:
+def _told(answer: Answer, job: CommandBackend) -> tuple[Errno | None, str]:
     """A final answer as an error number and its message."""
     if answer.verdict is Verdict.SERVED:
         return None, ""
--- a/cherrycove/broker/shared_map.py
+++ b/cherrycove/broker/shared_map.py
@@ -28,8 +28,8 @@
 MAGIC, DIGEST, ANSWER, ENTRY = b"CC1", 1, 2, 3
 BUCKETS = 16  # of keys, each summed up in eight bytes of a digest
 MOST_ENTRIES = 2048  # the map is small; tombstones count
-MOST_PUSHED = 32  # entries sent upon one digest; the rest follow upon later ones
-MOST_COUNTER = (1 << 63) - 1
+MAX_ENTRIES_PER_REPLY = 32  # entries sent upon one digest; the rest follow upon later ones
+MAX_COUNTER = (1 << 63) - 1
 Address = tuple[str, int]
 
 
@@ -51,7 +51,7 @@
 
     def pack(self) -> bytes:
         key, writer, value = self.key.encode(), self.writer.encode(), (self.value or "").encode()
-        if not key or not writer or not 0 < self.counter <= MOST_COUNTER:
+        if not key or not writer or not 0 < self.counter <= MAX_COUNTER:
             raise EntryError("an entry needs a key, a writer and a counter above 0")
         head = struct.pack(">3sBQ?", MAGIC, ENTRY, self.counter, self.value is None)
         data = head + b"".join(bytes([min(len(part), 255)]) + part for part in (key, writer, value))
@@ -81,7 +81,7 @@
     return hashlib.blake2b(key.encode(), digest_size=1).digest()[0] % BUCKETS
 
 
-class Store:
+class SharedMap:
     """The map and its protocol, without a socket: datagrams in, datagrams out."""
 
     def __init__(self, name: str, changed: Callable[[Entry], None] = lambda entry: None) -> None:
@@ -145,14 +145,14 @@
         differ = {i for i in range(BUCKETS) if mine[4 + 8 * i : 12 + 8 * i] != data[4 + 8 * i : 12 + 8 * i]}
         ours = [entry for key, entry in self._entries.items() if _bucket(key) in differ]
         self._random.shuffle(ours)
-        pushed = [entry.pack() for entry in ours[:MOST_PUSHED]]
+        pushed = [entry.pack() for entry in ours[:MAX_ENTRIES_PER_REPLY]]
         return pushed + [mine] if differ and data[3] == DIGEST else pushed
 
 
 # What the broker keeps in it.
 
 
-def remember(store: Store, news: NodeList) -> list[Entry]:
+def record_node_list(store: SharedMap, news: NodeList) -> list[Entry]:
     """Write a node list as discovery told it. Its version is the counter, so that the newest list wins."""
     if news.version <= 0:
         return []
@@ -176,7 +176,7 @@
     return written
 
 
-def restrict(core: Core, entry: Entry) -> None:
+def apply_peer_drain(core: Core, entry: Entry) -> None:
     """A drain or a loss that only peers have heard of holds here too, while discovery is silent.
 
     Guard: it may only take away. A node that the broker's own list has not named, or has named more lately,
@@ -202,17 +202,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Setup:
+class SharedMapConfig:
     listen: Address
     peers: tuple[Address, ...]
     interval: float = 1.0
     entries: Mapping[str, tuple[int, str | None]] = field(default_factory=dict)  # version and value by key
 
 
-class Gossip(asyncio.DatagramProtocol):
+class GossipProtocol(asyncio.DatagramProtocol):
     """Carries a store's datagrams between this broker and its peers."""
 
-    def __init__(self, store: Store, setup: Setup) -> None:
+    def __init__(self, store: SharedMap, setup: SharedMapConfig) -> None:
         self._store, self._setup = store, setup
         self._random = random.Random()
         self._transport: asyncio.DatagramTransport | None = None
--- a/cherrycove/tier/dataplane/connection_pool.py
+++ b/cherrycove/tier/dataplane/connection_pool.py
@@ -21,7 +21,7 @@
 from aiohttp.connector import Connection
 from aiohttp.http import RawResponseMessage
 
-from cherrycove.broker.http1.back import Connector, NodeConnection
+from cherrycove.broker.http1.upstream import Connector, NodeConnection
 from cherrycove.tier.dataplane.headers import DEADLINE_MS, REQUEST_ID, parse_keep_alive_s, parse_unsigned
 
 REUSE_DELAY_S = 0.008  # after a response; a stray second response comes a few ms late
--- a/cherrycove/tier/dataplane/upstream.py
+++ b/cherrycove/tier/dataplane/upstream.py
@@ -12,7 +12,7 @@
 from multidict import CIMultiDict
 from yarl import URL
 
-from cherrycove.broker.http1.back import PIECE
+from cherrycove.broker.http1.upstream import PIECE
 from cherrycove.tier.dataplane.connection_pool import BrokerConnector, BrokerRequest, single_execution
 from cherrycove.tier.dataplane.headers import (
     DEADLINE_MS,
--- a/examples/nbd_copy.py
+++ b/examples/nbd_copy.py
@@ -19,9 +19,9 @@
     reader, writer = await asyncio.open_connection(host, int(port))
     await reader.readexactly(18)
     writer.write(struct.pack(">I", nbd.FIXED_NEWSTYLE | nbd.NO_ZEROES))
-    writer.write(nbd.option(nbd.Option.STRUCTURED_REPLY))
+    writer.write(nbd.pack_option(nbd.Option.STRUCTURED_REPLY))
     await nbd.read_option_reply(reader, nbd.Option.STRUCTURED_REPLY)
-    writer.write(nbd.option(nbd.Option.GO, nbd.go(export)))
+    writer.write(nbd.pack_option(nbd.Option.GO, nbd.pack_go_data(export)))
     while (reply := await nbd.read_option_reply(reader, nbd.Option.GO))[0] == nbd.INFO:
         pass
     if reply[0] != nbd.ACK:
@@ -35,12 +35,12 @@
     ]
     same = False
     for cookie, (command, offset, length, payload) in enumerate(steps, 1):
-        call = nbd.Call(command, 0, cookie, offset, length)
+        call = nbd.CommandRequest(command, 0, cookie, offset, length)
         writer.write(call.pack() + payload)
         done = await nbd.read_reply(reader, call, structured=True)
         print(f"{command.name}: {'done' if not done.errno else f'error {done.errno}: {done.message}'}")
         same = bytes(done.data) == block
-    writer.write(nbd.Call(nbd.Command.DISC, 0, 9, 0, 0).pack())
+    writer.write(nbd.CommandRequest(nbd.Command.DISC, 0, 9, 0, 0).pack())
     writer.close()
     print("the block came back unchanged" if same else "the block did NOT come back")
     return 0 if same else 1
--- a/examples/toy_node.py
+++ b/examples/toy_node.py
@@ -50,19 +50,21 @@
 
     async def block(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            writer.write(nbd.greeting())
+            writer.write(nbd.pack_greeting())
             await reader.readexactly(4)
             while True:
                 number, _ = await nbd.read_option(reader)
                 if number == nbd.Option.GO:
                     flags = nbd.HAS_FLAGS | nbd.SEND_FLUSH | nbd.SEND_TRIM | nbd.MULTI_CONN
                     info = struct.pack(">HQH", nbd.INFO_EXPORT, DISK, flags)
-                    writer.write(nbd.option_reply(number, nbd.INFO, info) + nbd.option_reply(number, nbd.ACK))
+                    writer.write(
+                        nbd.pack_option_reply(number, nbd.INFO, info) + nbd.pack_option_reply(number, nbd.ACK)
+                    )
                     break
                 known = number == nbd.Option.STRUCTURED_REPLY
-                writer.write(nbd.option_reply(number, nbd.ACK if known else nbd.ERR_UNSUP))
+                writer.write(nbd.pack_option_reply(number, nbd.ACK if known else nbd.ERR_UNSUP))
             while True:
-                call = await nbd.read_call(reader)
+                call = await nbd.read_command_request(reader)
                 payload = await reader.readexactly(call.length if call.command == nbd.Command.WRITE else 0)
                 await asyncio.sleep(self.delay)
                 name = nbd.Command(call.command).name
@@ -70,11 +72,11 @@
                 end = call.offset + call.length
                 if call.command == nbd.Command.READ:
                     data = bytes(self.disk[call.offset : end])
-                    writer.write(nbd.data_chunk(call.cookie, call.offset, data).pack())
+                    writer.write(nbd.make_data_chunk(call.cookie, call.offset, data).pack())
                     continue
                 if call.command == nbd.Command.WRITE:
                     self.disk[call.offset : end] = payload
-                writer.write(nbd.simple_reply(call.cookie))
+                writer.write(nbd.pack_simple_reply(call.cookie))
         except (EOFError, OSError, ValueError, nbd.ProtocolError):
             pass
         finally:
--- a/tests/golden_broker.py
+++ b/tests/golden_broker.py
@@ -110,8 +110,8 @@
         "id volume ended took verdict code front class plan units shard repeat first rivals attempts why"
         " object",
     ),
-    "nbd_call": (nbd.Call, "command flags cookie offset length"),
-    "nbd_chunk": (nbd.Chunk, "flags kind cookie data"),
+    "nbd_call": (nbd.CommandRequest, "command flags cookie offset length"),
+    "nbd_chunk": (nbd.ReplyChunk, "flags kind cookie data"),
 }
 EVENTS = [
     "arrived",
@@ -244,21 +244,22 @@
         lambda data: handover.parse_member(json.loads(data)),
     ),
     "nbd_call": Codec(
-        lambda call: call.pack(), lambda data: asyncio.run(_fed(data, lambda each: nbd.read_call(each)))
+        lambda call: call.pack(),
+        lambda data: asyncio.run(_fed(data, lambda each: nbd.read_command_request(each))),
     ),
     "nbd_option": Codec(
-        lambda value: nbd.option(*value), lambda data: asyncio.run(_fed(data, nbd.read_option))
+        lambda value: nbd.pack_option(*value), lambda data: asyncio.run(_fed(data, nbd.read_option))
     ),
-    "nbd_option_reply": Codec(lambda value: nbd.option_reply(*value), _read_option_reply),
-    "nbd_go": Codec(lambda value: nbd.go(*value), nbd.parse_go),
+    "nbd_option_reply": Codec(lambda value: nbd.pack_option_reply(*value), _read_option_reply),
+    "nbd_go": Codec(lambda value: nbd.pack_go_data(*value), nbd.parse_go_data),
 }
 # Only written by this program, or read by it as part of a larger exchange.
 WRITTEN: Mapping[str, Callable[..., bytes]] = {
     "herald_coming": lambda: herald.COMING,
-    "nbd_greeting": nbd.greeting,
-    "nbd_simple_reply": nbd.simple_reply,
-    "nbd_error_chunk": lambda *values: nbd.error_chunk(*values).pack(),
-    "nbd_data_chunk": lambda *values: nbd.data_chunk(*values).pack(),
+    "nbd_greeting": nbd.pack_greeting,
+    "nbd_simple_reply": nbd.pack_simple_reply,
+    "nbd_error_chunk": lambda *values: nbd.make_error_chunk(*values).pack(),
+    "nbd_data_chunk": lambda *values: nbd.make_data_chunk(*values).pack(),
     "directory": lambda *values: herald.directory(*values).encode(),
     "memory_path": lambda *values: str(file.path(*values)).encode(),
     "node_key": lambda *values: _node_key(*values),
@@ -312,10 +313,10 @@
 
 def store_exchange(news: core.NodeList, config: Mapping[str, str]) -> list[str]:
     """All datagrams, in hex, by which a second broker learns the map of a first."""
-    first, second, said = store.Store("n1"), store.Store("n2"), []
+    first, second, said = store.SharedMap("n1"), store.SharedMap("n2"), []
     for key, value in config.items():
         first.put(key, value, 5)
-    store.remember(first, news)
+    store.record_node_list(first, news)
     second.put("config/mine", "kept", 2)
     waiting = [("n2", second.digest())]
     while waiting:
@@ -425,20 +426,20 @@
 # Configuration, and what clients and discovery send.
 
 SETUPS: Mapping[str, tuple[type, str]] = {
-    "nbd": (nbd.Setup, "listen exports classes unit_bytes node_port nodes connections pipeline"),
+    "nbd": (nbd.NbdConfig, "listen exports classes unit_bytes node_port nodes connections pipeline"),
     "export": (nbd.Export, "name volume shard plan size hosts read_only description"),
-    "consul": (consul.Setup, "agent service wait register ttl"),
-    "store": (store.Setup, "listen peers interval entries"),
-    "why": (config.Why, "bytes spans sampled spans_a_second"),
-    "log": (config.LogSetup, "form level"),
-    "memory": (config.Memory, "folder interval"),
-    "operator": (config.Operator, "nbd consul store why log memory"),
+    "consul": (consul.ConsulConfig, "agent service wait register ttl"),
+    "store": (store.SharedMapConfig, "listen peers interval entries"),
+    "why": (config.DecisionLogConfig, "bytes spans sampled spans_a_second"),
+    "log": (config.LogConfig, "form level"),
+    "memory": (config.WarmRestartConfig, "folder interval"),
+    "operator": (config.OperatorConfig, "nbd consul store why log memory"),
     "platform": (
-        config.Platform,
+        config.PlatformConfig,
         "name listen discovery seed sockets memory_mb settings zones dial_timeout conn_idle known admin tier"
         " unknown unmet",
     ),
-    "tier": (config.Tier, "number listen peers"),
+    "tier": (config.BrokerTierConfig, "number listen peers"),
     "head": (
         parse.Head,
         "class plan volume units shard hosts budget key id repeat idempotency_key",
@@ -461,12 +462,12 @@
 
 def read_platform(raw: Plain, env: Mapping[str, str]) -> Plain:
     """The platform's configuration as this program takes it."""
-    return named(config.read_platform(raw, env))
+    return named(config.parse_platform_config(raw, env))
 
 
 def read_operator(raw: Plain, settings: Plain) -> Plain:
     """The operator's file as this program takes it, in a deployment that the platform's file describes."""
-    return named(config.read_operator(raw, config.read_platform(settings, {}).settings))
+    return named(config.parse_operator_config(raw, config.parse_platform_config(settings, {}).settings))
 
 
 ConfigError = config.ConfigError
--- a/tests/support.py
+++ b/tests/support.py
@@ -20,7 +20,7 @@
 
 from cherrycove.broker import config, nbd
 from cherrycove.broker.core import Core, Member, NodeList
-from cherrycove.broker.http1 import back, front
+from cherrycove.broker.http1 import server, upstream
 from cherrycove.scheduling.interface import NodeState
 
 ROOT = Path(__file__).parent.parent
@@ -39,7 +39,7 @@
     return whole
 
 
-PLATFORM = config.read_platform(raw(), {})
+PLATFORM = config.parse_platform_config(raw(), {})
 
 
 def cuts(message: bytes) -> st.SearchStrategy[list[bytes]]:
@@ -193,10 +193,10 @@
     """A core, its fronts and its backs on ephemeral ports; shard i is held by the i-th node. Connections to
     nodes do not rest between requests, or a machine's speed would say which of them a request takes."""
 
-    def __init__(self, *nodes: Node, platform: config.Platform = PLATFORM, rest: float = 0.0) -> None:
+    def __init__(self, *nodes: Node, platform: config.PlatformConfig = PLATFORM, rest: float = 0.0) -> None:
         self.core = Core(platform.settings, platform.seed)
-        self.pool = back.Pool(platform.dial_timeout, platform.conn_idle, 64, rest)
-        self.front = front.Front(self.core, self.pool, 64, 21, 4 << 20)
+        self.pool = upstream.ConnectionPool(platform.dial_timeout, platform.conn_idle, 64, rest)
+        self.front = server.Server(self.core, self.pool, 64, 21, 4 << 20)
         self.members = [Member(f"d{i}", f"127.0.0.1:{node.port}", i) for i, node in enumerate(nodes)]
         self.platform = platform
 
@@ -215,9 +215,9 @@
             NodeList(1, True, tuple(Member(m.name, m.address, m.shard, state=state) for m in self.members))
         )
 
-    async def nbd(self, setup: nbd.Setup) -> tuple[nbd.Front, int]:
-        pool = nbd.Pool(setup, self.platform.dial_timeout, 32)
-        front = nbd.Front(self.core, pool, setup)
+    async def nbd(self, setup: nbd.NbdConfig) -> tuple[nbd.Server, int]:
+        pool = nbd.ConnectionPool(setup, self.platform.dial_timeout, 32)
+        front = nbd.Server(self.core, pool, setup)
         return front, await front.listen()
 
     async def ask(self, *pieces: bytes, **fields: Any) -> tuple[int, dict[str, str], bytes]:
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -129,8 +129,8 @@
             (200, "4", [instance("b")]),
         )
         async with World() as world:
-            setup = consul.Setup(await agent.start(), "disk-node")
-            client = consul.Consul(world.core, setup, PLATFORM.zones, "n0", ("127.0.0.1", 1))
+            setup = consul.ConsulConfig(await agent.start(), "disk-node")
+            client = consul.ConsulClient(world.core, setup, PLATFORM.zones, "n0", ("127.0.0.1", 1))
             task = asyncio.create_task(client.watch())
             await agent.held.wait()
             assert agent.asked == [None, "10", None, None, "12", None, "4"]
@@ -148,8 +148,8 @@
         agent = Agent()
         agent.forgets = 1
         async with World() as world:
-            setup = consul.Setup(await agent.start(), "disk-node", register="broker", ttl=1.0)
-            client = consul.Consul(world.core, setup, PLATFORM.zones, "n0", ("127.0.0.1", 5000))
+            setup = consul.ConsulConfig(await agent.start(), "disk-node", register="broker", ttl=1.0)
+            client = consul.ConsulClient(world.core, setup, PLATFORM.zones, "n0", ("127.0.0.1", 5000))
             task = asyncio.create_task(client.keep_registered())
             await agent.updated.wait()
             task.cancel()
@@ -170,8 +170,8 @@
     async def story() -> None:
         agent = Agent()
         async with World() as world:
-            setup = consul.Setup(await agent.start(), "disk-node", register="broker", ttl=1.0)
-            client = consul.Consul(world.core, setup, PLATFORM.zones, "n0", ("127.0.0.1", 5000))
+            setup = consul.ConsulConfig(await agent.start(), "disk-node", register="broker", ttl=1.0)
+            client = consul.ConsulClient(world.core, setup, PLATFORM.zones, "n0", ("127.0.0.1", 5000))
             keeping = asyncio.create_task(client.keep_registered())
             await agent.updated.wait()
             agent.hold, agent.forgets = asyncio.Event(), 1
@@ -195,11 +195,12 @@
     async def story() -> None:
         agent = Agent()
         agent.hold = asyncio.Event()
-        setup = consul.Setup(await agent.start(), "disk-node", register="broker")
+        setup = consul.ConsulConfig(await agent.start(), "disk-node", register="broker")
         broker = main.Broker(
-            config.read_platform(raw() | {"listen": "127.0.0.1:0"}, {}), config.Operator(consul=setup)
+            config.parse_platform_config(raw() | {"listen": "127.0.0.1:0"}, {}),
+            config.OperatorConfig(consul=setup),
         )
-        broker._consul = consul.Consul(broker.core, setup, {}, "n0", ("127.0.0.1", 1))
+        broker._consul = consul.ConsulClient(broker.core, setup, {}, "n0", ("127.0.0.1", 1))
         lingers, go = asyncio.Event(), asyncio.Event()
         told, put = [], broker._consul._put  # type: list[str], Any
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -61,7 +61,7 @@
             self.out -= 1
 
 
-def core_with(platform: config.Platform = PLATFORM) -> Core:
+def core_with(platform: config.PlatformConfig = PLATFORM) -> Core:
     core = Core(platform.settings, platform.seed)
     core.update(NodeList(1, True, (Member("d0", "here", 0),)))
     return core
@@ -92,7 +92,7 @@
 )
 def test_any_run_of_endings_ends_in_one_answer(endings: list[Ending], cls: int) -> None:
     async def story() -> None:
-        core = core_with(config.read_platform(raw(1), {}))
+        core = core_with(config.parse_platform_config(raw(1), {}))
         backend = Scripted(core, *endings)
         found = await core.serve(request(cls, 0.7), backend)
         ended = [*endings, Ending.SERVED][: len(backend.made)]
@@ -269,7 +269,7 @@
         return
     if isinstance(whole, dict):
         try:
-            assert config.read_platform(whole, {}).settings.classes
+            assert config.parse_platform_config(whole, {}).settings.classes
         except config.ConfigError as error:
             assert str(error)
 
@@ -289,16 +289,16 @@
 )
 def test_what_is_wrong_is_named(change: dict[str, object], word: str) -> None:
     with pytest.raises(config.ConfigError, match=word):
-        config.read_platform(copy.deepcopy(RAW) | change, {})
+        config.parse_platform_config(copy.deepcopy(RAW) | change, {})
 
 
 def test_the_operators_file_is_off_as_shipped_and_strict_when_on(tmp_path: Path) -> None:
     shipped = ROOT / "deploy/operator.toml"
-    assert config.operator(shipped, PLATFORM.settings) == config.Operator()
+    assert config.load_operator_config(shipped, PLATFORM.settings) == config.OperatorConfig()
     text = shipped.read_text().replace("enabled = false", "enabled = true")
     path = tmp_path / "operator.toml"
     path.write_text(text)
-    found = config.operator(path, PLATFORM.settings)
+    found = config.load_operator_config(path, PLATFORM.settings)
     assert found.nbd and found.consul and found.store and found.nbd.exports["claims"].size == 1 << 30
     for old, new, word in [
         ('write = "claim-write"', 'write = "claim-read"', "never runs twice"),
@@ -311,7 +311,7 @@
     ]:
         path.write_text(text.replace(old, new))
         with pytest.raises(config.ConfigError, match=word):
-            config.operator(path, PLATFORM.settings)
+            config.load_operator_config(path, PLATFORM.settings)
 
 
 @pytest.mark.parametrize(
@@ -336,7 +336,7 @@
     path = tmp_path / "operator.toml"
     path.write_text(text)
     with pytest.raises(config.ConfigError, match=rf"{path}: {key} "):
-        config.operator(path, PLATFORM.settings)
+        config.load_operator_config(path, PLATFORM.settings)
 
 
 def test_a_part_that_is_off_may_leave_things_out_and_name_what_this_deployment_lacks(tmp_path: Path) -> None:
@@ -345,7 +345,7 @@
         "[consul]\nenabled = false\n[store]\n[store.config.a]\nversion = 1\nvalue = 'x'\n"
         "[nbd.classes]\nread = 'another'\n[nbd.exports.a]\nplan = 'another'\nhosts = 999\n"
     )
-    assert config.operator(path, PLATFORM.settings) == config.Operator()
+    assert config.load_operator_config(path, PLATFORM.settings) == config.OperatorConfig()
 
 
 def test_the_process_serves_drains_on_sigterm_and_exits_0(tmp_path: Path) -> None:
@@ -438,8 +438,10 @@
     monkeypatch.setattr(leaving, "LONGEST", 0.9)
 
     async def story() -> None:
-        platform = config.read_platform(raw() | {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9"}, {})
-        broker = main.Broker(platform, config.Operator())
+        platform = config.parse_platform_config(
+            raw() | {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9"}, {}
+        )
+        broker = main.Broker(platform, config.OperatorConfig())
         await broker.start()
 
         async def ask() -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -31,7 +31,7 @@
 from cherrycove import __main__ as main
 from cherrycove.broker import config, nbd
 from cherrycove.broker.core import Attempt, Ending, Member
-from cherrycove.broker.http1 import back, body, front, watch
+from cherrycove.broker.http1 import body, server, upstream, watch
 from cherrycove.broker.lifecycle import herald
 from cherrycove.broker.lifecycle.handover import LOCK
 from cherrycove.broker.lifecycle.leaving import Timetable
@@ -42,12 +42,12 @@
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: the end of the connection is a reset
 
 
-def patient(**changes: Any) -> config.Platform:
+def patient(**changes: Any) -> config.PlatformConfig:
     """The example's deployment with a connection time that no test outlasts."""
     whole = raw()
     whole["settings"]["limits"]["dialTimeoutNs"] = 10**11
     whole["settings"]["guarantees"] |= changes
-    return config.read_platform(whole, {})
+    return config.parse_platform_config(whole, {})
 
 
 class Held:
@@ -280,13 +280,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Closed in good order, a connection sent on what the node had not taken yet, whenever it did."""
-    made = back.NodeConnection.connection_made
+    made = upstream.NodeConnection.connection_made
 
-    def narrow(self: back.NodeConnection, transport: Any) -> None:
+    def narrow(self: upstream.NodeConnection, transport: Any) -> None:
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         made(self, transport)
 
-    monkeypatch.setattr(back.NodeConnection, "connection_made", narrow)
+    monkeypatch.setattr(upstream.NodeConnection, "connection_made", narrow)
 
     async def story() -> None:
         listener = socket.socket()
@@ -404,7 +404,7 @@
 def test_what_is_not_taken_in_when_all_is_given_up_is_refused_at_once(
     waits_for: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(front, "ROOM_TIME", 1e6)
+    monkeypatch.setattr(server, "ROOM_TIME", 1e6)
     monkeypatch.setattr(body, "BODY_TIME", 1e6)
 
     async def story() -> None:
@@ -428,7 +428,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The process was killed over it, 10 s before the answer would have been given up."""
-    monkeypatch.setattr(back, "STALL_TIME", 1e6)
+    monkeypatch.setattr(upstream, "STALL_TIME", 1e6)
 
     async def story() -> None:
         async def stall(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -456,8 +456,8 @@
 
 
 def test_a_client_that_still_sends_its_body_does_not_hold_up_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(front, "ANSWER_TIME", 1e6)
-    monkeypatch.setattr(front, "LEAVE_TIME", 1e6)
+    monkeypatch.setattr(server, "ANSWER_TIME", 1e6)
+    monkeypatch.setattr(server, "LEAVE_TIME", 1e6)
 
     async def story() -> None:
         async with World(await Node().start()) as world:
@@ -477,7 +477,7 @@
 
 def test_what_waits_for_room_is_refused_within_its_own_time(monkeypatch: pytest.MonkeyPatch) -> None:
     """It waited 1 s, however little its client did: where a class waits 200 ms, that is too late."""
-    monkeypatch.setattr(front, "ROOM_TIME", 1e6)
+    monkeypatch.setattr(server, "ROOM_TIME", 1e6)
 
     async def story() -> None:
         node = await Node().start()
@@ -490,8 +490,8 @@
 
 
 def test_a_read_does_not_stand_behind_bodies_that_wait_for_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(front, "ROOM_TIME", 1e6)
-    monkeypatch.setattr(front, "ROOM_PART", 1e6)
+    monkeypatch.setattr(server, "ROOM_TIME", 1e6)
+    monkeypatch.setattr(server, "ROOM_PART", 1e6)
 
     async def story() -> None:
         async with World(await Node().start()) as world:
@@ -530,12 +530,12 @@
 
 
 def test_no_advice_to_wait_is_given_where_the_settings_allow_none(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(front, "ROOM_TIME", 0.0)
+    monkeypatch.setattr(server, "ROOM_TIME", 0.0)
 
     async def story() -> None:
         whole = raw()
         whole["settings"]["limits"]["retryAfter"] = False
-        async with World(await Node().start(), platform=config.read_platform(whole, {})) as world:
+        async with World(await Node().start(), platform=config.parse_platform_config(whole, {})) as world:
             world.front.room.take(world.front.room.most)
             status, headers, _ = await world.ask(cls="claim-write", method="PUT", body=b"x" * 900)
             assert status == 503 and "retry-after" not in headers
@@ -558,7 +558,7 @@
                 handler._next_keepalive_close_time = 0.0
                 handler._process_keepalive()
             elif by == "a newcomer":
-                web._partly[front.ClientConnection(web, loop=web._loop)] = 0.0  # one that may go instead
+                web._partly[server.ClientConnection(web, loop=web._loop)] = 0.0  # one that may go instead
                 web._connections[next(iter(web._partly))] = asyncio.Transport()
                 with pytest.raises(NotImplementedError):  # of the stand-in's abort: it is the one to go
                     web.resize(1)
@@ -570,9 +570,9 @@
     run(story())
 
 
-def handler_like(web: front.Clients) -> Any:
+def handler_like(web: server.Clients) -> Any:
     """A connection that begins a request beside the one looked at."""
-    other = front.ClientConnection(web, loop=web._loop)
+    other = server.ClientConnection(web, loop=web._loop)
     other.transport = asyncio.Transport()
     return other
 
@@ -718,7 +718,9 @@
         monkeypatch.setattr(main.Broker, "start", start)
         monkeypatch.setattr(main.Broker, "end", end)
         monkeypatch.setattr(main.signal, "pthread_sigmask", lambda *_: None)
-        platform = config.read_platform(raw() | {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9"}, {})
+        platform = config.parse_platform_config(
+            raw() | {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9"}, {}
+        )
         loop, stop = asyncio.get_running_loop(), []  # type: asyncio.AbstractEventLoop, list[asyncio.Event]
         made = main.Broker.__init__
 
@@ -727,7 +729,7 @@
             stop.append(self.stop)
 
         monkeypatch.setattr(main.Broker, "__init__", make)
-        running = asyncio.create_task(main.run(platform, config.Operator(), []))
+        running = asyncio.create_task(main.run(platform, config.OperatorConfig(), []))
         await until(lambda: stop)
         os.kill(os.getpid(), signal.SIGTERM)
         await until(lambda: stop[0].is_set())
@@ -770,11 +772,11 @@
 ) -> None:
     """It crossed the next request on its way, if that went out at once over the same connection."""
     clock, rests = [100.0], []  # type: list[float], list[float]
-    for module in (back, connector):
+    for module in (upstream, connector):
         monkeypatch.setattr(module, "monotonic", lambda: clock[0])
     node = Repeating()
 
-    async def let_rest(pool: back.Connector, time: float) -> None:
+    async def let_rest(pool: upstream.Connector, time: float) -> None:
         rests.append(time)
         clock[0] += time
         if second:
@@ -785,17 +787,17 @@
         else:
             node.last = b""
 
-    monkeypatch.setattr(back.Connector, "_let_rest", let_rest)
+    monkeypatch.setattr(upstream.Connector, "_let_rest", let_rest)
 
     async def story() -> None:
         port = await node.start()
-        async with World(rest=back.REST_TIME) as world:
+        async with World(rest=upstream.REST_TIME) as world:
             world.members = [Member("d0", f"127.0.0.1:{port}", 0)]
             world.list()
             assert (await world.ask(id="first"))[2] == b"to first"
-            clock[0] += back.REST_TIME / 4
+            clock[0] += upstream.REST_TIME / 4
             assert (await world.ask(id="next"))[2] == b"to next"
-            assert rests == [pytest.approx(back.REST_TIME * 3 / 4)] and node.connections == 1 + second
+            assert rests == [pytest.approx(upstream.REST_TIME * 3 / 4)] and node.connections == 1 + second
 
     run(story())
 
@@ -811,7 +813,7 @@
         rests.set()
         await asyncio.Event().wait()
 
-    monkeypatch.setattr(back.Connector, "_let_rest", let_rest)
+    monkeypatch.setattr(upstream.Connector, "_let_rest", let_rest)
 
     async def story() -> None:
         busy, node = await Node("held ok").start(), await Node().start()
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -96,7 +96,9 @@
 @pytest.mark.parametrize("name", SITES)
 def test_no_rule_is_broken_with_another_customers_settings(name: str, first: int) -> None:
     """What goes wrong, how many hosts and shards there are, and their speed are drawn."""
-    whole = config.read_platform(copy.deepcopy(RAW) | {"settings": settings(SITES[name])}, {}).settings
+    whole = config.parse_platform_config(
+        copy.deepcopy(RAW) | {"settings": settings(SITES[name])}, {}
+    ).settings
     broken = {}
     for seed in range(first, first + 20):
         day = draw(seed)
@@ -202,7 +204,7 @@
             path.write_text(json.dumps(whole))
             place = "settings" + "".join(f"[{k}]" if isinstance(k, int) else f".{k}" for k in at)
             with pytest.raises(config.ConfigError) as found:
-                config.platform({"RELAY_CONFIG": str(path)})
+                config.load_platform_config({"RELAY_CONFIG": str(path)})
             assert str(found.value).startswith(f"{path}: {place}"), (place, wrong)
 
 
@@ -218,7 +220,7 @@
     whole["limits"][at.partition(".")[2]] = wrong
     path.write_text(json.dumps(whole))
     with pytest.raises(config.ConfigError, match=f"{re.escape(str(path))}: {at} must be"):
-        config.platform({"RELAY_CONFIG": str(path)})
+        config.load_platform_config({"RELAY_CONFIG": str(path)})
 
 
 @pytest.mark.parametrize("depth", [500, 100_000])  # within what JSON's reader takes, and beyond
@@ -226,7 +228,7 @@
     path = tmp_path / "config.json"
     path.write_text('{"settings": ' + '{"a": ' * depth + "1" + "}" * depth + "}")
     with pytest.raises(config.ConfigError, match=re.escape(str(path))):
-        config.platform({"RELAY_CONFIG": str(path)})
+        config.load_platform_config({"RELAY_CONFIG": str(path)})
 
 
 @pytest.mark.parametrize("name", SITES)
@@ -241,7 +243,7 @@
         del owner[at[-1]]
         path.write_text(json.dumps(whole))
         try:
-            config.platform({"RELAY_CONFIG": str(path)})
+            config.load_platform_config({"RELAY_CONFIG": str(path)})
         except config.ConfigError as error:
             assert str(error).startswith(f"{path}: settings") and str(at[-1]) in str(error)
             needed += 1
--- a/tests/test_fleet_room.py
+++ b/tests/test_fleet_room.py
@@ -207,11 +207,11 @@
     whole["settings"]["me"], whole["peer_listen"] = 1, "127.0.0.1:7946"
     whole["peers"] = [f"127.0.0.{n + 1}:7946" for n in range(brokers)]
     whole["settings"]["limits"]["mayTell"] = True
-    tier = config.read_platform(whole, {}).tier
+    tier = config.parse_platform_config(whole, {}).tier
     assert tier is not None and tier.number == 1 and tier.peers[0] == ("127.0.0.1", 7946)
     whole["settings"]["limits"]["mayTell"] = False
-    assert config.read_platform(whole, {}).tier is None
+    assert config.parse_platform_config(whole, {}).tier is None
     whole["settings"]["limits"]["mayTell"] = True
     for wrong in ({"peers": ["x"]}, {"peers": whole["peers"][1:]}, {"peer_listen": "nowhere"}):
         with pytest.raises(config.ConfigError, match="peer"):
-            config.read_platform(whole | wrong, {})
+            config.parse_platform_config(whole | wrong, {})
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -89,7 +89,7 @@
 
     program = (
         "-c",
-        "import runpy; from cherrycove.broker.http1 import front; front.IDLE_TIME = 60.0; "
+        "import runpy; from cherrycove.broker.http1 import server; server.IDLE_TIME = 60.0; "
         "runpy.run_module('cherrycove', run_name='__main__')",
     )
 
@@ -302,13 +302,13 @@
     async def story() -> None:
         node = await Node(*["hang"] * 3).start()
         whole = settings(node) | {"limits": {"sockets": 160, "memory_mb": 80}}
-        platform = main.config.read_platform(whole, {})
+        platform = main.config.parse_platform_config(whole, {})
 
         def most(broker: main.Broker) -> float:
             broker.core.tick()
             return broker.core._scheduler.shedding.max_open_requests
 
-        first, second = (main.Broker(platform, main.config.Operator()) for _ in range(2))
+        first, second = (main.Broker(platform, main.config.OperatorConfig()) for _ in range(2))
         await first.start()
         assert most(first) == 40
         # One that is only about to start takes the core from this one; what waits unread holds places too.
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -15,7 +15,7 @@
 
 from cherrycove.broker import config
 from cherrycove.broker.core import Ending, Member, Verdict
-from cherrycove.broker.http1 import body, front, parse, watch
+from cherrycove.broker.http1 import body, parse, server, watch
 from cherrycove.scheduling.interface import NodeState
 
 WRITE = {"cls": "claim-write", "method": "PUT", "body": b"\0claim\xff" * 50}
@@ -507,7 +507,7 @@
     kept: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """By itself the library waits an hour for a head, and for ever for a body."""
-    monkeypatch.setattr(front, "IDLE_TIME", 0.05)
+    monkeypatch.setattr(server, "IDLE_TIME", 0.05)
     monkeypatch.setattr(body, "BODY_TIME", 0.05)
 
     async def story() -> None:
@@ -572,7 +572,9 @@
 
     async def story() -> None:
         nodes = [await Node().start() for _ in range(6)]
-        platform = config.read_platform(raw(familyInfo=RAW["settings"]["familyInfo"] | {"nShards": 6}), {})
+        platform = config.parse_platform_config(
+            raw(familyInfo=RAW["settings"]["familyInfo"] | {"nShards": 6}), {}
+        )
         async with World(*nodes, platform=platform) as world:
             world.pool.resize(3)
             for shard in [*range(6), *range(6)]:
@@ -634,7 +636,7 @@
 def test_a_body_without_room_is_refused_unread_and_later_ones_are_served(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(front, "ROOM_TIME", 0.1)
+    monkeypatch.setattr(server, "ROOM_TIME", 0.1)
 
     async def story() -> None:
         node = await Node().start()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from support import Node, World, answer, fuzz, message, run
 
-from cherrycove.broker.http1 import front
+from cherrycove.broker.http1 import server
 from cherrycove.broker.lifecycle import leaving
 from cherrycove.broker.lifecycle.leaving import Timetable
 
@@ -69,7 +69,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Closed for having no request for a while, it left its client without a broker at this address."""
-    monkeypatch.setattr(front, "IDLE_TIME", 0.2)
+    monkeypatch.setattr(server, "IDLE_TIME", 0.2)
 
     async def story() -> None:
         async with World(await Node("ok", "ok").start()) as world:
--- a/tests/test_nbd.py
+++ b/tests/test_nbd.py
@@ -13,7 +13,7 @@
 
 from cherrycove.broker import config, nbd
 from cherrycove.broker.core import Ending, Member, NodeList
-from cherrycove.broker.nbd import Call, Command, Errno, Gathered, Option, ProtocolError
+from cherrycove.broker.nbd import Command, CommandReply, CommandRequest, Errno, Option, ProtocolError
 
 VOLUME = "00000003b4d60021"
 NODE_FLAGS = nbd.HAS_FLAGS | nbd.SEND_FLUSH | nbd.SEND_TRIM | nbd.MULTI_CONN
@@ -21,7 +21,7 @@
 GREETING = 18
 
 
-def setup(*nodes: BlockNode, **more: Any) -> nbd.Setup:
+def setup(*nodes: BlockNode, **more: Any) -> nbd.NbdConfig:
     """As the operator's file would say it; shard i is held by the i-th node."""
     table = {
         "enabled": True,
@@ -39,7 +39,7 @@
         },
         **more,
     }
-    found = config.read_operator({"nbd": table}, PLATFORM.settings).nbd
+    found = config.parse_operator_config({"nbd": table}, PLATFORM.settings).nbd
     assert found is not None
     return found
 
@@ -59,15 +59,17 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            writer.write(nbd.greeting())
+            writer.write(nbd.pack_greeting())
             await reader.readexactly(4)
             number, _ = await nbd.read_option(reader)
-            writer.write(nbd.option_reply(number, nbd.ACK))
+            writer.write(nbd.pack_option_reply(number, nbd.ACK))
             number, _ = await nbd.read_option(reader)
             info = struct.pack(">HQH", nbd.INFO_EXPORT, len(self.disk), self.flags)
-            writer.write(nbd.option_reply(number, nbd.INFO, info) + nbd.option_reply(number, nbd.ACK))
+            writer.write(
+                nbd.pack_option_reply(number, nbd.INFO, info) + nbd.pack_option_reply(number, nbd.ACK)
+            )
             while True:
-                call = await nbd.read_call(reader)
+                call = await nbd.read_command_request(reader)
                 payload = await reader.readexactly(call.length if call.command == Command.WRITE else 0)
                 async with self.arrived:
                     self.seen.append((Command(call.command), payload))
@@ -84,7 +86,7 @@
     async def _step(
         self,
         step: str,
-        call: Call,
+        call: CommandRequest,
         payload: bytes,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -92,20 +94,20 @@
         if step == "drop":
             return False
         if step.isdigit():
-            writer.write(nbd.error_chunk(call.cookie, int(step), "no").pack())
+            writer.write(nbd.make_error_chunk(call.cookie, int(step), "no").pack())
             return True
         end = call.offset + call.length
         if call.command == Command.WRITE:
             self.disk[call.offset : end] = payload
         if call.command != Command.READ:
-            done = nbd.simple_reply(call.cookie)
+            done = nbd.pack_simple_reply(call.cookie)
             writer.write(done[:7] if step == "stall" else done)
         else:
             middle, data = call.offset + call.length // 2, self.disk
-            writer.write(nbd.data_chunk(call.cookie, middle, bytes(data[middle:end]), 0).pack())
+            writer.write(nbd.make_data_chunk(call.cookie, middle, bytes(data[middle:end]), 0).pack())
             if step != "stall":
                 writer.write(
-                    nbd.data_chunk(call.cookie, call.offset, bytes(data[call.offset : middle])).pack()
+                    nbd.make_data_chunk(call.cookie, call.offset, bytes(data[call.offset : middle])).pack()
                 )
         if step == "stall":
             await reader.read(1)
@@ -122,12 +124,12 @@
     @classmethod
     async def connect(cls, port: int) -> Client:
         client = cls(*await asyncio.open_connection("127.0.0.1", port))
-        assert await client.reader.readexactly(GREETING) == nbd.greeting()
+        assert await client.reader.readexactly(GREETING) == nbd.pack_greeting()
         client.writer.write(struct.pack(">I", 3))
         return client
 
     async def option(self, number: int, data: bytes = b"") -> list[tuple[int, bytes]]:
-        self.writer.write(nbd.option(number, data))
+        self.writer.write(nbd.pack_option(number, data))
         replies = [await nbd.read_option_reply(self.reader, number)]
         while replies[-1][0] in (nbd.INFO, nbd.SERVER):
             replies.append(await nbd.read_option_reply(self.reader, number))
@@ -139,18 +141,18 @@
         client.structured = structured
         if structured:
             assert await client.option(Option.STRUCTURED_REPLY) == [(nbd.ACK, b"")]
-        assert (await client.option(Option.GO, nbd.go(name)))[-1][0] == nbd.ACK
+        assert (await client.option(Option.GO, nbd.pack_go_data(name)))[-1][0] == nbd.ACK
         return client
 
     def send(
         self, command: int, offset: int = 0, length: int = 0, payload: bytes = b"", flags: int = 0
     ) -> int:
         cookie = len(self.calls) + 1
-        self.calls[cookie] = call = Call(command, flags, cookie, offset, length or len(payload))
+        self.calls[cookie] = call = CommandRequest(command, flags, cookie, offset, length or len(payload))
         self.writer.write(call.pack() + payload)
         return cookie
 
-    async def reply(self, cookie: int) -> Gathered:
+    async def reply(self, cookie: int) -> CommandReply:
         return await nbd.read_reply(self.reader, self.calls[cookie], self.structured)
 
     async def do(
@@ -170,21 +172,21 @@
                 b"claims",
                 b"scans",
             ]
-            assert (await client.option(Option.INFO, nbd.go("none")))[0][0] == nbd.ERR_UNKNOWN
+            assert (await client.option(Option.INFO, nbd.pack_go_data("none")))[0][0] == nbd.ERR_UNKNOWN
             assert (await client.option(Option.INFO, b"\0\0\0\x09"))[0][0] == nbd.ERR_INVALID
-            plain = await client.option(Option.INFO, nbd.go("claims", [nbd.INFO_BLOCK_SIZE]))
+            plain = await client.option(Option.INFO, nbd.pack_go_data("claims", [nbd.INFO_BLOCK_SIZE]))
             assert plain[0][1] == struct.pack(">HQH", 0, 1 << 20, 1 | nbd.SEND_FLUSH | nbd.SEND_TRIM)
             assert plain[1][1] == struct.pack(">HIII", 3, 512, 4096, 65536)
             await client.option(Option.STRUCTURED_REPLY)
-            fixed = await client.option(Option.INFO, nbd.go("scans"))
+            fixed = await client.option(Option.INFO, nbd.pack_go_data("scans"))
             assert fixed[0][1][-2:] == struct.pack(">H", 1 | nbd.READ_ONLY | nbd.SEND_DF)
             assert await client.option(Option.ABORT) == [(nbd.ACK, b"")] and not await client.reader.read()
             old = await Client.connect(port)
-            old.writer.write(nbd.option(Option.EXPORT_NAME, b"scans"))
+            old.writer.write(nbd.pack_option(Option.EXPORT_NAME, b"scans"))
             assert await old.reader.readexactly(10) == struct.pack(">QH", 1 << 20, 1 | nbd.READ_ONLY)
             front.drain()
             late = await Client.connect(port)
-            assert (await late.option(Option.GO, nbd.go("claims")))[0][0] == nbd.ERR_SHUTDOWN
+            assert (await late.option(Option.GO, nbd.pack_go_data("claims")))[0][0] == nbd.ERR_SHUTDOWN
             await front.close()
 
     run(story())
@@ -256,7 +258,7 @@
 def test_a_write_has_one_final_reply_and_one_run(script: str, flags: int, errno: int, sends: int) -> None:
     async def story() -> None:
         node = await BlockNode(script, flags=flags).start()
-        async with World(Node(), platform=config.read_platform(raw(1), {})) as world:
+        async with World(Node(), platform=config.parse_platform_config(raw(1), {})) as world:
             front, port = await world.nbd(setup(node))
             client = await Client.mounted(port)
             reply = await client.reply(client.send(Command.WRITE, 0, payload=BLOCK))
@@ -272,7 +274,7 @@
 def test_a_read_cut_short_by_a_stall_ends_in_one_answer() -> None:
     async def story() -> None:
         node = await BlockNode("stall").start()
-        async with World(Node(), platform=config.read_platform(raw(1), {})) as world:
+        async with World(Node(), platform=config.parse_platform_config(raw(1), {})) as world:
             front, port = await world.nbd(setup(node))
             client = await Client.mounted(port)
             assert (await client.do(Command.READ, 0, 4096))[0] == Errno.ENOMEM  # a read may be repeated
@@ -328,7 +330,9 @@
             await BlockNode(*steps).start(),
             await Node(*[{"stall": "hang", "5": "500"}.get(step, step) for step in steps]).start(),
         )
-        async with World(blocks_place := Node(), files, platform=config.read_platform(raw(3), {})) as world:
+        async with World(
+            blocks_place := Node(), files, platform=config.parse_platform_config(raw(3), {})
+        ) as world:
             assert blocks_place.port == 0  # shard 0 is reached by NBD alone
             front, port = await world.nbd(
                 setup(
@@ -391,48 +395,48 @@
     run(story())
 
 
-CALL = Call(Command.READ, 0, 5, 4096, 1024)
+CALL = CommandRequest(Command.READ, 0, 5, 4096, 1024)
 CHUNKS = (
-    nbd.data_chunk(5, 4608, BLOCK[:512], 0).pack()
-    + nbd.Chunk(nbd.DONE, nbd.OFFSET_HOLE, 5, struct.pack(">QI", 4096, 512)).pack()
+    nbd.make_data_chunk(5, 4608, BLOCK[:512], 0).pack()
+    + nbd.ReplyChunk(nbd.DONE, nbd.OFFSET_HOLE, 5, struct.pack(">QI", 4096, 512)).pack()
 )
 
 
 @fuzz
-@given(cuts(CHUNKS), cuts(CALL.pack()), cuts(nbd.option(Option.GO, nbd.go("claims", [0, 3]))))
+@given(cuts(CHUNKS), cuts(CALL.pack()), cuts(nbd.pack_option(Option.GO, nbd.pack_go_data("claims", [0, 3]))))
 def test_cuts_of_frames_change_nothing(chunks: list[bytes], call: list[bytes], option: list[bytes]) -> None:
     async def story() -> None:
         reply = await nbd.read_reply(feed(chunks), CALL, True)
         assert bytes(reply.data) == bytes(512) + BLOCK[:512]
-        assert await nbd.read_call(feed(call)) == CALL
+        assert await nbd.read_command_request(feed(call)) == CALL
         number, data = await nbd.read_option(feed(option))
-        assert number == Option.GO and nbd.parse_go(data) == ("claims", [0, 3])
+        assert number == Option.GO and nbd.parse_go_data(data) == ("claims", [0, 3])
 
     run(story())
 
 
 @fuzz
-@given(spoiled(CHUNKS), spoiled(CALL.pack()), spoiled(nbd.go("claims", [0])))
+@given(spoiled(CHUNKS), spoiled(CALL.pack()), spoiled(nbd.pack_go_data("claims", [0])))
 def test_garbage_is_a_protocol_error_or_a_whole_message(chunks: bytes, call: bytes, data: bytes) -> None:
     async def story() -> None:
-        for task in (nbd.read_reply(feed([chunks]), CALL, True), nbd.read_call(feed([call]))):
+        for task in (nbd.read_reply(feed([chunks]), CALL, True), nbd.read_command_request(feed([call]))):
             try:
                 found = await task
             except (ProtocolError, EOFError):
                 continue
-            if isinstance(found, Gathered) and not found.errno:
-                assert sum(b - a for a, b in found.pieces) == len(found.data) == CALL.length
+            if isinstance(found, CommandReply) and not found.errno:
+                assert sum(b - a for a, b in found.ranges) == len(found.data) == CALL.length
         try:
-            name, wanted = nbd.parse_go(data)
+            name, wanted = nbd.parse_go_data(data)
         except ProtocolError:
             return
-        assert nbd.go(name, wanted) == data
+        assert nbd.pack_go_data(name, wanted) == data
 
     run(story())
 
 
 @fuzz
-@given(spoiled(struct.pack(">I", 3) + nbd.option(Option.GO, nbd.go("claims")) + CALL.pack()))
+@given(spoiled(struct.pack(">I", 3) + nbd.pack_option(Option.GO, nbd.pack_go_data("claims")) + CALL.pack()))
 def test_garbage_at_the_front_leaves_it_serving(garbage: bytes) -> None:
     async def story() -> None:
         node = await BlockNode().start()
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -160,8 +160,8 @@
     run(story())
 
 
-def keyed_platform(window_s: float = 100.0) -> config.Platform:
-    return config.read_platform(raw() | {"settings": keyed_settings(window_s)}, {})
+def keyed_platform(window_s: float = 100.0) -> config.PlatformConfig:
+    return config.parse_platform_config(raw() | {"settings": keyed_settings(window_s)}, {})
 
 
 def keyed_settings(window_s: float) -> dict[str, Any]:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -16,12 +16,14 @@
 
 def test_the_example_has_nothing_unknown_and_an_invented_name_is_told() -> None:
     whole = raw()
-    assert config.read_platform(whole, {}).unknown == () == config.read_platform(whole, {}).unmet
+    assert (
+        config.parse_platform_config(whole, {}).unknown == () == config.parse_platform_config(whole, {}).unmet
+    )
     whole["settings"]["guarantees"]["sparesOnly"] = 3
     whole["settings"]["classes"][1]["stream"] = True
     whole["settings"]["classes"][0]["prio"] = 1
     whole["chaos"] = {}
-    found = config.read_platform(whole, {})
+    found = config.parse_platform_config(whole, {})
     assert found.unknown == ("classes[].prio", "guarantees.sparesOnly", "chaos")
     assert len(found.unmet) == 1 and "claim-write" in found.unmet[0]
 
@@ -64,7 +66,7 @@
     monkeypatch.setattr(config.json, "dumps", lambda value: wire.json.JSONEncoder().encode(dict(value)))
     monkeypatch.setattr(known, "paths", lambda info: set())  # it walks over all of them
     monkeypatch.setattr(known, "unmet", lambda info: [])
-    config.read_platform(whole, {})
+    config.parse_platform_config(whole, {})
     assert seen == known.READ
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -14,18 +14,22 @@
 
 from cherrycove.broker import shared_map as store
 from cherrycove.broker.core import Member, NodeList
-from cherrycove.broker.shared_map import Entry, EntryError, Store
+from cherrycove.broker.shared_map import Entry, EntryError, SharedMap
 from cherrycove.scheduling.interface import NodeState
 
 SAMPLE = Entry("config/log_level", 7, "n1", "INFO")
 
 
 def rounds(
-    brokers: list[Store], dice: random.Random, count: int, loss: float = 0.0, apart: tuple[Store, ...] = ()
+    brokers: list[SharedMap],
+    dice: random.Random,
+    count: int,
+    loss: float = 0.0,
+    apart: tuple[SharedMap, ...] = (),
 ) -> None:
     """Anti-entropy over a network that loses datagrams, and all between ``apart`` and the others."""
 
-    def carry(data: bytes, source: Store, target: Store) -> None:
+    def carry(data: bytes, source: SharedMap, target: SharedMap) -> None:
         assert len(data) <= 256
         if dice.random() >= loss and (source in apart) == (target in apart):
             for reply in target.receive(data):
@@ -40,11 +44,11 @@
 @given(st.integers(0, 1 << 32), st.floats(0, 0.5))
 def test_brokers_converge_under_loss_after_a_partition_and_a_restart(seed: int, loss: float) -> None:
     dice = random.Random(seed)
-    brokers = [Store(f"n{i}") for i in range(4)]
+    brokers = [SharedMap(f"n{i}") for i in range(4)]
     for turn in range(60):  # each side goes on writing and deleting while they are apart
         dice.choice(brokers).put(f"config/{dice.randrange(20)}", dice.choice([None, f"value {turn}"]))
         rounds(brokers, dice, 1, loss, tuple(brokers[:2]))
-    brokers[3] = Store("n3")  # it starts over from nothing
+    brokers[3] = SharedMap("n3")  # it starts over from nothing
     rounds(brokers, dice, 60, loss)
     assert len({broker.digest() for broker in brokers}) == 1
     assert all(broker.items() == brokers[0].items() for broker in brokers)
@@ -52,7 +56,7 @@
 
 
 def test_the_last_writer_wins_and_a_delete_stays_deleted() -> None:
-    first, second = Store("a"), Store("b")
+    first, second = SharedMap("a"), SharedMap("b")
     first.put("k", "old", 3)
     for late in (Entry("k", 2, "z", "late"), Entry("k", 3, "a", "old")):
         first.receive(late.pack())
@@ -67,10 +71,10 @@
 
 
 def test_a_map_of_any_size_is_caught_up_by_bounded_answers() -> None:
-    full, empty = Store("a"), Store("b")
+    full, empty = SharedMap("a"), SharedMap("b")
     for i in range(300):
         full.put(f"config/{i}", "x" * 200)
-    assert len(full.receive(empty.digest())) <= store.MOST_PUSHED + 1
+    assert len(full.receive(empty.digest())) <= store.MAX_ENTRIES_PER_REPLY + 1
     rounds([full, empty], random.Random(1), 200)
     assert len(empty.items()) == 300
     with pytest.raises(EntryError):
@@ -78,9 +82,9 @@
 
 
 @fuzz
-@given(spoiled(SAMPLE.pack()), spoiled(Store("a").digest()))
+@given(spoiled(SAMPLE.pack()), spoiled(SharedMap("a").digest()))
 def test_garbage_is_counted_and_dropped_or_a_whole_entry(entry: bytes, digest: bytes) -> None:
-    broker = Store("n0")
+    broker = SharedMap("n0")
     for data in (entry, digest):
         before = broker.counts["malformed"]
         replies = broker.receive(data)
@@ -100,7 +104,7 @@
 
             def heard(version: int, state: NodeState, since: float = 5.0, name: str = "d0") -> NodeState:
                 value = json.dumps([state.value, member.address, 0, since])
-                store.restrict(core, Entry(f"node/{name}", version, "n9", value))
+                store.apply_peer_drain(core, Entry(f"node/{name}", version, "n9", value))
                 return core.members[0].state
 
             draining = NodeState.DRAINING
@@ -108,7 +112,7 @@
             core.list_unavailable()
             assert heard(4, draining) is NodeState.UP and heard(5, draining, 9.0) is NodeState.UP
             assert heard(5, NodeState.UP, name="d9") is NodeState.UP and len(core.members) == 1
-            store.restrict(core, Entry("node/d0", 5, "n9", "[]"))
+            store.apply_peer_drain(core, Entry("node/d0", 5, "n9", "[]"))
             assert heard(5, draining) is draining and (await world.ask(ms=500))[0] == 503
             assert heard(6, NodeState.UP) is draining and not core.ready
             core.update(NodeList(6, True, (member,)))  # its own list's word
@@ -120,20 +124,22 @@
 def test_gossip_on_sockets_tells_lists_and_hears_no_strangers() -> None:
     async def story() -> None:
         heard = asyncio.Event()
-        left, right = Store("a"), Store("b", lambda entry: heard.set())
-        first = store.Gossip(left, store.Setup(("127.0.0.1", 0), (), 0.01))
+        left, right = SharedMap("a"), SharedMap("b", lambda entry: heard.set())
+        first = store.GossipProtocol(left, store.SharedMapConfig(("127.0.0.1", 0), (), 0.01))
         port = await first.start()
-        second = store.Gossip(right, store.Setup(("127.0.0.1", 0), (("127.0.0.1", port),), 0.01))
+        second = store.GossipProtocol(
+            right, store.SharedMapConfig(("127.0.0.1", 0), (("127.0.0.1", port),), 0.01)
+        )
         await second.start()
         while not left.counts["strangers"]:
             await asyncio.sleep(0.01)
         peer = second._transport.get_extra_info("sockname")  # type: ignore[union-attr]
-        first._setup = store.Setup(("127.0.0.1", 0), (peer,), 0.01)
-        first.tell(store.remember(left, NodeList(3, True, (Member("d0", "127.0.0.1:1", 0),))))
+        first._setup = store.SharedMapConfig(("127.0.0.1", 0), (peer,), 0.01)
+        first.tell(store.record_node_list(left, NodeList(3, True, (Member("d0", "127.0.0.1:1", 0),))))
         await heard.wait()
         while right.digest() != left.digest():
             await asyncio.sleep(0.01)
-        store.remember(left, NodeList(4, True, ()))
+        store.record_node_list(left, NodeList(4, True, ()))
         while right.items():
             await asyncio.sleep(0.01)
         first.close()
--- a/tests/test_why_loopback.py
+++ b/tests/test_why_loopback.py
@@ -113,7 +113,7 @@
         nodes = [await Watched(log, f"d{i}", *dice.choices(steps, k=60)).start() for i in range(3)]
         fresh = await Watched(log, "fresh", *dice.choices(steps, k=60)).start()
         block = await BlockNode(*dice.choices(["ok"] * 9 + ["drop", "5"], k=60)).start()
-        async with World(*nodes, platform=config.read_platform(raw(3), {})) as world:
+        async with World(*nodes, platform=config.parse_platform_config(raw(3), {})) as world:
             book = world.core.recorder = Book(world.core.settings, 2 << 20, 0.0)
             members = [Member(f"d{i}", f"127.0.0.1:{node.port}", i) for i, node in enumerate(nodes)]
             members.append(Member("d3", f"127.0.0.1:{block.port}", BLOCK_SHARD))
@@ -227,7 +227,7 @@
 
 def test_a_decision_by_the_last_resort_is_told_as_that() -> None:
     async def story() -> None:
-        async with World(await Node().start(), platform=config.read_platform(raw(1), {})) as world:
+        async with World(await Node().start(), platform=config.parse_platform_config(raw(1), {})) as world:
             book = world.core.recorder = Book(world.core.settings, books.LEAST, 0.0)
             world.core._scheduler.handle = lambda now, events: []  # type: ignore[method-assign, assignment]
             assert (await world.ask(id="a1", ms=300))[0] == 503  # nothing of it was sent
--- a/tests/tier/test_dataplane_wire.py
+++ b/tests/tier/test_dataplane_wire.py
@@ -13,7 +13,7 @@
 from multidict import CIMultiDict
 from wire_support import reset
 
-from cherrycove.broker.http1 import back
+from cherrycove.broker.http1 import upstream as broker_upstream
 from cherrycove.tier.dataplane import connection_pool, upstream
 from cherrycove.tier.dataplane.connection_pool import BrokerConnection
 from examples.toy_broker import SIGNATURE, Received, Script, ToyBroker, Wire, stream
@@ -510,7 +510,7 @@
 def clock_ahead(monkeypatch: pytest.MonkeyPatch) -> list[float]:
     """The clock of the connections, as far ahead of the real one as the item of the list says, in s."""
     ahead = [0.0]
-    for module in (connection_pool, back, aiohttp.connector):
+    for module in (connection_pool, broker_upstream, aiohttp.connector):
         monkeypatch.setattr(module, "monotonic", lambda: time.monotonic() + ahead[0])
     return ahead
 
