--- a/cherrycove/__main__.py
+++ b/cherrycove/__main__.py
@@ -21,9 +21,9 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
 
-from cherrycove.broker.lifecycle import herald
+from cherrycove.broker.lifecycle import announcement
 
-COMING = herald.announce() if __name__ == "__main__" else None
+COMING = announcement.announce() if __name__ == "__main__" else None
 
 import asyncio
 import gc
@@ -100,10 +100,10 @@
 from cherrycove.broker.peer_capacity import peers
 from cherrycove.broker.http1 import server, upstream
 from cherrycove.broker.http1.watch import watch
-from cherrycove.broker.lifecycle.handover import Place
-from cherrycove.broker.lifecycle.leaving import Timetable
-from cherrycove.broker.lifecycle.stages import Life
-from cherrycove.broker.lifecycle.succession import Succession
+from cherrycove.broker.lifecycle.handover import HandoverEndpoint
+from cherrycove.broker.lifecycle.shutdown_timetable import ShutdownTimetable
+from cherrycove.broker.lifecycle.state_machine import LifecycleState
+from cherrycove.broker.lifecycle.coordinator import HandoverCoordinator
 
 log = Log("cherrycove")
 
@@ -117,15 +117,15 @@
     def __init__(self, platform: config.PlatformConfig, operator: config.OperatorConfig) -> None:
         self.platform, self.operator = platform, operator
         self.core = Core(platform.settings, platform.seed)
-        self.life = Life(platform.sockets, platform.memory_mb)
+        self.life = LifecycleState(platform.sockets, platform.memory_mb)
         budget = self.life.budget()
-        self.pool = upstream.ConnectionPool(platform.dial_timeout, platform.conn_idle, most=budget.nodes)
+        self.pool = upstream.ConnectionPool(platform.dial_timeout, platform.conn_idle, most=budget.node_connections)
         self.front = server.Server(
             self.core,
             self.pool,
-            most_connections=budget.clients,
+            most_connections=budget.client_connections,
             crowd=platform.sockets // 6,
-            most_bytes=budget.bytes,
+            most_bytes=budget.body_bytes,
         )
         self.stop = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -135,12 +135,12 @@
         self._consul: consul.ConsulClient | None = None
         self._gossip: store.GossipProtocol | None = None
         self._desk = admin.Desk(self._call)
-        self.succession = Succession(
+        self.handover = HandoverCoordinator(
             platform.name,
             self.core,
             self,
             self.life,
-            Place(platform.name, platform.listen),
+            HandoverEndpoint(platform.name, platform.listen),
             lambda: self._book,
             remembers=operator.memory is not None,
         )
@@ -158,7 +158,7 @@
                 operator.memory.folder,
                 operator.memory.interval,
                 platform.name,
-                mine=lambda: self.life.keeps,
+                mine=lambda: self.life.is_state_writer,
             )
         if operator.why is not None:
             from cherrycove.broker.decision_log.book import Book
@@ -172,16 +172,16 @@
                 path = Path(operator.why.spans)
                 self._tracer = spans.Tracer(platform.settings, path, sampler, platform.name)
                 self._book.on_story = self._tracer.tell
-        self.succession.bound()
+        self.handover.bound()
 
     async def start(self) -> int:
         """Begin to serve, in place of another process of this broker if there is one; the front's port."""
         platform, operator = self.platform, self.operator
         kept = await self._start_store(operator.store) if operator.store is not None else None
-        self.succession.upkeep.load()
+        self.handover.maintenance.load()
         if platform.known is not None:
             self.core.update(platform.known, restored=True)
-        given = await self.succession.meet()  # what it tells is newer than what the platform knew
+        given = await self.handover.meet()  # what it tells is newer than what the platform knew
         if COMING is not None:
             COMING.close()
         if given is None and self._memory is not None:
@@ -206,17 +206,17 @@
             self._run(self._consul.watch())
             if operator.consul.register:
                 self._run(self._consul.keep_registered())
-        await self.succession.serving()
+        await self.handover.serving()
         if self._memory is not None:
             self._run(self._memory.keep())
-        await self.succession.await_successor()
+        await self.handover.await_successor()
         if platform.admin is not None:
             # Guard: a yes to status ends the former process. It comes last: once that one accepts no more,
             # and once this one can be found by the next.
             log.info("calls.serves", port=await self._desk.listen(*platform.admin))
         return port
 
-    # What the succession of processes asks for (cherrycove/broker/lifecycle/succession.py).
+    # What the handover asks for (cherrycove/broker/lifecycle/coordinator.py).
 
     def listeners(self) -> list[socket.socket]:
         return [self.front.listener] + ([self._nbd.listener] if self._nbd is not None else [])
@@ -264,17 +264,17 @@
         """Serve on while clients still come, finish what was taken, then leave; told to when it ``began``."""
         began = asyncio.get_running_loop().time() if began is None else began
         log.info("broker.draining", open=self.core.open_requests)
-        self.life.end()
-        self.front.drain(parting=self.life.handed)
+        self.life.shutdown_started()
+        self.front.drain(parting=self.life.has_handed_over)
         if self._nbd is not None:
             self._nbd.drain()
         registered = self.operator.consul is not None and self.operator.consul.register
         leaving: list[asyncio.Task[None]] = []
-        if self._consul is not None and registered and not self.life.handed:
+        if self._consul is not None and registered and not self.life.has_handed_over:
             # Guard: a silent agent holds up no answer, and the end no longer than until the kill.
             leaving.append(self._run(self._consul.deregister()))
-        times = Timetable.of(max(cls.deadline for cls in self.platform.settings.classes))
-        await self.front.linger(times, began, replaced=self.life.handed)
+        times = ShutdownTimetable.of(max(cls.deadline for cls in self.platform.settings.classes))
+        await self.front.linger(times, began, replaced=self.life.has_handed_over)
         if self._nbd is not None and self._nbd_pool is not None:
             await self._nbd.close()
             self._nbd_pool.close()
@@ -296,7 +296,7 @@
         if self._memory is not None:
             await self._memory.close()
         await self._desk.close()
-        await self.succession.close()
+        await self.handover.close()
         if self._tracer is not None and self._book is not None:
             self._book.flush()
             await asyncio.to_thread(self._tracer.close)
@@ -314,7 +314,7 @@
             return "\n".join([*await self._why(call.words), "END"])
         if call.word == "status":
             return admin.yes_or_no(self._obstacle(), "serving")
-        return await self.succession.upkeep.change(call.node, call.word == "maint-on")
+        return await self.handover.maintenance.change(call.node, call.word == "maint-on")
 
     async def _why(self, asked: tuple[str, ...]) -> list[str]:
         if self._book is None:
--- a/cherrycove/broker/core.py
+++ b/cherrycove/broker/core.py
@@ -20,8 +20,8 @@
 from typing import Protocol
 
 from cherrycove.broker.event_log import Log, bound
-from cherrycove.broker.lifecycle.places import Places
 from cherrycove.broker.local_codes import Own
+from cherrycove.broker.request_limit import RequestLimit
 from cherrycove.scheduling import interface as api
 from cherrycove.scheduling.scheduler import Scheduler
 
@@ -295,7 +295,7 @@
         self._unix_offset = time.time() - self._loop.time()
         self._events: list[api.Event] = []
         self._wake: asyncio.TimerHandle | None = None
-        self._places = Places(NO_BOUND)
+        self._places = RequestLimit(NO_BOUND)
         self._told = NO_BOUND  # places, as the module knows them
         self._last_tick = -inf
         self._tickets: dict[int, _Ticket] = {}
--- a/cherrycove/broker/http1/server.py
+++ b/cherrycove/broker/http1/server.py
@@ -25,7 +25,7 @@
 from cherrycove.broker.http1.parse import BodyError, Head, Names, RequestError, origin, parse_head, single
 from cherrycove.broker.http1.upstream import PIECE, Call, ConnectionPool, Rest, SpoiltAnswer
 from cherrycove.broker.lifecycle.handover import listener
-from cherrycove.broker.lifecycle.leaving import Timetable
+from cherrycove.broker.lifecycle.shutdown_timetable import ShutdownTimetable
 from cherrycove.broker.local_codes import BY_STATUS, Own
 from cherrycove.broker.sockets import LOOK, Lookout, unread
 
@@ -255,7 +255,7 @@
         self._draining, self._parting = True, self._parting or parting
         self.last_request = asyncio.get_running_loop().time()
 
-    async def linger(self, times: Timetable, began: float, replaced: bool) -> None:
+    async def linger(self, times: ShutdownTimetable, began: float, replaced: bool) -> None:
         """Serve on until no more is taken, the signal having come when it ``began``; what is open then has
         until ``give_up``."""
         loop, web = asyncio.get_running_loop(), self._web
--- a/cherrycove/broker/lifecycle/succession.py
+++ b/cherrycove/broker/lifecycle/coordinator.py
@@ -15,8 +15,8 @@
 from cherrycove.broker.core import Core, NodeList
 from cherrycove.broker.event_log import Log
 from cherrycove.broker.lifecycle import handover
-from cherrycove.broker.lifecycle.stages import SHARED, Life
-from cherrycove.broker.lifecycle.upkeep import Upkeep
+from cherrycove.broker.lifecycle.maintenance import MaintenanceController
+from cherrycove.broker.lifecycle.state_machine import SHARED, LifecycleState
 from cherrycove.broker.warm_restart.figures import UnusableError
 from cherrycove.broker.warm_restart.passing import rows_of, take_up
 
@@ -57,7 +57,7 @@
     def take_over(self, piece: dict[str, object], now: float) -> int: ...
 
 
-class Succession:
+class HandoverCoordinator:
     """One process's part of it."""
 
     def __init__(
@@ -65,15 +65,15 @@
         broker: str,
         core: Core,
         doors: Doors,
-        life: Life,
-        place: handover.Place,
+        life: LifecycleState,
+        place: handover.HandoverEndpoint,
         record: Callable[[], Record | None] = lambda: None,
         remembers: bool = False,
     ) -> None:
         self._remembers = remembers  # whether what was learned is handed over, and taken up
         self._broker, self._core, self._doors, self._record = broker, core, doors, record
         self.life, self.place = life, place
-        self.upkeep = Upkeep(core, place, self._tell_others)
+        self.maintenance = MaintenanceController(core, place, self._tell_others)
         self.links: set[handover.Link] = set()
         self._heirs: set[handover.Link] = set()  # of these, to a process that replaces this one
         self._handed: list[socket.socket] = []  # what a successor accepts from, in case it dies
@@ -93,7 +93,7 @@
             return None
         link, state, given = met
         log.info("handover.taking_over")
-        self.life.met()
+        self.life.predecessor_found()
         self._take_over(state)
         following = asyncio.create_task(self._follow(link, heir=False))  # it ends with the other process
         self._following.add(following)
@@ -119,16 +119,16 @@
 
     async def serving(self) -> None:
         """This process accepts: the former one has to stop."""
-        self.life.serving()
+        self.life.serving_started()
         for link in list(self.links):
             if not await link.ask({"serving": True}):
                 log.warning("handover.unconfirmed", told="serving")
-        if self.life.alone:
+        if self.life.is_alone:
             self.apply()
 
     async def await_successor(self) -> None:
         await self.place.await_successor(
-            self._hand_over, lambda link: self._follow(link, heir=True), self.life.heir_gone
+            self._hand_over, lambda link: self._follow(link, heir=True), self.life.successor_gone
         )
 
     # What both do.
@@ -137,18 +137,18 @@
         """Use from now on what this stage allows. Guard: the processes count as one broker, in the rules and
         in the limits."""
         budget = self.life.budget()
-        self._core.share(budget.part)
-        self._doors.resize(budget.clients, budget.nodes, budget.bytes)
+        self._core.share(budget.fraction)
+        self._doors.resize(budget.client_connections, budget.node_connections, budget.body_bytes)
         # Guard: one that ends would open the address again that its successor is about to open.
-        self._doors.talk(budget.talks)
+        self._doors.talk(budget.uses_tier)
         self.bound()
 
     def bound(self) -> None:
-        self._core.bound(self.life.budget().places)
+        self._core.bound(self.life.budget().open_requests)
 
     def came(self) -> None:
         """Another process has announced itself, or has asked, died, or had its time."""
-        self.life.coming = self.place.coming
+        self.life.announced = self.place.coming
         self.bound()
 
     async def _follow(self, link: handover.Link, heir: bool) -> None:
@@ -164,9 +164,9 @@
             self.links.discard(link)
             self._heirs.discard(link)
             if heir:
-                again = self.life.heir_gone()
+                again = self.life.successor_gone()
             else:
-                self.life.elder_gone()
+                self.life.predecessor_gone()
             self.apply()
         log.info("handover.other_ended")
         if again:
@@ -179,7 +179,7 @@
             await self.await_successor()
 
     async def _told(self, message: handover.Message) -> None:
-        if message.get("serving") and self.life.heir_serves():
+        if message.get("serving") and self.life.successor_serving():
             log.info("handover.successor_serves")
             self._handed = self._doors.hand_over()
             self.bound()
@@ -188,10 +188,10 @@
         if "why" in message:
             self._take_record(message)
         if type(message.get("open")) is int:
-            self.life.elder_holds(message["open"])
+            self.life.predecessor_reported(message["open"])
             self.bound()
         if "maint" in message:
-            await self.upkeep.apply(message)
+            await self.maintenance.apply(message)
 
     async def _tell_others(self, message: handover.Message) -> None:
         for link in list(self.links):
@@ -201,12 +201,12 @@
     # The process that is replaced.
 
     def _hand_over(self, hello: handover.Message) -> tuple[handover.Message, list[socket.socket]] | None:
-        if not self.life.may_be_followed():
+        if not self.life.can_be_succeeded():
             log.info("handover.successor_waits")
             return None
         log.info("handover.successor_started")
-        self.life.followed()
-        self._core.share(self.life.budget().part)
+        self.life.successor_found()
+        self._core.share(self.life.budget().fraction)
         members = [handover.pack_member(member) for member in self._core.members]
         state = {
             "version": self._core.version,
@@ -220,7 +220,7 @@
 
     def _tell_open(self, told: int = -1) -> None:
         """Keep the successor told of what is open here, until either ends."""
-        if not (self._heirs and self.life.handed):
+        if not (self._heirs and self.life.has_handed_over):
             return
         if self._core.open_requests != told:
             told = self._core.open_requests
--- a/cherrycove/broker/lifecycle/handover.py
+++ b/cherrycove/broker/lifecycle/handover.py
@@ -19,7 +19,7 @@
 
 from cherrycove.broker.core import Maintenance, Member
 from cherrycove.broker.event_log import Log
-from cherrycove.broker.lifecycle.herald import SOCKET, directory, short
+from cherrycove.broker.lifecycle.announcement import SOCKET, directory, short
 from cherrycove.scheduling.interface import NodeState
 
 log = Log("cherrycove.life.handover")
@@ -153,7 +153,7 @@
         self._writer.close()
 
 
-class Place:
+class HandoverEndpoint:
     """The broker's directory. Without one (it cannot be made) there is nobody to meet and nothing is kept."""
 
     def __init__(
--- a/cherrycove/broker/lifecycle/upkeep.py
+++ b/cherrycove/broker/lifecycle/maintenance.py
@@ -11,15 +11,17 @@
 
 from cherrycove.broker.core import Core
 from cherrycove.broker.event_log import Log
-from cherrycove.broker.lifecycle.handover import MOST_OUT, Message, Place
+from cherrycove.broker.lifecycle.handover import MOST_OUT, HandoverEndpoint, Message
 
 log = Log("cherrycove.upkeep")
 
 
-class Upkeep:
+class MaintenanceController:
     """``tell`` tells the other process, and is done when that has taken it in or could not be reached."""
 
-    def __init__(self, core: Core, place: Place, tell: Callable[[Message], Awaitable[None]]) -> None:
+    def __init__(
+        self, core: Core, place: HandoverEndpoint, tell: Callable[[Message], Awaitable[None]]
+    ) -> None:
         self._core, self._place, self._tell = core, place, tell
 
     def load(self) -> None:
--- a/cherrycove/broker/lifecycle/leaving.py
+++ b/cherrycove/broker/lifecycle/shutdown_timetable.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Timetable:
+class ShutdownTimetable:
     """Seconds after the signal. Source: the platform's page on planned restarts."""
 
     part: float  # from then on each answer closes its connection
@@ -29,7 +29,7 @@
     kill: float  # no sooner than this
 
     @classmethod
-    def of(cls, longest_deadline: float) -> Timetable:
+    def of(cls, longest_deadline: float) -> ShutdownTimetable:
         """For a deployment whose classes wait for so long (s) at most."""
         kill = min(longest_deadline, LONGEST) + KILL_AFTER
         give_up = max(kill - LAST, 0.0)
--- a/cherrycove/broker/lifecycle/places.py
+++ b/cherrycove/broker/request_limit.py
@@ -17,7 +17,7 @@
 STEPS = 16  # in which the figure changes, so that it is not told with every turn
 
 
-class Places:
+class RequestLimit:
     """``most`` where the process is in time."""
 
     def __init__(self, most: int) -> None:
--- a/tests/golden_broker.py
+++ b/tests/golden_broker.py
@@ -35,7 +35,7 @@
 from cherrycove.broker.decision_log import book, words
 from cherrycove.broker.decision_log import pack as record
 from cherrycove.broker.http1 import parse
-from cherrycove.broker.lifecycle import handover, herald, stages, succession
+from cherrycove.broker.lifecycle import announcement, coordinator, handover, state_machine
 from cherrycove.broker.peer_capacity import datagram
 from cherrycove.broker.warm_restart import figures, file, passing
 from cherrycove.scheduling import interface as api
@@ -255,12 +255,12 @@
 }
 # Only written by this program, or read by it as part of a larger exchange.
 WRITTEN: Mapping[str, Callable[..., bytes]] = {
-    "herald_coming": lambda: herald.COMING,
+    "herald_coming": lambda: announcement.COMING,
     "nbd_greeting": nbd.pack_greeting,
     "nbd_simple_reply": nbd.pack_simple_reply,
     "nbd_error_chunk": lambda *values: nbd.make_error_chunk(*values).pack(),
     "nbd_data_chunk": lambda *values: nbd.make_data_chunk(*values).pack(),
-    "directory": lambda *values: herald.directory(*values).encode(),
+    "directory": lambda *values: announcement.directory(*values).encode(),
     "memory_path": lambda *values: str(file.path(*values)).encode(),
     "node_key": lambda *values: _node_key(*values),
     "wire_action": lambda scheduler, act: wire.action(scheduler, act).encode(),
@@ -296,14 +296,14 @@
 
 def write_maintenance(state: core.Maintenance, root: Path) -> bytes:
     """The bytes of the maintenance file that a broker keeps under ``root``."""
-    place = handover.Place("n1", ("127.0.0.1", 8080), str(root))
+    place = handover.HandoverEndpoint("n1", ("127.0.0.1", 8080), str(root))
     assert asyncio.run(place.save(state))
     return (place.path / MAINTENANCE_FILE).read_bytes()
 
 
 def read_maintenance(data: bytes, root: Path) -> core.Maintenance:
     """What a broker takes from such a file."""
-    place = handover.Place("n1", ("127.0.0.1", 8080), str(root))
+    place = handover.HandoverEndpoint("n1", ("127.0.0.1", 8080), str(root))
     (place.path / MAINTENANCE_FILE).write_bytes(data)
     return place.load()
 
@@ -627,7 +627,7 @@
         "settings read": sorted(known.READ),
         "settings left aside": sorted(known.LEFT),
         "wire events": sorted(wire.EVENTS),
-        "files": [handover.MAINTENANCE, handover.LOCK, herald.SOCKET, cherrycove.__main__.OPERATOR],
+        "files": [handover.MAINTENANCE, handover.LOCK, announcement.SOCKET, cherrycove.__main__.OPERATOR],
         "magics": [file.MAGIC.hex(), datagram.MAGIC.hex(), store.MAGIC.hex(), handover.BUSY.hex()],
         "forms": [f"memory rows {figures.FORM}", f"memory file {file.FORMAT}"],
     }
@@ -708,10 +708,10 @@
         self._peer.close()
 
 
-def _succession(root: Path, settings: api.Settings, log: _Record) -> succession.Succession:
-    life = stages.Life(1024, 192.0)
-    place = handover.Place(*PLACE, str(root))
-    return succession.Succession(
+def _succession(root: Path, settings: api.Settings, log: _Record) -> coordinator.HandoverCoordinator:
+    life = state_machine.LifecycleState(1024, 192.0)
+    place = handover.HandoverEndpoint(*PLACE, str(root))
+    return coordinator.HandoverCoordinator(
         "n1", core.Core(settings, 1), _Doors(), life, place, lambda: log, remembers=True
     )
 
@@ -719,7 +719,7 @@
 def _unix(root: Path) -> tuple[socket.socket, str]:
     peer = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     peer.settimeout(WAIT_S)
-    return peer, f"{herald.directory(PLACE[0], *PLACE[1], str(root))}/{herald.SOCKET}"
+    return peer, f"{announcement.directory(PLACE[0], *PLACE[1], str(root))}/{announcement.SOCKET}"
 
 
 def hand_over(
@@ -805,10 +805,11 @@
         await fresh.serving()
         raw = await former
         parting = asyncio.create_task(asyncio.to_thread(second, raw))
-        said.append((await fresh.upkeep.change("d0", True)).split()[0])
+        said.append((await fresh.maintenance.change("d0", True)).split()[0])
         await parting
         own = fresh._core
-        said.append(f"sockets {len(given or [])}, version {own.version}, open there {fresh.life.beside}")
+        open_there = fresh.life.predecessor_open_requests
+        said.append(f"sockets {len(given or [])}, version {own.version}, open there {open_there}")
         said.append(f"records {log.taken}, lost {log.former_lost}")
         said.extend(json.dumps(to_plain(each)) for each in (*own.members, own.maintenance))
         raw.close()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -31,8 +31,8 @@
     Request,
     Verdict,
 )
-from cherrycove.broker.lifecycle import leaving
-from cherrycove.broker.lifecycle.places import Places
+from cherrycove.broker.lifecycle import shutdown_timetable
+from cherrycove.broker.request_limit import RequestLimit
 from cherrycove.scheduling import interface as api
 from cherrycove.scheduling.interface import NodeState, Outcome
 
@@ -435,7 +435,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Held up until SIGKILL, it would lose what it has open."""
-    monkeypatch.setattr(leaving, "LONGEST", 0.9)
+    monkeypatch.setattr(shutdown_timetable, "LONGEST", 0.9)
 
     async def story() -> None:
         platform = config.parse_platform_config(
@@ -458,13 +458,13 @@
 
 def test_a_process_that_runs_late_keeps_fewer_requests_open() -> None:
     """A loop 30 ms late had as many connections on their way as clients have beyond the usual bound."""
-    places = Places(96)
+    places = RequestLimit(96)
     assert [places.now(1.0 + n, 0.004) for n in range(3)] == [96] * 3
     assert places.now(10.0, 0.020) == 48 and places.now(10.0, 1e9) == 48
-    back = [Places(96).now(1.0, late / 1000) for late in range(40)]
+    back = [RequestLimit(96).now(1.0, late / 1000) for late in range(40)]
     assert back == sorted(back, reverse=True) and back[0] == 96 and back[12] in range(66, 78)
     assert places.now(1e6, 0.0) == 96
-    places = Places(96)
+    places = RequestLimit(96)
     places.now(1.0, 0.030)
     fading = [places.now(1.0 + n / 10, 0.0) for n in range(1, 20)]
     assert fading == sorted(fading) and fading[0] < 96 == fading[-1]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -32,9 +32,9 @@
 from cherrycove.broker import config, nbd
 from cherrycove.broker.core import Attempt, Ending, Member
 from cherrycove.broker.http1 import body, server, upstream, watch
-from cherrycove.broker.lifecycle import herald
+from cherrycove.broker.lifecycle import announcement
 from cherrycove.broker.lifecycle.handover import LOCK
-from cherrycove.broker.lifecycle.leaving import Timetable
+from cherrycove.broker.lifecycle.shutdown_timetable import ShutdownTimetable
 from cherrycove.broker.nbd import Command
 from cherrycove.scheduling import interface as api
 from cherrycove.scheduling.interface import NodeState
@@ -445,7 +445,7 @@
             writer.write(message(id="stalls"))
             assert b" 200 " in await reader.readuntil(b"\r\n\r\n") and await reader.readexactly(100_000)
             with closing(writer):  # which ends what waits, should the test fail
-                times = Timetable(0.0, 0.0, 0.0, 0.1)
+                times = ShutdownTimetable(0.0, 0.0, 0.0, 0.1)
                 await world.front.linger(times, asyncio.get_running_loop().time(), replaced=False)
                 ends = asyncio.create_task(world.front.close())
                 assert await reader.read() == b""  # 100,000 bytes short, as its client can tell
@@ -465,7 +465,7 @@
             writer.write(message("claim-write", "PUT", id="sends", body=b"x" * 900)[:-100])
             await until(lambda: world.front._taking)
             with closing(writer):
-                times = Timetable(0.0, 0.0, 0.0, 0.1)
+                times = ShutdownTimetable(0.0, 0.0, 0.0, 0.1)
                 await world.front.linger(times, asyncio.get_running_loop().time(), replaced=False)
                 ends = asyncio.create_task(world.front.close())
                 assert (await answer(reader))[0] == 503
@@ -586,7 +586,7 @@
         whole = copy.deepcopy(RAW)
         del whole["admin"]
         self.raw = whole | {"listen": "127.0.0.1:0"}
-        self.place = Path(herald.directory(self.raw["name"], "127.0.0.1", 0, str(folder)))
+        self.place = Path(announcement.directory(self.raw["name"], "127.0.0.1", 0, str(folder)))
         self.lines: list[str] = []
 
     async def start(self) -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -19,8 +19,9 @@
 from support import ROOT, Node, answer, fuzz, message, raw, run, spoiled
 
 import cherrycove.__main__ as main
+from cherrycove.broker import request_limit
 from cherrycove.broker.core import Maintenance, Member
-from cherrycove.broker.lifecycle import handover, herald, places, stages
+from cherrycove.broker.lifecycle import announcement, handover, state_machine
 from cherrycove.scheduling import interface as api
 from cherrycove.scheduling.state import Volume
 
@@ -159,9 +160,9 @@
                     second.process.kill()
                 await first.line("handover.serving_again")
             else:
-                place = handover.Place("n0", _listen(whole), str(tmp_path))
+                place = handover.HandoverEndpoint("n0", _listen(whole), str(tmp_path))
                 peer = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-                with herald.short(place.path) as folder:
+                with announcement.short(place.path) as folder:
                     peer.connect(f"{folder}/{handover.SOCKET}")
                 if point == "while it is handed the sockets":
                     peer.sendall(b'{"hello": 1}\n')
@@ -271,7 +272,7 @@
     monkeypatch.setattr(handover, "BUSY_TIME", 0.1)
 
     async def story() -> None:
-        place, other = (handover.Place("n0", ("h", 1), str(tmp_path)) for _ in range(2))
+        place, other = (handover.HandoverEndpoint("n0", ("h", 1), str(tmp_path)) for _ in range(2))
         await other.enter()
         if how == "a process that hangs as it starts":
             await place.enter()  # it goes on without
@@ -297,7 +298,9 @@
 ) -> None:
     """Each held a quarter of the descriptors with open requests, and together more than clients have."""
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    monkeypatch.setattr(places, "FULL", 1e9)  # a busy machine makes this process late, and its bound lower
+    monkeypatch.setattr(
+        request_limit, "FULL", 1e9
+    )  # a busy machine makes this process late, and its bound lower
 
     async def story() -> None:
         node = await Node(*["hang"] * 3).start()
@@ -314,10 +317,8 @@
         # One that is only about to start takes the core from this one; what waits unread holds places too.
         (tmp_path / "config.json").write_text(json.dumps(whole))
         monkeypatch.setenv("RELAY_CONFIG", str(tmp_path / "config.json"))
-        monkeypatch.setattr(
-            first.succession.place, "on_coming", lambda: (first.succession.came(), changed.set())
-        )
-        changed, coming = asyncio.Event(), herald.announce()
+        monkeypatch.setattr(first.handover.place, "on_coming", lambda: (first.handover.came(), changed.set()))
+        changed, coming = asyncio.Event(), announcement.announce()
         assert coming is not None
         await changed.wait()
         assert most(first) == 20
@@ -332,9 +333,11 @@
         while first.core.open_requests < 3:
             await asyncio.sleep(0.01)
         told = asyncio.Event()
-        bound = second.succession.bound
+        bound = second.handover.bound
         monkeypatch.setattr(
-            second.succession, "bound", lambda: (bound(), second.life.beside is not None and told.set())
+            second.handover,
+            "bound",
+            lambda: (bound(), second.life.predecessor_open_requests is not None and told.set()),
         )
         await second.start()
         assert most(first) == 20  # it has handed over before the other says yes
@@ -343,9 +346,9 @@
         first.stop.set()
         ending = asyncio.create_task(first.end())
         node.server.close()
-        for link in list(first.succession.links):
+        for link in list(first.handover.links):
             link.close()
-        while second.succession.links:
+        while second.handover.links:
             await asyncio.sleep(0.01)
         assert most(second) == 40 and most(first) == 20
         await second.end()
@@ -363,12 +366,12 @@
     async def story() -> None:
         deep = tmp_path / ("x" * 100)  # longer than the address of a Unix socket may be
         deep.mkdir()
-        place = handover.Place("n0", ("h", 1), str(deep))
+        place = handover.HandoverEndpoint("n0", ("h", 1), str(deep))
         stale = socket.socket(socket.AF_UNIX)
         if left == "a file":
             (place.path / handover.SOCKET).write_bytes(b"garbage")
         elif left != "nothing":
-            with herald.short(place.path) as folder:
+            with announcement.short(place.path) as folder:
                 stale.bind(f"{folder}/{handover.SOCKET}")
         if left == "one that never answers":
             stale.listen()
@@ -386,7 +389,7 @@
                 assert message["tell"] == 1
 
             await place.await_successor(lambda hello: (STATE, [front]), keep)
-            met = await handover.Place("n0", ("h", 1), str(deep)).meet({"hello": 1})
+            met = await handover.HandoverEndpoint("n0", ("h", 1), str(deep)).meet({"hello": 1})
             assert met is not None and met[1] == STATE
             assert met[2][0].getsockname() == front.getsockname()
             following = asyncio.create_task(met[0].follow(took))
@@ -410,15 +413,18 @@
         raise OSError("gone")
 
     async def story() -> None:
-        life, place = stages.Life(1024, 80.0), handover.Place("n0", ("h", 1), str(tmp_path))
+        life, place = (
+            state_machine.LifecycleState(1024, 80.0),
+            handover.HandoverEndpoint("n0", ("h", 1), str(tmp_path)),
+        )
         monkeypatch.setattr(socket, "send_fds", broken)
         await place.await_successor(
-            lambda hello: (life.followed(), (STATE, []))[1],  # type: ignore
+            lambda hello: (life.successor_found(), (STATE, []))[1],  # type: ignore
             lambda link: link.follow(None),
-            life.heir_gone,
+            life.successor_gone,
         )  # type: ignore
-        assert await handover.Place("n0", ("h", 1), str(tmp_path)).meet({}) is None
-        assert life.may_be_followed() and life.budget().part == 1.0
+        assert await handover.HandoverEndpoint("n0", ("h", 1), str(tmp_path)).meet({}) is None
+        assert life.can_be_succeeded() and life.budget().fraction == 1.0
         await place.close()
 
     run(story())
@@ -427,7 +433,7 @@
 def test_a_place_that_cannot_be_made_keeps_no_process_from_starting(tmp_path: Path) -> None:
     async def story() -> None:
         (tmp_path / "file").write_bytes(b"")
-        place = handover.Place("n0", ("h", 1), str(tmp_path / "file"))
+        place = handover.HandoverEndpoint("n0", ("h", 1), str(tmp_path / "file"))
         assert await place.meet({}) is None
         await place.await_successor(lambda hello: (STATE, []), lambda link: link.follow(None))  # type: ignore
         await place.close()
@@ -506,7 +512,7 @@
 
 def test_a_ban_that_cannot_be_kept_is_owed_a_no(tmp_path: Path) -> None:
     """A yes that the next process knows nothing of would send to a node that is being worked on."""
-    place = handover.Place("n0", ("h", 1), str(tmp_path))
+    place = handover.HandoverEndpoint("n0", ("h", 1), str(tmp_path))
     state = Maintenance({"d0": 5.0}, {"d1": (0.0, 9.0)})
     assert run(place.save(state)) and place.load() == state
     for garbage in (b"", b"{", b"[]", b'{"out":[]}', b'{"out":{"a":"x"},"back":{}}', b"\xff"):
@@ -529,7 +535,7 @@
         replace(*places)
 
     async def story() -> None:
-        place = handover.Place("n0", ("h", 1), str(tmp_path))
+        place = handover.HandoverEndpoint("n0", ("h", 1), str(tmp_path))
         monkeypatch.setattr(os, "replace", slow)
         saving = asyncio.create_task(place.save(Maintenance({"d0": 5.0})))
         asyncio.get_running_loop().call_later(0.05, gate.set)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -10,8 +10,8 @@
 from support import Node, World, answer, fuzz, message, run
 
 from cherrycove.broker.http1 import server
-from cherrycove.broker.lifecycle import leaving
-from cherrycove.broker.lifecycle.leaving import Timetable
+from cherrycove.broker.lifecycle import shutdown_timetable
+from cherrycove.broker.lifecycle.shutdown_timetable import ShutdownTimetable
 
 
 @fuzz
@@ -19,22 +19,22 @@
 def test_every_answer_is_out_before_the_kill(
     longest: float, since: float, quiet: float, replaced: bool, connected: bool
 ) -> None:
-    times = Timetable.of(longest)
+    times = ShutdownTimetable.of(longest)
     assert times.kill <= min(longest, 3.0) + 0.7 and times.kill - times.give_up >= 0.3 - 1e-9
     assert 0 <= times.parts_at(replaced) <= times.stop <= times.give_up < times.cut < times.gone < times.kill
     until = times.takes_until(since, min(quiet, since), replaced, connected)
     assert until <= times.stop
     if connected and not replaced:
         assert until == times.stop  # whoever has a connection finds nobody else at this address
-    elif quiet < since and since - quiet + leaving.QUIET < times.stop:
-        assert until - (since - quiet) == pytest.approx(leaving.QUIET)
+    elif quiet < since and since - quiet + shutdown_timetable.QUIET < times.stop:
+        assert until - (since - quiet) == pytest.approx(shutdown_timetable.QUIET)
 
 
 def test_without_a_successor_connections_stay_open_and_what_is_held_has_its_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Told to close behind each answer, clients found nobody until the next process was started."""
-    monkeypatch.setattr(leaving, "LONGEST", 1.0)
+    monkeypatch.setattr(shutdown_timetable, "LONGEST", 1.0)
 
     async def story() -> None:
         node = await Node("ok", "ok", "hang", "hang").start()
@@ -44,7 +44,7 @@
             held, holder = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(message(id="before"))
             assert (await answer(reader))[0] == 200
-            times, began = Timetable.of(60.0), loop.time()
+            times, began = ShutdownTimetable.of(60.0), loop.time()
             world.front.drain(parting=False)
             lingering = asyncio.create_task(world.front.linger(times, began, replaced=False))
             writer.write(message(id="after"))
@@ -73,7 +73,7 @@
 
     async def story() -> None:
         async with World(await Node("ok", "ok").start()) as world:
-            times, began = Timetable(30.0, 31.0, 32.0, 33.0), asyncio.get_running_loop().time()
+            times, began = ShutdownTimetable(30.0, 31.0, 32.0, 33.0), asyncio.get_running_loop().time()
             lingering = asyncio.create_task(world.front.linger(times, began, replaced=False))
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             for number in range(2):
@@ -93,7 +93,9 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             began = asyncio.get_running_loop().time()
             world.front.drain(parting=True)
-            lingering = asyncio.create_task(world.front.linger(Timetable.of(60.0), began, replaced=True))
+            lingering = asyncio.create_task(
+                world.front.linger(ShutdownTimetable.of(60.0), began, replaced=True)
+            )
             writer.write(message(id="last"))
             assert (await answer(reader))[1]["connection"] == "close"
             await lingering  # long before `stop`, though whoever asked was connected
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -1,6 +1,6 @@
 """All that can happen to a process, its successor and a third: the machine of their stages, to its end.
 
-Each state is the processes' own ``Life`` and what is on its way between them. Every message may be late
+Each state is the processes' own ``LifecycleState`` and what is on its way between them. A message may be late
 behind any other event, the word of serving may come twice, any process may be killed or told to end anywhere.
 Not in it: a process that answers nobody for longer than its time-outs, which the other then does without.
 """
@@ -13,7 +13,7 @@
 
 import pytest
 
-from cherrycove.broker.lifecycle.stages import Life
+from cherrycove.broker.lifecycle.state_machine import LifecycleState
 
 MOST = 3  # processes
 
@@ -23,7 +23,7 @@
     phase: str = "none"  # none, asking, met, serving, told (its operators read YES)
     elder: int = -1
     heir: int = -1
-    life: Life = Life(1024, 80.0)
+    life: LifecycleState = LifecycleState(1024, 80.0)
 
 
 class State(NamedTuple):
@@ -47,7 +47,7 @@
 
 
 def told(state: State, number: int, what: str, *arguments: object) -> tuple[State, bool]:
-    """What ``Life`` makes of it, and its answer."""
+    """What ``LifecycleState`` makes of it, and its answer."""
     life = replace(state.processes[number].life)
     answer = getattr(life, what)(*arguments)
     return state.put(number, life=life), bool(answer)
@@ -55,7 +55,7 @@
 
 def first() -> State:
     state = State((Process(True, "told"), *[Process()] * (MOST - 1)))
-    return told(state, 0, "serving")[0]
+    return told(state, 0, "serving_started")[0]
 
 
 def gone(state: State, number: int) -> State:
@@ -85,7 +85,7 @@
             elif not any(what == "gone" for _, _, what in state.way):
                 yield (
                     f"{number} finds nobody",
-                    told(state.put(number, alive=True, phase="told"), number, "serving")[0]._replace(
+                    told(state.put(number, alive=True, phase="told"), number, "serving_started")[0]._replace(
                         found=number
                     ),
                 )
@@ -94,16 +94,19 @@
         if not each.alive:
             continue
         if each.phase == "met":
-            served, _ = told(state.put(number, phase="serving"), number, "serving")
-            if each.life.elder:
+            served, _ = told(state.put(number, phase="serving"), number, "serving_started")
+            if each.life.has_predecessor:
                 yield f"{number} serves", served.send((number, each.elder, "serving"))
             else:  # its elder has gone meanwhile
                 yield f"{number} serves alone", served.put(number, phase="told")._replace(found=number)
         if state.kills:
             yield f"{number} is killed", gone(state, number)._replace(kills=state.kills - 1)
-        if state.ends and not each.life.ending and each.phase == "told":
-            yield f"{number} is told to end", told(state, number, "end")[0]._replace(ends=state.ends - 1)
-        if each.life.ending:
+        if state.ends and not each.life.is_ending and each.phase == "told":
+            yield (
+                f"{number} is told to end",
+                told(state, number, "shutdown_started")[0]._replace(ends=state.ends - 1),
+            )
+        if each.life.is_ending:
             yield f"{number} ends", gone(state, number)
     seen: set[tuple[int, int]] = set()
     for place, (source, target, what) in enumerate(state.way):
@@ -122,16 +125,18 @@
 def read(state: State, source: int, target: int, what: str) -> State:
     each = state.processes[target]
     if what == "hello":
-        if not each.life.may_be_followed():
+        if not each.life.can_be_succeeded():
             return state.send((target, source, "busy"))
-        return told(state.put(target, heir=source), target, "followed")[0].send((target, source, "grant"))
+        return told(state.put(target, heir=source), target, "successor_found")[0].send(
+            (target, source, "grant")
+        )
     if what == "busy":
         return state.put(target, phase="none", alive=False)  # it asks again
     if what == "grant":
-        return told(state.put(target, phase="met"), target, "met")[0]
+        return told(state.put(target, phase="met"), target, "predecessor_found")[0]
     if what == "serving":
-        after, stops = told(state, target, "heir_serves")
-        if stops and (each.life.handed or each.life.ending):
+        after, stops = told(state, target, "successor_serving")
+        if stops and (each.life.has_handed_over or each.life.is_ending):
             after = after._replace(fault="handed over what it had not")
         return after.send((target, source, "ack"))
     if what == "ack":
@@ -139,14 +144,14 @@
     assert what == "gone"
     if each.elder == source:
         if each.phase == "asking":  # the connection broke before the answer: nobody to take over from
-            alone, _ = told(state.put(target, phase="told", elder=-1), target, "serving")
+            alone, _ = told(state.put(target, phase="told", elder=-1), target, "serving_started")
             return alone._replace(found=target)
-        state, _ = told(state, target, "elder_gone")
+        state, _ = told(state, target, "predecessor_gone")
         state = state.put(target, elder=-1)
         return state.put(target, phase="told")._replace(found=target) if each.phase == "serving" else state
     if each.heir != source:
         return state  # it was turned away, and is not followed
-    state, _ = told(state.put(target, heir=-1), target, "heir_gone")
+    state, _ = told(state.put(target, heir=-1), target, "successor_gone")
     return state._replace(found=target)  # it can be found again
 
 
@@ -156,21 +161,27 @@
         return state.fault
     lives = [each for each in state.processes if each.alive]
     sending = [each for each in lives if each.phase in ("serving", "told")]
-    if sum(each.life.budget().part for each in sending) > 1.0:
+    if sum(each.life.budget().fraction for each in sending) > 1.0:
         return "two budgets"
-    if sum(each.life.keeps and each.phase == "told" for each in lives) > 1:
+    if sum(each.life.is_state_writer and each.phase == "told" for each in lives) > 1:
         return "two memories"
     for each in lives:
         elder = state.processes[each.elder] if each.elder >= 0 else None
-        if each.phase == "told" and elder and elder.alive and elder.life.accepts and not elder.life.ending:
+        if (
+            each.phase == "told"
+            and elder
+            and elder.alive
+            and elder.life.is_accepting
+            and not elder.life.is_ending
+        ):
             return "yes too early"
     if (
         not state.way
-        and any(not each.life.ending for each in sending)
-        and not any(each.life.accepts for each in sending)
+        and any(not each.life.is_ending for each in sending)
+        and not any(each.life.is_accepting for each in sending)
     ):
         return "nobody accepts"
-    if not state.way and sum(each.life.accepts and not each.life.ending for each in sending) > 1:
+    if not state.way and sum(each.life.is_accepting and not each.life.is_ending for each in sending) > 1:
         return "two accept"
     return ""
 
@@ -202,53 +213,59 @@
     assert play(locked=False)[1] == "two budgets"
 
 
-def _heir_serves_always(life: Life) -> bool:
-    life.handed, life.accepts = True, False
+def _heir_serves_always(life: LifecycleState) -> bool:
+    life.has_handed_over, life.is_accepting = True, False
     return True
 
 
-def _never_again(life: Life) -> bool:
-    life.heir = False
+def _never_again(life: LifecycleState) -> bool:
+    life.has_successor = False
     return False
 
 
-def _at_once(life: Life) -> None:
+def _at_once(life: LifecycleState) -> None:
     """It counts itself alone as soon as it has handed over."""
 
 
 @pytest.mark.parametrize(
     ("what", "instead", "rule"),
     [
-        ("followed", _at_once, "two budgets"),
-        ("met", _at_once, "two budgets"),
-        ("may_be_followed", lambda life: True, "two budgets"),
-        ("heir_gone", _never_again, "nobody accepts"),
-        ("heir_serves", lambda life: False, "two memories"),
-        ("heir_serves", _heir_serves_always, "handed over what it had not"),
-        ("keeps", property(lambda life: True), "two memories"),
-        ("serving", _at_once, "nobody accepts"),
+        ("successor_found", _at_once, "two budgets"),
+        ("predecessor_found", _at_once, "two budgets"),
+        ("can_be_succeeded", lambda life: True, "two budgets"),
+        ("successor_gone", _never_again, "nobody accepts"),
+        ("successor_serving", lambda life: False, "two memories"),
+        ("successor_serving", _heir_serves_always, "handed over what it had not"),
+        ("is_state_writer", property(lambda life: True), "two memories"),
+        ("serving_started", _at_once, "nobody accepts"),
     ],
 )
 def test_a_change_of_the_machine_is_found_out(
     what: str, instead: Callable[..., object], rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Life, what, instead)
+    monkeypatch.setattr(LifecycleState, what, instead)
     assert play()[1] == rule
 
 
 def test_what_two_use_together_is_no_more_than_one_may() -> None:
-    elder, heir = Life(1024, 80.0), Life(1024, 80.0)
+    elder, heir = LifecycleState(1024, 80.0), LifecycleState(1024, 80.0)
     alone = elder.budget()
-    elder.serving()
-    elder.followed()
-    heir.met()
-    heir.serving()
-    assert elder.heir_serves()
+    elder.serving_started()
+    elder.successor_found()
+    heir.predecessor_found()
+    heir.serving_started()
+    assert elder.successor_serving()
     both = elder.budget(), heir.budget()
-    assert sum(each.part for each in both) == alone.part and not any(each.talks for each in both)
-    assert sum(each.nodes for each in both) <= alone.nodes and sum(each.bytes for each in both) <= alone.bytes
+    assert sum(each.fraction for each in both) == alone.fraction and not any(each.uses_tier for each in both)
+    assert (
+        sum(each.node_connections for each in both) <= alone.node_connections
+        and sum(each.body_bytes for each in both) <= alone.body_bytes
+    )
     for held in (0, 40, 300):
-        heir.elder_holds(held)
-        assert heir.budget().places <= alone.places and heir.budget().places >= alone.places // 2
-    heir.elder_gone()
+        heir.predecessor_reported(held)
+        assert (
+            heir.budget().open_requests <= alone.open_requests
+            and heir.budget().open_requests >= alone.open_requests // 2
+        )
+    heir.predecessor_gone()
     assert heir.budget() == alone
--- a/tests/tier/test_distribution_topics.py
+++ b/tests/tier/test_distribution_topics.py
@@ -5,13 +5,13 @@
 from control_support import document
 
 from cherrycove.tier.distribution.cluster_view import ClusterView
+from cherrycove.tier.distribution.cluster_view_updater import ClusterViewUpdater
 from cherrycove.tier.distribution.controller_selector import (
     HINT_IGNORED_S,
     MAX_BACKOFF_S,
     MIN_BACKOFF_S,
     ControllerSelector,
 )
-from cherrycove.tier.distribution.cluster_view_updater import ClusterViewUpdater
 from cherrycove.tier.distribution.topics import PublishedTopics, Version, VersionVector
 from cherrycove.tier.protocol.control_pb2 import (
     Announcement,
