--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -111,3 +111,22 @@
         if name not in names_of_tests() and not any(one.startswith(name) for one in names_of_tests())
     }
     assert not missing
+
+
+TYPE = re.compile(r"[A-Z][a-z0-9]+(?:[A-Z][a-z0-9]+)+(?:\.\w+)?")
+
+
+@functools.cache
+def names_of_code() -> frozenset[str]:
+    """Every identifier in the sources and the messages of the internal protocol."""
+    names: set[str] = set()
+    for name in tracked():
+        if name.endswith((".py", ".proto")) and not name.startswith("tests/"):
+            names |= set(re.findall(r"[A-Za-z_]\w+", (ROOT / name).read_text(encoding="utf-8")))
+    return frozenset(names)
+
+
+@pytest.mark.parametrize("page", PAGES)
+def test_each_type_named_on_a_page_exists(page: str) -> None:
+    named = {span for span in spans(page) if TYPE.fullmatch(span)}
+    assert not {name for name in named if not set(name.split(".")) <= names_of_code()}
