--- a/cherrycove/__main__.py
+++ b/cherrycove/__main__.py
@@ -365,7 +365,11 @@
         elif entry.key == "config/log_level":
             logging.getLogger("cherrycove").setLevel(entry.value if entry.value in LEVELS else "INFO")
         elif entry.key.startswith("config/closed/") and self._nbd is not None:
-            self._nbd.close_export(entry.key.removeprefix("config/closed/"), entry.value is not None)
+            export = entry.key.removeprefix("config/closed/")
+            if entry.value is not None:
+                self._nbd.close_export(export)
+            else:
+                self._nbd.reopen_export(export)
 
 
 async def run(platform: config.PlatformConfig, operator: config.OperatorConfig, heard: list[int]) -> None:
--- a/examples/nbd_copy.py
+++ b/examples/nbd_copy.py
@@ -18,13 +18,13 @@
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     await reader.readexactly(18)
-    writer.write(struct.pack(">I", nbd.FIXED_NEWSTYLE | nbd.NO_ZEROES))
+    writer.write(struct.pack(">I", nbd.HandshakeFlag.FIXED_NEWSTYLE | nbd.HandshakeFlag.NO_ZEROES))
     writer.write(nbd.pack_option(nbd.Option.STRUCTURED_REPLY))
     await nbd.read_option_reply(reader, nbd.Option.STRUCTURED_REPLY)
     writer.write(nbd.pack_option(nbd.Option.GO, nbd.pack_go_data(export)))
-    while (reply := await nbd.read_option_reply(reader, nbd.Option.GO))[0] == nbd.INFO:
+    while (reply := await nbd.read_option_reply(reader, nbd.Option.GO))[0] == nbd.OptionReplyType.INFO:
         pass
-    if reply[0] != nbd.ACK:
+    if reply[0] != nbd.OptionReplyType.ACK:
         print(f"the export {export} is not to be had: {reply[0]:#x}")
         return 1
     block = bytes(range(256)) * 16
--- a/examples/toy_node.py
+++ b/examples/toy_node.py
@@ -55,14 +55,24 @@
             while True:
                 number, _ = await nbd.read_option(reader)
                 if number == nbd.Option.GO:
-                    flags = nbd.HAS_FLAGS | nbd.SEND_FLUSH | nbd.SEND_TRIM | nbd.MULTI_CONN
-                    info = struct.pack(">HQH", nbd.INFO_EXPORT, DISK, flags)
+                    flags = (
+                        nbd.TransmissionFlag.HAS_FLAGS
+                        | nbd.TransmissionFlag.SEND_FLUSH
+                        | nbd.TransmissionFlag.SEND_TRIM
+                        | nbd.TransmissionFlag.CAN_MULTI_CONN
+                    )
+                    info = struct.pack(">HQH", nbd.InfoType.EXPORT, DISK, flags)
                     writer.write(
-                        nbd.pack_option_reply(number, nbd.INFO, info) + nbd.pack_option_reply(number, nbd.ACK)
+                        nbd.pack_option_reply(number, nbd.OptionReplyType.INFO, info)
+                        + nbd.pack_option_reply(number, nbd.OptionReplyType.ACK)
                     )
                     break
                 known = number == nbd.Option.STRUCTURED_REPLY
-                writer.write(nbd.pack_option_reply(number, nbd.ACK if known else nbd.ERR_UNSUP))
+                writer.write(
+                    nbd.pack_option_reply(
+                        number, nbd.OptionReplyType.ACK if known else nbd.OptionReplyType.ERR_UNSUP
+                    )
+                )
             while True:
                 call = await nbd.read_command_request(reader)
                 payload = await reader.readexactly(call.length if call.command == nbd.Command.WRITE else 0)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -323,13 +323,13 @@
 ) -> None:
     """With its pipeline full nobody reads it; what it sent beyond fills the buffer ahead of its end."""
     made: list[Any] = []
-    connected = nbd._Protocol.connection_made
+    connected = nbd.server.ClientProtocol.connection_made
 
     def connect(self: Any, transport: Any) -> None:
         made.append(transport)
         connected(self, transport)
 
-    monkeypatch.setattr(nbd._Protocol, "connection_made", connect)
+    monkeypatch.setattr(nbd.server.ClientProtocol, "connection_made", connect)
 
     async def story() -> None:
         block = await BlockNode().start()
--- a/tests/test_nbd.py
+++ b/tests/test_nbd.py
@@ -16,7 +16,12 @@
 from cherrycove.broker.nbd import Command, CommandReply, CommandRequest, Errno, Option, ProtocolError
 
 VOLUME = "00000003b4d60021"
-NODE_FLAGS = nbd.HAS_FLAGS | nbd.SEND_FLUSH | nbd.SEND_TRIM | nbd.MULTI_CONN
+NODE_FLAGS = (
+    nbd.TransmissionFlag.HAS_FLAGS
+    | nbd.TransmissionFlag.SEND_FLUSH
+    | nbd.TransmissionFlag.SEND_TRIM
+    | nbd.TransmissionFlag.CAN_MULTI_CONN
+)
 BLOCK = bytes(range(256)) * 4
 GREETING = 18
 
@@ -62,11 +67,12 @@
             writer.write(nbd.pack_greeting())
             await reader.readexactly(4)
             number, _ = await nbd.read_option(reader)
-            writer.write(nbd.pack_option_reply(number, nbd.ACK))
+            writer.write(nbd.pack_option_reply(number, nbd.OptionReplyType.ACK))
             number, _ = await nbd.read_option(reader)
-            info = struct.pack(">HQH", nbd.INFO_EXPORT, len(self.disk), self.flags)
+            info = struct.pack(">HQH", nbd.InfoType.EXPORT, len(self.disk), self.flags)
             writer.write(
-                nbd.pack_option_reply(number, nbd.INFO, info) + nbd.pack_option_reply(number, nbd.ACK)
+                nbd.pack_option_reply(number, nbd.OptionReplyType.INFO, info)
+                + nbd.pack_option_reply(number, nbd.OptionReplyType.ACK)
             )
             while True:
                 call = await nbd.read_command_request(reader)
@@ -131,7 +137,7 @@
     async def option(self, number: int, data: bytes = b"") -> list[tuple[int, bytes]]:
         self.writer.write(nbd.pack_option(number, data))
         replies = [await nbd.read_option_reply(self.reader, number)]
-        while replies[-1][0] in (nbd.INFO, nbd.SERVER):
+        while replies[-1][0] in (nbd.OptionReplyType.INFO, nbd.OptionReplyType.SERVER):
             replies.append(await nbd.read_option_reply(self.reader, number))
         return replies
 
@@ -140,8 +146,8 @@
         client = await cls.connect(port)
         client.structured = structured
         if structured:
-            assert await client.option(Option.STRUCTURED_REPLY) == [(nbd.ACK, b"")]
-        assert (await client.option(Option.GO, nbd.pack_go_data(name)))[-1][0] == nbd.ACK
+            assert await client.option(Option.STRUCTURED_REPLY) == [(nbd.OptionReplyType.ACK, b"")]
+        assert (await client.option(Option.GO, nbd.pack_go_data(name)))[-1][0] == nbd.OptionReplyType.ACK
         return client
 
     def send(
@@ -153,7 +159,7 @@
         return cookie
 
     async def reply(self, cookie: int) -> CommandReply:
-        return await nbd.read_reply(self.reader, self.calls[cookie], self.structured)
+        return await nbd.read_reply(self.reader, self.calls[cookie], structured=self.structured)
 
     async def do(
         self, command: int, offset: int = 0, length: int = 0, payload: bytes = b"", flags: int = 0
@@ -167,26 +173,43 @@
         async with World() as world:
             front, port = await world.nbd(setup())
             client = await Client.connect(port)
-            assert await client.option(77, b"what") == [(nbd.ERR_UNSUP, b"")]
-            assert [data[4:] for kind, data in await client.option(Option.LIST) if kind == nbd.SERVER] == [
+            assert await client.option(77, b"what") == [(nbd.OptionReplyType.ERR_UNSUP, b"")]
+            assert [
+                data[4:]
+                for kind, data in await client.option(Option.LIST)
+                if kind == nbd.OptionReplyType.SERVER
+            ] == [
                 b"claims",
                 b"scans",
             ]
-            assert (await client.option(Option.INFO, nbd.pack_go_data("none")))[0][0] == nbd.ERR_UNKNOWN
-            assert (await client.option(Option.INFO, b"\0\0\0\x09"))[0][0] == nbd.ERR_INVALID
-            plain = await client.option(Option.INFO, nbd.pack_go_data("claims", [nbd.INFO_BLOCK_SIZE]))
-            assert plain[0][1] == struct.pack(">HQH", 0, 1 << 20, 1 | nbd.SEND_FLUSH | nbd.SEND_TRIM)
+            assert (await client.option(Option.INFO, nbd.pack_go_data("none")))[0][
+                0
+            ] == nbd.OptionReplyType.ERR_UNKNOWN
+            assert (await client.option(Option.INFO, b"\0\0\0\x09"))[0][0] == nbd.OptionReplyType.ERR_INVALID
+            plain = await client.option(Option.INFO, nbd.pack_go_data("claims", [nbd.InfoType.BLOCK_SIZE]))
+            assert plain[0][1] == struct.pack(
+                ">HQH", 0, 1 << 20, 1 | nbd.TransmissionFlag.SEND_FLUSH | nbd.TransmissionFlag.SEND_TRIM
+            )
             assert plain[1][1] == struct.pack(">HIII", 3, 512, 4096, 65536)
             await client.option(Option.STRUCTURED_REPLY)
             fixed = await client.option(Option.INFO, nbd.pack_go_data("scans"))
-            assert fixed[0][1][-2:] == struct.pack(">H", 1 | nbd.READ_ONLY | nbd.SEND_DF)
-            assert await client.option(Option.ABORT) == [(nbd.ACK, b"")] and not await client.reader.read()
+            assert fixed[0][1][-2:] == struct.pack(
+                ">H", 1 | nbd.TransmissionFlag.READ_ONLY | nbd.TransmissionFlag.SEND_DF
+            )
+            assert (
+                await client.option(Option.ABORT) == [(nbd.OptionReplyType.ACK, b"")]
+                and not await client.reader.read()
+            )
             old = await Client.connect(port)
             old.writer.write(nbd.pack_option(Option.EXPORT_NAME, b"scans"))
-            assert await old.reader.readexactly(10) == struct.pack(">QH", 1 << 20, 1 | nbd.READ_ONLY)
+            assert await old.reader.readexactly(10) == struct.pack(
+                ">QH", 1 << 20, 1 | nbd.TransmissionFlag.READ_ONLY
+            )
             front.drain()
             late = await Client.connect(port)
-            assert (await late.option(Option.GO, nbd.pack_go_data("claims")))[0][0] == nbd.ERR_SHUTDOWN
+            assert (await late.option(Option.GO, nbd.pack_go_data("claims")))[0][
+                0
+            ] == nbd.OptionReplyType.ERR_SHUTDOWN
             await front.close()
 
     run(story())
@@ -205,7 +228,7 @@
             assert await client.do(Command.TRIM, 0, 1 << 20) == (0, b"")
             order = [client.send(Command.READ, 512 * i, 512) for i in range(20)]  # past the pipelining bound
             magics = [
-                await nbd._unpack(client.reader, ">I")
+                await nbd.read_fields(client.reader, ">I")
                 and await client.reader.readexactly(12 + 512 if not structured else 16 + 8 + 512)
                 for _ in order
             ]
@@ -252,7 +275,12 @@
         ("drop", NODE_FLAGS, Errno.EIO, 1),  # it may have run: never again
         ("stall", NODE_FLAGS, Errno.EIO, 1),
         ("28", NODE_FLAGS, Errno.ENOSPC, 1),  # the node's own word
-        ("ok", NODE_FLAGS & ~nbd.MULTI_CONN, Errno.ENOMEM, 0),  # no flush could cover it: refused, harmless
+        (
+            "ok",
+            NODE_FLAGS & ~nbd.TransmissionFlag.CAN_MULTI_CONN,
+            Errno.ENOMEM,
+            0,
+        ),  # no flush could cover it: refused, harmless
     ],
 )
 def test_a_write_has_one_final_reply_and_one_run(script: str, flags: int, errno: int, sends: int) -> None:
@@ -398,7 +426,7 @@
 CALL = CommandRequest(Command.READ, 0, 5, 4096, 1024)
 CHUNKS = (
     nbd.make_data_chunk(5, 4608, BLOCK[:512], 0).pack()
-    + nbd.ReplyChunk(nbd.DONE, nbd.OFFSET_HOLE, 5, struct.pack(">QI", 4096, 512)).pack()
+    + nbd.ReplyChunk(nbd.ReplyFlag.DONE, nbd.ChunkType.OFFSET_HOLE, 5, struct.pack(">QI", 4096, 512)).pack()
 )
 
 
@@ -406,7 +434,7 @@
 @given(cuts(CHUNKS), cuts(CALL.pack()), cuts(nbd.pack_option(Option.GO, nbd.pack_go_data("claims", [0, 3]))))
 def test_cuts_of_frames_change_nothing(chunks: list[bytes], call: list[bytes], option: list[bytes]) -> None:
     async def story() -> None:
-        reply = await nbd.read_reply(feed(chunks), CALL, True)
+        reply = await nbd.read_reply(feed(chunks), CALL, structured=True)
         assert bytes(reply.data) == bytes(512) + BLOCK[:512]
         assert await nbd.read_command_request(feed(call)) == CALL
         number, data = await nbd.read_option(feed(option))
@@ -419,7 +447,10 @@
 @given(spoiled(CHUNKS), spoiled(CALL.pack()), spoiled(nbd.pack_go_data("claims", [0])))
 def test_garbage_is_a_protocol_error_or_a_whole_message(chunks: bytes, call: bytes, data: bytes) -> None:
     async def story() -> None:
-        for task in (nbd.read_reply(feed([chunks]), CALL, True), nbd.read_command_request(feed([call]))):
+        for task in (
+            nbd.read_reply(feed([chunks]), CALL, structured=True),
+            nbd.read_command_request(feed([call])),
+        ):
             try:
                 found = await task
             except (ProtocolError, EOFError):
