--- a/bench/causes.py
+++ b/bench/causes.py
@@ -22,7 +22,7 @@
 from cherrycove.scheduling import interface as api
 from cherrycove.scheduling import simulator_codec as wire
 from cherrycove.scheduling.scheduler import Scheduler
-from cherrycove.scheduling.simulator_host import Host
+from cherrycove.scheduling.simulator_host import SimulatorHost
 
 KEYS = ("class", "plan", "code", "place", "node", "units", "try", "shard", "limit")
 
@@ -101,7 +101,7 @@
 
 def replay(path: Path, account: Account) -> None:
     """Play the tap again and account for every refusal and failure."""
-    host, now, start = Host(sys.stderr), 0.0, None
+    host, now, start = SimulatorHost(sys.stderr), 0.0, None
     open_: dict[tuple[int, int], api.Arrived] = {}  # no attempt yet
     later: dict[tuple[int, int], api.Arrived] = {}
     handle = Scheduler.handle
@@ -133,9 +133,9 @@
     try:
         for batch, reply in batches(path):
             if batch and batch[0].startswith("SYNC"):
-                now = wire.clock(batch[0])
+                now = wire.parse_time(batch[0])
                 start = now if start is None else start
-            account.differs += sorted(host.batch(batch)) != sorted(reply)
+            account.differs += sorted(host.handle_batch(batch)) != sorted(reply)
     finally:
         Scheduler.handle = handle  # type: ignore[method-assign]
 
--- a/cherrycove/broker/config.py
+++ b/cherrycove/broker/config.py
@@ -160,7 +160,7 @@
     if wrong := known_settings.misfit(settings, place="settings"):
         raise ConfigError(wrong)
     try:
-        module = wire.settings(json.dumps(settings))
+        module = wire.parse_settings(json.dumps(settings))
     except ValueError as error:
         raise ConfigError(f"settings: {error}") from None
     zones = settings.get("zones", [])
--- a/cherrycove/scheduling/simulator_codec.py
+++ b/cherrycove/scheduling/simulator_codec.py
@@ -1,14 +1,19 @@
-"""Codec between the simulator's text lines and the events and actions. It decides nothing."""
+"""Codec between the simulator's text lines and the decision module's events and actions. It decides nothing.
+
+A line is a word and ``name=value`` pairs, separated by spaces. Times on the wire are whole nanoseconds.
+"""
 
 from __future__ import annotations
 
 import json
 from collections.abc import Callable, Mapping
-from typing import Any
+from typing import Any, TypeVar
 
 from cherrycove.scheduling import interface as api
 
-NS = 1e-9
+_T = TypeVar("_T")
+
+NS = 1e-9  # seconds in a nanosecond
 _EFFECTS = {"pure": api.Effect.SAFE, "token": api.Effect.KEYED, "side_effect": api.Effect.UNSAFE}
 _GROUPS = {"all": api.Group.ALL, "zone": api.Group.ZONE, "cell": api.Group.SHARD}
 _OUTCOMES = {
@@ -24,16 +29,18 @@
 _STATES = {"up": api.NodeState.UP, "draining": api.NodeState.DRAINING, "removed": api.NodeState.GONE}
 _KINDS = {"update": api.ListKind.CHANGES, "replace": api.ListKind.FULL, "restored": api.ListKind.RESTORED}
 
-Fields = Mapping[str, str]
-Sheets = Mapping[int, tuple[api.Node, ...]]
+_MEMBERS = "MEMBERS"
+
+Fields = Mapping[str, str]  # the pairs of a line
+NodeLists = Mapping[int, tuple[api.Node, ...]]  # the node lists sent so far, by their numbers
 
 
 class WireError(ValueError):
-    """A line that cannot be read; the message says what is wrong with it."""
+    """A line that the peer got wrong, or an action without a wire form; the message says what is wrong."""
 
 
-def fields(line: str) -> dict[str, str]:
-    """The name=value pairs behind a line's first word; ``info`` is text and runs to the line's end."""
+def parse_fields(line: str) -> dict[str, str]:
+    """Return the ``name=value`` pairs behind a line's first word; ``info`` runs to the line's end."""
     head, mark, text = line.partition(" info=")
     pairs = dict(part.partition("=")[::2] for part in head.split(" ")[1:] if "=" in part)
     if mark:
@@ -41,14 +48,14 @@
     return pairs
 
 
-def _named(table: Mapping[str, Any], word: Any, what: str) -> Any:
+def _look_up(table: Mapping[str, _T], word: Any, what: str) -> _T:
     try:
         return table[word]
     except (KeyError, TypeError):
         raise WireError(f"unknown {what} {word!r}") from None
 
 
-def _whole(pairs: Fields, name: str) -> int:
+def _integer(pairs: Fields, name: str) -> int:
     try:
         return int(pairs[name])
     except KeyError:
@@ -79,7 +86,7 @@
 
 
 def _load(pairs: Fields) -> dict[str, float]:
-    """The load report; a value that cannot be read is left out."""
+    """Return the load report; a value that cannot be read is left out."""
     report: dict[str, float] = {}
     for part in pairs.get("healthInfo", "").split(","):
         name, _, text = part.partition(":")
@@ -91,32 +98,35 @@
 
 
 def scheduler_id(pairs: Fields) -> int:
-    return _whole(pairs, "schedulerId")
+    """Return which scheduler a line is for; raises ``WireError`` if it does not say so."""
+    return _integer(pairs, "schedulerId")
 
 
-def clock(line: str) -> float:
-    return _whole(fields(line), "simTimeNs") * NS
+def parse_time(line: str) -> float:
+    """Return the simulated time (s) of a batch, from its first line."""
+    return _integer(parse_fields(line), "simTimeNs") * NS
 
 
-def node(line: str) -> api.Node:
-    pairs = fields(line)
+def parse_node(line: str) -> api.Node:
+    """Return the node of one line of a node list."""
+    pairs = parse_fields(line)
     started = _number(pairs, "sinceNs", 0.0)
     return api.Node(
         id=_text(pairs, "server"),
-        shard=_whole(pairs, "pod"),
+        shard=_integer(pairs, "pod"),
         zone=int(_number(pairs, "site", 0.0)),
         weight=_number(pairs, "weight", 1.0),
         started=started * NS if started > 0 else None,
-        state=_named(_STATES, pairs.get("condition"), "condition"),
+        state=_look_up(_STATES, pairs.get("condition"), "condition"),
     )
 
 
-def _arrival(pairs: Fields, sheets: Sheets) -> api.Event:
+def _arrival(pairs: Fields) -> api.Event:
     shard = int(_number(pairs, "slotNo"))
     return api.Arrived(
-        request=_whole(pairs, "handle"),
-        cls=_whole(pairs, "class"),
-        plan=_whole(pairs, "contract"),
+        request=_integer(pairs, "handle"),
+        cls=_integer(pairs, "class"),
+        plan=_integer(pairs, "contract"),
         volume=_text(pairs, "disk"),
         units=_number(pairs, "quotaUnits"),
         shard=None if shard < 0 else shard,
@@ -127,13 +137,13 @@
     )
 
 
-def _reply(pairs: Fields, sheets: Sheets) -> api.Event:
+def _reply(pairs: Fields) -> api.Event:
     use = _number(pairs, "seenUse", 0.0)
     return api.AttemptEnded(
-        request=_whole(pairs, "handle"),
-        attempt=_whole(pairs, "trial"),
+        request=_integer(pairs, "handle"),
+        attempt=_integer(pairs, "trial"),
         node=_text(pairs, "server"),
-        outcome=_named(_OUTCOMES, pairs.get("code"), "code"),
+        outcome=_look_up(_OUTCOMES, pairs.get("code"), "code"),
         closed=pairs.get("complete") == "1",
         latency=_number(pairs, "latencyNs", 0.0) * NS,
         use=(use - 1) / 100 if use >= 1 else None,
@@ -142,62 +152,69 @@
     )
 
 
-def _sheet(pairs: Fields, sheets: Sheets) -> tuple[api.Node, ...]:
-    table = _whole(pairs, "table")
-    if table not in sheets:
-        raise WireError(f"no list with the number {table}")
-    return sheets[table]
+def _node_list(pairs: Fields, node_lists: NodeLists) -> tuple[api.Node, ...]:
+    number = _integer(pairs, "table")
+    if number not in node_lists:
+        raise WireError(f"no list with the number {number}")
+    return node_lists[number]
 
 
-def _members(pairs: Fields, sheets: Sheets) -> api.Event:
+def _members(pairs: Fields, node_lists: NodeLists) -> api.Event:
     if pairs.get("form") == "unavailable":
         return api.ListUnavailable()
     return api.NodesListed(
         version=int(_number(pairs, "rev", 0.0)),
-        kind=_named(_KINDS, pairs.get("form"), "form"),
-        nodes=_sheet(pairs, sheets),
+        kind=_look_up(_KINDS, pairs.get("form"), "form"),
+        nodes=_node_list(pairs, node_lists),
     )
 
 
-def _echo(pairs: Fields, sheets: Sheets) -> api.Event:
+def _echo(pairs: Fields) -> api.Event:
     return api.ProbeEnded(
         node=_text(pairs, "server"),
-        outcome=_named(_OUTCOMES, pairs.get("code"), "code"),
+        outcome=_look_up(_OUTCOMES, pairs.get("code"), "code"),
         latency=_number(pairs, "latencyNs", 0.0) * NS,
         load=_load(pairs),
     )
 
 
-def _first(pairs: Fields, sheets: Sheets) -> api.Event:
+def _first(pairs: Fields) -> api.Event:
     return api.StreamStarted(
-        request=_whole(pairs, "handle"),
-        attempt=_whole(pairs, "trial"),
+        request=_integer(pairs, "handle"),
+        attempt=_integer(pairs, "trial"),
         node=_text(pairs, "server"),
         latency=_number(pairs, "latencyNs", 0.0) * NS,
     )
 
 
-def _timer(pairs: Fields, sheets: Sheets) -> api.Event:
-    return api.TimerFired(token=_whole(pairs, "nonce"))
+def _timer(pairs: Fields) -> api.Event:
+    return api.TimerFired(token=_integer(pairs, "nonce"))
 
 
-def _lapsed(pairs: Fields, sheets: Sheets) -> api.Event:
-    return api.Lapsed(request=_whole(pairs, "handle"))
+def _lapsed(pairs: Fields) -> api.Event:
+    return api.Lapsed(request=_integer(pairs, "handle"))
 
 
-EVENTS: Mapping[str, Callable[[Fields, Sheets], api.Event]] = {
+_DECODERS: Mapping[str, Callable[[Fields], api.Event]] = {
     "ARRIVAL": _arrival,
     "REPLY": _reply,
-    "MEMBERS": _members,
     "ECHO": _echo,
     "FIRST": _first,
     "TIMER": _timer,
     "LAPSED": _lapsed,
 }
+EVENT_WORDS = frozenset({*_DECODERS, _MEMBERS})
+
 
+def parse_event(word: str, pairs: Fields, node_lists: NodeLists) -> api.Event:
+    """Return the event of a line that begins with one of ``EVENT_WORDS``."""
+    if word == _MEMBERS:
+        return _members(pairs, node_lists)
+    return _DECODERS[word](pairs)
 
-def settings(text: str) -> api.Settings:
-    """The settings of an ``ENLIST`` line. A missing figure is an error, never a made-up value."""
+
+def parse_settings(text: str) -> api.Settings:
+    """Return the settings of an ``ENLIST`` line. A missing figure is an error, never a made-up value."""
     try:
         info = json.loads(text)
     except ValueError as error:
@@ -205,82 +222,106 @@
     if not isinstance(info, dict):
         raise WireError("info is not a JSON object")
     try:
-        family, rules, limits = info["familyInfo"], info["guarantees"], info["limits"]
-        writes = family.get("writes", [])
-        classes = tuple(
-            api.RequestClass(
-                name=str(c["name"]),
-                aim=c["aimNs"] * NS,
-                deadline=c["deadlineNs"] * NS,
-                effect=_named(_EFFECTS, c["idempotency"], "idempotency"),
-                worth=c["gain"],
-                late_worth=c.get("lateValue", 0.0),
-                group=_named(_GROUPS, c.get("group", "all"), "group"),
-                repeat_window=c.get("windowNs", 0) * NS,
-                ordered=bool(c.get("serialByKey")),
-                writes=bool(writes[place]) if place < len(writes) else False,
-            )
-            for place, c in enumerate(info["classes"])
-        )
-        plans = tuple(
-            api.Plan(
-                name=str(p["name"]),
-                usual=p["nominal"],
-                reserve=p["floorRate"],
-                weight=p["parts"],
-                price=p["valueFactor"],
-                limit=p["ceilingRate"],
-                burst=p["burst"],
-                slack=p["capSlack"],
-            )
-            for p in info["policies"]
-        )
-        return api.Settings(
-            schedulers=info["balancers"],
-            classes=classes,
-            plans=plans,
-            max_attempts=limits["maxAttempts"],
-            tick=info["tickNs"] * NS,
-            answer_grace=rules["graceToAnswerNs"] * NS,
-            cold_units=family["coldBears"],
-            fall_window=rules["fallNs"] * NS,
-            start_capacity=rules["startCapacity"],
-            warm_after=rules["warmAfterNs"] * NS,
-            drain_grace=rules["drainGraceNs"] * NS,
-            order_settle=rules.get("orderSettleNs", 0) * NS,
-            extra_spare=rules.get("spareAttempts"),
-            extra_ratio=rules.get("extraRatio", 0.0),
-            extra_window=rules.get("lookBackNs", 0) * NS,
-            list_on_request=info["discovery"] == "on_request",
-            ask_within=rules.get("askWithinNs", 0) * NS,
-            second_copies=bool(limits.get("secondCopies")),
-            may_cancel=bool(limits.get("cancel")),
-            may_probe=bool(limits.get("probing")),
-            retry_advice=limits["maxRetryAfterNs"] * NS if limits.get("retryAfter") else 0.0,
-            max_units=family["maxUnits"],
-            usual_units=family["usualUnits"],
-            share_worth=family["withinShare"],
-            spare_worth=family["beyondShare"],
-            meter_period=family.get("meterNs", 0) * NS,
-            tells_elsewhere=bool(family.get("countsOthers")),
-            shards=family.get("nShards", 0),
-            load_names=tuple(info["feedback"]["names"]),
-            fall_multiple=rules.get("fallMultiple", 1.0),
-        )
+        return api.Settings(**_fleet(info), **_family(info), **_limits(info), **_guarantees(info))
     except KeyError as error:
         raise WireError(f"info lacks {error.args[0]!r}") from None
     except (TypeError, AttributeError) as error:
         raise WireError(f"info has a value of the wrong type: {error}") from None
 
 
+def _fleet(info: Mapping[str, Any]) -> dict[str, Any]:
+    writes = info["familyInfo"].get("writes", [])
+    return {
+        "classes": tuple(
+            _class(each, writes=bool(writes[index]) if index < len(writes) else False)
+            for index, each in enumerate(info["classes"])
+        ),
+        "plans": tuple(_plan(each) for each in info["policies"]),
+        "schedulers": info["balancers"],
+        "tick": info["tickNs"] * NS,
+        "list_on_request": info["discovery"] == "on_request",
+        "load_names": tuple(info["feedback"]["names"]),
+    }
+
+
+def _class(entry: Mapping[str, Any], *, writes: bool) -> api.RequestClass:
+    return api.RequestClass(
+        name=str(entry["name"]),
+        aim=entry["aimNs"] * NS,
+        deadline=entry["deadlineNs"] * NS,
+        effect=_look_up(_EFFECTS, entry["idempotency"], "idempotency"),
+        worth=entry["gain"],
+        late_worth=entry.get("lateValue", 0.0),
+        group=_look_up(_GROUPS, entry.get("group", "all"), "group"),
+        repeat_window=entry.get("windowNs", 0) * NS,
+        ordered=bool(entry.get("serialByKey")),
+        writes=writes,
+    )
+
+
+def _plan(entry: Mapping[str, Any]) -> api.Plan:
+    return api.Plan(
+        name=str(entry["name"]),
+        usual=entry["nominal"],
+        reserve=entry["floorRate"],
+        weight=entry["parts"],
+        price=entry["valueFactor"],
+        limit=entry["ceilingRate"],
+        burst=entry["burst"],
+        slack=entry["capSlack"],
+    )
+
+
+def _family(info: Mapping[str, Any]) -> dict[str, Any]:
+    family = info["familyInfo"]
+    return {
+        "cold_units": family["coldBears"],
+        "max_units": family["maxUnits"],
+        "usual_units": family["usualUnits"],
+        "share_worth": family["withinShare"],
+        "spare_worth": family["beyondShare"],
+        "meter_period": family.get("meterNs", 0) * NS,
+        "tells_elsewhere": bool(family.get("countsOthers")),
+        "shards": family.get("nShards", 0),
+    }
+
+
+def _limits(info: Mapping[str, Any]) -> dict[str, Any]:
+    limits = info["limits"]
+    return {
+        "max_attempts": limits["maxAttempts"],
+        "second_copies": bool(limits.get("secondCopies")),
+        "may_cancel": bool(limits.get("cancel")),
+        "may_probe": bool(limits.get("probing")),
+        "retry_advice": limits["maxRetryAfterNs"] * NS if limits.get("retryAfter") else 0.0,
+    }
+
+
+def _guarantees(info: Mapping[str, Any]) -> dict[str, Any]:
+    rules = info["guarantees"]
+    return {
+        "answer_grace": rules["graceToAnswerNs"] * NS,
+        "fall_window": rules["fallNs"] * NS,
+        "fall_multiple": rules.get("fallMultiple", 1.0),
+        "start_capacity": rules["startCapacity"],
+        "warm_after": rules["warmAfterNs"] * NS,
+        "drain_grace": rules["drainGraceNs"] * NS,
+        "order_settle": rules.get("orderSettleNs", 0) * NS,
+        "extra_spare": rules.get("spareAttempts"),
+        "extra_ratio": rules.get("extraRatio", 0.0),
+        "extra_window": rules.get("lookBackNs", 0) * NS,
+        "ask_within": rules.get("askWithinNs", 0) * NS,
+    }
+
+
 def _ns(seconds: float) -> int:
     return round(seconds / NS)
 
 
-def action(scheduler: int, act: api.Action) -> str:
-    """One reply line for an action."""
+def format_action(scheduler: int, action: api.Action) -> str:
+    """Return the reply line for an action; raises ``WireError`` for one that the wire does not have."""
     who = f"schedulerId={scheduler}"
-    match act:
+    match action:
         case api.Send(request, server, None):
             return f"CALL_OUT {who} handle={request} server={server}"
         case api.Send(request, server, float() as timeout):
@@ -299,8 +340,9 @@
             return f"OBSERVE {who} active=1"
         case api.Note(text):
             return f"JOURNAL_LINE {who} noteText={' '.join(text.split())}"
-    raise WireError(f"no wire form for {act!r}")
+    raise WireError(f"no wire form for {action!r}")
 
 
-def fault(scheduler: int, text: str) -> str:
+def format_fault(scheduler: int, text: str) -> str:
+    """Return the reply line that says that a scheduler has failed."""
     return f"BAIL_OUT schedulerId={scheduler} noteText={' '.join(text.split())}"
--- a/cherrycove/scheduling/simulator_host.py
+++ b/cherrycove/scheduling/simulator_host.py
@@ -1,4 +1,8 @@
-"""Hosts one decision module for each scheduler on the wire: batches on standard input, replies on output."""
+"""Runs the schedulers that the simulator enlists: batches of lines on standard input, replies on output.
+
+A batch begins with a line that has the time and ends with ``END``; the replies to it end with ``READY``. A
+line that cannot be read is reported on the error stream and skipped.
+"""
 
 from __future__ import annotations
 
@@ -10,82 +14,97 @@
 from cherrycove.scheduling.interface import Event, Node
 from cherrycove.scheduling.scheduler import Scheduler
 
+_MAX_QUOTED_CHARACTERS = 200  # of a line that is reported
+
+
+class SimulatorHost:
+    """The schedulers of this process. They share nothing but the numbered node lists of the wire.
 
-class Host:
-    """The schedulers of this process. They share nothing but the numbered node lists of the wire."""
+    Owned by ``run``. An error of a scheduler is reported on the wire; the scheduler goes on.
+    """
 
     def __init__(self, errors: TextIO) -> None:
         self._errors = errors
         self._schedulers: dict[int, Scheduler] = {}
-        self._sheets: dict[int, tuple[Node, ...]] = {}
+        self._node_lists: dict[int, tuple[Node, ...]] = {}
 
-    def batch(self, lines: list[str]) -> list[str]:
-        """The reply lines for one batch, given from its SYNC line up to END."""
+    def handle_batch(self, lines: list[str]) -> list[str]:
+        """Return the reply lines for one batch, given from its line with the time up to ``END``."""
         replies: list[str] = []
         pending: dict[int, list[Event]] = {}
-        rows = iter(lines)
-        first = next(rows, "")
+        rest = iter(lines)
+        first = next(rest, "")
         try:
-            now = wire.clock(first)
+            now = wire.parse_time(first)
         except wire.WireError as error:
-            self._complain(first, error)
+            self._report_line(first, error)
             return replies
-        for line in rows:
+        for line in rest:
             try:
-                self._read(line, rows, pending, replies)
+                self._read(line, rest, pending, replies)
             except ValueError as error:
-                self._complain(line, error)
-        for who, events in pending.items():
-            scheduler = self._schedulers.get(who)
-            if scheduler is None:
-                continue
-            try:
-                replies.extend([wire.action(who, act) for act in scheduler.handle(now, events)])
-            except Exception as error:  # whatever the module raises is reported on the wire, never swallowed
-                replies.append(wire.fault(who, f"{type(error).__name__}: {error}"))
+                self._report_line(line, error)
+        for scheduler_id, events in pending.items():
+            replies += self._handle_events(scheduler_id, now, events)
         return replies
 
+    def _handle_events(self, scheduler_id: int, now: float, events: list[Event]) -> list[str]:
+        scheduler = self._schedulers.get(scheduler_id)
+        if scheduler is None:
+            return []
+        try:
+            return [wire.format_action(scheduler_id, action) for action in scheduler.handle(now, events)]
+        except Exception as error:  # noqa: BLE001  # whatever a scheduler raises is reported to the simulator
+            return [wire.format_fault(scheduler_id, f"{type(error).__name__}: {error}")]
+
     def _read(
-        self, line: str, rows: Iterator[str], pending: dict[int, list[Event]], replies: list[str]
+        self, line: str, rest: Iterator[str], pending: dict[int, list[Event]], replies: list[str]
     ) -> None:
+        """Take in one line; a node list takes its entries from the rest of the batch."""
         word = line.partition(" ")[0]
-        pairs = wire.fields(line)
+        fields = wire.parse_fields(line)
         if word == "SHEET":
-            self._sheet(pairs, rows)
+            self._read_node_list(fields, rest)
         elif word == "ENLIST":
-            who = wire.scheduler_id(pairs)
-            pending[who] = []
-            self._schedulers.pop(who, None)
-            try:
-                settings = wire.settings(pairs.get("info", ""))
-                self._schedulers[who] = Scheduler(settings, int(pairs.get("entropy", "")))
-            except ValueError as error:
-                replies.append(wire.fault(who, f"cannot start: {error}"))
-                raise
+            self._enlist(fields, pending, replies)
         elif word == "DOWN":
-            who = wire.scheduler_id(pairs)
-            pending.pop(who, None)
-            self._schedulers.pop(who, None)
-        elif word in wire.EVENTS:
-            pending.setdefault(wire.scheduler_id(pairs), []).append(wire.EVENTS[word](pairs, self._sheets))
+            scheduler_id = wire.scheduler_id(fields)
+            pending.pop(scheduler_id, None)
+            self._schedulers.pop(scheduler_id, None)
+        elif word in wire.EVENT_WORDS:
+            events = pending.setdefault(wire.scheduler_id(fields), [])
+            events.append(wire.parse_event(word, fields, self._node_lists))
+
+    def _enlist(self, fields: wire.Fields, pending: dict[int, list[Event]], replies: list[str]) -> None:
+        """Start a scheduler in place of a former one with its number, whose events are dropped."""
+        scheduler_id = wire.scheduler_id(fields)
+        pending[scheduler_id] = []
+        self._schedulers.pop(scheduler_id, None)
+        try:
+            settings = wire.parse_settings(fields.get("info", ""))
+            self._schedulers[scheduler_id] = Scheduler(settings, int(fields.get("entropy", "")))
+        except ValueError as error:
+            replies.append(wire.format_fault(scheduler_id, f"cannot start: {error}"))
+            raise
 
-    def _sheet(self, pairs: wire.Fields, rows: Iterator[str]) -> None:
+    def _read_node_list(self, fields: wire.Fields, rest: Iterator[str]) -> None:
         nodes = []
-        for _ in range(int(pairs.get("entries", "0"))):
-            line = next(rows, "")
+        for _ in range(int(fields.get("entries", "0"))):
+            line = next(rest, "")
             try:
-                nodes.append(wire.node(line))
+                nodes.append(wire.parse_node(line))
             except ValueError as error:
-                self._complain(line, error)
-        self._sheets[int(pairs.get("table", ""))] = tuple(nodes)
+                self._report_line(line, error)
+        self._node_lists[int(fields.get("table", ""))] = tuple(nodes)
 
-    def _complain(self, line: str, error: Exception) -> None:
-        print(f"finchrack: skipped a line: {error}: {line[:200]!r}", file=self._errors, flush=True)
+    def _report_line(self, line: str, error: Exception) -> None:
+        quoted = repr(line[:_MAX_QUOTED_CHARACTERS])
+        print(f"finchrack: skipped a line: {error}: {quoted}", file=self._errors, flush=True)
 
 
 def run(source: Iterable[str], sink: TextIO, errors: TextIO) -> None:
     """Answer every batch of ``source`` until it ends."""
-    host = Host(errors)
+    host = SimulatorHost(errors)
     lines: list[str] = []
     for raw in source:
         line = raw.rstrip("\r\n")
@@ -93,12 +112,13 @@
             if line:
                 lines.append(line)
             continue
-        sink.write("".join(f"{reply}\n" for reply in host.batch(lines)) + "READY\n")
+        sink.write("".join(f"{reply}\n" for reply in host.handle_batch(lines)) + "READY\n")
         sink.flush()
         lines = []
 
 
 def main() -> None:
+    """Answer batches on standard input until it ends."""
     sys.stdin.reconfigure(encoding="utf-8", errors="replace")  # type: ignore[union-attr]
     run(sys.stdin, sys.stdout, sys.stderr)
 
--- a/tests/golden_broker.py
+++ b/tests/golden_broker.py
@@ -263,7 +263,7 @@
     "directory": lambda *values: announcement.directory(*values).encode(),
     "memory_path": lambda *values: str(file.path(*values)).encode(),
     "node_key": lambda *values: _node_key(*values),
-    "wire_action": lambda scheduler, act: wire.action(scheduler, act).encode(),
+    "wire_action": lambda scheduler, act: wire.format_action(scheduler, act).encode(),
 }
 
 
@@ -409,11 +409,11 @@
 
     def __init__(self) -> None:
         self.errors = io.StringIO()
-        self._host = wirehost.Host(self.errors)
+        self._host = wirehost.SimulatorHost(self.errors)
 
     def batch(self, lines: list[str]) -> list[str]:
         """The replies to the lines of one batch, its END left out."""
-        return self._host.batch(lines)
+        return self._host.handle_batch(lines)
 
 
 def wire_run(text: str) -> str:
@@ -626,7 +626,7 @@
         "platform keys": sorted(config.TOP),
         "settings read": sorted(known.READ),
         "settings left aside": sorted(known.LEFT),
-        "wire events": sorted(wire.EVENTS),
+        "wire events": sorted(wire.EVENT_WORDS),
         "files": [handover.MAINTENANCE, handover.LOCK, announcement.SOCKET, cherrycove.__main__.OPERATOR],
         "magics": [file.MAGIC.hex(), datagram.MAGIC.hex(), store.MAGIC.hex(), handover.BUSY.hex()],
         "forms": [f"memory rows {figures.FORM}", f"memory file {file.FORMAT}"],
--- a/tests/test_causes.py
+++ b/tests/test_causes.py
@@ -9,7 +9,7 @@
 import pytest
 
 from bench.causes import Account, main, replay
-from cherrycove.scheduling.simulator_host import Host
+from cherrycove.scheduling.simulator_host import SimulatorHost
 
 SECOND = 1_000_000_000
 
@@ -35,9 +35,9 @@
             for n in range(6)
         ]
     )
-    host, text = Host(sys.stderr), ""
+    host, text = SimulatorHost(sys.stderr), ""
     for batch in batches:
-        reply = host.batch(batch)
+        reply = host.handle_batch(batch)
         lines = [">> process 0, 1 bytes", *batch, "END", "<< process 0, 1 bytes", *reply, "READY\n"]
         text += "\n".join(lines)
     path = tmp_path / "day.tap"
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -111,7 +111,7 @@
 
 
 def test_settings_are_read_in_seconds_and_unknown_keys_skipped() -> None:
-    got = wire.settings(json.dumps(INFO))
+    got = wire.parse_settings(json.dumps(INFO))
     assert got.classes[0].aim == pytest.approx(0.5) and got.classes[1].effect is api.Effect.UNSAFE
     assert got.classes[1].ordered and not got.classes[0].ordered
     assert (
@@ -126,7 +126,7 @@
     rules = {
         k: v for k, v in INFO["guarantees"].items() if k not in ("spareAttempts", "extraRatio", "lookBackNs")
     }
-    assert wire.settings(json.dumps(INFO | {"guarantees": rules})).extra_spare is None
+    assert wire.parse_settings(json.dumps(INFO | {"guarantees": rules})).extra_spare is None
 
 
 @pytest.mark.parametrize(
@@ -145,16 +145,19 @@
 )
 def test_unusable_settings_are_a_value_error(text: str) -> None:
     with pytest.raises(ValueError):
-        wire.settings(text)
+        wire.parse_settings(text)
 
 
 def test_events_become_the_librarys_own() -> None:
-    event = wire.EVENTS["ARRIVAL"](wire.fields(ARRIVAL + " later=1"), {})
+    event = wire.parse_event("ARRIVAL", wire.parse_fields(ARRIVAL + " later=1"), {})
     assert event == api.Arrived(7, 0, 0, "d", 2.0, 0, 1, pytest.approx(3.0), "00ab")
-    fresh = wire.EVENTS["ARRIVAL"](wire.fields(ARRIVAL.replace("slotNo=0", "slotNo=-1") + " resent=1"), {})
+    fresh = wire.parse_event(
+        "ARRIVAL", wire.parse_fields(ARRIVAL.replace("slotNo=0", "slotNo=-1") + " resent=1"), {}
+    )
     assert isinstance(fresh, api.Arrived) and fresh.shard is None and fresh.repeat
-    reply = wire.EVENTS["REPLY"](
-        wire.fields(
+    reply = wire.parse_event(
+        "REPLY",
+        wire.parse_fields(
             "REPLY schedulerId=1 handle=7 trial=0 seenUse=86 code=S server=a "
             "elsewhere=3 complete=1 latencyNs=18500000 healthInfo=pending:4,x:"
         ),
@@ -172,22 +175,26 @@
 @settings(derandomize=True, max_examples=100)
 @given(ids, ids, times)
 def test_actions_carry_ids_and_times_exactly(who: int, request: int, when: int) -> None:
-    send = wire.fields(wire.action(who, api.Send(request, "server_x", when * 1e-9 if when else None)))
+    send = wire.parse_fields(
+        wire.format_action(who, api.Send(request, "server_x", when * 1e-9 if when else None))
+    )
     assert send["schedulerId"] == str(who) and send["handle"] == str(request) and send["server"] == "server_x"
     assert int(send.get("capNs", "0")) == when
-    assert wire.fields(wire.action(who, api.SetTimer(request, when * 1e-9)))["sleepForNs"] == str(when)
+    assert wire.parse_fields(wire.format_action(who, api.SetTimer(request, when * 1e-9)))[
+        "sleepForNs"
+    ] == str(when)
     for act, word in (
         (api.Refuse(request), "REJECT"),
         (api.Fail(request), "END_FAILED"),
         (api.Cancel(request, 1), "REVOKE"),
     ):
-        line = wire.action(who, act)
-        assert line.startswith(word + " ") and wire.fields(line)["handle"] == str(request)
+        line = wire.format_action(who, act)
+        assert line.startswith(word + " ") and wire.parse_fields(line)["handle"] == str(request)
 
 
 def test_texts_stay_on_one_line() -> None:
-    assert wire.action(1, api.Note("a\nREADY\r\nb")) == "JOURNAL_LINE schedulerId=1 noteText=a READY b"
-    assert "\n" not in wire.fault(1, "x\nEND")
+    assert wire.format_action(1, api.Note("a\nREADY\r\nb")) == "JOURNAL_LINE schedulerId=1 noteText=a READY b"
+    assert "\n" not in wire.format_fault(1, "x\nEND")
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
