--- a/cherrycove/scheduling/concurrency_limit.py
+++ b/cherrycove/scheduling/concurrency_limit.py
@@ -1,6 +1,7 @@
-"""The controller of L, the most requests that a scheduler has out at a node: its step at a window's end.
+"""The step of a node's concurrency limit L (its threshold) at the end of a window of statistics.
 
-It owns the arithmetic of the step. It must never send, refuse, or look at a clock.
+L is the most requests that one scheduler has out at a node. After section 3.4.2 of "Storage Performance
+Virtualization via Throughput and Latency Control"; docs/design.md says how its garbled Figure 4 is read.
 """
 
 from __future__ import annotations
@@ -16,11 +17,15 @@
 
 
 def set_threshold(node: NodeQueue, classes: Iterable[RequestClass], window_end: float, quick: float) -> None:
-    """The paper's controller (3.4.2); docs/design.md says how the garbled parts of Figure 4 are read.
-    ``quick`` is how many times its present latency a node may take."""
+    """Set ``node.threshold`` and ``node.overload`` from the window's statistics.
+
+    ``quick`` is how many times its present latency the node may take. At least one request must have been
+    served within the window. ``window_end`` is the end (s) of the next window: what is due before it is the
+    demand that the node must keep up with.
+    """
     window = node.window
-    held_due = sum(1 for r in node.held() if r.due <= window_end)
-    demand = (node.out + held_due + window.new_due) / window.served
+    due_before_end = sum(1 for request in node.held() if request.due <= window_end)
+    demand = (node.out + due_before_end + window.new_due) / window.served
     room = min(
         (cls.aim - window.mean_wait(cls.name)) / percentile(window.latencies[cls.name], SLOWEST)
         for cls in classes
--- a/cherrycove/scheduling/object_placement.py
+++ b/cherrycove/scheduling/object_placement.py
@@ -1,7 +1,7 @@
-"""Where new objects were put of late, by their keys.
+"""At which shards new objects were put of late, by their keys.
 
-It owns what this scheduler's own answers say of that. It must never grow with the number of objects, and
-never send a request elsewhere than it names unless the node it names has turned that object away.
+Just after a new object was written, its clients may name the wrong shard for it. This scheduler knows better
+where it saw the answer to the write. The number of objects is bounded; the oldest is dropped first.
 """
 
 from __future__ import annotations
@@ -12,13 +12,18 @@
 
 
 class Placed:
-    """The last new objects that were served: which shard took each, and which others have turned it away."""
+    """The last new objects that were served. Owned by ``Attempts``.
+
+    A request goes to another shard than its client names only once the named one has rejected that object.
+    """
 
     def __init__(self, most: int = MOST) -> None:
         self._most = most
+        # By key: the shard that took the object, and those that have rejected requests for it.
         self._at: OrderedDict[str, tuple[int, frozenset[int]]] = OrderedDict()
 
     def put(self, key: str | None, shard: int | None) -> None:
+        """Note that a shard has served the write of a new object; one without a key is not kept."""
         if key is None or shard is None:
             return
         self._at.pop(key, None)
@@ -27,17 +32,20 @@
             self._at.popitem(last=False)
 
     def where(self, key: str | None, named: int | None) -> int | None:
-        """The shard to send to for one that its client says is named's."""
+        """Return the shard to send a request to whose client names ``named``."""
         shard, wrong = self._at.get(key or "", (named, frozenset()))
         return shard if named in wrong else named
 
     def missed(self, key: str | None, shard: int | None) -> int | None:
-        """This shard's node has turned it away; the one that took it, if that is another and known."""
+        """Note that a shard's node has rejected an object; return the shard that took it, if another one.
+
+        None: that is not known, or it was this one, so that what was known no longer holds.
+        """
         at, wrong = self._at.get(key or "", (None, frozenset[int]()))
         if at is None or shard is None:
             return None
         if at == shard:
-            del self._at[key or ""]  # Guard: what was known of it does not hold any longer
+            del self._at[key or ""]
             return None
         self._at[key or ""] = at, wrong | {shard}
         return at
--- a/cherrycove/scheduling/restart_state.py
+++ b/cherrycove/scheduling/restart_state.py
@@ -1,7 +1,7 @@
-"""What one life of a scheduler leaves to the next: figures of nodes and volumes, taken down and taken up.
+"""What one incarnation of a scheduler leaves to the next: figures of nodes and volumes.
 
-It owns which figures these are, how each has aged when it is taken up, and what it may do then: hold back, or
-put in order. It must never permit what the scheduler would not do without it, and never be taken up twice.
+Taken up, the figures only hold the scheduler back or put nodes in order: they never permit what it would not
+do without them, and each is taken up once.
 """
 
 from __future__ import annotations
@@ -12,47 +12,42 @@
 from cherrycove.scheduling.interface import NodeMemory, Recalled, VolumeMemory
 from cherrycove.scheduling.state import PERIOD, NodeQueue, Volume
 
-HALF_LIFE = 10.0  # s in which a threshold of an earlier life has gone half of the way back to a new node's
+HALF_LIFE = (
+    10.0  # s in which a threshold of an earlier incarnation has gone half of the way back to the initial
+)
 FAILING = 5.0  # s after which a node at which nobody answered is tried as any other
 OVERLOADED = 2.0  # s after which one that was overloaded counts as others do
 SAME_START = 0.001  # s by which two readings of one start may differ
 
 
 class Former:
-    """The evidence of an earlier life, taken up as its nodes and volumes come."""
+    """The figures of an earlier incarnation, each taken up as its node or volume is first seen."""
 
     def __init__(self, told: Recalled | None = None) -> None:
         self._nodes: dict[str, NodeMemory] = {node.id: node for node in told.nodes} if told else {}
         self._volumes: dict[str, VolumeMemory] = {each.name: each for each in told.volumes} if told else {}
 
     def meet(self, node: NodeQueue, new: float, now: float) -> float:
-        """A node has begun a life here, or was there before its evidence came; ``new`` is the threshold of
-        one that nothing is known of. Returns until when it rests, at least ``now``.
+        """Take up what is known of a node that has begun here, or was here before the figures came.
 
-        Guard: evidence of another node under this name, or of an earlier start of it, is none.
+        ``new`` is the initial threshold of a node that nothing is known of. Returns until when the node
+        rests, at least ``now``. Figures of another node under this name, or of an earlier start of it, are
+        not taken up.
         """
         told = self._nodes.pop(node.id or "", None)
-        if told is None or not _same(told.started, node.started):
+        if told is None or not _is_same_start(told.started, node.started):
             return now
-        age = max(now - told.heard, 0.0)
-        if node.heard < told.heard <= now:
-            node.service, node.heard = told.service, told.heard  # it fades as all that was heard does
-        if told.threshold < new:
-            node.threshold = min(node.threshold, new + (told.threshold - new) * 0.5 ** (age / HALF_LIFE))
-        node.overload = node.overload or (told.overload and age < OVERLOADED)
-        if told.failures and now < told.resting_until + FAILING:
-            node.failures = max(node.failures, told.failures)
-            node.resting_until = max(node.resting_until, min(told.resting_until, now + FAILING))
-        if told.sent > 0 and told.sent_at <= now:
-            # Guard: all of it as late as the last of it; what an earlier life sent is never counted too soon.
-            node.recent.add(told.sent_at, told.sent)
-        if node.slot < 0:
-            node.slot = told.slot  # Guard: a lot drawn anew in each life is more than a lot
+        _restore_speed(node, told, new, now)
+        _restore_failures(node, told, now)
+        _restore_slow_start(node, told, now)
         return max(node.resting_until, now)
 
     def charge(self, volume: Volume, epoch: int, now: float) -> None:
-        """A volume is seen here for the first time. Guard: each life's first refill was a whole one, so that
-        a broker that was restarted in each period spent a volume's credit as often."""
+        """Take up the credits of a volume that is seen here for the first time.
+
+        Otherwise each incarnation's first refill would be a whole one, and a broker that is restarted in each
+        period would spend a volume's credit as often.
+        """
         told = self._volumes.pop(volume.name, None)
         if told is None or told.at > now:
             return
@@ -62,10 +57,37 @@
             volume.short, volume.told = 0.0, told.beyond
 
 
-def _same(one: float | None, other: float | None) -> bool:
+def _is_same_start(one: float | None, other: float | None) -> bool:
     return one is other if one is None or other is None else abs(one - other) < SAME_START
 
 
+def _restore_speed(node: NodeQueue, told: NodeMemory, new: float, now: float) -> None:
+    """Take up latency, threshold and overload; the latency fades as all that was observed does."""
+    age = max(now - told.heard, 0.0)
+    if node.heard < told.heard <= now:
+        node.service, node.heard = told.service, told.heard
+    if told.threshold < new:
+        node.threshold = min(node.threshold, new + (told.threshold - new) * 0.5 ** (age / HALF_LIFE))
+    node.overload = node.overload or (told.overload and age < OVERLOADED)
+
+
+def _restore_failures(node: NodeQueue, told: NodeMemory, now: float) -> None:
+    if told.failures and now < told.resting_until + FAILING:
+        node.failures = max(node.failures, told.failures)
+        node.resting_until = max(node.resting_until, min(told.resting_until, now + FAILING))
+
+
+def _restore_slow_start(node: NodeQueue, told: NodeMemory, now: float) -> None:
+    """Take up what was sent, and the lot: one drawn anew in each incarnation would be more than one.
+
+    All of what was sent counts as late as the last of it, so that none is forgotten too soon.
+    """
+    if told.sent > 0 and told.sent_at <= now:
+        node.recent.add(told.sent_at, told.sent)
+    if node.slot < 0:
+        node.slot = told.slot
+
+
 def taken_down(
     nodes: Iterable[NodeQueue],
     volumes: Mapping[str, Volume],
@@ -74,20 +96,26 @@
     now: float,
     refilled: float,
 ) -> Recalled:
-    """What the next life may know, in this one's clock; ``refilled`` is when the present period began."""
-    kept = []
-    for each in volumes.values():
-        credits = each.credits + each.full * (epoch - each.epoch)
-        beyond = each.told if not each.short else -inf
-        # One with a whole refill is as one unknown.
-        if each.epoch >= 0 and (credits < each.full or beyond > -inf):
-            kept.append(VolumeMemory(each.name, min(credits, each.full), refilled, beyond))
-    return Recalled(
-        tuple(_node(node, now) for node in nodes if node.id is not None), tuple(kept), dict(budgets)
-    )
+    """Return what the next incarnation may know, in this one's clock.
+
+    ``epoch`` is the number of the present refill, ``refilled`` the time at which it began.
+    """
+    node_memories = tuple(_node_memory(node, now) for node in nodes if node.id is not None)
+    volume_memories = (_volume_memory(volume, epoch, refilled) for volume in volumes.values())
+    known = tuple(memory for memory in volume_memories if memory is not None)
+    return Recalled(node_memories, known, dict(budgets))
+
+
+def _volume_memory(volume: Volume, epoch: int, refilled: float) -> VolumeMemory | None:
+    """Return what is kept of a volume; None for one with a full refill, which is as one unknown."""
+    credits = volume.credits + volume.full * (epoch - volume.epoch)
+    beyond = volume.told if not volume.short else -inf
+    if volume.epoch < 0 or not (credits < volume.full or beyond > -inf):
+        return None
+    return VolumeMemory(volume.name, min(credits, volume.full), refilled, beyond)
 
 
-def _node(node: NodeQueue, now: float) -> NodeMemory:
+def _node_memory(node: NodeQueue, now: float) -> NodeMemory:
     sent = node.recent.total(now)
     return NodeMemory(
         node.id or "",
--- a/cherrycove/scheduling/retry_safety.py
+++ b/cherrycove/scheduling/retry_safety.py
@@ -1,7 +1,6 @@
-"""Whether a request may run again, and be refused, once an attempt of it may have run.
+"""Whether a request may run again, or be refused, once an attempt of it may have run.
 
-It owns what is known of that first attempt and the rule on duplicate effects (the wire page's second). It
-must never choose a node or a time, and never take silence for proof that nothing ran.
+The rule on duplicate effects (the second rule of the wire page). Silence is never proof that nothing ran.
 """
 
 from __future__ import annotations
@@ -26,11 +25,12 @@
 
     shard: int | None
     zone: int
-    life: int  # of the shard's node, when it was sent
-    until: float  # its node's group drops repeats sent by then
+    life: int  # of the shard's node, when the attempt was sent
+    until: float  # its node's group drops repeats that are sent by then
 
 
 def ran_at(cls: RequestClass, node: Place, life: int, sent_at: float) -> Ran:
+    """Return the record of an attempt that may have run at this node."""
     return Ran(node.shard, node.zone, life, sent_at + cls.repeat_window)
 
 
@@ -44,16 +44,18 @@
         return True
     if cls.group is Group.ZONE:
         return node.zone == ran.zone
-    # Guard: another node that now holds the shard, or the same one started anew, knows nothing of the first.
+    # Another node that now holds the shard, or the same one started anew, knows nothing of the first attempt.
     return (node.shard, node.life) == (ran.shard, ran.life)
 
 
 def write_within(cls: RequestClass, ran: Ran | None, now: float) -> float | None:
-    """The time that a repeat has to leave this machine whole, if there is a bound."""
-    # Guard: a connection may take a quarter of a second to come up, and the window may end meanwhile.
+    """Return the time (s) within which a repeat must have left this machine; None: there is no bound.
+
+    A connection may take a quarter of a second to come up, and the window may end meanwhile.
+    """
     return None if ran is None or cls.effect is not Effect.KEYED else ran.until - now
 
 
 def may_refuse(cls: RequestClass, ran: Ran | None) -> bool:
-    """Whether a client that asks again does no harm: its new try may go to any node, at any time."""
+    """Whether a client that asks again does no harm: its new request may go to any node, at any time."""
     return ran is None or cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and cls.group is Group.ALL)
--- a/cherrycove/scheduling/settings_check.py
+++ b/cherrycove/scheduling/settings_check.py
@@ -1,6 +1,6 @@
-"""Settings that this program reads, those it leaves aside on purpose, and those it has never heard of.
+"""Checks an object of settings: values of the wrong kind, unknown names, and demands that are not met.
 
-It owns the names of the wire page's table. It must never read a value for a decision: that is wire.py's.
+It knows the names of the wire page's table. Values are read for decisions by ``simulator_codec`` alone.
 """
 
 from __future__ import annotations
@@ -62,28 +62,47 @@
 
 
 def misfit(info: Any, path: str = "", place: str = "") -> str | None:
-    """What is of the wrong kind, by its place and why; None: nothing that is read."""
-    if path in READ or path in _KIND:
-        kind = _KIND.get(path)
-        if kind is not None and not isinstance(info, kind):
-            return f"{place} must be {_WORDS[kind]}, not {info!r:.80}"
-        if kind is None and (type(info) not in (int, float) or not 0 <= info <= MOST):
-            # Guard: a whole number that no float holds raised in the first sum it came into.
-            return f"{place} must be a number from 0 up to {MOST:g}, not {str(info):.80}"
-        if path in _ABOVE_0 and not info:
-            return f"{place} must be above 0"
-    each: list[tuple[str, str, Any]] = []
+    """Return what is of the wrong kind, by its place, and why; None: nothing that is read.
+
+    ``path`` names ``info`` as the wire page does (``classes[].name``), ``place`` with its index.
+    """
+    wrong = _wrong_value(info, path, place)
+    if wrong is not None:
+        return wrong
+    for inner_path, inner_place, value in _children(info, path, place):
+        wrong = misfit(value, inner_path, inner_place)
+        if wrong is not None:
+            return wrong
+    return None
+
+
+def _wrong_value(value: Any, path: str, place: str) -> str | None:
+    if path not in READ and path not in _KIND:
+        return None
+    kind = _KIND.get(path)
+    if kind is not None and not isinstance(value, kind):
+        return f"{place} must be {_WORDS[kind]}, not {value!r:.80}"
+    if kind is None and (type(value) not in (int, float) or not 0 <= value <= MOST):
+        # A whole number beyond the largest float would raise in the first sum that it comes into.
+        return f"{place} must be a number from 0 up to {MOST:g}, not {str(value):.80}"
+    if path in _ABOVE_0 and not value:
+        return f"{place} must be above 0"
+    return None
+
+
+def _children(info: Any, path: str, place: str) -> list[tuple[str, str, Any]]:
+    """Return path, place and value of each entry of an object or list."""
     if isinstance(info, dict):
-        each = [
+        return [
             (f"{path}.{name}".strip("."), f"{place}.{name}".strip("."), value) for name, value in info.items()
         ]
-    elif isinstance(info, list):
-        each = [(f"{path}[]", f"{place}[{number}]", value) for number, value in enumerate(info)]
-    return next((found for name, where, value in each if (found := misfit(value, name, where))), None)
+    if isinstance(info, list):
+        return [(f"{path}[]", f"{place}[{number}]", value) for number, value in enumerate(info)]
+    return []
 
 
 def paths(info: Any, at: str = "") -> set[str]:
-    """Every name in an object of settings, as the wire page writes it."""
+    """Return every name in an object of settings, as the wire page writes it."""
     found: set[str] = set()
     if isinstance(info, dict):
         for name, value in info.items():
@@ -96,12 +115,12 @@
 
 
 def unknown(info: Any) -> list[str]:
-    """Names that no page this program was written after has; they are disregarded, but not without a word."""
+    """Return the names that this program does not know; they are disregarded, which is logged."""
     return sorted(paths(info) - READ - LEFT)
 
 
 def unmet(info: Any) -> list[str]:
-    """What the settings ask that this program does not do, in words."""
+    """Return what the settings ask for that this program does not do, in words."""
     found: list[str] = []
     for cls in info.get("classes", ()):
         if cls.get("aimStretch"):
