--- a/bench/rules/mutants.py
+++ b/bench/rules/mutants.py
@@ -63,8 +63,8 @@
     Mutant(
         "no send once a node drains",
         "node_membership.py",
-        "node.id, node.lost = None, self._members.lost(node.shard)",
-        "node.lost = self._members.lost(node.shard)",
+        "node.id, node.lost = None, self._node_list.reason_absent(node.shard)",
+        "node.lost = self._node_list.reason_absent(node.shard)",
         "drain",
         0,
     ),
--- a/cherrycove/scheduling/attempts.py
+++ b/cherrycove/scheduling/attempts.py
@@ -76,7 +76,7 @@
         request.out, request.counted, request.sent_at = True, not request.upload, now
         waits = node.window.waits.setdefault(request.cls.name, deque(maxlen=MAX_WAITS))
         waits.append(now - request.queued_at)
-        node.count_sent(now, request.units, not request.upload)
+        node.count_sent(now, request.units, works=not request.upload)
 
     def _await_answer(self, node: NodeQueue, request: Request, number: int) -> None:
         patience = max(MIN_PATIENCE * request.cls.aim, PATIENCE_FACTOR * node.service)
--- a/cherrycove/scheduling/node_membership.py
+++ b/cherrycove/scheduling/node_membership.py
@@ -8,18 +8,38 @@
 from cherrycove.scheduling.deadline_queue import DeadlineQueues
 from cherrycove.scheduling.restart_state import Former
 from cherrycove.scheduling.scheduler_state import SchedulerState
-from cherrycove.scheduling.state import Members, NodeQueue
+from cherrycove.scheduling.state import NodeQueue
 
 WATCH_RETRY_FRACTION = 0.2  # part of Settings.ask_within between calls for the node list after one failed
 
 
+class _NodeList:
+    """The node list as last reported."""
+
+    def __init__(self) -> None:
+        self._nodes: dict[str, api.Node] = {}
+
+    def apply(self, event: api.NodesListed) -> dict[int, api.Node]:
+        """Apply an update; return the node that is up for each shard, of two the one started later."""
+        before = self._nodes if event.kind is api.ListKind.CHANGES else {}
+        after = before | {node.id: node for node in event.nodes}
+        self._nodes = {name: node for name, node in after.items() if node.state is not api.NodeState.GONE}
+        by_start = sorted(self._nodes.values(), key=lambda node: node.started or -inf)
+        return {node.shard: node for node in by_start if node.state is api.NodeState.UP}
+
+    def reason_absent(self, shard: int | None) -> api.Code:
+        """Return why no node takes work for this shard."""
+        draining = {node.shard for node in self._nodes.values() if node.state is api.NodeState.DRAINING}
+        return api.Code.DRAINED if shard in draining else api.Code.NO_NODE
+
+
 class NodeMembership:
     """Keeps the queues in step with the node list. Owned by ``Scheduler``."""
 
     def __init__(self, state: SchedulerState, queues: DeadlineQueues) -> None:
         self._state = state
         self._queues = queues
-        self._members = Members()
+        self._node_list = _NodeList()
         self._former = Former()
 
     def update(self, event: api.NodesListed) -> None:
@@ -29,7 +49,7 @@
         A replacement, or a node that has started anew, begins without what was known, in slow start.
         """
         state = self._state
-        serving = {state.node(shard): entry for shard, entry in self._members.apply(event).items()}
+        serving = {state.node(shard): entry for shard, entry in self._node_list.apply(event).items()}
         for node in state.nodes.values():
             entry = serving.get(node)
             if entry is None:
@@ -39,7 +59,7 @@
             state.touch(node)
 
     def _remove(self, node: NodeQueue) -> None:
-        node.id, node.lost = None, self._members.lost(node.shard)
+        node.id, node.lost = None, self._node_list.reason_absent(node.shard)
         for request in node.held():
             if request.shard is None:
                 self._queues.enqueue(request, request.why)
--- a/cherrycove/scheduling/request_completion.py
+++ b/cherrycove/scheduling/request_completion.py
@@ -30,7 +30,7 @@
         why = self.reason(
             request,
             node,
-            code or request.held_by(node, self._state.is_cold(node)),
+            code or request.obstacle(node, is_cold=self._state.is_cold(node)),
             max(wait, self._latency.least(node)),
         )
         if may_refuse(request.cls, request.ran):
--- a/cherrycove/scheduling/scheduler_state.py
+++ b/cherrycove/scheduling/scheduler_state.py
@@ -10,9 +10,10 @@
 from math import inf
 
 from cherrycove.scheduling import interface as api
+from cherrycove.scheduling.agenda import Agenda
 from cherrycove.scheduling.concurrency_limit import LEAST_L
 from cherrycove.scheduling.slow_start import ColdRoom
-from cherrycove.scheduling.state import Agenda, NodeQueue, Recent, Request, Volume
+from cherrycove.scheduling.state import NodeQueue, Recent, Request, Volume
 
 INITIAL_LIMIT = 4.0  # requests out at a node of which nothing is known (design),
 FLEET_INITIAL_LIMIT = 16.0  # as long as all schedulers together keep to this many; else its even part of them
--- a/cherrycove/scheduling/state.py
+++ b/cherrycove/scheduling/state.py
@@ -1,43 +1,20 @@
-"""What a scheduler remembers: plain records and counters. It decides nothing."""
+"""What a scheduler remembers of requests, volumes and nodes: records and counters, without decisions."""
 
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Callable
 from dataclasses import dataclass, field
 from heapq import heappop, heappush
 from math import inf
-from typing import Any
 
-from cherrycove.scheduling.interface import Code, ListKind, Node, NodesListed, NodeState, Plan, RequestClass
+from cherrycove.scheduling.interface import Code, Node, Plan, RequestClass
 from cherrycove.scheduling.retry_safety import Ran
 
 PERIOD = 1.0  # s between joint refills of credits, and the window of statistics behind each L (design)
 
 
-class Agenda:
-    """Tasks by their time; those of one time in the order they were set."""
-
-    def __init__(self) -> None:
-        self._tasks: list[tuple[float, int, Callable[[Any], None], Any]] = []
-        self._serial = 0
-
-    def at(self, when: float, task: Callable[[Any], None], subject: Any = None) -> None:
-        self._serial += 1
-        heappush(self._tasks, (when, self._serial, task, subject))
-
-    def next(self) -> float:
-        return self._tasks[0][0] if self._tasks else inf
-
-    def run(self, now: float) -> None:
-        """Carry out what is due, also what the tasks themselves set for now."""
-        while self.next() <= now:
-            _, _, task, subject = heappop(self._tasks)
-            task(subject)
-
-
 class Recent:
-    """The sum of what was added within a span of time that ends now."""
+    """The sum of the amounts added within a span of time (s) that ends now. Times must not go back."""
 
     def __init__(self, span: float) -> None:
         self._span = span
@@ -45,32 +22,41 @@
         self._total = 0.0
 
     def add(self, now: float, amount: float = 1.0) -> None:
+        """Add an amount at this time (s)."""
         self.total(now)
         self._added.append((now, amount))
         self._total += amount
 
     def total(self, now: float) -> float:
+        """Return the sum of what was added within the span."""
         while self._added and self._added[0][0] < now - self._span:
             self._total -= self._added.popleft()[1]
         if not self._added:
-            self._total = 0.0  # no rounding is carried on
+            self._total = 0.0  # no rounding error is carried on
         return self._total
 
     def last(self) -> float:
-        """When the newest amount was added; -inf: there is none."""
+        """Return when the newest amount was added; -inf: there is none."""
         return self._added[-1][0] if self._added else -inf
 
     def clear(self) -> None:
+        """Forget all amounts."""
         self._added.clear()
         self._total = 0.0
 
     def next_leaves(self, now: float) -> float:
-        """When the oldest amount leaves the span."""
+        """Return when the oldest amount leaves the span; without any, when one added now would."""
         return (self._added[0][0] if self._added else now) + self._span
 
 
 @dataclass(slots=True, eq=False)
 class Request:
+    """A client's request, from its arrival until its final answer and the end of its last attempt.
+
+    It waits for its key's turn, in its volume's lane for credit, in its node's queue, or for a retry; or an
+    attempt of it is out.
+    """
+
     id: int
     cls: RequestClass
     volume: Volume
@@ -93,13 +79,13 @@
     done: bool = False
     fresh: bool = False  # a new object, which any node may take
     ran: Ran | None = None  # its first attempt that may have run
-    rest_until: float = 0.0  # until then its key rests, once it is over
+    rest_until: float = 0.0  # until then no other request with its key may run
     admitted: bool = False  # its key's turn has come
     waits_turn: bool = False  # another one with its key came before it
     why: Code = Code.CREDIT  # what let it into its node's queue
 
-    def held_by(self, node: NodeQueue, cold: bool) -> Code:
-        """What keeps it from its node, where it stands now."""
+    def obstacle(self, node: NodeQueue, *, is_cold: bool) -> Code:
+        """Return what keeps the request from its node, where it waits now."""
         if node.shard is not None and node.id is None:
             return node.lost
         if self.place == "lane":
@@ -107,17 +93,19 @@
         if node.failures:
             return Code.NODE_RESTS
         if self.place == "queue":
-            return Code.NODE_COLD if cold else Code.NODE_BUSY
+            return Code.NODE_COLD if is_cold else Code.NODE_BUSY
         if self.attempts:
             return Code.NO_TIME
         return Code.TURN if self.waits_turn and not self.admitted else Code.NODE_SLOW
 
     def wait_for_credit(self, node: NodeQueue) -> None:
+        """Append the request to its volume's lane for this node's shard."""
         self.admitted = True
         self.node, self.place, node.lanes[self.volume.name] = node, "lane", self.volume
         self.volume.lanes.setdefault(self.shard, deque()).append(self)
 
     def wait_at(self, node: NodeQueue, now: float) -> None:
+        """Put the request into the node's queue."""
         self.node, self.place, self.queued_at = node, "queue", now
         self.volume.pending += 0.0 if self.attempts else self.units
         node.waiting += 1
@@ -126,7 +114,7 @@
         heappush(node.queue, (self.due, self.ticket, self))
 
     def leave(self) -> None:
-        """Out of the place where it waits."""
+        """Take the request out of the lane or queue in which it waits, if it does."""
         node, volume = self.node, self.volume
         if self.place == "lane" and node is not None:
             lane = volume.lanes[self.shard]
@@ -141,6 +129,12 @@
 
 @dataclass(slots=True, eq=False)
 class Volume:
+    """A volume's credits, the store of its plan's limit, and its requests that wait for credit.
+
+    Created with its first request, forgotten some time after its last. Units are those of
+    ``interface.Arrived``.
+    """
+
     name: str
     plan: Plan
     full: float  # units of credit at a refill
@@ -159,52 +153,34 @@
     lanes: dict[int | None, deque[Request]] = field(default_factory=dict)  # its first-in queue, by shard
 
     def share(self, now: float, part: float) -> None:
-        """From now on this part of what the limit leaves to this host may be used."""
+        """Use only this part of the scheduler's even part of the limit from now on."""
         if self.limit:
             self.level(now)
         self.limit, self.burst = self.plan.limit / self.hosts * part, self.plan.burst / self.hosts * part
 
     def level(self, now: float) -> float:
-        """What the limit's store holds: it fills at the limit's rate, up to the burst."""
+        """Return the units in the limit's store, which fills at the limit's rate up to the burst."""
         self.store = min(self.burst, self.store + (now - self.filled_at) * self.limit)
         self.filled_at = now
         return self.store
 
     def idle(self, since: float) -> bool:
-        """Whether nothing was asked of it since then and nothing of it waits."""
+        """Whether no request has come since then and none waits."""
         return self.asked_at < since and not (self.lanes or self.waking) and self.pending <= 0
 
     def take(self, now: float, units: float) -> None:
+        """Take units of a request that is sent out of the limit's store."""
         self.store = self.level(now) - units
 
 
-class Members:
-    """The node list as last told."""
-
-    def __init__(self) -> None:
-        self._nodes: dict[str, Node] = {}
-
-    def apply(self, event: NodesListed) -> dict[int, Node]:
-        """Take in the news; which node is up for each shard, the later started one of two."""
-        before = self._nodes if event.kind is ListKind.CHANGES else {}
-        after = before | {node.id: node for node in event.nodes}
-        self._nodes = {name: node for name, node in after.items() if node.state is not NodeState.GONE}
-        by_start = sorted(self._nodes.values(), key=lambda node: node.started or -inf)
-        return {node.shard: node for node in by_start if node.state is NodeState.UP}
-
-    def lost(self, shard: int | None) -> Code:
-        """Why no node takes work for this shard."""
-        drains = any(n.shard == shard and n.state is NodeState.DRAINING for n in self._nodes.values())
-        return Code.DRAINED if drains else Code.NO_NODE
-
-
 def percentile(values: list[float], part: float) -> float:
+    """Return the value below which this part (0 to 1) of the values lies; there must be one."""
     return sorted(values)[min(int(part * len(values)), len(values) - 1)]
 
 
 @dataclass(slots=True, eq=False)
 class Window:
-    """A node's statistics since the last setting of its threshold."""
+    """A node's statistics since its threshold was last set."""
 
     most_out: int = 0
     arrivals: int = 0
@@ -214,13 +190,18 @@
     latencies: dict[str, list[float]] = field(default_factory=dict)  # by class, of those served
 
     def mean_wait(self, cls: str) -> float:
+        """Return the mean time (s) in the queue of the requests of a class that were sent last."""
         waits = self.waits.get(cls)
         return sum(waits) / len(waits) if waits else 0.0
 
 
 @dataclass(slots=True, eq=False)
 class NodeQueue:
-    """The node that holds a shard: its queue, its threshold and what is known of it."""
+    """The node that holds a shard: its queue in order of deadline, its threshold L and what is known of it.
+
+    There is one for each shard ever seen, whichever node holds it; one without a shard, where new objects
+    wait for credit.
+    """
 
     shard: int | None
     threshold: float  # L
@@ -231,7 +212,7 @@
     zone: int = 0
     started: float | None = None
     cold_from: float = -inf
-    life: int = 0  # counts the nodes and starts seen for this shard
+    life: int = 0  # incarnation: counts the nodes and starts seen for this shard
     overload: bool = False
     queue: list[tuple[float, int, Request]] = field(default_factory=list)
     waiting: int = 0  # in the queue
@@ -241,21 +222,22 @@
     heard: float = -inf  # when that was last seen
     resting_until: float = -inf
     failures: int = 0  # in a row, of the kind that shows nobody answers
-    lent: float = 0.0  # units of room on a cold node that others have lent,
+    lent: float = 0.0  # units of capacity at a cold node that others have lent,
     lent_until: float = -inf  # until then
-    ask_at: float = -inf  # when room may be asked for again
+    ask_at: float = -inf  # when a loan may be asked for again
     slot: int = -1  # of the rule on cold nodes, since its start
     ticket_until: float = -inf  # until then one request may go, whatever its units
     window: Window = field(default_factory=Window)
     serial: int = 0  # of entries in the queue
 
     def head(self) -> bool:
-        """Whether a request waits in the queue; entries of those that have left are dropped."""
+        """Whether a request waits in the queue; entries of requests that have left are dropped."""
         while self.queue and not self._waits(self.queue[0]):
             heappop(self.queue)
         return bool(self.queue)
 
     def held(self) -> list[Request]:
+        """Return the requests that wait in the queue, in no order of use."""
         return [entry[2] for entry in self.queue if self._waits(entry)]
 
     def _waits(self, entry: tuple[float, int, Request]) -> bool:
@@ -263,7 +245,7 @@
         return request.place == "queue" and request.ticket == ticket and request.node is self
 
     def begin(self, entry: Node, cold_from: float, threshold: float) -> None:
-        """A new life: nothing of the former one holds."""
+        """Another node, or a new start of it: nothing that was known holds any longer."""
         self.id, self.zone, self.started, self.cold_from = entry.id, entry.zone, entry.started, cold_from
         self.life += 1
         self.out, self.failures, self.resting_until = 0, 0, -inf
@@ -274,14 +256,16 @@
         self.threshold, self.overload = threshold, False
 
     def borrow(self, units: float, now: float, time: float) -> None:
-        """Others lend room on this node; a further loan takes the place of what is left of the last one."""
+        """Take a loan of units at this node for ``time`` (s), in place of what is left of the last one."""
         self.lent, self.lent_until, self.ask_at = units, now + time, now
 
-    def count_sent(self, now: float, units: float, works: bool = True) -> None:
+    def count_sent(self, now: float, units: float, *, works: bool = True) -> None:
+        """Count an attempt that is sent; ``works``: the node can begin with it, so that it counts as out."""
         self.out += works
         self.window.most_out = max(self.window.most_out, self.out)
         self.recent.add(now, units)
 
     def summary(self) -> str:
+        """Return the node's figures for the report: shard, L with marks, out, queued, volumes that wait."""
         marks = "!" * self.overload + "?" * (self.failures > 0) + "-" * (self.id is None)
         return f"{self.shard}:{self.threshold:.1f}{marks}/{self.out}/{self.waiting}/{len(self.lanes)}"
--- a/tests/test_module_limits.py
+++ b/tests/test_module_limits.py
@@ -13,6 +13,7 @@
     FOLDER / "object_placement.py",
     FOLDER / "concurrency_limit.py",
     FOLDER / "restart_state.py",
+    FOLDER / "agenda.py",
     FOLDER / "scheduler_state.py",
     FOLDER / "latency_estimate.py",
     FOLDER / "key_order.py",
@@ -29,7 +30,7 @@
 ]
 
 
-MAX_FUNCTION_LINES = 48
+MAX_FUNCTION_LINES = 30
 MAX_LINE_CHARACTERS = 110
 
 
@@ -65,6 +66,7 @@
         "cherrycove.scheduling.object_placement",
         "cherrycove.scheduling.retry_safety",
         "cherrycove.scheduling.state",
+        "cherrycove.scheduling.agenda",
         "cherrycove.scheduling.scheduler_state",
         "cherrycove.scheduling.latency_estimate",
         "cherrycove.scheduling.key_order",
