--- a/cherrycove/tier/__main__.py
+++ b/cherrycove/tier/__main__.py
@@ -9,6 +9,7 @@
 
 
 def main() -> int:
+    """Run the daemon or the command that the arguments name; return its exit code."""
     name = sys.argv[1] if len(sys.argv) > 1 else ""
     if name in DAEMONS:
         # Its default would end the process; the settings are read later anyway.
