--- a/cherrycove/__main__.py
+++ b/cherrycove/__main__.py
@@ -119,7 +119,9 @@
         self.core = Core(platform.settings, platform.seed)
         self.life = LifecycleState(platform.sockets, platform.memory_mb)
         budget = self.life.budget()
-        self.pool = upstream.ConnectionPool(platform.dial_timeout, platform.conn_idle, most=budget.node_connections)
+        self.pool = upstream.ConnectionPool(
+            platform.dial_timeout, platform.conn_idle, most=budget.node_connections
+        )
         self.front = server.Server(
             self.core,
             self.pool,
@@ -172,7 +174,7 @@
                 path = Path(operator.why.spans)
                 self._tracer = spans.Tracer(platform.settings, path, sampler, platform.name)
                 self._book.on_story = self._tracer.tell
-        self.handover.bound()
+        self.handover.apply_request_limit()
 
     async def start(self) -> int:
         """Begin to serve, in place of another process of this broker if there is one; the front's port."""
@@ -280,7 +282,7 @@
             self._nbd_pool.close()
         await self.front.close()
         if leaving:
-            left = began + times.gone - asyncio.get_running_loop().time()
+            left = began + times.disconnect - asyncio.get_running_loop().time()
             await asyncio.wait(leaving, timeout=max(left, 0.0))
         self._watch = None  # a SIGHUP from now on finds nothing to move
         for task in self._tasks:
--- a/cherrycove/broker/http1/server.py
+++ b/cherrycove/broker/http1/server.py
@@ -24,7 +24,7 @@
 from cherrycove.broker.http1.body import FLOW, ROOM_TIME, Room, Upload, need, taken
 from cherrycove.broker.http1.parse import BodyError, Head, Names, RequestError, origin, parse_head, single
 from cherrycove.broker.http1.upstream import PIECE, Call, ConnectionPool, Rest, SpoiltAnswer
-from cherrycove.broker.lifecycle.handover import listener
+from cherrycove.broker.lifecycle.listening_socket import bind_listening_socket
 from cherrycove.broker.lifecycle.shutdown_timetable import ShutdownTimetable
 from cherrycove.broker.local_codes import BY_STATUS, Own
 from cherrycove.broker.sockets import LOOK, Lookout, unread
@@ -226,7 +226,7 @@
     async def listen(self, host: str, port: int) -> int:
         """Start to accept; the port, should the system have chosen it."""
         # Guard: a client that never reads its answer would keep its connection for good. Inherited on accept.
-        return await self.accept(listener(host, port, TCP_USER_TIMEOUT=int(UNREAD_TIME * 1000)))
+        return await self.accept(bind_listening_socket(host, port, TCP_USER_TIMEOUT=int(UNREAD_TIME * 1000)))
 
     async def accept(self, given: socket.socket) -> int:
         """Start to accept from a socket that another process may have opened, and may accept from too."""
@@ -261,15 +261,17 @@
         loop, web = asyncio.get_running_loop(), self._web
         if not replaced:
             web.held_until = began + times.stop  # Guard: for its client it may be the only way in
-        loop.call_at(began + times.parts_at(replaced), self.drain)
+        loop.call_at(began + times.closes_connections_at(replaced=replaced), self.drain)
         self._last_answer = began + times.give_up
         loop.call_at(self._last_answer, self._give_up)
-        loop.call_at(began + times.cut, self._end_at_once, self._flowing)
-        self._gone = began + times.gone
+        loop.call_at(began + times.abort, self._end_at_once, self._flowing)
+        self._gone = began + times.disconnect
         while True:
             web.left.clear()
             now = loop.time()
-            until = times.takes_until(now - began, now - self.last_request, replaced, web.connected)
+            until = times.accepts_until(
+                now - began, now - self.last_request, replaced=replaced, connected=web.connected
+            )
             if began + until <= now:
                 return
             with suppress(TimeoutError):
--- a/cherrycove/broker/lifecycle/__init__.py
+++ b/cherrycove/broker/lifecycle/__init__.py
@@ -1,6 +1,11 @@
-"""The life of a process: its first word to the one in service, the time beside it, its leaving.
+"""The lifecycle of a broker process: announcement, handover from a predecessor, maintenance state, shutdown.
 
-It owns what two processes of one broker may use together, what passes between them, and the timetable of an
-end. It must never know a header or a frame, decide where or when a request is sent, or let the two together
-use more than one may.
+Two processes of one broker may overlap for some seconds: the one in service (the predecessor) and the one
+that replaces it (the successor). The package decides what each may use meanwhile, transports what passes
+between them, and holds the timetable of a shutdown. It knows neither HTTP nor NBD, and no scheduling
+decision.
+
+Modules: ``announcement`` (sent before the imports), ``state_machine`` (pure), ``messages`` (codec), ``link``
+(connection of two processes), ``handover`` (directory, start lock, meeting), ``coordinator`` (drives a
+handover), ``maintenance`` (nodes out of service), ``shutdown_timetable`` (pure).
 """
--- a/cherrycove/broker/lifecycle/announcement.py
+++ b/cherrycove/broker/lifecycle/announcement.py
@@ -1,7 +1,7 @@
-"""Says to the process in service that another process of its broker has started, before that one's imports.
+"""Announces a starting process to the one in service, before the start's imports.
 
-It owns the name of the broker's directory and one line on the socket in it. It must never import more than a
-few small parts of the standard library, wait longer than HERALD_TIME, or keep a process from starting.
+Imports the standard library only, and few modules of it. An announcement never waits longer than
+``ANNOUNCE_TIMEOUT_S`` and never keeps a process from starting.
 """
 
 from __future__ import annotations
@@ -13,17 +13,21 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-SOCKET = "process.sock"
-HERALD_TIME = 0.1  # s
-COMING = b'{"coming": 1}\n'
+SOCKET = "process.sock"  # file name, in the broker's directory, of the socket of the process in service
+ANNOUNCE_TIMEOUT_S = 0.1
+COMING = b'{"coming": 1}\n'  # the announcement's bytes
+MAX_SOCKET_FOLDER_BYTES = 80  # of a path; a Unix address holds 108 with the file name and a zero byte
 
 
 def directory(name: str, host: str, port: int, root: str | None = None) -> str:
-    """The path of the directory that all processes of one broker share."""
+    """Return the path of the directory that all processes of one broker share.
+
+    ``root`` defaults to ``$TMPDIR``, or to the system's directory for temporary files.
+    """
     identity = hashlib.sha256(f"{name}\n{host}\n{port}".encode()).hexdigest()[:16]
     root = root or os.environ.get("TMPDIR")
     if not root:
-        from tempfile import gettempdir  # with all that it imports, a tenth of what comes before the word
+        from tempfile import gettempdir  # imported late: it takes a tenth of the time before the announcement
 
         root = gettempdir()
     return os.path.join(root, f"cherrycove-{identity}")
@@ -31,8 +35,8 @@
 
 @contextmanager
 def short(path: str | os.PathLike[str]) -> Iterator[str]:
-    """A name for the directory that leaves room in a Unix socket's address, which holds 108 bytes."""
-    if len(os.fsencode(path)) < 80:
+    """Yield a name of the directory that is short enough for the address of a Unix socket."""
+    if len(os.fsencode(path)) < MAX_SOCKET_FOLDER_BYTES:
         yield str(path)
         return
     number = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
@@ -43,26 +47,42 @@
 
 
 def announce() -> socket.socket | None:
-    """Tell the process in service, if there is one; whoever holds what is returned is still coming.
+    """Announce this process; keep the returned connection open until it asks for the handover.
+
+    The imports take most of a core that both processes share. Requests that wait unread meanwhile occupy
+    their clients' connections, so the process in service lowers its limit of open requests while it has
+    announcements.
 
-    Guard: imports take most of a core that both processes share. What waits unread meanwhile holds its
-    client's place, and with as many requests open as usual, clients had no connection left.
+    Returns:
+        The connection, or None if no process is in service or the configuration cannot be read.
     """
     try:
-        with open(os.environ["RELAY_CONFIG"], encoding="utf-8") as file:
-            raw = json.load(file)
-        name = str(raw.get("name") or os.environ.get("RELAY_NAME") or "broker")
-        host, _, port = (raw.get("listen") or os.environ["RELAY_LISTEN"]).rpartition(":")
-        place = directory(name, host.strip("[]"), int(port))
-        peer = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        try:
-            peer.settimeout(HERALD_TIME)
-            with short(place) as folder:
-                peer.connect(f"{folder}/{SOCKET}")
-            peer.sendall(COMING)
-        except OSError:
-            peer.close()
-            return None
-        return peer
-    except Exception:  # the configuration is read again, and what is wrong with it is said then
+        folder = _configured_directory()
+    except (OSError, KeyError, ValueError, TypeError, AttributeError, RecursionError):
+        return None  # the configuration is read again later, and its faults are reported then
+    try:
+        return _connect(folder)
+    except (OSError, ValueError):
         return None
+
+
+def _configured_directory() -> str:
+    """Return the directory of the broker that the environment configures."""
+    with open(os.environ["RELAY_CONFIG"], encoding="utf-8") as file:
+        raw = json.load(file)
+    name = str(raw.get("name") or os.environ.get("RELAY_NAME") or "broker")
+    host, _, port = (raw.get("listen") or os.environ["RELAY_LISTEN"]).rpartition(":")
+    return directory(name, host.strip("[]"), int(port))
+
+
+def _connect(folder: str) -> socket.socket:
+    peer = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+    try:
+        peer.settimeout(ANNOUNCE_TIMEOUT_S)
+        with short(folder) as short_folder:
+            peer.connect(f"{short_folder}/{SOCKET}")
+        peer.sendall(COMING)
+    except (OSError, ValueError):
+        peer.close()
+        raise
+    return peer
--- a/cherrycove/broker/lifecycle/coordinator.py
+++ b/cherrycove/broker/lifecycle/coordinator.py
@@ -1,8 +1,7 @@
-"""One process takes the place of another: what is done in each stage, and what passes between the two.
+"""Drives a handover: applies each state of the lifecycle to the broker, and exchanges messages.
 
-It owns the links to the other process and what each stage asks of the parts (core, front, pool, peers). It
-must never decide what a stage is (``stages`` does), know a wire, or keep a process from serving: with nobody
-to meet it serves alone.
+``state_machine`` decides the states and the budgets, ``handover`` how two processes meet. Nothing here keeps
+a process from serving: with nobody to meet it serves alone.
 """
 
 from __future__ import annotations
@@ -14,103 +13,129 @@
 
 from cherrycove.broker.core import Core, NodeList
 from cherrycove.broker.event_log import Log
-from cherrycove.broker.lifecycle import handover
+from cherrycove.broker.lifecycle.handover import Grant, HandoverEndpoint
+from cherrycove.broker.lifecycle.link import Link
 from cherrycove.broker.lifecycle.maintenance import MaintenanceController
-from cherrycove.broker.lifecycle.state_machine import SHARED, LifecycleState
+from cherrycove.broker.lifecycle.messages import (
+    Message,
+    pack_maintenance,
+    pack_member,
+    parse_maintenance,
+    parse_member,
+)
+from cherrycove.broker.lifecycle.state_machine import SHARED_FRACTION, LifecycleState
 from cherrycove.broker.warm_restart.figures import UnusableError
 from cherrycove.broker.warm_restart.passing import rows_of, take_up
 
 log = Log("cherrycove.life.handover")
 
-RECORD_TIME = 300.0  # s of the record that a successor is handed
-PIECE_TIME = 0.01  # s between two pieces of it
-RECORD_LEFT = 0.3  # s that the last of it may take, once all that was taken is answered
-OPEN_TIME = 0.05  # s between two words to the successor of how many requests are open
+LOG_WINDOW_S = 300.0  # of the decision log that a successor receives
+LOG_CHUNK_INTERVAL_S = 0.01
+LOG_CLOSE_TIMEOUT_S = 0.3  # for the last of it, once all accepted requests are answered
+OPEN_REQUESTS_INTERVAL_S = 0.05  # between two reports of how many requests are open
 
 
-class Doors(Protocol):
-    """Where clients come in."""
+class ClientListeners(Protocol):
+    """The parts of the broker whose sockets and limits a handover changes."""
 
     def listeners(self) -> list[socket.socket]:
-        """Those in use."""
+        """Return the listening sockets in use."""
 
     def hand_over(self) -> list[socket.socket]:
-        """Stop to accept; what the other process accepts from, should it have to be taken back."""
+        """Stop accepting; return the sockets, for the case that this process has to accept again."""
 
     async def accept(self, given: list[socket.socket]) -> None:
-        """Accept from these again."""
+        """Accept from these sockets again."""
 
     def resize(self, clients: int, nodes: int, most_bytes: int) -> None:
-        """So many descriptors and bytes may be used from now on."""
+        """Apply new limits: descriptors for clients and for nodes, bytes of bodies and answers."""
 
     def talk(self, now: bool) -> None:
-        """Whether this process talks to the tier."""
+        """Start or stop the exchange of capacity with the other brokers."""
 
 
-class Record(Protocol):
-    """The record of decisions (cherrycove/broker/decision_log), where there is one."""
+class DecisionLog(Protocol):
+    """The decision log (cherrycove/broker/decision_log), if it is enabled."""
 
-    former_lost: int
+    former_lost: int  # chunks of the predecessor's log that did not arrive or were malformed
 
-    def pieces(self, since: float, now: float) -> Iterable[dict[str, object]]: ...
+    def pieces(self, since: float, now: float) -> Iterable[dict[str, object]]:
+        """Return the records since then in chunks that ``take_over`` accepts."""
 
-    def take_over(self, piece: dict[str, object], now: float) -> int: ...
+    def take_over(self, piece: dict[str, object], now: float) -> int:
+        """Add a chunk of the predecessor's log; return the number of records."""
 
 
 class HandoverCoordinator:
-    """One process's part of it."""
+    """One process's part in a handover, as successor and later as predecessor. The broker owns it.
+
+    If the other process dies at any step, this one goes on alone: a successor serves with the whole budget, a
+    predecessor accepts clients again unless it is shutting down.
+
+    Args:
+        broker: the broker's name.
+        core: receives budgets, node list and maintenance state.
+        listeners: see ``ClientListeners``.
+        life: the state of this process.
+        endpoint: the broker's directory.
+        decision_log: returns the decision log, or None if it is disabled.
+        remembers: whether what was learned about nodes and volumes is handed over and applied.
+    """
 
     def __init__(
         self,
         broker: str,
         core: Core,
-        doors: Doors,
+        listeners: ClientListeners,
         life: LifecycleState,
-        place: handover.HandoverEndpoint,
-        record: Callable[[], Record | None] = lambda: None,
+        endpoint: HandoverEndpoint,
+        decision_log: Callable[[], DecisionLog | None] = lambda: None,
+        *,
         remembers: bool = False,
     ) -> None:
-        self._remembers = remembers  # whether what was learned is handed over, and taken up
-        self._broker, self._core, self._doors, self._record = broker, core, doors, record
-        self.life, self.place = life, place
-        self.maintenance = MaintenanceController(core, place, self._tell_others)
-        self.links: set[handover.Link] = set()
-        self._heirs: set[handover.Link] = set()  # of these, to a process that replaces this one
-        self._handed: list[socket.socket] = []  # what a successor accepts from, in case it dies
+        self._remembers = remembers
+        self._broker, self._core = broker, core
+        self._listeners, self._decision_log = listeners, decision_log
+        self.life, self.endpoint = life, endpoint
+        self.maintenance = MaintenanceController(core, endpoint, self._send_to_peers)
+        self.links: set[Link] = set()
+        self._successors: set[Link] = set()  # of these, the links to a successor
+        self._handed_over: list[socket.socket] = []  # sockets that a successor accepts from, should it die
         self._following: set[asyncio.Task[None]] = set()
-        self._handing_record: asyncio.Task[None] | None = None
+        self._sending_log: asyncio.Task[None] | None = None
         self._closed = False
-        self._pieces = 0  # of the former process's record that have come
-        place.on_coming = self.came
+        self._chunks_received = 0  # of the predecessor's decision log
+        endpoint.on_coming = self.announcements_changed
 
-    # The start.
+    # As successor.
 
     async def meet(self) -> list[socket.socket] | None:
-        """Ask the process in service, if there is one, for its place: its listening sockets."""
-        await self.place.enter()
-        met = await self.place.meet({"hello": 1})
-        if met is None:
+        """Ask the process in service for the handover; return its listening sockets, None without one."""
+        await self.endpoint.enter()
+        takeover = await self.endpoint.meet({"hello": 1})
+        if takeover is None:
             return None
-        link, state, given = met
         log.info("handover.taking_over")
         self.life.predecessor_found()
-        self._take_over(state)
-        following = asyncio.create_task(self._follow(link, heir=False))  # it ends with the other process
+        self._take_over(takeover.state)
+        # Ends with the predecessor's process.
+        following = asyncio.create_task(self._follow(takeover.link, is_successor=False))
         self._following.add(following)
         following.add_done_callback(self._following.discard)
-        return given
+        return takeover.listeners
 
-    def _take_over(self, state: handover.Message) -> None:
+    def _take_over(self, state: Message) -> None:
+        """Apply the predecessor's state, as far as it is usable."""
         try:
-            members = tuple(handover.parse_member(raw) for raw in state["members"])
+            members = tuple(parse_member(raw) for raw in state["members"])
             sent = {str(name): float(units) for name, units in state["sent"].items()}
-            self._core.maintain(handover.parse_maintenance(state["maintenance"]))
+            self._core.maintain(parse_maintenance(state["maintenance"]))
             if type(state["version"]) is int:
                 self._core.update(NodeList(state["version"], True, members), restored=True)
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             log.warning("handover.state_unusable", why=error)
             sent = {}
-        self._core.share(SHARED, sent)
+        self._core.share(SHARED_FRACTION, sent)
         if self._remembers and "memory" in state:
             try:
                 take_up(self._core, state["memory"], self._broker, "process", sent_is_told=True)
@@ -118,161 +143,171 @@
                 log.warning("memory.unusable", source="process", why=error)
 
     async def serving(self) -> None:
-        """This process accepts: the former one has to stop."""
+        """Record that this process accepts clients, and have the predecessor stop."""
         self.life.serving_started()
         for link in list(self.links):
-            if not await link.ask({"serving": True}):
+            if not await link.request({"serving": True}):
                 log.warning("handover.unconfirmed", told="serving")
         if self.life.is_alone:
-            self.apply()
+            self.apply_budget()
 
     async def await_successor(self) -> None:
-        await self.place.await_successor(
-            self._hand_over, lambda link: self._follow(link, heir=True), self.life.successor_gone
+        """Listen for the next process."""
+        await self.endpoint.await_successor(
+            self._grant, lambda link: self._follow(link, is_successor=True), self.life.successor_gone
         )
 
-    # What both do.
+    def _receive_log_chunk(self, message: Message) -> None:
+        decision_log = self._decision_log()
+        if decision_log is None:
+            return
+        if message["why"] is None:  # the end of a transfer, with the number of its chunks
+            missing = message["number"] - self._chunks_received
+            decision_log.former_lost += max(missing, 0) if type(message["number"]) is int else 1
+            self._chunks_received = 0
+            return
+        self._chunks_received += 1
+        try:
+            decision_log.take_over(message["why"], asyncio.get_running_loop().time())
+        except (ValueError, TypeError, AttributeError) as error:
+            decision_log.former_lost += 1
+            log.warning("why.piece_unusable", why=error)
+
+    # As either.
 
-    def apply(self) -> None:
-        """Use from now on what this stage allows. Guard: the processes count as one broker, in the rules and
-        in the limits."""
+    def apply_budget(self) -> None:
+        """Apply the budget of the present state: two processes count as one broker."""
         budget = self.life.budget()
         self._core.share(budget.fraction)
-        self._doors.resize(budget.client_connections, budget.node_connections, budget.body_bytes)
-        # Guard: one that ends would open the address again that its successor is about to open.
-        self._doors.talk(budget.uses_tier)
-        self.bound()
+        self._listeners.resize(budget.client_connections, budget.node_connections, budget.body_bytes)
+        # A process that ends must not open the address of the exchange again: its successor is about to.
+        self._listeners.talk(budget.uses_tier)
+        self.apply_request_limit()
 
-    def bound(self) -> None:
+    def apply_request_limit(self) -> None:
+        """Apply the limit of open requests of the present state."""
         self._core.bound(self.life.budget().open_requests)
 
-    def came(self) -> None:
-        """Another process has announced itself, or has asked, died, or had its time."""
-        self.life.announced = self.place.coming
-        self.bound()
+    def announcements_changed(self) -> None:
+        """Count the processes that have announced themselves, and apply the limit of open requests."""
+        self.life.announced = self.endpoint.coming
+        self.apply_request_limit()
 
-    async def _follow(self, link: handover.Link, heir: bool) -> None:
-        """Share with the other process while it lives."""
+    async def _follow(self, link: Link, *, is_successor: bool) -> None:
+        """Exchange messages with the other process while it lives."""
         self.links.add(link)
-        if heir:
-            self._heirs.add(link)
-        self.apply()
-        again = False
+        if is_successor:
+            self._successors.add(link)
+        self.apply_budget()
+        accepts_again = False
         try:
-            await link.follow(self._told)
+            await link.follow(self._receive)
         finally:
             self.links.discard(link)
-            self._heirs.discard(link)
-            if heir:
-                again = self.life.successor_gone()
+            self._successors.discard(link)
+            if is_successor:
+                accepts_again = self.life.successor_gone()
             else:
                 self.life.predecessor_gone()
-            self.apply()
+            self.apply_budget()
         log.info("handover.other_ended")
-        if again:
-            log.warning("handover.serving_again")
-            given, self._handed = self._handed, []
-            await self._doors.accept(given)
-        if heir and not self._closed:
-            # Guard: the one that has gone may have been found in this one's stead; the next found nobody, and
-            # served beside this one with a budget of its own.
+        if accepts_again:
+            await self._accept_again()
+        if is_successor and not self._closed:
+            # The successor may have taken this process's name: the next would find nobody, and serve beside
+            # this one with a budget of its own.
             await self.await_successor()
 
-    async def _told(self, message: handover.Message) -> None:
+    async def _accept_again(self) -> None:
+        log.warning("handover.serving_again")
+        listeners, self._handed_over = self._handed_over, []
+        await self._listeners.accept(listeners)
+
+    async def _receive(self, message: Message) -> None:
         if message.get("serving") and self.life.successor_serving():
-            log.info("handover.successor_serves")
-            self._handed = self._doors.hand_over()
-            self.bound()
-            self._tell_open()
-            self._handing_record = asyncio.create_task(self._hand_over_record())
+            self._stop_accepting()
         if "why" in message:
-            self._take_record(message)
+            self._receive_log_chunk(message)
         if type(message.get("open")) is int:
             self.life.predecessor_reported(message["open"])
-            self.bound()
+            self.apply_request_limit()
         if "maint" in message:
             await self.maintenance.apply(message)
 
-    async def _tell_others(self, message: handover.Message) -> None:
+    async def _send_to_peers(self, message: Message) -> None:
         for link in list(self.links):
-            if not await link.ask(message):
+            if not await link.request(message):
                 log.warning("handover.unconfirmed", told=message)
 
-    # The process that is replaced.
+    # As predecessor.
 
-    def _hand_over(self, hello: handover.Message) -> tuple[handover.Message, list[socket.socket]] | None:
+    def _grant(self, _hello: Message) -> Grant | None:
+        """Return what a successor receives, None if it has to ask again."""
         if not self.life.can_be_succeeded():
             log.info("handover.successor_waits")
             return None
         log.info("handover.successor_started")
         self.life.successor_found()
         self._core.share(self.life.budget().fraction)
-        members = [handover.pack_member(member) for member in self._core.members]
         state = {
             "version": self._core.version,
-            "members": members,
+            "members": [pack_member(member) for member in self._core.members],
             "sent": self._core.sent(),
-            "maintenance": handover.pack_maintenance(self._core.maintenance),
+            "maintenance": pack_maintenance(self._core.maintenance),
         }
         if self._remembers:
             state["memory"] = rows_of(self._core, self._broker, whole=True)
-        return state, self._handed or self._doors.listeners()
-
-    def _tell_open(self, told: int = -1) -> None:
-        """Keep the successor told of what is open here, until either ends."""
-        if not (self._heirs and self.life.has_handed_over):
-            return
-        if self._core.open_requests != told:
-            told = self._core.open_requests
-            for link in self._heirs:
-                link.tell({"open": told})
-        asyncio.get_running_loop().call_later(OPEN_TIME, self._tell_open, told)
-
-    async def _hand_over_record(self) -> None:
-        """Send the successor what was decided here of late, piece by piece, while this process drains."""
-        book, loop = self._record(), asyncio.get_running_loop()
-        if book is None:
-            return
-        since = loop.time() - RECORD_TIME
-        for last in (False, True):
-            if last:  # what has ended while the others were sent
-                await self._core.idle()
-            sent_from, number = since, 0
-            since = loop.time()
-            for number, piece in enumerate(book.pieces(sent_from, loop.time()), 1):
-                for link in self._heirs:
-                    link.tell({"why": piece, "number": number})
-                await asyncio.sleep(PIECE_TIME)
-            for link in self._heirs:
-                link.tell({"why": None, "number": number})
-
-    def _take_record(self, message: handover.Message) -> None:
-        book = self._record()
-        if book is None:
+        return Grant(state, self._handed_over or self._listeners.listeners())
+
+    def _stop_accepting(self) -> None:
+        log.info("handover.successor_serves")
+        self._handed_over = self._listeners.hand_over()
+        self.apply_request_limit()
+        self._report_open_requests()
+        self._sending_log = asyncio.create_task(self._send_log())
+
+    def _report_open_requests(self, reported: int = -1) -> None:
+        """Report the number of open requests to the successor whenever it has changed, until either ends."""
+        if not (self._successors and self.life.has_handed_over):
             return
-        if message["why"] is None:
-            missing = message["number"] - self._pieces
-            book.former_lost += max(missing, 0) if type(message["number"]) is int else 1
-            self._pieces = 0
+        if self._core.open_requests != reported:
+            reported = self._core.open_requests
+            for link in self._successors:
+                link.send({"open": reported})
+        asyncio.get_running_loop().call_later(OPEN_REQUESTS_INTERVAL_S, self._report_open_requests, reported)
+
+    async def _send_log(self) -> None:
+        """Send the recent decision log, and, once no request is open, what was added meanwhile."""
+        decision_log, loop = self._decision_log(), asyncio.get_running_loop()
+        if decision_log is None:
             return
-        self._pieces += 1
-        try:
-            book.take_over(message["why"], asyncio.get_running_loop().time())
-        except (ValueError, TypeError, AttributeError) as error:
-            book.former_lost += 1
-            log.warning("why.piece_unusable", why=error)
+        started = loop.time()
+        await self._send_log_chunks(decision_log.pieces(started - LOG_WINDOW_S, started))
+        await self._core.idle()
+        await self._send_log_chunks(decision_log.pieces(started, loop.time()))
+
+    async def _send_log_chunks(self, chunks: Iterable[dict[str, object]]) -> None:
+        number = 0
+        for number, chunk in enumerate(chunks, 1):
+            self._send_to_successors({"why": chunk, "number": number})
+            await asyncio.sleep(LOG_CHUNK_INTERVAL_S)
+        self._send_to_successors({"why": None, "number": number})
+
+    def _send_to_successors(self, message: Message) -> None:
+        for link in self._successors:
+            link.send(message)
 
     # The end.
 
     async def close(self) -> None:
-        """All that was taken is answered; the last of the record still goes out."""
+        """Close the links, once all accepted requests are answered; the last of the log is still sent."""
         self._closed = True
-        if self._handing_record is not None:
-            await asyncio.wait((self._handing_record,), timeout=RECORD_LEFT)
-            self._handing_record.cancel()
+        if self._sending_log is not None:
+            await asyncio.wait((self._sending_log,), timeout=LOG_CLOSE_TIMEOUT_S)
+            self._sending_log.cancel()
         for link in list(self.links):
             link.close()
-        await self.place.close()
+        await self.endpoint.close()
         for following in list(self._following):
             following.cancel()
         await asyncio.gather(*self._following, return_exceptions=True)
--- /dev/null
+++ b/cherrycove/broker/lifecycle/listening_socket.py
@@ -0,0 +1,25 @@
+"""Opens the sockets that clients connect to."""
+
+from __future__ import annotations
+
+import socket
+
+
+def bind_listening_socket(host: str, port: int, **options: int) -> socket.socket:
+    """Return a bound socket for clients that does not listen yet; ``options`` are TCP options by their names.
+
+    The address is shared: a process that did not answer its successor may still occupy it. Where it did
+    answer, one socket serves both. OSError if the address cannot be bound.
+    """
+    family, kind, protocol, _, address = socket.getaddrinfo(host, port, type=socket.SOCK_STREAM)[0]
+    listening = socket.socket(family, kind, protocol)
+    try:
+        listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        for name, value in options.items():
+            listening.setsockopt(socket.IPPROTO_TCP, getattr(socket, name), value)
+        listening.bind(address)
+    except OSError:
+        listening.close()
+        raise
+    return listening
--- a/cherrycove/broker/lifecycle/maintenance.py
+++ b/cherrycove/broker/lifecycle/maintenance.py
@@ -1,8 +1,4 @@
-"""Which nodes staff have taken out, kept across processes and lives.
-
-It owns the change of that state: here, in the file, at the other process, and only then a yes. It must never
-say yes to what the next process would not know.
-"""
+"""Takes nodes out of service for maintenance, across the processes of a broker and across restarts."""
 
 from __future__ import annotations
 
@@ -11,47 +7,55 @@
 
 from cherrycove.broker.core import Core
 from cherrycove.broker.event_log import Log
-from cherrycove.broker.lifecycle.handover import MOST_OUT, HandoverEndpoint, Message
+from cherrycove.broker.lifecycle.handover import HandoverEndpoint
+from cherrycove.broker.lifecycle.messages import MAX_NODES_OUT, Message
 
 log = Log("cherrycove.upkeep")
 
 
 class MaintenanceController:
-    """``tell`` tells the other process, and is done when that has taken it in or could not be reached."""
+    """Changes the maintenance state here, in the file, and at the other process; then confirms.
+
+    ``send_to_peer`` returns once the other process has acknowledged or could not be reached. A change that
+    cannot be stored is undone and refused: the next process would not know of it.
+    """
 
     def __init__(
-        self, core: Core, place: HandoverEndpoint, tell: Callable[[Message], Awaitable[None]]
+        self, core: Core, endpoint: HandoverEndpoint, send_to_peer: Callable[[Message], Awaitable[None]]
     ) -> None:
-        self._core, self._place, self._tell = core, place, tell
+        self._core, self._endpoint, self._send_to_peer = core, endpoint, send_to_peer
 
     def load(self) -> None:
-        """Who was out when the last process ended."""
-        self._core.maintain(self._place.load())
+        """Apply what the last process stored."""
+        self._core.maintain(self._endpoint.load())
         if self._core.maintenance.out:
             log.info("maintenance.out", nodes=" ".join(self._core.maintenance.out))
 
     async def change(self, node: str, out: bool) -> str:
-        """Take a node out or put it back; the answer to whoever asked."""
-        state, known = self._core.maintenance, {member.name: member for member in self._core.members}
+        """Take a node out of service, or back into it; return the answer to the operator (YES or NO ...)."""
+        state = self._core.maintenance
+        known = {member.name: member for member in self._core.members}
         if node not in known and node not in state.out:
             return "NO no disk node of this name is in the list"
-        if out and node not in state.out and len(state.out) >= MOST_OUT:
-            return f"NO {MOST_OUT} nodes are out, as many as may be"
-        changed = {"maint": node, "at": time.time() * 1000, "out": out}
-        if out and node not in state.out:
-            changed["at"] = known[node].since_ms
-        if not await self.apply(changed):
+        goes_out = out and node not in state.out
+        if goes_out and len(state.out) >= MAX_NODES_OUT:
+            return f"NO {MAX_NODES_OUT} nodes are out, as many as may be"
+        at_ms = known[node].since_ms if goes_out else time.time() * 1000
+        message = {"maint": node, "at": at_ms, "out": out}
+        if not await self.apply(message):
             return "NO it cannot be kept across a restart; the log says why"
-        await self._tell(changed)
+        await self._send_to_peer(message)
         log.info("maintenance.changed", node=node, out=out)
         return f"YES {node} is {'out' if out else 'back'}"
 
-    async def apply(self, changed: Message) -> bool:
-        async with self._place.changing:
-            before, node, at = self._core.maintenance, str(changed["maint"]), float(changed["at"])
-            state = before.taking_out(node, at) if changed["out"] else before.putting_back(node, at)
-            self._core.maintain(state)  # Guard: it binds from 1 s after the call, however long a disk takes
-            kept = await self._place.save(state)
-            if not kept:
+    async def apply(self, message: Message) -> bool:
+        """Apply a change of either process; return whether it was stored, else it is undone."""
+        async with self._endpoint.changing:
+            before, node, at_ms = self._core.maintenance, str(message["maint"]), float(message["at"])
+            state = before.taking_out(node, at_ms) if message["out"] else before.putting_back(node, at_ms)
+            # Applied before it is stored: it has to bind 1 s after the call, however slow the disk is.
+            self._core.maintain(state)
+            stored = await self._endpoint.save(state)
+            if not stored:
                 self._core.maintain(before)
-        return kept
+        return stored
--- a/cherrycove/broker/nbd/server.py
+++ b/cherrycove/broker/nbd/server.py
@@ -8,7 +8,7 @@
 
 from cherrycove.broker.core import Core
 from cherrycove.broker.event_log import Log
-from cherrycove.broker.lifecycle.handover import listener
+from cherrycove.broker.lifecycle.listening_socket import bind_listening_socket
 from cherrycove.broker.nbd._codec import ProtocolError
 from cherrycove.broker.nbd._constants import MAX_PAYLOAD_BYTES
 from cherrycove.broker.nbd._handshake import Handshake, NegotiatedExport
@@ -44,7 +44,7 @@
 
     async def listen(self, given: socket.socket | None = None) -> int:
         """Start to accept, on a socket opened by another process if ``given``; the port."""
-        self.listener = given or listener(*self._config.listen)
+        self.listener = given or bind_listening_socket(*self._config.listen)
         self._server = await asyncio.get_running_loop().create_server(
             lambda: ClientProtocol(self._serve_client), sock=self.listener
         )
--- a/cherrycove/broker/request_limit.py
+++ b/cherrycove/broker/request_limit.py
@@ -1,32 +1,31 @@
-"""How many requests may be open: fewer while this process runs late.
+"""The limit of open requests, lowered while the event loop runs late. Pure: no I/O and no clock.
 
-It owns that figure. It must never do I/O or read a clock.
-
-A client's connection is held by its open request, and before that while it waits to be accepted, read and
-handled: three turns of the loop. A loop that is late by 30 ms at 400 requests a second has 36 of them on the
-way, more than the quarter that clients have beyond the usual bound; and it is late when another process, such
-as a successor that has just been started, takes the core.
+An open request occupies its client's connection, also while it waits to be accepted, read and handled: three
+turns of the loop. At 400 requests a second and a loop that is 30 ms late, 36 requests are on their way, more
+than the quarter of their connections that clients have beyond the usual limit. The loop is late when another
+process takes the core, such as a successor that has just been started.
 """
 
 from __future__ import annotations
 
-FREE = 0.005  # s of lateness that cost nothing
-FULL = 0.020  # s of lateness at which
-LEAST = 0.5  # this part of the places is left
-FADE = 0.3  # s after which a lateness counts half
-STEPS = 16  # in which the figure changes, so that it is not told with every turn
+TOLERATED_LATENESS_S = 0.005  # has no effect
+FULL_LATENESS_S = 0.020  # lowers the limit to MIN_FRACTION
+MIN_FRACTION = 0.5
+HALF_LIFE_S = 0.3  # of a lateness that was seen
+STEPS = 16  # in which the limit changes, so that it does not change with each turn
 
 
 class RequestLimit:
-    """``most`` where the process is in time."""
+    """The limit for a loop that is on time (``most``), and the limit at present. The core owns it."""
 
     def __init__(self, most: int) -> None:
         self.most = most
-        self._late, self._at = 0.0, 0.0
-
-    def now(self, now: float, lateness: float) -> int:
-        """How many may be open, the loop having done what was due ``lateness`` seconds late."""
-        faded = self._late * 0.5 ** (max(now - self._at, 0.0) / FADE)
-        self._late, self._at = max(faded, lateness), now
-        over = min(max((self._late - FREE) / (FULL - FREE), 0.0), 1.0)
-        return self.most - int(self.most * (1.0 - LEAST) * int(over * STEPS) / STEPS)
+        self._lateness_s, self._seen_at = 0.0, 0.0
+
+    def now(self, now: float, lateness_s: float) -> int:
+        """Return how many requests may be open, the loop having run what was due this much late."""
+        decayed = self._lateness_s * 0.5 ** (max(now - self._seen_at, 0.0) / HALF_LIFE_S)
+        self._lateness_s, self._seen_at = max(decayed, lateness_s), now
+        excess = (self._lateness_s - TOLERATED_LATENESS_S) / (FULL_LATENESS_S - TOLERATED_LATENESS_S)
+        steps = int(min(max(excess, 0.0), 1.0) * STEPS)
+        return self.most - int(self.most * (1.0 - MIN_FRACTION) * steps / STEPS)
--- a/tests/golden_broker.py
+++ b/tests/golden_broker.py
@@ -35,7 +35,7 @@
 from cherrycove.broker.decision_log import book, words
 from cherrycove.broker.decision_log import pack as record
 from cherrycove.broker.http1 import parse
-from cherrycove.broker.lifecycle import announcement, coordinator, handover, state_machine
+from cherrycove.broker.lifecycle import announcement, coordinator, handover, messages, state_machine
 from cherrycove.broker.peer_capacity import datagram
 from cherrycove.broker.warm_restart import figures, file, passing
 from cherrycove.scheduling import interface as api
@@ -240,8 +240,8 @@
         lambda data: record.unpack(data, 0, RECORDS_AT, NODES),
     ),
     "handover_member": Codec(
-        lambda member: json.dumps(handover.pack_member(member)).encode(),
-        lambda data: handover.parse_member(json.loads(data)),
+        lambda member: json.dumps(messages.pack_member(member)).encode(),
+        lambda data: messages.parse_member(json.loads(data)),
     ),
     "nbd_call": Codec(
         lambda call: call.pack(),
@@ -760,7 +760,7 @@
         await asyncio.to_thread(successor)
         said.append(json.dumps(to_plain(own.maintenance)))
         await former.close()
-        former._doors.socket.close()  # type: ignore[attr-defined]
+        former._listeners.socket.close()  # type: ignore[attr-defined]
 
     with mock.patch.object(passing, "moment", lambda: from_plain(moment)):
         asyncio.run(talk())
@@ -814,7 +814,7 @@
         said.extend(json.dumps(to_plain(each)) for each in (*own.members, own.maintenance))
         raw.close()
         await fresh.close()
-        for each in (listening, fresh._doors.socket, *(given or [])):  # type: ignore[attr-defined]
+        for each in (listening, fresh._listeners.socket, *(given or [])):  # type: ignore[attr-defined]
             each.close()
 
     asyncio.run(talk())
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -435,7 +435,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Held up until SIGKILL, it would lose what it has open."""
-    monkeypatch.setattr(shutdown_timetable, "LONGEST", 0.9)
+    monkeypatch.setattr(shutdown_timetable, "MAX_DEADLINE_S", 0.9)
 
     async def story() -> None:
         platform = config.parse_platform_config(
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -21,12 +21,13 @@
 import cherrycove.__main__ as main
 from cherrycove.broker import request_limit
 from cherrycove.broker.core import Maintenance, Member
-from cherrycove.broker.lifecycle import announcement, handover, state_machine
+from cherrycove.broker.lifecycle import announcement, handover, messages, state_machine
+from cherrycove.broker.lifecycle.link import Link
 from cherrycove.scheduling import interface as api
 from cherrycove.scheduling.state import Volume
 
 MEMBER = Member("d0", "127.0.0.1:1", 3, 1, 1.0, 5.0, api.NodeState.DRAINING)
-STATE = {"version": 7, "members": [handover.pack_member(MEMBER)], "sent": {"d0": 3.0}}
+STATE = {"version": 7, "members": [messages.pack_member(MEMBER)], "sent": {"d0": 3.0}}
 
 
 class Process:
@@ -269,7 +270,7 @@
 def test_no_process_waits_for_ever_to_start(
     how: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(handover, "BUSY_TIME", 0.1)
+    monkeypatch.setattr(handover, "BUSY_TIMEOUT_S", 0.1)
 
     async def story() -> None:
         place, other = (handover.HandoverEndpoint("n0", ("h", 1), str(tmp_path)) for _ in range(2))
@@ -299,7 +300,7 @@
     """Each held a quarter of the descriptors with open requests, and together more than clients have."""
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     monkeypatch.setattr(
-        request_limit, "FULL", 1e9
+        request_limit, "FULL_LATENESS_S", 1e9
     )  # a busy machine makes this process late, and its bound lower
 
     async def story() -> None:
@@ -317,7 +318,11 @@
         # One that is only about to start takes the core from this one; what waits unread holds places too.
         (tmp_path / "config.json").write_text(json.dumps(whole))
         monkeypatch.setenv("RELAY_CONFIG", str(tmp_path / "config.json"))
-        monkeypatch.setattr(first.handover.place, "on_coming", lambda: (first.handover.came(), changed.set()))
+        monkeypatch.setattr(
+            first.handover.endpoint,
+            "on_coming",
+            lambda: (first.handover.announcements_changed(), changed.set()),
+        )
         changed, coming = asyncio.Event(), announcement.announce()
         assert coming is not None
         await changed.wait()
@@ -333,10 +338,10 @@
         while first.core.open_requests < 3:
             await asyncio.sleep(0.01)
         told = asyncio.Event()
-        bound = second.handover.bound
+        bound = second.handover.apply_request_limit
         monkeypatch.setattr(
             second.handover,
-            "bound",
+            "apply_request_limit",
             lambda: (bound(), second.life.predecessor_open_requests is not None and told.set()),
         )
         await second.start()
@@ -361,7 +366,7 @@
 def test_whatever_lies_in_the_directory_a_process_starts_and_can_be_found(
     left: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(handover, "ANSWER_TIME", 0.2)
+    monkeypatch.setattr(handover, "ANSWER_TIMEOUT_S", 0.2)
 
     async def story() -> None:
         deep = tmp_path / ("x" * 100)  # longer than the address of a Unix socket may be
@@ -379,9 +384,9 @@
             stale.close()
         assert await place.meet({}) is None
         with socket.create_server(("127.0.0.1", 0)) as front:
-            talks: list[handover.Link] = []
+            talks: list[Link] = []
 
-            async def keep(link: handover.Link) -> None:
+            async def keep(link: Link) -> None:
                 talks.append(link)
                 await link.follow(took)
 
@@ -393,7 +398,7 @@
             assert met is not None and met[1] == STATE
             assert met[2][0].getsockname() == front.getsockname()
             following = asyncio.create_task(met[0].follow(took))
-            assert await met[0].ask({"tell": 1})  # told, taken in, acknowledged
+            assert await met[0].request({"tell": 1})  # told, taken in, acknowledged
             met[2][0].close()
             met[0].close()
             talks[0].close()
@@ -445,9 +450,9 @@
 @given(spoiled(json.dumps(STATE).encode()))
 def test_spoiled_messages_are_refused_in_words_or_usable(garbage: bytes) -> None:
     try:
-        state = handover.parse_message(garbage)
-        members = [handover.parse_member(each) for each in state.get("members", [])]
-    except (handover.HandoverError, TypeError) as error:
+        state = messages.parse_message(garbage)
+        members = [messages.parse_member(each) for each in state.get("members", [])]
+    except (messages.HandoverError, TypeError) as error:
         assert str(error)
     else:
         assert all(member.name for member in members)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -21,20 +21,28 @@
 ) -> None:
     times = ShutdownTimetable.of(longest)
     assert times.kill <= min(longest, 3.0) + 0.7 and times.kill - times.give_up >= 0.3 - 1e-9
-    assert 0 <= times.parts_at(replaced) <= times.stop <= times.give_up < times.cut < times.gone < times.kill
-    until = times.takes_until(since, min(quiet, since), replaced, connected)
+    assert (
+        0
+        <= times.closes_connections_at(replaced=replaced)
+        <= times.stop
+        <= times.give_up
+        < times.abort
+        < times.disconnect
+        < times.kill
+    )
+    until = times.accepts_until(since, min(quiet, since), replaced=replaced, connected=connected)
     assert until <= times.stop
     if connected and not replaced:
         assert until == times.stop  # whoever has a connection finds nobody else at this address
-    elif quiet < since and since - quiet + shutdown_timetable.QUIET < times.stop:
-        assert until - (since - quiet) == pytest.approx(shutdown_timetable.QUIET)
+    elif quiet < since and since - quiet + shutdown_timetable.QUIET_S < times.stop:
+        assert until - (since - quiet) == pytest.approx(shutdown_timetable.QUIET_S)
 
 
 def test_without_a_successor_connections_stay_open_and_what_is_held_has_its_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Told to close behind each answer, clients found nobody until the next process was started."""
-    monkeypatch.setattr(shutdown_timetable, "LONGEST", 1.0)
+    monkeypatch.setattr(shutdown_timetable, "MAX_DEADLINE_S", 1.0)
 
     async def story() -> None:
         node = await Node("ok", "ok", "hang", "hang").start()
