--- a/cherrycove/tier/exploration/__main__.py
+++ b/cherrycove/tier/exploration/__main__.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from cherrycove.tier.exploration.mutations import MUTATIONS, without
+from cherrycove.tier.exploration.mutations import MUTATIONS, apply_mutation
 from cherrycove.tier.exploration.scenarios import SCENARIOS
 from cherrycove.tier.exploration.search import Limits, Report, Search
 
@@ -49,7 +49,7 @@
     scenario = SCENARIOS[options.scenario]
     scenario = attrs.evolve(scenario, budget=attrs.evolve(scenario.budget, **options.budget))
     limits = Limits(depth=options.depth, states=options.states, seconds=options.seconds)
-    with without(options.without):
+    with apply_mutation(options.without):
         model, start = scenario.prepare()
         report = Search(model, limits).run(start)
     _print(options, scenario.budget, report)
--- a/cherrycove/tier/exploration/mutations.py
+++ b/cherrycove/tier/exploration/mutations.py
@@ -137,7 +137,7 @@
 
 
 @contextmanager
-def without(name: str) -> Iterator[None]:
+def apply_mutation(name: str) -> Iterator[None]:
     """Run with the guard ``name`` taken out; "" takes out none."""
     with ExitStack() as stack:
         for patch in MUTATIONS[name]() if name else ():
--- a/cherrycove/tier/simulation/__main__.py
+++ b/cherrycove/tier/simulation/__main__.py
@@ -16,7 +16,7 @@
 from cherrycove.tier.simulation.control import mutations as control_mutations
 from cherrycove.tier.simulation.control import scenarios
 from cherrycove.tier.simulation.invariants import InvariantBrokenError
-from cherrycove.tier.simulation.mutations import EMPTIED_KEEPS_IDENTITY, NAMES, without
+from cherrycove.tier.simulation.mutations import EMPTIED_KEEPS_IDENTITY, NAMES, apply_mutation
 from cherrycove.tier.simulation.scenario import FAULTY_S, run_seed
 
 NO_COMMIT = "-"  # detail of a run that broke nothing, as nothing was acknowledged
@@ -26,7 +26,7 @@
     """Return the seed, and the violated invariant or "" or NO_COMMIT."""
     keeps_identity = mutation == EMPTIED_KEEPS_IDENTITY
     try:
-        with without(mutation):
+        with apply_mutation(mutation):
             outcome = run_seed(seed, faulty_s, emptied_keeps_identity=keeps_identity)
     except InvariantBrokenError as error:
         return seed, str(error)
--- a/cherrycove/tier/simulation/control/batch_clients.py
+++ b/cherrycove/tier/simulation/control/batch_clients.py
@@ -13,7 +13,7 @@
 from cherrycove.tier.protocol import batch_pb2 as pb
 from cherrycove.tier.simulation.control.batch_execution import MAX_ATTEMPTS
 from cherrycove.tier.simulation.control.deployment import BATCH_ROUTE, CLIENT_HOST, FRONT_PORT
-from cherrycove.tier.simulation.control.loop import Life
+from cherrycove.tier.simulation.control.loop import Incarnation
 from cherrycove.tier.simulation.control.network import Endpoint
 from cherrycove.tier.simulation.control.processes import ProxyProcess
 from cherrycove.tier.simulation.control.world import World
@@ -37,14 +37,14 @@
         self._environment = world.environment
         self._jobs = world.environment.jobs
         self._random = Random(world.environment.random.random())
-        self.life = Life("clients")
+        self.incarnation = Incarnation("clients")
         self.active = True
         self._submitted_jobs = 0
 
     def start(self, clients: int) -> None:
         """Start ``clients`` tasks, each of which submits one job after the other."""
         for _ in range(clients):
-            self._environment.loop.spawn(self.life, self._run_client())
+            self._environment.loop.spawn(self.incarnation, self._run_client())
 
     async def _run_client(self) -> None:
         await asyncio.sleep(self._random.uniform(2.0, 4.0))
@@ -128,7 +128,7 @@
 
         address = f"{proxy.host}:{FRONT_PORT}"
         outcome = await self._environment.network.exchange(
-            CLIENT_HOST, self.life, address, serve, CALL_TIMEOUT_S
+            CLIENT_HOST, self.incarnation, address, serve, CALL_TIMEOUT_S
         )
         if isinstance(outcome, Err) or isinstance(outcome.ok_value, Err):
             return None
@@ -141,18 +141,18 @@
         if isinstance(outcome, Ok):
             holders = self._invariants.holders_of_job(job_id)
             required = self._invariants.required_replicas()
-            self._jobs.accepted(process.life.name, job_id, self._environment.now, holders, required)
+            self._jobs.accepted(process.incarnation.name, job_id, self._environment.now, holders, required)
         elif outcome.err_value.is_certain:
-            self._jobs.refused(job_id)
+            self._jobs.rejected(job_id)
 
     def _was_read(self, process: ProxyProcess, request: Any, outcome: Any, sent_at: float) -> None:
         if isinstance(outcome, Ok):
-            self._jobs.read(process.life.name, request.job_id, request.cursor, outcome.ok_value)
+            self._jobs.read(process.incarnation.name, request.job_id, request.cursor, outcome.ok_value)
         elif outcome.err_value.kind is ErrorKind.NOT_FOUND:
-            self._jobs.unknown(process.life.name, request.job_id, "read", sent_at)
+            self._jobs.unknown(process.incarnation.name, request.job_id, "read", sent_at)
 
     def _ended(self, process: ProxyProcess, request: Any, outcome: Any, sent_at: float) -> None:
         if isinstance(outcome, Ok):
             self._jobs.ended(request.job_id, self._environment.now)
         elif outcome.err_value.kind is ErrorKind.NOT_FOUND:
-            self._jobs.unknown(process.life.name, request.job_id, "end", sent_at)
+            self._jobs.unknown(process.incarnation.name, request.job_id, "end", sent_at)
--- a/cherrycove/tier/simulation/control/cluster.py
+++ b/cherrycove/tier/simulation/control/cluster.py
@@ -95,10 +95,11 @@
     def kill(self, machine: Machine, *, power: bool = False) -> None:
         """Kill the processes of ``machine``; with ``power`` it is also switched off.
 
-        Of the writes in progress some may have reached the disks."""
+        Of the writes in progress some may have reached the disks.
+        """
         machine.first_start = False
         for process in machine.running.values():
-            self._environment.loop.end(process.life)
+            self._environment.loop.end(process.incarnation)
         machine.running.clear()
         for disk in machine.disks.values():
             disk.crash(self._environment.random)
@@ -125,14 +126,14 @@
     def freeze(self, machine: Machine) -> None:
         """Stop the processes of ``machine`` where they are, as SIGSTOP does."""
         for process in machine.running.values():
-            process.life.frozen = True
+            process.incarnation.frozen = True
         self.update_contacts()
 
     def thaw(self, machine: Machine) -> None:
         """Let the frozen processes of ``machine`` go on."""
         for process in machine.running.values():
-            if process.life.frozen:
-                self._environment.loop.thaw(process.life)
+            if process.incarnation.frozen:
+                self._environment.loop.thaw(process.incarnation)
         self.update_contacts()
 
     # Look-ups
@@ -160,7 +161,8 @@
     def update_contacts(self) -> None:
         """Record since when each machine is without contact to as many others as a quorum needs.
 
-        To be called after each change of processes or links."""
+        To be called after each change of processes or links.
+        """
         for machine in self.machines:
             reachable = sum(self._is_in_contact(machine, other) for other in self.machines)
             if reachable >= self._environment.faults:
@@ -174,7 +176,7 @@
         return (
             other is not machine
             and process is not None
-            and not process.life.frozen
+            and not process.incarnation.frozen
             and not network.is_cut(machine.host, other.host)
             and not network.is_cut(other.host, machine.host)
         )
--- a/cherrycove/tier/simulation/control/command.py
+++ b/cherrycove/tier/simulation/control/command.py
@@ -7,7 +7,7 @@
 from functools import partial
 from multiprocessing import Pool
 
-from cherrycove.tier.simulation.control.mutations import without
+from cherrycove.tier.simulation.control.mutations import apply_mutation
 from cherrycove.tier.simulation.control.run import Run, run_world
 from cherrycove.tier.simulation.invariants import InvariantBrokenError
 
@@ -15,7 +15,7 @@
 def _attempt(scenario: str, mutation: str, seed: int) -> tuple[int, str, float]:
     began = time.process_time()
     try:
-        with without(mutation):
+        with apply_mutation(mutation):
             run_world(scenario, seed)
     except InvariantBrokenError as error:
         return seed, str(error), time.process_time() - began
--- a/cherrycove/tier/simulation/control/fault_budget.py
+++ b/cherrycove/tier/simulation/control/fault_budget.py
@@ -36,7 +36,8 @@
     def fault_began(self, names: set[str], *, disk: bool = False) -> None:
         """Record a fault of the machines ``names``; none for a fault that loses no machine.
 
-        ``disk``: they lose their disks as well."""
+        ``disk``: they lose their disks as well.
+        """
         self._active_faults += 1
         for name in names:
             loss = self._losses.setdefault(name, _Loss())
--- a/cherrycove/tier/simulation/control/fault_injector.py
+++ b/cherrycove/tier/simulation/control/fault_injector.py
@@ -100,7 +100,8 @@
     def partition_in_steps(self, machine: Machine, duration_s: float) -> None:
         """Cut a machine off from one other, which then campaigns, and soon after from the rest.
 
-        Proxies and operators still reach it."""
+        Proxies and operators still reach it.
+        """
         others = [other.host for other in self._cluster.machines if other is not machine]
         self._random.shuffle(others)
         first, rest = _both_ways(machine.host, others[:1]), _both_ways(machine.host, others[1:])
@@ -180,7 +181,7 @@
         """Send SIGTERM to the processes, and start them again a little later."""
         duration_s = self._random.uniform(*GRACEFUL_RESTART_S)
         for process in machine.running.values():
-            self._environment.loop.spawn(process.life, process.stop())
+            self._environment.loop.spawn(process.incarnation, process.stop())
 
         def start_again() -> None:
             self._cluster.kill(machine)
--- a/cherrycove/tier/simulation/control/fault_schedule.py
+++ b/cherrycove/tier/simulation/control/fault_schedule.py
@@ -36,7 +36,8 @@
     """The faults of one run of ``scenario``, from ``start`` until ``stop``.
 
     Faults come by chance, and besides right after an acknowledgement or a retirement, when what was just
-    promised is easiest to lose."""
+    promised is easiest to lose.
+    """
 
     def __init__(
         self, scenario: Scenario, world: World, injector: FaultInjector, operators: Operators, random: Random
@@ -150,7 +151,7 @@
         cluster.retiring.add(machine.name)
         environment.history.note(f"retire {machine.name}")
         self._injector.count("retire")
-        environment.loop.spawn(self._operators.life, self._operators.retire(machine.name))
+        environment.loop.spawn(self._operators.incarnation, self._operators.retire(machine.name))
 
     # Faults right after an event
 
--- a/cherrycove/tier/simulation/control/history.py
+++ b/cherrycove/tier/simulation/control/history.py
@@ -1,7 +1,7 @@
-"""What operators, proxies and the world saw, and what must hold of it.
+"""The history of configurations as operators and proxies saw it, and what must hold of it.
 
-Nothing here asks the code under test for a judgement: answers are taken as they left a process, accepted
-changes as they were applied, copies as they stand on the simulated disks.
+The code under test is not asked: answers are recorded as they left a process, accepted changes as they were
+applied, and replicas as they are on the simulated disks.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from cherrycove.tier.simulation.invariants import InvariantBrokenError
 from cherrycove.tier.storage.entries import EntryKind
 
-LEASE_BOUND_S = 0.8  # without contact to anyone for longer, a keeper neither confirms, refuses nor hands out
-FINAL_REFUSALS = (400, 404, 409, 412, 413, 422)
+LEASE_BOUND_S = 0.8  # without a quorum for longer, a controller neither confirms, rejects nor answers pulls
+FINAL_REJECTIONS = (400, 404, 409, 412, 413, 422)
 
 
 @attrs.frozen
 class Change:
-    """One configuration as an operator orders it."""
+    """A configuration as an operator sends it: its version, the version it is based on, and its digest."""
 
     version: int
     base: int
@@ -32,13 +32,14 @@
 
 
 @lru_cache(maxsize=4096)
-def digest_of(body: bytes) -> bytes | None:
+def configuration_digest(body: bytes) -> bytes | None:
+    """Return the digest of a configuration's content; None if ``body`` is no document."""
     return content_digest(body)
 
 
 @lru_cache(maxsize=4096)
 def change_in(payload: bytes) -> Change | None:
-    """The change in a command of the keepers' log."""
+    """Return the change in a command of the controllers' log; None if it has none."""
     command = Command.FromString(payload)
     if command.WhichOneof("body") != "accept_configuration":
         return None
@@ -51,7 +52,7 @@
     return {entry.version: entry.digest for entry in Snapshot.FromString(state).accepted}
 
 
-def holds(disk: MachineDisk, change: Change) -> bool:
+def holds_change(disk: MachineDisk, change: Change) -> bool:
     """Whether ``change`` is synced on ``disk``."""
     if disk.snapshot is not None and _accepted_in(disk.snapshot.state).get(change.version) == change.digest:
         return True
@@ -62,30 +63,35 @@
 
 
 class History:
-    """Everything that was promised so far."""
+    """What was accepted, acknowledged, rejected and read so far, with a trace of events.
+
+    ``newest`` is the newest acknowledged change, ``broken`` the first violation: processes may swallow it.
+    """
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._chain: dict[int, Change] = {}  # accepted, by log index
+        self._by_index: dict[int, Change] = {}  # accepted, by log index
         self._accepted: dict[Change, int] = {}
         self._acknowledged: dict[int, Change] = {}  # by version
         self._by_base: dict[int, Change] = {}
-        self._refused: dict[Change, str] = {}
+        self._rejected: dict[Change, str] = {}
         self.newest: Change | None = None  # of those acknowledged
-        self.newest_since = 0.0
         self.acknowledgements: list[tuple[float, int]] = []
         self.retired: set[str] = set()
         self.trace: list[str] = []
         self.broken: InvariantBrokenError | None = None
 
     def note(self, text: str) -> None:
+        """Add an event to the trace."""
         self.trace.append(f"{self._clock():9.4f} {text}")
 
     def require(self, condition: bool, detail: str) -> None:
+        """Record and raise a violation unless ``condition`` holds."""
         if not condition:
             self.fail(detail)
 
     def fail(self, detail: str) -> NoReturn:
+        """Record a violation, and raise ``InvariantBrokenError``."""
         self.note(f"BROKEN {detail}")
         error = InvariantBrokenError(f"at {self._clock():.4f}: {detail}")
         self.broken = self.broken or error  # a process may swallow what is raised in it
@@ -93,32 +99,34 @@
 
     @property
     def newest_version(self) -> int:
+        """Version of the newest acknowledged change; 0 if there is none."""
         return 0 if self.newest is None else self.newest.version
 
     @property
     def acknowledged(self) -> int:
+        """How many changes were acknowledged."""
         return len(self._acknowledged)
 
     # Configurations
 
     def check_authority(self, who: str, action: str, isolated_s: float) -> None:
-        """``who`` did ``action`` in the group's name, ``isolated_s`` after its last contact to a quorum."""
+        """Check that ``who`` may have a lease for ``action``, ``isolated_s`` after contact to a quorum."""
         self.require(isolated_s <= LEASE_BOUND_S, f"{who} {action}, {isolated_s:.2f} s without a quorum")
 
     def accepted(self, who: str, index: int, change: Change) -> None:
-        """A keeper applied ``change`` at ``index`` as taken."""
-        known = self._chain.setdefault(index, change)
+        """Check that ``who`` accepts ``change`` at log index ``index``, as all others do."""
+        known = self._by_index.setdefault(index, change)
         if known != change:
             self.fail(f"{who} applied {change} at {index}, others {known}")
         self._accepted.setdefault(change, index)
-        refused = self._refused.get(change)
-        if refused is not None:
-            self.fail(f"{change} is in force, though {refused}")
-
-    def acknowledge(self, who: str, change: Change, holders: Iterable[str], wanted: int) -> None:
-        """A 200 for ``change`` leaves ``who``; ``holders`` are the machines with a synced copy."""
-        places = sorted(holders)
-        self.note(f"{who} 200 version {change.version} on {places}")
+        rejected = self._rejected.get(change)
+        if rejected is not None:
+            self.fail(f"{change} is in force, though {rejected}")
+
+    def acknowledge(self, who: str, change: Change, holders: Iterable[str], required: int) -> None:
+        """Check a 200 for ``change`` that leaves ``who``; ``holders`` are the machines that synced it."""
+        names = sorted(holders)
+        self.note(f"{who} 200 version {change.version} on {names}")
         known = self._acknowledged.setdefault(change.version, change)
         self.require(known == change, f"two contents confirmed under {change.version}")
         rival = self._by_base.setdefault(change.base, change)
@@ -126,30 +134,29 @@
             self.fail(f"{rival} and {change} were both confirmed")
         if change not in self._accepted:
             self.fail(f"{who} confirmed {change}, which nobody applied")
-        if len(places) < wanted:
-            self.fail(f"{who} confirmed {change} on {places}, not {wanted}")
+        if len(names) < required:
+            self.fail(f"{who} confirmed {change} on {names}, not {required}")
         self.acknowledgements.append((self._clock(), change.version))
         if self.newest is None or change.version > self.newest.version:
             self.newest = change
-            self.newest_since = self._clock()
 
-    def refuse(self, who: str, change: Change, status: int) -> None:
-        """A final 4xx for ``change`` leaves ``who``."""
-        self._refused.setdefault(change, f"{who} refused it with {status} at {self._clock():.4f}")
+    def reject(self, who: str, change: Change, status: int) -> None:
+        """Check a final 4xx for ``change`` that leaves ``who``."""
+        self._rejected.setdefault(change, f"{who} rejected it with {status} at {self._clock():.4f}")
         if change in self._accepted:
-            self.fail(f"{who} answered {status} to {change}, which was taken")
+            self.fail(f"{who} answered {status} to {change}, which was accepted")
 
     def read(self, who: str, version: int, digest: bytes | None, floor: int) -> None:
-        """A reader got ``version``; ``floor`` was the newest acknowledged when its read was sent."""
-        self.require(version >= floor, f"{who} handed out version {version}, after {floor} was confirmed")
+        """Check ``version`` as it was read; ``floor`` was the newest acknowledged when the read was sent."""
+        self.require(version >= floor, f"{who} returned version {version}, after {floor} was confirmed")
         if digest is not None and version in self._acknowledged:
             same = self._acknowledged[version].digest == digest
-            self.require(same, f"{who} handed out another content of version {version}")
+            self.require(same, f"{who} returned another content of version {version}")
 
     def acknowledged_change(self, moment: float) -> Change | None:
-        """The newest change acknowledged at ``moment``."""
+        """Return the newest change that was acknowledged at the time ``moment``."""
         return self._acknowledged.get(self.acknowledged_before(moment))
 
     def acknowledged_before(self, moment: float) -> int:
-        """The newest version acknowledged at ``moment``."""
+        """Return the newest version that was acknowledged at the time ``moment``; 0 if none was."""
         return max((version for at, version in self.acknowledgements if at <= moment), default=0)
--- a/cherrycove/tier/simulation/control/invariants.py
+++ b/cherrycove/tier/simulation/control/invariants.py
@@ -12,7 +12,7 @@
 from cherrycove.tier.simulation.control.cluster import Cluster
 from cherrycove.tier.simulation.control.deployment import CATCH_UP_S, CONFIG_APPLY_S, CONTACT_S
 from cherrycove.tier.simulation.control.environment import Environment
-from cherrycove.tier.simulation.control.history import Change, holds
+from cherrycove.tier.simulation.control.history import Change, holds_change
 from cherrycove.tier.simulation.control.job_history import JobRecord, holds_job
 from cherrycove.tier.simulation.control.processes import Process, ProxyProcess
 
@@ -30,8 +30,8 @@
         self._environment = environment
         self._cluster = cluster
         self._history = environment.history
-        self.on_acknowledged: Callable[[Process, Change], None] = lambda process, change: None
-        self.on_retired: Callable[[str], None] = lambda name: None
+        self.on_acknowledged: Callable[[Process, Change], None] = lambda _process, _change: None
+        self.on_retired: Callable[[str], None] = lambda _name: None
 
     # Replicas on disks
 
@@ -40,7 +40,7 @@
         return [
             machine.name
             for machine in self._cluster.machines
-            if CONTROLLER_PROGRAM in machine.disks and holds(machine.disks[CONTROLLER_PROGRAM], change)
+            if CONTROLLER_PROGRAM in machine.disks and holds_change(machine.disks[CONTROLLER_PROGRAM], change)
         ]
 
     def holders_of_job(self, job_id: str) -> list[str]:
@@ -60,22 +60,25 @@
     def check_authority(self, process: Process, action: str) -> None:
         """Check that ``process``, which did ``action`` in the group's name, may have a quorum behind it."""
         isolated_s = process.machine.isolated_for_s(self._environment.now)
-        self._history.check_authority(process.life.name, action, isolated_s)
+        self._history.check_authority(process.incarnation.name, action, isolated_s)
 
     def acknowledged(self, process: Process, change: Change) -> None:
         """Check the 200 for ``change`` that leaves ``process``."""
         self.check_authority(process, "confirmed")
-        self._history.acknowledge(process.life.name, change, self.holders(change), self.required_replicas())
+        self._history.acknowledge(
+            process.incarnation.name, change, self.holders(change), self.required_replicas()
+        )
         self.on_acknowledged(process, change)
 
     def retired(self, process: Process, name: str) -> None:
         """Check the answer that the machine ``name`` has retired, and remove the machine at once.
 
-        That is no loss in the fault budget: enough replicas must be left without it."""
+        That is no loss in the fault budget: enough replicas must be left without it.
+        """
         if name in self._history.retired:
             return
         self._history.retired.add(name)
-        self._history.note(f"{process.life.name} completed {name}")
+        self._history.note(f"{process.incarnation.name} completed {name}")
         newest = self._history.newest
         if newest is not None:
             left = [holder for holder in self.holders(newest) if holder != name]
@@ -93,14 +96,16 @@
         if len(left) < self.required_replicas():
             self._history.fail(f"{name} may go, and {job.request.job_id} is left on {left} only")
 
-    def retirement_refused(self, process: Process, name: str, status: int) -> None:
+    def retirement_rejected(self, process: Process, name: str, status: int) -> None:
         """Check a final refusal to retire ``name``: it is known, and too few machines would remain."""
         cluster, environment = self._cluster, self._environment
         if not cluster.present([name]) or environment.fault_budget.faultless_s() < CATCH_UP_S:
             return
-        self._history.require(status != 404, f"{process.life.name} does not know {name}")
+        self._history.require(status != 404, f"{process.incarnation.name} does not know {name}")
         remaining = len(cluster.machines) - len(cluster.retiring | {name})
-        detail = f"{process.life.name} answered {status} to the order to retire {name}, {remaining} stay"
+        detail = (
+            f"{process.incarnation.name} answered {status} to the order to retire {name}, {remaining} stay"
+        )
         self._history.require(remaining < 2 * environment.faults + 1, detail)
 
     # Periodic checks
@@ -121,7 +126,7 @@
         for machine in self._cluster.proxies:
             process = machine.running.get(PROXY_PROGRAM)
             if isinstance(process, ProxyProcess):
-                detail = f"{process.life.name} in touch has version {process.version}, not {due}"
+                detail = f"{process.incarnation.name} in touch has version {process.version}, not {due}"
                 self._history.require(process.version >= due, detail)
 
     def _check_replicas(self) -> None:
--- a/cherrycove/tier/simulation/control/job_history.py
+++ b/cherrycove/tier/simulation/control/job_history.py
@@ -1,4 +1,4 @@
-"""What clients of batch jobs and model brokers saw, and what must hold of it."""
+"""The history of batch jobs as clients and model servers saw it, and what must hold of it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @lru_cache(maxsize=4096)
 def _job_in(payload: bytes) -> str:
-    """The job that a command of the stores' log takes; "" if it takes none."""
+    """Return the job that a command of the stores' log accepts; "" if it accepts none."""
     command = BatchCommand.FromString(payload)
     return command.accept.job.job_id if command.WhichOneof("command") == "accept" else ""
 
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class Seen:
+class SeenResult:
     """A result as a reader got it."""
 
     item_id: str
@@ -51,34 +51,33 @@
 
     request: SubmitRequest
     submissions: int = 0  # attempts
-    refused: int = 0
+    rejections: int = 0
     acknowledged_at: float | None = None
     ended_at: float | None = None
     started: bool = False
-    results: dict[int, Seen] = attrs.field(factory=dict)
-    texts: set[bytes] = attrs.field(factory=set)  # that brokers made for its items
-
-    @property
-    def complete(self) -> bool:
-        return len(self.results) == len(self.request.items)
+    results: dict[int, SeenResult] = attrs.field(factory=dict)
+    texts: set[bytes] = attrs.field(factory=set)  # results that were computed for its items
 
 
 class JobHistory:
-    """All jobs of one world."""
+    """All jobs of one world, by id. A violation is raised as ``InvariantBrokenError``."""
 
     def __init__(self, history: History) -> None:
         self._history = history
         self.jobs: dict[str, JobRecord] = {}
 
     def open(self, request: SubmitRequest) -> None:
+        """Record a job before its first submission."""
         self.jobs[request.job_id] = JobRecord(request)
 
     def acknowledged(self) -> list[JobRecord]:
+        """Return the jobs whose submission was acknowledged."""
         return [job for job in self.jobs.values() if job.acknowledged_at is not None]
 
     # Answers, as they leave a proxy
 
     def accepted(self, who: str, job_id: str, now: float, holders: Iterable[str], required: int) -> None:
+        """Check an acknowledgement that leaves ``who``; ``holders`` are the machines that synced it."""
         names = sorted(holders)
         job = self.jobs[job_id]
         if job.acknowledged_at is None:
@@ -87,45 +86,49 @@
         if len(names) < required:
             self._history.fail(f"{who} accepted {job_id} on {names}, not {required}")
 
-    def refused(self, job_id: str) -> None:
+    def rejected(self, job_id: str) -> None:
+        """Check a submission that certainly had no effect."""
         job = self.jobs[job_id]
-        job.refused += 1
-        self._judge_refusals(job_id, job)
+        job.rejections += 1
+        self._check_rejections(job_id, job)
 
     def unknown(self, who: str, job_id: str, what: str, sent_at: float) -> None:
-        """A 404 leaves ``who`` for a call sent at ``sent_at``."""
+        """Check a 404 that leaves ``who`` for a call sent at ``sent_at``."""
         acknowledged_at = self.jobs[job_id].acknowledged_at
         if acknowledged_at is not None and acknowledged_at < sent_at:
             self._history.fail(f"{who} does not know {job_id} at a call to {what}")
 
     def ended(self, job_id: str, now: float) -> None:
+        """Record the acknowledged end of a job."""
         job = self.jobs[job_id]
         job.ended_at = now if job.ended_at is None else job.ended_at
 
     def read(self, who: str, job_id: str, cursor: int, reply: ReadReply) -> None:
+        """Check results from position ``cursor`` on, as they leave ``who``."""
         job = self.jobs[job_id]
         if reply.total != len(job.request.items):
             self._history.fail(f"{who} counts {reply.total} items of {job_id}")
         for position, entry in enumerate(reply.results, cursor):
-            seen = Seen(entry.item_id, entry.completed, entry.text)
+            seen = SeenResult(entry.item_id, entry.completed, entry.text)
             known = job.results.setdefault(position, seen)
             if known != seen:
                 self._history.fail(f"{who} has {seen} at {position} of {job_id}, it was {known}")
             if seen.completed and seen.text not in job.texts:
-                self._history.fail(f"{who} has a text at {position} of {job_id} that no broker made")
+                self._history.fail(f"{who} has a text at {position} of {job_id} that was never computed")
         names = [seen.item_id for seen in job.results.values()]
         if len(set(names)) != len(names):
-            self._history.fail(f"an item of {job_id} stands at two positions")
+            self._history.fail(f"an item of {job_id} is at two positions")
 
-    # Runs, as they reach a broker
+    # Runs, as they reach a model server
 
     def started(self, who: str, job_id: str, now: float) -> None:
+        """Check the start of an item of a job at ``who``."""
         job = self.jobs[job_id]
         job.started = True
-        self._judge_refusals(job_id, job)
+        self._check_rejections(job_id, job)
         if job.ended_at is not None and now - job.ended_at > CANCEL_S:
             self._history.fail(f"{who} starts an item of {job_id}, {now - job.ended_at:.2f} s after its end")
 
-    def _judge_refusals(self, job_id: str, job: JobRecord) -> None:
-        if job.started and job.submissions == job.refused:
+    def _check_rejections(self, job_id: str, job: JobRecord) -> None:
+        if job.started and job.submissions == job.rejections:
             self._history.fail(f"{job_id} runs, though every submission was rejected")
--- a/cherrycove/tier/simulation/control/loop.py
+++ b/cherrycove/tier/simulation/control/loop.py
@@ -1,7 +1,7 @@
 """A deterministic asyncio event loop on virtual time, shared by many simulated processes.
 
-Every callback belongs to the life of one process, which its context names. A callback of a life that ended
-is dropped; that of a frozen one waits until it is thawed.
+Every callback belongs to one incarnation of a process, which its context names. A callback of an incarnation
+that has ended is dropped; that of a frozen one waits until it is thawed.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 import attrs
 
 TIMER_LATENESS_S = 0.001  # timers fire up to so late
-SPAWNED_KEPT = 64  # coroutines of a life that are looked through for those that have not begun
+SPAWNED_KEPT = 64  # coroutines of an incarnation that are looked through for those that have not begun
 MAX_CALLBACKS_AT_ONCE = 1_000_000  # without time passing: then something spins
 
 
 @attrs.define(eq=False)
-class Life:
-    """One start of a process."""
+class Incarnation:
+    """One start of a process. ``deferred`` callbacks wait while it is frozen."""
 
     name: str
     ended: bool = False
@@ -34,7 +34,7 @@
     spawned: list[Coroutine[Any, Any, Any]] = attrs.field(factory=list)  # some may not have begun yet
 
 
-CURRENT_LIFE: ContextVar[Life | None] = ContextVar("life", default=None)
+CURRENT_INCARNATION: ContextVar[Incarnation | None] = ContextVar("incarnation", default=None)
 
 
 class SpinningError(RuntimeError):
@@ -57,7 +57,7 @@
 
     def run_until(self, end: float) -> None:
         """Run everything due up to virtual time ``end``."""
-        asyncio._set_running_loop(self)
+        asyncio._set_running_loop(self)  # noqa: SLF001 - as asyncio's own loops do
         try:
             while True:
                 self._run_ready()
@@ -66,7 +66,7 @@
                 self._take_due()
             self._now = end
         finally:
-            asyncio._set_running_loop(None)
+            asyncio._set_running_loop(None)  # noqa: SLF001
 
     def _take_due(self) -> None:
         when, _, first = heapq.heappop(self._timers)
@@ -78,60 +78,68 @@
         left = MAX_CALLBACKS_AT_ONCE
         while ready:
             handle = ready.popleft()
-            if handle._cancelled:
+            if handle.cancelled():
                 continue
-            life = handle._context.get(CURRENT_LIFE)  # type: ignore[attr-defined]
-            if life is not None and life.ended:
+            incarnation = handle._context.get(CURRENT_INCARNATION)  # type: ignore[attr-defined]  # noqa: SLF001
+            if incarnation is not None and incarnation.ended:
                 continue
-            if life is not None and life.frozen:
-                life.deferred.append(handle)
+            if incarnation is not None and incarnation.frozen:
+                incarnation.deferred.append(handle)
                 continue
             self.callbacks += 1
             left -= 1
             if left == 0:
                 raise SpinningError(f"at {self._now}: {handle!r}")
-            handle._run()
+            handle._run()  # noqa: SLF001 - as asyncio's own loops do
 
-    # Lives
+    # Incarnations
 
-    def spawn(self, life: Life, coroutine: Coroutine[Any, Any, Any], name: str = "") -> asyncio.Task[Any]:
-        """Run ``coroutine`` as a task of ``life``."""
+    def spawn(
+        self, incarnation: Incarnation, coroutine: Coroutine[Any, Any, Any], name: str = ""
+    ) -> asyncio.Task[Any]:
+        """Run ``coroutine`` as a task of ``incarnation``."""
         context = copy_context()
-        context.run(CURRENT_LIFE.set, life)
-        if len(life.spawned) >= SPAWNED_KEPT:
-            life.spawned = [one for one in life.spawned if getcoroutinestate(one) == CORO_CREATED]
-        life.spawned.append(coroutine)
+        context.run(CURRENT_INCARNATION.set, incarnation)
+        if len(incarnation.spawned) >= SPAWNED_KEPT:
+            incarnation.spawned = [
+                one for one in incarnation.spawned if getcoroutinestate(one) == CORO_CREATED
+            ]
+        incarnation.spawned.append(coroutine)
         return asyncio.Task(coroutine, loop=self, name=name or None, context=context)
 
-    def call_in(self, life: Life | None, delay: float, callback: Callable[..., Any], *args: Any) -> None:
-        """Call back after ``delay`` seconds as a part of ``life``; None: as a part of the world."""
+    def call_in(
+        self, incarnation: Incarnation | None, delay: float, callback: Callable[..., Any], *args: Any
+    ) -> None:
+        """Call back after ``delay`` seconds as a part of ``incarnation``; None: as a part of the world."""
         context = copy_context()
-        context.run(CURRENT_LIFE.set, life)
+        context.run(CURRENT_INCARNATION.set, incarnation)
         self._schedule(self._now + delay, callback, args, context)
 
-    def thaw(self, life: Life) -> None:
+    def thaw(self, incarnation: Incarnation) -> None:
         """Let a frozen process go on with what waited, in order."""
-        life.frozen = False
-        self._ready.extend(life.deferred)
-        life.deferred.clear()
+        incarnation.frozen = False
+        self._ready.extend(incarnation.deferred)
+        incarnation.deferred.clear()
 
-    def end(self, life: Life) -> None:
+    def end(self, incarnation: Incarnation) -> None:
         """The process is gone; none of its callbacks runs any more."""
-        life.ended = True
-        life.deferred.clear()
-        for coroutine in life.spawned:
+        incarnation.ended = True
+        incarnation.deferred.clear()
+        for coroutine in incarnation.spawned:
             if getcoroutinestate(coroutine) == CORO_CREATED:
                 coroutine.close()
-        life.spawned.clear()
+        incarnation.spawned.clear()
 
     # AbstractEventLoop
 
     def time(self) -> float:
+        """Return the virtual time in seconds."""
         return self._now
 
     def call_soon(  # type: ignore[override]
         self, callback: Callable[..., Any], *args: Any, context: Context | None = None
     ) -> Handle:
+        """Run ``callback`` after those that are ready."""
         handle = Handle(callback, args, self, context)
         self._ready.append(handle)
         return handle
@@ -139,16 +147,19 @@
     def call_soon_threadsafe(  # type: ignore[override]
         self, callback: Callable[..., Any], *args: Any, context: Context | None = None
     ) -> Handle:
+        """Run ``callback`` after those that are ready; there is one thread only."""
         return self.call_soon(callback, *args, context=context)
 
     def call_later(  # type: ignore[override]
         self, delay: float, callback: Callable[..., Any], *args: Any, context: Context | None = None
     ) -> TimerHandle:
+        """Run ``callback`` after ``delay`` seconds, or up to TIMER_LATENESS_S later."""
         return self._schedule(self._now + delay, callback, args, context)
 
     def call_at(  # type: ignore[override]
         self, when: float, callback: Callable[..., Any], *args: Any, context: Context | None = None
     ) -> TimerHandle:
+        """Run ``callback`` at the time ``when``, or up to TIMER_LATENESS_S later."""
         return self._schedule(when, callback, args, context)
 
     def _schedule(
@@ -164,24 +175,29 @@
         """A cancelled timer is dropped when its time comes."""
 
     def create_future(self) -> asyncio.Future[Any]:
+        """Return a future of this loop."""
         return asyncio.Future(loop=self)
 
     def create_task(
         self, coro: Any, *, name: str | None = None, context: Context | None = None
     ) -> asyncio.Task[Any]:
+        """Return a task of this loop, of the incarnation that calls."""
         return asyncio.Task(coro, loop=self, name=name, context=context)
 
     def get_debug(self) -> bool:
+        """Whether the loop is in debug mode: never."""
         return False
 
     def is_running(self) -> bool:
+        """Whether the loop runs: whoever asks is run by it."""
         return True
 
     def is_closed(self) -> bool:
+        """Whether the loop is closed: never."""
         return False
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        """Keep what went wrong; tasks of ended lives are destroyed while pending, which is no error."""
+        """Record errors. That a task of an ended incarnation is destroyed while pending is none."""
         error = context.get("exception")
         if error is not None:
             self.errors.append(f"{self._now:.3f} {context.get('message', '')}: {error!r}")
--- a/cherrycove/tier/simulation/control/machine_disk.py
+++ b/cherrycove/tier/simulation/control/machine_disk.py
@@ -10,7 +10,7 @@
 
 from cherrycove.tier.replication.effects import Write, WriteHardState, WriteSnapshot
 from cherrycove.tier.replication.writer import coalesce_writes
-from cherrycove.tier.simulation.control.loop import CURRENT_LIFE, Life, VirtualLoop
+from cherrycove.tier.simulation.control.loop import CURRENT_INCARNATION, Incarnation, VirtualLoop
 from cherrycove.tier.simulation.disk import SimulatedDisk
 from cherrycove.tier.storage.entries import Entry
 from cherrycove.tier.storage.hard_state import HardState
@@ -37,7 +37,8 @@
 class SimulatedStorage:
     """The storage of one incarnation of a process; implements ``replication.disk_interface.Storage``.
 
-    Writes go through ``SimulatedWriter``, so that the methods that write are never called."""
+    Writes go through ``SimulatedWriter``, so that the methods that write are never called.
+    """
 
     def __init__(self, disk: MachineDisk) -> None:
         self.disk = disk
@@ -90,13 +91,13 @@
         self._on_failed = on_failed
         self._on_skipped = on_skipped
         self._waiting: list[Write] = []
-        self._life: Life | None = None
+        self._incarnation: Incarnation | None = None
         self._has_failed = False
         self._is_stopped = False
 
     def start(self) -> None:
         """Begin to work, as a part of the process that calls."""
-        self._life = CURRENT_LIFE.get()
+        self._incarnation = CURRENT_INCARNATION.get()
 
     def submit(self, writes: list[Write]) -> None:
         """Perform ``writes`` after all that were submitted before."""
@@ -116,7 +117,7 @@
 
     def _schedule_sync(self, delay_s: float = 0.0) -> None:
         duration_s = sum(self._sync_s() for _ in self._disk.in_progress)
-        self._loop.call_in(self._life, delay_s + duration_s, self._complete)
+        self._loop.call_in(self._incarnation, delay_s + duration_s, self._complete)
 
     def _sync_s(self) -> float:
         if self._disk.slow:
@@ -128,7 +129,7 @@
         if self._is_stopped:
             return
         if self._disk.stalled_until > self._loop.time():
-            self._loop.call_in(self._life, STALLED_POLL_S, self._complete)
+            self._loop.call_in(self._incarnation, STALLED_POLL_S, self._complete)
             return
         if self._disk.full and self._reject_writes():
             return
--- a/cherrycove/tier/simulation/control/machines.py
+++ b/cherrycove/tier/simulation/control/machines.py
@@ -15,14 +15,14 @@
     Settings,
 )
 from cherrycove.tier.simulation.control.deployment import CATCH_UP_S, CONTROL_PORT, INTERNAL_PORT_RANGE
-from cherrycove.tier.simulation.control.loop import Life
+from cherrycove.tier.simulation.control.loop import Incarnation
 from cherrycove.tier.simulation.control.machine_disk import MachineDisk
 
 
 class RunningProcess(Protocol):
     """What a machine knows of its processes."""
 
-    life: Life
+    incarnation: Incarnation
 
     def begin(self) -> None:
         """Start the process as a task of its own."""
--- a/cherrycove/tier/simulation/control/mutations.py
+++ b/cherrycove/tier/simulation/control/mutations.py
@@ -1,4 +1,4 @@
-"""Guards of the control side that can be taken out; the scenario of each one's point must notice."""
+"""Mutations of the control side: each takes one guard out, which the worlds of its scenario must notice."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from cherrycove.tier.replication.pending_proposals import PendingProposals
 from cherrycove.tier.replication.primary import Primary
 from cherrycove.tier.replication.replicator import PeerReplicator
-from cherrycove.tier.simulation import mutations as of_the_group
+from cherrycove.tier.simulation import mutations as group_mutations
 from cherrycove.tier.simulation.control import network
 from cherrycove.tier.simulation.control.network import Client
 from cherrycove.tier.simulation.control.runtime import SimulatedRuntime
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class Mutation:
-    """A guard, taken out by ``patches``; worlds of ``scenario`` must break without it."""
+    """A guard, taken out by ``patches``; worlds of ``scenario`` must break an invariant without it."""
 
     scenario: str
     patches: Callable[[], Patches]
@@ -203,8 +203,8 @@
     yield mock.patch.object(Client, "take_stray", take)
 
 
-def _of_the_group(name: str) -> Callable[[], Patches]:
-    return of_the_group.MUTATIONS[name]
+def _of_group(name: str) -> Callable[[], Patches]:
+    return group_mutations.MUTATIONS[name]
 
 
 MUTATIONS: dict[str, Mutation] = {
@@ -212,24 +212,24 @@
     "pulls-answered-without-lease": Mutation("cut-off", _pulls_answered_without_lease),
     "reads-without-lease": Mutation("cut-off", _reads_without_lease),
     "refusals-without-lease": Mutation("cut-off", _refusals_without_lease),
-    "vote-within-lease": Mutation("cut-off", _of_the_group("vote-within-lease")),
+    "vote-within-lease": Mutation("cut-off", _of_group("vote-within-lease")),
     "decisions-at-the-same-time": Mutation("races", _decisions_at_the_same_time),
     "base-not-checked-when-applied": Mutation("races", _base_not_checked_when_applied),
     "no-barrier-after-an-uncertain-change": Mutation("races", _no_barrier_after_an_uncertain_change),
     "uncertain-is-refused": Mutation("races", _uncertain_is_refused),
     "accepted-digests-forgotten": Mutation("races", _accepted_digests_forgotten),
     "decides-before-its-first-entry": Mutation("restart", _decides_before_its_first_entry),
-    "one-copy-fewer": Mutation("second-loss", _of_the_group("one-copy-fewer")),
-    "new-list-alone": Mutation("second-loss", _of_the_group("new-list-alone")),
+    "one-copy-fewer": Mutation("second-loss", _of_group("one-copy-fewer")),
+    "new-list-alone": Mutation("second-loss", _of_group("new-list-alone")),
     "emptied-keeps-identity": Mutation("second-loss", _emptied_keeps_identity),
     "taken-in-before-it-caught-up": Mutation("second-loss", _taken_in_before_it_caught_up),
-    "acknowledge-before-sync": Mutation("restart", _of_the_group("acknowledge-before-sync")),
-    "commit-before-own-sync": Mutation("restart", _of_the_group("commit-before-own-sync")),
-    "vote-before-sync": Mutation("restart", _of_the_group("vote-before-sync")),
-    "vote-without-log-check": Mutation("restart", _of_the_group("vote-without-log-check")),
-    "count-copies-of-older-epochs": Mutation("restart", _of_the_group("count-copies-of-older-epochs")),
+    "acknowledge-before-sync": Mutation("restart", _of_group("acknowledge-before-sync")),
+    "commit-before-own-sync": Mutation("restart", _of_group("commit-before-own-sync")),
+    "vote-before-sync": Mutation("restart", _of_group("vote-before-sync")),
+    "vote-without-log-check": Mutation("restart", _of_group("vote-without-log-check")),
+    "count-copies-of-older-epochs": Mutation("restart", _of_group("count-copies-of-older-epochs")),
     "restarted-quorum-needs-no-lease-to-end": Mutation(
-        "restart", _of_the_group("restarted-quorum-needs-no-lease-to-end")
+        "restart", _of_group("restarted-quorum-needs-no-lease-to-end")
     ),
     "snapshot-without-digests": Mutation("restart", _snapshot_without_digests),
     "batches-for-another-disk-are-taken": Mutation("misdelivery", _batches_for_another_disk_are_taken),
@@ -241,8 +241,8 @@
 
 
 @contextmanager
-def without(name: str) -> Iterator[None]:
-    """Run with the guard ``name`` taken out; "" takes out none."""
+def apply_mutation(name: str) -> Iterator[None]:
+    """Apply the mutation ``name``, which takes one guard out, for a while; "" applies none."""
     with ExitStack() as stack:
         for patch in MUTATIONS[name].patches() if name else ():
             stack.enter_context(patch)
--- a/cherrycove/tier/simulation/control/network.py
+++ b/cherrycove/tier/simulation/control/network.py
@@ -1,7 +1,7 @@
-"""A simulated network: links that delay, hold up and cut, and calls over them.
+"""A simulated network: links with delays, losses and cuts, and calls over them.
 
 A call travels as its bytes. What is on a link that is cut waits for the cut to end, as TCP does, unless its
-connection is given up before; a dead process resets, a machine without power says nothing.
+connection is closed before; a process that has ended resets, a machine without power does not answer.
 """
 
 from __future__ import annotations
@@ -16,20 +16,18 @@
 
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol.calls import Caller, HandlerTable, OutgoingCall, ReplyT, RequestT
-from cherrycove.tier.simulation.control.loop import Life, VirtualLoop
+from cherrycove.tier.simulation.control.loop import Incarnation, VirtualLoop
 
 CONNECT_TIMEOUT_S = 0.5
 DELAY_S = (0.0003, 0.004)  # one way
 RETRANSMIT_S = 0.25  # a packet that was lost comes so much later, doubled for each further loss
 MAX_RETRANSMITS = 3
-LATE_SHARE = 0.5  # of the requests given up during a cut, that come through after it all the same
-
-Refuse = Callable[[str], Any]
+LATE_SHARE = 0.5  # of the requests that timed out during a cut, which arrive after it all the same
 
 
 @attrs.define
 class NetworkConditions:
-    """How links behave at present."""
+    """How links behave at present; shares are between 0 and 1."""
 
     loss: float = 0.0  # share of messages that are sent again after a while
     resets: float = 0.0  # share of calls whose connection is reset on the way
@@ -38,108 +36,117 @@
 
 @attrs.define(eq=False)
 class Endpoint(HandlerTable):
-    """What a process serves at its address."""
+    """The server of one process. ``identity`` is its member id, "" if calls to any member are served."""
 
-    life: Life
+    incarnation: Incarnation
     identity: str = ""
-    process: Any = None  # whose operator's interface this is
+    process: Any = None  # whose interface for operators or clients this is
 
 
 class Network:
-    """Machines by host; endpoints by address."""
+    """Links between hosts, and endpoints by address (host:port); ``powered`` has the hosts that are up."""
 
     def __init__(self, loop: VirtualLoop, random: Random) -> None:
-        self._loop = loop
+        self.loop = loop
         self._random = random
         self.conditions = NetworkConditions()
         self.powered: set[str] = set()  # hosts that are up
         self._endpoints: dict[str, Endpoint] = {}
-        self._cuts: dict[tuple[str, str], int] = {}  # directed links and how many cuts hold them
-        self._held: dict[tuple[str, str], list[Callable[[], None]]] = {}
-        self._connected: set[tuple[Life, str]] = set()  # caller and address
+        self._cuts: dict[tuple[str, str], int] = {}  # directed links, and how many cuts each has
+        self._delayed: dict[tuple[str, str], list[Callable[[], None]]] = {}
+        self._connected: set[tuple[Incarnation, str]] = set()  # caller and address
 
     # Links
 
     def cut(self, links: set[tuple[str, str]]) -> None:
+        """Cut directed links, each from a host to a host; each cut is to be joined once."""
         for link in links:
             self._cuts[link] = self._cuts.get(link, 0) + 1
 
     def join(self, links: set[tuple[str, str]]) -> None:
+        """End one cut of each link; what waited there arrives soon after the last one."""
         for link in sorted(links):
             left = self._cuts.get(link, 0) - 1
             if left > 0:
                 self._cuts[link] = left
                 continue
             self._cuts.pop(link, None)
-            for deliver in self._held.pop(link, ()):
-                self._loop.call_in(None, self._random.uniform(0.01, 0.6), deliver)
+            for deliver in self._delayed.pop(link, ()):
+                self.loop.call_in(None, self._random.uniform(0.01, 0.6), deliver)
 
     def is_cut(self, source: str, target: str) -> bool:
+        """Whether the link from ``source`` to ``target`` is cut."""
         return (source, target) in self._cuts
 
-    def is_stray(self) -> bool:
+    def draw_stray(self) -> bool:
+        """Whether another call's reply comes in place of the next one."""
         return self.conditions.strays > 0 and self._random.random() < self.conditions.strays
 
     def open(self, endpoint: Endpoint, address: str) -> None:
+        """Serve ``address`` by ``endpoint``, in place of an earlier one."""
         self._endpoints[address] = endpoint
 
     def endpoint(self, address: str) -> Endpoint | None:
+        """Return the endpoint of ``address``; None if its process has ended."""
         endpoint = self._endpoints.get(address)
-        return endpoint if endpoint is not None and not endpoint.life.ended else None
+        return endpoint if endpoint is not None and not endpoint.incarnation.ended else None
 
     def _delay(self) -> float:
         delay = self._random.uniform(*DELAY_S)
-        again = RETRANSMIT_S
+        retransmit_s = RETRANSMIT_S
         for _ in range(MAX_RETRANSMITS):
             if self._random.random() >= self.conditions.loss:
                 break
-            delay += again
-            again *= 2
+            delay += retransmit_s
+            retransmit_s *= 2
         return delay
 
-    def _carry(self, source: str, target: str, deliver: Callable[[], None]) -> None:
-        """Deliver over the link, when it is not cut."""
+    def carry(self, source: str, target: str, deliver: Callable[[], None]) -> None:
+        """Call ``deliver`` when a message has come over the link; while it is cut, the message waits."""
 
         def arrive() -> None:
             if self.is_cut(source, target):
-                self._held.setdefault((source, target), []).append(deliver)
+                self._delayed.setdefault((source, target), []).append(deliver)
             else:
                 deliver()
 
         if source == target:
-            self._loop.call_in(None, self._random.uniform(0.0001, 0.0005), deliver)
+            self.loop.call_in(None, self._random.uniform(0.0001, 0.0005), deliver)
         else:
-            self._loop.call_in(None, self._delay(), arrive)
+            self.loop.call_in(None, self._delay(), arrive)
 
     # Calls
 
     async def exchange(
         self,
         source: str,
-        life: Life,
+        incarnation: Incarnation,
         address: str,
         serve: Callable[[Endpoint], Awaitable[Any]],
         timeout_s: float,
     ) -> Result[Any, Failure]:
-        """One exchange of ``life`` at host ``source`` with whoever serves ``address``."""
+        """Exchange a request of ``incarnation`` at host ``source`` with the process that serves ``address``.
+
+        ``serve`` runs there. UNREACHABLE: nothing was sent; UNCERTAIN: the request may have run.
+        """
         target = address.rpartition(":")[0]
-        answer: asyncio.Future[Any] = self._loop.create_future()
-        connection = (life, address)
-        fresh = connection not in self._connected
-        blocked = self.is_cut(source, target) or self.is_cut(target, source)
-        if target not in self.powered or (fresh and blocked):
+        answer: asyncio.Future[Any] = self.loop.create_future()
+        connection = (incarnation, address)
+        is_new = connection not in self._connected
+        is_blocked = self.is_cut(source, target) or self.is_cut(target, source)
+        if target not in self.powered or (is_new and is_blocked):
             self._connected.discard(connection)
             await asyncio.sleep(min(CONNECT_TIMEOUT_S, timeout_s))
             return Err(Failure(ErrorKind.UNREACHABLE, f"{address}: no connection"))
         self._connected.add(connection)
         call = _Call(self, source, target, address, serve, answer)
-        self._carry(source, target, call.arrive)
+        self.carry(source, target, call.arrive)
         if self._random.random() < self.conditions.resets:
-            self._loop.call_in(life, self._random.uniform(0.0, 0.02), call.reset)
+            self.loop.call_in(incarnation, self._random.uniform(0.0, 0.02), call.reset)
         done, _ = await asyncio.wait([answer], timeout=timeout_s)
         if not done:
             self._connected.discard(connection)
-            call.given_up = self._random.random() >= LATE_SHARE
+            call.is_abandoned = self._random.random() >= LATE_SHARE
             return Err(Failure(ErrorKind.UNCERTAIN, f"{address}: no answer in time"))
         if isinstance(answer.result(), Err):
             self._connected.discard(connection)
@@ -148,7 +155,7 @@
 
 
 class _Call:
-    """One exchange on its way."""
+    """One exchange in flight."""
 
     def __init__(
         self,
@@ -165,24 +172,24 @@
         self._address = address
         self._serve = serve
         self._answer = answer
-        self.given_up = False
+        self.is_abandoned = False
 
     def arrive(self) -> None:
         network = self._network
-        if self.given_up or self._target not in network.powered:
+        if self.is_abandoned or self._target not in network.powered:
             return
         endpoint = network.endpoint(self._address)
         if endpoint is None:
-            self._back(Err(Failure(ErrorKind.UNREACHABLE, f"{self._address}: refused")))
+            self._reply(Err(Failure(ErrorKind.UNREACHABLE, f"{self._address}: refused")))
             return
-        network._loop.spawn(endpoint.life, self._run(endpoint))
+        network.loop.spawn(endpoint.incarnation, self._run(endpoint))
 
     async def _run(self, endpoint: Endpoint) -> None:
         outcome = await self._serve(endpoint)
-        self._back(Ok(outcome))
+        self._reply(Ok(outcome))
 
-    def _back(self, result: Result[Any, Failure]) -> None:
-        self._network._carry(self._target, self._source, lambda: self._finish(result))
+    def _reply(self, result: Result[Any, Failure]) -> None:
+        self._network.carry(self._target, self._source, lambda: self._finish(result))
 
     def _finish(self, result: Result[Any, Failure]) -> None:
         if not self._answer.done():
@@ -195,32 +202,35 @@
 class Client(Caller):
     """The internal calls of one process."""
 
-    def __init__(self, network: Network, host: str, life: Life) -> None:
+    def __init__(self, network: Network, host: str, incarnation: Incarnation) -> None:
         self._network = network
         self._host = host
-        self._life = life
+        self._incarnation = incarnation
         self._earlier: dict[str, bytes] = {}  # an earlier reply from each address, which may come again
 
     async def send(self, call: OutgoingCall[RequestT, ReplyT]) -> Result[ReplyT, Failure]:
+        """Send ``call`` once, as ``Caller`` describes."""
         body = call.request.SerializeToString()
 
         async def serve(endpoint: Endpoint) -> Result[bytes, Failure]:
             return await _serve(endpoint, call.method.name, body, call.receiver)
 
-        outcome = await self._network.exchange(self._host, self._life, call.address, serve, call.timeout_s)
+        outcome = await self._network.exchange(
+            self._host, self._incarnation, call.address, serve, call.timeout_s
+        )
         if isinstance(outcome, Err):
             return outcome
         answer: Result[bytes, Failure] = outcome.ok_value
         if isinstance(answer, Err):
             return answer
         stray = self._earlier.get(call.address)
-        if stray is not None and self._network.is_stray():
+        if stray is not None and self._network.draw_stray():
             return self.take_stray(stray, call.method.reply_type)
         self._earlier[call.address] = answer.ok_value
         return Ok(call.method.reply_type.FromString(answer.ok_value))
 
-    def take_stray(self, body: bytes, reply_type: type[ReplyT]) -> Result[ReplyT, Failure]:
-        """A reply to another call is dropped with its connection, as ``protocol.rpc`` does by its number."""
+    def take_stray(self, _body: bytes, _reply_type: type[ReplyT]) -> Result[ReplyT, Failure]:
+        """Drop the reply to another call with its connection, as ``protocol.rpc`` does by its number."""
         return Err(Failure(ErrorKind.UNCERTAIN, "the reply to another call"))
 
 
--- a/cherrycove/tier/simulation/control/processes.py
+++ b/cherrycove/tier/simulation/control/processes.py
@@ -1,4 +1,4 @@
-"""Simulated processes: the real planes, assembled as ``programs`` assembles them, without listeners."""
+"""Simulated processes: the real controllers, stores and proxies, as in ``programs``, without sockets."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 from cherrycove.tier.simulation.control.deployment import CONTROL_PORT, FRONT_PORT
 from cherrycove.tier.simulation.control.environment import Environment
 from cherrycove.tier.simulation.control.history import change_in
-from cherrycove.tier.simulation.control.loop import Life
+from cherrycove.tier.simulation.control.loop import Incarnation
 from cherrycove.tier.simulation.control.machines import Machine
 from cherrycove.tier.simulation.control.runtime import EmptyPlatform
 
 
 class Process:
-    """One start of one program on one machine."""
+    """One incarnation of one program on one machine, which it ends with."""
 
     program = ""
 
@@ -46,33 +46,36 @@
         self.environment = environment
         self.machine = machine
         machine.starts += 1
-        self.life = Life(f"{self.program}@{machine.name}/{machine.host}#{machine.starts}")
+        self.incarnation = Incarnation(f"{self.program}@{machine.name}/{machine.host}#{machine.starts}")
         self.settings = machine.settings(environment.faults)
-        self.leaving = False
+        self.is_leaving = False
         self.random = Random(environment.random.random())
-        self.client = environment.runtime.client(machine, self.life)
-        self.endpoint = environment.runtime.serve(machine, self.life, self.program)
+        self.client = environment.runtime.client(machine, self.incarnation)
+        self.endpoint = environment.runtime.serve(machine, self.incarnation, self.program)
 
     def begin(self) -> None:
-        self.environment.loop.spawn(self.life, self.start(), name=self.life.name)
+        """Start the process as a task of its own."""
+        self.environment.loop.spawn(self.incarnation, self.start(), name=self.incarnation.name)
 
     async def start(self) -> None:
+        """Start what the program consists of."""
         raise NotImplementedError
 
     async def stop(self) -> None:
-        """End in order."""
+        """Shut down gracefully."""
         raise NotImplementedError
 
 
 class ReplicaProcess(Process):
-    """What keepers and stores share."""
+    """What controllers and stores share: a member of a replicated group."""
 
     group: ReplicatedGroup
-    fresh: bool
+    is_fresh: bool  # whether the disk was empty
 
     def open_group(self, state: Any) -> None:
+        """Create the member, with ``state`` as its state machine."""
         runtime = self.environment.runtime
-        member_id, self.fresh = runtime.identity(self.machine, self.program)
+        member_id, self.is_fresh = runtime.identity(self.machine, self.program)
         self.endpoint.identity = member_id
         settings = self.settings
         identity = MemberIdentity(
@@ -92,39 +95,41 @@
         self.group = create_group(options)
 
     def announce(self) -> Announcement:
+        """Return what the process announces with its pulls."""
         return replica_announcement(
             self.program,
             self.settings,
             self.group,
-            fresh=self.fresh,
-            incarnation=self.life.name,
-            leaving=self.leaving,
+            fresh=self.is_fresh,
+            incarnation=self.incarnation.name,
+            leaving=self.is_leaving,
         )
 
 
-class WatchedState(ControlState):
-    """Tells the world of every change that was accepted."""
+class ObservedState(ControlState):
+    """Records every change that is accepted in the world's history."""
 
     def __init__(self, process: Process) -> None:
         super().__init__()
         self._process = process
 
     def apply(self, index: int, command: bytes) -> AcceptOutcome | Applied:
+        """Apply a committed command."""
         outcome = super().apply(index, command)
         change = change_in(command) if outcome is AcceptOutcome.ACCEPTED else None
         if change is not None:
-            self._process.environment.history.accepted(self._process.life.name, index, change)
+            self._process.environment.history.accepted(self._process.incarnation.name, index, change)
         return outcome
 
 
 class ControllerProcess(ReplicaProcess):
-    """As ``programs.keeper``."""
+    """A controller, as ``programs.controller`` assembles it."""
 
     program = CONTROLLER_PROGRAM
 
     def __init__(self, environment: Environment, machine: Machine) -> None:
         super().__init__(environment, machine)
-        self.state = WatchedState(self)
+        self.state = ObservedState(self)
         self.open_group(self.state)
         self.views = ClusterView()
         self.controller = Controller(
@@ -139,33 +144,35 @@
         self.puller = Puller(self.settings, self.client, self.views, self.announce)
 
     async def start(self) -> None:
-        self._watch_pulls()
+        """Start what the program consists of, in its order."""
+        self._check_pulls()
         await self.group.start(self._initial_members())
         await self.controller.start()
         self.environment.network.open(self.endpoint, f"{self.machine.host}:{CONTROL_PORT}")
         self.endpoint.process = self
         await self.puller.start()
 
-    def _watch_pulls(self) -> None:
-        """What is handed out to a puller is judged as it leaves."""
+    def _check_pulls(self) -> None:
+        """Check each answer to a pull as it leaves."""
         pull = self.endpoint.handler(PULL)
         history = self.environment.history
 
-        async def watched(request: PullRequest) -> Result[PullReply, Failure]:
+        async def checked(request: PullRequest) -> Result[PullReply, Failure]:
             floor = history.newest_version
             outcome = await pull(request)
             if isinstance(outcome, Ok):
-                held = VersionVector(request.versions).get(CONFIGURATION).sequence
+                known = VersionVector(request.versions).get(CONFIGURATION).sequence
                 newer = [update.configuration.version for update in outcome.ok_value.updates]
-                history.read(self.life.name, max([held, *newer]), None, floor)
+                history.read(self.incarnation.name, max([known, *newer]), None, floor)
                 isolated_s = self.machine.isolated_for_s(self.environment.now)
-                history.check_authority(self.life.name, "handed out", isolated_s)
+                history.check_authority(self.incarnation.name, "answered a pull", isolated_s)
             return outcome
 
-        self.endpoint.register(PULL, watched)
+        self.endpoint.register(PULL, checked)
 
     async def stop(self) -> None:
-        self.leaving = True
+        """Shut down gracefully."""
+        self.is_leaving = True
         self.puller.announce_now()
         await self.group.stop()
         await self.puller.stop()
@@ -181,7 +188,7 @@
 
 
 class StoreProcess(ReplicaProcess):
-    """As ``programs.store``."""
+    """A store, as ``programs.store`` assembles it."""
 
     program = STORE_PROGRAM
 
@@ -203,12 +210,14 @@
         self._membership = StoreMembership(self.settings, self.group, self.views, self.endpoint)
 
     async def start(self) -> None:
+        """Start what the program consists of, in its order."""
         await self.group.start()
         await self.store.start()
         await self.puller.start()
 
     async def stop(self) -> None:
-        self.leaving = True
+        """Shut down gracefully."""
+        self.is_leaving = True
         self.puller.announce_now()
         await self.group.stop()
         await self.puller.stop()
@@ -216,7 +225,7 @@
 
 
 class ProxyProcess(Process):
-    """The part of a proxy that follows the keepers."""
+    """The part of a proxy that follows the controllers and runs batch items."""
 
     program = PROXY_PROGRAM
 
@@ -225,18 +234,25 @@
         self.views = ClusterView()
         self.puller = Puller(self.settings, self.client, self.views, self.announce)
         self.batch = BatchClient(self.client, self.views, self.settings)
-        executor = SimulatedExecutor(environment, self.life.name, self.random)
+        executor = SimulatedExecutor(environment, self.incarnation.name, self.random)
         self.worker = BatchWorker(
-            self.settings, self.batch, executor, self.views, self.life.name, clock=environment.loop.time
+            self.settings,
+            self.batch,
+            executor,
+            self.views,
+            self.incarnation.name,
+            clock=environment.loop.time,
         )
-        self._newest = 0
-        self.views.on_change(self._changed)
+        self._newest_version = 0
+        self.views.on_change(self._check_version)
 
     @property
     def version(self) -> int:
+        """Version of the configuration in use; 0 without one."""
         return 0 if self.views.configuration is None else self.views.configuration.version
 
     async def start(self) -> None:
+        """Start what the program consists of, in its order."""
         await self.puller.start()
         if self.environment.topology.stores:
             await self.worker.start()
@@ -244,25 +260,28 @@
             self.environment.network.open(self.endpoint, f"{self.machine.host}:{FRONT_PORT}")
 
     async def stop(self) -> None:
-        self.leaving = True
+        """Shut down gracefully."""
+        self.is_leaving = True
         await self.worker.stop()
         await self.puller.stop()
 
     def announce(self) -> Announcement:
+        """Return what the process announces with its pulls."""
         return Announcement(
             node_name=self.settings.node_name,
             program=PROXY_PROGRAM,
             ip=self.settings.ip_address,
             zone=self.settings.zone,
-            incarnation=self.life.name,
+            incarnation=self.incarnation.name,
             configuration_version=self.version,
         )
 
-    def _changed(self) -> None:
+    def _check_version(self) -> None:
         self.environment.history.require(
-            self.version >= self._newest, f"{self.life.name} went back from {self._newest} to {self.version}"
+            self.version >= self._newest_version,
+            f"{self.incarnation.name} went back from {self._newest_version} to {self.version}",
         )
-        self._newest = self.version
+        self._newest_version = self.version
 
 
 PROCESS_TYPES: dict[str, type[Process]] = {
--- a/cherrycove/tier/simulation/control/run.py
+++ b/cherrycove/tier/simulation/control/run.py
@@ -13,6 +13,7 @@
 from cherrycove.tier.simulation.control.deployment import ACKNOWLEDGE_S
 from cherrycove.tier.simulation.control.fault_injector import FaultInjector
 from cherrycove.tier.simulation.control.fault_schedule import FaultSchedule
+from cherrycove.tier.simulation.control.operator_orders import read_order
 from cherrycove.tier.simulation.control.operators import Operators
 from cherrycove.tier.simulation.control.scenarios import SCENARIOS
 from cherrycove.tier.simulation.control.world import World
@@ -29,7 +30,8 @@
 class Outcome:
     """What a run came to.
 
-    Counts: changes acknowledged, orders answered, jobs acknowledged, callbacks run, faults by kind."""
+    Counts: changes acknowledged, orders answered, jobs acknowledged, callbacks run, faults by kind.
+    """
 
     seed: int
     acknowledged: int
@@ -51,7 +53,7 @@
         topology = self._random.choice(self._scenario.topologies)
         self.world = World(self._random.getrandbits(48), topology)
         self._injector = FaultInjector(self.world, Random(self._random.random()))
-        self.operators = Operators(self.world, self._scenario.habits)
+        self.operators = Operators(self.world, self._scenario.workload)
         self._clients = BatchClients(self.world)
         self._schedule = FaultSchedule(
             self._scenario, self.world, self._injector, self.operators, self._random
@@ -92,9 +94,9 @@
         loop, cluster = self.world.environment.loop, self.world.cluster
         for machine in (*cluster.machines, *cluster.proxies):
             for process in machine.running.values():
-                loop.end(process.life)
-        loop.end(self.operators.life)
-        loop.end(self._clients.life)
+                loop.end(process.incarnation)
+        loop.end(self.operators.incarnation)
+        loop.end(self._clients.incarnation)
 
     def _read_configuration(self) -> None:
         """The configuration can be read within the time that is promised without faults."""
@@ -104,7 +106,7 @@
         answered = operators.answered
         operators.active = False
         world.run_until(world.now + LAST_ORDERS_S)
-        environment.loop.spawn(operators.life, operators.send(operators.read_order()))
+        environment.loop.spawn(operators.incarnation, operators.send(read_order()))
         deadline = world.now + ACKNOWLEDGE_S
         while operators.answered == answered and world.now < deadline:
             world.run_until(world.now + READ_STEP_S)
@@ -117,12 +119,12 @@
         unread = {job.request.job_id for job in environment.jobs.acknowledged()}
 
         async def read(job_id: str) -> None:
-            while await self._clients.read(job_id, 0) is None:
+            while await self._clients.read(job_id, 0) is None:  # noqa: ASYNC110 - retries a call
                 await asyncio.sleep(READ_STEP_S)
             unread.discard(job_id)
 
         for job_id in sorted(unread):
-            environment.loop.spawn(self._clients.life, read(job_id))
+            environment.loop.spawn(self._clients.incarnation, read(job_id))
         deadline = world.now + READ_JOBS_S
         while unread and world.now < deadline:
             world.run_until(world.now + READ_STEP_S)
@@ -132,7 +134,8 @@
 def run_world(name: str, seed: int, duration_s: float = 0.0) -> Outcome:
     """Run one world without logs; raises ``InvariantBrokenError`` at the first violation.
 
-    Garbage is collected after the run only: a world makes many objects and few cycles."""
+    Garbage is collected after the run only: a world makes many objects and few cycles.
+    """
     disabled_before = logging.root.manager.disable
     logging.disable(logging.CRITICAL)
     gc.disable()
--- a/cherrycove/tier/simulation/control/runtime.py
+++ b/cherrycove/tier/simulation/control/runtime.py
@@ -11,7 +11,7 @@
 from cherrycove.tier.errors import Failure
 from cherrycove.tier.protocol.control_pb2 import BrokerList
 from cherrycove.tier.replication.runtime import Runtime
-from cherrycove.tier.simulation.control.loop import Life, VirtualLoop
+from cherrycove.tier.simulation.control.loop import Incarnation, VirtualLoop
 from cherrycove.tier.simulation.control.machine_disk import MachineDisk, SimulatedStorage, SimulatedWriter
 from cherrycove.tier.simulation.control.machines import Machine
 from cherrycove.tier.simulation.control.network import Client, Endpoint, Network
@@ -44,13 +44,13 @@
         self._random = random
         self._faults = faults
 
-    def client(self, machine: Machine, life: Life) -> Client:
+    def client(self, machine: Machine, incarnation: Incarnation) -> Client:
         """Return the client for the internal calls of a process on ``machine``."""
-        return Client(self._network, machine.host, life)
+        return Client(self._network, machine.host, incarnation)
 
-    def serve(self, machine: Machine, life: Life, program: str) -> Endpoint:
+    def serve(self, machine: Machine, incarnation: Incarnation, program: str) -> Endpoint:
         """Open the endpoint of ``program`` at its internal address on ``machine``."""
-        endpoint = Endpoint(life)
+        endpoint = Endpoint(incarnation)
         address = machine.settings(self._faults).internal_address(program)
         self._network.open(endpoint, address)
         return endpoint
--- a/cherrycove/tier/simulation/control/scenarios.py
+++ b/cherrycove/tier/simulation/control/scenarios.py
@@ -5,7 +5,7 @@
 import attrs
 
 from cherrycove.tier.simulation.control.deployment import Topology
-from cherrycove.tier.simulation.control.operators import Habits
+from cherrycove.tier.simulation.control.operator_orders import Workload
 
 SMALL = Topology(faults=1, machines=3, proxies=2)
 WITH_STANDBY = Topology(faults=1, machines=4, proxies=2)
@@ -28,7 +28,7 @@
     weights: dict[str, int]
     topologies: tuple[Topology, ...] = (SMALL, WITH_STANDBY, LARGE)
     duration_s: tuple[float, float] = (20.0, 45.0)
-    habits: Habits = Habits()
+    workload: Workload = Workload()
     immediate_share: float = 0.5
     pause_s: float = 6.0
     primary_share: float = 0.4
@@ -40,8 +40,9 @@
     "cut-off": Scenario(weights={"cut": 8, "steps": 4, "freeze": 2, "storm": 1, "kill": 1}),
     "races": Scenario(
         weights={"kill": 3, "stop": 3, "cut": 2, "freeze": 2, "storm": 2, "all": 1},
-        habits=Habits(
-            operators=6, pause_s=0.35, document_bytes=(400, 4_000), lost_answers=0.25, again=0.3, twice=0.4
+        workload=Workload(
+            operators=6, pause_s=0.35, document_bytes=(400, 4_000),
+            lost_answers_share=0.25, resent_share=0.3, duplicated_share=0.4,
         ),
     ),
     "second-loss": Scenario(
@@ -50,19 +51,19 @@
             "add": 3, "retire": 4, "all": 1, "freeze": 1,
         },
         topologies=(SMALL, WITH_STANDBY, LARGE, WITH_STORES, MANY_WITH_STORES),
-        habits=Habits(document_bytes=(400, 8_000), reads=0.1),
+        workload=Workload(document_bytes=(400, 8_000), reads_share=0.1),
         immediate_share=0.9,
         after_acknowledgement_share=0.05,
     ),
     "restart": Scenario(
         weights={"kill": 5, "stop": 2, "all": 3, "disk": 2, "freeze": 1},
-        habits=Habits(operators=4, pause_s=0.3, document_bytes=(16_000, 64_000), reads=0.1),
+        workload=Workload(operators=4, pause_s=0.3, document_bytes=(16_000, 64_000), reads_share=0.1),
         after_acknowledgement_share=0.05,
     ),
     "misdelivery": Scenario(
         weights={"storm": 4, "wipe": 4, "kill": 3, "cut": 1, "blink": 4, "replace": 2},
         topologies=(SMALL, WITH_STANDBY, WITH_STORES, MANY_WITH_STORES),
-        habits=Habits(document_bytes=(400, 4_000)),
+        workload=Workload(document_bytes=(400, 4_000)),
         immediate_share=0.8,
     ),
     "mix": Scenario(
--- a/cherrycove/tier/simulation/effects_runner.py
+++ b/cherrycove/tier/simulation/effects_runner.py
@@ -19,7 +19,10 @@
 
 
 class EffectsRunner:
-    """Stands where ``replication.group`` stands in a process. ``acknowledged`` counts confirmed proposals."""
+    """Does for a simulated replica what ``replication.group`` does in a process.
+
+    ``acknowledged`` counts the proposals that were applied where they were made.
+    """
 
     def __init__(
         self,
@@ -39,7 +42,7 @@
         self._disks = disks
         self._proposals: set[tuple[str, int, int]] = set()  # member id, index and epoch of those pending
         self.acknowledged = 0
-        self.on_effects: Callable[[Replica, Effects], None] = lambda replica, effects: None
+        self.on_effects: Callable[[Replica, Effects], None] = lambda _replica, _effects: None
 
     def add_proposal(self, replica: Replica, index: int, epoch: int) -> None:
         """Record a proposal of ``replica``, which counts as acknowledged when it applies it."""
--- a/cherrycove/tier/simulation/fault_budget.py
+++ b/cherrycove/tier/simulation/fault_budget.py
@@ -63,7 +63,8 @@
     def retired(self, machine: str) -> None:
         """Record that ``machine`` was switched off after its order to retire was completed: that is no loss.
 
-        One that was still catching up counts on for that time: it may be the successor of another."""
+        One that was still catching up counts on for that time: it may be the successor of another.
+        """
         self._active_faults.pop(machine, None)
 
     def lost(self, now: float) -> set[str]:
--- a/cherrycove/tier/simulation/fault_injector.py
+++ b/cherrycove/tier/simulation/fault_injector.py
@@ -18,7 +18,8 @@
 class FaultInjector:
     """Strikes on demand, and reports each fault of a machine to the world's fault budget.
 
-    ``on_end`` is called at the end of each fault of a machine."""
+    ``on_end`` is called at the end of each fault of a machine.
+    """
 
     def __init__(self, world: World, random: Random, *, emptied_keeps_identity: bool) -> None:
         """``emptied_keeps_identity`` breaks the rule that an emptied disk is a new member."""
--- a/cherrycove/tier/simulation/fault_schedule.py
+++ b/cherrycove/tier/simulation/fault_schedule.py
@@ -84,7 +84,8 @@
     def _kinds(self) -> list[ReplicaFault]:
         """Return the faults to choose from.
 
-        A world within the budget strikes all machines only now and then, or all would be lost always."""
+        A world within the budget strikes all machines only now and then, or all would be lost always.
+        """
         if self._keeps_to_budget and self._random.random() > STRIKE_ALL_SHARE:
             return self._single_faults()
         return [*self._single_faults(), *self._common_faults()]
--- a/cherrycove/tier/simulation/invariants.py
+++ b/cherrycove/tier/simulation/invariants.py
@@ -109,7 +109,8 @@
         That is all that was committed, unless a primary of a newer epoch has led already. Then the votes for
         this one were on their way for longer than the other election took, which no protocol without a common
         clock can rule out. What the newer primary commits is on disks that have voted in its epoch, so this
-        one is never confirmed and commits nothing, which is checked at each of its steps."""
+        one is never confirmed and commits nothing, which is checked at each of its steps.
+        """
         base = self._committed.get(machine.base_index)
         known = machine.base_index == 0 or base is not None
         self.require(known, f"{replica.name} has a snapshot at {machine.base_index} that nobody committed")
@@ -125,7 +126,8 @@
     def check_fault_tolerance(self, replicas: Sequence[Replica], lost: set[str], now: float) -> None:
         """As many further machines as the fault budget allows may be lost now, with their disks.
 
-        ``lost`` are the names of the machines that are lost at ``now``, in seconds."""
+        ``lost`` are the names of the machines that are lost at ``now``, in seconds.
+        """
         further = self._faults - len(lost)
         if further < 0 or not self._members:
             return
--- a/cherrycove/tier/simulation/mutations.py
+++ b/cherrycove/tier/simulation/mutations.py
@@ -1,4 +1,4 @@
-"""Guards that can be taken out of the protocol, to show that the invariants notice their absence."""
+"""Mutations of the replication protocol: each takes one guard out, which the invariants must notice."""
 
 from __future__ import annotations
 
@@ -130,13 +130,13 @@
     "silent-members-stay": _silent_members_stay,
     "retiring-while-others-are-silent": _retiring_while_others_are_silent,
 }
-EMPTIED_KEEPS_IDENTITY = "emptied-keeps-identity"  # a mutation of the world, not of the protocol
+EMPTIED_KEEPS_IDENTITY = "emptied-keeps-identity"  # a mutation of the simulated world, not of the protocol
 NAMES = (*MUTATIONS, EMPTIED_KEEPS_IDENTITY)
 
 
 @contextmanager
-def without(name: str) -> Iterator[None]:
-    """Run with the guard ``name`` taken out; "" takes out none."""
+def apply_mutation(name: str) -> Iterator[None]:
+    """Apply the mutation ``name``, which takes one guard out, for a while; "" applies none."""
     with ExitStack() as stack:
         for patch in MUTATIONS[name]() if name in MUTATIONS else ():
             stack.enter_context(patch)
--- a/cherrycove/tier/simulation/network.py
+++ b/cherrycove/tier/simulation/network.py
@@ -34,7 +34,8 @@
 class SimulatedNetwork:
     """Carries messages between the replicas of one world. A message that meets a cut link is lost.
 
-    ``cuts`` has directed links, as addresses of a sender and a receiver."""
+    ``cuts`` has directed links, as addresses of a sender and a receiver.
+    """
 
     def __init__(
         self,
--- a/cherrycove/tier/simulation/targeted_faults.py
+++ b/cherrycove/tier/simulation/targeted_faults.py
@@ -27,7 +27,8 @@
 class TargetedFaults:
     """At most one trigger is armed at a time, and it fires at most once.
 
-    Clients are to be idle until ``clients_idle_until``."""
+    Clients are to be idle until ``clients_idle_until``.
+    """
 
     def __init__(self, world: World, random: Random, injector: FaultInjector) -> None:
         self._world = world
@@ -54,7 +55,8 @@
     def _cut_backup_from_primary(self) -> None:
         """Cut a replica off from the primary, both ways, so that it campaigns.
 
-        Clients are idle meanwhile, or its log would be too old for it to be elected."""
+        Clients are idle meanwhile, or its log would be too old for it to be elected.
+        """
         world = self._world
         self.clients_idle_until = world.now + LINK_CUT_S
         backup = self._random.choice(world.replicas)
--- a/cherrycove/tier/simulation/world.py
+++ b/cherrycove/tier/simulation/world.py
@@ -37,7 +37,8 @@
     """Replicas of one group on virtual time. Everything random comes from ``random``.
 
     The replicas are those that there are, running or not; ``retiring`` has the names of the machines that are
-    ordered to retire."""
+    ordered to retire.
+    """
 
     def __init__(
         self, random: Random, faults: int, initial: int, standbys: int, catch_up_s: float = CATCH_UP_S
@@ -77,7 +78,8 @@
     def handle_event(self, replica: Replica, incarnation: int, action: MachineAction) -> None:
         """Let the machine of ``replica`` handle an event, and check it.
 
-        The event is dropped if that incarnation of the process has ended, and waits if it is frozen."""
+        The event is dropped if that incarnation of the process has ended, and waits if it is frozen.
+        """
         machine = replica.machine
         if replica.incarnation != incarnation or machine is None:
             return
@@ -95,7 +97,7 @@
         """Start the process of ``replica``."""
         replica.start(self.faults, Random(self.random.random()), self.now)
         incarnation = replica.incarnation
-        self.handle_event(replica, incarnation, lambda machine: None)
+        self.handle_event(replica, incarnation, lambda _machine: None)
         if replica.disk.member_id in {member.member_id for member in self.initial_members}:
             delay_s = self.random.choice(BOOTSTRAP_DELAYS_S)
             self.after(delay_s, lambda: self.handle_event(replica, incarnation, self._bootstrap))
--- a/tests/tier/test_control_simulation.py
+++ b/tests/tier/test_control_simulation.py
@@ -16,12 +16,13 @@
 from cherrycove.tier.replication.effects import WriteEntries
 from cherrycove.tier.simulation.control.deployment import CATCH_UP_S, Topology
 from cherrycove.tier.simulation.control.fault_budget import FaultBudget
-from cherrycove.tier.simulation.control.loop import Life, VirtualLoop
+from cherrycove.tier.simulation.control.loop import Incarnation, VirtualLoop
 from cherrycove.tier.simulation.control.machine_disk import MachineDisk
 from cherrycove.tier.simulation.control.machines import Machine
-from cherrycove.tier.simulation.control.mutations import MUTATIONS, without
+from cherrycove.tier.simulation.control.mutations import MUTATIONS, apply_mutation
 from cherrycove.tier.simulation.control.network import Client, Endpoint, Network
-from cherrycove.tier.simulation.control.operators import Habits, Operators
+from cherrycove.tier.simulation.control.operator_orders import Workload, read_order
+from cherrycove.tier.simulation.control.operators import Operators
 from cherrycove.tier.simulation.control.run import Run, run_world
 from cherrycove.tier.simulation.control.scenarios import NAMES
 from cherrycove.tier.simulation.control.world import World
@@ -39,7 +40,7 @@
 
 def test_time_jumps_and_a_frozen_process_goes_on_where_it_stood() -> None:
     virtual = loop()
-    life = Life("p")
+    incarnation = Incarnation("p")
     seen: list[float] = []
 
     async def work() -> None:
@@ -47,29 +48,29 @@
             await asyncio.sleep(10.0)
             seen.append(virtual.time())
 
-    virtual.spawn(life, work())
+    virtual.spawn(incarnation, work())
     virtual.run_until(15.0)
-    life.frozen = True
+    incarnation.frozen = True
     virtual.run_until(100.0)
     assert [round(at, 1) for at in seen] == [10.0]
-    virtual.thaw(life)
+    virtual.thaw(incarnation)
     virtual.run_until(120.0)
     assert [round(at, 1) for at in seen] == [10.0, 100.0, 110.0]
 
 
 def test_nothing_of_a_process_that_ended_runs() -> None:
     virtual = loop()
-    life, other = Life("p"), Life("q")
+    incarnation, other = Incarnation("p"), Incarnation("q")
     seen: list[str] = []
 
     async def work(name: str) -> None:
         await asyncio.sleep(1.0)
         seen.append(name)
 
-    virtual.spawn(life, work("p"))
+    virtual.spawn(incarnation, work("p"))
     virtual.spawn(other, work("q"))
     virtual.run_until(0.5)
-    virtual.end(life)
+    virtual.end(incarnation)
     virtual.run_until(2.0)
     assert seen == ["q"]
 
@@ -84,7 +85,7 @@
         self.loop = loop()
         self.network = Network(self.loop, Random(2))
         self.network.powered |= {"10.0.0.1", "10.0.0.2"}
-        self.caller, self.server = Life("caller"), Life("server")
+        self.caller, self.server = Incarnation("caller"), Incarnation("server")
         self.endpoint = Endpoint(self.server, "m2")
         self.served = 0
 
@@ -108,8 +109,8 @@
 
     def end(self) -> None:
         """End both processes, and with them what has not begun to run there."""
-        for life in (self.caller, self.server):
-            self.loop.end(life)
+        for incarnation in (self.caller, self.server):
+            self.loop.end(incarnation)
 
 
 @pytest.fixture
@@ -230,7 +231,7 @@
 
 @pytest.mark.parametrize(("name", "seed"), FOUND_AT.items())
 def test_a_guard_that_is_taken_out_is_missed(name: str, seed: int) -> None:
-    with without(name), pytest.raises(InvariantBrokenError):
+    with apply_mutation(name), pytest.raises(InvariantBrokenError):
         run_world(MUTATIONS[name].scenario, seed, SHORT_S)
 
 
@@ -244,7 +245,7 @@
     """It knows the primary from its own pulls; holding an order and answering 503 costs its sender time."""
     world = World(3, Topology(faults=1, machines=4, proxies=0))
     world.build()
-    operators = Operators(world, Habits(lost_answers=0.0))
+    operators = Operators(world, Workload(lost_answers_share=0.0))
     world.run_until(4.0)
     primary = world.cluster.primary()
     outside = world.cluster.machines[3]
@@ -256,7 +257,7 @@
     """Its own list still names it, and nobody tells it otherwise: it is a member that hears no primary."""
     world = World(4, Topology(faults=1, machines=4, proxies=0))
     world.build()
-    operators = Operators(world, Habits(lost_answers=0.0))
+    operators = Operators(world, Workload(lost_answers_share=0.0))
     world.run_until(4.0)
     away = next(machine for machine in world.cluster.machines[:3] if machine is not world.cluster.primary())
     world.cluster.kill(away, power=True)
@@ -273,10 +274,10 @@
     statuses: list[tuple[int, str]] = []
 
     async def ask() -> None:
-        reply = await operators._ask(machine.host, operators.read_order())
+        reply = await operators._ask(machine.host, read_order())
         assert reply is not None
         statuses.append((reply.status, reply.location.partition("://")[2].partition(":")[0]))
 
-    world.environment.loop.spawn(operators.life, ask())
+    world.environment.loop.spawn(operators.incarnation, ask())
     world.run_until(world.now + 1.0)
     return statuses[0]
--- a/tests/tier/test_exploration_decisions.py
+++ b/tests/tier/test_exploration_decisions.py
@@ -5,7 +5,7 @@
 import pytest
 
 from cherrycove.tier.exploration.decision_scenarios import SCENARIOS
-from cherrycove.tier.exploration.mutations import without
+from cherrycove.tier.exploration.mutations import apply_mutation
 from cherrycove.tier.exploration.search import Limits, Report, Search
 
 # Depth that is explored here; what is explored to its end by hand is told in docs/design/control-safety.md.
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("guard", GUARDS)
 def test_a_missing_guard_is_noticed(guard: str) -> None:
-    with without(guard):
+    with apply_mutation(guard):
         report = explore(GUARDS[guard])
     assert report.violation is not None
 
@@ -50,6 +50,6 @@
 @pytest.mark.parametrize("guard", ["no-barrier", "base-checked-once"])
 def test_the_barrier_and_the_second_check_of_the_base_stand_in_for_each_other(guard: str) -> None:
     """Of two changes with one base, either guard alone keeps the second from taking effect."""
-    with without(guard):
+    with apply_mutation(guard):
         report = explore("one-base")
     assert report.violation is None
--- a/tests/tier/test_exploration_group.py
+++ b/tests/tier/test_exploration_group.py
@@ -10,7 +10,7 @@
 from cherrycove.tier.exploration.copying import canonical, copy_graph
 from cherrycove.tier.exploration.group_model import Budget, GroupModel, World
 from cherrycove.tier.exploration.group_scenarios import SCENARIOS
-from cherrycove.tier.exploration.mutations import without
+from cherrycove.tier.exploration.mutations import apply_mutation
 from cherrycove.tier.exploration.search import Limits, Report, Search
 from cherrycove.tier.replication.backup import IncomingSnapshot
 
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize("guard", GUARDS)
 def test_a_missing_guard_is_noticed(guard: str) -> None:
-    with without(guard):
+    with apply_mutation(guard):
         report = explore(GUARDS[guard])
     assert report.violation is not None
 
--- a/tests/tier/test_replication_simulation.py
+++ b/tests/tier/test_replication_simulation.py
@@ -5,7 +5,7 @@
 import pytest
 
 from cherrycove.tier.simulation.invariants import InvariantBrokenError
-from cherrycove.tier.simulation.mutations import EMPTIED_KEEPS_IDENTITY, without
+from cherrycove.tier.simulation.mutations import EMPTIED_KEEPS_IDENTITY, apply_mutation
 from cherrycove.tier.simulation.scenario import run_seed
 
 SEEDS = 120
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize("name", FIRST_SEED)
 def test_a_missing_guard_is_noticed(name: str) -> None:
     first = FIRST_SEED[name]
-    with without(name), pytest.raises(InvariantBrokenError):
+    with apply_mutation(name), pytest.raises(InvariantBrokenError):
         for seed in range(first, first + MUTATION_SEEDS):
             run_seed(seed, emptied_keeps_identity=name == EMPTIED_KEEPS_IDENTITY)
 
