--- a/cherrycove/__main__.py
+++ b/cherrycove/__main__.py
@@ -107,6 +107,17 @@
 
 log = Log("cherrycove")
 
+# What a reload cannot change: the name in the log, and the attribute of ``PlatformConfig``.
+START_ONLY_SETTINGS = {
+    "listen": "listen",
+    "admin": "admin",
+    "sockets": "sockets",
+    "memory_mb": "memory_mb",
+    "settings": "settings",
+    "dial_timeout": "dial_timeout_s",
+    "conn_idle": "idle_timeout_s",
+}
+
 OPERATOR = "deploy/operator.toml"
 LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 
@@ -120,7 +131,7 @@
         self.life = LifecycleState(platform.sockets, platform.memory_mb)
         budget = self.life.budget()
         self.pool = upstream.ConnectionPool(
-            platform.dial_timeout, platform.conn_idle, most=budget.node_connections
+            platform.dial_timeout_s, platform.idle_timeout_s, most=budget.node_connections
         )
         self.front = server.Server(
             self.core,
@@ -157,21 +168,23 @@
 
             self._memory = Keeper(
                 self.core,
-                operator.memory.folder,
-                operator.memory.interval,
+                operator.memory.directory,
+                operator.memory.interval_s,
                 platform.name,
                 mine=lambda: self.life.is_state_writer,
             )
         if operator.why is not None:
             from cherrycove.broker.decision_log.book import Book
 
-            self._book = Book(platform.settings, operator.why.bytes, asyncio.get_running_loop().time())
+            self._book = Book(platform.settings, operator.why.max_bytes, asyncio.get_running_loop().time())
             self.core.recorder = self._book
-            if operator.why.spans:
+            if operator.why.spans_path:
                 from cherrycove.broker.decision_log import spans
 
-                sampler = spans.Sampler(operator.why.sampled, operator.why.spans_a_second, platform.seed)
-                path = Path(operator.why.spans)
+                sampler = spans.Sampler(
+                    operator.why.sampled_fraction, operator.why.max_spans_per_s, platform.seed
+                )
+                path = Path(operator.why.spans_path)
                 self._tracer = spans.Tracer(platform.settings, path, sampler, platform.name)
                 self._book.on_story = self._tracer.tell
         self.handover.apply_request_limit()
@@ -192,7 +205,7 @@
             self._watch = self._run(watch(self.core, platform.discovery, platform.zones))
         if operator.nbd is not None:
             self._nbd_pool = nbd.ConnectionPool(
-                operator.nbd, platform.dial_timeout, most=platform.sockets // 16
+                operator.nbd, platform.dial_timeout_s, most=platform.sockets // 16
             )
             self._nbd = nbd.Server(self.core, self._nbd_pool, operator.nbd)
             for entry in kept.items("config/").values() if kept is not None else ():
@@ -251,9 +264,9 @@
             log.error("config.not_used", why=error)
             return
         old = self.platform
-        for name in ("listen", "admin", "sockets", "memory_mb", "settings", "dial_timeout", "conn_idle"):
-            if getattr(fresh, name) != getattr(old, name):
-                log.warning("config.next_start_only", setting=name)
+        for setting, attribute in START_ONLY_SETTINGS.items():
+            if getattr(fresh, attribute) != getattr(old, attribute):
+                log.warning("config.next_start_only", setting=setting)
         moved = fresh.discovery != old.discovery
         self.platform = replace(old, discovery=fresh.discovery)
         log.info("config.read_again", discovery=fresh.discovery, moved=moved)
--- a/cherrycove/broker/cli/memory.py
+++ b/cherrycove/broker/cli/memory.py
@@ -65,7 +65,7 @@
     platform, operator = _configured(as_json)
     if operator.memory is None:
         _end("[memory] in the operator's file is not enabled: give --file", USAGE, as_json)
-    return file.path(operator.memory.folder, platform.name)
+    return file.path(operator.memory.directory, platform.name)
 
 
 def _read(where: Path, as_json: bool) -> dict[str, Any]:
--- a/cherrycove/broker/config.py
+++ b/cherrycove/broker/config.py
@@ -27,7 +27,7 @@
 
 log = Log("cherrycove.config")
 
-TOP = {
+PLATFORM_KEYS = {
     "admin",
     "discovery",
     "known",
@@ -41,7 +41,7 @@
     "settings",
     "tier",
 }  # keys of the platform's file
-MOST_LIMIT = 1 << 30  # descriptors, or MB: no machine has more
+MAX_LIMIT = 1 << 30  # descriptors, or MB: no machine has more
 SERVICE = re.compile(r"[A-Za-z0-9._-]{1,128}", re.ASCII)
 
 
@@ -70,23 +70,23 @@
     memory_mb: float
     settings: Settings
     zones: Mapping[str, int]
-    dial_timeout: float
-    conn_idle: float
+    dial_timeout_s: float
+    idle_timeout_s: float
     known: NodeList | None
     admin: tuple[str, int] | None = None  # where operators call
     tier: BrokerTierConfig | None = None  # the other brokers; None: the deployment lets them not talk
-    unknown: tuple[str, ...] = ()  # names of settings that this program has never heard of
-    unmet: tuple[str, ...] = ()  # what the settings ask that it does not do, in words
+    unknown_settings: tuple[str, ...] = ()  # names of settings that this program has never heard of
+    unsupported_settings: tuple[str, ...] = ()  # what the settings ask that it does not do, in words
 
 
 @dataclass(frozen=True, slots=True)
 class DecisionLogConfig:
     """The record of recent decisions."""
 
-    bytes: int  # in all
-    spans: str = ""  # the file for traces; empty: none
-    sampled: float = 0.0  # part of the served requests that are traced
-    spans_a_second: int = 20  # traces of refused and failed ones
+    max_bytes: int  # in all
+    spans_path: str = ""  # the file for traces; empty: none
+    sampled_fraction: float = 0.0  # part of the served requests that are traced
+    max_spans_per_s: int = 20  # traces of refused and failed ones
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,8 +101,8 @@
 class WarmRestartConfig:
     """What the broker has learned, kept for its next life."""
 
-    folder: str  # that lasts
-    interval: float = 1.0  # s between two writes
+    directory: str  # that lasts
+    interval_s: float = 1.0  # s between two writes
 
 
 @dataclass(frozen=True, slots=True)
@@ -117,7 +117,7 @@
     memory: WarmRestartConfig | None = None
 
 
-def host_port(text: Any, what: str) -> tuple[str, int]:
+def parse_host_port(text: Any, what: str) -> tuple[str, int]:
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not port.isascii() or not port.isdigit() or int(port) > 65535:
         raise ConfigError(f"{what} must be HOST:PORT, not {text!r}")
@@ -175,15 +175,13 @@
             raise ConfigError(f"known: {error}") from None
     limits = raw.get("limits") or {}
     sockets = limits.get("sockets", 1024) if isinstance(limits, dict) else 1024
-    if type(sockets) is not int or not 64 <= sockets <= MOST_LIMIT:
+    if type(sockets) is not int or not 64 <= sockets <= MAX_LIMIT:
         raise ConfigError(
-            f"limits.sockets must be a whole number from 64 to {MOST_LIMIT}, not {sockets!r:.80}"
+            f"limits.sockets must be a whole number from 64 to {MAX_LIMIT}, not {sockets!r:.80}"
         )
     memory = limits.get("memory_mb", 192) if isinstance(limits, dict) else 192
-    if type(memory) not in (int, float) or not 0 < memory <= MOST_LIMIT:
-        raise ConfigError(
-            f"limits.memory_mb must be a number above 0, up to {MOST_LIMIT}, not {memory!r:.80}"
-        )
+    if type(memory) not in (int, float) or not 0 < memory <= MAX_LIMIT:
+        raise ConfigError(f"limits.memory_mb must be a number above 0, up to {MAX_LIMIT}, not {memory!r:.80}")
     try:
         seed = int(str(raw.get("seed", "")), 16)
     except ValueError:
@@ -191,31 +189,31 @@
     tier = _tier(raw, settings, module.schedulers)
     admin = raw.get("admin") or env.get("RELAY_ADMIN")
     discovery = raw.get("discovery") or env.get("RELAY_DISCOVERY")
-    host_port(discovery, "discovery")
+    parse_host_port(discovery, "discovery")
     return PlatformConfig(
         name=str(raw.get("name") or env.get("RELAY_NAME") or "broker"),
-        listen=host_port(raw.get("listen") or env.get("RELAY_LISTEN"), "listen"),
+        listen=parse_host_port(raw.get("listen") or env.get("RELAY_LISTEN"), "listen"),
         discovery=str(discovery),
         seed=seed,
         sockets=sockets,
         memory_mb=memory,
         settings=module,
         zones=places,
-        dial_timeout=_seconds(settings, "dialTimeoutNs"),
-        conn_idle=_seconds(settings, "connIdleNs"),
+        dial_timeout_s=_seconds(settings, "dialTimeoutNs"),
+        idle_timeout_s=_seconds(settings, "connIdleNs"),
         known=known,
-        admin=host_port(admin, "admin") if admin else None,
+        admin=parse_host_port(admin, "admin") if admin else None,
         tier=tier,
-        unknown=(*known_settings.unknown(settings), *sorted(raw.keys() - TOP)),
-        unmet=tuple(known_settings.unmet(settings)),
+        unknown_settings=(*known_settings.unknown(settings), *sorted(raw.keys() - PLATFORM_KEYS)),
+        unsupported_settings=tuple(known_settings.unmet(settings)),
     )
 
 
 def log_unsupported_settings(platform: PlatformConfig) -> None:
     """Name what is not understood. Guard: a rule that comes with it would be broken unseen."""
-    if platform.unknown:
-        log.warning("config.settings_unknown", settings=" ".join(platform.unknown))
-    for words in platform.unmet:
+    if platform.unknown_settings:
+        log.warning("config.settings_unknown", settings=" ".join(platform.unknown_settings))
+    for words in platform.unsupported_settings:
         log.warning("config.setting_unmet", what=words)
 
 
@@ -230,8 +228,8 @@
         raise ConfigError(f"settings.me must be a number from 0 to {brokers - 1}, not {number!r}")
     return BrokerTierConfig(
         number,
-        host_port(raw["peer_listen"], "peer_listen"),
-        tuple(host_port(peer, "peers") for peer in peers),
+        parse_host_port(raw["peer_listen"], "peer_listen"),
+        tuple(parse_host_port(peer, "peers") for peer in peers),
     )
 
 
@@ -279,7 +277,7 @@
 
     def address(self, key: str, default: str | None = None) -> tuple[str, int]:
         text = self.take(key, str, default)
-        return ("", 0) if self.off else host_port(text, self.name(key))
+        return ("", 0) if self.off else parse_host_port(text, self.name(key))
 
     def table(self, key: str) -> _Table:
         return _Table(self.take(key, dict, {}), self.name(key), self.off)
@@ -378,9 +376,9 @@
     setup = consul.ConsulConfig(
         agent=table.address("agent", "127.0.0.1:8500"),
         service=table.take("service", str),
-        wait=table.number("wait_s", 1, 600, 30),
+        wait_s=table.number("wait_s", 1, 600, 30),
         register=table.take("register", str, ""),
-        ttl=table.number("ttl_s", 1, 3600, 10),
+        ttl_s=table.number("ttl_s", 1, 3600, 10),
     )
     if not (table.off or SERVICE.fullmatch(setup.service)):
         raise ConfigError(f"{table.name('service')} must be a service's name, not {setup.service!r}")
@@ -396,8 +394,8 @@
     setup = store.SharedMapConfig(
         listen=table.address("listen"),
         entries=entries,
-        peers=() if table.off else tuple(host_port(peer, table.name("peers")) for peer in peers),
-        interval=table.number("interval_ms", 10, 600_000, 1000) / 1000,
+        peers=() if table.off else tuple(parse_host_port(peer, table.name("peers")) for peer in peers),
+        interval_s=table.number("interval_ms", 10, 600_000, 1000) / 1000,
     )
     table.done()
     if table.off:
@@ -422,13 +420,13 @@
 def _why(table: _Table) -> DecisionLogConfig | None:
     table.switch()
     setup = DecisionLogConfig(
-        bytes=table.number("bytes", 192 << 10, 1 << 30, 2 << 20),
-        spans=table.take("spans", str, ""),
-        sampled=float(table.take("sampled", float, 0.0)),
-        spans_a_second=table.number("spans_a_second", 0, 10_000, 20),
+        max_bytes=table.number("bytes", 192 << 10, 1 << 30, 2 << 20),
+        spans_path=table.take("spans", str, ""),
+        sampled_fraction=float(table.take("sampled", float, 0.0)),
+        max_spans_per_s=table.number("spans_a_second", 0, 10_000, 20),
     )
-    if not (table.off or 0 <= setup.sampled <= 1):
-        raise ConfigError(f"{table.name('sampled')} must lie between 0 and 1, not {setup.sampled}")
+    if not (table.off or 0 <= setup.sampled_fraction <= 1):
+        raise ConfigError(f"{table.name('sampled')} must lie between 0 and 1, not {setup.sampled_fraction}")
     table.done()
     return None if table.off else setup
 
@@ -436,12 +434,12 @@
 def _memory(table: _Table) -> WarmRestartConfig | None:
     table.switch()
     setup = WarmRestartConfig(
-        folder=table.take("folder", str), interval=table.number("interval_ms", 50, 600_000, 1000) / 1000
+        directory=table.take("folder", str), interval_s=table.number("interval_ms", 50, 600_000, 1000) / 1000
     )
     table.done()
-    if not (table.off or Path(setup.folder).is_absolute()):
+    if not (table.off or Path(setup.directory).is_absolute()):
         # Guard: another working directory would be another memory.
-        raise ConfigError(f"{table.name('folder')} must be an absolute path, not {setup.folder!r}")
+        raise ConfigError(f"{table.name('folder')} must be an absolute path, not {setup.directory!r}")
     return None if table.off else setup
 
 
--- a/cherrycove/broker/consul.py
+++ b/cherrycove/broker/consul.py
@@ -36,9 +36,9 @@
 class ConsulConfig:
     agent: tuple[str, int]
     service: str  # the disk nodes' service
-    wait: float = 30.0
+    wait_s: float = 30.0
     register: str = ""  # the broker's own service; empty: it is not registered
-    ttl: float = 10.0
+    ttl_s: float = 10.0
 
 
 def _state(checks: Any) -> NodeState:
@@ -137,7 +137,7 @@
         self._leaving, self._entry = False, asyncio.Lock()  # held while the own entry is being changed
         self._session = aiohttp.ClientSession(
             cookie_jar=aiohttp.DummyCookieJar(),
-            timeout=aiohttp.ClientTimeout(total=setup.wait * 17 / 16 + SLACK, sock_connect=SLACK),
+            timeout=aiohttp.ClientTimeout(total=setup.wait_s * 17 / 16 + SLACK, sock_connect=SLACK),
         )
 
     async def close(self) -> None:
@@ -147,7 +147,7 @@
         """Follow the service's health for ever."""
         index, pause, version = 0, LEAST_PAUSE, self._core.version or 0
         while True:
-            query = f"?index={index}&wait={self._setup.wait:g}s" if index else ""
+            query = f"?index={index}&wait={self._setup.wait_s:g}s" if index else ""
             url = URL(f"{self._base}/health/service/{self._setup.service}{query}", encoded=True)
             try:
                 async with self._session.get(url, allow_redirects=False) as answer:
@@ -187,7 +187,7 @@
             "Port": port,
             "Check": {
                 "CheckID": check,
-                "TTL": f"{self._setup.ttl:g}s",
+                "TTL": f"{self._setup.ttl_s:g}s",
                 "DeregisterCriticalServiceAfter": "10m",
             },
         }
@@ -204,11 +204,11 @@
                         await self._put("/agent/service/register", entry)
                         registered = True
                     await self._put(f"/agent/check/update/{check}", {"Status": status})
-                await asyncio.sleep(self._setup.ttl / 3)
+                await asyncio.sleep(self._setup.ttl_s / 3)
             except (HealthError, aiohttp.ClientError, OSError) as error:
                 log.warning("consul.not_registered", why=str(error) or type(error).__name__)
                 registered = False  # an agent that has started anew knows nothing of us
-                await asyncio.sleep(min(self._setup.ttl / 3, 1.0))
+                await asyncio.sleep(min(self._setup.ttl_s / 3, 1.0))
 
     async def deregister(self) -> None:
         """Behind whatever is just being told of the entry; it is not renewed from now on."""
--- a/cherrycove/broker/http1/server.py
+++ b/cherrycove/broker/http1/server.py
@@ -27,7 +27,7 @@
 from cherrycove.broker.lifecycle.listening_socket import bind_listening_socket
 from cherrycove.broker.lifecycle.shutdown_timetable import ShutdownTimetable
 from cherrycove.broker.local_codes import BY_STATUS, Own
-from cherrycove.broker.sockets import LOOK, Lookout, unread
+from cherrycove.broker.sockets import POLL_INTERVAL_S, DisconnectWatcher, has_unread_input
 
 # The HTTP library's own log, of requests that it could not read.
 clients_log = logging.getLogger("cherrycove.http1.clients")
@@ -60,7 +60,7 @@
 class ClientConnection(web.RequestHandler):
     """The library's connection to a client, which says when something has come over it."""
 
-    _lookout: Lookout | None = None  # once it has been left unread
+    _disconnect_watcher: DisconnectWatcher | None = None  # once it has been left unread
 
     def data_received(self, data: bytes) -> None:
         if isinstance(self._manager, Clients):
@@ -70,15 +70,19 @@
     def _pause_transport_reading(self) -> None:
         super()._pause_transport_reading()
         if self.transport is not None:
-            self._lookout = self._lookout or Lookout(self.transport, self.transport.abort)
-            self._lookout.paused()
+            self._disconnect_watcher = self._disconnect_watcher or DisconnectWatcher(
+                self.transport, self.transport.abort
+            )
+            self._disconnect_watcher.on_reading_paused()
 
     def _process_keepalive(self) -> None:
         if isinstance(self._manager, Clients) and self._manager.holds(self):
             self._next_keepalive_close_time = max(self._next_keepalive_close_time, self._manager.held_until)
-        if self.transport is not None and unread(self.transport):
+        if self.transport is not None and has_unread_input(self.transport):
             # Guard: what has come and is not read yet may be a request, which a close would leave unanswered.
-            self._next_keepalive_close_time = max(self._next_keepalive_close_time, self._loop.time() + LOOK)
+            self._next_keepalive_close_time = max(
+                self._next_keepalive_close_time, self._loop.time() + POLL_INTERVAL_S
+            )
         super()._process_keepalive()
 
 
@@ -143,7 +147,7 @@
 
     def _asks(self, handler: web.RequestHandler) -> bool:
         """Guard: a request may have come that the loop has not read yet; closed now, it has no answer."""
-        return handler in self._connections and unread(self._connections[handler])
+        return handler in self._connections and has_unread_input(self._connections[handler])
 
     def holds(self, handler: web.RequestHandler) -> bool:
         return handler in self._idle
@@ -170,7 +174,7 @@
             if young <= now and not (self._busy or any(map(self._asks, self._idle))):
                 return
             with suppress(TimeoutError):
-                async with asyncio.timeout_at(min(max(young, now + LOOK), until)):
+                async with asyncio.timeout_at(min(max(young, now + POLL_INTERVAL_S), until)):
                     await self.moved.wait()
 
     @property
--- a/cherrycove/broker/http1/upstream.py
+++ b/cherrycove/broker/http1/upstream.py
@@ -25,7 +25,7 @@
 from cherrycove.broker.core import Attempt, Ending, Reply
 from cherrycove.broker.http1.body import MOST_BODY, MOST_LONG, Upload
 from cherrycove.broker.http1.parse import BodyError, parse_elsewhere, parse_load, parse_use
-from cherrycove.broker.sockets import unread
+from cherrycove.broker.sockets import has_unread_input
 
 PIECE = 32 * 1024  # bytes in one read of a connection, and about as many in each of its buffers
 MOST_HEADS = 32 * 1024  # bytes of an answer's head and of all that is said ahead of it
@@ -63,7 +63,7 @@
         """Guard: what came while it stood idle may still be unread: an end, or a second answer."""
         if self.transport is None or not super().is_connected():
             return False
-        return self._answer is None or not self._answer.is_eof() or not unread(self.transport)
+        return self._answer is None or not self._answer.is_eof() or not has_unread_input(self.transport)
 
     def feed_data(self, data: tuple[RawResponseMessage, StreamReader], size: int = 0) -> None:
         """From the library's parser: a whole head, and the body to come."""
--- a/cherrycove/broker/nbd/_session.py
+++ b/cherrycove/broker/nbd/_session.py
@@ -29,7 +29,7 @@
 from cherrycove.broker.nbd._validation import validate_command
 from cherrycove.broker.nbd.client import CommandBackend, ConnectionPool
 from cherrycove.broker.nbd.config import NbdConfig
-from cherrycove.broker.sockets import LOOK, ended
+from cherrycove.broker.sockets import POLL_INTERVAL_S, is_closed_by_peer
 
 _FRONT = "nbd"  # of requests, as the core's records name where they came from
 _MAX_SKIPPED_BYTES = 32 * 1024 * 1024  # of an oversized payload that are read and discarded
@@ -118,10 +118,10 @@
         """
         while not self._is_disconnected:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(LOOK):
+                async with asyncio.timeout(POLL_INTERVAL_S):
                     await self._slots.acquire()
                     return
-            if ended(self._writer.transport):
+            if is_closed_by_peer(self._writer.transport):
                 self.on_disconnected()
 
     def on_disconnected(self) -> None:
--- a/cherrycove/broker/nbd/_validation.py
+++ b/cherrycove/broker/nbd/_validation.py
@@ -1,4 +1,4 @@
-"""Whether a command may run on its export (proto.md, sections "Request types" and "Block size constraints")."""
+"""Whether a command may run on its export (proto.md, "Request types" and "Block size constraints")."""
 
 from __future__ import annotations
 
--- a/cherrycove/broker/shared_map.py
+++ b/cherrycove/broker/shared_map.py
@@ -205,7 +205,7 @@
 class SharedMapConfig:
     listen: Address
     peers: tuple[Address, ...]
-    interval: float = 1.0
+    interval_s: float = 1.0
     entries: Mapping[str, tuple[int, str | None]] = field(default_factory=dict)  # version and value by key
 
 
@@ -253,7 +253,7 @@
         self._store.counts["unreachable"] += 1
 
     def _next(self) -> None:
-        wait = self._setup.interval * self._random.uniform(0.5, 1.5)
+        wait = self._setup.interval_s * self._random.uniform(0.5, 1.5)
         self._timer = asyncio.get_running_loop().call_later(wait, self._round)
 
     def _round(self) -> None:
--- a/cherrycove/broker/sockets.py
+++ b/cherrycove/broker/sockets.py
@@ -9,7 +9,7 @@
 import select
 from collections.abc import Callable
 
-LOOK = 0.05  # s between two looks at a connection that is not read; a client may have left for 0.3 s
+POLL_INTERVAL_S = 0.05  # between two looks at a connection that is not read; a client may have left for 0.3 s
 ENDED = getattr(select, "POLLRDHUP", 0) | select.POLLHUP | select.POLLERR
 
 
@@ -22,17 +22,17 @@
     return any(found & (at | select.POLLHUP | select.POLLERR) for _, found in look.poll(0))
 
 
-def unread(transport: asyncio.BaseTransport) -> bool:
+def has_unread_input(transport: asyncio.BaseTransport) -> bool:
     """Whether something has come that nobody has read: bytes, an end or a fault."""
     return _look(transport, select.POLLIN)
 
 
-def ended(transport: asyncio.BaseTransport) -> bool:
+def is_closed_by_peer(transport: asyncio.BaseTransport) -> bool:
     """Whether the other side has ended the connection, be it behind bytes that nobody has read."""
     return _look(transport, ENDED)
 
 
-class Lookout:
+class DisconnectWatcher:
     """Calls ``gone`` once the other side has ended a connection that is not read for a while.
 
     Guard: a loop learns of an end by reading alone. A client that sent more than is read ahead and left was
@@ -43,16 +43,16 @@
         self._transport, self._gone = transport, gone
         self._timer: asyncio.TimerHandle | None = None
 
-    def paused(self) -> None:
+    def on_reading_paused(self) -> None:
         """The connection is not read any more. Guard: one timer, however often that changes."""
         if self._timer is None:
-            self._timer = asyncio.get_running_loop().call_later(LOOK, self._look)
+            self._timer = asyncio.get_running_loop().call_later(POLL_INTERVAL_S, self._look)
 
     def _look(self) -> None:
         self._timer = None
         if self._transport.is_closing() or self._transport.is_reading():
             return
-        if ended(self._transport):
+        if is_closed_by_peer(self._transport):
             self._gone()
         else:
-            self.paused()
+            self.on_reading_paused()
--- a/cherrycove/tier/protocol/sessions.py
+++ b/cherrycove/tier/protocol/sessions.py
@@ -16,7 +16,7 @@
 import aiohttp
 from aiohttp.client_proto import ResponseHandler
 
-from cherrycove.broker.sockets import unread
+from cherrycove.broker.sockets import has_unread_input
 from cherrycove.tier.protocol.errors import UnsupportedLibraryError
 
 _RETRY_ATTRIBUTE = "_retry_connection"  # of a session; aiohttp has no public one
@@ -33,7 +33,7 @@
         """
         if self.transport is None or not super().is_connected():
             return False
-        return not self.should_close and not unread(self.transport)
+        return not self.should_close and not has_unread_input(self.transport)
 
 
 class NoRetryConnector(aiohttp.TCPConnector):
--- a/tests/support.py
+++ b/tests/support.py
@@ -195,7 +195,7 @@
 
     def __init__(self, *nodes: Node, platform: config.PlatformConfig = PLATFORM, rest: float = 0.0) -> None:
         self.core = Core(platform.settings, platform.seed)
-        self.pool = upstream.ConnectionPool(platform.dial_timeout, platform.conn_idle, 64, rest)
+        self.pool = upstream.ConnectionPool(platform.dial_timeout_s, platform.idle_timeout_s, 64, rest)
         self.front = server.Server(self.core, self.pool, 64, 21, 4 << 20)
         self.members = [Member(f"d{i}", f"127.0.0.1:{node.port}", i) for i, node in enumerate(nodes)]
         self.platform = platform
@@ -216,7 +216,7 @@
         )
 
     async def nbd(self, setup: nbd.NbdConfig) -> tuple[nbd.Server, int]:
-        pool = nbd.ConnectionPool(setup, self.platform.dial_timeout, 32)
+        pool = nbd.ConnectionPool(setup, self.platform.dial_timeout_s, 32)
         front = nbd.Server(self.core, pool, setup)
         return front, await front.listen()
 
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -148,7 +148,7 @@
         agent = Agent()
         agent.forgets = 1
         async with World() as world:
-            setup = consul.ConsulConfig(await agent.start(), "disk-node", register="broker", ttl=1.0)
+            setup = consul.ConsulConfig(await agent.start(), "disk-node", register="broker", ttl_s=1.0)
             client = consul.ConsulClient(world.core, setup, PLATFORM.zones, "n0", ("127.0.0.1", 5000))
             task = asyncio.create_task(client.keep_registered())
             await agent.updated.wait()
@@ -170,7 +170,7 @@
     async def story() -> None:
         agent = Agent()
         async with World() as world:
-            setup = consul.ConsulConfig(await agent.start(), "disk-node", register="broker", ttl=1.0)
+            setup = consul.ConsulConfig(await agent.start(), "disk-node", register="broker", ttl_s=1.0)
             client = consul.ConsulClient(world.core, setup, PLATFORM.zones, "n0", ("127.0.0.1", 5000))
             keeping = asyncio.create_task(client.keep_registered())
             await agent.updated.wait()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -17,15 +17,17 @@
 def test_the_example_has_nothing_unknown_and_an_invented_name_is_told() -> None:
     whole = raw()
     assert (
-        config.parse_platform_config(whole, {}).unknown == () == config.parse_platform_config(whole, {}).unmet
+        config.parse_platform_config(whole, {}).unknown_settings
+        == ()
+        == config.parse_platform_config(whole, {}).unsupported_settings
     )
     whole["settings"]["guarantees"]["sparesOnly"] = 3
     whole["settings"]["classes"][1]["stream"] = True
     whole["settings"]["classes"][0]["prio"] = 1
     whole["chaos"] = {}
     found = config.parse_platform_config(whole, {})
-    assert found.unknown == ("classes[].prio", "guarantees.sparesOnly", "chaos")
-    assert len(found.unmet) == 1 and "claim-write" in found.unmet[0]
+    assert found.unknown_settings == ("classes[].prio", "guarantees.sparesOnly", "chaos")
+    assert len(found.unsupported_settings) == 1 and "claim-write" in found.unsupported_settings[0]
 
 
 class Noted(dict[str, Any]):
