--- a/tests/golden_broker.py
+++ b/tests/golden_broker.py
@@ -628,7 +628,7 @@
         "verdicts": [*(each.value for each in core.Verdict), *record.VERDICTS, *record.FRONTS],
         "statuses": [f"{status} {int(code)}" for status, code in codes.BY_STATUS.items()],
         "calls": [*admin.BARE, *admin.WITH_ID, *admin.ASKING],
-        "platform keys": sorted(config.PLATFORM_KEYS),
+        "platform keys": sorted(config.platform_file.PLATFORM_KEYS),
         "settings read": sorted(known.READ),
         "settings left aside": sorted(known.LEFT),
         "wire events": sorted(wire.EVENT_WORDS),
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -65,7 +65,9 @@
     }
     loads = wire.json.loads
     monkeypatch.setattr(wire.json, "loads", lambda text: Noted(loads(text), "", seen))
-    monkeypatch.setattr(config.json, "dumps", lambda value: wire.json.JSONEncoder().encode(dict(value)))
+    monkeypatch.setattr(
+        config.platform_file.json, "dumps", lambda value: wire.json.JSONEncoder().encode(dict(value))
+    )
     monkeypatch.setattr(known, "paths", lambda info: set())  # it walks over all of them
     monkeypatch.setattr(known, "unmet", lambda info: [])
     config.parse_platform_config(whole, {})
