--- a/cherrycove/tier/exploration/__main__.py
+++ b/cherrycove/tier/exploration/__main__.py
@@ -1,4 +1,4 @@
-"""Explore one situation: ``python -m cherrycove.tier.exploration --scenario lease --seconds 600``."""
+"""Explores one scenario: ``python -m cherrycove.tier.exploration --scenario lease --seconds 600``."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def _budget(text: str) -> dict[str, int]:
-    """``crashes=2,quanta=3`` as a mapping."""
+    """Return ``crashes=2,quanta=3`` as a mapping."""
     pairs = (part.partition("=") for part in text.split(",") if part)
     return {name: int(count) for name, _, count in pairs}
 
@@ -45,6 +45,7 @@
 
 
 def main() -> int:
+    """Run what the command line asks for; 1 if an invariant broke."""
     options = _arguments()
     scenario = SCENARIOS[options.scenario]
     scenario = attrs.evolve(scenario, budget=attrs.evolve(scenario.budget, **options.budget))
--- a/cherrycove/tier/exploration/copying.py
+++ b/cherrycove/tier/exploration/copying.py
@@ -32,7 +32,7 @@
 
 
 def field_names(kind: type) -> tuple[str, ...] | None:
-    """Names of the fields of an attrs class; None for other classes, whose fields are in ``__dict__``."""
+    """Return the fields of an attrs class; None for other classes, whose fields are in ``__dict__``."""
     return tuple(field.name for field in attrs.fields(kind)) if attrs.has(kind) else None
 
 
@@ -49,7 +49,10 @@
 
 
 def copy_graph(value: Any, memo: dict[int, Any]) -> Any:
-    """A copy that shares only what never changes; ``memo`` keeps shared objects shared."""
+    """Return a copy that shares only what never changes; ``memo`` keeps shared objects shared.
+
+    Raises ``TypeError`` for objects of other packages, which may hold more than their fields.
+    """
     kind = type(value)
     copier = _copiers.get(kind)
     if copier is None:
@@ -59,7 +62,7 @@
 
 def _copier(kind: type) -> Copier:
     if _is_value(kind):
-        return lambda value, memo: value
+        return lambda value, _memo: value
     if kind is dict:
         return lambda value, memo: {key: copy_graph(item, memo) for key, item in value.items()}
     if kind is list:
@@ -67,10 +70,10 @@
     if kind is deque:
         return lambda value, memo: deque(copy_graph(item, memo) for item in value)
     if kind is set:
-        return lambda value, memo: set(value)
+        return lambda value, _memo: set(value)
     if kind is BytesIO:
-        return lambda value, memo: _copied_bytes(value)
-    _require_own(kind)
+        return lambda value, _memo: _copied_bytes(value)
+    _require_own_class(kind)
     return _object_copier(kind)
 
 
@@ -80,8 +83,8 @@
     return copied
 
 
-def _require_own(kind: type) -> None:
-    """Objects of other packages may hold more than their fields tell."""
+def _require_own_class(kind: type) -> None:
+    """Raise ``TypeError`` for an object of another package."""
     if not kind.__module__.startswith("cherrycove."):
         raise TypeError(f"{kind.__module__}.{kind.__name__} is not known how to be copied")
 
@@ -103,9 +106,10 @@
 
 
 def canonical(value: Any, seen: dict[int, int] | None = None) -> Any:
-    """``value`` as nested tuples of plain values, comparable within this process.
+    """Return ``value`` as nested tuples of plain values, comparable within this process.
 
-    An object met before is named by its place in the walk."""
+    An object met before is named by its position in the walk.
+    """
     seen = {} if seen is None else seen
     kind = type(value)
     function = _canonicals.get(kind)
@@ -116,17 +120,17 @@
 
 def _canonical(kind: type) -> Canonical:
     if issubclass(kind, Enum):
-        return lambda value, seen: value.name
+        return lambda value, _seen: value.name
     if issubclass(kind, _PLAIN):
-        return lambda value, seen: value
+        return lambda value, _seen: value
     if issubclass(kind, Message):
-        return lambda value, seen: value.SerializeToString(deterministic=True)
+        return lambda value, _seen: value.SerializeToString(deterministic=True)
     if issubclass(kind, Random):
-        return lambda value, seen: None
+        return lambda _value, _seen: None
     if kind is BytesIO:
-        return lambda value, seen: (value.getvalue(), value.tell())
+        return lambda value, _seen: (value.getvalue(), value.tell())
     if _is_hashable(kind):
-        return lambda value, seen: ("value", _numbers.setdefault(value, len(_numbers)))
+        return lambda value, _seen: ("value", _numbers.setdefault(value, len(_numbers)))
     return _collection_canonical(kind) or _object_canonical(kind)
 
 
@@ -155,5 +159,5 @@
 
 
 def digest(value: Any) -> bytes:
-    """Sixteen bytes that are equal for equal plain values (nested tuples, numbers, strings)."""
+    """Return sixteen bytes that are equal for equal plain values (nested tuples, numbers, strings)."""
     return hashlib.blake2b(marshal.dumps(value, 2), digest_size=16).digest()
--- a/cherrycove/tier/exploration/decision_orders.py
+++ b/cherrycove/tier/exploration/decision_orders.py
@@ -1,4 +1,4 @@
-"""Orders of operators, and what may be answered to them, judged from the committed log alone."""
+"""Orders of operators, and which answers to them are right, decided from the committed log alone."""
 
 from __future__ import annotations
 
@@ -12,47 +12,49 @@
 from cherrycove.tier.exploration.group_invariants import require
 from cherrycove.tier.protocol.keeper_pb2 import Command
 
-# Answers that say for good that nothing was done and that it would be no use to send the same once more.
-REFUSALS = frozenset({ErrorKind.INVALID, ErrorKind.VERSION_MISMATCH, ErrorKind.CONFLICT, ErrorKind.TOO_LARGE})
+# Answers that are final: the order had no effect, and to send it again is of no use.
+FINAL_REJECTIONS = frozenset(
+    {ErrorKind.INVALID, ErrorKind.VERSION_MISMATCH, ErrorKind.CONFLICT, ErrorKind.TOO_LARGE}
+)
 
 
 @attrs.frozen
 class Order:
-    """A configuration that an operator sends, perhaps more than once."""
+    """A configuration that an operator sends once or more; ``name`` is for traces."""
 
     name: str
     version: int
     base_version: int
     body: bytes
-    valid: bool = True
+    is_valid: bool = True
 
 
-def order(name: str, version: int, base_version: int, valid: bool = True) -> Order:
-    """An order with a document that differs from those of all other orders."""
+def order(name: str, version: int, base_version: int, *, is_valid: bool = True) -> Order:
+    """Return an order with a document that differs from those of all other orders."""
     route = {
         "name": name,
         "hostname": "shop.example",
         "pathPrefix": "/",
         "routeKind": "idempotent",
         "timeoutMs": 3000,
-        "service": "ledger" if valid else "",
+        "service": "ledger" if is_valid else "",
     }
     document = {"version": version, "routes": [route], "services": [{"name": "ledger"}]}
-    return Order(name, version, base_version, json.dumps(document).encode(), valid)
+    return Order(name, version, base_version, json.dumps(document).encode(), is_valid)
 
 
 @attrs.frozen
-class Taken:
-    """A configuration that the committed log made the newest one."""
+class EffectiveChange:
+    """A configuration that took effect, by the committed log."""
 
     version: int
     base_version: int
     document: bytes
 
 
-def taken(committed: Sequence[LogEntry]) -> list[Taken]:
-    """What took effect, in order: built on the newest one, with a higher number."""
-    result: list[Taken] = []
+def effective_changes(committed: Sequence[LogEntry]) -> list[EffectiveChange]:
+    """Return what took effect, in order: each is based on the one before, with a higher version."""
+    result: list[EffectiveChange] = []
     for entry in committed:
         message = Command.FromString(entry.command)
         if message.WhichOneof("body") != "accept_configuration":
@@ -60,31 +62,34 @@
         command = message.accept_configuration
         newest = result[-1].version if result else 0
         if command.base_version == newest and command.version > newest:
-            result.append(Taken(command.version, command.base_version, command.document))
+            result.append(EffectiveChange(command.version, command.base_version, command.document))
     return result
 
 
-def took_effect(order: Order, history: Iterable[Taken]) -> bool:
+def took_effect(order: Order, history: Iterable[EffectiveChange]) -> bool:
+    """Whether ``order`` is among the changes that took effect."""
     return any(change.document == order.body for change in history)
 
 
-def check_acknowledged(order: Order, history: Sequence[Taken]) -> None:
-    require(order.valid, f"{order.name} is invalid and was acknowledged")
+def check_acknowledged(order: Order, history: Sequence[EffectiveChange]) -> None:
+    """Check that an acknowledged order is valid and took effect."""
+    require(order.is_valid, f"{order.name} is invalid and was acknowledged")
     require(took_effect(order, history), f"{order.name} was acknowledged and is not in force")
 
 
-def check_refused(order: Order, history: Sequence[Taken]) -> None:
-    require(not took_effect(order, history), f"{order.name} took effect and was refused when it came again")
+def check_rejected(order: Order, history: Sequence[EffectiveChange]) -> None:
+    """Check that an order with a final rejection has not taken effect."""
+    require(not took_effect(order, history), f"{order.name} took effect and was rejected when it came again")
 
 
-def check_untouched(order: Order, log: Iterable[LogEntry]) -> None:
-    """The only sending of ``order`` was answered as one with which certainly nothing was done."""
+def check_not_in_log(order: Order, log: Iterable[LogEntry]) -> None:
+    """Check that ``order``, whose only attempt certainly had no effect, is not in the log."""
     documents = [Command.FromString(entry.command).accept_configuration.document for entry in log]
-    require(order.body not in documents, f"{order.name} is in the log, and was answered as not done")
+    require(order.body not in documents, f"{order.name} is in the log, and was answered as without effect")
 
 
-def check_together(orders: Sequence[Order], acknowledged: Iterable[str]) -> None:
-    """Of the orders that were acknowledged, no two have one number or one base."""
+def check_compatible(orders: Sequence[Order], acknowledged: Iterable[str]) -> None:
+    """Check that no two acknowledged orders have one version or one base."""
     numbers: dict[int, str] = {}
     bases: dict[int, str] = {}
     for order in orders:
@@ -96,7 +101,7 @@
 
 
 def check_newest(orders: Sequence[Order], acknowledged: Iterable[str], version: int, document: bytes) -> None:
-    """What a confirmed keeper has in force is the newest acknowledged order, or one behind it."""
+    """Check that a confirmed controller's configuration is the newest acknowledged order or a later one."""
     newest = max((order for order in orders if order.name in acknowledged), key=_version, default=None)
     if newest is not None:
         require(version >= newest.version, f"{newest.name} was acknowledged, {version} is in force")
--- a/cherrycove/tier/exploration/decision_scenarios.py
+++ b/cherrycove/tier/exploration/decision_scenarios.py
@@ -1,30 +1,31 @@
-"""Bounded situations of operators and keepers, each explored by name."""
+"""Scenarios of operators and controllers by name: their orders and bounds."""
 
 from __future__ import annotations
 
 import attrs
 
-from cherrycove.tier.exploration.decision_model import DecisionBudget, DecisionModel, Situation
+from cherrycove.tier.exploration.decision_model import DecisionBudget, DecisionModel, DecisionState
 from cherrycove.tier.exploration.decision_orders import Order, order
 
 FIRST = order("first", version=1, base_version=0)
 SAME_NUMBER = order("same-number", version=1, base_version=0)
 SAME_BASE = order("same-base", version=2, base_version=0)
 NEXT = order("next", version=2, base_version=1)
-INVALID = order("invalid", version=3, base_version=0, valid=False)
+INVALID = order("invalid", version=3, base_version=0, is_valid=False)
 NOT_ABOVE = order("not-above", version=1, base_version=1)
 
 
 @attrs.frozen(kw_only=True)
 class DecisionScenario:
-    """Who sends what, and how much may happen."""
+    """The orders of a scenario and its bounds; ``controllers`` is a count."""
 
     orders: tuple[Order, ...]
     budget: DecisionBudget
-    keepers: int = 2
+    controllers: int = 2
 
-    def prepare(self) -> tuple[DecisionModel, Situation]:
-        model = DecisionModel(self.keepers, self.orders, self.budget)
+    def prepare(self) -> tuple[DecisionModel, DecisionState]:
+        """Return the model and the state to begin with."""
+        model = DecisionModel(self.controllers, self.orders, self.budget)
         return model, model.first()
 
 
@@ -43,7 +44,7 @@
     ),
     "three-operators": DecisionScenario(
         orders=(FIRST, SAME_NUMBER, NEXT),
-        keepers=3,
+        controllers=3,
         budget=DecisionBudget(sends=2, take_overs=2, time_outs=1, pauses=1),
     ),
     "invalid": DecisionScenario(
--- a/cherrycove/tier/exploration/event_loop.py
+++ b/cherrycove/tier/exploration/event_loop.py
@@ -1,4 +1,4 @@
-"""An event loop without sockets or clock: it runs what is ready, and time passes only when it is told so."""
+"""An event loop without sockets or a clock: it runs what is ready, and time passes on demand only."""
 
 from __future__ import annotations
 
@@ -27,18 +27,20 @@
         self._now = 0.0
 
     def time(self) -> float:
+        """Return the time in seconds."""
         return self._now
 
     def run_until_idle(self) -> None:
+        """Run until nothing is ready."""
         self.run_forever()
 
     def pass_time(self, seconds: float) -> None:
-        """Let ``seconds`` pass, and run what was due within them."""
+        """Let ``seconds`` pass, and run what is due then."""
         self._now += seconds
         self.run_until_idle()
 
     def _process_events(self, event_list: list[Any]) -> None:
-        """There are none."""
+        """Do nothing: there are no sockets."""
 
     def _write_to_self(self) -> None:
-        """Nobody sleeps who had to be woken."""
+        """Do nothing: no other thread schedules callbacks."""
--- a/cherrycove/tier/exploration/group_invariants.py
+++ b/cherrycove/tier/exploration/group_invariants.py
@@ -1,4 +1,4 @@
-"""What must hold in every state of an explored group, judged by f and by the disks."""
+"""What must hold in every state of an explored group, by the number of faults and by the disks."""
 
 from __future__ import annotations
 
@@ -13,29 +13,31 @@
 from cherrycove.tier.storage.entries import Entry, EntryKind
 
 
-class BrokenError(Exception):
+class InvariantBrokenError(Exception):
     """An invariant does not hold."""
 
 
 @attrs.frozen(cache_hash=True)
 class History:
-    """What the outside has seen: it is never taken back."""
+    """What has been observed, and stays true: commits, primaries and lost disks."""
 
     committed: tuple[Entry, ...] = ()  # from index 1 on
     primaries: tuple[tuple[int, str], ...] = ()  # epoch and member id of all that led
     lost: tuple[Disk, ...] = ()  # contents of the disks that were lost
 
     def primary_of(self, epoch: int) -> str:
+        """Return the member id of the primary of ``epoch``; "" if there was none."""
         return next((member for led, member in self.primaries if led == epoch), "")
 
 
 def require(condition: bool, detail: str) -> None:
+    """Raise ``InvariantBrokenError`` with ``detail`` unless ``condition`` holds."""
     if not condition:
-        raise BrokenError(detail)
+        raise InvariantBrokenError(detail)
 
 
 def with_commits(history: History, reaction: Reaction) -> History:
-    """``history`` with what the node takes as committed, which must not contradict it."""
+    """Return ``history`` with what the node applies as committed, which must not contradict it."""
     restored = reaction.restored
     if restored is not None:
         known = history.committed[restored.index - 1 : restored.index]
@@ -54,7 +56,7 @@
 
 
 def check_exclusions(committed: Sequence[Entry], entry: Entry) -> None:
-    """A disk that was excluded by a committed entry is in no later list."""
+    """Check that a disk that a committed entry excluded is in no later membership."""
     if entry.kind is not EntryKind.MEMBERS:
         return
     newest = MemberList.FromString(entry.payload)
@@ -62,26 +64,27 @@
         if earlier.kind is EntryKind.MEMBERS:
             excluded = set(MemberList.FromString(earlier.payload).excluded)
             back = excluded & {member.member_id for member in newest.members}
-            require(
-                not back, f"entry {entry.index} takes in {sorted(back)}, excluded by entry {earlier.index}"
-            )
+            require(not back, f"entry {entry.index} adds {sorted(back)}, excluded by entry {earlier.index}")
 
 
-def check_copies(history: History, nodes: Sequence[Node], faults: int) -> None:
-    """Every committed entry was synced on f + 1 disks, lost ones included."""
+def check_replicas(history: History, nodes: Sequence[Node], faults: int) -> None:
+    """Check that every committed entry was synced on f + 1 disks, lost ones included."""
     disks = [node.disk for node in nodes] + list(history.lost)
     for entry in history.committed:
         if entry.epoch == INITIAL_EPOCH:
             continue  # the initial members begin with it
-        copies = sum(disk.holds(entry.index, entry.epoch) for disk in disks)
-        require(copies >= faults + 1, f"entry {entry.index} is committed with {copies} synced copies")
+        replicas = sum(disk.holds(entry.index, entry.epoch) for disk in disks)
+        require(replicas >= faults + 1, f"entry {entry.index} is committed on {replicas} disks")
 
 
 def with_primaries(history: History, nodes: Sequence[Node], confirmed: Callable[[Node], bool]) -> History:
-    """``history`` with whoever leads now; leaders must be alone and hold what was committed."""
-    holders: list[str] = []
+    """Return ``history`` with the primaries of ``nodes``.
+
+    There is one primary an epoch, one confirmed primary at a time, and each has all that was committed.
+    """
+    confirmed_primaries: list[str] = []
     for node in nodes:
-        if not node.leads:
+        if not node.is_primary:
             continue
         name = node.identity.member_id
         known = history.primary_of(node.epoch)
@@ -90,9 +93,9 @@
             _check_new_primary(history, node)
             history = attrs.evolve(history, primaries=(*history.primaries, (node.epoch, name)))
         if confirmed(node):
-            holders.append(name)
+            confirmed_primaries.append(name)
             _check_confirmed(history, node)
-    require(len(holders) < 2, f"{' and '.join(holders)} are confirmed at once")
+    require(len(confirmed_primaries) < 2, f"{' and '.join(confirmed_primaries)} are confirmed at once")
     return history
 
 
--- a/cherrycove/tier/exploration/mutations.py
+++ b/cherrycove/tier/exploration/mutations.py
@@ -1,4 +1,4 @@
-"""Guards that can be taken out, to show that the explorations notice their absence."""
+"""Mutations for the explorations: each takes one guard out, which the invariants must notice."""
 
 from __future__ import annotations
 
@@ -138,7 +138,7 @@
 
 @contextmanager
 def apply_mutation(name: str) -> Iterator[None]:
-    """Run with the guard ``name`` taken out; "" takes out none."""
+    """Apply the mutation ``name``, which takes one guard out, for a while; "" applies none."""
     with ExitStack() as stack:
         for patch in MUTATIONS[name]() if name else ():
             stack.enter_context(patch)
--- a/cherrycove/tier/exploration/node.py
+++ b/cherrycove/tier/exploration/node.py
@@ -1,4 +1,4 @@
-"""One replica in an exploration: its machine, its disk and its unfinished writes, as a value."""
+"""One replica in an exploration as a value: its machine, its disk and its writes that are not synced."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from cherrycove.tier.storage.replica_storage import RecoveredState
 from cherrycove.tier.storage.snapshots import Snapshot
 
-CHUNK_BYTES = 1  # of a snapshot in one message, so that one comes in parts
-KEPT_ENTRIES = 0  # before a snapshot, so that whoever lacks one of them needs the snapshot
+CHUNK_BYTES = 1  # of a snapshot in one message, so that one comes in several chunks
+RETAINED_ENTRIES = 0  # before a snapshot, so that whoever lacks one of them needs the snapshot
 
 
 @attrs.frozen
 class Disk:
-    """What is durable."""
+    """The durable state of a replica."""
 
     hard_state: HardState = HardState()
     snapshot: Snapshot | None = None
@@ -32,6 +32,7 @@
 
     @property
     def base_index(self) -> int:
+        """Index of the last entry in the snapshot; 0 without one."""
         return self.snapshot.index if self.snapshot is not None else 0
 
     def holds(self, index: int, epoch: int) -> bool:
@@ -42,7 +43,7 @@
         return position < len(self.entries) and self.entries[position].epoch == epoch
 
     def after(self, write: Write) -> Disk:
-        """With ``write`` done."""
+        """Return the disk after ``write``."""
         if isinstance(write, WriteHardState):
             return attrs.evolve(self, hard_state=write.hard_state)
         if isinstance(write, WriteEntries):
@@ -65,24 +66,27 @@
     disk: Disk
 
     def read_state(self, index: int, offset: int, size: int) -> bytes:
+        """Read ``size`` bytes of the state in the snapshot of entry ``index``; empty if it is not there."""
         snapshot = self.disk.snapshot
         if snapshot is None or snapshot.index != index:
             return b""
         return snapshot.state[offset : offset + size]
 
 
-class NamedLife(Random):
-    """No chance at all: time-outs have no jitter, and the life is the number that is given."""
+class FixedIncarnation(Random):
+    """In place of randomness: time-outs without jitter, and an incarnation with the number that is given."""
 
-    def __init__(self, life: int) -> None:
-        super().__init__(life)
-        self._life = life
+    def __init__(self, incarnation: int) -> None:
+        super().__init__(incarnation)
+        self._incarnation = incarnation
 
     def random(self) -> float:
+        """Return 0, so that there is no jitter."""
         return 0.0
 
-    def getrandbits(self, bits: int, /) -> int:
-        return self._life
+    def getrandbits(self, _bits: int, /) -> int:
+        """Return the incarnation."""
+        return self._incarnation
 
 
 @attrs.define(eq=False)
@@ -90,10 +94,11 @@
     """A running replica. Copied before every event, and never changed afterwards."""
 
     machine: ReplicaMachine
-    wishes: MembershipRequests
+    membership_requests: MembershipRequests
     reader: DiskReader
 
     def copied(self) -> Process:
+        """Return a copy that shares nothing that changes."""
         copied: Process = copy_graph(self, {})
         return copied
 
@@ -104,46 +109,48 @@
 
     identity: MemberIdentity
     disk: Disk
-    lives: int = 0  # starts of a process on this disk
+    incarnations: int = 0  # starts of a process on this disk
     process: Process | None = None
-    waiting: tuple[Write, ...] = ()  # handed out and not durable
+    unsynced: tuple[Write, ...] = ()  # writes that are not durable yet
     number: int = -1  # equal nodes are one object with one number
-    leads: bool = False
+    is_primary: bool = False
     epoch: int = 0
 
     def content_digest(self) -> bytes:
-        """Equal for nodes that behave alike."""
-        return digest(canonical((self.identity, self.disk, self.lives, self.process, self.waiting)))
+        """Return a digest that is equal for nodes that behave alike."""
+        return digest(canonical((self.identity, self.disk, self.incarnations, self.process, self.unsynced)))
 
-    def sealed(self, number: int) -> Node:
-        """With its number, and what is asked of it often."""
+    def numbered(self, number: int) -> Node:
+        """Return the node with its number, its role and its epoch."""
         machine = self.process.machine if self.process is not None else None
-        leads = machine is not None and machine.role is Role.PRIMARY
+        is_primary = machine is not None and machine.role is Role.PRIMARY
         epoch = machine.epoch if machine is not None else self.disk.hard_state.epoch
-        return attrs.evolve(self, number=number, leads=leads, epoch=epoch)
+        return attrs.evolve(self, number=number, is_primary=is_primary, epoch=epoch)
 
     def started(self, faults: int, timing: Timing, now: float) -> Node:
-        """With a new process that has recovered from the disk; its first effects are not taken yet."""
+        """Return the node with a new process, recovered from the disk, with its first effects."""
         recovered = RecoveredState(self.disk.hard_state, self.disk.snapshot, list(self.disk.entries))
         reader = DiskReader(self.disk)
-        wishes = MembershipRequests()
+        membership_requests = MembershipRequests()
         machine = ReplicaMachine(
             self.identity,
             faults,
             recovered,
             reader,
-            NamedLife(self.lives + 1),
+            FixedIncarnation(self.incarnations + 1),
             now,
             timing=timing,
-            membership_requests=wishes,
-            retained_entries=KEPT_ENTRIES,
+            membership_requests=membership_requests,
+            retained_entries=RETAINED_ENTRIES,
             chunk_bytes=CHUNK_BYTES,
         )
-        return attrs.evolve(self, lives=self.lives + 1, process=Process(machine, wishes, reader))
+        return attrs.evolve(
+            self, incarnations=self.incarnations + 1, process=Process(machine, membership_requests, reader)
+        )
 
     def stopped(self, kept: int) -> Node:
-        """Without a process; the first ``kept`` of the unfinished writes have reached the disk."""
+        """Return the node without a process; the first ``kept`` of the writes in progress are durable."""
         disk = self.disk
-        for write in self.waiting[:kept]:
+        for write in self.unsynced[:kept]:
             disk = disk.after(write)
-        return attrs.evolve(self, process=None, waiting=(), disk=disk)
+        return attrs.evolve(self, process=None, unsynced=(), disk=disk)
--- a/cherrycove/tier/exploration/reactions.py
+++ b/cherrycove/tier/exploration/reactions.py
@@ -1,4 +1,4 @@
-"""What a node does at an event. Computed once for each pair of node and event."""
+"""Reactions of nodes to events, each computed once for a node, a time and an event."""
 
 from __future__ import annotations
 
@@ -36,13 +36,13 @@
 
 
 @attrs.frozen(eq=False)
-class Letter:
-    """A message in flight; equal ones are one object."""
+class Envelope:
+    """A message in flight, with its sender and receiver; equal ones are one object."""
 
     number: int
     sender: MemberIdentity
     receiver: MemberIdentity
-    data: bytes  # an encoded Message; empty: the receiver's peer ``sender`` has another disk now
+    data: bytes  # an encoded Message; empty: ``sender`` reports that its disk was replaced
     label: str
 
 
@@ -68,27 +68,29 @@
 
 @attrs.frozen
 class Sync:
-    """All writes handed out are durable."""
+    """All writes in progress become durable."""
 
 
 @attrs.frozen
 class Propose:
+    """A client proposes ``command``."""
+
     command: bytes
 
 
 @attrs.frozen
-class HandOver:
-    """The process is asked to have another one lead."""
+class TransferLeadership:
+    """The primary is asked to transfer its leadership."""
 
 
 @attrs.frozen
 class SaveSnapshot:
-    """The state is stored in place of the log."""
+    """A snapshot of the state replaces the log."""
 
 
 @attrs.frozen
-class Offer:
-    """The plane names the replicas that are alive, and who is to leave."""
+class UpdateMembership:
+    """The control plane names the replicas that are alive, and the machines that are to retire."""
 
     standbys: tuple[MemberIdentity, ...]
     retiring: frozenset[str]
@@ -96,59 +98,74 @@
 
 @attrs.frozen
 class Bootstrap:
+    """The process is asked to begin a group of ``members``."""
+
     members: tuple[MemberIdentity, ...]
 
 
-Event = Letter | Start | Tick | Sync | Propose | HandOver | SaveSnapshot | Offer | Bootstrap
+Event = (
+    Envelope
+    | Start
+    | Tick
+    | Sync
+    | Propose
+    | TransferLeadership
+    | SaveSnapshot
+    | UpdateMembership
+    | Bootstrap
+)
 
 
 @attrs.frozen
 class Reaction:
-    """A node after an event, and what came out of it."""
+    """A node after an event, with the messages it sends and the entries it applies."""
 
     node: Node
-    letters: tuple[Letter, ...] = ()
+    envelopes: tuple[Envelope, ...] = ()
     committed: tuple[Entry, ...] = ()
     restored: Snapshot | None = None
 
     def followed_by(self, other: Reaction) -> Reaction:
+        """Return this reaction and ``other``, which came next, as one."""
         return Reaction(
             other.node,
-            self.letters + other.letters,
+            self.envelopes + other.envelopes,
             self.committed + other.committed,
             other.restored or self.restored,
         )
 
 
 class Reactions:
-    """Remembers every reaction; equal nodes are one object."""
+    """Computes and caches all reactions; equal nodes are one object."""
 
-    def __init__(self, faults: int, entries_alone: bool) -> None:
+    def __init__(self, faults: int, *, single_entry_appends: bool) -> None:
         self._faults = faults
-        self._append_bytes = 1 if entries_alone else replicator.MAX_APPEND_BYTES
+        self._append_bytes = 1 if single_entry_appends else replicator.MAX_APPEND_BYTES
         self._nodes: dict[bytes, Node] = {}
-        self._letters: dict[tuple[MemberIdentity, MemberIdentity, bytes], Letter] = {}
+        self._envelopes: dict[tuple[MemberIdentity, MemberIdentity, bytes], Envelope] = {}
         self._known: dict[tuple[Node, int, Event], Reaction] = {}
         self._confirmed: dict[tuple[Node, int], bool] = {}
 
     def unique(self, node: Node) -> Node:
+        """Return the one object that stands for ``node`` and its equals."""
         content = node.content_digest()
         known = self._nodes.get(content)
         if known is None:
-            known = self._nodes[content] = node.sealed(len(self._nodes))
+            known = self._nodes[content] = node.numbered(len(self._nodes))
         return known
 
-    def letter(self, sender: MemberIdentity, receiver: MemberIdentity, data: bytes) -> Letter:
+    def envelope(self, sender: MemberIdentity, receiver: MemberIdentity, data: bytes) -> Envelope:
+        """Return the one object for this message."""
         key = (sender, receiver, data)
-        known = self._letters.get(key)
+        known = self._envelopes.get(key)
         if known is None:
-            known = Letter(len(self._letters), sender, receiver, data, _label(sender, receiver, data))
-            self._letters[key] = known
+            known = Envelope(len(self._envelopes), sender, receiver, data, _label(sender, receiver, data))
+            self._envelopes[key] = known
         return known
 
     def is_confirmed_primary(self, node: Node, now: int) -> bool:
         """Whether the process leads under a valid lease."""
-        if not node.leads:
+        if not node.is_primary:
             return False
         key = (node, now)
         known = self._confirmed.get(key)
@@ -158,7 +175,7 @@
         return known
 
     def react(self, node: Node, now: int, event: Event) -> Reaction:
-        """``now`` in quanta. The process must run, but for ``Start``."""
+        """Return the reaction to ``event`` at ``now``, in quanta; without a process only to ``Start``."""
         key = (node, now, event)
         known = self._known.get(key)
         if known is None:
@@ -166,10 +183,10 @@
                 known = self._known[key] = self._compute(node, now * QUANTUM_S, event)
         return known
 
-    def settled(self, node: Node, now: int, event: Event) -> Reaction:
-        """The same with all writes done at once."""
+    def react_and_sync(self, node: Node, now: int, event: Event) -> Reaction:
+        """Return the same with all writes durable at once."""
         reaction = self.react(node, now, event)
-        while reaction.node.waiting:
+        while reaction.node.unsynced:
             reaction = reaction.followed_by(self.react(reaction.node, now, Sync()))
         return reaction
 
@@ -184,45 +201,47 @@
         assert process is not None
         if isinstance(event, Sync):
             started = _synced(started, now)
-        elif isinstance(event, Offer):
-            process.wishes.standbys = event.standbys
-            process.wishes.retiring = event.retiring
+        elif isinstance(event, UpdateMembership):
+            process.membership_requests.standbys = event.standbys
+            process.membership_requests.retiring = event.retiring
         else:
             _handle(process.machine, event, now)
         return self._finished(started, process.machine.take_effects())
 
     def _finished(self, node: Node, effects: Effects) -> Reaction:
         own = node.identity
-        anonymous = MemberIdentity(own.member_id, "", own.address)
-        letters = tuple(
-            self.letter(anonymous, outgoing.receiver, outgoing.message.SerializeToString(deterministic=True))
+        without_node_name = MemberIdentity(own.member_id, "", own.address)
+        envelopes = tuple(
+            self.envelope(
+                without_node_name, outgoing.receiver, outgoing.message.SerializeToString(deterministic=True)
+            )
             for outgoing in effects.messages
         )
-        after = attrs.evolve(node, waiting=(*node.waiting, *effects.writes))
-        return Reaction(self.unique(after), letters, tuple(effects.committed), effects.restore)
+        after = attrs.evolve(node, unsynced=(*node.unsynced, *effects.writes))
+        return Reaction(self.unique(after), envelopes, tuple(effects.committed), effects.restore)
 
 
 def _synced(node: Node, now: float) -> Node:
     process = node.process
     assert process is not None
     disk = node.disk
-    for write in node.waiting:
+    for write in node.unsynced:
         disk = disk.after(write)
         process.reader.disk = disk
         process.machine.complete_writes(write.ticket, now)
-    return attrs.evolve(node, disk=disk, waiting=())
+    return attrs.evolve(node, disk=disk, unsynced=())
 
 
 def _handle(machine: ReplicaMachine, event: Event, now: float) -> None:
     if isinstance(event, Tick):
         machine.tick(now)
-    elif isinstance(event, Letter) and event.data:
+    elif isinstance(event, Envelope) and event.data:
         machine.receive(event.sender, Message.FromString(event.data), now)
-    elif isinstance(event, Letter):
+    elif isinstance(event, Envelope):
         machine.record_disk_replaced(event.sender.member_id, now)
     elif isinstance(event, Propose):
         machine.propose(event.command, now)
-    elif isinstance(event, HandOver):
+    elif isinstance(event, TransferLeadership):
         machine.transfer_leadership(now)
     elif isinstance(event, SaveSnapshot):
         machine.save_snapshot(machine.commit_index.to_bytes(STATE_BYTES, "big"), now)
--- a/cherrycove/tier/exploration/scenarios.py
+++ b/cherrycove/tier/exploration/scenarios.py
@@ -1,4 +1,4 @@
-"""All situations that are explored, by name."""
+"""All scenarios that are explored, by name."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class Scenario(Protocol):
-    """A situation with its bounds."""
+    """Where an exploration begins, and its bounds."""
 
     @property
     def budget(self) -> Any:
-        """An attrs class of counts."""
+        """How often each event may happen: an attrs class of counts."""
 
     def prepare(self) -> tuple[Model[Any], Any]:
-        """The model and the state to begin with."""
+        """Return the model and the state to begin with."""
 
 
 SCENARIOS: Mapping[str, Any] = {**group_scenarios.SCENARIOS, **decision_scenarios.SCENARIOS}
--- a/cherrycove/tier/exploration/search.py
+++ b/cherrycove/tier/exploration/search.py
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class Step(Generic[State]):
-    """One step: its name for people, what it leads to, and the invariant that it breaks, if any."""
+    """One step: its name in traces, the state that it leads to, and the invariant that it breaks, if any."""
 
     label: str
     state: State
@@ -25,13 +25,13 @@
 
 
 class Model(Protocol[State]):
-    """What can happen, as a function of the state alone."""
+    """A state space: the steps that may follow, as a function of the state alone."""
 
     def key(self, state: State) -> bytes:
-        """A digest that is equal for states that behave alike."""
+        """Return a digest that is equal for states that behave alike."""
 
     def steps(self, state: State) -> Iterable[Step[State]]:
-        """All steps that are possible in ``state`` within the bounds of the model."""
+        """Return the steps that are possible in ``state`` within the bounds of the model."""
 
 
 @attrs.frozen(kw_only=True)
@@ -53,7 +53,7 @@
 
 @attrs.frozen
 class Report:
-    """What a search has seen."""
+    """What a search came to; ``depth`` and ``exhausted`` say how much of the state space it covered."""
 
     states: int
     transitions: int
@@ -76,6 +76,7 @@
         self._started = time.monotonic()
 
     def run(self, start: State) -> Report:
+        """Expand ``start`` and its successors until a violation, a limit, or none is left."""
         thresholds = gc.get_threshold()
         gc.set_threshold(*GARBAGE_THRESHOLDS)
         try:
@@ -85,18 +86,18 @@
 
     def _run(self, start: State) -> Report:
         self._seen.add(self._model.key(start))
-        self._remember(START, "start")
+        self._add_state(START, "start")
         frontier = [(0, start)]
         depth = 0
         while frontier and depth < self._limits.depth:
             following: list[tuple[int, State]] = []
             for number, state in frontier:
                 violation = self._expand(number, state, following)
-                if violation is not None or self._spent():
-                    return self._report(depth, False, violation)
+                if violation is not None or self._has_reached_limit():
+                    return self._report(depth, violation, exhausted=False)
             frontier = following
             depth += 1
-        return self._report(depth, not frontier, None)
+        return self._report(depth, None, exhausted=not frontier)
 
     def _expand(self, number: int, state: State, following: list[tuple[int, State]]) -> Violation | None:
         for step in self._model.steps(state):
@@ -106,10 +107,10 @@
             key = self._model.key(step.state)
             if key not in self._seen:
                 self._seen.add(key)
-                following.append((self._remember(number, step.label), step.state))
+                following.append((self._add_state(number, step.label), step.state))
         return None
 
-    def _remember(self, parent: int, label: str) -> int:
+    def _add_state(self, parent: int, label: str) -> int:
         self._parents.append(parent)
         self._labels.append(label)
         return len(self._labels) - 1
@@ -121,11 +122,11 @@
             number = self._parents[number]
         return tuple(reversed(labels))
 
-    def _spent(self) -> bool:
+    def _has_reached_limit(self) -> bool:
         if len(self._seen) >= self._limits.states:
             return True
         return time.monotonic() - self._started > self._limits.seconds
 
-    def _report(self, depth: int, exhausted: bool, violation: Violation | None) -> Report:
+    def _report(self, depth: int, violation: Violation | None, *, exhausted: bool) -> Report:
         seconds = time.monotonic() - self._started
         return Report(len(self._seen), self._transitions, depth, exhausted, seconds, violation)
--- a/tests/tier/test_exploration_group.py
+++ b/tests/tier/test_exploration_group.py
@@ -91,7 +91,7 @@
         assert following is not None, label
         state = following
     assert [node.epoch for node in state.nodes] == [1, 1, 1]
-    assert all("vote_request of epoch 2" not in letter.label for letter in state.letters)
+    assert all("vote_request of epoch 2" not in envelope.label for envelope in state.envelopes)
 
 
 def test_states_are_told_apart_and_met_again() -> None:
