--- a/cherrycove/tier/cli/__init__.py
+++ b/cherrycove/tier/cli/__init__.py
@@ -1,7 +1,7 @@
 """The operators' command line.
 
-It reads files and asks running processes over the network; it changes a tier only through the operator's API.
-Daemons never import it.
+It reads files and asks running processes over the network; it changes a tier only through the operator API.
+Daemons never import its commands, and importing this package imports no library.
 """
 
 from __future__ import annotations
@@ -13,31 +13,28 @@
 
 
 def create_application() -> Application:
-    """The command line with all its commands; libraries are imported here and not before."""
+    """Return the command line with all its commands; their libraries are imported here and not before."""
     from cherrycove.tier.cli.batch import BatchStatusCommand
     from cherrycove.tier.cli.check import CheckConfigurationCommand, CheckSettingsCommand
     from cherrycove.tier.cli.command_line import CommandLine
-    from cherrycove.tier.cli.configuration import (
-        ConfigDiffCommand,
-        ConfigGetCommand,
-        ConfigPutCommand,
-    )
+    from cherrycove.tier.cli.configuration import ConfigDiffCommand, ConfigGetCommand, ConfigPutCommand
     from cherrycove.tier.cli.retire import RetireCommand
     from cherrycove.tier.cli.status import StatusCommand
     from cherrycove.tier.cli.storage import StorageInspectCommand, StorageVerifyCommand
 
+    commands = (
+        CheckSettingsCommand,
+        CheckConfigurationCommand,
+        ConfigGetCommand,
+        ConfigPutCommand,
+        ConfigDiffCommand,
+        StatusCommand,
+        BatchStatusCommand,
+        RetireCommand,
+        StorageInspectCommand,
+        StorageVerifyCommand,
+    )
     command_line = CommandLine()
-    for command in (
-        CheckSettingsCommand(),
-        CheckConfigurationCommand(),
-        ConfigGetCommand(),
-        ConfigPutCommand(),
-        ConfigDiffCommand(),
-        StatusCommand(),
-        BatchStatusCommand(),
-        RetireCommand(),
-        StorageInspectCommand(),
-        StorageVerifyCommand(),
-    ):
-        command_line.add(command)
+    for command in commands:
+        command_line.add(command())
     return command_line
--- a/cherrycove/tier/cli/batch.py
+++ b/cherrycove/tier/cli/batch.py
@@ -1,36 +1,39 @@
-"""``batch status``: how far a batch job is."""
+"""``batch status``: the progress of a batch job."""
 
 from __future__ import annotations
 
 from collections import Counter
+from http import HTTPStatus
 from typing import Any
 from urllib.parse import quote
 
 import attrs
 from cleo.helpers import argument, option
 
-from cherrycove.tier.cli.command import JSON_OPTION, CommandError, ExitCode, Outcome, Problem, TierCommand
-from cherrycove.tier.cli.http_client import DEFAULT_TIMEOUT_S, HttpRequest, send
-from cherrycove.tier.cli.operator_command import TIMEOUT_OPTION, parse_object, rejection
+from cherrycove.tier.cli.command import JSON_OPTION, ExitCode, Outcome
+from cherrycove.tier.cli.documents import to_json_object
+from cherrycove.tier.cli.http_client import HttpRequest, send
+from cherrycove.tier.cli.network_command import TIMEOUT_OPTION, NetworkCommand
+from cherrycove.tier.cli.operator_command import parse_object, rejection
 
 COMPLETED = "completed"
 DEAD_LETTERED = "dead_lettered"
 
 
-@attrs.define
+@attrs.frozen
 class JobProgress:
-    """Results of a job, counted by state."""
+    """The results of a job, counted by state."""
 
-    total: int = 0
-    listed: Counter[str] = attrs.field(factory=Counter)
+    job: str
+    total: int
+    completed: int
+    dead_lettered: int
+    open: int  # items without a result
 
-    @property
-    def open(self) -> int:
-        """Items without a result."""
-        return max(0, self.total - sum(self.listed.values()))
 
+class BatchStatusCommand(NetworkCommand):
+    """Counts the results of a batch job, over all pages that a proxy gives."""
 
-class BatchStatusCommand(TierCommand):
     name = "batch status"
     description = "Counts the results of a batch job; 0 once every item has one."
     arguments = [argument("job", "Id of the batch job.")]
@@ -42,43 +45,38 @@
     ]
 
     def perform(self) -> Outcome:
-        job = self.argument("job")
-        progress = self._count(job)
-        document = {
-            "job": job,
-            "total": progress.total,
-            "completed": progress.listed[COMPLETED],
-            "deadLettered": progress.listed[DEAD_LETTERED],
-            "open": progress.open,
-        }
-        counts = ", ".join(f"{name} {value}" for name, value in document.items() if name != "job")
-        return Outcome(document, [f"{job}: {counts}"], ExitCode.FAILED if progress.open else ExitCode.DONE)
+        """Return the progress; FAILED while the job has open items."""
+        progress = self._count(self.argument("job"))
+        counts = [f"{name} {value}" for name, value in to_json_object(progress).items() if name != "job"]
+        exit_code = ExitCode.FAILED if progress.open else ExitCode.DONE
+        return Outcome(progress, [f"{progress.job}: {', '.join(counts)}"], exit_code)
 
     def _count(self, job: str) -> JobProgress:
-        """Read all pages."""
-        progress = JobProgress()
+        """Read all pages; the last one has no results."""
+        states: Counter[str] = Counter()
         cursor = 0
         while True:
-            page = self._page(job, cursor)
-            progress.total = int(page.get("total", 0))
+            page = self._fetch_page(job, cursor)
             results = page.get("results") or []
-            progress.listed.update(str(result.get("state")) for result in results)
             if not results:
-                return progress
+                break
+            states.update(str(result.get("state")) for result in results)
             cursor += len(results)
-
-    def _page(self, job: str, cursor: int) -> dict[str, Any]:
-        request = HttpRequest(
-            "GET", f"/api/lots/{quote(job, safe='')}?pageCursor={cursor}", {"Host": self._required("host")}
+        total = int(page.get("total", 0))
+        return JobProgress(
+            job=job,
+            total=total,
+            completed=states[COMPLETED],
+            dead_lettered=states[DEAD_LETTERED],
+            open=max(0, total - states.total()),
         )
-        timeout_s = self.integer_option("timeout") or DEFAULT_TIMEOUT_S
-        answer = send([self._required("proxy")], request, timeout_s)
-        if answer.status != 200:
-            raise rejection(answer)
-        return parse_object(answer.body, answer.address)
 
-    def _required(self, name: str) -> str:
-        value = self.option(name)
-        if not value:
-            raise CommandError(ExitCode.INVALID, Problem("is required", key=f"--{name}"))
-        return str(value)
+    def _fetch_page(self, job: str, cursor: int) -> dict[str, Any]:
+        """Return the page of results that begins at position ``cursor``."""
+        path = f"/api/lots/{quote(job, safe='')}?pageCursor={cursor}"
+        request = HttpRequest("GET", path, {"Host": self.required_option("host")})
+        timeout_s = self.timeout_s()
+        response = send([self.required_option("proxy")], request, timeout_s)
+        if response.status != HTTPStatus.OK:
+            raise rejection(response)
+        return parse_object(response.body, response.address)
--- a/cherrycove/tier/cli/check.py
+++ b/cherrycove/tier/cli/check.py
@@ -1,9 +1,10 @@
-"""``check``: whether a settings file or a configuration can be used."""
+"""``check``: whether a settings file or a configuration is valid."""
 
 from __future__ import annotations
 
 from pathlib import Path
 
+import attrs
 from cleo.helpers import argument
 from result import Err
 
@@ -11,74 +12,103 @@
 from cherrycove.tier.configuration import Configuration, parse_configuration
 from cherrycove.tier.settings import SettingsError, load_settings
 
-KEY_SEPARATOR = " @ $"  # stands between reason and key in the reports of cattrs
+KEY_SEPARATOR = " @ $"  # between reason and key in the reports of cattrs
+PROBLEM_SEPARATOR = "; "
 
 
-def read_file(path: str) -> bytes:
-    """The contents of ``path``."""
-    try:
-        return Path(path).read_bytes()
-    except OSError as error:
-        raise CommandError(ExitCode.INVALID, Problem(error.strerror or str(error), path)) from error
+@attrs.frozen
+class SettingsDocument:
+    """What ``check settings`` prints about a valid file."""
 
+    file: str
+    valid: bool
+    node: str
+    machine_class: str
+    serves: list[str]
 
-def parse_problems(report: str, source: str) -> list[Problem]:
-    """The single problems of a report that names them one after another."""
-    return [_parse_problem(part, source) for part in report.removeprefix(f"{source}: ").split("; ")]
-
-
-def _parse_problem(part: str, source: str) -> Problem:
-    reason, mark, key = part.rpartition(KEY_SEPARATOR)
-    if mark:
-        return Problem(reason, source, key.lstrip("."))
-    key, colon, reason = part.partition(": ")
-    return Problem(reason, source, key) if colon else Problem(part, source)
 
+@attrs.frozen
+class ConfigurationDocument:
+    """What ``check configuration`` prints about a valid file."""
 
-def check_configuration(body: bytes, source: str) -> Configuration:
-    """The configuration in ``body``; ends the command where it is invalid."""
-    parsed = parse_configuration(body, source)
-    if isinstance(parsed, Err):
-        raise CommandError(ExitCode.INVALID, *parse_problems(parsed.err_value.detail, source))
-    return parsed.ok_value
+    file: str
+    valid: bool
+    version: int
+    routes: int
+    services: int
 
 
 class CheckSettingsCommand(TierCommand):
+    """Checks a settings file as a daemon does at its start."""
+
     name = "check settings"
     description = "Tells whether a settings file can be used."
     arguments = [argument("file", "The settings file of one process (YAML).")]
 
     def perform(self) -> Outcome:
+        """Return a summary of the settings; raises CommandError with each problem of the file."""
         path = self.argument("file")
         try:
             settings = load_settings(path)
         except SettingsError as error:
             raise CommandError(ExitCode.INVALID, *parse_problems(str(error), path)) from error
-        document = {
-            "file": path,
-            "valid": True,
-            "node": settings.node_name,
-            "machineClass": settings.machine_class,
-            "serves": settings.serves,
-        }
+        document = SettingsDocument(
+            file=path,
+            valid=True,
+            node=settings.node_name,
+            machine_class=settings.machine_class,
+            serves=settings.serves,
+        )
         return Outcome(document, [f"{path}: valid; node {settings.node_name} in {settings.zone}"])
 
 
 class CheckConfigurationCommand(TierCommand):
+    """Checks a configuration as a controller does before it takes one."""
+
     name = "check configuration"
     description = "Tells whether a configuration can be used."
     arguments = [argument("file", "The configuration (JSON).")]
 
     def perform(self) -> Outcome:
+        """Return a summary of the configuration; raises CommandError with each problem of the file."""
         path = self.argument("file")
         configuration = check_configuration(read_file(path), path)
-        routes, services = len(configuration.routes), len(configuration.services)
-        document = {
-            "file": path,
-            "valid": True,
-            "version": configuration.version,
-            "routes": routes,
-            "services": services,
-        }
-        summary = f"version {configuration.version}, {routes} routes, {services} services"
+        document = ConfigurationDocument(
+            file=path,
+            valid=True,
+            version=configuration.version,
+            routes=len(configuration.routes),
+            services=len(configuration.services),
+        )
+        summary = f"version {document.version}, {document.routes} routes, {document.services} services"
         return Outcome(document, [f"{path}: valid; {summary}"])
+
+
+def read_file(path: str) -> bytes:
+    """Return the contents of ``path``; raises CommandError where it cannot be read."""
+    try:
+        return Path(path).read_bytes()
+    except OSError as error:
+        raise CommandError(ExitCode.INVALID, Problem(error.strerror or str(error), path)) from error
+
+
+def check_configuration(body: bytes, source: str) -> Configuration:
+    """Return the configuration in ``body``; raises CommandError with each problem where it is invalid."""
+    parsed = parse_configuration(body, source)
+    if isinstance(parsed, Err):
+        raise CommandError(ExitCode.INVALID, *parse_problems(parsed.err_value.detail, source))
+    return parsed.ok_value
+
+
+def parse_problems(report: str, source: str) -> list[Problem]:
+    """Return the problems of a report that lists them in one line, after the name of the ``source``."""
+    parts = report.removeprefix(f"{source}: ").split(PROBLEM_SEPARATOR)
+    return [_parse_problem(part, source) for part in parts]
+
+
+def _parse_problem(text: str, source: str) -> Problem:
+    reason, separator, key = text.rpartition(KEY_SEPARATOR)
+    if separator:
+        return Problem(reason, source, key.lstrip("."))
+    key, separator, reason = text.partition(": ")
+    return Problem(reason, source, key) if separator else Problem(text, source)
--- a/cherrycove/tier/cli/command.py
+++ b/cherrycove/tier/cli/command.py
@@ -1,16 +1,17 @@
-"""What all commands share: exit codes, outcomes, and their rendering as text or as JSON."""
+"""Base of all commands: exit codes, outcomes, errors, and their output as text or as JSON."""
 
 from __future__ import annotations
 
 import json
 from enum import IntEnum
-from typing import Any
 
 import attrs
 from cleo.commands.command import Command
 from cleo.helpers import option
 from cleo.io.outputs.output import Type
 
+from cherrycove.tier.cli.documents import Document, to_json_object
+
 JSON_OPTION = option("json", None, "Print one JSON object.")
 
 
@@ -20,7 +21,7 @@
     DONE = 0  # done, or yes
     FAILED = 1  # not done, or no
     INVALID = 2  # wrong usage, or invalid input
-    UNANSWERED = 3  # nobody answered
+    UNANSWERED = 3  # no process answered in time
 
 
 @attrs.frozen
@@ -36,7 +37,7 @@
 
 
 class CommandError(Exception):
-    """Ends a command with an exit code and a message."""
+    """Ends a command with an exit code and its problems; the base of this package's errors."""
 
     def __init__(self, exit_code: ExitCode, *problems: Problem) -> None:
         super().__init__("; ".join(str(problem) for problem in problems))
@@ -44,40 +45,53 @@
         self.problems = problems
 
 
+@attrs.frozen
+class ErrorsDocument:
+    """What a failed command prints with ``--json``."""
+
+    errors: list[Problem]
+
+
 @attrs.frozen
 class Outcome:
-    """What a command found: a document for programs, lines for people."""
+    """The result of a command: a document for programs and lines of text for people."""
 
-    document: dict[str, Any]
+    document: Document
     lines: list[str]
     exit_code: ExitCode = ExitCode.DONE
 
 
 class TierCommand(Command):
-    """A command that prints one outcome, with ``--json`` as one JSON object."""
+    """A command that prints one outcome, with ``--json`` as one JSON object.
+
+    Outcomes go to standard output, problems to standard error; with ``--json`` the problems go to both.
+    """
 
     options = [JSON_OPTION]
 
     def perform(self) -> Outcome:
-        """Do the work; raises CommandError where it fails."""
+        """Do the work of the command; raises CommandError where it fails."""
         raise NotImplementedError
 
     def handle(self) -> int:
-        """Called by cleo; returns the exit code."""
+        """Run the command and return its exit code; called by cleo."""
         try:
             outcome = self.perform()
         except CommandError as error:
             self._print_error(error)
             return int(error.exit_code)
         if self.option("json"):
-            self._print(json.dumps(outcome.document))
+            self._print_document(outcome.document)
         else:
             for line in outcome.lines:
                 self._print(line)
         return int(outcome.exit_code)
 
     def integer_option(self, name: str) -> int | None:
-        """The value of the option ``name``, which must be a whole number if it is given."""
+        """Return the value of the option ``name``, None where it is not given.
+
+        Raises CommandError for anything but decimal digits.
+        """
         text = self.option(name)
         if text is None:
             return None
@@ -85,12 +99,21 @@
             raise CommandError(ExitCode.INVALID, Problem(f"{text!r} is not a whole number", key=f"--{name}"))
         return int(text)
 
+    def required_option(self, name: str) -> str:
+        """Return the value of the option ``name``; raises CommandError where it is missing or empty."""
+        value = self.option(name)
+        if not value:
+            raise CommandError(ExitCode.INVALID, Problem("is required", key=f"--{name}"))
+        return str(value)
+
+    def _print_document(self, document: Document) -> None:
+        self._print(json.dumps(to_json_object(document)))
+
     def _print(self, line: str) -> None:
         self.io.write_line(line, type=Type.RAW)
 
     def _print_error(self, error: CommandError) -> None:
         if self.option("json"):
-            problems = [attrs.asdict(problem) for problem in error.problems]
-            self._print(json.dumps({"errors": problems}))
+            self._print_document(ErrorsDocument(list(error.problems)))
         for problem in error.problems:
             self.io.write_error_line(str(problem), type=Type.RAW)
--- a/cherrycove/tier/cli/command_line.py
+++ b/cherrycove/tier/cli/command_line.py
@@ -1,4 +1,4 @@
-"""The cleo application: commands end with the exit codes of the command line, wrong usage included."""
+"""The cleo application: commands end with the exit codes of ``ExitCode``, also after wrong usage."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class CommandLine(Application):
-    """Runs one command; ``run`` returns its exit code."""
+    """Runs one command and returns its exit code; it never ends the process."""
 
     def __init__(self) -> None:
         super().__init__(NAME)
         self.auto_exits(False)
-        self._wrong_usage = False
+        self._is_wrong_usage = False
 
     def run(
         self,
@@ -27,15 +27,18 @@
         output: Output | None = None,
         error_output: Output | None = None,
     ) -> int:
-        """Run the command that ``input`` names, by default that of the process's arguments."""
-        self._wrong_usage = False
+        """Run the command that ``input`` names, by default that of the process's arguments.
+
+        Returns its exit code, INVALID after wrong usage.
+        """
+        self._is_wrong_usage = False
         exit_code = super().run(input, output, error_output)
-        return int(ExitCode.INVALID) if self._wrong_usage else exit_code
+        return int(ExitCode.INVALID) if self._is_wrong_usage else exit_code
 
     def render_error(self, error: Exception, io: IO) -> None:
-        """Tell of wrong usage in one line, of anything else with a trace."""
+        """Print wrong usage in one line, any other error with its trace; called by cleo."""
         if not isinstance(error, CleoError):
             super().render_error(error, io)
             return
-        self._wrong_usage = True
+        self._is_wrong_usage = True
         io.write_error_line(f"{NAME}: {error}", type=Type.RAW)
--- a/cherrycove/tier/cli/configuration.py
+++ b/cherrycove/tier/cli/configuration.py
@@ -2,43 +2,69 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
+
 import attrs
 from cleo.helpers import argument, option
 
 from cherrycove.tier.cli.check import check_configuration, read_file
 from cherrycove.tier.cli.command import JSON_OPTION, CommandError, ExitCode, Outcome, Problem
-from cherrycove.tier.cli.differences import find_differences
+from cherrycove.tier.cli.differences import Difference, find_differences
 from cherrycove.tier.cli.http_client import HttpRequest
+from cherrycove.tier.cli.network_command import TIMEOUT_OPTION
 from cherrycove.tier.cli.operator_command import (
     CONTROLLER_OPTION,
-    TIMEOUT_OPTION,
     OperatorCommand,
     parse_object,
     rejection,
 )
 
 CONFIGURATION_PATH = "/api/configuration"
+FILE_ARGUMENT = argument("file", "The configuration (JSON).")
+IN_FORCE = "the configuration in force"  # as the source of a problem
+
+
+@attrs.frozen
+class PutDocument:
+    """What ``config put`` prints about an acknowledged configuration."""
+
+    version: int
+    base_version: int
+    acknowledged: bool
+
+
+@attrs.frozen
+class DifferencesDocument:
+    """What ``config diff`` prints."""
+
+    differences: list[Difference]
 
 
 class ConfigurationCommand(OperatorCommand):
     """A command about the configuration in force."""
 
     def fetch(self) -> bytes | None:
-        """The configuration in force; None while there is none."""
-        answer = self.call_controller(HttpRequest("GET", CONFIGURATION_PATH))
-        if answer.status == 404:
+        """Return the configuration in force, None while there is none.
+
+        Raises CommandError where no controller answers, or it rejects the request.
+        """
+        response = self.call_controller(HttpRequest("GET", CONFIGURATION_PATH))
+        if response.status == HTTPStatus.NOT_FOUND:
             return None
-        if answer.status != 200:
-            raise rejection(answer)
-        return answer.body
+        if response.status != HTTPStatus.OK:
+            raise rejection(response)
+        return response.body
 
 
 class ConfigGetCommand(ConfigurationCommand):
+    """Prints the configuration in force, byte for byte as the operator sent it."""
+
     name = "config get"
     description = "Prints the configuration in force, as the operator sent it."
     options = [CONTROLLER_OPTION, TIMEOUT_OPTION, JSON_OPTION]
 
     def perform(self) -> Outcome:
+        """Return the configuration; raises CommandError while there is none."""
         body = self.fetch()
         if body is None:
             raise CommandError(ExitCode.FAILED, Problem("no configuration was taken yet"))
@@ -46,9 +72,11 @@
 
 
 class ConfigPutCommand(ConfigurationCommand):
+    """Sends a configuration, with the version that it builds on as a precondition."""
+
     name = "config put"
     description = "Sends a configuration, and waits until it is acknowledged or refused."
-    arguments = [argument("file", "The configuration (JSON).")]
+    arguments = [FILE_ARGUMENT]
     options = [
         CONTROLLER_OPTION,
         TIMEOUT_OPTION,
@@ -57,39 +85,46 @@
     ]
 
     def perform(self) -> Outcome:
+        """Return once the configuration is acknowledged; raises CommandError otherwise.
+
+        The file is checked before anything is sent. An attempt whose response was lost is repeated with the
+        same body and precondition, which the controllers acknowledge again.
+        """
         path = self.argument("file")
         body = read_file(path)
         version = check_configuration(body, path).version
         base_version = self._base_version()
         headers = {"If-Match": str(base_version), "Content-Type": "application/json"}
-        answer = self.call_controller(HttpRequest("PUT", CONFIGURATION_PATH, headers, body))
-        if answer.status != 200:
-            raise rejection(answer)
-        document = {"version": version, "baseVersion": base_version, "acknowledged": True}
+        response = self.call_controller(HttpRequest("PUT", CONFIGURATION_PATH, headers, body))
+        if response.status != HTTPStatus.OK:
+            raise rejection(response)
+        document = PutDocument(version=version, base_version=base_version, acknowledged=True)
         return Outcome(document, [f"version {version} is in force, on top of version {base_version}"])
 
     def _base_version(self) -> int:
+        """Return the version given by the operator, or else that of the configuration in force."""
         given = self.integer_option("if-match")
         if given is not None:
             return given
         body = self.fetch()
-        return 0 if body is None else check_configuration(body, "the configuration in force").version
+        return 0 if body is None else check_configuration(body, IN_FORCE).version
 
 
 class ConfigDiffCommand(ConfigurationCommand):
+    """Compares a file with the configuration in force, key by key."""
+
     name = "config diff"
     description = "Compares a file with the configuration in force; 0 if both say the same."
-    arguments = [argument("file", "The configuration (JSON).")]
+    arguments = [FILE_ARGUMENT]
     options = [CONTROLLER_OPTION, TIMEOUT_OPTION, JSON_OPTION]
 
     def perform(self) -> Outcome:
+        """Return the differences; FAILED if there are any."""
         path = self.argument("file")
         offered = parse_object(read_file(path), path)
         body = self.fetch()
-        in_force = {} if body is None else parse_object(body, "the configuration in force")
-        found = find_differences(in_force, offered)
-        return Outcome(
-            {"differences": [attrs.asdict(difference) for difference in found]},
-            [str(difference) for difference in found],
-            ExitCode.FAILED if found else ExitCode.DONE,
-        )
+        in_force = {} if body is None else parse_object(body, IN_FORCE)
+        differences = find_differences(in_force, offered)
+        lines = [str(difference) for difference in differences]
+        exit_code = ExitCode.FAILED if differences else ExitCode.DONE
+        return Outcome(DifferencesDocument(differences), lines, exit_code)
--- a/cherrycove/tier/cli/differences.py
+++ b/cherrycove/tier/cli/differences.py
@@ -8,12 +8,12 @@
 
 import attrs
 
-ABSENT = None
+ABSENT = None  # a key with the value null counts as one that is not there
 
 
 @attrs.frozen
 class Difference:
-    """A key whose value differs; None stands for no value."""
+    """A key, as a path with dots, whose value differs; ABSENT stands for no value."""
 
     key: str
     before: Any
@@ -28,7 +28,10 @@
 
 
 def find_differences(before: Any, after: Any) -> list[Difference]:
-    """All keys in which the documents differ. Lists of named objects are compared by name, not by place."""
+    """Return every key in which two JSON values differ.
+
+    Lists of objects with different names are compared by name, not by position.
+    """
     return list(_compare("", before, after))
 
 
@@ -40,15 +43,15 @@
         return
     for name in [*left, *(name for name in right if name not in left)]:
         path = f"{key}.{name}" if key else name
-        if left.get(name) is ABSENT or right.get(name) is ABSENT:
-            if left.get(name) != right.get(name):
-                yield Difference(path, left.get(name), right.get(name))
-        else:
-            yield from _compare(path, left[name], right[name])
+        left_value, right_value = left.get(name), right.get(name)
+        if left_value is not ABSENT and right_value is not ABSENT:
+            yield from _compare(path, left_value, right_value)
+        elif left_value != right_value:
+            yield Difference(path, left_value, right_value)
 
 
 def _by_name(value: Any) -> Any:
-    """A list of objects with different names as one object; anything else as it is."""
+    """Return a list of objects with different names as one object, anything else unchanged."""
     if not isinstance(value, list) or not all(isinstance(item, dict) for item in value):
         return value
     names = [item.get("name") for item in value]
--- a/cherrycove/tier/cli/http_client.py
+++ b/cherrycove/tier/cli/http_client.py
@@ -1,10 +1,12 @@
-"""HTTP calls to a tier: addresses are tried in turn, redirects followed, overload waited out."""
+"""HTTP requests to a tier: addresses are tried in turn, redirects followed, overload and outages retried."""
 
 from __future__ import annotations
 
 import asyncio
 import json
 from collections.abc import Mapping, Sequence
+from contextlib import AbstractAsyncContextManager
+from http import HTTPStatus
 from urllib.parse import urlsplit
 
 import aiohttp
@@ -18,20 +20,21 @@
 CONNECT_TIMEOUT_S = 1.0
 INITIAL_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 1.0
-RETRYABLE_STATUSES = (408, 429)  # besides all from 500 on
-DEFAULT_TIMEOUT_S = 10
+RETRYABLE_STATUSES = (HTTPStatus.REQUEST_TIMEOUT, HTTPStatus.TOO_MANY_REQUESTS)  # besides all from 500 on
 
 
 @attrs.frozen
 class HttpResponse:
+    """A response, and which process gave it."""
+
     status: int
     body: bytes
-    address: str  # host:port that gave it
+    address: str  # host:port
 
 
 @attrs.frozen
 class HttpRequest:
-    """One call as it is sent, again and again, until an answer is clear."""
+    """One idempotent request; every attempt sends it unchanged."""
 
     method: str
     path: str
@@ -40,47 +43,24 @@
 
 
 def send(addresses: Sequence[str], request: HttpRequest, timeout_s: float) -> HttpResponse:
-    """The first clear answer from ``addresses`` (host:port); ends the command if none comes in time."""
-    return asyncio.run(_send(addresses, request, timeout_s))
-
+    """Return the first definite response from ``addresses`` (host:port), also if it is a rejection.
 
-async def _send(addresses: Sequence[str], request: HttpRequest, timeout_s: float) -> HttpResponse:
-    for address in addresses:
-        _check_address(address)
-    last = Problem("no answer", ", ".join(addresses))
-    try:
-        async with asyncio.timeout(timeout_s), client_session() as session:
-            backoff_s = INITIAL_BACKOFF_S
-            while True:
-                for address in addresses:
-                    answer = await send_once(session, address, request)
-                    if isinstance(answer, HttpResponse):
-                        return answer
-                    last = answer
-                await asyncio.sleep(backoff_s)
-                backoff_s = min(2.0 * backoff_s, MAX_BACKOFF_S)
-    except TimeoutError:
-        raise CommandError(ExitCode.UNANSWERED, last) from None
+    Raises CommandError for an address that is not valid, and where no definite response comes within
+    ``timeout_s``.
+    """
+    return asyncio.run(_send(addresses, request, timeout_s))
 
 
 async def send_once(
     session: aiohttp.ClientSession, address: str, request: HttpRequest
 ) -> HttpResponse | Problem:
-    """A clear answer, or why there is none."""
-    timeout = aiohttp.ClientTimeout(total=ATTEMPT_TIMEOUT_S, sock_connect=CONNECT_TIMEOUT_S)
+    """Return a definite response of one attempt, or why there is none."""
     url = f"http://{address}{request.path}"
     try:
         for _ in range(MAX_REDIRECTS + 1):
-            async with session.request(
-                request.method,
-                url,
-                data=request.body,
-                headers=request.headers,
-                timeout=timeout,
-                allow_redirects=False,
-            ) as response:
+            async with _open(session, url, request) as response:
                 body = await response.read()
-                if response.status == 307 and "Location" in response.headers:
+                if _is_redirect(response):
                     url = response.headers["Location"]
                     continue
                 return _classify(HttpResponse(response.status, body, urlsplit(url).netloc))
@@ -89,21 +69,9 @@
     return Problem("too many redirects", address)
 
 
-def _classify(answer: HttpResponse) -> HttpResponse | Problem:
-    if answer.status < 500 and answer.status not in RETRYABLE_STATUSES:
-        return answer
-    return Problem(f"status {answer.status} {failure_reason(answer)}".rstrip(), answer.address)
-
-
-def _check_address(address: str) -> None:
-    host, _, port = address.rpartition(":")
-    if not (host and port.isascii() and port.isdigit()):
-        raise CommandError(ExitCode.INVALID, Problem(f"{address!r} is not HOST:PORT"))
-
-
-def failure_reason(answer: HttpResponse) -> str:
-    """The sentence that came with a failure."""
-    text = answer.body.decode("utf-8", "replace").strip()
+def failure_reason(response: HttpResponse) -> str:
+    """Return the sentence that came with a failure; the whole body where it is no JSON object."""
+    text = response.body.decode("utf-8", "replace").strip()
     if not text.startswith("{"):
         return text
     try:
@@ -111,3 +79,53 @@
     except ValueError:
         return text
     return str(document.get("detail") or document.get("error") or "")
+
+
+async def _send(addresses: Sequence[str], request: HttpRequest, timeout_s: float) -> HttpResponse:
+    for address in addresses:
+        _check_address(address)
+    last_problem = Problem("no answer", ", ".join(addresses))
+    try:
+        async with asyncio.timeout(timeout_s), client_session() as session:
+            backoff_s = INITIAL_BACKOFF_S
+            while True:
+                for address in addresses:
+                    result = await send_once(session, address, request)
+                    if isinstance(result, HttpResponse):
+                        return result
+                    last_problem = result
+                await asyncio.sleep(backoff_s)
+                backoff_s = min(2.0 * backoff_s, MAX_BACKOFF_S)
+    except TimeoutError:
+        raise CommandError(ExitCode.UNANSWERED, last_problem) from None
+
+
+def _open(
+    session: aiohttp.ClientSession, url: str, request: HttpRequest
+) -> AbstractAsyncContextManager[aiohttp.ClientResponse]:
+    return session.request(
+        request.method,
+        url,
+        data=request.body,
+        headers=request.headers,
+        timeout=aiohttp.ClientTimeout(total=ATTEMPT_TIMEOUT_S, sock_connect=CONNECT_TIMEOUT_S),
+        allow_redirects=False,
+    )
+
+
+def _is_redirect(response: aiohttp.ClientResponse) -> bool:
+    """Return whether a backup refers to the primary."""
+    return response.status == HTTPStatus.TEMPORARY_REDIRECT and "Location" in response.headers
+
+
+def _classify(response: HttpResponse) -> HttpResponse | Problem:
+    """Return a definite response as it is, and a problem for one that calls for a retry."""
+    if response.status < HTTPStatus.INTERNAL_SERVER_ERROR and response.status not in RETRYABLE_STATUSES:
+        return response
+    return Problem(f"status {response.status} {failure_reason(response)}".rstrip(), response.address)
+
+
+def _check_address(address: str) -> None:
+    host, _, port = address.rpartition(":")
+    if not (host and port.isascii() and port.isdigit()):
+        raise CommandError(ExitCode.INVALID, Problem(f"{address!r} is not HOST:PORT"))
--- a/cherrycove/tier/cli/operator_command.py
+++ b/cherrycove/tier/cli/operator_command.py
@@ -1,4 +1,4 @@
-"""What the commands share that call the operator's interface."""
+"""Base of the commands that call the controllers' operator API, and the reading of its responses."""
 
 from __future__ import annotations
 
@@ -7,41 +7,37 @@
 
 from cleo.helpers import option
 
-from cherrycove.tier.cli.command import CommandError, ExitCode, Problem, TierCommand
-from cherrycove.tier.cli.http_client import DEFAULT_TIMEOUT_S, HttpRequest, HttpResponse, failure_reason, send
+from cherrycove.tier.cli.command import CommandError, ExitCode, Problem
+from cherrycove.tier.cli.http_client import HttpRequest, HttpResponse, failure_reason, send
+from cherrycove.tier.cli.network_command import NetworkCommand
 
 CONTROLLER_OPTION = option(
     "keeper", None, "HOST:PORT of a keeper's operator API; may be repeated.", flag=False, multiple=True
 )
-TIMEOUT_OPTION = option(
-    "timeout", None, "Seconds until giving up.", flag=False, default=str(DEFAULT_TIMEOUT_S)
-)
-EXIT_CODES = {
-    400: ExitCode.INVALID,
-    413: ExitCode.INVALID,
-    422: ExitCode.INVALID,
-}  # all other refusals: FAILED
+INVALID_REQUEST_STATUSES = (400, 413, 422)  # of the rejections; all others end with FAILED
 
 
-class OperatorCommand(TierCommand):
+class OperatorCommand(NetworkCommand):
     """A command that calls the operator API."""
 
     def call_controller(self, request: HttpRequest) -> HttpResponse:
-        """The answer of a keeper, whatever it is."""
-        controllers = self.option("keeper")
-        if not controllers:
-            raise CommandError(ExitCode.INVALID, Problem("name at least one keeper", key="--keeper"))
-        return send(controllers, request, self.integer_option("timeout") or DEFAULT_TIMEOUT_S)
+        """Return the first definite response of a controller, also a rejection.
+
+        Raises CommandError if no controller gives one in time.
+        """
+        controllers = self.controllers()
+        return send(controllers, request, self.timeout_s())
 
 
-def rejection(answer: HttpResponse) -> CommandError:
-    """The error that stands for an answer other than yes."""
-    problem = Problem(f"status {answer.status} {failure_reason(answer)}".rstrip(), answer.address)
-    return CommandError(EXIT_CODES.get(answer.status, ExitCode.FAILED), problem)
+def rejection(response: HttpResponse) -> CommandError:
+    """Return the error with which a command ends that was rejected by ``response``."""
+    is_invalid = response.status in INVALID_REQUEST_STATUSES
+    problem = Problem(f"status {response.status} {failure_reason(response)}".rstrip(), response.address)
+    return CommandError(ExitCode.INVALID if is_invalid else ExitCode.FAILED, problem)
 
 
 def parse_object(body: bytes, source: str) -> dict[str, Any]:
-    """The JSON object in ``body``."""
+    """Return the JSON object in ``body``; raises CommandError, which names ``source``, for anything else."""
     try:
         document = json.loads(body)
     except ValueError as error:
--- a/cherrycove/tier/cli/retire.py
+++ b/cherrycove/tier/cli/retire.py
@@ -1,26 +1,47 @@
-"""``retire``: have a storage machine emptied, or ask how far that is."""
+"""``retire``: order that a storage machine is retired, or show how far that is."""
 
 from __future__ import annotations
 
 import json
+from http import HTTPStatus
 from urllib.parse import quote
 
+import attrs
 from cleo.helpers import argument, option
 
 from cherrycove.tier.cli.command import JSON_OPTION, ExitCode, Outcome
-from cherrycove.tier.cli.http_client import HttpRequest
+from cherrycove.tier.cli.http_client import HttpRequest, HttpResponse
+from cherrycove.tier.cli.network_command import TIMEOUT_OPTION
 from cherrycove.tier.cli.operator_command import (
     CONTROLLER_OPTION,
-    TIMEOUT_OPTION,
     OperatorCommand,
     parse_object,
     rejection,
 )
 
 DEFAULT_DURATION_S = 60
+COMPLETED = "completed"
+
+
+@attrs.frozen
+class OrderDocument:
+    """What ``retire`` prints about an acknowledged order."""
+
+    node: str
+    ordered: bool
+
+
+@attrs.frozen
+class StateDocument:
+    """What ``retire --status`` prints."""
+
+    node: str
+    state: str
 
 
 class RetireCommand(OperatorCommand):
+    """Orders that a storage machine is retired; with ``--status`` it only reads the state of the order."""
+
     name = "retire"
     description = "Has a storage machine emptied; with --status, 0 once that is completed."
     arguments = [argument("node", "Name of the machine.")]
@@ -33,21 +54,24 @@
     ]
 
     def perform(self) -> Outcome:
+        """Give the order, or return its state; raises CommandError where the controllers reject that."""
         node = self.argument("node")
         path = f"/api/retire/{quote(node, safe='')}"
         return self._show_state(node, path) if self.option("status") else self._order(node, path)
 
     def _order(self, node: str, path: str) -> Outcome:
         body = json.dumps({"durationS": self.integer_option("duration")}).encode()
-        answer = self.call_controller(HttpRequest("POST", path, {"Content-Type": "application/json"}, body))
-        if answer.status != 200:
-            raise rejection(answer)
-        return Outcome({"node": node, "ordered": True}, [f"{node}: is being emptied"])
+        self._call(HttpRequest("POST", path, {"Content-Type": "application/json"}, body))
+        return Outcome(OrderDocument(node, ordered=True), [f"{node}: is being emptied"])
 
     def _show_state(self, node: str, path: str) -> Outcome:
-        answer = self.call_controller(HttpRequest("GET", path))
-        if answer.status != 200:
-            raise rejection(answer)
-        state = str(parse_object(answer.body, answer.address).get("state", ""))
-        exit_code = ExitCode.DONE if state == "completed" else ExitCode.FAILED
-        return Outcome({"node": node, "state": state}, [f"{node}: {state}"], exit_code)
+        response = self._call(HttpRequest("GET", path))
+        state = str(parse_object(response.body, response.address).get("state", ""))
+        exit_code = ExitCode.DONE if state == COMPLETED else ExitCode.FAILED
+        return Outcome(StateDocument(node, state), [f"{node}: {state}"], exit_code)
+
+    def _call(self, request: HttpRequest) -> HttpResponse:
+        response = self.call_controller(request)
+        if response.status != HTTPStatus.OK:
+            raise rejection(response)
+        return response
