--- a/cherrycove/__main__.py
+++ b/cherrycove/__main__.py
@@ -38,7 +38,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from cherrycove.broker.warm_restart.keeper import Keeper
+    from cherrycove.broker.warm_restart.store import SnapshotStore
     from cherrycove.broker.decision_log.book import Book
     from cherrycove.broker.decision_log.spans import Tracer
 
@@ -162,16 +162,16 @@
         self._peers: peers.Peers | None = None
         if platform.tier is not None and peers.worth_it(self.core):
             self._peers = peers.Peers(self.core, platform.tier.number, platform.tier.peers, platform.seed)
-        self._memory: Keeper | None = None
+        self._memory: SnapshotStore | None = None
         if operator.memory is not None:
-            from cherrycove.broker.warm_restart.keeper import Keeper
+            from cherrycove.broker.warm_restart.store import SnapshotStore
 
-            self._memory = Keeper(
+            self._memory = SnapshotStore(
                 self.core,
                 operator.memory.directory,
                 operator.memory.interval_s,
                 platform.name,
-                mine=lambda: self.life.is_state_writer,
+                is_writer=lambda: self.life.is_state_writer,
             )
         if operator.why is not None:
             from cherrycove.broker.decision_log.book import Book
--- a/cherrycove/broker/cli/memory.py
+++ b/cherrycove/broker/cli/memory.py
@@ -15,8 +15,8 @@
 import click
 
 from cherrycove.broker import config
-from cherrycove.broker.warm_restart import figures, file
-from cherrycove.broker.warm_restart.passing import moment
+from cherrycove.broker.warm_restart import snapshot, snapshot_file
+from cherrycove.broker.warm_restart.restore import moment
 
 NO, USAGE = 1, 2
 FILE = click.option(
@@ -65,18 +65,18 @@
     platform, operator = _configured(as_json)
     if operator.memory is None:
         _end("[memory] in the operator's file is not enabled: give --file", USAGE, as_json)
-    return file.path(operator.memory.directory, platform.name)
+    return snapshot_file.path(operator.memory.directory, platform.name)
 
 
 def _read(where: Path, as_json: bool) -> dict[str, Any]:
     try:
-        rows = file.read(where)
+        rows = snapshot_file.read(where)
         if not isinstance(rows, dict):
-            raise figures.UnusableError("it holds no table")
-        written = figures.moment_of(rows)
+            raise snapshot.UnusableError("it holds no table")
+        written = snapshot.moment_of(rows)
     except FileNotFoundError:
         _end(f"{where}: there is none", NO, as_json)
-    except (OSError, figures.UnusableError) as error:
+    except (OSError, snapshot.UnusableError) as error:
         _end(f"{where}: {getattr(error, 'strerror', None) or error}", NO, as_json)
     return rows | {"absence_s": moment().since(written)}
 
@@ -133,8 +133,8 @@
     rows = _read(where, as_json)
     platform, _ = _configured(as_json)
     try:
-        told, absence, aside = figures.unpack(rows, 0.0, moment(), platform.settings, platform.name)
-    except figures.UnusableError as error:
+        told, absence, aside = snapshot.unpack(rows, 0.0, moment(), platform.settings, platform.name)
+    except snapshot.UnusableError as error:
         _end(f"{where}: {error}", NO, as_json)
     if as_json:
         click.echo(
@@ -164,7 +164,7 @@
     """Throw a memory away. A broker in service writes it anew: end it first."""
     where = _path(given, as_json)
     try:
-        found = file.forget(where)
+        found = snapshot_file.forget(where)
     except OSError as error:
         _end(f"{where}: {error.strerror}", NO, as_json)
     if as_json:
--- a/cherrycove/broker/lifecycle/coordinator.py
+++ b/cherrycove/broker/lifecycle/coordinator.py
@@ -24,8 +24,8 @@
     parse_member,
 )
 from cherrycove.broker.lifecycle.state_machine import SHARED_FRACTION, LifecycleState
-from cherrycove.broker.warm_restart.figures import UnusableError
-from cherrycove.broker.warm_restart.passing import rows_of, take_up
+from cherrycove.broker.warm_restart.restore import restore_snapshot, take_snapshot
+from cherrycove.broker.warm_restart.snapshot import UnusableError
 
 log = Log("cherrycove.life.handover")
 
@@ -138,7 +138,7 @@
         self._core.share(SHARED_FRACTION, sent)
         if self._remembers and "memory" in state:
             try:
-                take_up(self._core, state["memory"], self._broker, "process", sent_is_told=True)
+                restore_snapshot(self._core, state["memory"], self._broker, "process", sent_is_known=True)
             except UnusableError as error:
                 log.warning("memory.unusable", source="process", why=error)
 
@@ -256,7 +256,7 @@
             "maintenance": pack_maintenance(self._core.maintenance),
         }
         if self._remembers:
-            state["memory"] = rows_of(self._core, self._broker, whole=True)
+            state["memory"] = take_snapshot(self._core, self._broker, whole=True)
         return Grant(state, self._handed_over or self._listeners.listeners())
 
     def _stop_accepting(self) -> None:
--- a/cherrycove/broker/warm_restart/__init__.py
+++ b/cherrycove/broker/warm_restart/__init__.py
@@ -1,7 +1,7 @@
-"""What a broker has learned, kept for its next life.
+"""Warm restart: what a broker has learned about nodes and volumes, kept for its next process.
 
-It owns the form in which that is kept, how it ages while nobody runs, the file that holds it, and when that
-is read and written. It must never decide where a request goes (the module does, with what it is told), permit
-what a rule forbids, touch a disk from the event loop, or keep a broker from serving: without a memory it
-starts as one that knows nothing.
+``snapshot`` converts it to plain rows and back (pure), ``snapshot_file`` holds them on disk, ``restore``
+connects both to the core, ``store`` reads and writes the file at its times. A broker without a usable
+snapshot starts as one that knows nothing; nothing here permits what a rule forbids, or touches a disk from
+the event loop.
 """
--- a/tests/golden_broker.py
+++ b/tests/golden_broker.py
@@ -37,7 +37,7 @@
 from cherrycove.broker.http1 import parse
 from cherrycove.broker.lifecycle import announcement, coordinator, handover, messages, state_machine
 from cherrycove.broker.peer_capacity import datagram
-from cherrycove.broker.warm_restart import figures, file, passing
+from cherrycove.broker.warm_restart import restore, snapshot, snapshot_file
 from cherrycove.scheduling import interface as api
 from cherrycove.scheduling import settings_check as known
 from cherrycove.scheduling import simulator_codec as wire
@@ -100,7 +100,7 @@
     "member": (core.Member, "name address shard zone weight since_ms state"),
     "node_list": (core.NodeList, "version full members"),
     "maintenance": (core.Maintenance, "out back"),
-    "moment": (figures.Moment, "wall boot up"),
+    "moment": (snapshot.Moment, "wall boot up"),
     "ask": (datagram.Ask, "sender life serial node units"),
     "loan": (datagram.Loan, "sender life to_life serial units wait"),
     "entry": (store.Entry, "key counter writer value"),
@@ -261,7 +261,7 @@
     "nbd_error_chunk": lambda *values: nbd.make_error_chunk(*values).pack(),
     "nbd_data_chunk": lambda *values: nbd.make_data_chunk(*values).pack(),
     "directory": lambda *values: announcement.directory(*values).encode(),
-    "memory_path": lambda *values: str(file.path(*values)).encode(),
+    "memory_path": lambda *values: str(snapshot_file.path(*values)).encode(),
     "node_key": lambda *values: _node_key(*values),
     "wire_action": lambda scheduler, act: wire.format_action(scheduler, act).encode(),
 }
@@ -279,20 +279,20 @@
 def write_memory(
     told: api.RestartState,
     now: float,
-    moment: figures.Moment,
+    moment: snapshot.Moment,
     settings: api.Settings,
     broker: str,
     whole: bool,
 ) -> bytes:
     """A memory file's bytes."""
-    return file.frame(figures.pack(told, now, moment, settings, broker, whole))
+    return snapshot_file.frame(snapshot.pack(told, now, moment, settings, broker, whole=whole))
 
 
 def read_memory(
-    where: Path, now: float, moment: figures.Moment, settings: api.Settings, broker: str
+    where: Path, now: float, moment: snapshot.Moment, settings: api.Settings, broker: str
 ) -> tuple[api.RestartState, float, int]:
     """What a later process takes up of it, the absence (s), and how many entries it leaves aside."""
-    told, absence, aside = figures.unpack(file.read(where), now, moment, settings, broker)
+    told, absence, aside = snapshot.unpack(snapshot_file.read(where), now, moment, settings, broker)
     return told, absence, sum(aside.values())
 
 
@@ -633,8 +633,8 @@
         "settings left aside": sorted(known.LEFT),
         "wire events": sorted(wire.EVENT_WORDS),
         "files": [handover.MAINTENANCE, handover.LOCK, announcement.SOCKET, cherrycove.__main__.OPERATOR],
-        "magics": [file.MAGIC.hex(), datagram.MAGIC.hex(), store.MAGIC.hex(), handover.BUSY.hex()],
-        "forms": [f"memory rows {figures.FORM}", f"memory file {file.FORMAT}"],
+        "magics": [snapshot_file.MAGIC.hex(), datagram.MAGIC.hex(), store.MAGIC.hex(), handover.BUSY.hex()],
+        "forms": [f"memory rows {snapshot.FORM}", f"memory file {snapshot_file.FORMAT}"],
     }
 
 
@@ -767,7 +767,7 @@
         await former.close()
         former._listeners.socket.close()  # type: ignore[attr-defined]
 
-    with mock.patch.object(passing, "moment", lambda: from_plain(moment)):
+    with mock.patch.object(restore, "moment", lambda: from_plain(moment)):
         asyncio.run(talk())
     return said
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -1,4 +1,4 @@
-"""What a life leaves to the next: rows, file, keeper, and what a module does with it."""
+"""What a life leaves to the next: snapshot, file, store, and what a module does with it."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 from bench.many.rig import Process
 from bench.many.rig import Rig as Fleet
 from cherrycove.broker.cli.commands import main
-from cherrycove.broker.warm_restart import figures, file
-from cherrycove.broker.warm_restart.figures import Moment, UnusableError
+from cherrycove.broker.warm_restart import snapshot, snapshot_file
+from cherrycove.broker.warm_restart.snapshot import Moment, UnusableError
 from cherrycove.scheduling.interface import (
     CapacityPool,
     ListKind,
@@ -54,11 +54,11 @@
 
 
 def rows(moment: Moment = HERE, whole: bool = False) -> Any:
-    return figures.pack(TOLD, 100.0, moment, SETTINGS, "b", whole)
+    return snapshot.pack(TOLD, 100.0, moment, SETTINGS, "b", whole=whole)
 
 
 def taken(raw: Any, moment: Moment = HERE, now: float = 5.0) -> RestartState:
-    return figures.unpack(raw, now, moment, SETTINGS, "b")[0]
+    return snapshot.unpack(raw, now, moment, SETTINGS, "b")[0]
 
 
 # Rows, pure.
@@ -77,7 +77,7 @@
 @pytest.mark.parametrize(
     ("changes", "moment", "why"),
     [
-        ({"form": figures.FORM + 1}, HERE, "form"),
+        ({"form": snapshot.FORM + 1}, HERE, "form"),
         ({"form": None}, HERE, "form"),
         ({"deployment": "another"}, HERE, "another deployment"),
         ({"broker": "c"}, HERE, "another broker"),
@@ -100,15 +100,15 @@
 
 
 def test_past_the_bound_only_figures_without_a_time_count() -> None:
-    for moment in (replace(HERE, up=HERE.up + figures.MOST_AGE), Moment(HERE.wall + 3600.0, "next", 9.0)):
+    for moment in (replace(HERE, up=HERE.up + snapshot.MAX_AGE_S), Moment(HERE.wall + 3600.0, "next", 9.0)):
         told = taken(rows(), moment)
         assert (told.nodes, told.volumes, told.budgets) == ((), (), {0: 3.0})
 
 
 def test_another_deployment_is_told_by_its_names_and_sizes_and_not_by_its_aims() -> None:
     longer = tuple(replace(cls, aim=cls.aim * 2) for cls in SETTINGS.classes)
-    assert figures.deployment(replace(SETTINGS, classes=longer)) == figures.deployment(SETTINGS)
-    assert figures.deployment(replace(SETTINGS, shards=9)) != figures.deployment(SETTINGS)
+    assert snapshot.deployment(replace(SETTINGS, classes=longer)) == snapshot.deployment(SETTINGS)
+    assert snapshot.deployment(replace(SETTINGS, shards=9)) != snapshot.deployment(SETTINGS)
 
 
 JSONLIKE = st.recursive(
@@ -148,27 +148,27 @@
 
 
 def test_a_file_torn_at_any_byte_or_with_any_byte_flipped_is_never_taken_up(tmp_path: Path) -> None:
-    whole, where = file.frame(rows()), file.path(tmp_path, "b/ü")
+    whole, where = snapshot_file.frame(rows()), snapshot_file.path(tmp_path, "b/ü")
     assert where.parent == tmp_path
-    file.write(where, whole)
-    assert taken(file.read(where)) == taken(rows())
+    snapshot_file.write(where, whole)
+    assert taken(snapshot_file.read(where)) == taken(rows())
     for end in range(len(whole)):
         with pytest.raises(UnusableError):
-            file.parse(whole[:end])
+            snapshot_file.parse(whole[:end])
         flipped = bytearray(whole)
         flipped[end] ^= 1 << end % 8
         with pytest.raises(UnusableError):
-            file.parse(bytes(flipped))
+            snapshot_file.parse(bytes(flipped))
     with pytest.raises(UnusableError, match="behind"):
-        file.parse(whole + b"x")
+        snapshot_file.parse(whole + b"x")
 
 
 @pytest.mark.parametrize("call", ["write", "fsync", "replace"])
 def test_a_failed_write_leaves_the_former_file_and_nothing_beside_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str
 ) -> None:
-    where = file.path(tmp_path, "b")
-    file.write(where, file.frame(rows()))
+    where = snapshot_file.path(tmp_path, "b")
+    snapshot_file.write(where, snapshot_file.frame(rows()))
     real = os.write
 
     def full(*arguments: Any) -> int:
@@ -178,27 +178,28 @@
 
     monkeypatch.setattr(os, call, full)
     with pytest.raises(OSError, match="full"):
-        file.write(where, file.frame(rows(whole=True)))
+        snapshot_file.write(where, snapshot_file.frame(rows(whole=True)))
     monkeypatch.undo()
-    assert taken(file.read(where)) == taken(rows())
+    assert taken(snapshot_file.read(where)) == taken(rows())
     assert [each.name for each in tmp_path.iterdir()] == ["b.memory"]
 
 
 def test_what_is_no_file_or_too_large_is_told(tmp_path: Path) -> None:
     os.mkfifo(tmp_path / "pipe")
     with pytest.raises(UnusableError, match="no file"):
-        file.read(tmp_path / "pipe")
-    (tmp_path / "large").write_bytes(b"x" * (file.MOST_BYTES + 1))
+        snapshot_file.read(tmp_path / "pipe")
+    (tmp_path / "large").write_bytes(b"x" * (snapshot_file.MAX_BYTES + 1))
     with pytest.raises(UnusableError, match="more than"):
-        file.read(tmp_path / "large")
+        snapshot_file.read(tmp_path / "large")
     with pytest.raises(UnusableError, match="would hold"):
-        file.frame(["x" * file.MOST_BYTES])
+        snapshot_file.frame(["x" * snapshot_file.MAX_BYTES])
 
 
 def test_a_writer_killed_at_any_moment_leaves_a_whole_file(tmp_path: Path) -> None:
     """Twenty lives of a writer, each killed as it writes files of changing length."""
     program = (
-        "import random, sys\nfrom pathlib import Path\nfrom cherrycove.broker.warm_restart import file\n"
+        "import random, sys\nfrom pathlib import Path\n"
+        "from cherrycove.broker.warm_restart import snapshot_file as file\n"
         "where, number = Path(sys.argv[1]), 0\n"
         "while True:\n    number += 1\n"
         "    file.write(where, file.frame([number, 'x' * random.randint(0, 200_000), number]))\n"
@@ -215,9 +216,9 @@
             time.sleep(dice.uniform(0.0, 0.002))
             writer.send_signal(signal.SIGKILL)
             last = int(([b"0", *writer.stdout.read().split()])[-1] or 0)
-        first, _, again = file.read(where)
+        first, _, again = snapshot_file.read(where)
         assert first == again >= last
-    assert file.forget(where) and not list(tmp_path.iterdir()) and not file.forget(where)
+    assert snapshot_file.forget(where) and not list(tmp_path.iterdir()) and not snapshot_file.forget(where)
 
 
 # What the module does with it.
@@ -402,7 +403,7 @@
                 since = len(broker.lines)
                 await broker.start()
                 assert f" whole={whole} " in await said(broker, "memory.taken_up", since)
-                assert file.read(kept(broker))["whole"] is False
+                assert snapshot_file.read(kept(broker))["whole"] is False
                 await broker.kill()
 
     run(story())
@@ -419,17 +420,17 @@
             await written(broker)
             await broker.kill()
             where, since, event = kept(broker), len(broker.lines), "memory.unusable"
-            raw = file.read(where)
+            raw = snapshot_file.read(where)
             if how == "torn":
                 where.write_bytes(where.read_bytes()[:-1])
             elif how == "of another":
-                file.write(where, file.frame(raw | {"broker": "n7"}))
+                snapshot_file.write(where, snapshot_file.frame(raw | {"broker": "n7"}))
             elif how == "of a later form":
-                file.write(where, file.frame(raw | {"form": 99}))
+                snapshot_file.write(where, snapshot_file.frame(raw | {"form": 99}))
             elif how == "of yesterday":
                 event = "memory.taken_up"
                 day = {"up": raw["up"] - 86400.0, "wall": raw["wall"] - 86400.0}
-                file.write(where, file.frame(raw | day))
+                snapshot_file.write(where, snapshot_file.frame(raw | day))
             else:
                 where.unlink()
                 event = "memory.none"
@@ -461,7 +462,7 @@
         return click.testing.CliRunner().invoke(main, ["memory", words[0], "--file", str(where), *words[1:]])
 
     assert command("show").exit_code == 1 and command("check").exit_code == 1
-    file.write(where, file.frame(rows(replace(HERE, boot="gone", wall=time.time()))))
+    snapshot_file.write(where, snapshot_file.frame(rows(replace(HERE, boot="gone", wall=time.time()))))
     shown = json.loads(command("show", "--json").stdout)
     assert shown["nodes"][0]["id"] == "n0" and shown["nodes"][0]["failures"] == 2 and shown["absence_s"] < 60
     assert "failed 2 times" in command("show").stdout and "volume v: -3.5" in command("show").stdout
--- a/tests/test_return.py
+++ b/tests/test_return.py
@@ -11,7 +11,7 @@
 from test_memory import kept, said, written
 
 from bench.many.rig import Process, Rig
-from cherrycove.broker.warm_restart import file
+from cherrycove.broker.warm_restart import snapshot_file
 
 
 def nothing_twice_or_foreign(rig: Rig) -> None:
@@ -173,14 +173,16 @@
             for _ in range(2):
                 await written(broker)
             await broker.kill()
-            rows, since = file.read(kept(broker)), len(broker.lines)
-            file.write(kept(broker), file.frame(rows | {"boot": "another", "wall": rows["wall"] + 3600.0}))
+            rows, since = snapshot_file.read(kept(broker)), len(broker.lines)
+            snapshot_file.write(
+                kept(broker), snapshot_file.frame(rows | {"boot": "another", "wall": rows["wall"] + 3600.0})
+            )
             await broker.start()
             assert "set back" in await said(broker, "memory.unusable", since)
             await serves(broker, "ahead")
             await broker.kill()
             praise = [[*row[:3], 1e-6, 0.0, 1e6, False, 0, 0.0, -1, 0.0, -1.0] for row in rows["nodes"]]
-            file.write(kept(broker), file.frame(rows | {"nodes": praise, "whole": True}))
+            snapshot_file.write(kept(broker), snapshot_file.frame(rows | {"nodes": praise, "whole": True}))
             rig.disks["d1"].stop()
             since = len(broker.lines)
             await broker.start()
