--- a/cherrycove/broker/consul.py
+++ b/cherrycove/broker/consul.py
@@ -1,8 +1,10 @@
 """Consul: the health API as the source of the node list, and the broker's own entry in the catalogue.
 
-It owns the blocking queries, the reading of a service's health as a node's state, the registration and its
-TTL check. It must never hand on a list that it could not read, ask in a tight loop, or keep the broker from
-serving: without Consul the last list stands.
+It owns the blocking queries, the mapping of a service's health to a node's state, the registration and its
+TTL check. It must never forward a list that it could not read, ask in a tight loop, or keep the broker from
+serving: without Consul the last list is kept.
+
+Source: Consul's HTTP API, pages "Health", "Blocking Queries", "Agent Service" and "Agent Check".
 """
 
 from __future__ import annotations
@@ -23,93 +25,67 @@
 
 log = Log("cherrycove.consul")
 
-SLACK = 1.0  # s past a blocking query's wait; Consul itself adds up to a sixteenth of the wait
-LEAST_PAUSE, MOST_PAUSE = 0.1, 10.0  # s between calls after failures, doubling
-STATES = ("passing", "warning", "critical", "maintenance")
+_QUERY_SLACK_S = 1.0  # past a blocking query's wait
+_WAIT_JITTER = 17 / 16  # Consul adds up to a sixteenth to the wait of a blocking query
+_MIN_BACKOFF_S, _MAX_BACKOFF_S = 0.1, 10.0  # between queries after failures, doubling
+_REGISTRATION_RETRY_S = 1.0
+_RENEWALS_PER_TTL = 3
+CALL_TIMEOUT = aiohttp.ClientTimeout(total=2.0)  # of a call to the agent that does not block
+_DEREGISTER_CRITICAL_AFTER = "10m"
+
+_CHECK_STATES = ("passing", "warning", "critical", "maintenance")
+_UNHEALTHY_STATES = ("critical", "maintenance")
+_MAINTENANCE_CHECKS = ("_node_maintenance", "_service_maintenance")  # prefixes of their ids
+_MAX_INDEX_DIGITS = 19
+_MAX_SINCE_MS, _MAX_WEIGHT = 1e18, 1e9
 
 
 class HealthError(ValueError):
-    """What came is not an answer of the health API."""
+    """The agent's response is not one of the health API, or rejects a call; the message says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConsulConfig:
+    """The ``[consul]`` table of the operator's file.
+
+    Attributes:
+        agent: host and port of the agent's HTTP API.
+        service: name of the disk nodes' service.
+        wait_s: longest time that a blocking query waits for a change.
+        register: name of the broker's own service; empty: it is not registered.
+        ttl_s: of the broker's check.
+    """
+
     agent: tuple[str, int]
-    service: str  # the disk nodes' service
+    service: str
     wait_s: float = 30.0
-    register: str = ""  # the broker's own service; empty: it is not registered
+    register: str = ""
     ttl_s: float = 10.0
 
 
-def _state(checks: Any) -> NodeState:
-    """Passing (or with a warning) is up; maintenance or critical takes no new work."""
-    if not isinstance(checks, list) or not all(
-        isinstance(check, dict) and check.get("Status") in STATES for check in checks
-    ):
-        raise HealthError("its checks are malformed")
-    ill = any(
-        check["Status"] in ("critical", "maintenance")
-        or str(check.get("CheckID", "")).startswith(("_node_maintenance", "_service_maintenance"))
-        for check in checks
-    )
-    return NodeState.DRAINING if ill else NodeState.UP
-
-
-def _instance(raw: Any, zones: Mapping[str, int]) -> Member:
-    try:
-        service, node = raw["Service"], raw["Node"]
-        meta = service.get("Meta") or {}
-        name, port = service["ID"], service["Port"]
-        host = service.get("Address") or node["Address"]
-        shard, since = int(meta["shard"]), float(meta.get("since_ms", 0))
-        zone = meta.get("zone", "")
-        weight = float((service.get("Weights") or {}).get("Passing", 1))
-    except (KeyError, TypeError, AttributeError, ValueError, OverflowError) as error:
-        raise HealthError(f"it lacks or misstates {error}") from None
-    if not (
-        isinstance(name, str)
-        and name
-        and isinstance(host, str)
-        and host
-        and type(port) is int
-        and 0 < port < 65536
-        and shard >= 0
-        and 0 <= since < 1e18
-        and 0 <= weight < 1e9
-    ):
-        raise HealthError("a value is out of range")
-    return Member(
-        name,
-        f"{host}:{port}",
-        shard,
-        zones.get(zone, 0) if isinstance(zone, str) else 0,
-        weight,
-        since,
-        _state(raw.get("Checks")),
-    )
-
-
 def parse_health(
     text: bytes | str, zones: Mapping[str, int], before: Mapping[str, Member], version: int
 ) -> NodeList:
-    """The service's instances as a whole node list, or HealthError.
+    """The service's instances as a full node list with this version.
 
-    One instance that is registered wrongly must not blind the broker to the others: it is left out, or, if it
-    was known, gets no new work.
+    An instance that is registered wrongly must not hide the others: it is left out, or, if it is among the
+    members ``before`` (by name), set to draining, so that it gets no new work.
+
+    Raises:
+        HealthError: if the response as a whole cannot be read.
     """
     try:
-        raw = json.loads(text)
-    except (ValueError, RecursionError):
-        raise HealthError("not JSON") from None
-    if not isinstance(raw, list):
+        instances = json.loads(text)
+    except (ValueError, RecursionError) as error:
+        raise HealthError("not JSON") from error
+    if not isinstance(instances, list):
         raise HealthError("not a list of instances")
     members: dict[str, Member] = {}
-    for each in raw:
+    for instance in instances:
         try:
-            member = _instance(each, zones)
+            member = _parse_instance(instance, zones)
         except HealthError as error:
-            service = each.get("Service") if isinstance(each, dict) else None
-            name = service.get("ID") if isinstance(service, dict) else None
+            name = _instance_id(instance)
             log.warning("consul.instance_unusable", instance=name, why=error)
             if isinstance(name, str) and name in before:
                 members[name] = replace(before[name], state=NodeState.DRAINING)
@@ -118,111 +94,207 @@
     return NodeList(version, True, tuple(members.values()))
 
 
+def _parse_instance(raw: Any, zones: Mapping[str, int]) -> Member:
+    try:
+        service, node = raw["Service"], raw["Node"]
+        meta = service.get("Meta") or {}
+        name, port = service["ID"], service["Port"]
+        host = service.get("Address") or node["Address"]
+        shard, since_ms = int(meta["shard"]), float(meta.get("since_ms", 0))
+        zone = meta.get("zone", "")
+        weight = float((service.get("Weights") or {}).get("Passing", 1))
+    except (KeyError, TypeError, AttributeError, ValueError, OverflowError) as error:
+        raise HealthError(f"it lacks or misstates {error}") from error
+    has_name_and_address = isinstance(name, str) and name and _is_address(host, port)
+    is_in_range = shard >= 0 and 0 <= since_ms < _MAX_SINCE_MS and 0 <= weight < _MAX_WEIGHT
+    if not has_name_and_address or not is_in_range:
+        raise HealthError("a value is out of range")
+    return Member(
+        name=name,
+        address=f"{host}:{port}",
+        shard=shard,
+        zone=zones.get(zone, 0) if isinstance(zone, str) else 0,
+        weight=weight,
+        since_ms=since_ms,
+        state=_state_of(raw.get("Checks")),
+    )
+
+
+def _is_address(host: Any, port: Any) -> bool:
+    return isinstance(host, str) and bool(host) and type(port) is int and 0 < port < 65536
+
+
+def _instance_id(raw: Any) -> Any:
+    """What stands where an instance's id belongs; None if there is no such place."""
+    service = raw.get("Service") if isinstance(raw, dict) else None
+    return service.get("ID") if isinstance(service, dict) else None
+
+
+def _state_of(checks: Any) -> NodeState:
+    """Up if all checks pass, be it with a warning; draining if one is critical or for maintenance."""
+    if not isinstance(checks, list) or not all(
+        isinstance(check, dict) and check.get("Status") in _CHECK_STATES for check in checks
+    ):
+        raise HealthError("its checks are malformed")
+    return NodeState.DRAINING if any(map(_is_unhealthy, checks)) else NodeState.UP
+
+
+def _is_unhealthy(check: dict[str, Any]) -> bool:
+    return check["Status"] in _UNHEALTHY_STATES or str(check.get("CheckID", "")).startswith(
+        _MAINTENANCE_CHECKS
+    )
+
+
 def next_index(last: int, text: str | None) -> int:
-    """The index to ask with next: one that falls, or is none, starts over."""
-    index = int(text) if text and text.isascii() and text.isdigit() and len(text) < 20 else 0
+    """The index for the next blocking query, from the header ``X-Consul-Index``.
+
+    0, which does not block, if the header is no index or the index has fallen (page "Blocking Queries").
+    """
+    is_index = text and text.isascii() and text.isdigit() and len(text) <= _MAX_INDEX_DIGITS
+    index = int(text) if text and is_index else 0
     return index if index >= max(last, 1) else 0
 
 
+@dataclass(frozen=True, slots=True)
+class _HealthAnswer:
+    """A service's health: the nodes, whether they differ from the core's, and the next query's index."""
+
+    nodes: NodeList
+    is_changed: bool
+    next_index: int
+
+
 class ConsulClient:
-    """Talks to one agent."""
+    """Follows a service's health at one agent and keeps the broker registered there.
+
+    The broker owns it, runs ``watch`` and ``keep_registered`` as tasks, and calls ``close`` after it has
+    cancelled both. An unreachable agent is retried for ever.
+    """
 
     def __init__(
-        self, core: Core, setup: ConsulConfig, zones: Mapping[str, int], name: str, listen: tuple[str, int]
+        self,
+        core: Core,
+        config: ConsulConfig,
+        zones: Mapping[str, int],
+        name: str,
+        listen: tuple[str, int],
     ) -> None:
-        self._core, self._setup, self._zones = core, setup, zones
-        self._name, self._listen = name, listen
-        host, port = setup.agent
-        self._base = f"http://{host}:{port}/v1"
-        self._leaving, self._entry = False, asyncio.Lock()  # held while the own entry is being changed
+        """``name`` and ``listen`` are the broker's, as it is registered; nothing is sent yet."""
+        self._core = core
+        self._config = config
+        self._zones = zones
+        self._name = name
+        self._listen = listen
+        host, port = config.agent
+        self._base_url = f"http://{host}:{port}/v1"
+        self._is_leaving = False
+        self._registration_lock = asyncio.Lock()  # held while a call changes the broker's own entry
         self._session = aiohttp.ClientSession(
             cookie_jar=aiohttp.DummyCookieJar(),
-            timeout=aiohttp.ClientTimeout(total=setup.wait_s * 17 / 16 + SLACK, sock_connect=SLACK),
+            timeout=aiohttp.ClientTimeout(
+                total=config.wait_s * _WAIT_JITTER + _QUERY_SLACK_S, sock_connect=_QUERY_SLACK_S
+            ),
         )
 
     async def close(self) -> None:
+        """Close the connections to the agent."""
         await self._session.close()
 
     async def watch(self) -> None:
-        """Follow the service's health for ever."""
-        index, pause, version = 0, LEAST_PAUSE, self._core.version or 0
+        """Follow the service's health until cancelled; each change goes to the core as a full list."""
+        index, backoff_s, version = 0, _MIN_BACKOFF_S, self._core.version or 0
         while True:
-            query = f"?index={index}&wait={self._setup.wait_s:g}s" if index else ""
-            url = URL(f"{self._base}/health/service/{self._setup.service}{query}", encoded=True)
+            url = self._health_url(index)
             try:
-                async with self._session.get(url, allow_redirects=False) as answer:
-                    if answer.status != 200:
-                        raise HealthError(f"status {answer.status}")
-                    before = {member.name: member for member in self._core.members}
-                    news = parse_health(await answer.read(), self._zones, before, version + 1)
-                    told = next_index(index, answer.headers.get("X-Consul-Index"))
+                answer = await self._query_health(url, index, version + 1)
             except (HealthError, aiohttp.ClientError, OSError, ValueError) as error:
                 log.warning("consul.silent", why=str(error) or type(error).__name__)
                 self._core.list_unavailable()
-                index = 0  # what was missed is asked for anew
-                await asyncio.sleep(pause * random.uniform(0.5, 1.0))
-                pause = min(2 * pause, MOST_PAUSE)
+                index = 0  # changes may have been missed: the next query must not block
+                await asyncio.sleep(backoff_s * random.uniform(0.5, 1.0))
+                backoff_s = min(2 * backoff_s, _MAX_BACKOFF_S)
                 continue
-            if set(news.members) != set(before.values()) or self._core.version is None:
+            if answer.is_changed or self._core.version is None:
                 version += 1
-                log.info(
-                    "nodes.listed",
-                    version=news.version,
-                    nodes=" ".join(f"{m.name}:{m.state.value}" for m in news.members),
-                )
-                self._core.update(news)
+                self._update_core(answer.nodes)
             self._core.silent = False
-            if not told:
-                await asyncio.sleep(LEAST_PAUSE)  # no index to block on: never a tight loop
-            index, pause = told, LEAST_PAUSE
+            if not answer.next_index:
+                await asyncio.sleep(_MIN_BACKOFF_S)  # no index to block on: never a tight loop
+            index, backoff_s = answer.next_index, _MIN_BACKOFF_S
+
+    def _health_url(self, index: int) -> URL:
+        """Of a query that blocks until the index has passed, or does not block if it is 0."""
+        query = f"?index={index}&wait={self._config.wait_s:g}s" if index else ""
+        return URL(f"{self._base_url}/health/service/{self._config.service}{query}", encoded=True)
+
+    async def _query_health(self, url: URL, index: int, version: int) -> _HealthAnswer:
+        """One query, whose list gets this version; ``index`` is the one in the URL."""
+        async with self._session.get(url, allow_redirects=False) as response:
+            if response.status != 200:
+                raise HealthError(f"status {response.status}")
+            before = {member.name: member for member in self._core.members}
+            nodes = parse_health(await response.read(), self._zones, before, version)
+            return _HealthAnswer(
+                nodes=nodes,
+                is_changed=set(nodes.members) != set(before.values()),
+                next_index=next_index(index, response.headers.get("X-Consul-Index")),
+            )
+
+    def _update_core(self, nodes: NodeList) -> None:
+        listed = " ".join(f"{member.name}:{member.state.value}" for member in nodes.members)
+        log.info("nodes.listed", version=nodes.version, nodes=listed)
+        self._core.update(nodes)
 
     async def keep_registered(self) -> None:
-        """Register this broker and keep its TTL check passing, until it is deregistered."""
-        check = f"service:{self._name}"
+        """Register this broker and renew its TTL check until it is deregistered or the task cancelled."""
+        is_registered = False
+        while True:
+            status = "passing" if self._core.ready else "critical"
+            try:
+                async with self._registration_lock:
+                    # A renewal after the deregistration would be rejected, and the broker then registered
+                    # anew, as passing, by a process that ends.
+                    if self._is_leaving:
+                        return
+                    if not is_registered:
+                        await self._put("/agent/service/register", self._service_definition())
+                        is_registered = True
+                    await self._put(f"/agent/check/update/{self._check_id}", {"Status": status})
+                await asyncio.sleep(self._config.ttl_s / _RENEWALS_PER_TTL)
+            except (HealthError, aiohttp.ClientError, OSError) as error:
+                log.warning("consul.not_registered", why=str(error) or type(error).__name__)
+                is_registered = False  # an agent that has restarted does not know this broker
+                await asyncio.sleep(min(self._config.ttl_s / _RENEWALS_PER_TTL, _REGISTRATION_RETRY_S))
+
+    @property
+    def _check_id(self) -> str:
+        return f"service:{self._name}"
+
+    def _service_definition(self) -> dict[str, Any]:
         host, port = self._listen
-        entry = {
+        return {
             "ID": self._name,
-            "Name": self._setup.register,
+            "Name": self._config.register,
             "Address": host,
             "Port": port,
             "Check": {
-                "CheckID": check,
-                "TTL": f"{self._setup.ttl_s:g}s",
-                "DeregisterCriticalServiceAfter": "10m",
+                "CheckID": self._check_id,
+                "TTL": f"{self._config.ttl_s:g}s",
+                "DeregisterCriticalServiceAfter": _DEREGISTER_CRITICAL_AFTER,
             },
         }
-        registered = False
-        while True:
-            status = "passing" if self._core.ready else "critical"
-            try:
-                async with self._entry:
-                    # Guard: an agent asked to forget this broker knows no such check; told so, it was
-                    # registered again, as passing, by a process that ends.
-                    if self._leaving:
-                        return
-                    if not registered:
-                        await self._put("/agent/service/register", entry)
-                        registered = True
-                    await self._put(f"/agent/check/update/{check}", {"Status": status})
-                await asyncio.sleep(self._setup.ttl_s / 3)
-            except (HealthError, aiohttp.ClientError, OSError) as error:
-                log.warning("consul.not_registered", why=str(error) or type(error).__name__)
-                registered = False  # an agent that has started anew knows nothing of us
-                await asyncio.sleep(min(self._setup.ttl_s / 3, 1.0))
 
     async def deregister(self) -> None:
-        """Behind whatever is just being told of the entry; it is not renewed from now on."""
-        self._leaving = True
+        """Remove the broker's entry, after a renewal in flight; it is not renewed from now on."""
+        self._is_leaving = True
         try:
-            async with self._entry:
+            async with self._registration_lock:
                 await self._put(f"/agent/service/deregister/{self._name}", None)
         except (HealthError, aiohttp.ClientError, OSError) as error:
             log.warning("consul.not_deregistered", why=str(error) or type(error).__name__)
 
     async def _put(self, path: str, body: Any) -> None:
-        async with self._session.put(URL(self._base + path, encoded=True), json=body, timeout=CALL) as answer:
-            if answer.status != 200:
-                raise HealthError(f"status {answer.status} to {path}")
-
-
-CALL = aiohttp.ClientTimeout(total=2.0)
+        url = URL(self._base_url + path, encoded=True)
+        async with self._session.put(url, json=body, timeout=CALL_TIMEOUT) as response:
+            if response.status != 200:
+                raise HealthError(f"status {response.status} to {path}")
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -190,7 +190,7 @@
 
 def test_a_silent_agent_does_not_hold_up_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
     """What the broker does at an end begins while the agent is still asked to forget it."""
-    monkeypatch.setattr(consul, "CALL", ClientTimeout(total=None))
+    monkeypatch.setattr(consul, "CALL_TIMEOUT", ClientTimeout(total=None))
 
     async def story() -> None:
         agent = Agent()
