--- a/bench/fleet/hosts.py
+++ b/bench/fleet/hosts.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from bench.fleet.world import CORES, HANDSHAKE, HOP, MESSAGE, MESSAGE_LOST, Ask, Node, Volume, World
-from cherrycove.broker.peer_capacity import room
+from cherrycove.broker.peer_capacity import lending
 from cherrycove.scheduling import interface as api
 from cherrycove.scheduling.scheduler import Scheduler
 
@@ -46,12 +46,12 @@
         self.open: dict[int, tuple[Ask, float]] = {}
         self.tries: dict[tuple[int, int], str] = {}  # attempts out, by node
         self.connections: dict[str, float] = {}
-        self.lender = room.Lender(self.fleet.settings, self.number, self.clock.now)
-        self.borrower = room.Borrower(self.fleet.hosts)
+        self.lender = lending.Lender(self.fleet.settings, self.number, self.clock.now)
+        self.borrower = lending.Borrower(self.fleet.hosts)
         self.listed = {node.id: node for node in self.fleet.listed_nodes}
         if self.fleet.pooled:
             self.know()
-            self.push(api.CapacityPool(room.LENT))
+            self.push(api.CapacityPool(lending.LENT_FRACTION))
         listed = tuple(map(self.fleet.entry, self.fleet.listed_nodes))
         self.push(api.NodeListUpdate(1, api.ListKind.RESTORED, listed))
 
@@ -87,11 +87,13 @@
 
     def know(self) -> None:
         self.lender.know(
-            (room.key(name, node.born * 1000), node.born) for name, node in self.listed.items() if node.born
+            (lending.node_key(name, node.born * 1000), node.born)
+            for name, node in self.listed.items()
+            if node.born
         )
 
     def ask_room(self, name: str, units: float) -> None:
-        key = room.key(name, self.listed[name].born * 1000)
+        key = lending.node_key(name, self.listed[name].born * 1000)
         asked = self.borrower.ask(key, self.clock.now)
         if asked is not None:
             whom, serial = asked
@@ -106,7 +108,7 @@
         found = self.borrower.answered(whom, serial, wait, self.clock.now) if life == self.lives else None
         if found is not None and units:
             for name, node in self.listed.items():
-                if room.key(name, node.born * 1000) == found[0]:
+                if lending.node_key(name, node.born * 1000) == found[0]:
                     self.push(api.CapacityLoan(name, units, found[1]))
 
     def timer(self, life: int, token: int) -> None:
--- a/cherrycove/__main__.py
+++ b/cherrycove/__main__.py
@@ -97,7 +97,7 @@
 from cherrycove.broker import shared_map as store
 from cherrycove.broker.core import Core, NodeList
 from cherrycove.broker.event_log import Log
-from cherrycove.broker.peer_capacity import peers
+from cherrycove.broker.peer_capacity import exchange
 from cherrycove.broker.http1 import server, upstream
 from cherrycove.broker.http1.watch import watch
 from cherrycove.broker.lifecycle.handover import HandoverEndpoint
@@ -159,9 +159,11 @@
         )
         self._book: Book | None = None
         self._tracer: Tracer | None = None
-        self._peers: peers.Peers | None = None
-        if platform.tier is not None and peers.worth_it(self.core):
-            self._peers = peers.Peers(self.core, platform.tier.number, platform.tier.peers, platform.seed)
+        self._peers: exchange.CapacityExchange | None = None
+        if platform.tier is not None and exchange.is_lending_useful(self.core):
+            self._peers = exchange.CapacityExchange(
+                self.core, platform.tier.number, platform.tier.peers, platform.seed
+            )
         self._memory: SnapshotStore | None = None
         if operator.memory is not None:
             from cherrycove.broker.warm_restart.store import SnapshotStore
--- a/cherrycove/broker/peer_capacity/__init__.py
+++ b/cherrycove/broker/peer_capacity/__init__.py
@@ -1,7 +1,6 @@
-"""One broker as one of many: what it shares with its peers over the platform's datagrams.
+"""Peer capacity: one broker borrows and lends capacity of nodes in slow start among the brokers of a tier.
 
-It owns the lending of room on cold nodes: its rules, its datagrams of at most 256 bytes, and the socket
-that carries them. It must never decide where or when a request is sent (the module does, with the room it is
-lent), and never lend what, with all that others may use, passes the rule on cold nodes. Off where the
-settings bar it.
+``lending`` holds the rules (pure), ``datagram`` the messages, ``exchange`` the socket. Nothing here decides
+where or when a request is sent; the scheduler does, with the capacity that it is lent. What is lent never
+passes, with all that others may use, the limit of a node in slow start. Off where the settings forbid it.
 """
--- a/cherrycove/broker/peer_capacity/datagram.py
+++ b/cherrycove/broker/peer_capacity/datagram.py
@@ -1,10 +1,10 @@
-"""The datagrams of the fleet: an ask for room on a cold node, and its answer. Fixed forms of 24 and 22 bytes.
+"""Codec of the datagrams between brokers: a request for capacity of 24 bytes and its answer of 22.
 
-    ask    CF 1 1 sender:u16 life:u32 serial:u32 node:8 units:u16
-    loan   CF 1 2 sender:u16 life:u32 to_life:u32 serial:u32 units:u16 wait:u16
+    request  CF 1 1 sender:u16 incarnation:u32 serial:u32 node:8 units:u16
+    loan     CF 1 2 sender:u16 incarnation:u32 to_incarnation:u32 serial:u32 units:u16 wait:u16
 
-Units in sixteenths, waits in milliseconds, integers in network order. ``life`` is drawn by each process at
-its start: an answer to a former life is nobody's.
+Units in sixteenths, waits in milliseconds, integers in network order. Each process draws its incarnation at
+its start; an answer to a former incarnation is ignored.
 """
 
 from __future__ import annotations
@@ -12,22 +12,24 @@
 import struct
 from dataclasses import dataclass
 
-MAGIC, ASK, LOAN = b"CF\x01", 1, 2
+MAGIC, REQUEST, LOAN = b"CF\x01", 1, 2
 HEAD = struct.Struct(">3sBHI")
-ASK_BODY = struct.Struct(">I8sH")
+REQUEST_BODY = struct.Struct(">I8sH")
 LOAN_BODY = struct.Struct(">IIHH")
-UNIT = 16
-MOST = 0xFFFF
+STEPS_PER_UNIT = 16
+MAX_U16 = 0xFFFF
 
 
 class DatagramError(ValueError):
-    """What has come is no datagram of this form."""
+    """Received bytes are no datagram of this form."""
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    sender: int  # the host's number
-    life: int
+class LoanRequest:
+    """A broker asks the lender of a node for capacity."""
+
+    sender: int  # number of the host
+    incarnation: int
     serial: int
     node: bytes  # its key
     units: float
@@ -35,40 +37,39 @@
 
 @dataclass(frozen=True, slots=True)
 class Loan:
-    sender: int
-    life: int
-    to_life: int
-    serial: int
-    units: float  # 0: none
-    wait: float  # s before the node may be asked for again
-
-
-def pack(message: Ask | Loan) -> bytes:
-    """What is lent is rounded down, what is asked for up."""
-    if isinstance(message, Ask):
-        units = min(-int(-message.units * UNIT // 1), MOST)
-        return HEAD.pack(MAGIC, ASK, message.sender, message.life) + ASK_BODY.pack(
-            message.serial, message.node, units
-        )
-    return HEAD.pack(MAGIC, LOAN, message.sender, message.life) + LOAN_BODY.pack(
-        message.to_life,
-        message.serial,
-        min(int(message.units * UNIT), MOST),
-        min(int(message.wait * 1000), MOST),
-    )
-
-
-def parse(data: bytes) -> Ask | Loan:
-    """A datagram, or DatagramError. Source: this page's own form, above."""
+    """The lender's answer."""
+
+    sender: int  # number of the host
+    incarnation: int
+    to_incarnation: int  # of the request
+    serial: int  # of the request
+    units: float  # 0: nothing is lent
+    wait_s: float  # before the node may be asked for again
+
+
+def pack(message: LoanRequest | Loan) -> bytes:
+    """Encode a message; what is lent is rounded down, what is asked for up."""
+    if isinstance(message, LoanRequest):
+        units = min(-int(-message.units * STEPS_PER_UNIT // 1), MAX_U16)
+        head = HEAD.pack(MAGIC, REQUEST, message.sender, message.incarnation)
+        return head + REQUEST_BODY.pack(message.serial, message.node, units)
+    head = HEAD.pack(MAGIC, LOAN, message.sender, message.incarnation)
+    units = min(int(message.units * STEPS_PER_UNIT), MAX_U16)
+    wait_ms = min(int(message.wait_s * 1000), MAX_U16)
+    return head + LOAN_BODY.pack(message.to_incarnation, message.serial, units, wait_ms)
+
+
+def parse(data: bytes) -> LoanRequest | Loan:
+    """Decode a message; DatagramError if it is malformed."""
     try:
-        magic, kind, sender, life = HEAD.unpack_from(data)
-        rest = data[HEAD.size :]
-        if magic == MAGIC and kind == ASK:
-            serial, node, units = ASK_BODY.unpack(rest)
-            return Ask(sender, life, serial, node, units / UNIT)
+        magic, kind, sender, incarnation = HEAD.unpack_from(data)
+        body = data[HEAD.size :]
+        if magic == MAGIC and kind == REQUEST:
+            serial, node, units = REQUEST_BODY.unpack(body)
+            return LoanRequest(sender, incarnation, serial, node, units / STEPS_PER_UNIT)
         if magic == MAGIC and kind == LOAN:
-            to_life, serial, units, wait = LOAN_BODY.unpack(rest)
-            return Loan(sender, life, to_life, serial, units / UNIT, wait / 1000)
-    except struct.error:
-        raise DatagramError("it is cut short, or longer than its form") from None
+            to_incarnation, serial, units, wait_ms = LOAN_BODY.unpack(body)
+            return Loan(sender, incarnation, to_incarnation, serial, units / STEPS_PER_UNIT, wait_ms / 1000)
+    except struct.error as error:
+        raise DatagramError("it is cut short, or longer than its form") from error
     raise DatagramError("it is of no known form")
--- /dev/null
+++ b/cherrycove/broker/peer_capacity/exchange.py
@@ -0,0 +1,170 @@
+"""The socket to the other brokers of the tier, which joins lender and borrower to the core."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections import Counter
+from collections.abc import Sequence
+
+from cherrycove.broker.core import Core
+from cherrycove.broker.event_log import Log
+from cherrycove.broker.peer_capacity import datagram, lending
+
+log = Log("cherrycove.fleet")
+SOCKET_RETRY_S = 1.0  # after which an address that is in use is tried again
+MAX_DATAGRAMS_PER_S = 500  # that are read; a peer that floods costs no more
+Address = tuple[str, int]
+
+
+def is_lending_useful(core: Core) -> bool:
+    """Return whether an even part of a node's capacity in slow start is too small for a usual request.
+
+    All brokers of a tier come to the same answer: they have the same settings.
+    """
+    settings = core.settings
+    return settings.cold_units / settings.schedulers < settings.usual_units
+
+
+class CapacityExchange(asyncio.DatagramProtocol):
+    """One broker's side of the lending. The broker's process owns it, and opens it while it is alone.
+
+    Answers only the listed address of the host that a datagram claims to be from, with one datagram for one.
+    Without a socket the broker has its split part of each node's capacity.
+
+    Args:
+        core: receives loans, and asks for them.
+        number: of this host among ``addresses``.
+        addresses: of all hosts, by number.
+        seed: of the random incarnation.
+    """
+
+    def __init__(self, core: Core, number: int, addresses: Sequence[Address], seed: int) -> None:
+        self._core, self._number, self._addresses = core, number, list(addresses)
+        self._loop = asyncio.get_running_loop()
+        self._incarnation = random.Random(seed).getrandbits(32)
+        self._transport: asyncio.DatagramTransport | None = None
+        self._opening: asyncio.Task[None] | None = None
+        self._retry: asyncio.TimerHandle | None = None
+        self._lender = lending.Lender(core.settings, number, self._loop.time())
+        self._borrower = lending.Borrower(core.settings.schedulers)
+        self._known_list = -1  # the node list that the lender knows
+        self._names: dict[bytes, str] = {}
+        self._second, self._received = 0, 0
+        self.counts: Counter[str] = Counter()
+        # Also while there is no socket: a broker that used its whole even part beside what is lent of it
+        # would pass the node's capacity.
+        core.pool_room(lending.LENT_FRACTION, self._ask)
+
+    def start(self, listen: Address) -> None:
+        """Open the socket in the background; see ``serve``."""
+        self._opening = asyncio.create_task(self.serve(listen))
+
+    async def serve(self, listen: Address) -> None:
+        """Borrow from now on, and lend as soon as no loan of an earlier process can be used any more."""
+        if self._transport is not None:
+            return
+        self._lender = lending.Lender(self._core.settings, self._number, self._loop.time())
+        self._known_list = -1
+        try:
+            self._transport, _ = await self._loop.create_datagram_endpoint(lambda: self, local_addr=listen)
+        except OSError as error:
+            log.warning("fleet.no_socket", why=error)
+            self._retry = self._loop.call_later(SOCKET_RETRY_S, self.start, listen)
+
+    def close(self) -> None:
+        """Close the socket, before a successor opens it: two processes would each lend the whole."""
+        if self._opening is not None:
+            self._opening.cancel()
+        if self._retry is not None:
+            self._retry.cancel()
+        if self._transport is not None:
+            self._transport.close()
+            self._transport = None
+
+    def datagram_received(self, data: bytes, address: Address) -> None:
+        """Handle a datagram of a known peer; count what is malformed, forged or beyond the limit."""
+        if self._is_flooded():
+            self.counts["flooded"] += 1
+            return
+        try:
+            message = datagram.parse(data)
+        except datagram.DatagramError:
+            self.counts["malformed"] += 1
+            return
+        if message.sender >= len(self._addresses) or self._addresses[message.sender] != address[:2]:
+            self.counts["forged"] += 1
+            return
+        if isinstance(message, datagram.LoanRequest):
+            self._answer(message)
+        elif message.to_incarnation == self._incarnation:
+            self._receive_loan(message.sender, message.serial, message.units, message.wait_s)
+
+    def _is_flooded(self) -> bool:
+        """Count a datagram; return whether it is beyond the limit of this second."""
+        second = int(self._loop.time())
+        if second != self._second:
+            self._second, self._received = second, 0
+        self._received += 1
+        return self._received > MAX_DATAGRAMS_PER_S
+
+    def error_received(self, _error: Exception) -> None:
+        """Count a datagram that did not reach its host."""
+        self.counts["unreachable"] += 1
+
+    def _update_nodes(self) -> None:
+        """Tell the lender the nodes of the present list."""
+        if self._known_list == self._core.lists:
+            return
+        self._known_list = self._core.lists
+        starts = {
+            lending.node_key(member.name, member.since_ms): (member.name, started)
+            for member in self._core.members
+            if (started := self._core.started(member)) is not None
+        }
+        self._names = {node: name for node, (name, _) in starts.items()}
+        self._lender.know((node, started) for node, (_, started) in starts.items())
+
+    def _answer(self, request: datagram.LoanRequest) -> None:
+        units, wait_s = self._lend(request.node, request.units)
+        loan = datagram.Loan(
+            self._number, self._incarnation, request.incarnation, request.serial, units, wait_s
+        )
+        self._send(request.sender, loan)
+
+    def _lend(self, node: bytes, units: float) -> tuple[float, float]:
+        self._update_nodes()
+        lent, wait_s = self._lender.lend(node, units, self._loop.time())
+        self.counts["lent" if lent else "denied"] += 1
+        return lent, wait_s
+
+    def _ask(self, name: str, units: float) -> None:
+        """Ask the lender of this node; the scheduler needs capacity there."""
+        self._update_nodes()
+        member = next((member for member in self._core.members if member.name == name), None)
+        if member is None or self._transport is None:
+            return
+        node = lending.node_key(name, member.since_ms)
+        asked = self._borrower.ask(node, self._loop.time())
+        if asked is None:
+            return
+        lender, serial = asked
+        self.counts["asked"] += 1
+        if lender == self._number:
+            self._receive_loan(lender, serial, *self._lend(node, units))
+        else:
+            self._send(lender, datagram.LoanRequest(self._number, self._incarnation, serial, node, units))
+
+    def _receive_loan(self, lender: int, serial: int, units: float, wait_s: float) -> None:
+        answered = self._borrower.answered(lender, serial, wait_s, self._loop.time())
+        if answered is None:
+            self.counts["stale"] += 1
+            return
+        node, valid_s = answered
+        if units > 0 and node in self._names:
+            self.counts["borrowed"] += 1
+            self._core.room_lent(self._names[node], units, valid_s)
+
+    def _send(self, host: int, message: datagram.LoanRequest | datagram.Loan) -> None:
+        if self._transport is not None and host < len(self._addresses):
+            self._transport.sendto(datagram.pack(message), self._addresses[host])
--- a/tests/golden_broker.py
+++ b/tests/golden_broker.py
@@ -101,7 +101,7 @@
     "node_list": (core.NodeList, "version full members"),
     "maintenance": (core.Maintenance, "out back"),
     "moment": (snapshot.Moment, "wall boot up"),
-    "ask": (datagram.Ask, "sender life serial node units"),
+    "ask": (datagram.LoanRequest, "sender life serial node units"),
     "loan": (datagram.Loan, "sender life to_life serial units wait"),
     "entry": (store.Entry, "key counter writer value"),
     "attempt": (record.Try, "node why at took ending"),
@@ -268,9 +268,9 @@
 
 
 def _node_key(name: str, since_ms: float) -> bytes:
-    from cherrycove.broker.peer_capacity import room
+    from cherrycove.broker.peer_capacity import lending
 
-    return room.key(name, since_ms) + bytes([room.lender(room.key(name, since_ms), 40)])
+    return lending.node_key(name, since_ms) + bytes([lending.lender_of(lending.node_key(name, since_ms), 40)])
 
 
 # Files.
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from support import fuzz
 
-from cherrycove.broker.peer_capacity.room import borne
+from cherrycove.broker.peer_capacity.lending import guaranteed_capacity
 from cherrycove.scheduling.interface import ListKind, Node
 from cherrycove.scheduling.slow_start import SlowStart
 from cherrycove.scheduling.state import NodeQueue, Recent
@@ -98,4 +98,4 @@
     rig.arrive(shard=0, volume="v0")
     rig.wait(0.05)
     settings = rig.scheduler.settings
-    assert rig.out and borne(settings, 0.0) == settings.cold_units / settings.start_capacity
+    assert rig.out and guaranteed_capacity(settings, 0.0) == settings.cold_units / settings.start_capacity
--- a/tests/test_fleet_room.py
+++ b/tests/test_fleet_room.py
@@ -16,8 +16,16 @@
 
 from cherrycove.broker import config
 from cherrycove.broker.core import Core, Member, NodeList
-from cherrycove.broker.peer_capacity import datagram, peers
-from cherrycove.broker.peer_capacity.room import LENT, VALID, Borrower, Lender, borne, key, lender
+from cherrycove.broker.peer_capacity import datagram, exchange
+from cherrycove.broker.peer_capacity.lending import (
+    LENT_FRACTION,
+    LOAN_VALID_S,
+    Borrower,
+    Lender,
+    guaranteed_capacity,
+    lender_of,
+    node_key,
+)
 from cherrycove.scheduling.interface import BorrowCapacity, CapacityLoan, CapacityPool, Node
 
 SETTINGS = replace(
@@ -30,7 +38,7 @@
     max_units=8.0,
     usual_units=2.0,
 )
-NODE = key("s-1", 1000.0)
+NODE = node_key("s-1", 1000.0)
 
 
 @fuzz
@@ -39,7 +47,7 @@
     """Random asks over a node's whole warming, with the lender killed and started anew at random: in each
     window of the rule, what may be used of all loans stays within the part that is lent."""
     dice = random.Random(seed)
-    number = lender(NODE, 5)
+    number = lender_of(NODE, 5)
     books, started, loans = Lender(SETTINGS, number, -100.0), 0.0, list[tuple[float, float]]()
     books.know([(NODE, started)])
     now = 0.0
@@ -54,23 +62,26 @@
             loans.append((now, units))
     assert loans
     for begin, _ in loans:
-        # A loan made at t may be used until t + VALID, so these may all be used in one window of the rule:
-        window = begin + VALID
+        # A loan made at t may be used until t + LOAN_VALID_S: these may all be used in one window of the rule.
+        window = begin + LOAN_VALID_S
         used = sum(units for at, units in loans if begin <= at <= window + SETTINGS.fall_window)
-        assert used <= LENT * borne(SETTINGS, window + SETTINGS.fall_window - started) + 1e-9
+        assert (
+            used
+            <= LENT_FRACTION * guaranteed_capacity(SETTINGS, window + SETTINGS.fall_window - started) + 1e-9
+        )
         growth = 1 + (1 / 0.18 - 1) * min(max(begin - started, 0.0) / 17.0, 1.0)
-        assert used <= LENT * 4.0 * growth + 1e-6  # of what it bore when the window began
+        assert used <= LENT_FRACTION * 4.0 * growth + 1e-6  # of what it bore when the window began
 
 
 def test_a_lender_lends_nothing_of_nodes_that_are_not_its_own_or_not_cold_or_right_after_its_start() -> None:
-    number = lender(NODE, 5)
+    number = lender_of(NODE, 5)
     other, fresh = Lender(SETTINGS, (number + 1) % 5, 0.0), Lender(SETTINGS, number, 10.0)
     for each in (other, fresh):
         each.know([(NODE, 5.0)])
     assert other.lend(NODE, 1.0, 50.0)[0] == 0.0  # two lenders would lend it twice
     assert fresh.lend(NODE, 1.0, 13.0)[0] == 0.0  # a former life's loans may still be used
     assert fresh.lend(NODE, 1.0, 13.6) == (1.0, 0.0)
-    assert fresh.lend(key("s-2", 0.0), 1.0, 13.6)[0] == 0.0
+    assert fresh.lend(node_key("s-2", 0.0), 1.0, 13.6)[0] == 0.0
     fresh.know([])
     assert fresh.lend(NODE, 1.0, 60.0)[0] == 0.0
 
@@ -80,10 +91,10 @@
     whom, serial = borrower.ask(NODE, 0.0) or pytest.fail()
     assert borrower.ask(NODE, 0.1) is None  # the first has not been answered
     assert borrower.answered(whom + 1, serial, 0.0, 0.1) is None
-    assert borrower.answered(whom, serial, 0.0, 0.1) == (NODE, pytest.approx(VALID - 0.1))
+    assert borrower.answered(whom, serial, 0.0, 0.1) == (NODE, pytest.approx(LOAN_VALID_S - 0.1))
     assert borrower.answered(whom, serial, 0.0, 0.1) is None  # the network repeated it
     later = (borrower.ask(NODE, 0.2) or pytest.fail())[1]
-    assert borrower.answered(whom, later, 0.0, 0.2 + VALID) is None  # too late to be used
+    assert borrower.answered(whom, later, 0.0, 0.2 + LOAN_VALID_S) is None  # too late to be used
 
 
 def test_a_silent_lender_is_asked_less_and_less() -> None:
@@ -104,16 +115,20 @@
 def test_datagrams_keep_what_they_carry_and_are_small(
     number: int, life: int, units: float, node: bytes
 ) -> None:
-    ask = datagram.parse(datagram.pack(datagram.Ask(number, life, 7, node, units)))
-    assert isinstance(ask, datagram.Ask) and (ask.sender, ask.life, ask.node) == (number, life, node)
+    ask = datagram.parse(datagram.pack(datagram.LoanRequest(number, life, 7, node, units)))
+    assert isinstance(ask, datagram.LoanRequest) and (ask.sender, ask.incarnation, ask.node) == (
+        number,
+        life,
+        node,
+    )
     assert units <= ask.units < units + 0.07
     loan = datagram.parse(data := datagram.pack(datagram.Loan(number, life, 5, 7, units, 0.25)))
-    assert isinstance(loan, datagram.Loan) and units - 0.07 < loan.units <= units and loan.wait == 0.25
+    assert isinstance(loan, datagram.Loan) and units - 0.07 < loan.units <= units and loan.wait_s == 0.25
     assert len(data) == 22 and len(datagram.pack(ask)) == 24  # docs/fleet.md; 256 are allowed
 
 
 @fuzz
-@given(spoiled(datagram.pack(datagram.Ask(1, 2, 3, NODE, 2.0))))
+@given(spoiled(datagram.pack(datagram.LoanRequest(1, 2, 3, NODE, 2.0))))
 def test_garbage_is_told_as_garbage(data: bytes) -> None:
     try:
         message = datagram.parse(data)
@@ -125,7 +140,7 @@
 def test_the_module_uses_a_loan_for_what_it_covers_and_asks_again_for_the_rest() -> None:
     rig = Rig(schedulers=200, cold_units=4.0)
     rig.listed(Node("n0", 0, started=rig.now))
-    rig.give(CapacityPool(LENT))
+    rig.give(CapacityPool(LENT_FRACTION))
     rig.scheduler.state.random.random = lambda: 1.0  # type: ignore[method-assign]  # no luck with the split part
     waits = rig.arrive(units=2.0, budget=30.0)
     assert waits not in rig.sent() and BorrowCapacity("n0", 2.0) in rig.said
@@ -142,11 +157,13 @@
     async def story() -> None:
         settings = replace(PLATFORM.settings, schedulers=2, cold_units=3.0, usual_units=2.0)
         cores = [Core(settings, 1), Core(settings, 2)]
-        assert all(map(peers.worth_it, cores)) and not peers.worth_it(Core(PLATFORM.settings, 1))
-        loop, sides = asyncio.get_running_loop(), list[peers.Peers]()
+        assert all(map(exchange.is_lending_useful, cores)) and not exchange.is_lending_useful(
+            Core(PLATFORM.settings, 1)
+        )
+        loop, sides = asyncio.get_running_loop(), list[exchange.CapacityExchange]()
         places = [("127.0.0.1", 0), ("127.0.0.1", 0)]
         for number, core in enumerate(cores):
-            side = peers.Peers(core, number, places, seed=number)
+            side = exchange.CapacityExchange(core, number, places, seed=number)
             await side.serve(("127.0.0.1", 0))
             assert side._transport is not None
             places[number] = side._transport.get_extra_info("sockname")
@@ -155,7 +172,7 @@
             side._addresses = places
             side._lender._not_before = 0.0
         since = float(round(time.time() * 1000))
-        names = {lender(key(f"n{i}", since), 2): f"n{i}" for i in range(20)}
+        names = {lender_of(node_key(f"n{i}", since), 2): f"n{i}" for i in range(20)}
         for core in cores:
             core.update(
                 NodeList(
@@ -171,7 +188,11 @@
         stranger, _ = await loop.create_datagram_endpoint(
             asyncio.DatagramProtocol, local_addr=("127.0.0.1", 0)
         )
-        for data in (datagram.pack(datagram.Ask(0, 1, 1, key(names[1], since), 1.0)), b"x", b"x" * 300):
+        for data in (
+            datagram.pack(datagram.LoanRequest(0, 1, 1, node_key(names[1], since), 1.0)),
+            b"x",
+            b"x" * 300,
+        ):
             stranger.sendto(data, places[1])
         while sum(sides[1].counts[name] for name in ("forged", "malformed")) < 3:
             await asyncio.sleep(0.001)
@@ -185,13 +206,15 @@
 
 def test_an_address_in_use_is_tried_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """The process before this one may hold it for a moment; without it nothing would be lent for good."""
-    monkeypatch.setattr(peers, "OPEN_AGAIN", 0.01)
+    monkeypatch.setattr(exchange, "SOCKET_RETRY_S", 0.01)
 
     async def story() -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as holder:
             holder.bind(("127.0.0.1", 0))
             place = holder.getsockname()
-            side = peers.Peers(Core(replace(PLATFORM.settings, schedulers=2), 1), 0, [place, place], seed=1)
+            side = exchange.CapacityExchange(
+                Core(replace(PLATFORM.settings, schedulers=2), 1), 0, [place, place], seed=1
+            )
             await side.serve(place)
             assert side._transport is None
         while side._transport is None:
