--- a/cherrycove/tier/cli/status_document.py
+++ b/cherrycove/tier/cli/status_document.py
@@ -37,8 +37,8 @@
 class StoreGroupDocument:
     """The store group as the controllers have recorded it."""
 
-    initial: list[ReplicaDocument]
-    retiring: list[str]  # member ids
+    initial: list[ReplicaDocument]  # the members that the group starts with; empty: not formed yet
+    retiring: list[str]  # node names, also of machines whose retirement is completed
 
     @staticmethod
     def of(group: StoreGroup) -> StoreGroupDocument:
@@ -123,7 +123,7 @@
     """What one controller knows of the tier."""
 
     answered_by: str
-    confirmed: bool  # it is the primary, and a quorum has confirmed that
+    confirmed: bool  # it is the primary, under a valid lease
     epoch: int
     primary: str
     keepers: list[ReplicaDocument]
