--- a/tests/tier/test_membership_loopback.py
+++ b/tests/tier/test_membership_service.py
@@ -20,7 +20,7 @@
 
 
 @attrs.define
-class Running:
+class RunningService:
     service: MembershipService
     server: RpcServer
     client: RpcClient
@@ -46,7 +46,7 @@
         await self.server.stop()
 
 
-async def started(name: str, ip: str, port: int, incarnation: str) -> Running:
+async def start_service(name: str, ip: str, port: int, process_id: str) -> RunningService:
     settings = Settings(
         node_name=name,
         machine_class="core",
@@ -59,8 +59,8 @@
         heartbeat_interval_ms=PERIOD_MS,
     )
     server, client = RpcServer(), RpcClient()
-    service = MembershipService(settings, "keeper", incarnation, server, client, random.Random(ip))
-    running = Running(service, server, client)
+    service = MembershipService(settings, "keeper", process_id, server, client, random.Random(ip))
+    running = RunningService(service, server, client)
     service.on_change(running.changed.set)
     await client.start()
     await server.start(settings.internal_address("keeper"))
@@ -71,9 +71,9 @@
 def test_processes_join_leave_die_and_return() -> None:
     async def exchange() -> None:
         port = free_port(("0.0.0.0",))
-        first = await started("a", SEED_IP, port, "a1")
-        second = await started("b", "127.0.0.2", port, "b1")
-        third = await started("c", "127.0.0.3", port, "c1")
+        first = await start_service("a", SEED_IP, port, "a1")
+        second = await start_service("b", "127.0.0.2", port, "b1")
+        third = await start_service("c", "127.0.0.3", port, "c1")
         for process in (first, second, third):
             await process.until_known(("a", "a1"), ("b", "b1"), ("c", "c1"))
 
@@ -86,7 +86,7 @@
         await second.stop(leave=False)
         await first.until_known(("a", "a1"))
 
-        returned = await started("b", "127.0.0.2", port, "b2")
+        returned = await start_service("b", "127.0.0.2", port, "b2")
         await first.until_known(("a", "a1"), ("b", "b2"))
         await returned.until_known(("a", "a1"), ("b", "b2"))
         await returned.stop(leave=True)
@@ -98,11 +98,11 @@
 def test_garbled_datagrams_are_ignored() -> None:
     async def exchange() -> None:
         port = free_port(("0.0.0.0",))
-        first = await started("a", SEED_IP, port, "a1")
+        first = await start_service("a", SEED_IP, port, "a1")
         with socket.socket(type=socket.SOCK_DGRAM) as stranger:
             for garbled in (b"", b"\xff" * 50, b"\x0a\x03abc", random.Random(1).randbytes(1100)):
                 stranger.sendto(garbled, (SEED_IP, port))
-        second = await started("b", "127.0.0.2", port, "b1")
+        second = await start_service("b", "127.0.0.2", port, "b1")
         await first.until_known(("a", "a1"), ("b", "b1"))
         await second.until_known(("a", "a1"), ("b", "b1"))
         await second.stop(leave=False)
