--- a/cherrycove/tier/membership/discovery.py
+++ b/cherrycove/tier/membership/discovery.py
@@ -48,8 +48,8 @@
     def ping_absent_process(self, now: float) -> None:
         """Ping one seed at which no member runs, or one member that was declared dead.
 
-        Called once per period. The members draw lots, so that the whole group sends about
-        ``contacts_per_period`` of these pings however large it is.
+        Called once per period. Each member decides at random, so that the group sends about
+        ``contacts_per_period`` of these pings per period however large it is.
         """
         self._expire_acks(now)
         draw = self._rng.random() * self._members.table.running_count
--- a/cherrycove/tier/membership/failure_detector.py
+++ b/cherrycove/tier/membership/failure_detector.py
@@ -47,7 +47,7 @@
         self._outbox.ping(status, sequence)
 
     def check_probe(self, now: float) -> None:
-        """Probe a silent member through others; suspect it once the probe expires."""
+        """Probe a member that does not answer through others; suspect it once the probe expires."""
         probe = self._probe
         if probe is None:
             return
--- a/cherrycove/tier/membership/outbox.py
+++ b/cherrycove/tier/membership/outbox.py
@@ -20,8 +20,8 @@
 class Outbox:
     """The datagrams to be sent, in order, and the numbers by which acks are matched to pings.
 
-    Owned by the ``SwimMachine``, which empties it after each event. Each datagram to a known member tells it
-    in which state the sender has it.
+    Owned by the ``SwimMachine``, which empties it after each event. Every datagram to a known
+    member but a relayed ack carries the state in which the sender has it.
     """
 
     def __init__(
--- a/cherrycove/tier/membership/parameters.py
+++ b/cherrycove/tier/membership/parameters.py
@@ -15,9 +15,9 @@
     """
 
     period_s: float  # SWIM's T': one member is probed per period
-    direct_timeout_periods: float = 0.15  # until a silent member is probed through others
+    direct_timeout_periods: float = 0.15  # until a member that does not answer is probed through others
     retry_periods: float = 0.1  # between further pings of a probe, direct and indirect
-    probe_timeout_periods: float = 0.5  # until a silent member is suspected
+    probe_timeout_periods: float = 0.5  # until a member that does not answer is suspected
     suspicion_periods: float = 1.0  # times log10 of the number of members
     reported_death_periods: float = 1.0  # suspicion of a member that somebody else has declared dead
     verification_periods: float = 0.25  # between the pings of a suspected member
