--- a/cherrycove/scheduling/actions.py
+++ b/cherrycove/scheduling/actions.py
@@ -14,9 +14,9 @@
     """Why an attempt was sent, or why none will be. The values are kept in records and never change."""
 
     CREDIT = 1  # its volume had credit, and fewer than L were out at its node
-    SPARE = 2  # its volume had none, but its node had room to spare
+    SPARE = 2  # its volume had none, but its node had capacity to spare
     AGAIN = 3  # a further attempt, after a pause
-    OVERDUE = 4  # past its aim at a node that keeps up: sent whatever is out there
+    OVERDUE = 4  # past its latency target at a node that keeps up: sent whatever is out there
     TRIAL = 5  # one at a time is sent to a node at which nobody answered
     NO_CREDIT = 16  # it waited for its volume's credit until an attempt would have been late
     OVER_LIMIT = 17  # its plan's limit would let it through only when too late
@@ -47,7 +47,7 @@
     queued: int = 0  # in the node's queue, this one not counted once it leaves
     credits: float = 0.0  # units of its volume; 0 or less: it had none
     wait: float = 0.0  # s until an answer, as reckoned with
-    left: float = 0.0  # s until its aim; below 0: past it
+    left: float = 0.0  # s until its latency target ends; below 0: past it
     refill: float = 0.0  # s until the next joint refill
     epoch: int = 0  # joint refills so far
 
--- a/cherrycove/scheduling/attempts.py
+++ b/cherrycove/scheduling/attempts.py
@@ -54,7 +54,7 @@
         """Send the next attempt of a request to this node, or give the request up if no more is allowed."""
         state = self._state
         request.leave()
-        why = self._completion.reason(request, node, code, self._latency.least(node))
+        why = self._completion.reason(request, node, code, self._latency.lower_bound(node))
         if not request.attempts:
             request.volume.take(state.now, request.units)
         elif self._retries.may_retry_now(request, node):
--- a/cherrycove/scheduling/concurrency_limit.py
+++ b/cherrycove/scheduling/concurrency_limit.py
@@ -11,32 +11,34 @@
 from cherrycove.scheduling.interface import RequestClass
 from cherrycove.scheduling.state import NodeQueue, percentile
 
-LEAST_L = 1.0  # requests; below one nothing would be sent
-ROOM = 0.9  # part of L (spare room) and of served (end of overload), from the design
-SLOWEST = 0.95  # percentile of latency that must meet the aim (design)
+MIN_THRESHOLD = 1.0  # requests; below one nothing would be sent
+SPARE_FRACTION = 0.9  # part of L (spare capacity) and of served (end of overload), from the design
+TARGET_PERCENTILE = 0.95  # percentile of latency that must meet the latency target (design)
 
 
-def set_threshold(node: NodeQueue, classes: Iterable[RequestClass], window_end: float, quick: float) -> None:
+def set_threshold(
+    node: NodeQueue, classes: Iterable[RequestClass], window_end: float, max_slowdown: float
+) -> None:
     """Set ``node.threshold`` and ``node.overload`` from the window's statistics.
 
-    ``quick`` is how many times its present latency the node may take. At least one request must have been
-    served within the window. ``window_end`` is the end (s) of the next window: what is due before it is the
-    demand that the node must keep up with.
+    ``max_slowdown`` is how many times its present latency the node may take. At least one request must have
+    been served within the window. ``window_end`` is the end (s) of the next window: what is due before it is
+    the demand that the node must keep up with.
     """
     window = node.window
     due_before_end = sum(1 for request in node.held() if request.due <= window_end)
     demand = (node.out + due_before_end + window.new_due) / window.served
-    room = min(
-        (cls.aim - window.mean_wait(cls.name)) / percentile(window.latencies[cls.name], SLOWEST)
+    headroom = min(
+        (cls.aim - window.mean_wait(cls.name)) / percentile(window.latencies[cls.name], TARGET_PERCENTILE)
         for cls in classes
         if cls.name in window.latencies
     )
-    ceiling = node.threshold * (quick if window.most_out >= node.threshold else min(quick, 1.0))
-    if node.overload and demand <= ROOM:
-        node.overload, node.threshold = False, max(room, demand) * window.most_out
-    elif not node.overload and room < demand:
+    ceiling = node.threshold * (max_slowdown if window.most_out >= node.threshold else min(max_slowdown, 1.0))
+    if node.overload and demand <= SPARE_FRACTION:
+        node.overload, node.threshold = False, max(headroom, demand) * window.most_out
+    elif not node.overload and headroom < demand:
         node.overload, node.threshold = True, ceiling
-    elif not node.overload and (room < 1 or window.most_out >= node.threshold):
+    elif not node.overload and (headroom < 1 or window.most_out >= node.threshold):
         upper = node.threshold * (node.out + node.waiting + window.arrivals) / window.served
-        node.threshold = min(room * node.threshold, max(upper, node.threshold))
-    node.threshold = max(min(node.threshold, ceiling), LEAST_L)
+        node.threshold = min(headroom * node.threshold, max(upper, node.threshold))
+    node.threshold = max(min(node.threshold, ceiling), MIN_THRESHOLD)
--- a/cherrycove/scheduling/dispatch.py
+++ b/cherrycove/scheduling/dispatch.py
@@ -4,7 +4,7 @@
 
 from cherrycove.scheduling import interface as api
 from cherrycove.scheduling.attempts import Attempts
-from cherrycove.scheduling.concurrency_limit import ROOM
+from cherrycove.scheduling.concurrency_limit import SPARE_FRACTION
 from cherrycove.scheduling.credits import Credits
 from cherrycove.scheduling.latency_estimate import LatencyEstimate
 from cherrycove.scheduling.limit_policy import CROWDED_CEILING
@@ -56,7 +56,7 @@
         Among many schedulers not while it is expected to answer slower than the ceiling.
         """
         limit = 1.0 if node.failures else node.threshold
-        if node.waiting or not node.out < ROOM * limit:
+        if node.waiting or not node.out < SPARE_FRACTION * limit:
             return False
         state = self._state
         ceiling_s = CROWDED_CEILING * state.latency_target_s
--- a/cherrycove/scheduling/events.py
+++ b/cherrycove/scheduling/events.py
@@ -154,7 +154,7 @@
     name: str
     credits: float  # units, below 0: overdrawn
     at: float  # the refill up to which they are reckoned
-    beyond: float = -math.inf  # when the meter last told of a use beyond the reserve
+    beyond: float = -math.inf  # when the meter last reported a use beyond the reserve
 
 
 @dataclass(frozen=True, slots=True)
--- a/cherrycove/scheduling/latency_estimate.py
+++ b/cherrycove/scheduling/latency_estimate.py
@@ -27,7 +27,7 @@
         known: float = 0.5 ** ((self._state.now - node.heard) / self._half_life_s)
         return known * node.service + (1 - known) * self.typical
 
-    def least(self, node: NodeQueue) -> float:
+    def lower_bound(self, node: NodeQueue) -> float:
         """Return the latency (s) by which a request is judged to be late already.
 
         Among few schedulers it falls by a second in each second without an answer: a backlog that was seen
--- a/cherrycove/scheduling/limit_policy.py
+++ b/cherrycove/scheduling/limit_policy.py
@@ -31,7 +31,7 @@
         ceiling_s = (CROWDED_CEILING if state.is_crowded else MEAN_CEILING) * state.latency_target_s
         for node in state.nodes.values():
             if sum(map(len, node.window.latencies.values())) >= MIN_ANSWERS:
-                growth = ceiling_s / max(node.service, state.settings.tick)
-                set_threshold(node, state.settings.classes, state.window_end, growth)
+                max_slowdown = ceiling_s / max(node.service, state.settings.tick)
+                set_threshold(node, state.settings.classes, state.window_end, max_slowdown)
                 node.window = Window(most_out=node.out)
             state.touch(node)
--- a/cherrycove/scheduling/load_shedding.py
+++ b/cherrycove/scheduling/load_shedding.py
@@ -39,7 +39,7 @@
             node = state.node(request.shard)
         if node is None:
             return state.now + wait > request.due
-        late = state.now + max(wait, self._latency.least(node)) > request.due
+        late = state.now + max(wait, self._latency.lower_bound(node)) > request.due
         return late and not ((request.attempts or request.place == "queue") and state.keeps_up(node))
 
     def review(self, request: Request) -> None:
--- a/cherrycove/scheduling/request_completion.py
+++ b/cherrycove/scheduling/request_completion.py
@@ -31,7 +31,7 @@
             request,
             node,
             code or request.obstacle(node, is_cold=self._state.is_cold(node)),
-            max(wait, self._latency.least(node)),
+            max(wait, self._latency.lower_bound(node)),
         )
         if may_refuse(request.cls, request.possible_run):
             retry_after = self._retry_after(request, code, wait)
--- a/cherrycove/scheduling/scheduler_state.py
+++ b/cherrycove/scheduling/scheduler_state.py
@@ -11,7 +11,7 @@
 
 from cherrycove.scheduling import interface as api
 from cherrycove.scheduling.agenda import Agenda
-from cherrycove.scheduling.concurrency_limit import LEAST_L
+from cherrycove.scheduling.concurrency_limit import MIN_THRESHOLD
 from cherrycove.scheduling.slow_start import SlowStart
 from cherrycove.scheduling.state import NodeQueue, Recent, Request, Volume
 
@@ -57,8 +57,8 @@
         self.slow_start = SlowStart(settings, self.random)
         self.latency_target_s = min(cls.aim for cls in settings.classes)
         even_part = FLEET_INITIAL_LIMIT / settings.schedulers
-        self.is_crowded = even_part < LEAST_L  # so many schedulers that each has little at any node
-        self.initial_limit = max(min(INITIAL_LIMIT, even_part), LEAST_L)
+        self.is_crowded = even_part < MIN_THRESHOLD  # so many schedulers that each has little at any node
+        self.initial_limit = max(min(INITIAL_LIMIT, even_part), MIN_THRESHOLD)
 
     def node(self, shard: int | None) -> NodeQueue:
         """Return the queue of the node that holds this shard; a shard seen for the first time gets one."""
--- a/cherrycove/scheduling/state.py
+++ b/cherrycove/scheduling/state.py
@@ -64,7 +64,7 @@
     relative_size: float  # its units against the usual, at least 1
     shard: int | None
     key: str | None
-    due: float  # arrival plus aim
+    due: float  # arrival plus latency target
     end: float  # when it must be answered at the latest
     budget: float = 0.0  # from its last byte
     upload: bool = False  # its last byte is still to come
