--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -11,9 +11,9 @@
 from hypothesis import given
 from support import PLATFORM, World, fuzz, raw, run, spoiled
 
-from cherrycove import __main__ as main
 from cherrycove.broker import config, consul
 from cherrycove.broker.core import Member
+from cherrycove.broker.process import Broker
 from cherrycove.scheduling.interface import NodeState
 
 
@@ -196,7 +196,7 @@
         agent = Agent()
         agent.hold = asyncio.Event()
         setup = consul.ConsulConfig(await agent.start(), "disk-node", register="broker")
-        broker = main.Broker(
+        broker = Broker(
             config.parse_platform_config(raw() | {"listen": "127.0.0.1:0"}, {}),
             config.OperatorConfig(consul=setup),
         )
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -16,7 +16,6 @@
 from hypothesis import strategies as st
 from support import PLATFORM, RAW, ROOT, Discovery, Node, answer, fuzz, message, raw, run, spoiled
 
-from cherrycove import __main__ as main
 from cherrycove.broker import config
 from cherrycove.broker.core import (
     MARGIN,
@@ -32,6 +31,7 @@
     Verdict,
 )
 from cherrycove.broker.lifecycle import shutdown_timetable
+from cherrycove.broker.process import Broker
 from cherrycove.broker.request_limit import RequestLimit
 from cherrycove.scheduling import interface as api
 from cherrycove.scheduling.interface import NodeState, Outcome
@@ -441,7 +441,7 @@
         platform = config.parse_platform_config(
             raw() | {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9"}, {}
         )
-        broker = main.Broker(platform, config.OperatorConfig())
+        broker = Broker(platform, config.OperatorConfig())
         await broker.start()
 
         async def ask() -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,6 +19,7 @@
 import sys
 from collections.abc import Callable
 from contextlib import closing
+from dataclasses import replace
 from pathlib import Path
 from typing import Any
 
@@ -28,14 +29,15 @@
 from test_nbd import BLOCK, BlockNode, Client, setup
 
 from bench.many.rig import _with_parent
-from cherrycove import __main__ as main
 from cherrycove.broker import config, nbd
-from cherrycove.broker.core import Attempt, Ending, Member
+from cherrycove.broker.core import Attempt, Ending, Member, NodeList
 from cherrycove.broker.http1 import body, server, upstream, watch
 from cherrycove.broker.lifecycle import announcement
 from cherrycove.broker.lifecycle.handover import LOCK
 from cherrycove.broker.lifecycle.shutdown_timetable import ShutdownTimetable
 from cherrycove.broker.nbd import Command
+from cherrycove.broker.process import Broker
+from cherrycove.broker.process import run as run_broker
 from cherrycove.scheduling import interface as api
 from cherrycove.scheduling.interface import NodeState
 
@@ -708,28 +710,28 @@
     async def story() -> None:
         go, began = asyncio.Event(), []  # type: asyncio.Event, list[float]
 
-        async def start(self: main.Broker) -> int:
+        async def start(self: Broker) -> int:
             await go.wait()
             return 0
 
-        async def end(self: main.Broker, at: float) -> None:
+        async def end(self: Broker, at: float) -> None:
             began.append(at)
 
-        monkeypatch.setattr(main.Broker, "start", start)
-        monkeypatch.setattr(main.Broker, "end", end)
-        monkeypatch.setattr(main.signal, "pthread_sigmask", lambda *_: None)
+        monkeypatch.setattr(Broker, "start", start)
+        monkeypatch.setattr(Broker, "end", end)
+        monkeypatch.setattr(signal, "pthread_sigmask", lambda *_: None)
         platform = config.parse_platform_config(
             raw() | {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9"}, {}
         )
         loop, stop = asyncio.get_running_loop(), []  # type: asyncio.AbstractEventLoop, list[asyncio.Event]
-        made = main.Broker.__init__
+        made = Broker.__init__
 
-        def make(self: main.Broker, *given: Any) -> None:
+        def make(self: Broker, *given: Any) -> None:
             made(self, *given)
             stop.append(self.stop)
 
-        monkeypatch.setattr(main.Broker, "__init__", make)
-        running = asyncio.create_task(main.run(platform, config.OperatorConfig(), []))
+        monkeypatch.setattr(Broker, "__init__", make)
+        running = asyncio.create_task(run_broker(platform, config.OperatorConfig(), []))
         await until(lambda: stop)
         os.kill(os.getpid(), signal.SIGTERM)
         await until(lambda: stop[0].is_set())
@@ -963,8 +965,8 @@
             second = asyncio.create_task(world.ask(id="second", shard=1))
             await until(lambda: world.pool._connector._waiters)
             if news == "drains":
-                world.members[1] = main.replace(world.members[1], state=NodeState.DRAINING)
-                world.core.update(main.NodeList(2, False, (world.members[1],)))
+                world.members[1] = replace(world.members[1], state=NodeState.DRAINING)
+                world.core.update(NodeList(2, False, (world.members[1],)))
             else:
                 world.core.maintain(world.core.maintenance.taking_out("d1", 0.0))
             await until(lambda: world.core.endings[Ending.EXPIRED])
--- a/tests/test_fleet_room.py
+++ b/tests/test_fleet_room.py
@@ -62,7 +62,7 @@
             loans.append((now, units))
     assert loans
     for begin, _ in loans:
-        # A loan made at t may be used until t + LOAN_VALID_S: these may all be used in one window of the rule.
+        # A loan of t may be used until t + LOAN_VALID_S: these may all be used in one window of the rule.
         window = begin + LOAN_VALID_S
         used = sum(units for at, units in loans if begin <= at <= window + SETTINGS.fall_window)
         assert (
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -19,10 +19,11 @@
 from support import ROOT, Node, answer, fuzz, message, raw, run, spoiled
 
 import cherrycove.__main__ as main
-from cherrycove.broker import request_limit
+from cherrycove.broker import config, request_limit
 from cherrycove.broker.core import Maintenance, Member
 from cherrycove.broker.lifecycle import announcement, handover, messages, state_machine
 from cherrycove.broker.lifecycle.link import Link
+from cherrycove.broker.process import Broker
 from cherrycove.scheduling import interface as api
 from cherrycove.scheduling.state import Volume
 
@@ -306,13 +307,13 @@
     async def story() -> None:
         node = await Node(*["hang"] * 3).start()
         whole = settings(node) | {"limits": {"sockets": 160, "memory_mb": 80}}
-        platform = main.config.parse_platform_config(whole, {})
+        platform = config.parse_platform_config(whole, {})
 
-        def most(broker: main.Broker) -> float:
+        def most(broker: Broker) -> float:
             broker.core.tick()
             return broker.core._scheduler.shedding.max_open_requests
 
-        first, second = (main.Broker(platform, main.config.OperatorConfig()) for _ in range(2))
+        first, second = (Broker(platform, config.OperatorConfig()) for _ in range(2))
         await first.start()
         assert most(first) == 40
         # One that is only about to start takes the core from this one; what waits unread holds places too.
@@ -566,7 +567,7 @@
 
     monkeypatch.setattr(main.threading, "Event", make)
     monkeypatch.setattr(main.importlib, "import_module", slow)
-    main._load("first", "second", most=0.05)
+    main._load("first", "second", limit_s=0.05)
     assert seen == ["first"]  # the one at hand is waited for, the others come at the usual priority
 
 
