--- a/cherrycove/tier/batch/client/batch_client.py
+++ b/cherrycove/tier/batch/client/batch_client.py
@@ -21,9 +21,9 @@
 class BatchClient:
     """The batch calls of one proxy. Each finds the primary and retries within its budget: ``PrimaryCall``."""
 
-    def __init__(self, client: Caller, views: ClusterView, settings: Settings) -> None:
+    def __init__(self, client: Caller, cluster_view: ClusterView, settings: Settings) -> None:
         self._client = client
-        self._finder = PrimaryFinder(views, settings)
+        self._finder = PrimaryFinder(cluster_view, settings)
 
     async def submit(self, request: pb.SubmitRequest, budget_s: float) -> Result[pb.SubmitReply, Failure]:
         """Submit a job. After a failure that is certain the job was not accepted."""
--- a/cherrycove/tier/batch/client/primary_finder.py
+++ b/cherrycove/tier/batch/client/primary_finder.py
@@ -15,8 +15,8 @@
     Owned by one ``BatchClient``, which passes on what its calls show. ``now`` is monotonic time in seconds.
     """
 
-    def __init__(self, views: ClusterView, settings: Settings) -> None:
-        self._views = views
+    def __init__(self, cluster_view: ClusterView, settings: Settings) -> None:
+        self._cluster_view = cluster_view
         self._settings = settings
         self._primary = ""  # address that answered as primary last
         self._unresponsive_since: dict[str, float] = {}  # by address
@@ -44,7 +44,9 @@
     def candidates(self, now: float) -> list[str]:
         """Addresses (host:port) to try, each once, best guess first and unresponsive stores last."""
         stores = sorted(
-            self._views.stores(), key=lambda store: (store.group_primary, store.group_epoch), reverse=True
+            self._cluster_view.stores(),
+            key=lambda store: (store.group_primary, store.group_epoch),
+            reverse=True,
         )
         confirmed = [self._primary] if self._primary else []
         announced = [self._settings.peer_address(store.ip, STORE_PROGRAM) for store in stores]
--- a/cherrycove/tier/batch/frontend/http_api.py
+++ b/cherrycove/tier/batch/frontend/http_api.py
@@ -39,9 +39,9 @@
 class BatchApi:
     """Answers requests on batch routes, and calls under ``JOBS_PREFIX`` and ``ITEMS_PREFIX``."""
 
-    def __init__(self, client: BatchClient, views: ClusterView) -> None:
+    def __init__(self, client: BatchClient, cluster_view: ClusterView) -> None:
         self._client = client
-        self._views = views
+        self._cluster_view = cluster_view
 
     async def handle(self, request: web.BaseRequest, body: bytes, route: Route | None) -> web.StreamResponse:
         """Answer one request whose body is read. ``route`` is the batch route that it matches, if any."""
@@ -63,7 +63,7 @@
         if isinstance(parsed, Err):
             return _error_response(parsed.err_value)
         submission = parsed.ok_value
-        configuration = self._views.configuration
+        configuration = self._cluster_view.configuration
         submission.configuration_version = configuration.version if configuration is not None else 0
         outcome = await self._client.submit(submission, _budget_s(request, SUBMIT_BUDGET_S))
         if isinstance(outcome, Err):
--- a/cherrycove/tier/batch/store/maintenance.py
+++ b/cherrycove/tier/batch/store/maintenance.py
@@ -1,4 +1,4 @@
-"""The periodic work of the primary: expired leases, items to be given up, and jobs to be forgotten."""
+"""The periodic work of the primary: expired leases, items to be dead-lettered, and jobs to be forgotten."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 MAINTENANCE_INTERVAL_S = 0.5
 FORGET_MARGIN_S = 30.0  # beyond the time for which clients may ask for the status of a job
 EXPIRED = "expired"  # reason for which an item is dead-lettered
-MAX_GIVEN_UP = 64  # items in one run, for each reason
+MAX_DEAD_LETTERED = 64  # items in one run, for each reason
 
 
 class BatchMaintenance:
     """Owns the task of the periodic work. It does nothing while this store is not the confirmed primary."""
 
-    def __init__(self, context: StoreContext, views: ClusterView, status_s: float) -> None:
+    def __init__(self, context: StoreContext, cluster_view: ClusterView, status_s: float) -> None:
         """``status_s`` is how long clients may ask for the status of a job."""
         self._group = context.group
         self._state = context.state
@@ -33,7 +33,7 @@
         self._capacity = context.capacity
         self._recorder = context.recorder
         self._clocks = context.clocks
-        self._views = views
+        self._cluster_view = cluster_view
         self._status_s = status_s
         self._task: asyncio.Task[None] | None = None
 
@@ -49,16 +49,16 @@
             self._task = None
 
     async def run_once(self) -> None:
-        """Free expired leases, give up items past their retention or without a route, forget old jobs."""
+        """Free expired leases, dead-letter items past their retention or without a route, forget old jobs."""
         table = self._leases.table()
         if table is None:
             return
         now = self._clocks.now()
         table.expire(now)
-        await self._give_up(table.past_retention(now), EXPIRED)
-        removed = jobs_of_removed_routes(self._state.jobs.values(), self._views.configuration)
+        await self._dead_letter(table.past_retention(now), EXPIRED)
+        removed = jobs_of_removed_routes(self._state.jobs.values(), self._cluster_view.configuration)
         waiting = [key for job_id in removed for key in table.waiting_items(job_id, now)]
-        await self._give_up(waiting, ROUTE_REMOVED)
+        await self._dead_letter(waiting, ROUTE_REMOVED)
         await self.forget_old_jobs(now)
 
     async def forget_old_jobs(self, now: float) -> None:
@@ -77,6 +77,6 @@
             except Exception:  # noqa: BLE001 - one failed run must not end the periodic work
                 _log.exception("batch_maintenance_failed")
 
-    async def _give_up(self, keys: Sequence[ItemKey], reason: str) -> None:
-        results = [item_result(key, reason.encode(), completed=False) for key in keys[:MAX_GIVEN_UP]]
+    async def _dead_letter(self, keys: Sequence[ItemKey], reason: str) -> None:
+        results = [item_result(key, reason.encode(), completed=False) for key in keys[:MAX_DEAD_LETTERED]]
         await asyncio.gather(*(self._recorder.record(result) for result in results))
--- a/cherrycove/tier/batch/store/service.py
+++ b/cherrycove/tier/batch/store/service.py
@@ -37,7 +37,7 @@
         clock: Callable[[], float] = time.monotonic,
         wall_clock: Callable[[], float] = time.time,
         times: LeaseTimes | None = None,
-        views: ClusterView | None = None,
+        cluster_view: ClusterView | None = None,
     ) -> None:
         """Registers the batch calls at ``server``. ``clock`` and ``wall_clock`` return seconds."""
         clocks = Clocks(clock, wall_clock)
@@ -54,7 +54,7 @@
         group.on_change(waiters.wake_all)
         self._handlers = BatchCallHandlers(context, waiters)
         self._handlers.register_at(server)
-        self._maintenance = BatchMaintenance(context, views or ClusterView(), settings.bounds.status_s)
+        self._maintenance = BatchMaintenance(context, cluster_view or ClusterView(), settings.bounds.status_s)
 
     async def start(self) -> None:
         """Begin the periodic work."""
--- a/cherrycove/tier/batch/worker/batch_worker.py
+++ b/cherrycove/tier/batch/worker/batch_worker.py
@@ -63,7 +63,7 @@
         settings: Settings,
         client: BatchClient,
         executor: ItemExecutor,
-        views: ClusterView,
+        cluster_view: ClusterView,
         incarnation: str,
         *,
         clock: Callable[[], float] = time.monotonic,
@@ -72,7 +72,7 @@
         self._proxy = settings.node_name
         self._client = client
         self._executor = executor
-        self._views = views
+        self._cluster_view = cluster_view
         self._incarnation = incarnation
         self._clock = clock
         self._times = WorkerTimes.of(settings.bounds)
@@ -89,7 +89,7 @@
             self._executor,
             reports,
             self._lease,
-            self._views,
+            self._cluster_view,
             clock=self._clock,
             max_lease_age_s=self._times.max_lease_age_s,
             on_finished=self._wake.set,
@@ -171,7 +171,7 @@
         return max(0, min(self._executor.free_slots(), MAX_CAPACITY))
 
     def _batch_routes(self) -> list[str]:
-        configuration = self._views.configuration
+        configuration = self._cluster_view.configuration
         if configuration is None:
             return []
         return [route.name for route in configuration.routes if route.route_kind == "batch"]
--- a/cherrycove/tier/batch/worker/item_runs.py
+++ b/cherrycove/tier/batch/worker/item_runs.py
@@ -49,7 +49,7 @@
         executor: ItemExecutor,
         reports: ReportSender,
         lease: LeaseStatus,
-        views: ClusterView,
+        cluster_view: ClusterView,
         *,
         clock: Callable[[], float],
         max_lease_age_s: float,
@@ -62,7 +62,7 @@
         self._executor = executor
         self._reports = reports
         self._lease = lease
-        self._views = views
+        self._cluster_view = cluster_view
         self._clock = clock
         self._max_lease_age_s = max_lease_age_s
         self._on_finished = on_finished
@@ -118,7 +118,7 @@
         return fresh and not run.revoked and self._is_route_in_force(run)
 
     def _is_route_in_force(self, run: ItemRun) -> bool:
-        configuration = self._views.configuration
+        configuration = self._cluster_view.configuration
         route = configuration.route(run.item.route) if configuration is not None else None
         return route is not None and route.route_kind == "batch"
 
@@ -130,7 +130,7 @@
             if not returned and self._lease.waiting:
                 self._on_finished()
             if not (run.revoked and returned):
-                removed = self._views.configuration is not None and not self._is_route_in_force(run)
+                removed = self._cluster_view.configuration is not None and not self._is_route_in_force(run)
                 await self._reports.send_outcome(run.key, outcome, route_removed=removed)
         finally:
             self._runs.pop(run.key, None)
--- a/cherrycove/tier/controlplane/broker_changes.py
+++ b/cherrycove/tier/controlplane/broker_changes.py
@@ -33,7 +33,7 @@
     return copy.SerializeToString(deterministic=True)
 
 
-class AbsenceCheck:
+class RemovalConfirmation:
     """Takes a broker as gone after two reads without it, where a list has several pages.
 
     Owned by the ``BrokerWatcher``, which makes a new one for each epoch. Pages are read one after the other;
@@ -44,7 +44,7 @@
         self._known: dict[str, BrokerEntry] = {}  # of the last read
         self._missed: dict[str, BrokerEntry] = {}  # still published although the last read was without them
 
-    def fold(self, read: BrokerList, pages: int) -> BrokerList:
+    def merge(self, read: BrokerList, pages: int) -> BrokerList:
         """Return the list to publish after ``read``, which took ``pages`` calls."""
         present = {entry.instance_id: entry for entry in read.brokers}
         missed = {key: entry for key, entry in self._known.items() if key not in present}
--- a/cherrycove/tier/controlplane/broker_watcher.py
+++ b/cherrycove/tier/controlplane/broker_watcher.py
@@ -7,7 +7,7 @@
 
 from result import Err
 
-from cherrycove.tier.controlplane.broker_changes import AbsenceCheck
+from cherrycove.tier.controlplane.broker_changes import RemovalConfirmation
 from cherrycove.tier.controlplane.broker_discovery import BrokerDiscoveryClient, BrokerReader, ReadPacing
 from cherrycove.tier.controlplane.leadership_period import LeadershipPeriod
 from cherrycove.tier.controlplane.topics import ControlTopics
@@ -40,7 +40,7 @@
         self._topics = topics
         self._reader = reader or BrokerDiscoveryClient(settings)
         self._pacing = ReadPacing(settings)
-        self._absences = AbsenceCheck()
+        self._removals = RemovalConfirmation()
         self._inherited = BrokerList()
         self._leading_since = 0.0
 
@@ -57,7 +57,7 @@
 
         ``inherited`` is the list that the primary before published, empty where that is not known.
         """
-        self._absences = AbsenceCheck()
+        self._removals = RemovalConfirmation()
         self._inherited = inherited
         self._leading_since = now
 
@@ -74,7 +74,7 @@
             await asyncio.sleep(self._pacing.failed(self._reader.calls))
             return
         if self._period.is_leading() and self._period.epoch == epoch:
-            self._topics.publish_brokers(self._absences.fold(outcome.ok_value, self._reader.calls))
+            self._topics.publish_brokers(self._removals.merge(outcome.ok_value, self._reader.calls))
         await asyncio.sleep(self._pacing.succeeded(self._reader.calls))
 
     def _inherit(self) -> None:
--- a/cherrycove/tier/controlplane/controller.py
+++ b/cherrycove/tier/controlplane/controller.py
@@ -40,20 +40,20 @@
         state: ControlState,
         server: CallRegistry,
         client: Caller,
-        views: ClusterView | None = None,
+        cluster_view: ClusterView | None = None,
         reader: BrokerReader | None = None,
     ) -> None:
         """Connect the parts and register the calls ``pull`` and ``status`` at ``server``.
 
         The caller starts and stops ``group``, ``server`` and ``client``. ``state`` is the group's state
-        machine. ``views`` is what a ``Puller`` of this process receives from the primary while this
+        machine. ``cluster_view`` is what a ``Puller`` of this process receives from the primary while this
         controller does not lead. ``reader`` replaces the client of the platform's list of brokers.
         """
         self._settings = settings
         self._group = group
         self._state = state
-        self._views = ClusterView() if views is None else views
-        self._leadership = Leadership(group, self._views)
+        self._cluster_view = ClusterView() if cluster_view is None else cluster_view
+        self._leadership = Leadership(group, self._cluster_view)
         self._period = self._assemble_period()
         self._publisher = self._assemble_publisher()
         self._topics = ControlTopics(self._publisher, state)
@@ -112,7 +112,7 @@
                 settings, group, state, self._period, client, self.directory.store_inventory
             ),
             brokers=BrokerWatcher(settings, self._period, self._topics, reader),
-            views=self._views,
+            cluster_view=self._cluster_view,
         )
 
     def _assemble_operator_api(self) -> OperatorApi:
@@ -137,7 +137,7 @@
             period=self._period,
             directory=self.directory,
             topics=self._topics,
-            views=self._views,
+            cluster_view=self._cluster_view,
         )
         server.register(STATUS, status.status)
         self._state.on_change(self._coordinator.on_state_change)
--- a/cherrycove/tier/controlplane/controller_group.py
+++ b/cherrycove/tier/controlplane/controller_group.py
@@ -50,7 +50,7 @@
             for member in self._group.members
             if any(is_on_machine(order, member.node_name, member.address) for order in orders)
         }
-        self._group.retire(frozenset(names | disks | present))
+        self._group.set_retiring(frozenset(names | disks | present))
 
     def _retiring_disks(self) -> list[MemberIdentity]:
         """Return the disks to exclude, also those of machines that are away.
--- a/cherrycove/tier/controlplane/leader_coordinator.py
+++ b/cherrycove/tier/controlplane/leader_coordinator.py
@@ -45,7 +45,7 @@
     membership: ControllerGroupMembership
     stores: StoreGroupReconciler
     brokers: BrokerWatcher
-    views: ClusterView  # what this process pulled from the primary while it did not lead itself
+    cluster_view: ClusterView  # what this process pulled from the primary while it did not lead itself
     _members_due_at: float = attrs.field(default=0.0, init=False)  # monotonic s; no member list before
 
     def on_started_leading(self, epoch: int) -> None:
@@ -103,8 +103,8 @@
 
         Without a recent contact with it, the first member list waits until processes announced themselves.
         """
-        if now - self.views.last_contact >= INHERIT_MAX_AGE_S:
+        if now - self.cluster_view.last_contact >= INHERIT_MAX_AGE_S:
             self._members_due_at = now + MEMBERS_ANNOUNCED_AFTER_S
             return BrokerList()
-        self.directory.registry.inherit(self.views.members, now)
-        return BrokerList(brokers=[broker_entry(broker) for broker in self.views.brokers])
+        self.directory.registry.inherit(self.cluster_view.members, now)
+        return BrokerList(brokers=[broker_entry(broker) for broker in self.cluster_view.brokers])
--- a/cherrycove/tier/controlplane/leadership.py
+++ b/cherrycove/tier/controlplane/leadership.py
@@ -24,10 +24,10 @@
     ``is_confirmed_primary`` permits a decision; the address of another primary is a hint.
     """
 
-    def __init__(self, group: Group, views: ClusterView) -> None:
-        """``views`` has the controller that answered this process's last pull as the primary, and when."""
+    def __init__(self, group: Group, cluster_view: ClusterView) -> None:
+        """``cluster_view`` has the controller that answered the last pull here as the primary, and when."""
         self._group = group
-        self._views = views
+        self._cluster_view = cluster_view
         self._primary_id = ""
         self._primary_since = float("-inf")
         group.on_change(self._note_primary)
@@ -50,12 +50,16 @@
         """
         self._note_primary()
         now = asyncio.get_running_loop().time()
-        group, views = self._group, self._views
+        group, cluster_view = self._group, self._cluster_view
         primary = group.primary
         listed = group.identity.member_id in group.voting_member_ids()
-        if primary is None and listed and views.last_contact - self._primary_since < WITHOUT_HEARTBEATS_S:
+        if (
+            primary is None
+            and listed
+            and cluster_view.last_contact - self._primary_since < WITHOUT_HEARTBEATS_S
+        ):
             return ""
-        seen_at, address = views.last_contact, views.primary_address
+        seen_at, address = cluster_view.last_contact, cluster_view.primary_address
         if primary is not None and self._primary_since >= seen_at:
             seen_at, address = self._primary_since, primary.address
         if now - seen_at >= HINT_FRESH_S or address == group.identity.address:
--- a/cherrycove/tier/controlplane/process_registry.py
+++ b/cherrycove/tier/controlplane/process_registry.py
@@ -29,7 +29,7 @@
 
     announcement: Announcement
     last_seen_at: float  # monotonic s
-    inherited: bool = False  # known from an earlier primary's list only
+    is_unconfirmed: bool = False  # not announced since ``inherit`` or ``resume``
     replaced_incarnations: tuple[str, ...] = ()  # earlier incarnations
 
     def is_alive(self, now: float) -> bool:
@@ -53,13 +53,13 @@
         for member in members:
             key = ProcessKey(member.node_name, member.program)
             if key not in self._entries:
-                self._entries[key] = Registration(announcement=member, last_seen_at=now, inherited=True)
+                self._entries[key] = Registration(announcement=member, last_seen_at=now, is_unconfirmed=True)
 
     def resume(self, now: float) -> None:
         """Give every process the usual time again, after a pause in which none could announce itself."""
         for entry in self._entries.values():
             entry.last_seen_at = now
-            entry.inherited = True
+            entry.is_unconfirmed = True
 
     def announce(self, announcement: Announcement, now: float) -> None:
         """Register ``announcement``; a newer incarnation replaces an older one.
--- a/cherrycove/tier/controlplane/status_service.py
+++ b/cherrycove/tier/controlplane/status_service.py
@@ -28,7 +28,7 @@
     period: LeadershipPeriod
     directory: ProcessDirectory
     topics: ControlTopics
-    views: ClusterView
+    cluster_view: ClusterView
 
     async def status(self, request: StatusRequest) -> Result[StatusReply, Failure]:  # noqa: ARG002 - empty
         """Return this controller's view; only that of the confirmed primary is complete and current.
@@ -38,7 +38,7 @@
         primary = self.group.primary
         leads = self.period.is_leading()
         now = asyncio.get_running_loop().time()
-        announcements = self.directory.registry.members(now).members if leads else self.views.members
+        announcements = self.directory.registry.members(now).members if leads else self.cluster_view.members
         return Ok(
             StatusReply(
                 node_name=self.node_name,
--- a/cherrycove/tier/controlplane/store_group_bootstrap.py
+++ b/cherrycove/tier/controlplane/store_group_bootstrap.py
@@ -78,7 +78,7 @@
 
 def _is_usable(entry: Registration) -> bool:
     announcement = entry.announcement
-    return bool(announcement.member_id) and not announcement.leaving and not entry.inherited
+    return bool(announcement.member_id) and not announcement.leaving and not entry.is_unconfirmed
 
 
 def _spread_over_zones(stores: Iterable[Announcement]) -> list[Announcement]:
--- a/cherrycove/tier/controlplane/store_inventory.py
+++ b/cherrycove/tier/controlplane/store_inventory.py
@@ -53,7 +53,9 @@
 
     def announced_machines(self) -> list[StoreMachine]:
         """Return the machines whose stores are alive and announced themselves to this primary."""
-        announced = [entry for entry in self.alive if not entry.inherited and entry.announcement.member_id]
+        announced = [
+            entry for entry in self.alive if not entry.is_unconfirmed and entry.announcement.member_id
+        ]
         return [self._announced(entry) for entry in announced]
 
     def count_remaining(self, node_name: str, entries: Sequence[Registration]) -> int:
--- a/cherrycove/tier/controlplane/store_members.py
+++ b/cherrycove/tier/controlplane/store_members.py
@@ -24,10 +24,10 @@
     no change of members is open.
     """
 
-    def __init__(self, group: Group, views: ClusterView) -> None:
-        """``group`` is the store group; ``views`` has the revision of the orders that this store applied."""
+    def __init__(self, group: Group, cluster_view: ClusterView) -> None:
+        """``group``: the store group; ``cluster_view`` has the revision of the orders this store applied."""
         self._group = group
-        self._views = views
+        self._cluster_view = cluster_view
 
     def serve_on(self, server: CallRegistry) -> None:
         """Register the call at ``server``."""
@@ -49,7 +49,7 @@
                 index=committed.index,
                 members=[replica_message(member) for member in committed.members],
                 excluded=sorted(committed.excluded),
-                revision=self._views.store_group.revision,
+                revision=self._cluster_view.store_group.revision,
             )
         )
 
--- a/cherrycove/tier/dataplane/admission/_broker_health.py
+++ b/cherrycove/tier/dataplane/admission/_broker_health.py
@@ -8,7 +8,9 @@
 
 INITIAL_EJECTION_S = 0.2  # after a failure; doubles with each further one
 MAX_EJECTION_S = 2.0
-BATCH_PROBE_S = 1.0  # after an ejection, in which live requests probe it only if no other broker admits them
+LIVE_PROBE_DELAY_S = (
+    1.0  # after an ejection, in which live requests probe it only if no other broker admits them
+)
 INCOMPLETE_UNTIL_EJECTION = 3  # incomplete responses in a row
 
 
@@ -35,7 +37,7 @@
         """Whether it is as good as the others for a live request."""
         if self.consecutive_failures == 0:
             return True
-        return now >= self.ejected_until + BATCH_PROBE_S and not self.probe_in_flight
+        return now >= self.ejected_until + LIVE_PROBE_DELAY_S and not self.probe_in_flight
 
     def attempt_started(self) -> None:
         """An attempt at an unhealthy broker is its probe."""
--- a/cherrycove/tier/dataplane/admission_controller.py
+++ b/cherrycove/tier/dataplane/admission_controller.py
@@ -57,8 +57,8 @@
     releases its permit.
     """
 
-    def __init__(self, views: ClusterView, rng: random.Random) -> None:
-        self._views = views
+    def __init__(self, cluster_view: ClusterView, rng: random.Random) -> None:
+        self._cluster_view = cluster_view
         self._rng = rng
         self._scheduler: AdmissionScheduler | None = None
         self._pending: dict[AdmissionRequest, asyncio.Future[Permit | Reject]] = {}
@@ -68,7 +68,7 @@
     def start(self) -> None:
         """Begin to follow the cluster view; within the event loop."""
         self._scheduler = AdmissionScheduler(self._rng, self._now())
-        self._views.on_change(self._update_cluster)
+        self._cluster_view.on_change(self._update_cluster)
         self._update_cluster()
 
     def stop(self) -> None:
@@ -124,14 +124,14 @@
         return asyncio.get_running_loop().time()
 
     def _update_cluster(self) -> None:
-        views = self._views
-        proxies = views.proxies()
+        cluster_view = self._cluster_view
+        proxies = cluster_view.proxies()
         arrivals_per_s: Counter[str] = Counter()
         for proxy in proxies:
             arrivals_per_s.update(dict(proxy.arrivals_per_s))
         snapshot = ClusterSnapshot(
-            configuration=views.configuration,
-            brokers=views.brokers,
+            configuration=cluster_view.configuration,
+            brokers=cluster_view.brokers,
             proxies=len(proxies),
             arrivals_per_s=arrivals_per_s,
         )
--- a/cherrycove/tier/dataplane/data_plane.py
+++ b/cherrycove/tier/dataplane/data_plane.py
@@ -34,19 +34,19 @@
     reaches the end of the grace period gets 504 or a broken stream, and batch items are leased again.
     """
 
-    def __init__(self, settings: Settings, views: ClusterView, rng: random.Random) -> None:
+    def __init__(self, settings: Settings, cluster_view: ClusterView, rng: random.Random) -> None:
         self._settings = settings
-        self._views = views
+        self._cluster_view = cluster_view
         self._is_draining = False
         descriptors = max(settings.limits.file_descriptors - RESERVED_DESCRIPTORS, MIN_DESCRIPTORS)
         self._max_connections = int(descriptors * (1 - CLIENT_FRACTION))
         self._upstream = UpstreamClient(self._max_connections)
-        self._admission = AdmissionController(views, rng)
+        self._admission = AdmissionController(cluster_view, rng)
         self._drain = DrainDeadline()
         forwarder = RequestForwarder(self._admission, self._upstream, rng, self._drain)
-        self._ingress = Ingress(settings, views, forwarder, self._drain)
+        self._ingress = Ingress(settings, cluster_view, forwarder, self._drain)
         self._readiness = ReadinessServer(settings.listen_addresses.readiness, self._is_ready)
-        self.executor: ItemExecutor = BrokerItemExecutor(views, self._admission, self._upstream, rng)
+        self.executor: ItemExecutor = BrokerItemExecutor(cluster_view, self._admission, self._upstream, rng)
 
     def attach_batch(self, batch_api: BatchApi) -> None:
         """Let ``batch_api`` serve the calls for batch jobs; before ``start``."""
@@ -60,7 +60,7 @@
         """Listen; raises ``OSError`` if an address is taken."""
         await self._upstream.start()
         self._admission.start()
-        self._views.on_change(self._update_connection_limit)
+        self._cluster_view.on_change(self._update_connection_limit)
         self._update_connection_limit()
         await self._ingress.start()
         await self._readiness.start()
@@ -101,11 +101,15 @@
         return is_idle and self._drain.notice_elapsed(now)
 
     def _is_ready(self) -> bool:
-        return not self._is_draining and self._views.configuration is not None and bool(self._views.brokers)
+        return (
+            not self._is_draining
+            and self._cluster_view.configuration is not None
+            and bool(self._cluster_view.brokers)
+        )
 
     def _update_connection_limit(self) -> None:
         """Bound the pool's connections to any broker; admission keeps to the limit of each service."""
-        configuration = self._views.configuration
+        configuration = self._cluster_view.configuration
         limits = [service.connection_limit for service in configuration.services] if configuration else []
-        share = max(limits, default=0) // max(len(self._views.proxies()), 1)
+        share = max(limits, default=0) // max(len(self._cluster_view.proxies()), 1)
         self._upstream.limit_connections(max(share - 1, 1) if share else self._max_connections)
--- a/cherrycove/tier/dataplane/ingress.py
+++ b/cherrycove/tier/dataplane/ingress.py
@@ -50,10 +50,10 @@
     """
 
     def __init__(
-        self, settings: Settings, views: ClusterView, forwarder: RequestForwarder, drain: DrainDeadline
+        self, settings: Settings, cluster_view: ClusterView, forwarder: RequestForwarder, drain: DrainDeadline
     ) -> None:
         self._settings = settings
-        self._views = views
+        self._cluster_view = cluster_view
         self._forwarder = forwarder
         self._drain = drain
         self._durations = RecentMaxDuration()
@@ -67,7 +67,7 @@
     @property
     def limits(self) -> ClientLimits:
         """The limits of the configuration in force, or the default ones before the first."""
-        configuration = self._views.configuration
+        configuration = self._cluster_view.configuration
         return configuration.limits if configuration else ClientLimits()
 
     async def start(self) -> None:
@@ -113,7 +113,7 @@
         return await self._route(request, body, arrived_at)
 
     async def _route(self, request: web.BaseRequest, body: bytes, arrived_at: float) -> web.StreamResponse:
-        configuration = self._views.configuration
+        configuration = self._cluster_view.configuration
         if configuration is None:
             return self._proxy_response(
                 request,
--- a/cherrycove/tier/dataplane/item_executor.py
+++ b/cherrycove/tier/dataplane/item_executor.py
@@ -26,12 +26,12 @@
 
     def __init__(
         self,
-        views: ClusterView,
+        cluster_view: ClusterView,
         admission: AdmissionController,
         upstream: UpstreamClient,
         rng: random.Random,
     ) -> None:
-        self._views = views
+        self._cluster_view = cluster_view
         self._admission = admission
         self._upstream = upstream
         self._rng = rng
@@ -66,7 +66,7 @@
                 return outcome
 
     def _route(self, item: LeasedItem) -> Route | None:
-        configuration = self._views.configuration
+        configuration = self._cluster_view.configuration
         return configuration.route(item.route) if configuration is not None else None
 
     def _is_served_by(self, item: LeasedItem, service: str) -> bool:
--- a/cherrycove/tier/exploration/decision_group.py
+++ b/cherrycove/tier/exploration/decision_group.py
@@ -118,7 +118,7 @@
         """Member ids, which are not modelled."""
         return frozenset()
 
-    def retire(self, names: frozenset[str]) -> None:
+    def set_retiring(self, names: frozenset[str]) -> None:
         """Do nothing: changes of members are not modelled."""
 
     def on_change(self, callback: Callable[[], None]) -> None:
--- a/cherrycove/tier/programs/controller.py
+++ b/cherrycove/tier/programs/controller.py
@@ -21,7 +21,9 @@
         super().__init__(CONTROLLER_PROGRAM, settings, self._state)
 
     def _assemble_service(self) -> Controller:
-        return Controller(self._settings, self._group, self._state, self._server, self._client, self._views)
+        return Controller(
+            self._settings, self._group, self._state, self._server, self._client, self._cluster_view
+        )
 
     def _initial_members(self) -> Sequence[MemberIdentity]:
         """Return the replicas on the seeds' first disks, at a first start of the deployment."""
--- a/cherrycove/tier/programs/proxy.py
+++ b/cherrycove/tier/programs/proxy.py
@@ -31,13 +31,13 @@
         self._client = RpcClient()
         self._incarnation = new_incarnation()
         self._leaving = False
-        self._views = ClusterView()
-        self._puller = Puller(settings, self._client, self._views, self._announce)
-        self._data_plane = DataPlane(settings, self._views, random.Random())
-        batch_client = BatchClient(self._client, self._views, settings)
-        self._data_plane.attach_batch(BatchApi(batch_client, self._views))
+        self._cluster_view = ClusterView()
+        self._puller = Puller(settings, self._client, self._cluster_view, self._announce)
+        self._data_plane = DataPlane(settings, self._cluster_view, random.Random())
+        batch_client = BatchClient(self._client, self._cluster_view, settings)
+        self._data_plane.attach_batch(BatchApi(batch_client, self._cluster_view))
         self._worker = BatchWorker(
-            settings, batch_client, self._data_plane.executor, self._views, self._incarnation
+            settings, batch_client, self._data_plane.executor, self._cluster_view, self._incarnation
         )
 
     async def start(self) -> None:
@@ -61,7 +61,7 @@
         self._puller.reload(settings)
 
     def _announce(self) -> Announcement:
-        configuration = self._views.configuration
+        configuration = self._cluster_view.configuration
         return Announcement(
             node_name=self._settings.node_name,
             program=PROXY_PROGRAM,
--- a/cherrycove/tier/programs/store.py
+++ b/cherrycove/tier/programs/store.py
@@ -20,10 +20,12 @@
         """Open the disk that ``settings`` names; raises ``OSError`` where it cannot be used."""
         self._state = JobsState()
         super().__init__(STORE_PROGRAM, settings, self._state)
-        self._membership = StoreMembership(settings, self._group, self._views, self._server)
+        self._membership = StoreMembership(settings, self._group, self._cluster_view, self._server)
 
     def _assemble_service(self) -> BatchStoreService:
-        return BatchStoreService(self._settings, self._group, self._state, self._server, views=self._views)
+        return BatchStoreService(
+            self._settings, self._group, self._state, self._server, cluster_view=self._cluster_view
+        )
 
 
 def assemble(settings: Settings) -> StoreProgram:
--- a/cherrycove/tier/programs/store_membership.py
+++ b/cherrycove/tier/programs/store_membership.py
@@ -21,26 +21,26 @@
     """
 
     def __init__(
-        self, settings: Settings, group: ReplicatedGroup, views: ClusterView, server: CallRegistry
+        self, settings: Settings, group: ReplicatedGroup, cluster_view: ClusterView, server: CallRegistry
     ) -> None:
-        """Follow the changes of ``views``, and register the call ``store-members`` at ``server``."""
+        """Follow the changes of ``cluster_view``, and register the call ``store-members`` at ``server``."""
         self._settings = settings
         self._group = group
-        self._views = views
+        self._cluster_view = cluster_view
         self._joining: asyncio.Task[None] | None = None  # kept, since the event loop holds tasks weakly
-        StoreMembersService(group, views).serve_on(server)
-        views.on_change(self._follow)
+        StoreMembersService(group, cluster_view).serve_on(server)
+        cluster_view.on_change(self._follow)
 
     def _follow(self) -> None:
         self._join()
-        retiring = [_replica_identity(replica) for replica in self._views.store_group.retiring_disks]
-        names = frozenset(self._views.store_group.retiring)
-        self._group.retire(names | {disk.member_id for disk in retiring})
+        retiring = [_replica_identity(replica) for replica in self._cluster_view.store_group.retiring_disks]
+        names = frozenset(self._cluster_view.store_group.retiring)
+        self._group.set_retiring(names | {disk.member_id for disk in retiring})
         self._group.offer_standbys(self._standbys(retiring))
 
     def _join(self) -> None:
         """Begin the group, once, if this store is one of its first members."""
-        initial = [_replica_identity(replica) for replica in self._views.store_group.initial]
+        initial = [_replica_identity(replica) for replica in self._cluster_view.store_group.initial]
         initial_ids = {member.member_id for member in initial}
         if self._joining is None and self._group.identity.member_id in initial_ids:
             self._joining = asyncio.ensure_future(self._group.start(initial))
@@ -50,7 +50,7 @@
 
         The group adds none of the latter; it is offered them so that it commits that it never will.
         """
-        alive = [self._standby(store) for store in self._views.stores() if not store.leaving]
+        alive = [self._standby(store) for store in self._cluster_view.stores() if not store.leaving]
         known = {disk.member_id for disk in alive}
         return [*alive, *(disk for disk in retiring if disk.member_id not in known)]
 
--- a/cherrycove/tier/replication/candidate.py
+++ b/cherrycove/tier/replication/candidate.py
@@ -30,7 +30,7 @@
     is_pre_vote: bool
     epoch: int
     started_at: float
-    handed_over: bool = False
+    is_transfer: bool = False
     are_votes_requested: bool = False
     votes: set[str] = attrs.field(factory=set)
     incarnations: dict[str, int] = attrs.field(factory=dict)
@@ -90,11 +90,11 @@
         return self._last_campaign
 
     def campaign(
-        self, now: float, *, handed_over: bool = False, incarnations: dict[str, int] | None = None
+        self, now: float, *, is_transfer: bool = False, incarnations: dict[str, int] | None = None
     ) -> None:
         """Vote for itself in the next epoch; other votes are requested when that vote is durable.
 
-        ``handed_over``: the primary transferred its leadership. ``incarnations``: those of all other
+        ``is_transfer``: the primary transferred its leadership. ``incarnations``: those of all other
         replicas, when none of them follows a primary.
         """
         self._core.start_epoch_as_candidate()
@@ -103,7 +103,7 @@
             is_pre_vote=False,
             epoch=self._core.epoch,
             started_at=now,
-            handed_over=handed_over,
+            is_transfer=is_transfer,
             incarnations=incarnations or {},
         )
         self._timer.restart(now)
@@ -139,7 +139,7 @@
             epoch=campaign.epoch,
             last_index=self._core.log.last_index,
             last_epoch=self._core.log.last_epoch,
-            handed_over=campaign.handed_over,
+            handed_over=campaign.is_transfer,
             life=incarnation,
             campaign=campaign.number,
         )
--- a/cherrycove/tier/replication/elections.py
+++ b/cherrycove/tier/replication/elections.py
@@ -88,7 +88,7 @@
 
     def campaign_after_transfer(self, now: float) -> None:
         """Campaign at once, because the primary transferred its leadership to this replica."""
-        self._candidate.campaign(now, handed_over=True)
+        self._candidate.campaign(now, is_transfer=True)
 
     def take_victory(self) -> bool:
         """Whether this replica was elected since the last call."""
--- a/cherrycove/tier/replication/group.py
+++ b/cherrycove/tier/replication/group.py
@@ -95,7 +95,7 @@
         """Name the replicas outside the group that the primary may add; replaces those named before."""
         self._membership_requests.standbys = tuple(standbys)
 
-    def retire(self, names: frozenset[str]) -> None:
+    def set_retiring(self, names: frozenset[str]) -> None:
         """Name the members, by node name or member id, that must leave; replaces those named before."""
         self._membership_requests.retiring = names
 
--- a/cherrycove/tier/replication/interface.py
+++ b/cherrycove/tier/replication/interface.py
@@ -95,7 +95,7 @@
         None while a change of members is uncommitted, or if this replica is not the confirmed primary.
         """
 
-    def retire(self, names: frozenset[str]) -> None:
+    def set_retiring(self, names: frozenset[str]) -> None:
         """Name the machines that must leave the group, by node name or member id.
 
         The primary replaces them by standbys, or removes them from a group that is larger than it must be.
--- a/cherrycove/tier/replication/replicator.py
+++ b/cherrycove/tier/replication/replicator.py
@@ -58,9 +58,9 @@
 
     def tick(self, now: float) -> None:
         """Send a heartbeat if one is due or the commit index has advanced; resend what was lost."""
-        has_news = self._announced_commit_index < self._core.log.commit_index
+        has_unannounced_commit = self._announced_commit_index < self._core.log.commit_index
         is_heartbeat_due = now - self._sent_at >= self._core.timing.heartbeat_s
-        if is_heartbeat_due or (has_news and self.progress.is_responsive(now)):
+        if is_heartbeat_due or (has_unannounced_commit and self.progress.is_responsive(now)):
             self._send_append(now, [])
         self.replicate(now)
 
--- a/cherrycove/tier/simulation/control/processes.py
+++ b/cherrycove/tier/simulation/control/processes.py
@@ -204,7 +204,7 @@
             self.endpoint,
             clock=environment.loop.time,
             wall_clock=environment.loop.time,
-            views=self.views,
+            cluster_view=self.views,
         )
         self.puller = Puller(self.settings, self.client, self.views, self.announce)
         self._membership = StoreMembership(self.settings, self.group, self.views, self.endpoint)
--- a/tests/tier/batch_support.py
+++ b/tests/tier/batch_support.py
@@ -130,7 +130,7 @@
     def offer_standbys(self, standbys: Sequence[MemberIdentity]) -> None:
         pass
 
-    def retire(self, node_names: frozenset[str]) -> None:
+    def set_retiring(self, node_names: frozenset[str]) -> None:
         pass
 
     def on_change(self, callback: Callable[[], None]) -> None:
@@ -211,7 +211,9 @@
         identity = MemberIdentity(f"m-{ip}", own.node_name, own.internal_address("store"))
         group = self.cluster.add(identity, state)
         clocks = {"clock": clock, "wall_clock": clock} if clock is not None else {}
-        store = BatchStoreService(own, group, state, server, times=SHORT_TIMES, views=self.views, **clocks)
+        store = BatchStoreService(
+            own, group, state, server, times=SHORT_TIMES, cluster_view=self.views, **clocks
+        )
         self.nodes.append(StoreNode(ip, group, state, store, server))
 
     def publish(self) -> None:
--- a/tests/tier/control_support.py
+++ b/tests/tier/control_support.py
@@ -99,7 +99,7 @@
         if standbys:
             self.standbys_offered.set()
 
-    def retire(self, names: frozenset[str]) -> None:
+    def set_retiring(self, names: frozenset[str]) -> None:
         self.retiring = names
 
     def on_change(self, callback: Callable[[], None]) -> None:
--- a/tests/tier/golden_stories.py
+++ b/tests/tier/golden_stories.py
@@ -287,7 +287,7 @@
     def offer_standbys(self, standbys: Sequence[MemberIdentity]) -> None:
         """Not part of the stories."""
 
-    def retire(self, names: frozenset[str]) -> None:
+    def set_retiring(self, names: frozenset[str]) -> None:
         """Not part of the stories."""
 
     def on_change(self, callback: Callable[[], None]) -> None:
@@ -475,7 +475,7 @@
     group, times = OneReplica(state), [1000.0]
     views = ClusterView()
     clocks: dict[str, Any] = {"clock": lambda: times[0], "wall_clock": lambda: 1_750_000_001.456}
-    store = BatchStoreService(settings(), group, state, Wire(), views=views, **clocks)  # type: ignore[arg-type]
+    store = BatchStoreService(settings(), group, state, Wire(), cluster_view=views, **clocks)  # type: ignore[arg-type]
     await store.maintain_once()
     configured = inputs.COMPLETE_CONFIGURATION.encode()  # without the route of the jobs
     views.configuration = parse_configuration(configured).unwrap()
--- a/tests/tier/test_control_brokers.py
+++ b/tests/tier/test_control_brokers.py
@@ -9,7 +9,7 @@
 from loopback_ports import free_address
 from result import Err, Ok
 
-from cherrycove.tier.controlplane.broker_changes import AbsenceCheck, same_brokers
+from cherrycove.tier.controlplane.broker_changes import RemovalConfirmation, same_brokers
 from cherrycove.tier.controlplane.broker_discovery import (
     MAX_INTERVAL_S,
     MIN_INTERVAL_S,
@@ -70,13 +70,13 @@
     def listed(*names: str) -> BrokerList:
         return BrokerList(brokers=[BrokerEntry(instance_id=name) for name in names])
 
-    absences = AbsenceCheck()
-    assert absences.fold(listed("a", "b"), 2) == listed("a", "b")
-    assert absences.fold(listed("b", "c"), 2) == listed("a", "b", "c")
-    assert absences.fold(listed("b"), 2) == listed("b", "c")
-    assert absences.fold(listed("b"), 2) == listed("b")
-    assert absences.fold(listed(), 1) == listed()
-    assert AbsenceCheck().fold(listed("a"), 1) == listed("a")
+    removals = RemovalConfirmation()
+    assert removals.merge(listed("a", "b"), 2) == listed("a", "b")
+    assert removals.merge(listed("b", "c"), 2) == listed("a", "b", "c")
+    assert removals.merge(listed("b"), 2) == listed("b", "c")
+    assert removals.merge(listed("b"), 2) == listed("b")
+    assert removals.merge(listed(), 1) == listed()
+    assert RemovalConfirmation().merge(listed("a"), 1) == listed("a")
 
 
 def test_the_pace_follows_draining_and_the_platforms_rate() -> None:
--- a/tests/tier/test_control_register.py
+++ b/tests/tier/test_control_register.py
@@ -76,11 +76,11 @@
     register = ProcessRegistry()
     register.announce(store("s1", incarnation="2"), 0.0)
     register.inherit([store("s1", incarnation="1"), store("s2")], 0.5)
-    assert [entry.inherited for entry in register.alive(0.5)] == [False, True]
+    assert [entry.is_unconfirmed for entry in register.alive(0.5)] == [False, True]
     register.announce(store("s2"), 0.6)
-    assert [entry.inherited for entry in register.alive(0.6)] == [False, False]
+    assert [entry.is_unconfirmed for entry in register.alive(0.6)] == [False, False]
     register.resume(30.0)
-    assert [entry.inherited for entry in register.alive(30.0)] == [True, True]
+    assert [entry.is_unconfirmed for entry in register.alive(30.0)] == [True, True]
 
 
 def proxy(rate: float, configuration_version: int = 1, leaving: bool = False) -> MemberList:
--- a/tests/tier/test_process_life.py
+++ b/tests/tier/test_process_life.py
@@ -123,8 +123,8 @@
         broker, own = ToyBroker(script=script), settings()
         await broker.start()
         program = ProxyProgram(own)
-        program._views.configuration = parse_configuration(configuration_bytes()).unwrap()
-        program._views.brokers = (entry(broker),)
+        program._cluster_view.configuration = parse_configuration(configuration_bytes()).unwrap()
+        program._cluster_view.brokers = (entry(broker),)
         await program.start()
         async with asyncio.timeout(TIMEOUT_S):
             client = await Client.connect(own.listen_addresses.frontend)
