--- a/cherrycove/tier/simulation/control/network.py
+++ b/cherrycove/tier/simulation/control/network.py
@@ -130,29 +130,36 @@
         ``serve`` runs there. UNREACHABLE: nothing was sent; UNCERTAIN: the request may have run.
         """
         target = address.rpartition(":")[0]
-        answer: asyncio.Future[Any] = self.loop.create_future()
         connection = (incarnation, address)
-        is_new = connection not in self._connected
-        is_blocked = self.is_cut(source, target) or self.is_cut(target, source)
-        if target not in self.powered or (is_new and is_blocked):
+        if not self._is_connectable(source, target, connection):
             self._connected.discard(connection)
             await asyncio.sleep(min(CONNECT_TIMEOUT_S, timeout_s))
             return Err(Failure(ErrorKind.UNREACHABLE, f"{address}: no connection"))
         self._connected.add(connection)
+        answer: asyncio.Future[Result[Any, Failure]] = self.loop.create_future()
         call = _Call(self, source, target, address, serve, answer)
         self.carry(source, target, call.arrive)
         if self._random.random() < self.conditions.resets:
             self.loop.call_in(incarnation, self._random.uniform(0.0, 0.02), call.reset)
         done, _ = await asyncio.wait([answer], timeout=timeout_s)
         if not done:
-            self._connected.discard(connection)
             call.is_abandoned = self._random.random() >= LATE_SHARE
-            return Err(Failure(ErrorKind.UNCERTAIN, f"{address}: no answer in time"))
-        if isinstance(answer.result(), Err):
+        result = answer.result() if done else _timed_out(address)
+        if isinstance(result, Err):
             self._connected.discard(connection)
-        result: Result[Any, Failure] = answer.result()
         return result
 
+    def _is_connectable(self, source: str, target: str, connection: tuple[Incarnation, str]) -> bool:
+        """Whether a request can be sent: the target has power, and links are needed both ways to connect."""
+        if target not in self.powered:
+            return False
+        is_blocked = self.is_cut(source, target) or self.is_cut(target, source)
+        return connection in self._connected or not is_blocked
+
+
+def _timed_out(address: str) -> Result[Any, Failure]:
+    return Err(Failure(ErrorKind.UNCERTAIN, f"{address}: no answer in time"))
+
 
 class _Call:
     """One exchange in flight."""
