--- a/cherrycove/tier/batch/store/call_handlers.py
+++ b/cherrycove/tier/batch/store/call_handlers.py
@@ -49,7 +49,7 @@
     async def submit(self, request: pb.SubmitRequest) -> Result[pb.SubmitReply, Failure]:
         """Accept a job, unless it was accepted before; OVERLOADED if the store has no capacity for it."""
         # The table of this epoch must exist before the job comes, or its items would count as leased earlier.
-        if self._leases.table() is None:
+        if self._leases.ensure_table() is None:
             return self._not_primary()
         if request.job_id in self._state.jobs:
             return Ok(pb.SubmitReply())
@@ -102,7 +102,7 @@
 
     async def lease(self, request: pb.LeaseRequest) -> Result[pb.LeaseReply, Failure]:
         """Renew the leases of a proxy, and grant it further items."""
-        table = self._leases.table()
+        table = self._leases.ensure_table()
         if table is None:
             return self._not_primary()
         now = self._clocks.now()
@@ -119,7 +119,7 @@
 
     async def report(self, request: pb.ReportRequest) -> Result[pb.ReportReply, Failure]:
         """Record the outcome of an item, or its failed attempts so far."""
-        table = self._leases.table()
+        table = self._leases.ensure_table()
         if table is None:
             return self._not_primary()
         key = ItemKey.of(request.reference)
--- a/cherrycove/tier/batch/store/epoch_leases.py
+++ b/cherrycove/tier/batch/store/epoch_leases.py
@@ -42,8 +42,8 @@
         self.state_restored()
         state.observe(self)
 
-    def table(self) -> LeaseTable | None:
-        """The table of the present epoch; None while this store is not the confirmed primary."""
+    def ensure_table(self) -> LeaseTable | None:
+        """Return the table of the present epoch, made if there is none; None if not the confirmed primary."""
         if not self._group.is_confirmed_primary():
             return None
         if self._table is None or self._table.epoch != self._group.epoch:
--- a/cherrycove/tier/batch/store/maintenance.py
+++ b/cherrycove/tier/batch/store/maintenance.py
@@ -50,7 +50,7 @@
 
     async def run_once(self) -> None:
         """Free expired leases, dead-letter items past their retention or without a route, forget old jobs."""
-        table = self._leases.table()
+        table = self._leases.ensure_table()
         if table is None:
             return
         now = self._clocks.now()
--- a/cherrycove/tier/controlplane/leader_coordinator.py
+++ b/cherrycove/tier/controlplane/leader_coordinator.py
@@ -59,7 +59,7 @@
             return
         self.directory.start_over(now)
         self.stores.on_started_leading()
-        self.brokers.on_started_leading(self._inherit(now), now)
+        self.brokers.on_started_leading(self._inherit_published_lists(now), now)
         self.topics.begin_epoch(epoch)
 
     def on_stopped_leading(self) -> None:
@@ -98,7 +98,7 @@
             self.membership.update_standbys(self.directory.controllers_alive(now))
         await asyncio.sleep(TICK_S)
 
-    def _inherit(self, now: float) -> BrokerList:
+    def _inherit_published_lists(self, now: float) -> BrokerList:
         """Take over the members that the earlier primary published, and return its brokers.
 
         Without a recent contact with it, the first member list waits until processes announced themselves.
--- a/cherrycove/tier/controlplane/member_list_throttle.py
+++ b/cherrycove/tier/controlplane/member_list_throttle.py
@@ -19,8 +19,8 @@
         self._published = b""
         self._published_at = float("-inf")
 
-    def should_publish(self, members: MemberList, now: float) -> bool:
-        """Whether to publish ``members`` at ``now`` (monotonic s); True counts as published."""
+    def admit(self, members: MemberList, now: float) -> bool:
+        """Whether to publish ``members`` at ``now`` (monotonic s); if so, records them as published."""
         serialized = members.SerializeToString(deterministic=True)
         if self._relevant is not None and serialized == self._published:
             return False
--- a/cherrycove/tier/controlplane/topics.py
+++ b/cherrycove/tier/controlplane/topics.py
@@ -68,7 +68,7 @@
 
     def publish_members(self, members: MemberList, now: float) -> None:
         """Publish the processes alive if the list changed; minor changes wait for their interval."""
-        if self._member_throttle.should_publish(members, now):
+        if self._member_throttle.admit(members, now):
             self._log_members(members)
             self._publisher.publish(TopicUpdate(version=self._next_version(MEMBERS), members=members))
 
--- a/cherrycove/tier/dataplane/admission/_attempt_feedback.py
+++ b/cherrycove/tier/dataplane/admission/_attempt_feedback.py
@@ -13,7 +13,7 @@
     AttemptOutcome,
     CancelStalledAttempt,
 )
-from cherrycove.tier.dataplane.admission._stall_detection import detect_stalls, restart_stall_timers
+from cherrycove.tier.dataplane.admission._stall_detection import eject_stalled, restart_stall_timers
 from cherrycove.tier.dataplane.headers import InstanceLoad
 
 STALL_GRACE_S = 0.5  # after this process was stalled, in which a time-out is no evidence against a broker
@@ -72,7 +72,7 @@
 
     def cancel_stalled(self, now: float) -> list[Action]:
         """Eject brokers that have stalled, and give up their attempts."""
-        return [CancelStalledAttempt(request) for request in detect_stalls(self._state, now)]
+        return [CancelStalledAttempt(request) for request in eject_stalled(self._state, now)]
 
     def _record_first_event(self, broker: BrokerState, request: AdmissionRequest, latency_s: float) -> None:
         prompt = request.prompt
--- a/cherrycove/tier/dataplane/admission/_broker_selector.py
+++ b/cherrycove/tier/dataplane/admission/_broker_selector.py
@@ -10,6 +10,7 @@
 from cherrycove.tier.dataplane.admission._interface import AdmissionRequest
 from cherrycove.tier.dataplane.admission._prefix_cache import affinity_segment, preferred_broker
 
+BROKER_QUEUE_PLACE = "queue"  # ``Request.place`` of an entry in the queue of a broker
 PREFILL_TIE_S = 0.01  # difference of prefill times below which load alone decides between two random choices
 JITTER_S = 0.004  # random part of each cost, so that proxies with the same knowledge do not herd
 MEMORY_PRESSURE_COST_S = 0.2  # of a broker whose KV cache would be over-committed
@@ -26,7 +27,7 @@
     def select(self, request: AdmissionRequest, candidates: Sequence[BrokerState], now: float) -> BrokerState:
         """One of ``candidates``, which is not empty: the one in whose queue it waits, else the fastest."""
         entry = request.queue_entry
-        if entry is not None and entry.place == "queue":
+        if entry is not None and entry.place == BROKER_QUEUE_PLACE:
             for broker in candidates:
                 if broker.queue is entry.node:
                     return broker
--- a/cherrycove/tier/dataplane/admission/_credit_policy.py
+++ b/cherrycove/tier/dataplane/admission/_credit_policy.py
@@ -9,6 +9,7 @@
 from cherrycove.tier.dataplane.admission._broker_state import BrokerState
 from cherrycove.tier.dataplane.admission._interface import AdmissionRequest
 
+CREDIT_WAIT_PLACE = "lane"  # ``Request.place`` of an entry that waits for a credit
 CREDIT_WAIT_LIMIT = 1.0  # L of the queue that stands for no broker; it is never read
 
 
@@ -38,7 +39,7 @@
         entry, route = request.queue_entry, self._state.routes[request.route]
         assert entry is not None
         route.refill(self._period)
-        if entry.place != "lane" or route.credit_account.credits <= 0:
+        if entry.place != CREDIT_WAIT_PLACE or route.credit_account.credits <= 0:
             return
         if route.credit_queue()[0] is not entry:
             return
--- a/cherrycove/tier/dataplane/admission/_stall_detection.py
+++ b/cherrycove/tier/dataplane/admission/_stall_detection.py
@@ -20,7 +20,7 @@
         broker.health.last_response_at = now
 
 
-def detect_stalls(state: AdmissionState, now: float) -> Iterator[AdmissionRequest]:
+def eject_stalled(state: AdmissionState, now: float) -> Iterator[AdmissionRequest]:
     """Eject brokers that sent nothing for longer than their stall timeout; yield what is in flight there."""
     for broker in state.brokers.values():
         if not broker.in_flight:
--- a/tests/tier/test_control_register.py
+++ b/tests/tier/test_control_register.py
@@ -93,10 +93,10 @@
 
 def test_changes_of_rates_alone_are_published_at_intervals() -> None:
     changes = MemberListThrottle()
-    assert changes.should_publish(MemberList(), 0.0)
-    assert changes.should_publish(proxy(1.0), 0.1)
-    assert not changes.should_publish(proxy(1.0), 5.0)
-    assert changes.should_publish(proxy(2.0), 5.0)
-    assert not changes.should_publish(proxy(3.0, 2), 5.0 + MINOR_CHANGE_INTERVAL_S / 2)
-    assert changes.should_publish(proxy(3.0, 2), 5.0 + MINOR_CHANGE_INTERVAL_S)
-    assert changes.should_publish(proxy(3.0, 2, leaving=True), 5.1 + MINOR_CHANGE_INTERVAL_S)
+    assert changes.admit(MemberList(), 0.0)
+    assert changes.admit(proxy(1.0), 0.1)
+    assert not changes.admit(proxy(1.0), 5.0)
+    assert changes.admit(proxy(2.0), 5.0)
+    assert not changes.admit(proxy(3.0, 2), 5.0 + MINOR_CHANGE_INTERVAL_S / 2)
+    assert changes.admit(proxy(3.0, 2), 5.0 + MINOR_CHANGE_INTERVAL_S)
+    assert changes.admit(proxy(3.0, 2, leaving=True), 5.1 + MINOR_CHANGE_INTERVAL_S)
