--- a/cherrycove/broker/admin.py
+++ b/cherrycove/broker/admin.py
@@ -1,8 +1,7 @@
-"""Operators' calls: one line a connection on an address of their own, and the figures in the words they read.
+"""The operators' calls: one line a connection, on an address of their own.
 
-It owns the form of a call and of its answer, and the few descriptors that callers may hold. It must never
-wait for a client or a node, never let one caller keep out another, and never act on a line that did not come
-whole.
+Nothing here waits for a client or a node, one caller cannot keep out another, and a line that did not arrive
+completely is not acted on.
 """
 
 from __future__ import annotations
@@ -18,54 +17,58 @@
 
 log = Log("cherrycove.admin")
 
-MOST_LINE = 512  # bytes
-MOST_CALLERS = 8  # connections at once
-CALL_TIME = 5.0  # s for the whole line
-MOST_BEYOND = 64 * 1024  # bytes behind a call that are read and dropped
-LEAVE_TIME = 1.0  # s that a caller has to take its answer and hang up
-BARE, WITH_ID, ASKING = ("status", "stats"), ("maint-on", "maint-off"), ("why",)
+MAX_LINE_BYTES = 512
+MAX_CALLERS = 8  # connections at once
+CALL_TIMEOUT_S = 5.0  # s for the whole line
+MAX_EXCESS_BYTES = 64 * 1024  # bytes behind a call that are read and dropped
+HANG_UP_TIMEOUT_S = 1.0  # s that a caller has to take its answer and hang up
+PLAIN_COMMANDS, NODE_COMMANDS, QUERY_COMMANDS = ("status", "stats"), ("maint-on", "maint-off"), ("why",)
 NODE_ID = re.compile(r"[!-~]{1,128}", re.ASCII)
-PASSED = {Verdict.SERVED: "passed", Verdict.REFUSED: "dropped", Verdict.FAILED: "bad_gateway"}
+VERDICT_NAMES = {Verdict.SERVED: "passed", Verdict.REFUSED: "dropped", Verdict.FAILED: "bad_gateway"}
 
 
 class CallError(ValueError):
-    """A line that is no call; the message says why."""
+    """A line that is no call; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    word: str
-    node: str = ""
-    words: tuple[str, ...] = ()  # what is asked
+    """An operator's call."""
+
+    command: str
+    node: str = ""  # id, of a command on a node
+    arguments: tuple[str, ...] = ()  # of a query
 
 
 def parse_call(line: bytes) -> Call:
-    """One line without its end, or CallError."""
+    """Parse one line without its end; CallError if it is no call."""
     try:
         words = line.decode("ascii").split()
-    except UnicodeDecodeError:
-        raise CallError("not a line of text") from None
+    except UnicodeDecodeError as error:
+        raise CallError("not a line of text") from error
     if not words:
         raise CallError("an empty line")
-    word, *rest = words
-    if word in BARE:
+    command, *rest = words
+    if command in PLAIN_COMMANDS:
         if rest:
-            raise CallError(f"{word} stands alone")
-        return Call(word)
-    if word in ASKING:
-        return Call(word, words=tuple(rest))
-    if word not in WITH_ID:
-        raise CallError(f"no such call; there are {', '.join(BARE + WITH_ID + ASKING)}")
+            raise CallError(f"{command} stands alone")
+        return Call(command)
+    if command in QUERY_COMMANDS:
+        return Call(command, arguments=tuple(rest))
+    if command not in NODE_COMMANDS:
+        raise CallError(
+            f"no such call; there are {', '.join(PLAIN_COMMANDS + NODE_COMMANDS + QUERY_COMMANDS)}"
+        )
     if len(rest) != 1 or not NODE_ID.fullmatch(rest[0]):
-        raise CallError(f"{word} takes one disk node's id")
-    return Call(word, rest[0])
+        raise CallError(f"{command} takes one disk node's id")
+    return Call(command, rest[0])
 
 
 def report(figures: Figures, parts: Mapping[str, int] | None = None) -> str:
-    """The figures, a line each, those of parts that are on behind them, and the line that ends them."""
+    """Return the statistics, a line each, then those of ``parts`` that are enabled, and the end line."""
     lines = [
         f"{word}.{cls}:{counts[verdict]}|c"
-        for verdict, word in PASSED.items()
+        for verdict, word in VERDICT_NAMES.items()
         for cls, counts in figures.answers.items()
     ]
     lines += [
@@ -79,119 +82,137 @@
 
 
 def yes_or_no(refusal: str | None, done: str) -> str:
+    """Return the answer NO with the refusal, or YES with what is done."""
     return f"YES {done}" if refusal is None else f"NO {refusal}"
 
 
-class Desk:
-    """Takes the calls. ``answer`` gives a call's answer, in whole lines without the last line's end."""
+class AdminServer:
+    """Serves the calls; the broker's process owns it.
+
+    ``answer`` returns a call's answer, in complete lines without the last line's end. If it fails, the caller
+    receives NO and the log the fault.
+    """
 
     def __init__(self, answer: Callable[[Call], Awaitable[str]]) -> None:
         self._answer = answer
-        self._callers: dict[_Caller, None] = {}  # by their coming
+        self._callers: dict[_Caller, None] = {}  # in the order of their arrival
         self._server: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> int:
+        """Serve calls at this address; return the port."""
         listener = socket.create_server((host, port))
-        # Guard: the loop accepts as many at a time as it queues; calls that wait are many more.
+        # The loop accepts as many at a time as the backlog given here; many more calls may wait.
         self._server = await asyncio.get_running_loop().create_server(
-            lambda: _Caller(self), sock=listener, backlog=MOST_CALLERS
+            lambda: _Caller(self), sock=listener, backlog=MAX_CALLERS
         )
         listener.listen(128)
         bound: int = listener.getsockname()[1]
         return bound
 
     async def close(self) -> None:
+        """Stop listening and abort all connections."""
         if self._server is not None:
             self._server.close()
         for caller in list(self._callers):
             caller.end()
 
-    def came(self, caller: _Caller) -> None:
+    def add(self, caller: _Caller) -> None:
+        """Add a connection; beyond the limit the oldest without a call is aborted, else the oldest."""
         self._callers[caller] = None
-        if len(self._callers) > MOST_CALLERS:
-            # Guard: callers who hold on to their connections must not use up the descriptors of the others.
+        if len(self._callers) > MAX_CALLERS:
+            # Callers that keep their connections must not use up the descriptors of the others.
             others = list(self._callers)[:-1]
             next((each for each in others if not each.asked), others[0]).end()
 
-    def left(self, caller: _Caller) -> None:
+    def remove(self, caller: _Caller) -> None:
+        """Remove a connection that has ended."""
         self._callers.pop(caller, None)
 
     async def reply(self, line: bytes) -> str:
+        """Return the answer to a line, also to one that is no call or whose call failed."""
         try:
             call = parse_call(line)
         except CallError as error:
             return f"NO {error}"
         try:
             return await self._answer(call)
-        except Exception:
-            log.exception("call.failed", call=call.word)
+        except Exception:  # noqa: BLE001  # the top of a call: logged, and the broker serves on
+            log.exception("call.failed", call=call.command)
             return "NO the broker could not carry it out; its log says why"
 
 
 class _Caller(asyncio.Protocol):
-    """One operator's connection: a line, its answer, the end."""
+    """One operator's connection: a line, its answer, the end.
+
+    ``asked`` says whether a call has arrived.
+    """
 
-    def __init__(self, desk: Desk) -> None:
-        self._desk, self._line, self.asked = desk, b"", False
-        self._said, self._hung_up, self._beyond = False, False, 0
+    def __init__(self, server: AdminServer) -> None:
+        self._server, self._line, self.asked = server, b"", False
+        self._answered, self._hung_up, self._excess_bytes = False, False, 0
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._work: asyncio.Task[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Wait for the call, for ``CALL_TIMEOUT_S`` at most."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self._after(CALL_TIME)
-        self._desk.came(self)
+        self._abort_after(CALL_TIMEOUT_S)
+        self._server.add(self)
 
-    def _after(self, delay: float) -> None:
+    def _abort_after(self, delay: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
         self._timer = asyncio.get_running_loop().call_later(delay, self.end)
 
     def data_received(self, data: bytes) -> None:
+        """Collect the line and start its call; drop what follows."""
         if self.asked:
-            # Guard: left unread, it would reset the connection and with it the answer on its way.
-            self._beyond += len(data)
-            if self._beyond > MOST_BEYOND and self._transport is not None:
+            # Unread bytes would reset the connection, and the answer in transfer would be lost.
+            self._excess_bytes += len(data)
+            if self._excess_bytes > MAX_EXCESS_BYTES and self._transport is not None:
                 self._transport.pause_reading()
             return
         self._line += data
         line, end, _ = self._line.partition(b"\n")
-        if end and len(line) <= MOST_LINE:
-            self._take(line)
-        elif len(line) > MOST_LINE:
-            self._say(f"NO more than {MOST_LINE} bytes without a whole call")
+        if end and len(line) <= MAX_LINE_BYTES:
+            self._start_call(line)
+        elif len(line) > MAX_LINE_BYTES:
+            self._send_answer(f"NO more than {MAX_LINE_BYTES} bytes without a whole call")
 
     def eof_received(self) -> bool:
+        """Reject an incomplete line; return whether the transport stays open for an answer."""
         if not self.asked:
-            # Guard: maint-on s-1 may be the first half of maint-on s-12.
-            self._say("NO the line has no end")
+            # ``maint-on s-1`` may be the first half of ``maint-on s-12``.
+            self._send_answer("NO the line has no end")
         self._hung_up = True
-        return not self._said  # the answer may still be due
+        return not self._answered  # the answer may still be due
 
-    def _take(self, line: bytes) -> None:
+    def _start_call(self, line: bytes) -> None:
         self.asked = True
         self._work = asyncio.get_running_loop().create_task(self._carry_out(line))
 
     async def _carry_out(self, line: bytes) -> None:
-        self._say(await self._desk.reply(line))
+        self._send_answer(await self._server.reply(line))
 
-    def _say(self, answer: str) -> None:
-        self.asked, self._said, self._line = True, True, b""
+    def _send_answer(self, answer: str) -> None:
+        self.asked, self._answered, self._line = True, True, b""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(answer.encode("ascii", "replace") + b"\n")
             if self._hung_up:
                 self._transport.close()
             else:
                 self._transport.write_eof()
-                self._after(LEAVE_TIME)
+                self._abort_after(HANG_UP_TIMEOUT_S)
 
     def end(self) -> None:
+        """Abort the connection."""
         if self._transport is not None:
             self._transport.abort()
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _error: Exception | None) -> None:
+        """Remove the connection from its server."""
         if self._timer is not None:
             self._timer.cancel()
-        self._desk.left(self)
+        self._server.remove(self)
--- a/cherrycove/broker/local_codes.py
+++ b/cherrycove/broker/local_codes.py
@@ -1,8 +1,7 @@
-"""Codes of what the module did not decide: the core's own and the fronts', beside
-``cherrycove.scheduling.interface.Code``.
+"""Reason codes of what the scheduler did not decide: of the core and of the servers for clients.
 
-It owns their numbers, which are kept in records and handed to other processes, so they never change. It must
-never share a number with the module's.
+They stand beside ``cherrycove.scheduling.interface.Code`` and share no number with it. The numbers are stored
+in records and handed to other processes, so they never change.
 """
 
 from __future__ import annotations
@@ -14,18 +13,18 @@
 
 
 class Own(IntEnum):
-    """Why a request ended, where the module had no part in it."""
+    """Why a request ended, where the scheduler had no part in it."""
 
     NOTHING = 0  # a record without a reason
-    SERVED = 64  # a node's whole answer went out
+    SERVED = 64  # the node's answer was sent completely
     CLIENT_GONE = 65  # the client left before its answer
-    LAST_RESORT = 66  # the module was silent until the deadline; the core answered
-    BROKE_OFF = 67  # a long answer broke off on its way
+    LAST_RESORT = 66  # no decision until the deadline; the core answered
+    BROKE_OFF = 67  # a long answer ended before its length
     MALFORMED = 68  # 400: not a request of this deployment
     ID_OPEN = 69  # 409: a request with its id was open
     TOO_LONG = 70  # 413
     BODY_SLOW = 71  # 408: the body did not come in time
-    NO_ROOM = 72  # 503: no room in memory for its body
+    NO_ROOM = 72  # 503: no memory for its body
     NO_PATH = 73  # 404
     ENDING = 74  # the process ended before it could be decided
     BAD_COMMAND = 75  # NBD: EINVAL, EPERM or ENOSPC by the front
@@ -44,7 +43,7 @@
 
 
 def code(number: int) -> AnyCode:
-    """The code of this number; ValueError if no such code is known, as of a newer process."""
+    """Return the code of this number; ValueError if it is unknown, such as one of a newer process."""
     return Own(number) if number in _OWN else Code(number)
 
 
--- a/cherrycove/broker/process.py
+++ b/cherrycove/broker/process.py
@@ -87,7 +87,7 @@
         self._nbd_pool: nbd.ConnectionPool | None = None
         self._consul: consul.ConsulClient | None = None
         self._gossip: shared_map.GossipProtocol | None = None
-        self._desk = admin.Desk(self._call)
+        self._admin = admin.AdminServer(self._call)
         self.handover = HandoverCoordinator(
             platform.name,
             self.core,
@@ -164,7 +164,7 @@
         if platform.admin is not None:
             # Last, once the predecessor accepts no more and this process can be found by the next: a YES to
             # ``status`` has the operators end the predecessor.
-            log.info("calls.serves", port=await self._desk.listen(*platform.admin))
+            log.info("calls.serves", port=await self._admin.listen(*platform.admin))
         return port
 
     async def _restore(self) -> list[socket.socket] | None:
@@ -332,7 +332,7 @@
             self._peers.close()
         if self._memory is not None:
             await self._memory.close()
-        await self._desk.close()
+        await self._admin.close()
         await self.handover.close()
         if self._tracer is not None and self._book is not None:
             self._book.flush()
@@ -348,13 +348,13 @@
 
     async def _call(self, call: admin.Call) -> str:
         """Return the answer to an operator's call."""
-        if call.word == "stats":
+        if call.command == "stats":
             return admin.report(self.core.figures(), self._memory.figures() if self._memory else None)
-        if call.word == "why":
-            return "\n".join([*await self._why(call.words), "END"])
-        if call.word == "status":
+        if call.command == "why":
+            return "\n".join([*await self._why(call.arguments), "END"])
+        if call.command == "status":
             return admin.yes_or_no(self._obstacle(), "serving")
-        return await self.handover.maintenance.change(call.node, call.word == "maint-on")
+        return await self.handover.maintenance.change(call.node, call.command == "maint-on")
 
     async def _why(self, asked: tuple[str, ...]) -> list[str]:
         if self._book is None:
--- a/tests/golden_broker.py
+++ b/tests/golden_broker.py
@@ -512,7 +512,7 @@
         call = admin.parse_call(line.encode())
     except admin.CallError:
         return "no call"
-    return [call.word, call.node, list(call.words)]
+    return [call.command, call.node, list(call.arguments)]
 
 
 # Names that people and programs outside know.
@@ -627,7 +627,7 @@
         "endings": [f"{each.name.lower()} {each.value}" for each in core.Ending],
         "verdicts": [*(each.value for each in core.Verdict), *record.VERDICTS, *record.FRONTS],
         "statuses": [f"{status} {int(code)}" for status, code in codes.BY_STATUS.items()],
-        "calls": [*admin.BARE, *admin.WITH_ID, *admin.ASKING],
+        "calls": [*admin.PLAIN_COMMANDS, *admin.NODE_COMMANDS, *admin.QUERY_COMMANDS],
         "platform keys": sorted(config.platform_file.PLATFORM_KEYS),
         "settings read": sorted(known.READ),
         "settings left aside": sorted(known.LEFT),
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -14,11 +14,11 @@
 STATS = admin.report(Figures({"r": dict.fromkeys(Verdict, 3)}, 7, 2, 9, 1))
 
 
-async def desk() -> tuple[admin.Desk, int]:
+async def desk() -> tuple[admin.AdminServer, int]:
     async def answer(call: admin.Call) -> str:
-        return STATS if call.word == "stats" else f"YES {call.word} {call.node}"
+        return STATS if call.command == "stats" else f"YES {call.command} {call.node}"
 
-    made = admin.Desk(answer)
+    made = admin.AdminServer(answer)
     return made, await made.listen("127.0.0.1", 0)
 
 
@@ -51,7 +51,9 @@
     except admin.CallError as error:
         assert str(error)
     else:
-        assert found.word in admin.BARE + admin.WITH_ID and bool(found.node) == (found.word in admin.WITH_ID)
+        assert found.command in admin.PLAIN_COMMANDS + admin.NODE_COMMANDS and bool(found.node) == (
+            found.command in admin.NODE_COMMANDS
+        )
 
 
 def test_what_is_no_whole_call_gets_a_no() -> None:
@@ -78,7 +80,7 @@
         assert await call(port, b"stats\n") == STATS.encode() + b"\n"
         for _ in range(3):
             assert await call(port, b"status\n") == b"YES status \n"
-        assert len(made._callers) <= admin.MOST_CALLERS
+        assert len(made._callers) <= admin.MAX_CALLERS
         for _, writer in held:
             writer.close()
         await made.close()
@@ -87,7 +89,7 @@
 
 
 def test_a_caller_who_never_ends_its_line_is_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(admin, "CALL_TIME", 0.05)
+    monkeypatch.setattr(admin, "CALL_TIMEOUT_S", 0.05)
 
     async def story() -> None:
         made, port = await desk()
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -32,7 +32,7 @@
     async def __aenter__(self) -> Desk:
         self.world = await World(await Node("ok", "500").start()).__aenter__()
         self.book = self.world.core.recorder = Book(PLATFORM.settings, SKETCHED, 0.0)
-        self.desk = admin.Desk(self._answer)
+        self.desk = admin.AdminServer(self._answer)
         self.place = f"127.0.0.1:{await self.desk.listen('127.0.0.1', 0)}"
         return self
 
@@ -41,12 +41,12 @@
         await self.world.__aexit__()
 
     async def _answer(self, asked: admin.Call) -> str:
-        if asked.word == "stats":
+        if asked.command == "stats":
             return admin.report(self.world.core.figures())
-        if asked.word != "why":
-            return f"NO {asked.word} {asked.node}"
+        if asked.command != "why":
+            return f"NO {asked.command} {asked.node}"
         try:
-            question = ask.parse(list(asked.words))
+            question = ask.parse(list(asked.arguments))
         except ask.AskError as error:
             return f"NO {error}\nEND"
         now = asyncio.get_running_loop().time
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -49,7 +49,7 @@
 def test_a_line_stays_one_line_whatever_its_fields_hold(fields: dict[str, object]) -> None:
     record = logging.LogRecord("cherrycove", logging.INFO, "", 0, "a.b", None, None)
     record.fields = fields
-    line = events.Human().format(record)
+    line = events.HumanFormatter().format(record)
     assert line.isascii() and line.isprintable() and line.startswith("INFO cherrycove: a.b")
     assert all(f" {name}=" in line for name in fields)
     read = json.loads(events._json().format(record))
