--- a/cherrycove/broker/process.py
+++ b/cherrycove/broker/process.py
@@ -208,7 +208,7 @@
         gossip = self._gossip = shared_map.GossipProtocol(entries, setup)
 
         def on_list(news: NodeList) -> None:
-            gossip.tell(shared_map.record_node_list(entries, news))
+            gossip.broadcast(shared_map.record_node_list(entries, news))
 
         for key, (version, value) in setup.entries.items():
             entries.put(key, value, version)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -134,8 +134,8 @@
         while not left.counts["strangers"]:
             await asyncio.sleep(0.01)
         peer = second._transport.get_extra_info("sockname")  # type: ignore[union-attr]
-        first._setup = store.SharedMapConfig(("127.0.0.1", 0), (peer,), 0.01)
-        first.tell(store.record_node_list(left, NodeList(3, True, (Member("d0", "127.0.0.1:1", 0),))))
+        first._config = store.SharedMapConfig(("127.0.0.1", 0), (peer,), 0.01)
+        first.broadcast(store.record_node_list(left, NodeList(3, True, (Member("d0", "127.0.0.1:1", 0),))))
         await heard.wait()
         while right.digest() != left.digest():
             await asyncio.sleep(0.01)
