--- a/cherrycove/broker/config/platform_file.py
+++ b/cherrycove/broker/config/platform_file.py
@@ -12,7 +12,7 @@
 from cherrycove.broker.config._values import ConfigError, parse_host_port
 from cherrycove.broker.core import NodeList
 from cherrycove.broker.event_log import Log
-from cherrycove.broker.http1.parse import ListError, read_list
+from cherrycove.broker.http1.parse import NodeListError, parse_node_list_json
 from cherrycove.scheduling import settings_check as known_settings
 from cherrycove.scheduling import simulator_codec as wire
 from cherrycove.scheduling.interface import Settings
@@ -174,8 +174,8 @@
     if raw_known is None:
         return None
     try:
-        return read_list(raw_known, zones)
-    except ListError as error:
+        return parse_node_list_json(raw_known, zones)
+    except NodeListError as error:
         raise ConfigError(f"known: {error}") from error
 
 
--- a/cherrycove/broker/http1/body.py
+++ b/cherrycove/broker/http1/body.py
@@ -15,15 +15,15 @@
 
 from cherrycove.broker.http1.parse import BodyError, RequestError
 
-MOST_BODY = 64 * 1024  # what is longer flows in pieces
-MOST_LONG = 32 * 1024 * 1024  # bytes of a body or an answer at all
-BODY_TIME = 2.0  # s for each piece of a body, and in all this and
-BODY_RATE = 32 * 1024  # bytes of it a second
-FLOW = 160 * 1024  # bytes that a long body or answer holds on its way, at the most
-ROOM_TIME = 1.0  # s that a body waits for room in memory until it is refused
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # what is longer flows in pieces
+MAX_BODY_BYTES = 32 * 1024 * 1024  # bytes of a body or an answer at all
+CHUNK_TIMEOUT_S = 2.0  # s for each piece of a body, and in all this and
+MIN_BODY_BYTES_PER_S = 32 * 1024  # bytes of it a second
+STREAM_MEMORY_BYTES = 160 * 1024  # bytes that a long body or answer holds on its way, at the most
+MEMORY_TIMEOUT_S = 1.0  # s that a body waits for room in memory until it is refused
 
 
-class Room:
+class BodyMemory:
     """The one bound on what bodies and answers hold in memory. What waits for room gets it in its order."""
 
     def __init__(self, most: int) -> None:
@@ -34,7 +34,7 @@
         """Whether there is room or not."""
         self.held += size
 
-    async def enter(self, size: int, within: float = ROOM_TIME) -> None:
+    async def enter(self, size: int, within: float = MEMORY_TIMEOUT_S) -> None:
         """Once there is room; something alone always has it. TimeoutError: there was none within that (s)."""
         if not size or (not self._waiting and (not self.held or self.held + size <= self.most)):
             return self.take(size)  # Guard: reads need none, and stood behind the bodies that waited for it
@@ -67,7 +67,7 @@
                 waiter.set_result(None)
 
 
-class Upload:
+class StreamedBody:
     """A client's body in pieces, each read when the one before has gone. It can be read once."""
 
     def __init__(self, request: web.BaseRequest, start: bytes) -> None:
@@ -84,7 +84,7 @@
             yield piece
 
 
-def need(request: web.BaseRequest) -> int:
+def required_memory_bytes(request: web.BaseRequest) -> int:
     """What a request's body will hold in memory; RequestError says why it is none."""
     if not request.body_exists:
         return 0
@@ -94,12 +94,12 @@
     if coding is not None and coding.strip().lower() != "chunked":
         raise RequestError("a Transfer-Encoding other than chunked")
     length = request.content_length or 0
-    if length > MOST_LONG:
-        raise BodyError(413, f"more than {MOST_LONG} bytes")
-    return FLOW if coding is not None or length > MOST_BODY else length
+    if length > MAX_BODY_BYTES:
+        raise BodyError(413, f"more than {MAX_BODY_BYTES} bytes")
+    return STREAM_MEMORY_BYTES if coding is not None or length > MAX_BUFFERED_BODY_BYTES else length
 
 
-async def taken(request: web.BaseRequest) -> bytes | Upload:
+async def read_body(request: web.BaseRequest) -> bytes | StreamedBody:
     """The body, or what of it is too long to be held."""
     if not request.body_exists:
         return b""
@@ -107,13 +107,13 @@
         # Guard: the low-level server leaves this to us; a client that waits for it would lose its time.
         await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         request.writer.output_size = 0  # what follows is the answer's head, not its middle
-    if (request.content_length or 0) > MOST_BODY:
-        return Upload(request, b"")
+    if (request.content_length or 0) > MAX_BUFFERED_BODY_BYTES:
+        return StreamedBody(request, b"")
     body = b""
     async for piece in _pieces(request):
         body += piece
-        if len(body) > MOST_BODY:
-            return Upload(request, body)
+        if len(body) > MAX_BUFFERED_BODY_BYTES:
+            return StreamedBody(request, body)
     return body
 
 
@@ -122,9 +122,9 @@
     loop = asyncio.get_running_loop()
     began, taken = loop.time(), 0.0  # when, and how long of that was not the client's time
     while True:
-        latest = began + taken + BODY_TIME + size / BODY_RATE
+        latest = began + taken + CHUNK_TIMEOUT_S + size / MIN_BODY_BYTES_PER_S
         try:
-            async with asyncio.timeout_at(min(loop.time() + BODY_TIME, latest)):
+            async with asyncio.timeout_at(min(loop.time() + CHUNK_TIMEOUT_S, latest)):
                 piece = await request.content.readany()
         except TimeoutError:
             raise BodyError(408, "the rest of the request did not come") from None
@@ -133,8 +133,8 @@
         if not piece:
             return
         size += len(piece)
-        if size > MOST_LONG:
-            raise BodyError(413, f"more than {MOST_LONG} bytes")
+        if size > MAX_BODY_BYTES:
+            raise BodyError(413, f"more than {MAX_BODY_BYTES} bytes")
         before = loop.time()
         yield piece
         taken += loop.time() - before
--- a/cherrycove/broker/http1/parse.py
+++ b/cherrycove/broker/http1/parse.py
@@ -19,13 +19,13 @@
 
 HEX16 = re.compile(r"[0-9a-f]{16}", re.ASCII | re.IGNORECASE)
 DECIMAL = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?", re.ASCII)
-INFO = {"volume", "units", "shard", "hosts"}
-ONCE = ("X-Request-Id", "X-Class", "Tier", "X-Deadline-Ms", "IO-Info", "Cookie", "Idempotency-Key")
-WHOLE = re.compile(r"[0-9]{1,9}", re.ASCII)
-MOST = 1e18  # of any figure in a list: ms since 1970 are some 1.8e12
+IO_INFO_FIELDS = {"volume", "units", "shard", "hosts"}
+SINGLE_HEADERS = ("X-Request-Id", "X-Class", "Tier", "X-Deadline-Ms", "IO-Info", "Cookie", "Idempotency-Key")
+INTEGER = re.compile(r"[0-9]{1,9}", re.ASCII)
+MAX_FIGURE = 1e18  # of any figure in a list: ms since 1970 are some 1.8e12
 REQUEST_ID = re.compile(r"[!-~]{1,128}", re.ASCII)
-REPEAT_KEY = re.compile(r"[!-~]([ -~]{0,254}[!-~])?", re.ASCII)
-STATES = {"up": NodeState.UP, "draining": NodeState.DRAINING, "removed": NodeState.GONE}
+IDEMPOTENCY_KEY = re.compile(r"[!-~]([ -~]{0,254}[!-~])?", re.ASCII)
+STATE_BY_STATUS = {"up": NodeState.UP, "draining": NodeState.DRAINING, "removed": NodeState.GONE}
 
 
 class RequestError(ValueError):
@@ -40,12 +40,12 @@
         self.status = status
 
 
-class ListError(ValueError):
+class NodeListError(ValueError):
     """What discovery sent is not a node list."""
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
+class RequestHead:
     """What the front reads of a request's head, before the core's view of it."""
 
     cls: int
@@ -61,7 +61,7 @@
     idempotency_key: str = ""  # by which nodes drop a repeat; "": none was sent
 
 
-class Names:
+class DeploymentNames:
     """The names of a deployment by their places, ready to look up."""
 
     def __init__(self, settings: Settings) -> None:
@@ -92,7 +92,7 @@
     raise RequestError(f"the cookie {name} is missing")
 
 
-def parse_head(path: str, headers: Mapping[str, str], names: Names) -> Head:
+def parse_head(path: str, headers: Mapping[str, str], names: DeploymentNames) -> RequestHead:
     """A request's head, or RequestError. A path that names no class is the caller's to answer."""
     word = _field(headers, "X-Class")
     cls, plan = names.classes.get(word), names.plans.get(_field(headers, "Tier"))
@@ -103,12 +103,12 @@
     if path.partition("?")[0].split("/", 2)[1:2] != [word]:
         raise RequestError("the path and X-Class differ")
     info = dict([part.strip().partition("=")[::2] for part in _field(headers, "IO-Info").split(",")])
-    if not info.keys() >= INFO:
-        raise RequestError(f"IO-Info lacks {min(INFO - info.keys())}")
+    if not info.keys() >= IO_INFO_FIELDS:
+        raise RequestError(f"IO-Info lacks {min(IO_INFO_FIELDS - info.keys())}")
     units = float(_matched(DECIMAL, info["units"], "units"))
     if not 0 < units <= names.max_units:
         raise RequestError("units is out of range")
-    shard = -1 if info["shard"] == "-1" else int(_matched(WHOLE, info["shard"], "shard"))
+    shard = -1 if info["shard"] == "-1" else int(_matched(INTEGER, info["shard"], "shard"))
     if shard >= names.shards > 0:
         # Guard: what the module keeps for each shard is kept for good.
         raise RequestError("shard is out of range")
@@ -116,44 +116,46 @@
     if repeat_key is None and cls in names.keyed:
         # Guard: nodes could not drop a repeat of it, and the class says that one does no harm.
         raise RequestError("Idempotency-Key is missing")
-    hosts = max(min(int(_matched(WHOLE, info["hosts"], "hosts")), names.brokers), 1)
-    return Head(
+    hosts = max(min(int(_matched(INTEGER, info["hosts"], "hosts")), names.brokers), 1)
+    return RequestHead(
         cls=cls,
         plan=plan,
         volume=_matched(HEX16, info["volume"], "volume"),
         units=units,
         shard=None if shard < 0 else shard,
         hosts=hosts,
-        budget=int(_matched(WHOLE, _field(headers, "X-Deadline-Ms"), "X-Deadline-Ms")) / 1000,
+        budget=int(_matched(INTEGER, _field(headers, "X-Deadline-Ms"), "X-Deadline-Ms")) / 1000,
         key=_matched(HEX16, _cookie(_field(headers, "Cookie"), "object"), "the cookie object"),
         id=_matched(REQUEST_ID, _field(headers, "X-Request-Id"), "X-Request-Id"),
         repeat=headers.get("X-Retry") == "1",
-        idempotency_key="" if repeat_key is None else _matched(REPEAT_KEY, repeat_key, "Idempotency-Key"),
+        idempotency_key=""
+        if repeat_key is None
+        else _matched(IDEMPOTENCY_KEY, repeat_key, "Idempotency-Key"),
     )
 
 
 def _entry(raw: Any, zones: Mapping[str, int]) -> Member:
     if not isinstance(raw, dict):
-        raise ListError("an entry is no object")
+        raise NodeListError("an entry is no object")
     try:
-        name, state = raw["name"], STATES[raw["status"]]
+        name, state = raw["name"], STATE_BY_STATUS[raw["status"]]
         address, shard = raw.get("address", ""), raw.get("group", -1)
         weight, since = raw.get("weight", 1.0), raw.get("since_ms", 0)
     except (KeyError, TypeError) as error:
-        raise ListError(f"an entry lacks or misstates {error}") from None
+        raise NodeListError(f"an entry lacks or misstates {error}") from None
     # Guard: a whole number that no float holds raised in isfinite(), and that ended the broker.
-    numbers = all(type(x) in (int, float) and abs(x) < MOST for x in (weight, since))
+    numbers = all(type(x) in (int, float) and abs(x) < MAX_FIGURE for x in (weight, since))
     if not (isinstance(name, str) and name and isinstance(address, str) and type(shard) is int and numbers):
-        raise ListError("an entry has a value of the wrong type")
+        raise NodeListError("an entry has a value of the wrong type")
     host, _, port = address.rpartition(":")
     if state is not NodeState.GONE and not (
         host
         and re.fullmatch(r"[0-9A-Za-z.\[\]:_-]+", host)
-        and WHOLE.fullmatch(port)
+        and INTEGER.fullmatch(port)
         and 0 < int(port) < 65536
         and shard >= 0
     ):
-        raise ListError("an entry has no usable address or group")
+        raise NodeListError("an entry has no usable address or group")
     zone = raw.get("zone")
     return Member(
         name,
@@ -166,21 +168,21 @@
     )
 
 
-def parse_list(text: bytes | str, zones: Mapping[str, int]) -> NodeList:
-    """Discovery's answer, or ListError: a list that is wrong in one place is trusted in none."""
+def parse_node_list(text: bytes | str, zones: Mapping[str, int]) -> NodeList:
+    """Discovery's answer, or NodeListError: a list that is wrong in one place is trusted in none."""
     try:
         raw = json.loads(text)
     except (ValueError, RecursionError):
-        raise ListError("not JSON") from None
-    return read_list(raw, zones)
+        raise NodeListError("not JSON") from None
+    return parse_node_list_json(raw, zones)
 
 
-def read_list(raw: Any, zones: Mapping[str, int]) -> NodeList:
+def parse_node_list_json(raw: Any, zones: Mapping[str, int]) -> NodeList:
     if not isinstance(raw, dict):
-        raise ListError("no object")
+        raise NodeListError("no object")
     index, full, entries = raw.get("index"), raw.get("snapshot"), raw.get("endpoints")
     if type(index) is not int or index < 0 or type(full) is not bool or not isinstance(entries, list):
-        raise ListError("index, snapshot or endpoints is missing or of the wrong type")
+        raise NodeListError("index, snapshot or endpoints is missing or of the wrong type")
     return NodeList(index, full, tuple(_entry(entry, zones) for entry in entries))
 
 
@@ -195,25 +197,25 @@
     return {name: float(x) for name, x in raw.items() if type(x) in (int, float) and abs(x) < 1e18}
 
 
-def parse_use(text: str | None) -> float | None:
+def parse_volume_load(text: str | None) -> float | None:
     """The volume's use, told in percent of its plan's rate."""
-    return int(text) / 100 if text and WHOLE.fullmatch(text) else None
+    return int(text) / 100 if text and INTEGER.fullmatch(text) else None
 
 
-def parse_elsewhere(text: str | None) -> float:
+def parse_other_hosts(text: str | None) -> float:
     """The units that a shard has served for the volume through other brokers; none where none are told."""
     return float(text) if text and DECIMAL.fullmatch(text) else 0.0
 
 
-def origin(target: str) -> str:
+def to_origin_form(target: str) -> str:
     """A target without the scheme and host that a client may write before it (RFC 9112, 3.2.2)."""
     scheme, mark, rest = target.partition("://")
     return "/" + rest.partition("/")[2] if mark and scheme.lower() == "http" else target
 
 
-def single(headers: MultiMapping[str]) -> MultiMapping[str]:
+def reject_repeated_headers(headers: MultiMapping[str]) -> MultiMapping[str]:
     """The headers; a repeat of one that says what the request is leaves open which one counts."""
-    for name in ONCE:
+    for name in SINGLE_HEADERS:
         if len(headers.getall(name, ())) > 1:
             raise RequestError(f"{name} comes twice")
     return headers
--- a/cherrycove/broker/http1/server.py
+++ b/cherrycove/broker/http1/server.py
@@ -21,9 +21,30 @@
 from yarl import URL
 
 from cherrycove.broker.core import Answer, Core, Ending, Reply, Request, Verdict
-from cherrycove.broker.http1.body import FLOW, ROOM_TIME, Room, Upload, need, taken
-from cherrycove.broker.http1.parse import BodyError, Head, Names, RequestError, origin, parse_head, single
-from cherrycove.broker.http1.upstream import PIECE, Call, ConnectionPool, Rest, SpoiltAnswer
+from cherrycove.broker.http1.body import (
+    MEMORY_TIMEOUT_S,
+    STREAM_MEMORY_BYTES,
+    BodyMemory,
+    StreamedBody,
+    read_body,
+    required_memory_bytes,
+)
+from cherrycove.broker.http1.parse import (
+    BodyError,
+    DeploymentNames,
+    RequestError,
+    RequestHead,
+    parse_head,
+    reject_repeated_headers,
+    to_origin_form,
+)
+from cherrycove.broker.http1.upstream import (
+    READ_CHUNK_BYTES,
+    ConnectionPool,
+    InvalidResponseError,
+    ResponseStream,
+    UpstreamRequest,
+)
 from cherrycove.broker.lifecycle.listening_socket import bind_listening_socket
 from cherrycove.broker.lifecycle.shutdown_timetable import ShutdownTimetable
 from cherrycove.broker.local_codes import BY_STATUS, Own
@@ -32,16 +53,18 @@
 # The HTTP library's own log, of requests that it could not read.
 clients_log = logging.getLogger("cherrycove.http1.clients")
 
-IDLE_TIME = 2.4  # s that a connection may stay without a whole head, at its start or between requests
-SETTLED_TIME = 0.2  # s between requests after which a connection gives way where clients are many
-LEAVE_TIME = 3.0  # s that a client which still sends its body has to see its answer
-UNREAD_TIME = 10.0  # s after which a client that takes nothing of what it is sent is cut off
-MADE_TURNS = 3  # of the loop until what it has accepted is a connection of ours
-MOST_WAITING = 1024  # connections to be accepted
-ACCEPTED_AT_ONCE = 4  # connections in one turn of the loop; some turns pass until they can be dropped
-ROOM_PART = 0.45  # of what its client waits that a request waits for room at most, as half of that is priced
-NEW_TIME = 0.1  # s within which a new connection brings its request, or the rest of its head
-ANSWER_TIME = 1.0  # s that a client has to take its answer when the broker ends
+IDLE_TIMEOUT_S = 2.4  # s that a connection may stay without a whole head, at its start or between requests
+MIN_IDLE_S = 0.2  # s between requests after which a connection gives way where clients are many
+LINGER_TIMEOUT_S = 3.0  # s that a client which still sends its body has to see its answer
+TCP_USER_TIMEOUT_S = 10.0  # s after which a client that takes nothing of what it is sent is cut off
+ACCEPT_TURNS = 3  # of the loop until what it has accepted is a connection of ours
+LISTEN_BACKLOG = 1024  # connections to be accepted
+MAX_ACCEPTED_PER_TURN = 4  # connections in one turn of the loop; some turns pass until they can be dropped
+MEMORY_TIMEOUT_FRACTION = (
+    0.45  # of what its client waits that a request waits for room at most, as half of that is priced
+)
+NEW_CONNECTION_WAIT_S = 0.1  # s within which a new connection brings its request, or the rest of its head
+CLOSE_TIMEOUT_S = 1.0  # s that a client has to take its answer when the broker ends
 
 
 def _own_fault(record: logging.LogRecord) -> bool:
@@ -63,7 +86,7 @@
     _disconnect_watcher: DisconnectWatcher | None = None  # once it has been left unread
 
     def data_received(self, data: bytes) -> None:
-        if isinstance(self._manager, Clients):
+        if isinstance(self._manager, ClientConnections):
             self._manager.spoke(self)
         super().data_received(data)
 
@@ -76,7 +99,7 @@
             self._disconnect_watcher.on_reading_paused()
 
     def _process_keepalive(self) -> None:
-        if isinstance(self._manager, Clients) and self._manager.holds(self):
+        if isinstance(self._manager, ClientConnections) and self._manager.holds(self):
             self._next_keepalive_close_time = max(self._next_keepalive_close_time, self._manager.held_until)
         if self.transport is not None and has_unread_input(self.transport):
             # Guard: what has come and is not read yet may be a request, which a close would leave unanswered.
@@ -86,7 +109,7 @@
         super()._process_keepalive()
 
 
-class Clients(web.Server):
+class ClientConnections(web.Server):
     """The library's server, bounded: past the bound, a connection without a request gives way to a new one.
     Those that say nothing give first, the longest so, then those that have sent a part of a head."""
 
@@ -100,10 +123,10 @@
             access_log=None,
             tcp_keepalive=False,
             auto_decompress=False,
-            keepalive_timeout=IDLE_TIME,
+            keepalive_timeout=IDLE_TIMEOUT_S,
             lingering_time=0.0,
             logger=clients_log,
-            read_bufsize=PIECE // 2,
+            read_bufsize=READ_CHUNK_BYTES // 2,
         )
         self._most, self._crowd = most, crowd
         # Each by their coming into it, with the time.
@@ -127,8 +150,8 @@
 
     def connection_made(self, handler: web.RequestHandler, transport: asyncio.Transport) -> None:
         super().connection_made(handler, transport)
-        transport.max_size = PIECE  # type: ignore[attr-defined]
-        transport.set_write_buffer_limits(PIECE)
+        transport.max_size = READ_CHUNK_BYTES  # type: ignore[attr-defined]
+        transport.set_write_buffer_limits(READ_CHUNK_BYTES)
         self._move(handler, self._silent)
         self.resize(self._most)
 
@@ -156,7 +179,7 @@
         if handler not in self._busy and handler not in self._partly:
             self._move(handler, self._partly)
             # Guard: the library counts from the last answer; a slow head on a kept connection was cut off.
-            handler._next_keepalive_close_time = self._loop.time() + IDLE_TIME
+            handler._next_keepalive_close_time = self._loop.time() + IDLE_TIMEOUT_S
 
     def connection_lost(self, handler: web.RequestHandler, exc: BaseException | None = None) -> None:
         super().connection_lost(handler, exc)
@@ -170,7 +193,9 @@
         """Wait until no request is open, has come or is on its way; no longer than ``until``."""
         while (now := self._loop.time()) < until:
             self.moved.clear()
-            young = max((*self._silent.values(), *self._partly.values()), default=-inf) + NEW_TIME
+            young = (
+                max((*self._silent.values(), *self._partly.values()), default=-inf) + NEW_CONNECTION_WAIT_S
+            )
             if young <= now and not (self._busy or any(map(self._asks, self._idle))):
                 return
             with suppress(TimeoutError):
@@ -193,7 +218,7 @@
         if self.crowded and self._idle:
             # Guard: those who have asked and stay would keep others from asking until their time is up.
             longest, since = next(iter(self._idle.items()))
-            if since < self._loop.time() - SETTLED_TIME and not self._asks(longest):
+            if since < self._loop.time() - MIN_IDLE_S and not self._asks(longest):
                 del self._idle[longest]
                 self._connections[longest].close()
 
@@ -214,12 +239,12 @@
         self, core: Core, pool: ConnectionPool, most_connections: int, crowd: int, most_bytes: int
     ) -> None:
         self._core, self._pool = core, pool
-        self._names = Names(core.settings)
+        self._names = DeploymentNames(core.settings)
         self._draining = self._parting = False
         self._server: asyncio.Server | None = None
         self.listener: socket.socket
-        self._web = Clients(self._handle, most_connections, crowd)
-        self.room = Room(most_bytes)
+        self._web = ClientConnections(self._handle, most_connections, crowd)
+        self.room = BodyMemory(most_bytes)
         self._open: set[str] = set()  # the ids of open requests
         self.last_request = 0.0
         self._last_answer, self._given_up = 0.0, False  # from then on whatever comes is answered at once
@@ -230,15 +255,17 @@
     async def listen(self, host: str, port: int) -> int:
         """Start to accept; the port, should the system have chosen it."""
         # Guard: a client that never reads its answer would keep its connection for good. Inherited on accept.
-        return await self.accept(bind_listening_socket(host, port, TCP_USER_TIMEOUT=int(UNREAD_TIME * 1000)))
+        return await self.accept(
+            bind_listening_socket(host, port, TCP_USER_TIMEOUT=int(TCP_USER_TIMEOUT_S * 1000))
+        )
 
     async def accept(self, given: socket.socket) -> int:
         """Start to accept from a socket that another process may have opened, and may accept from too."""
         # Guard: the loop accepts as many at a time as it queues; a crowd would take all descriptors.
         self._server = await asyncio.get_running_loop().create_server(
-            self._web, sock=given, backlog=ACCEPTED_AT_ONCE
+            self._web, sock=given, backlog=MAX_ACCEPTED_PER_TURN
         )
-        given.listen(MOST_WAITING)
+        given.listen(LISTEN_BACKLOG)
         self.listener, self._draining, self._parting = given, False, False
         bound: int = given.getsockname()[1]
         return bound
@@ -301,21 +328,21 @@
                 self._server.close()
                 await self._accept_rest(rest)
         # Guard: a request that waits for room or body is not the core's yet, and one may wait to be read.
-        await self._web.settled(max(self._last_answer, loop.time() + NEW_TIME))
+        await self._web.settled(max(self._last_answer, loop.time() + NEW_CONNECTION_WAIT_S))
         await self._core.idle()
         self._web.pre_shutdown()  # those between requests; the others close behind their answer
         # Guard: the library waits so long twice, and not at all for no time.
-        await self._web.shutdown(min(ANSWER_TIME, max((self._gone - loop.time()) / 2, 0.001)))
+        await self._web.shutdown(min(CLOSE_TIMEOUT_S, max((self._gone - loop.time()) / 2, 0.001)))
 
     async def _accept_rest(self, rest: socket.socket) -> None:
         """Guard: what waits to be accepted when a listener closes is reset, with the request it has sent."""
         loop = asyncio.get_running_loop()
         with suppress(OSError):
-            for _ in range(MOST_WAITING):
+            for _ in range(LISTEN_BACKLOG):
                 connection, _ = rest.accept()
                 connection.setblocking(False)
                 await loop.connect_accepted_socket(self._web, connection)
-        for _ in range(MADE_TURNS):
+        for _ in range(ACCEPT_TURNS):
             await asyncio.sleep(0)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -326,7 +353,7 @@
             self._web.finish(request.protocol)
 
     async def _respond(self, request: web.BaseRequest) -> web.StreamResponse:
-        target = origin(request.raw_path)
+        target = to_origin_form(request.raw_path)
         path = target.partition("?")[0]
         if path == "/-/ready":
             ok = self._core.ready and not self._draining
@@ -339,13 +366,13 @@
         try:
             if request.method not in ("GET", "PUT"):
                 raise RequestError("the method is neither GET nor PUT")
-            head = parse_head(target, single(request.headers), self._names)
+            head = parse_head(target, reject_repeated_headers(request.headers), self._names)
             if URL(f"http://h{target}", encoded=True).raw_path_qs != target:
                 raise RequestError("the path cannot be passed on unchanged")
-            size, came = need(request), asyncio.get_running_loop().time()
+            size, came = required_memory_bytes(request), asyncio.get_running_loop().time()
             budget = min(head.budget, self._core.settings.classes[cls].deadline)
             async with self._until_given_up(request):
-                await self.room.enter(size, min(ROOM_TIME, ROOM_PART * budget))
+                await self.room.enter(size, min(MEMORY_TIMEOUT_S, MEMORY_TIMEOUT_FRACTION * budget))
             # Guard: its body may have come whole meanwhile; counted from now on, its time would end too late.
             waited = asyncio.get_running_loop().time() - came
         except TimeoutError:
@@ -384,11 +411,11 @@
         return response
 
     async def _take(
-        self, request: web.BaseRequest, cls: int, head: Head, waited: float
+        self, request: web.BaseRequest, cls: int, head: RequestHead, waited: float
     ) -> web.StreamResponse:
         try:
             async with self._until_given_up(request):
-                body = await taken(request)
+                body = await read_body(request)
         except TimeoutError:
             return await self._refuse(request, cls)
         except (RequestError, ValueError, web.RequestPayloadError, HttpProcessingError) as error:
@@ -401,16 +428,16 @@
             )
         self._open.add(head.id)
         relayed: list[web.StreamResponse] = []
-        call = Call(
+        call = UpstreamRequest(
             self._pool,
             request.method,
-            origin(request.raw_path),
+            to_origin_form(request.raw_path),
             head.id,
             body,
             partial(self._relay, request, relayed),
             head.idempotency_key,
         )
-        flows = isinstance(body, Upload)  # its time has not begun
+        flows = isinstance(body, StreamedBody)  # its time has not begun
         deadline = asyncio.get_running_loop().time() + head.budget - (0.0 if flows else waited)
         try:
             answer = await self._core.serve(
@@ -441,7 +468,7 @@
         return response
 
     async def _relay(
-        self, request: web.BaseRequest, relayed: list[web.StreamResponse], rest: Rest, reply: Reply
+        self, request: web.BaseRequest, relayed: list[web.StreamResponse], rest: ResponseStream, reply: Reply
     ) -> Ending:
         """Pass on a long answer. Whatever breaks it closes the connection ahead of its framed end."""
         response = web.StreamResponse(headers=self._headers(reply.kind or "application/octet-stream"))
@@ -454,7 +481,7 @@
             response.force_close()
         if self._parting or self._web.crowded or not request.content.is_eof():
             response.force_close()
-        self.room.take(FLOW)
+        self.room.take(STREAM_MEMORY_BYTES)
         try:
             async with asyncio.timeout(None) as flowing:
                 self._flowing.add(flowing)
@@ -464,10 +491,10 @@
             return Ending.CUT_SHORT
         finally:
             self._flowing.discard(flowing)
-            self.room.leave(FLOW)
+            self.room.leave(STREAM_MEMORY_BYTES)
 
     async def _pump(
-        self, request: web.BaseRequest, response: web.StreamResponse, rest: Rest, reply: Reply
+        self, request: web.BaseRequest, response: web.StreamResponse, rest: ResponseStream, reply: Reply
     ) -> Ending:
         async with aclosing(rest.pieces()) as pieces:
             await response.prepare(request)
@@ -476,7 +503,7 @@
             try:
                 async for piece in pieces:
                     await response.write(piece)
-            except SpoiltAnswer:
+            except InvalidResponseError:
                 ending = Ending.SPOILT
             except aiohttp.ClientPayloadError:
                 ending = Ending.CUT_SHORT
@@ -494,7 +521,7 @@
         await response.write_eof()
         self._web.answered(request.protocol)
         with suppress(TimeoutError, web.RequestPayloadError, HttpProcessingError):
-            async with asyncio.timeout(LEAVE_TIME):
+            async with asyncio.timeout(LINGER_TIMEOUT_S):
                 while await request.content.readany():
                     pass
 
@@ -510,7 +537,7 @@
     ) -> web.Response:
         self._core.turned_away(cls, verdict, own or BY_STATUS.get(status, Own.MALFORMED), _id(request))
         response = self._response(status, why, whole=whole)
-        advice = min(ROOM_TIME, self._core.settings.retry_advice)
+        advice = min(MEMORY_TIMEOUT_S, self._core.settings.retry_advice)
         if verdict is Verdict.REFUSED and advice > 0:
             response.headers["Retry-After"] = f"{advice:.3f}"
         return response
--- a/cherrycove/broker/http1/upstream.py
+++ b/cherrycove/broker/http1/upstream.py
@@ -23,18 +23,22 @@
 from yarl import URL
 
 from cherrycove.broker.core import Attempt, Ending, Reply
-from cherrycove.broker.http1.body import MOST_BODY, MOST_LONG, Upload
-from cherrycove.broker.http1.parse import BodyError, parse_elsewhere, parse_load, parse_use
+from cherrycove.broker.http1.body import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, StreamedBody
+from cherrycove.broker.http1.parse import BodyError, parse_load, parse_other_hosts, parse_volume_load
 from cherrycove.broker.sockets import has_unread_input
 
-PIECE = 32 * 1024  # bytes in one read of a connection, and about as many in each of its buffers
-MOST_HEADS = 32 * 1024  # bytes of an answer's head and of all that is said ahead of it
-START_TIME = 0.02  # s for an answer that does not tell its length to end, before it is passed on as it comes
-STALL_TIME = 10.0  # s in which a node must take or give something of a long body
-REST_TIME = 0.006  # s behind an answer before its connection is used again; a second one is up to 4 ms late
+READ_CHUNK_BYTES = 32 * 1024  # bytes in one read of a connection, and about as many in each of its buffers
+MAX_HEADERS_BYTES = 32 * 1024  # bytes of an answer's head and of all that is said ahead of it
+FIRST_CHUNK_WAIT_S = (
+    0.02  # s for an answer that does not tell its length to end, before it is passed on as it comes
+)
+STALL_TIMEOUT_S = 10.0  # s in which a node must take or give something of a long body
+REUSE_DELAY_S = (
+    0.006  # s behind an answer before its connection is used again; a second one is up to 4 ms late
+)
 
 
-class SpoiltAnswer(aiohttp.ClientPayloadError):
+class InvalidResponseError(aiohttp.ClientPayloadError):
     """What a node sent is not an answer; the message says why."""
 
 
@@ -90,7 +94,7 @@
             head, rest = data[:size].replace(b"\0", b" "), data[size:]
             self._seam = (self._seam + head)[-3:] if place < 0 else b""
             self._heads += len(head)
-            if self._heads > MOST_HEADS:
+            if self._heads > MAX_HEADERS_BYTES:
                 return self._spoil()
             super().data_received(head)
             if rest and self.transport is not None and not self.transport.is_closing():
@@ -110,7 +114,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        transport.max_size = PIECE  # type: ignore[attr-defined]
+        transport.max_size = READ_CHUNK_BYTES  # type: ignore[attr-defined]
 
     def connection_lost(self, exc: BaseException | None) -> None:
         if exc is not None and self._answer is not None and not self._answer.is_eof():
@@ -133,9 +137,9 @@
         """Guard: told of a fault in the body, the library lets the body's reader wait for the end of time."""
         self._drop()
         if self._answer is None and self._exception is None:
-            self.set_exception(SpoiltAnswer("the answer's head is too long"))
+            self.set_exception(InvalidResponseError("the answer's head is too long"))
         elif self._answer is not None and not self._answer.is_eof():
-            self._answer.set_exception(SpoiltAnswer("the answer's body is spoilt"))
+            self._answer.set_exception(InvalidResponseError("the answer's body is spoilt"))
 
 
 class Connector(aiohttp.TCPConnector):
@@ -185,7 +189,7 @@
 class ConnectionPool:
     """Connections to disk nodes, and how each attempt over them ended."""
 
-    def __init__(self, dial_timeout: float, conn_idle: float, most: int, rest: float = REST_TIME) -> None:
+    def __init__(self, dial_timeout: float, conn_idle: float, most: int, rest: float = REUSE_DELAY_S) -> None:
         trace = aiohttp.TraceConfig()
         trace.on_request_headers_sent.append(self._headers_sent)
         trace.on_request_chunk_sent.append(self._chunk_sent)
@@ -199,7 +203,7 @@
             auto_decompress=False,
             trace_configs=[trace],
             skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding", "Content-Type"),
-            read_bufsize=PIECE // 2,
+            read_bufsize=READ_CHUNK_BYTES // 2,
             timeout=aiohttp.ClientTimeout(total=None, connect=dial_timeout, sock_connect=dial_timeout),
         )
         # Guard: the library sends a GET or PUT again by itself when a kept connection turns out to be dead.
@@ -213,18 +217,18 @@
         await self._session.close()
 
     async def _headers_sent(self, session: Any, context: SimpleNamespace, params: Any) -> None:
-        call: Call | None = context.trace_request_ctx
+        call: UpstreamRequest | None = context.trace_request_ctx
         if call is not None and call.bare:
             call.written()
 
     async def _chunk_sent(
         self, session: Any, context: SimpleNamespace, params: aiohttp.TraceRequestChunkSentParams
     ) -> None:
-        call: Call | None = context.trace_request_ctx
+        call: UpstreamRequest | None = context.trace_request_ctx
         if call is not None:
             call.count(len(params.chunk))
 
-    async def exchange(self, call: Call, address: str, headers: dict[str, str]) -> Reply:
+    async def exchange(self, call: UpstreamRequest, address: str, headers: dict[str, str]) -> Reply:
         answer: aiohttp.ClientResponse | None = None
         try:
             answer = await self._session.request(
@@ -243,7 +247,7 @@
             return Reply(Ending.CONNECT_TIMEOUT)
         except aiohttp.ClientConnectorError:
             return Reply(Ending.CONNECT_REFUSED)
-        except (SpoiltAnswer, aiohttp.ClientResponseError):
+        except (InvalidResponseError, aiohttp.ClientResponseError):
             return Reply(Ending.SPOILT)
         except aiohttp.ClientPayloadError:
             return Reply(Ending.CUT_SHORT)
@@ -261,7 +265,7 @@
                 answer.release()
 
 
-class Rest:
+class ResponseStream:
     """What of a long answer is still to come."""
 
     def __init__(self, answer: aiohttp.ClientResponse) -> None:
@@ -273,13 +277,13 @@
         try:
             size = 0
             while True:
-                async with asyncio.timeout(STALL_TIME):
+                async with asyncio.timeout(STALL_TIMEOUT_S):
                     piece = await self._answer.content.readany()
                 if not piece:
                     return
                 size += len(piece)
-                if size > MOST_LONG:
-                    raise SpoiltAnswer("it is longer than an answer may be")
+                if size > MAX_BODY_BYTES:
+                    raise InvalidResponseError("it is longer than an answer may be")
                 yield piece
         except TimeoutError:
             raise aiohttp.ClientPayloadError("it stalled") from None
@@ -297,14 +301,14 @@
     else:
         # Guard: a length that got lost leaves the connection open, and nothing would end the answer.
         framed = length is not None or answer.headers.get("Connection", "").strip().lower() == "close"
-    if not framed or (not coding and (length or 0) > MOST_LONG):
+    if not framed or (not coding and (length or 0) > MAX_BODY_BYTES):
         return None
     body = b""
-    if not coding and (length or 0) > MOST_BODY:
+    if not coding and (length or 0) > MAX_BUFFERED_BODY_BYTES:
         return body, False
-    latest = asyncio.get_running_loop().time() + START_TIME if coding or length is None else None
+    latest = asyncio.get_running_loop().time() + FIRST_CHUNK_WAIT_S if coding or length is None else None
     try:
-        while len(body) <= MOST_BODY:
+        while len(body) <= MAX_BUFFERED_BODY_BYTES:
             async with asyncio.timeout_at(latest if body else None):
                 piece = await answer.content.readany()
             if not piece:
@@ -317,7 +321,7 @@
     return body, False
 
 
-async def _reply(answer: aiohttp.ClientResponse, relay: Relay) -> Reply:
+async def _reply(answer: aiohttp.ClientResponse, relay: RelayResponse) -> Reply:
     status, headers = answer.status, answer.headers
     begun = await _beginning(answer)
     body, whole = begun or (b"", True)
@@ -331,19 +335,19 @@
         ending,
         body,
         headers.get("Content-Type", ""),
-        parse_use(headers.get("Volume-Load")),
-        parse_elsewhere(headers.get("Other-Hosts")),
+        parse_volume_load(headers.get("Volume-Load")),
+        parse_other_hosts(headers.get("Other-Hosts")),
         parse_load(headers.get("X-Load")),
     )
     if whole or ending is not Ending.SERVED:
         return reply
-    return replace(reply, relay=partial(relay, Rest(answer), reply))
+    return replace(reply, relay=partial(relay, ResponseStream(answer), reply))
 
 
-Relay = Callable[[Rest, Reply], Awaitable[Ending]]
+RelayResponse = Callable[[ResponseStream, Reply], Awaitable[Ending]]
 
 
-class Call:
+class UpstreamRequest:
     """One client's request as the back sends it; the core's Backend."""
 
     def __init__(
@@ -352,8 +356,8 @@
         method: str,
         target: str,
         request_id: str,
-        body: bytes | Upload,
-        relay: Relay,
+        body: bytes | StreamedBody,
+        relay: RelayResponse,
         idempotency_key: str = "",
     ) -> None:
         self.method, self.target, self.relay = method, target, relay
@@ -388,7 +392,7 @@
             headers["Content-Length"] = str(self._body.length)
         return self._flow(self._body)
 
-    async def _flow(self, upload: Upload) -> AsyncIterator[bytes]:
+    async def _flow(self, upload: StreamedBody) -> AsyncIterator[bytes]:
         attempt, loop = self._current, asyncio.get_running_loop()
         assert attempt is not None and attempt.scope is not None
         size = 0
@@ -399,7 +403,7 @@
                 if size == upload.length:
                     self.written()  # Guard: with this piece the node has it all, before anybody asks again
                 else:
-                    attempt.scope.reschedule(loop.time() + STALL_TIME)  # for the node to take it
+                    attempt.scope.reschedule(loop.time() + STALL_TIMEOUT_S)  # for the node to take it
                 yield piece
                 if not self.sent:
                     attempt.scope.reschedule(None)  # it is the client's turn
@@ -410,7 +414,7 @@
             raise
 
     async def attempt(self, attempt: Attempt) -> Reply:
-        if isinstance(self._body, Upload) and self._body.touched:
+        if isinstance(self._body, StreamedBody) and self._body.touched:
             return Reply(Ending.NOT_STARTED)  # Guard: its first pieces are gone
         self._current = attempt
         self.sent, self._left = False, len(self._body) if isinstance(self._body, bytes) else 0
--- a/cherrycove/tier/dataplane/upstream.py
+++ b/cherrycove/tier/dataplane/upstream.py
@@ -12,7 +12,7 @@
 from multidict import CIMultiDict
 from yarl import URL
 
-from cherrycove.broker.http1.upstream import PIECE
+from cherrycove.broker.http1.upstream import READ_CHUNK_BYTES
 from cherrycove.tier.dataplane.connection_pool import BrokerConnector, BrokerRequest, single_execution
 from cherrycove.tier.dataplane.headers import (
     DEADLINE_MS,
@@ -102,7 +102,7 @@
             auto_decompress=False,
             trace_configs=[trace],
             skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding", "Content-Type"),
-            read_bufsize=PIECE // 2,
+            read_bufsize=READ_CHUNK_BYTES // 2,
             timeout=aiohttp.ClientTimeout(total=None, connect=POOL_TIMEOUT_S, sock_connect=CONNECT_TIMEOUT_S),
         )
 
--- a/tests/golden_broker.py
+++ b/tests/golden_broker.py
@@ -446,7 +446,7 @@
     ),
     "tier": (config.BrokerTierConfig, "number listen peers"),
     "head": (
-        parse.Head,
+        parse.RequestHead,
         "class plan volume units shard hosts budget key id repeat idempotency_key",
     ),
 }
@@ -480,17 +480,17 @@
 
 def read_head(path: str, headers: Mapping[str, str], settings: Plain) -> Plain:
     """A request's head."""
-    return named(parse.parse_head(path, headers, parse.Names(from_plain(settings))))
+    return named(parse.parse_head(path, headers, parse.DeploymentNames(from_plain(settings))))
 
 
 def read_list(text: str, zones: Mapping[str, int]) -> Plain:
     """Discovery's answer."""
-    return to_plain(parse.parse_list(text, zones))
+    return to_plain(parse.parse_node_list(text, zones))
 
 
 def read_answer(load: str, use: str, elsewhere: str) -> Plain:
     """What a node's answer tells beside its body."""
-    return [parse.parse_load(load), parse.parse_use(use), parse.parse_elsewhere(elsewhere)]
+    return [parse.parse_load(load), parse.parse_volume_load(use), parse.parse_other_hosts(elsewhere)]
 
 
 def why_fields(story: Plain, settings: Plain, still_open: bool) -> Plain:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -406,8 +406,8 @@
 def test_what_is_not_taken_in_when_all_is_given_up_is_refused_at_once(
     waits_for: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(server, "ROOM_TIME", 1e6)
-    monkeypatch.setattr(body, "BODY_TIME", 1e6)
+    monkeypatch.setattr(server, "MEMORY_TIMEOUT_S", 1e6)
+    monkeypatch.setattr(body, "CHUNK_TIMEOUT_S", 1e6)
 
     async def story() -> None:
         node = await Node().start()
@@ -430,7 +430,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The process was killed over it, 10 s before the answer would have been given up."""
-    monkeypatch.setattr(upstream, "STALL_TIME", 1e6)
+    monkeypatch.setattr(upstream, "STALL_TIMEOUT_S", 1e6)
 
     async def story() -> None:
         async def stall(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -458,8 +458,8 @@
 
 
 def test_a_client_that_still_sends_its_body_does_not_hold_up_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server, "ANSWER_TIME", 1e6)
-    monkeypatch.setattr(server, "LEAVE_TIME", 1e6)
+    monkeypatch.setattr(server, "CLOSE_TIMEOUT_S", 1e6)
+    monkeypatch.setattr(server, "LINGER_TIMEOUT_S", 1e6)
 
     async def story() -> None:
         async with World(await Node().start()) as world:
@@ -479,7 +479,7 @@
 
 def test_what_waits_for_room_is_refused_within_its_own_time(monkeypatch: pytest.MonkeyPatch) -> None:
     """It waited 1 s, however little its client did: where a class waits 200 ms, that is too late."""
-    monkeypatch.setattr(server, "ROOM_TIME", 1e6)
+    monkeypatch.setattr(server, "MEMORY_TIMEOUT_S", 1e6)
 
     async def story() -> None:
         node = await Node().start()
@@ -492,8 +492,8 @@
 
 
 def test_a_read_does_not_stand_behind_bodies_that_wait_for_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server, "ROOM_TIME", 1e6)
-    monkeypatch.setattr(server, "ROOM_PART", 1e6)
+    monkeypatch.setattr(server, "MEMORY_TIMEOUT_S", 1e6)
+    monkeypatch.setattr(server, "MEMORY_TIMEOUT_FRACTION", 1e6)
 
     async def story() -> None:
         async with World(await Node().start()) as world:
@@ -532,7 +532,7 @@
 
 
 def test_no_advice_to_wait_is_given_where_the_settings_allow_none(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server, "ROOM_TIME", 0.0)
+    monkeypatch.setattr(server, "MEMORY_TIMEOUT_S", 0.0)
 
     async def story() -> None:
         whole = raw()
@@ -572,7 +572,7 @@
     run(story())
 
 
-def handler_like(web: server.Clients) -> Any:
+def handler_like(web: server.ClientConnections) -> Any:
     """A connection that begins a request beside the one looked at."""
     other = server.ClientConnection(web, loop=web._loop)
     other.transport = asyncio.Transport()
@@ -793,13 +793,13 @@
 
     async def story() -> None:
         port = await node.start()
-        async with World(rest=upstream.REST_TIME) as world:
+        async with World(rest=upstream.REUSE_DELAY_S) as world:
             world.members = [Member("d0", f"127.0.0.1:{port}", 0)]
             world.list()
             assert (await world.ask(id="first"))[2] == b"to first"
-            clock[0] += upstream.REST_TIME / 4
+            clock[0] += upstream.REUSE_DELAY_S / 4
             assert (await world.ask(id="next"))[2] == b"to next"
-            assert rests == [pytest.approx(upstream.REST_TIME * 3 / 4)] and node.connections == 1 + second
+            assert rests == [pytest.approx(upstream.REUSE_DELAY_S * 3 / 4)] and node.connections == 1 + second
 
     run(story())
 
@@ -868,8 +868,8 @@
 
 @pytest.mark.parametrize("silent_after", [0, 10, 60, 120])  # at once, in the head, behind it, in the body
 def test_a_watch_that_falls_silent_is_opened_anew(silent_after: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watch, "WATCH_WAIT", 0.2)
-    monkeypatch.setattr(watch, "WATCH_SLACK", 0.2)
+    monkeypatch.setattr(watch, "WATCH_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(watch, "WATCH_SLACK_S", 0.2)
 
     async def story() -> None:
         news = told(2, False, "draining")
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -286,7 +286,7 @@
     end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its first pieces are gone, and only the node knows what it makes of them."""
-    monkeypatch.setattr(body, "BODY_TIME", 0.2)
+    monkeypatch.setattr(body, "CHUNK_TIMEOUT_S", 0.2)
 
     async def story() -> None:
         node = await Node().start()
@@ -507,8 +507,8 @@
     kept: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """By itself the library waits an hour for a head, and for ever for a body."""
-    monkeypatch.setattr(server, "IDLE_TIME", 0.05)
-    monkeypatch.setattr(body, "BODY_TIME", 0.05)
+    monkeypatch.setattr(server, "IDLE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(body, "CHUNK_TIMEOUT_S", 0.05)
 
     async def story() -> None:
         async with World(await Node().start()) as world:
@@ -608,7 +608,7 @@
     """Bodies that each stay within their own bound took more together than the process may have."""
 
     async def story() -> None:
-        room, inside = body.Room(10), []  # type: body.Room, list[int]
+        room, inside = body.BodyMemory(10), []  # type: body.BodyMemory, list[int]
 
         async def enter(size: int) -> None:
             await room.enter(size)
@@ -636,7 +636,7 @@
 def test_a_body_without_room_is_refused_unread_and_later_ones_are_served(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(server, "ROOM_TIME", 0.1)
+    monkeypatch.setattr(server, "MEMORY_TIMEOUT_S", 0.1)
 
     async def story() -> None:
         node = await Node().start()
@@ -776,7 +776,9 @@
     lines = garbage.decode("latin-1").split("\r\n")
     headers = dict(line.partition(": ")[::2] for line in lines[1:])
     try:
-        head = parse.parse_head((lines[0].split(" ") + ["/"])[1], headers, parse.Names(PLATFORM.settings))
+        head = parse.parse_head(
+            (lines[0].split(" ") + ["/"])[1], headers, parse.DeploymentNames(PLATFORM.settings)
+        )
     except parse.RequestError as error:
         assert str(error)
     else:
@@ -787,8 +789,8 @@
 @given(spoiled(LIST))
 def test_a_spoiled_list_is_refused_whole_or_usable(garbage: bytes) -> None:
     try:
-        news = parse.parse_list(garbage, PLATFORM.zones)
-    except parse.ListError as error:
+        news = parse.parse_node_list(garbage, PLATFORM.zones)
+    except parse.NodeListError as error:
         assert str(error)
     else:
         assert all(m.name and m.shard >= 0 and ":" in m.address for m in news.members)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -77,7 +77,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Closed for having no request for a while, it left its client without a broker at this address."""
-    monkeypatch.setattr(server, "IDLE_TIME", 0.2)
+    monkeypatch.setattr(server, "IDLE_TIMEOUT_S", 0.2)
 
     async def story() -> None:
         async with World(await Node("ok", "ok").start()) as world:
