--- a/cherrycove/tier/batch/store/maintenance.py
+++ b/cherrycove/tier/batch/store/maintenance.py
@@ -9,6 +9,7 @@
 from cherrycove.tier.batch.execution import ROUTE_REMOVED
 from cherrycove.tier.batch.jobs.commands import forget_command, item_result
 from cherrycove.tier.batch.jobs.model import ItemKey
+from cherrycove.tier.batch.leasing.lease_table import LeaseTable
 from cherrycove.tier.batch.store.context import StoreContext
 from cherrycove.tier.batch.store.proposals import PROPOSE_TIMEOUT_S
 from cherrycove.tier.batch.store.removed_routes import jobs_of_removed_routes
@@ -56,9 +57,7 @@
         now = self._clocks.now()
         table.expire(now)
         await self._dead_letter(table.past_retention(now), EXPIRED)
-        removed = jobs_of_removed_routes(self._state.jobs.values(), self._cluster_view.configuration)
-        waiting = [key for job_id in removed for key in table.waiting_items(job_id, now)]
-        await self._dead_letter(waiting, ROUTE_REMOVED)
+        await self._dead_letter_removed_routes(table, now)
         await self.forget_old_jobs(now)
 
     async def forget_old_jobs(self, now: float) -> None:
@@ -77,6 +76,11 @@
             except Exception:  # noqa: BLE001 - one failed run must not end the periodic work
                 _log.exception("batch_maintenance_failed")
 
+    async def _dead_letter_removed_routes(self, table: LeaseTable, now: float) -> None:
+        removed = jobs_of_removed_routes(self._state.jobs.values(), self._cluster_view.configuration)
+        waiting = [key for job_id in removed for key in table.waiting_items(job_id, now)]
+        await self._dead_letter(waiting, ROUTE_REMOVED)
+
     async def _dead_letter(self, keys: Sequence[ItemKey], reason: str) -> None:
         results = [item_result(key, reason.encode(), completed=False) for key in keys[:MAX_DEAD_LETTERED]]
         await asyncio.gather(*(self._recorder.record(result) for result in results))
