--- a/cherrycove/tier/batch/store/removed_routes.py
+++ b/cherrycove/tier/batch/store/removed_routes.py
@@ -7,8 +7,6 @@
 from cherrycove.tier.batch.jobs.model import Job
 from cherrycove.tier.configuration import Configuration
 
-BATCH_KIND = "batch"
-
 
 def jobs_of_removed_routes(jobs: Iterable[Job], configuration: Configuration | None) -> list[str]:
     """Ids of unfinished jobs whose route is not in ``configuration``.
@@ -18,7 +16,7 @@
     """
     if configuration is None:
         return []
-    routes = {route.name for route in configuration.routes if route.route_kind == BATCH_KIND}
+    routes = {route.name for route in configuration.routes if route.is_batch}
     return [
         job.job_id for job in jobs
         if not job.is_done
--- a/cherrycove/tier/batch/worker/batch_worker.py
+++ b/cherrycove/tier/batch/worker/batch_worker.py
@@ -174,4 +174,4 @@
         configuration = self._cluster_view.configuration
         if configuration is None:
             return []
-        return [route.name for route in configuration.routes if route.route_kind == "batch"]
+        return [route.name for route in configuration.routes if route.is_batch]
--- a/cherrycove/tier/batch/worker/item_runs.py
+++ b/cherrycove/tier/batch/worker/item_runs.py
@@ -120,7 +120,7 @@
     def _is_route_in_force(self, run: ItemRun) -> bool:
         configuration = self._cluster_view.configuration
         route = configuration.route(run.item.route) if configuration is not None else None
-        return route is not None and route.route_kind == "batch"
+        return route is not None and route.is_batch
 
     async def _follow(self, run: ItemRun, execution: asyncio.Task[ItemOutcome]) -> None:
         """Await the execution of an item, and report its outcome until it is taken."""
--- a/cherrycove/tier/configuration.py
+++ b/cherrycove/tier/configuration.py
@@ -21,7 +21,8 @@
 )
 from cherrycove.tier.errors import ErrorKind, Failure
 
-ROUTE_KINDS = ("idempotent", "non_idempotent", "streaming", "batch")
+BATCH_KIND = "batch"
+ROUTE_KINDS = ("idempotent", "non_idempotent", "streaming", BATCH_KIND)
 
 
 @attrs.frozen(kw_only=True)
@@ -53,6 +54,11 @@
     retention_s: float = 0.0  # of batch jobs: unfinished items are given up afterwards; 0: never
     max_queued_tokens: float | None = None  # None: no limit
 
+    @property
+    def is_batch(self) -> bool:
+        """Whether its requests are jobs whose items are run later."""
+        return self.route_kind == BATCH_KIND
+
     @property
     def splits(self) -> list[Split]:
         """Services and weights, also for a route that names one service."""
@@ -187,7 +193,7 @@
     if not (route.path_prefix.startswith("/") and route.path_prefix.endswith("/")):
         yield "pathPrefix must begin and end with a slash"
     yield from _split_faults(route.splits, services)
-    if math.isinf(route.timeout_ms) and route.route_kind != "batch":
+    if math.isinf(route.timeout_ms) and not route.is_batch:
         yield "timeoutMs is missing"
     if route.timeout_ms <= 0:
         yield "timeoutMs must be above 0"
--- a/cherrycove/tier/dataplane/admission/_admission_state.py
+++ b/cherrycove/tier/dataplane/admission/_admission_state.py
@@ -9,7 +9,6 @@
 from cherrycove.tier.dataplane.admission._latency_estimate import LatencyEstimate
 from cherrycove.tier.dataplane.admission._pending_requests import PendingRequests
 from cherrycove.tier.dataplane.admission._route_state import RouteState, new_route_state
-from cherrycove.tier.dataplane.batch_routing import BATCH_KIND
 
 
 class AdmissionState:
@@ -34,7 +33,7 @@
         self.proxies = max(snapshot.proxies, 1)
         if snapshot.configuration is not None:
             for route in snapshot.configuration.routes:
-                if route.route_kind != BATCH_KIND:
+                if not route.is_batch:
                     self._update_route(route, snapshot.arrivals_per_s.get(route.name), now)
         self._update_brokers(now, snapshot)
 
--- a/cherrycove/tier/dataplane/batch_routing.py
+++ b/cherrycove/tier/dataplane/batch_routing.py
@@ -4,7 +4,6 @@
 
 from cherrycove.tier.configuration import Configuration, Route
 
-BATCH_KIND = "batch"  # of a route, in the configuration
 BATCH_PATHS = ("/api/lots/", "/api/items/")
 
 
@@ -16,7 +15,7 @@
     """
     if route is None:
         return path.startswith(BATCH_PATHS)
-    if route.route_kind == BATCH_KIND and method == "POST":
+    if route.is_batch and method == "POST":
         return True
     is_query = path.startswith(BATCH_PATHS) and method in ("GET", "DELETE")
     return host_batch_route is not None and is_query and not route.path_prefix.startswith(BATCH_PATHS)
@@ -26,4 +25,4 @@
     """The first batch route of the host in a ``Host`` field."""
     name = host.partition(":")[0].lower()
     of_host = (route for route in configuration.routes if route.hostname.lower() == name)
-    return next((route for route in of_host if route.route_kind == BATCH_KIND), None)
+    return next((route for route in of_host if route.is_batch), None)
--- a/cherrycove/tier/dataplane/ingress.py
+++ b/cherrycove/tier/dataplane/ingress.py
@@ -12,7 +12,6 @@
 from cherrycove.tier.configuration import ClientLimits, Route
 from cherrycove.tier.dataplane.arrival_rates import ArrivalRates
 from cherrycove.tier.dataplane.batch_routing import (
-    BATCH_KIND,
     BATCH_PATHS,
     find_batch_route,
     is_batch_api_request,
@@ -129,7 +128,7 @@
             return await self._serve_batch(
                 self.batch_api, request, body, batch_route if route is None else route
             )
-        if route is None or route.route_kind == BATCH_KIND:
+        if route is None or route.is_batch:
             return self._proxy_response(request, HTTPStatus.NOT_FOUND, "no route")
         return await self._serve_live(request, body, route, arrived_at)
 
