--- a/cherrycove/broker/http1/server.py
+++ b/cherrycove/broker/http1/server.py
@@ -1,7 +1,7 @@
-"""Clients over HTTP/1.1: their connections, and the one answer to each request.
+"""Clients over HTTP/1.1: their connections, and the one response to each request.
 
-It owns the bound on clients' connections and the words of an answer. It must never decide anything about a
-request that is well formed, and never answer 200 with anything but a node's whole 200 body.
+It owns the bound on clients' connections and the text of a response. It must never decide anything about a
+request that is well formed, and never respond 200 with anything but a node's complete 200 body.
 """
 
 from __future__ import annotations
@@ -50,25 +50,23 @@
 from cherrycove.broker.local_codes import BY_STATUS, Own
 from cherrycove.broker.sockets import POLL_INTERVAL_S, DisconnectWatcher, has_unread_input
 
-# The HTTP library's own log, of requests that it could not read.
+# aiohttp's own log, of requests that it could not parse.
 clients_log = logging.getLogger("cherrycove.http1.clients")
 
-IDLE_TIMEOUT_S = 2.4  # s that a connection may stay without a whole head, at its start or between requests
-MIN_IDLE_S = 0.2  # s between requests after which a connection gives way where clients are many
-LINGER_TIMEOUT_S = 3.0  # s that a client which still sends its body has to see its answer
-TCP_USER_TIMEOUT_S = 10.0  # s after which a client that takes nothing of what it is sent is cut off
-ACCEPT_TURNS = 3  # of the loop until what it has accepted is a connection of ours
-LISTEN_BACKLOG = 1024  # connections to be accepted
-MAX_ACCEPTED_PER_TURN = 4  # connections in one turn of the loop; some turns pass until they can be dropped
-MEMORY_TIMEOUT_FRACTION = (
-    0.45  # of what its client waits that a request waits for room at most, as half of that is priced
-)
-NEW_CONNECTION_WAIT_S = 0.1  # s within which a new connection brings its request, or the rest of its head
-CLOSE_TIMEOUT_S = 1.0  # s that a client has to take its answer when the broker ends
+IDLE_TIMEOUT_S = 2.4  # for a complete head, at a connection's start or between requests
+MIN_IDLE_S = 0.2  # after which an idle connection may be closed for another client
+LINGER_TIMEOUT_S = 3.0  # for a client that still sends its body to read its response
+TCP_USER_TIMEOUT_S = 10.0  # after which a client that acknowledges no data is disconnected
+ACCEPT_TURNS = 3  # of the loop between accepting a connection and its ``connection_made``
+LISTEN_BACKLOG = 1024  # connections not yet accepted
+MAX_ACCEPTED_PER_TURN = 4  # connections in one turn of the loop; it takes some turns to close others for them
+MEMORY_TIMEOUT_FRACTION = 0.45  # of its deadline that a request waits for memory at most
+NEW_CONNECTION_WAIT_S = 0.1  # in which a new connection sends its request, or the rest of its head
+CLOSE_TIMEOUT_S = 1.0  # for clients to read their responses when the broker ends
 
 
 def _own_fault(record: logging.LogRecord) -> bool:
-    """Guard: the library writes a trace for each unreadable request; any client could make it busy so."""
+    """Filter out the traces that aiohttp logs for each malformed request: any client could fill the log."""
     return not (record.exc_info and isinstance(record.exc_info[1], HttpProcessingError | ConnectionError))
 
 
@@ -76,14 +74,14 @@
 
 
 def _id(request: web.BaseRequest) -> str:
-    """What the client calls it, were it the right one or not."""
+    """The request's id as the client sent it, valid or not."""
     return request.headers.get("X-Request-Id", "")[:128]
 
 
 class ClientConnection(web.RequestHandler):
-    """The library's connection to a client, which says when something has come over it."""
+    """aiohttp's connection to a client, which notifies its owner of received data."""
 
-    _disconnect_watcher: DisconnectWatcher | None = None  # once it has been left unread
+    _disconnect_watcher: DisconnectWatcher | None = None  # once reading has been paused
 
     def data_received(self, data: bytes) -> None:
         if isinstance(self._manager, ClientConnections):
@@ -102,7 +100,7 @@
         if isinstance(self._manager, ClientConnections) and self._manager.holds(self):
             self._next_keepalive_close_time = max(self._next_keepalive_close_time, self._manager.held_until)
         if self.transport is not None and has_unread_input(self.transport):
-            # Guard: what has come and is not read yet may be a request, which a close would leave unanswered.
+            # Unread input may be a request, which a close would leave unanswered.
             self._next_keepalive_close_time = max(
                 self._next_keepalive_close_time, self._loop.time() + POLL_INTERVAL_S
             )
@@ -110,13 +108,16 @@
 
 
 class ClientConnections(web.Server):
-    """The library's server, bounded: past the bound, a connection without a request gives way to a new one.
-    Those that say nothing give first, the longest so, then those that have sent a part of a head."""
+    """aiohttp's server with a bound on connections: past it, one without a request is closed for a new one.
+
+    Connections that have sent nothing or are idle are closed first, the oldest of them, then those that have
+    sent a part of a head. One with a request in flight is never closed.
+    """
 
     def __init__(
         self, handle: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]], most: int, crowd: int
     ) -> None:
-        # Guard: by itself the library waits an hour for a head, and reads on after an error for ten seconds.
+        # By default aiohttp waits an hour for a head, and reads on for ten seconds after an error.
         super().__init__(
             handle,
             handler_cancellation=True,
@@ -129,15 +130,17 @@
             read_bufsize=READ_CHUNK_BYTES // 2,
         )
         self._most, self._crowd = most, crowd
-        # Each by their coming into it, with the time.
-        self._silent: dict[web.RequestHandler, float] = {}  # nothing has come yet
+        # The connections in each state, in the order of entering it, with that time.
+        self._silent: dict[web.RequestHandler, float] = {}  # nothing received yet
         self._partly: dict[web.RequestHandler, float] = {}  # a part of a head
         self._idle: dict[web.RequestHandler, float] = {}  # between requests
-        self._busy: dict[web.RequestHandler, float] = {}  # a request is open, or its body still comes
+        self._busy: dict[
+            web.RequestHandler, float
+        ] = {}  # a request is in flight, or its body is still being received
         self._groups = self._silent, self._partly, self._idle, self._busy
-        self.held_until = 0.0  # until then no connection is closed for having no request
-        self.left = asyncio.Event()  # set whenever the last connection has gone
-        self.moved = asyncio.Event()  # set whenever a connection has
+        self.held_until = 0.0  # until then idle connections stay open
+        self.left = asyncio.Event()  # set when the last connection has closed
+        self.moved = asyncio.Event()  # set when a connection has changed its state
 
     def __call__(self) -> web.RequestHandler:
         return ClientConnection(self, loop=self._loop, **self._kwargs)
@@ -158,7 +161,7 @@
     def resize(self, most: int) -> None:
         self._most = most
         while sum(map(len, self._groups)) > most:
-            # Guard: descriptors used up stop the accepting of anybody; nothing taken is ever cut off.
+            # Without free descriptors no client could be accepted.
             group = self._silent if len(self._silent) >= len(self._idle) else self._idle
             first = next(chain(group, self._partly), None)
             victim = next((each for each in chain(group, self._partly) if not self._asks(each)), first)
@@ -169,7 +172,7 @@
             self._connections[victim].abort()
 
     def _asks(self, handler: web.RequestHandler) -> bool:
-        """Guard: a request may have come that the loop has not read yet; closed now, it has no answer."""
+        """Whether there may be a request that the loop has not read yet: it must get a response."""
         return handler in self._connections and has_unread_input(self._connections[handler])
 
     def holds(self, handler: web.RequestHandler) -> bool:
@@ -178,7 +181,7 @@
     def spoke(self, handler: web.RequestHandler) -> None:
         if handler not in self._busy and handler not in self._partly:
             self._move(handler, self._partly)
-            # Guard: the library counts from the last answer; a slow head on a kept connection was cut off.
+            # aiohttp counts from the last response, and would time out a slow head on an idle connection.
             handler._next_keepalive_close_time = self._loop.time() + IDLE_TIMEOUT_S
 
     def connection_lost(self, handler: web.RequestHandler, exc: BaseException | None = None) -> None:
@@ -190,7 +193,7 @@
             self.left.set()
 
     async def settled(self, until: float) -> None:
-        """Wait until no request is open, has come or is on its way; no longer than ``until``."""
+        """Wait until no request is in flight, unread or expected, or the loop's clock shows ``until``."""
         while (now := self._loop.time()) < until:
             self.moved.clear()
             young = (
@@ -208,7 +211,7 @@
 
     @property
     def crowded(self) -> bool:
-        """Whether so many ask that others may find no place: clients hold a third of all descriptors."""
+        """Whether clients hold so many descriptors (a third of all) that others may not be accepted."""
         return len(self._idle) + len(self._busy) > self._crowd
 
     def begin(self, handler: web.RequestHandler) -> None:
@@ -216,14 +219,14 @@
             return
         self._move(handler, self._busy)
         if self.crowded and self._idle:
-            # Guard: those who have asked and stay would keep others from asking until their time is up.
+            # Idle clients would keep others from being accepted until they time out.
             longest, since = next(iter(self._idle.items()))
             if since < self._loop.time() - MIN_IDLE_S and not self._asks(longest):
                 del self._idle[longest]
                 self._connections[longest].close()
 
     def answered(self, handler: web.RequestHandler) -> None:
-        """It still sends, but is owed nothing."""
+        """Its client has its response, but still sends."""
         if handler in self._busy:
             self._move(handler, self._partly)
 
@@ -233,7 +236,12 @@
 
 
 class Server:
-    """Clients' connections. Draining it is not ready; parting, it closes each behind its next answer."""
+    """The connections of HTTP clients, and the response to each of their requests.
+
+    The broker owns it: it listens, may hand its listener to another process, drains (not ready for new
+    clients), parts (closes each connection after its next response), gives up (answers whatever is in flight)
+    and closes.
+    """
 
     def __init__(
         self, core: Core, pool: ConnectionPool, most_connections: int, crowd: int, most_bytes: int
@@ -245,23 +253,23 @@
         self.listener: socket.socket
         self._web = ClientConnections(self._handle, most_connections, crowd)
         self.room = BodyMemory(most_bytes)
-        self._open: set[str] = set()  # the ids of open requests
+        self._open: set[str] = set()  # the ids of requests in flight
         self.last_request = 0.0
-        self._last_answer, self._given_up = 0.0, False  # from then on whatever comes is answered at once
-        self._taking: set[asyncio.Timeout] = set()  # requests whose room or body is waited for
-        self._flowing: set[asyncio.Timeout] = set()  # answers that are passed on as they come
-        self._gone = inf  # by then the last connection is closed
+        self._last_answer, self._given_up = 0.0, False  # from then on new requests are rejected at once
+        self._taking: set[asyncio.Timeout] = set()  # of requests that wait for memory or their body
+        self._flowing: set[asyncio.Timeout] = set()  # of responses that are being streamed
+        self._gone = inf  # the time by which all connections are closed
 
     async def listen(self, host: str, port: int) -> int:
-        """Start to accept; the port, should the system have chosen it."""
-        # Guard: a client that never reads its answer would keep its connection for good. Inherited on accept.
+        """Start to accept on a new socket; the port, which the system chooses if ``port`` is 0."""
+        # A client that never reads its response would keep its connection for ever. Inherited on accept.
         return await self.accept(
             bind_listening_socket(host, port, TCP_USER_TIMEOUT=int(TCP_USER_TIMEOUT_S * 1000))
         )
 
     async def accept(self, given: socket.socket) -> int:
         """Start to accept from a socket that another process may have opened, and may accept from too."""
-        # Guard: the loop accepts as many at a time as it queues; a crowd would take all descriptors.
+        # asyncio accepts up to ``backlog`` connections in one turn, which could take all descriptors.
         self._server = await asyncio.get_running_loop().create_server(
             self._web, sock=given, backlog=MAX_ACCEPTED_PER_TURN
         )
@@ -271,7 +279,7 @@
         return bound
 
     def hand_over(self) -> socket.socket:
-        """Another process accepts from now on; the socket, should it have to be taken back."""
+        """Stop accepting in favour of another process; a duplicate of the socket, to accept from again."""
         kept = self.listener.dup()
         if self._server is not None:
             self._server.close()
@@ -287,11 +295,13 @@
         self.last_request = asyncio.get_running_loop().time()
 
     async def linger(self, times: ShutdownTimetable, began: float, replaced: bool) -> None:
-        """Serve on until no more is taken, the signal having come when it ``began``; what is open then has
-        until ``give_up``."""
+        """Serve until no more requests are accepted; those in flight then have until ``times.give_up``.
+
+        ``began`` is the time of the signal on the loop's clock; ``replaced``: whether another process serves.
+        """
         loop, web = asyncio.get_running_loop(), self._web
         if not replaced:
-            web.held_until = began + times.stop  # Guard: for its client it may be the only way in
+            web.held_until = began + times.stop  # it may be its client's only way to the tier
         loop.call_at(began + times.closes_connections_at(replaced=replaced), self.drain)
         self._last_answer = began + times.give_up
         loop.call_at(self._last_answer, self._give_up)
@@ -321,21 +331,21 @@
                 waiting.reschedule(asyncio.get_running_loop().time())
 
     async def close(self) -> None:
-        """Stop accepting, finish whatever is open or has come, then close the connections."""
+        """Stop accepting, answer all requests in flight or unread, then close the connections."""
         loop = asyncio.get_running_loop()
         if self._server is not None and self._server.is_serving():
-            with self.listener.dup() as rest:  # what waits there would be reset with the last of its sockets
+            with self.listener.dup() as rest:  # closing the last would reset connections not yet accepted
                 self._server.close()
                 await self._accept_rest(rest)
-        # Guard: a request that waits for room or body is not the core's yet, and one may wait to be read.
+        # Requests that wait for memory, for their body or to be read are not known to the core yet.
         await self._web.settled(max(self._last_answer, loop.time() + NEW_CONNECTION_WAIT_S))
         await self._core.idle()
-        self._web.pre_shutdown()  # those between requests; the others close behind their answer
-        # Guard: the library waits so long twice, and not at all for no time.
+        self._web.pre_shutdown()  # closes idle ones; the others close after their response
+        # aiohttp waits twice for this time, and does not wait at all for 0.
         await self._web.shutdown(min(CLOSE_TIMEOUT_S, max((self._gone - loop.time()) / 2, 0.001)))
 
     async def _accept_rest(self, rest: socket.socket) -> None:
-        """Guard: what waits to be accepted when a listener closes is reset, with the request it has sent."""
+        """Accept what is queued: closing the listener would reset it, with the request it may have sent."""
         loop = asyncio.get_running_loop()
         with suppress(OSError):
             for _ in range(LISTEN_BACKLOG):
@@ -373,7 +383,7 @@
             budget = min(head.budget, self._core.settings.classes[cls].deadline)
             async with self._until_given_up(request):
                 await self.room.enter(size, min(MEMORY_TIMEOUT_S, MEMORY_TIMEOUT_FRACTION * budget))
-            # Guard: its body may have come whole meanwhile; counted from now on, its time would end too late.
+            # The client's time runs meanwhile if its body is complete: the wait counts towards the deadline.
             waited = asyncio.get_running_loop().time() - came
         except TimeoutError:
             return await self._refuse(request, cls)
@@ -388,9 +398,9 @@
 
     @asynccontextmanager
     async def _until_given_up(self, request: web.BaseRequest) -> AsyncIterator[None]:
-        """TimeoutError: the process answers what is open, and what this waits for has not come."""
+        """Bound a wait by ``give_up``; TimeoutError if the process gives up before the wait has ended."""
         if not request.body_exists:
-            yield  # nothing is waited for
+            yield  # there is no body to wait for
             return
         async with asyncio.timeout(0.0 if self._given_up else None) as waiting:
             self._taking.add(waiting)
@@ -400,7 +410,7 @@
                 self._taking.discard(waiting)
 
     async def _refuse(self, request: web.BaseRequest, cls: int) -> web.Response:
-        """Turn a request away whose body has not been taken in."""
+        """Reject a request whose body has not been read."""
         own, why = Own.NO_ROOM, "no room for its body now"
         if self._given_up:
             own, why = Own.ENDING, "this process ends"
@@ -422,7 +432,7 @@
             status = error.status if isinstance(error, BodyError) else 400
             return self._turn_away(request, cls, status, f"{error}\n", whole=not request.body_exists)
         if head.id in self._open:
-            # Guard: sent on, it would be a second copy of a request that is still out.
+            # Forwarded, it would be a duplicate of a request in flight.
             return self._turn_away(
                 request, cls, 409, "a request with this X-Request-Id is open\n", whole=isinstance(body, bytes)
             )
@@ -437,7 +447,7 @@
             partial(self._relay, request, relayed),
             head.idempotency_key,
         )
-        flows = isinstance(body, StreamedBody)  # its time has not begun
+        flows = isinstance(body, StreamedBody)  # the deadline counts from the end of its body
         deadline = asyncio.get_running_loop().time() + head.budget - (0.0 if flows else waited)
         try:
             answer = await self._core.serve(
@@ -470,7 +480,7 @@
     async def _relay(
         self, request: web.BaseRequest, relayed: list[web.StreamResponse], rest: ResponseStream, reply: Reply
     ) -> Ending:
-        """Pass on a long answer. Whatever breaks it closes the connection ahead of its framed end."""
+        """Stream a long response. If it breaks off, the connection closes before the framed end."""
         response = web.StreamResponse(headers=self._headers(reply.kind or "application/octet-stream"))
         relayed.append(response)
         if rest.length is not None:
@@ -510,12 +520,12 @@
             else:
                 await response.write_eof()
                 return Ending.SERVED
-        # Guard: the library would end the answer as if it were whole.
+        # aiohttp would end the response as if it were complete.
         request.protocol.force_close()
         return ending
 
     async def _leave(self, request: web.BaseRequest, response: web.StreamResponse) -> None:
-        """Answer a client that still sends. Guard: closed on what is unread, it would not see its answer."""
+        """Respond to a client that still sends: closing with unread input would reset the response too."""
         response.force_close()
         await response.prepare(request)
         await response.write_eof()
@@ -566,7 +576,7 @@
                 kind or ("text/plain" if isinstance(body, str) else "application/octet-stream")
             ),
         )
-        # Guard: clients that ask once and stay would leave the others no place until their time is up.
+        # Clients that send one request and stay would keep others out until they time out.
         if self._parting or not whole or self._web.crowded:
             response.force_close()
         return response
--- a/cherrycove/broker/http1/upstream.py
+++ b/cherrycove/broker/http1/upstream.py
@@ -1,8 +1,8 @@
 """Disk nodes over HTTP/1.1: one exchange for each attempt, and how it ended.
 
-It owns the connections to nodes, and names each way in which one ends as an ``Ending``. It must never send
-a request twice by itself, take what is not the answer to its own request, or use a connection again on
-which an answer is still to come.
+It owns the connections to nodes, and maps each way in which an exchange ends to an ``Ending``. It must never
+retry by itself, accept what is not the response to its own request, or reuse a connection on which a response
+is still to come.
 """
 
 from __future__ import annotations
@@ -27,23 +27,21 @@
 from cherrycove.broker.http1.parse import BodyError, parse_load, parse_other_hosts, parse_volume_load
 from cherrycove.broker.sockets import has_unread_input
 
-READ_CHUNK_BYTES = 32 * 1024  # bytes in one read of a connection, and about as many in each of its buffers
-MAX_HEADERS_BYTES = 32 * 1024  # bytes of an answer's head and of all that is said ahead of it
-FIRST_CHUNK_WAIT_S = (
-    0.02  # s for an answer that does not tell its length to end, before it is passed on as it comes
-)
-STALL_TIMEOUT_S = 10.0  # s in which a node must take or give something of a long body
+READ_CHUNK_BYTES = 32 * 1024  # of one read of a connection, and about as many in each of its buffers
+MAX_HEADERS_BYTES = 32 * 1024  # of a response's head and all interim responses (RFC 9110, section 15.2)
+FIRST_CHUNK_WAIT_S = 0.02  # in which a response of unknown length may end, before it is streamed
+STALL_TIMEOUT_S = 10.0  # in which a node must accept or send some bytes of a streamed body
 REUSE_DELAY_S = (
-    0.006  # s behind an answer before its connection is used again; a second one is up to 4 ms late
+    0.006  # after a response, before its connection is reused: a stray second response is up to 4 ms late
 )
 
 
 class InvalidResponseError(aiohttp.ClientPayloadError):
-    """What a node sent is not an answer; the message says why."""
+    """What a node sent is not a valid response; the message says why."""
 
 
 class NodeConnection(ResponseHandler):
-    """The library's connection to a node, which here takes one answer for each request and nothing else.
+    """aiohttp's connection to a node, restricted to one response for each request.
 
     The library puts whatever comes into one queue, so bytes behind an answer would be the next request's; it
     loses a whole answer if noise comes in the same read. This gives its parser an answer's own bytes alone.
@@ -54,43 +52,43 @@
         self._begin()
 
     def _begin(self) -> None:
-        self._answer: StreamReader | None = None  # the body of the answer whose head has come
-        self._left: int | None = None  # of that body's length, where one is given
-        self._clean = True  # whether chunks that have come so far can end here
-        self._seam, self._heads = b"", 0  # the last bytes that came, and all bytes of heads
+        self._answer: StreamReader | None = None  # the body of the response whose head has been received
+        self._left: int | None = None  # bytes of that body still to come, if its length is known
+        self._clean = True  # whether a chunked body may end with the bytes received so far
+        self._seam, self._heads = b"", 0  # the last bytes received, and the size of all heads
 
     def set_response_params(self, **params: Any) -> None:
         self._begin()
         super().set_response_params(**params)
 
     def is_connected(self) -> bool:
-        """Guard: what came while it stood idle may still be unread: an end, or a second answer."""
+        """Whether it can be reused: an end or a second response may have come unread while it was idle."""
         if self.transport is None or not super().is_connected():
             return False
         return self._answer is None or not self._answer.is_eof() or not has_unread_input(self.transport)
 
     def feed_data(self, data: tuple[RawResponseMessage, StreamReader], size: int = 0) -> None:
-        """From the library's parser: a whole head, and the body to come."""
+        """Called by aiohttp's parser with a complete head and the body to come."""
         message, body = data
         if 100 <= message.code < 200 and message.code != 101:
-            return  # a word ahead of the answer
+            return  # an interim response
         if self._answer is not None:
-            return self._drop()  # a second answer, behind a body in chunks
+            return self._drop()  # a second response, after a chunked body
         length = message.headers.get("Content-Length")
         self._answer, self._left = body, int(length) if length is not None else None
         super().feed_data(data, size)
 
     def data_received(self, data: bytes) -> None:
         whole = self._answer is not None and self._answer.is_eof()
-        if not data:  # the library goes on with what its parser has held back
+        if not data:  # aiohttp resumes a parser that it had paused
             if not whole:
                 super().data_received(data)
         elif self._parser is None or whole:
-            return self._drop()  # nothing is asked, or all is answered
+            return self._drop()  # no request is in flight, or its response is complete
         elif self._answer is None:
             place = (self._seam + data).find(b"\r\n\r\n")
             size = place + 4 - len(self._seam) if place >= 0 else len(data)
-            # Guard: a NUL in a load report would spoil the answer to the parser. RFC 9110, 5.5: as a space.
+            # The parser rejects a NUL in a load report; RFC 9110, section 5.5, lets a recipient read a space.
             head, rest = data[:size].replace(b"\0", b" "), data[size:]
             self._seam = (self._seam + head)[-3:] if place < 0 else b""
             self._heads += len(head)
@@ -100,7 +98,9 @@
             if rest and self.transport is not None and not self.transport.is_closing():
                 return self.data_received(rest)
         elif self._left is not None:
-            self._should_close |= len(data) > self._left  # before its body's end gives the connection back
+            self._should_close |= (
+                len(data) > self._left
+            )  # set before the end of the body releases the connection
             own, self._left = data[: self._left], max(self._left - len(data), 0)
             super().data_received(own)
         else:
@@ -118,23 +118,23 @@
 
     def connection_lost(self, exc: BaseException | None) -> None:
         if exc is not None and self._answer is not None and not self._answer.is_eof():
-            # Guard: the library takes a reset for the end of an answer that only the connection's end ends.
+            # aiohttp would take a reset for the end of a response delimited by the connection's close.
             self._answer.set_exception(aiohttp.ClientPayloadError("the connection was reset"))
             self._parser = None
         super().connection_lost(exc)
 
     def close(self) -> None:
-        """Guard: the loop would send on what is left of a request that was given up, long after."""
+        """Abort: a graceful close would go on sending the rest of a cancelled request."""
         self.abort()
 
     def _drop(self) -> None:
-        """Bytes beyond an answer: that is served, and the connection is of no further use."""
+        """Close after bytes beyond a response; the response itself stands."""
         self._should_close = True
         if self.transport is not None:
             self.transport.close()
 
     def _spoil(self) -> None:
-        """Guard: told of a fault in the body, the library lets the body's reader wait for the end of time."""
+        """Fail the response; aiohttp alone would leave the reader of its body waiting for ever."""
         self._drop()
         if self._answer is None and self._exception is None:
             self.set_exception(InvalidResponseError("the answer's head is too long"))
@@ -143,7 +143,7 @@
 
 
 class Connector(aiohttp.TCPConnector):
-    """The library's pool, with connections of ours."""
+    """aiohttp's connection pool with ``NodeConnection``, a delay before reuse and a bound on idle ones."""
 
     def __init__(self, rest: float, idle: float, **settings: Any) -> None:
         super().__init__(keepalive_timeout=idle, **settings)
@@ -151,17 +151,17 @@
         self._rest, self._idle = rest, idle  # s
 
     async def _get(self, key: Any, traces: Any) -> Any:
-        # Guard: a second answer that came a little late was taken for that to the next request, if that had
-        # gone out over the same connection meanwhile. While one rests, such bytes are nobody's and end it.
-        # The rest is waited for: another connection costs the node and the request more than that.
+        # A second response that arrives a little late would be taken for that to the next request on the
+        # connection. During the delay it belongs to no request and closes the connection. Waiting for the
+        # delay costs the node and the request less than another connection.
         while kept := self._conns.get(key):
-            connection, since = kept[0]  # the first has rested longest
+            connection, since = kept[0]  # the first has been idle for the longest time
             rested = monotonic() - since
             if not connection.is_connected() or rested > self._idle:
                 kept.popleft()[0].close()
             elif rested < self._rest:
-                # Guard: its place is held meanwhile, and passed on should it be given up; one that was woken
-                # for a place and left as it waited here kept the next from being woken.
+                # A placeholder keeps the request's slot during the delay and passes it on if the request is
+                # cancelled; otherwise the next waiter would not be woken.
                 place: Any = _TransportPlaceholder(self._placeholder_future)
                 self._acquired.add(place)
                 try:
@@ -176,7 +176,7 @@
         await asyncio.sleep(time)
 
     async def _create_connection(self, *request: Any) -> ResponseHandler:
-        # Guard: the library's limit is for those in use; kept ones came on top and took all descriptors.
+        # aiohttp's limit counts connections in use; idle ones on top of them would take all descriptors.
         while sum(map(len, self._conns.values())) + len(self._acquired) > self._limit and self._conns:
             place = min(self._conns, key=lambda each: self._conns[each][0][1])
             protocol, _ = self._conns[place].popleft()
@@ -187,13 +187,16 @@
 
 
 class ConnectionPool:
-    """Connections to disk nodes, and how each attempt over them ended."""
+    """Connections to disk nodes, and how each attempt over them ended.
+
+    The broker owns it and closes it after the server. A node's failure ends the attempt alone.
+    """
 
     def __init__(self, dial_timeout: float, conn_idle: float, most: int, rest: float = REUSE_DELAY_S) -> None:
         trace = aiohttp.TraceConfig()
         trace.on_request_headers_sent.append(self._headers_sent)
         trace.on_request_chunk_sent.append(self._chunk_sent)
-        # Guard: a node closes what stood idle for conn_idle, and what is written to it then is lost.
+        # A node closes connections idle for ``conn_idle`` (s); what is written to one at that moment is lost.
         self._connector = Connector(
             rest, min(conn_idle * 0.4, 15.0), limit=most, happy_eyeballs_delay=None, use_dns_cache=False
         )
@@ -206,8 +209,8 @@
             read_bufsize=READ_CHUNK_BYTES // 2,
             timeout=aiohttp.ClientTimeout(total=None, connect=dial_timeout, sock_connect=dial_timeout),
         )
-        # Guard: the library sends a GET or PUT again by itself when a kept connection turns out to be dead.
-        # That is a second copy which nobody decided; it has no public switch.
+        # aiohttp retries a GET or PUT by itself if an idle connection turns out to be closed: a duplicate
+        # that the scheduler did not decide. There is no public switch for it.
         self._session._retry_connection = False
 
     def resize(self, most: int) -> None:
@@ -241,7 +244,7 @@
             )
             reply = await _reply(answer, call.relay)
             if reply.relay is not None:
-                answer = None  # it is the relay's now
+                answer = None  # the relay releases it
             return reply
         except aiohttp.ConnectionTimeoutError:
             return Reply(Ending.CONNECT_TIMEOUT)
@@ -259,21 +262,21 @@
             return Reply(Ending.BROKEN if call.sent or call.begun else Ending.BROKEN_UNSENT)
         finally:
             if answer is not None:
-                # Guard: one that came before the request was sent whole, or was not read to its end.
+                # Not reusable: the request was not sent completely, or the response not read to its end.
                 if not call.sent or not answer.content.at_eof():
                     answer.close()
                 answer.release()
 
 
 class ResponseStream:
-    """What of a long answer is still to come."""
+    """The rest of a long response; ``length`` is in bytes, None if it is not known."""
 
     def __init__(self, answer: aiohttp.ClientResponse) -> None:
         self._answer = answer
         self.length = None if answer.headers.get("Transfer-Encoding") else answer.content_length
 
     async def pieces(self) -> AsyncGenerator[bytes, None]:
-        """Until its end; a ClientError says that it broke off or stalled."""
+        """The chunks up to its end; aiohttp.ClientError if it breaks off, stalls or is too long."""
         try:
             size = 0
             while True:
@@ -294,12 +297,12 @@
 
 
 async def _beginning(answer: aiohttp.ClientResponse) -> tuple[bytes, bool] | None:
-    """The start of the body and whether that is all; None where nobody can tell, or it is too much."""
+    """The start of the body and whether it is complete; None if its end cannot be told, or it is too long."""
     coding, length = answer.headers.get("Transfer-Encoding"), answer.content_length
     if coding:
         framed = coding.strip().lower() == "chunked"
     else:
-        # Guard: a length that got lost leaves the connection open, and nothing would end the answer.
+        # Without a length the connection must close (RFC 9112, section 6.3), or nothing would end the body.
         framed = length is not None or answer.headers.get("Connection", "").strip().lower() == "close"
     if not framed or (not coding and (length or 0) > MAX_BODY_BYTES):
         return None
@@ -315,8 +318,8 @@
                 return body, True
             body += piece
     except TimeoutError:
-        # Guard: of a long answer the first bytes are timed, and how long it is only its end tells. Held until
-        # 64 KiB had come, it was late, and its node looked slow. Short ones are whole within 10 ms.
+        # The time to the first byte of a long response is measured, and only its end tells its length.
+        # Buffered until 64 KiB had come it would be late and its node look slow; short ones end within 10 ms.
         pass
     return body, False
 
@@ -348,7 +351,11 @@
 
 
 class UpstreamRequest:
-    """One client's request as the back sends it; the core's Backend."""
+    """Sends one client's request to the node of each attempt; the core's ``Backend``.
+
+    ``sent``: whether the last byte may have left in the current attempt; ``begun``: whether the first of a
+    streamed body has; ``fault``: the client's failure to send such a body.
+    """
 
     def __init__(
         self,
@@ -361,8 +368,8 @@
         idempotency_key: str = "",
     ) -> None:
         self.method, self.target, self.relay = method, target, relay
-        self.sent = self.begun = False  # the last byte; the first of a body that comes in pieces
-        self.fault: BodyError | None = None  # the client's, in such a body
+        self.sent = self.begun = False  # the last byte; the first of a streamed body
+        self.fault: BodyError | None = None  # of the client, in a streamed body
         self._pool, self._body = pool, body
         self._unchanged = {"X-Request-Id": request_id}
         if idempotency_key:
@@ -401,12 +408,12 @@
                 attempt.begun = self.begun = True
                 size += len(piece)
                 if size == upload.length:
-                    self.written()  # Guard: with this piece the node has it all, before anybody asks again
+                    self.written()  # before the write: with this chunk the node has all of it
                 else:
-                    attempt.scope.reschedule(loop.time() + STALL_TIMEOUT_S)  # for the node to take it
+                    attempt.scope.reschedule(loop.time() + STALL_TIMEOUT_S)  # the node must accept the chunk
                 yield piece
                 if not self.sent:
-                    attempt.scope.reschedule(None)  # it is the client's turn
+                    attempt.scope.reschedule(None)  # the client's time is bounded by its body
             if not self.sent:
                 self.written()
         except BodyError as error:
@@ -415,7 +422,7 @@
 
     async def attempt(self, attempt: Attempt) -> Reply:
         if isinstance(self._body, StreamedBody) and self._body.touched:
-            return Reply(Ending.NOT_STARTED)  # Guard: its first pieces are gone
+            return Reply(Ending.NOT_STARTED)  # its first chunks have been consumed
         self._current = attempt
         self.sent, self._left = False, len(self._body) if isinstance(self._body, bytes) else 0
         wait = max(int(attempt.wait * 1000), 1)
