--- a/bench/serve_cost.py
+++ b/bench/serve_cost.py
@@ -26,7 +26,7 @@
 
 from cherrycove.broker import config
 from cherrycove.broker.core import Attempt, Core, Ending, Member, NodeList, Reply, Request
-from cherrycove.broker.decision_log.book import Book
+from cherrycove.broker.decision_log.book import DecisionLog
 
 
 class Back:
@@ -71,7 +71,7 @@
     for on in (False, True):
         core = Core(settings, 1)
         core.update(NodeList(1, True, (Member("d0", "here", 0),)))
-        core.recorder = Book(settings, bound, 0.0) if on else None
+        core.recorder = DecisionLog(settings, bound, 0.0) if on else None
         cores.append(core)
         await batch(core, requests, 0)
     for pair in range(pairs):
--- a/bench/why.py
+++ b/bench/why.py
@@ -23,15 +23,15 @@
 
 from cherrycove.broker import config
 from cherrycove.broker.core import Attempt, Ended, Ending, Request, Verdict
-from cherrycove.broker.decision_log.book import Book, story_of
-from cherrycove.broker.decision_log.pack import PLAIN, Story, Try, pack
+from cherrycove.broker.decision_log.book import DecisionLog, story_of
+from cherrycove.broker.decision_log.pack import PLAIN, AttemptRecord, RequestRecord, pack
 from cherrycove.broker.local_codes import Own
 from cherrycove.scheduling.interface import Code, Reason
 
 SEED = 11
 
 
-def stories(count: int, refused: float, start: float = 1000.0, rate: float = 800.0) -> list[Story]:
+def stories(count: int, refused: float, start: float = 1000.0, rate: float = 800.0) -> list[RequestRecord]:
     """Requests as a busy broker sees them; ``refused`` is the part that gets no served answer."""
     dice = random.Random(SEED)
     volumes = [f"{dice.getrandbits(64):016x}" for _ in range(60)]
@@ -43,7 +43,7 @@
         if dice.random() < refused:
             why = Reason(Code.NO_CREDIT, node, "lane", 4.0, 4, 2, -3.0, 0.02, -0.01, 0.6, number // 800)
             made.append(
-                Story(
+                RequestRecord(
                     ident,
                     volume,
                     ended,
@@ -65,7 +65,7 @@
                 Code.CREDIT, node, "", 4.0, dice.randrange(4), 0, 3.0, 0.02, 0.15, 0.5, number // 800
             )
             made.append(
-                Story(
+                RequestRecord(
                     ident,
                     volume,
                     ended,
@@ -77,13 +77,13 @@
                     0,
                     2.0,
                     1,
-                    tries=[Try(node, sent, 0.002, took, Ending.SERVED)],
+                    tries=[AttemptRecord(node, sent, 0.002, took, Ending.SERVED)],
                 )
             )
     return made
 
 
-def ended(story: Story) -> Ended:
+def ended(story: RequestRecord) -> Ended:
     """The same as the core tells it."""
     request = Request(
         story.cls or 0,
@@ -109,12 +109,12 @@
     """The record as anybody would write it first."""
 
     def __init__(self, most: int) -> None:
-        self.stories: deque[Story] = deque()
-        self.by_id: dict[str, list[Story]] = defaultdict(list)
-        self.by_volume: dict[str, deque[Story]] = defaultdict(deque)
+        self.stories: deque[RequestRecord] = deque()
+        self.by_id: dict[str, list[RequestRecord]] = defaultdict(list)
+        self.by_volume: dict[str, deque[RequestRecord]] = defaultdict(deque)
         self.most = most
 
-    def add(self, story: Story) -> None:
+    def add(self, story: RequestRecord) -> None:
         self.stories.append(story)
         self.by_id[story.id].append(story)
         self.by_volume[story.volume].append(story)
@@ -140,11 +140,11 @@
     return (time.process_time_ns() - began) / len(given)
 
 
-def fresh(count: int, refused: float) -> list[Story]:
+def fresh(count: int, refused: float) -> list[RequestRecord]:
     return stories(count, refused)
 
 
-def bytes_each(make: Callable[[], Callable[[Story], None]], count: int, refused: float) -> float:
+def bytes_each(make: Callable[[], Callable[[RequestRecord], None]], count: int, refused: float) -> float:
     """Bytes that one more record makes a process grow by, by tracemalloc; the stories are made as they
     come."""
     tracemalloc.start()
@@ -175,8 +175,8 @@
     settings = config.parse_platform_config(whole_file, {}).settings
     rows: list[tuple[str, str]] = []
 
-    def book(sketches: bool = False) -> Book:
-        made = Book(settings, given.bound, 0.0)
+    def book(sketches: bool = False) -> DecisionLog:
+        made = DecisionLog(settings, given.bound, 0.0)
         if not sketches:
             made.sketches = None
         return made
@@ -225,7 +225,7 @@
     rate = full.kept.count / 300
     rows.append(("every refusal of 5 minutes is held up to", f"{rate:.0f} a second"))
     assert PLAIN.size <= 64
-    watched = Book(settings, given.bound, 0.0)
+    watched = DecisionLog(settings, given.bound, 0.0)
     before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     told = 0
     block = stories(20_000, 0.4)
--- a/cherrycove/broker/decision_log/ask.py
+++ b/cherrycove/broker/decision_log/ask.py
@@ -18,8 +18,8 @@
 
 from cherrycove.broker.core import Ended
 from cherrycove.broker.decision_log import words
-from cherrycove.broker.decision_log.book import Book, story_of
-from cherrycove.broker.decision_log.pack import VERDICTS, Story
+from cherrycove.broker.decision_log.book import DecisionLog, story_of
+from cherrycove.broker.decision_log.pack import VERDICTS, RequestRecord
 from cherrycove.broker.local_codes import code as code_of
 
 SLICE = 0.002  # s of the loop at a time
@@ -109,7 +109,7 @@
 
 
 async def answer(
-    question: Question, book: Book, now: Callable[[], float], still_open: Callable[[str], list[Ended]]
+    question: Question, book: DecisionLog, now: Callable[[], float], still_open: Callable[[str], list[Ended]]
 ) -> list[str]:
     """The answer's lines, the first of them YES or NO. ``now`` is the machine's monotonic clock."""
     wall = time.time()
@@ -118,7 +118,7 @@
         return await _summary(question, book, now(), wall, pace)
     if question.id:
         return _one(question, book, now(), wall, still_open(question.id))
-    found: list[Story] = []
+    found: list[RequestRecord] = []
     stopped = ""
     async for story in _walk(question, book, now(), pace):
         if story is None:
@@ -134,7 +134,9 @@
     return [f"YES {shown} requests{stopped}", *said, *_gaps(book, now(), wall)]
 
 
-async def _walk(question: Question, book: Book, now: float, pace: _Pace) -> AsyncIterator[Story | None]:
+async def _walk(
+    question: Question, book: DecisionLog, now: float, pace: _Pace
+) -> AsyncIterator[RequestRecord | None]:
     for story in book.walk(now - question.since, question.volume, question.only, now):
         if await pace.over():
             yield None
@@ -144,14 +146,21 @@
 
 
 def _say(
-    question: Question, book: Book, story: Story, now: float, wall: float, still_open: bool = False
+    question: Question,
+    book: DecisionLog,
+    story: RequestRecord,
+    now: float,
+    wall: float,
+    still_open: bool = False,
 ) -> list[str]:
     if question.json:
         return [json.dumps(words.fields(story, book.settings, now, wall, still_open))]
     return words.lines(story, book.settings, now, wall, still_open)
 
 
-def _one(question: Question, book: Book, now: float, wall: float, still_open: list[Ended]) -> list[str]:
+def _one(
+    question: Question, book: DecisionLog, now: float, wall: float, still_open: list[Ended]
+) -> list[str]:
     said: list[str] = []
     for ended in still_open:
         said += _say(question, book, story_of(ended), now, wall, still_open=True)
@@ -168,7 +177,7 @@
     return [f"NO {_unknown(question.id, book, now, wall)}", *_gaps(book, now, wall)]
 
 
-def _unknown(id: str, book: Book, now: float, wall: float) -> str:
+def _unknown(id: str, book: DecisionLog, now: float, wall: float) -> str:
     """Whether it never came, has been given up, or is of before the start, as far as that can be told."""
     begun = words.when(book.seen.since, now, wall)
     if hash(id) in book.seen:
@@ -178,7 +187,7 @@
     return f"this id has not been here since the record began at {begun}; of before nothing is known"
 
 
-def _gaps(book: Book, now: float, wall: float) -> list[str]:
+def _gaps(book: DecisionLog, now: float, wall: float) -> list[str]:
     """What the record no longer holds."""
     said = [f"# the record begins at {words.when(book.start, now, wall)}"]
     names = {
@@ -198,7 +207,7 @@
     return said
 
 
-async def _summary(question: Question, book: Book, now: float, wall: float, pace: _Pace) -> list[str]:
+async def _summary(question: Question, book: DecisionLog, now: float, wall: float, pace: _Pace) -> list[str]:
     if book.sketches is None:
         return ["NO the record's bound is too small for summaries", *_gaps(book, now, wall)]
     book.flush()
--- a/cherrycove/broker/decision_log/book.py
+++ b/cherrycove/broker/decision_log/book.py
@@ -20,9 +20,9 @@
 from cherrycove.broker.decision_log.pack import (
     HEAD,
     NO_NODE,
+    AttemptRecord,
     PackError,
-    Story,
-    Try,
+    RequestRecord,
     matters,
     pack,
     pack_plain,
@@ -95,7 +95,7 @@
         return [name if since <= ended else "" for name, since in zip(self.names, self._since, strict=True)]
 
 
-class Book:
+class DecisionLog:
     """``bound`` bytes in all. Every time is the machine's monotonic clock, in seconds."""
 
     def __init__(self, settings: Settings, bound: int, start: float) -> None:
@@ -115,7 +115,7 @@
         self._pending: list[Any] = []  # told of, and not taken in yet
         self.former_lost = 0  # pieces of the predecessor's that did not come
         self.former_from = start  # when the predecessor began, should there have been one
-        self.on_story: Callable[[Story], None] | None = None  # told of each, as spans are
+        self.on_story: Callable[[RequestRecord], None] | None = None  # told of each, as spans are
 
     def footprint(self) -> int:
         """Bytes that it holds or may come to hold, by exact sizes of its arrays and the bounds of the
@@ -199,7 +199,7 @@
         """Take in all that has been told; whoever asks does this first."""
         pending, self._pending = self._pending, []
         for each in pending:
-            if isinstance(each, Story):
+            if isinstance(each, RequestRecord):
                 self.add(each)
             elif len(each) == 13:
                 self._served(*each)
@@ -231,7 +231,7 @@
             )
         if record is None:
             return self.add(
-                Story(
+                RequestRecord(
                     id,
                     volume,
                     at,
@@ -243,7 +243,7 @@
                     plan,
                     units,
                     shard,
-                    tries=[Try(node, why, max(began, 0.0), lasted, Ending.SERVED)],
+                    tries=[AttemptRecord(node, why, max(began, 0.0), lasted, Ending.SERVED)],
                 )
             )
         self.counts["served"] += 1
@@ -279,7 +279,7 @@
             )
         if record is None:
             return self.add(
-                Story(
+                RequestRecord(
                     id,
                     volume,
                     at,
@@ -302,7 +302,7 @@
         if self.sketches is not None:
             self.sketches.ended(at, verdict, why.code, volume)
 
-    def add(self, story: Story) -> None:
+    def add(self, story: RequestRecord) -> None:
         for each in story.tries:
             self.nodes.number(each.node, story.ended)
         if story.why is not None:
@@ -321,7 +321,7 @@
 
     # What is asked.
 
-    def find(self, id: str, now: float) -> list[Story]:
+    def find(self, id: str, now: float) -> list[RequestRecord]:
         """Every request of this id that is known, newest first; ids may be used again."""
         self.flush()
         found = []
@@ -332,7 +332,7 @@
                     found.append(story)
         return sorted(found, key=lambda story: -story.ended)
 
-    def retries_of(self, story: Story, now: float) -> list[Story]:
+    def retries_of(self, story: RequestRecord, now: float) -> list[RequestRecord]:
         """The requests that were joined to it, oldest first."""
         self.flush()
         found = []
@@ -345,7 +345,7 @@
 
     def walk(
         self, since: float, volume: str = "", only: frozenset[str] = frozenset(), now: float = 0.0
-    ) -> Iterator[Story | None]:
+    ) -> Iterator[RequestRecord | None]:
         """All that ended from then on and fits; None for each that does not, so that a caller may pause."""
         self.flush()
         for _, ring in self.rings():
@@ -364,7 +364,7 @@
                 fits = (not volume or story.volume == volume) and (not only or story.verdict in only)
                 yield story if fits else None
 
-    def read(self, ring: Ring, at: int, now: float) -> Story | None:
+    def read(self, ring: Ring, at: int, now: float) -> RequestRecord | None:
         try:
             if not self.nodes.reused:
                 return unpack(ring.data, at, now, self.nodes.names)
@@ -378,7 +378,7 @@
         """What a successor is handed, oldest first: records as they are, and the names they use."""
         self.flush()
 
-        def of(ring: Ring) -> Iterator[Story]:
+        def of(ring: Ring) -> Iterator[RequestRecord]:
             for at in ring.since(since):
                 story = self.read(ring, at, now)
                 if story is not None and story.ended >= since:
@@ -439,7 +439,7 @@
     return crc32(key.encode("utf-8", "surrogateescape")) if key else 0
 
 
-def story_of(ended: Ended) -> Story:
+def story_of(ended: Ended) -> RequestRecord:
     """What is kept of it."""
     request = ended.request
     verdict = VERDICTS[ended.verdict] if ended.verdict is not None else "gone"
@@ -447,15 +447,15 @@
     if not ended.own and ended.verdict is Verdict.SERVED:
         code = Own.SERVED
     tries = [
-        Try(each.node, each.why, max(each.began - ended.came, 0.0), each.took, each.ending)
+        AttemptRecord(each.node, each.why, max(each.began - ended.came, 0.0), each.took, each.ending)
         for each in ended.tries
         if each.why is not None
     ]
     if request is None:
-        return Story(
+        return RequestRecord(
             ended.id, ended.volume, ended.at, ended.at - ended.came, verdict, code, ended.front, ended.cls
         )
-    return Story(
+    return RequestRecord(
         request.id,
         request.volume,
         ended.at,
--- a/cherrycove/broker/decision_log/pack.py
+++ b/cherrycove/broker/decision_log/pack.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class Try:
+class AttemptRecord:
     """One attempt."""
 
     node: str
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True)
-class Story:
+class RequestRecord:
     """All that is kept of one request."""
 
     id: str
@@ -72,7 +72,7 @@
     repeat: bool = False  # a client's marked retry
     first: str = ""  # the id of the request that it is a retry of, if that is known
     rivals: int = 0  # how many first tries it could as well belong to
-    tries: list[Try] = field(default_factory=list)
+    tries: list[AttemptRecord] = field(default_factory=list)
     why: Reason | None = None  # of its end, where the module gave one
     object: int = 0  # 32 bits of a hash of its piece of data; of those served, not kept
 
@@ -92,12 +92,12 @@
     return bytes((len(data),)) + data
 
 
-def matters(story: Story) -> bool:
+def matters(story: RequestRecord) -> bool:
     """Whether it outlives plain ones: all but those served at the first attempt, unmarked."""
     return story.verdict != "served" or len(story.tries) != 1 or story.repeat
 
 
-def pack(story: Story, number: dict[str, int] | None = None) -> bytes:
+def pack(story: RequestRecord, number: dict[str, int] | None = None) -> bytes:
     """A record, with its links left 0. ``number`` gives the place of each node's name."""
     names = number or {}
     id_hex, volume_hex = HEX16.fullmatch(story.id), HEX16.fullmatch(story.volume)
@@ -259,7 +259,7 @@
         return None
 
 
-def _try(each: Try, names: dict[str, int]) -> tuple[object, ...]:
+def _try(each: AttemptRecord, names: dict[str, int]) -> tuple[object, ...]:
     why = each.why
     return (
         names.get(each.node, NO_NODE),
@@ -289,7 +289,7 @@
 
 def unpack(
     data: bytes | bytearray | memoryview, at: int, now: float, nodes: list[str] | None = None
-) -> Story:
+) -> RequestRecord:
     """The story there, which ended at most 49 days before ``now``; PackError if there is none."""
     try:
         return _unpack(data, at, now, nodes or [])
@@ -297,7 +297,7 @@
         raise PackError(f"no record: {error}") from None
 
 
-def _unpack(data: bytes | bytearray | memoryview, at: int, now: float, nodes: list[str]) -> Story:
+def _unpack(data: bytes | bytearray | memoryview, at: int, now: float, nodes: list[str]) -> RequestRecord:
     size, flags, count, _, _, ended, took, number, cls, plan, units, shard = HEAD.unpack_from(data, at)
     if size < HEAD.size or at + size > len(data):
         raise PackError("its size is wrong")
@@ -319,7 +319,7 @@
         return nodes[number] if number < len(nodes) else ""
 
     now_ms = int(now * 1000)
-    story = Story(
+    story = RequestRecord(
         name(flags & 4),
         name(flags & 64),
         (now_ms - ((now_ms - ended) & MASK)) / 1000,
@@ -340,7 +340,7 @@
         place += TRY.size
         why = Reason(Code(number), node(where), "", level, out, queued, credits, wait / 1000)
         story.tries.append(
-            Try(
+            AttemptRecord(
                 node(where),
                 why,
                 began / 1000,
--- a/cherrycove/broker/decision_log/spans.py
+++ b/cherrycove/broker/decision_log/spans.py
@@ -26,7 +26,7 @@
 
 from cherrycove.broker.core import Ending
 from cherrycove.broker.decision_log import words
-from cherrycove.broker.decision_log.pack import Story
+from cherrycove.broker.decision_log.pack import RequestRecord
 from cherrycove.broker.event_log import Log
 from cherrycove.scheduling.interface import Settings
 
@@ -59,7 +59,7 @@
         self._part, self._bucket, self._dice = part, Bucket(rate), random.Random(seed)
         self.passed_over = 0  # refused and failed ones beyond the rate
 
-    def chosen(self, story: Story) -> bool:
+    def chosen(self, story: RequestRecord) -> bool:
         if story.verdict in ("refused", "failed") or story.repeat:
             if self._bucket.take(story.ended):
                 return True
@@ -116,7 +116,7 @@
         self._tracer = self._provider.get_tracer("cherrycove.broker.decision_log")
         self._offset = time.time() - time.monotonic()
 
-    def tell(self, story: Story) -> None:
+    def tell(self, story: RequestRecord) -> None:
         if not self.sampler.chosen(story):
             return
         came = story.ended - story.took
--- a/cherrycove/broker/decision_log/words.py
+++ b/cherrycove/broker/decision_log/words.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from cherrycove.broker.decision_log.pack import Story, Try
+from cherrycove.broker.decision_log.pack import AttemptRecord, RequestRecord
 from cherrycove.broker.local_codes import AnyCode, Own
 from cherrycove.scheduling.interface import Code, Reason, Settings
 
@@ -105,7 +105,7 @@
 }
 
 
-def reason(story: Story) -> str:
+def reason(story: RequestRecord) -> str:
     """Why it ended as it did."""
     if isinstance(story.code, Own):
         return OWN[story.code]
@@ -114,7 +114,7 @@
     return say(plain(story.volume), why) if say else story.code.name.lower()
 
 
-def attempt(each: Try, number: int) -> str:
+def attempt(each: AttemptRecord, number: int) -> str:
     why = SENT.get(each.why.code)
     sent = why(each.why) if why else each.why.code.name.lower()
     ending = each.ending.value if each.ending else "still out"
@@ -128,7 +128,9 @@
     return time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(at)) + f".{int(at % 1 * 1000):03d}Z"
 
 
-def lines(story: Story, settings: Settings, now: float, wall: float, still_open: bool = False) -> list[str]:
+def lines(
+    story: RequestRecord, settings: Settings, now: float, wall: float, still_open: bool = False
+) -> list[str]:
     """A request in sentences: one for its end, one for each attempt."""
     cls = settings.classes[story.cls].name if story.cls is not None else "a request"
     plan = f", plan {settings.plans[story.plan].name}" if story.plan is not None else ""
@@ -166,7 +168,7 @@
 
 
 def fields(
-    story: Story, settings: Settings, now: float, wall: float, still_open: bool = False
+    story: RequestRecord, settings: Settings, now: float, wall: float, still_open: bool = False
 ) -> dict[str, Any]:
     """A request for a program; times in ms, ``ended`` in UTC."""
     return {
--- a/cherrycove/broker/process.py
+++ b/cherrycove/broker/process.py
@@ -27,7 +27,7 @@
 from cherrycove.broker.peer_capacity import exchange
 
 if TYPE_CHECKING:
-    from cherrycove.broker.decision_log.book import Book
+    from cherrycove.broker.decision_log.book import DecisionLog
     from cherrycove.broker.decision_log.spans import Tracer
     from cherrycove.broker.warm_restart.store import SnapshotStore
 
@@ -99,7 +99,7 @@
         )
         self._peers = self._make_exchange()
         self._memory = self._make_snapshot_store()
-        self._book: Book | None = None
+        self._book: DecisionLog | None = None
         self._tracer: Tracer | None = None
         self._make_decision_log()
         self.handover.apply_request_limit()
@@ -130,10 +130,10 @@
         if why is None:
             return
         # Imported only where it is enabled: it takes start time and memory.
-        from cherrycove.broker.decision_log.book import Book
+        from cherrycove.broker.decision_log.book import DecisionLog
 
         settings = self.platform.settings
-        self._book = Book(settings, why.max_bytes, asyncio.get_running_loop().time())
+        self._book = DecisionLog(settings, why.max_bytes, asyncio.get_running_loop().time())
         self.core.recorder = self._book
         if why.spans_path:
             from cherrycove.broker.decision_log import spans
--- a/tests/golden_broker.py
+++ b/tests/golden_broker.py
@@ -104,9 +104,9 @@
     "ask": (datagram.LoanRequest, "sender life serial node units"),
     "loan": (datagram.Loan, "sender life to_life serial units wait"),
     "entry": (store.Entry, "key counter writer value"),
-    "attempt": (record.Try, "node why at took ending"),
+    "attempt": (record.AttemptRecord, "node why at took ending"),
     "story": (
-        record.Story,
+        record.RequestRecord,
         "id volume ended took verdict code front class plan units shard repeat first rivals attempts why"
         " object",
     ),
@@ -668,9 +668,9 @@
 class _Record:
     """The record of decisions with a clock of its own."""
 
-    def __init__(self, settings: api.Settings, stories: Sequence[record.Story]) -> None:
+    def __init__(self, settings: api.Settings, stories: Sequence[record.RequestRecord]) -> None:
         self.former_lost, self.taken = 0, 0
-        self._book = book.Book(settings, 2 << 20, 0.0)
+        self._book = book.DecisionLog(settings, 2 << 20, 0.0)
         if stories:
             numbers = {name: place for place, name in enumerate(NODES)}
             data = b"".join(record.pack(each, numbers) for each in stories)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -19,8 +19,8 @@
 from cherrycove.broker.cli.commands import figures, main
 from cherrycove.broker.core import Ending
 from cherrycove.broker.decision_log import ask, report, spans
-from cherrycove.broker.decision_log.book import SKETCHED, Book
-from cherrycove.broker.decision_log.pack import Try
+from cherrycove.broker.decision_log.book import SKETCHED, DecisionLog
+from cherrycove.broker.decision_log.pack import AttemptRecord
 from cherrycove.scheduling.interface import Code, Reason
 
 EXAMPLE = str(ROOT / "examples/config.json")
@@ -31,7 +31,7 @@
 
     async def __aenter__(self) -> Desk:
         self.world = await World(await Node("ok", "500").start()).__aenter__()
-        self.book = self.world.core.recorder = Book(PLATFORM.settings, SKETCHED, 0.0)
+        self.book = self.world.core.recorder = DecisionLog(PLATFORM.settings, SKETCHED, 0.0)
         self.desk = admin.AdminServer(self._answer)
         self.place = f"127.0.0.1:{await self.desk.listen('127.0.0.1', 0)}"
         return self
@@ -149,7 +149,7 @@
 
 
 def test_the_report_escapes_what_clients_named(tmp_path: Path) -> None:
-    book = Book(PLATFORM.settings, SKETCHED, 0.0)
+    book = DecisionLog(PLATFORM.settings, SKETCHED, 0.0)
     for number in range(40):
         book.add(
             story(
@@ -186,8 +186,8 @@
         "failed",
         code=Code.MAY_HAVE_RUN,
         tries=[
-            Try("d0", Reason(Code.CREDIT, "d0"), 0.001, 0.004, Ending.TURNED_AWAY),
-            Try("d0", Reason(Code.AGAIN, "d0"), 0.006, 0.01, Ending.BROKEN),
+            AttemptRecord("d0", Reason(Code.CREDIT, "d0"), 0.001, 0.004, Ending.TURNED_AWAY),
+            AttemptRecord("d0", Reason(Code.AGAIN, "d0"), 0.006, 0.01, Ending.BROKEN),
         ],
     )
     tracer.tell(failed)
--- a/tests/test_why.py
+++ b/tests/test_why.py
@@ -19,8 +19,8 @@
 import cherrycove.broker.decision_log.book as books
 from cherrycove.broker.core import Attempt, Ended, Ending, Request, Verdict
 from cherrycove.broker.decision_log import ask, retries, words
-from cherrycove.broker.decision_log.book import LEAST, SKETCHED, Book, story_of
-from cherrycove.broker.decision_log.pack import PackError, Story, Try, matters, pack, unpack
+from cherrycove.broker.decision_log.book import LEAST, SKETCHED, DecisionLog, story_of
+from cherrycove.broker.decision_log.pack import AttemptRecord, PackError, RequestRecord, matters, pack, unpack
 from cherrycove.broker.decision_log.ring import Ring
 from cherrycove.broker.decision_log.seen import Seen
 from cherrycove.broker.decision_log.sketches import OPEN, Sketches, SpaceSaving
@@ -54,14 +54,14 @@
 
 
 TRIES = st.builds(
-    lambda why, at, took, ending: Try(why.node, why, at, took, ending),
+    lambda why, at, took, ending: AttemptRecord(why.node, why, at, took, ending),
     reasons(range(1, 6), place=st.just(""), left=st.just(0.0), refill=st.just(0.0), epoch=st.just(0)),
     MS,
     MS,
     st.sampled_from([*Ending, None]),
 )
 STORIES = st.builds(
-    Story,
+    RequestRecord,
     NAMES,
     NAMES,
     st.integers(0, 10**7).map(lambda n: n / 1000),
@@ -83,12 +83,12 @@
 NODES = {"s-1": 0, "s-2": 1}
 
 
-def story(id: str = "a1", ended: float = 10.0, verdict: str = "refused", **more: Any) -> Story:
+def story(id: str = "a1", ended: float = 10.0, verdict: str = "refused", **more: Any) -> RequestRecord:
     code = more.pop("code", Own.SERVED if verdict == "served" else Code.NO_CREDIT)
-    tries = [Try("s-1", SENT, 0.001, 0.02, Ending.SERVED)] if verdict == "served" else []
+    tries = [AttemptRecord("s-1", SENT, 0.001, 0.02, Ending.SERVED)] if verdict == "served" else []
     if isinstance(code, Code):
         more.setdefault("why", Reason(code))
-    return Story(
+    return RequestRecord(
         id,
         more.pop("volume", HEX),
         ended,
@@ -115,7 +115,7 @@
         epoch=st.integers(0, 2**32 - 1),
     ),
 )
-def test_a_story_is_read_as_it_was_written(told: Story, why: Reason) -> None:
+def test_a_story_is_read_as_it_was_written(told: RequestRecord, why: Reason) -> None:
     if told.verdict == "served":
         told = replace(told, object=0)
     elif isinstance(told.code, Code):
@@ -152,7 +152,7 @@
     assert ring.lost == len(model) - len(held) and ring.footprint() <= 6000
     assert ring.lost_until == (model[ring.lost - 1][2].ended if ring.lost else 0.0)
 
-    def read(places: Any) -> list[Story]:
+    def read(places: Any) -> list[RequestRecord]:
         return [unpack(ring.data, at, now) for at in places]
 
     assert read(ring.since(0.0)) == [told for _, _, told in held]
@@ -186,12 +186,14 @@
     assert ddsketch and msgpack  # what is imported is not the record's
     tracemalloc.start()
     try:
-        book = Book(SETTINGS, bound, 0.0)
+        book = DecisionLog(SETTINGS, bound, 0.0)
         before = tracemalloc.get_traced_memory()[0]
         for number in range(12_000 if bound == LEAST else 40_000):
             kind = ("served", "refused", "failed", "gone")[number % 4]
             served = kind == "served"
-            tries = [Try(f"s-{number}", SENT, 0.0, number % 50 / 1000, Ending.SERVED)] if served else []
+            tries = (
+                [AttemptRecord(f"s-{number}", SENT, 0.0, number % 50 / 1000, Ending.SERVED)] if served else []
+            )
             for each in tries:
                 book.nodes.number(each.node, number / 10)  # node names that are always new
             book.add(story("i" * 100 + str(number), number / 10, kind, volume=f"{number:016x}", tries=tries))
@@ -204,7 +206,7 @@
 
 
 def test_what_waits_to_be_taken_in_is_found_and_within_the_bound() -> None:
-    book = Book(SETTINGS, LEAST, 0.0)
+    book = DecisionLog(SETTINGS, LEAST, 0.0)
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
@@ -234,7 +236,7 @@
 
 
 def test_refusals_outlive_a_surge_of_served_requests_and_the_loss_is_told() -> None:
-    book = Book(SETTINGS, LEAST, 0.0)
+    book = DecisionLog(SETTINGS, LEAST, 0.0)
     book.add(story("refused", 1.0))
     book.add(story("retried", 1.5, "served", repeat=True))
     for number in range(2400):
@@ -260,12 +262,12 @@
     assert seen.since > 0 and all(hash(f"r{number}") in seen for number in range(seen.most, 2 * seen.most))
     strangers = sum(hash(f"s{number}") in seen for number in range(4000))
     assert strangers <= 4000 * 0.02 * 2  # two generations at one in a hundred, and hashes differ by run
-    book = Book(SETTINGS, LEAST, 100.0)
+    book = DecisionLog(SETTINGS, LEAST, 100.0)
     assert "since the record began" in run(asked(book, "never"))[0]
 
 
 def test_a_number_given_to_another_node_puts_no_wrong_name_on_old_records() -> None:
-    book = Book(SETTINGS, LEAST, 0.0)
+    book = DecisionLog(SETTINGS, LEAST, 0.0)
     ended = Ended(0.0, 1.0, Verdict.FAILED, why=Reason(Code.MAY_HAVE_RUN, "first"), request=request("a1"))
     book.ended(ended)
     assert book.find("a1", 2.0)[0].why == Reason(Code.MAY_HAVE_RUN, "first")
@@ -281,7 +283,7 @@
 
 @pytest.mark.parametrize("verdict", ["refused", "failed", "gone"])
 def test_a_marked_retry_is_joined_to_its_first_try(verdict: str) -> None:
-    book = Book(SETTINGS, LEAST, 0.0)
+    book = DecisionLog(SETTINGS, LEAST, 0.0)
     book.add(replace(story("first", 10.0, verdict), object=retry_of(request())))
     assert book.came(request("second", repeat=True), 10.3) == ("first", 1)
     book.add(story("second", 10.5, "served", repeat=True, first="first"))
@@ -295,7 +297,7 @@
 
 
 def test_two_clients_on_one_object_are_not_joined_falsely() -> None:
-    book = Book(SETTINGS, LEAST, 0.0)
+    book = DecisionLog(SETTINGS, LEAST, 0.0)
     thing = retry_of(request())
     for ident, ended in (("a", 10.0), ("b", 10.1)):
         book.add(replace(story(ident, ended), object=thing))
@@ -309,7 +311,7 @@
     "other", [{"verdict": "served"}, {"volume": "0000000000000002"}, {"object": 1}, {"cls": 1}, {"at": 500.0}]
 )
 def test_what_is_not_its_first_try_is_not_joined(other: dict[str, Any]) -> None:
-    book = Book(SETTINGS, LEAST, 0.0)
+    book = DecisionLog(SETTINGS, LEAST, 0.0)
     told = replace(story("first", 10.0, other.get("verdict", "refused")), object=retry_of(request()))
     at = other.pop("at", 10.3)
     book.add(replace(told, **other))
@@ -325,7 +327,7 @@
 
 
 async def asked(
-    book: Book, *arguments: str, now: float = 400.0, still: list[Ended] | None = None
+    book: DecisionLog, *arguments: str, now: float = 400.0, still: list[Ended] | None = None
 ) -> list[str]:
     return await ask.answer(ask.parse(list(arguments)), book, lambda: now, lambda _: still or [])
 
@@ -333,7 +335,7 @@
 @fuzz
 @given(NAMES, NAMES)
 def test_hostile_names_leave_as_printable_text_and_whole_json(ident: str, volume: str) -> None:
-    book = Book(SETTINGS, LEAST, 0.0)
+    book = DecisionLog(SETTINGS, LEAST, 0.0)
     book.add(story(ident or "x", 10.0, volume=volume))
     for line in run(asked(book, "--since", "1h", now=11.0)):
         assert line.isascii() and line.isprintable()
@@ -369,7 +371,7 @@
 
 
 def test_questions_choose_by_volume_time_and_verdict() -> None:
-    book = Book(SETTINGS, LEAST, 0.0)
+    book = DecisionLog(SETTINGS, LEAST, 0.0)
     for number, (volume, kind) in enumerate(
         [("1", "refused"), ("2", "refused"), ("1", "failed"), ("1", "served"), ("1", "refused")]
     ):
@@ -388,7 +390,7 @@
 def test_a_question_over_a_full_record_gives_the_loop_back_between_slices(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    book = Book(SETTINGS, 2 << 20, 0.0)
+    book = DecisionLog(SETTINGS, 2 << 20, 0.0)
     for number in range(40_000):
         book.add(story(f"{number:016x}", number / 1000))
     clock = [0.0]
@@ -412,7 +414,7 @@
 
 
 def test_an_open_request_is_told_as_it_stands() -> None:
-    book = Book(SETTINGS, LEAST, 0.0)
+    book = DecisionLog(SETTINGS, LEAST, 0.0)
     said = run(asked(book, "a1", still=[Ended(399.0, 400.0, None, request=request())]))
     assert said[0] == "YES 1 requests" and "is open since 1000 ms" in said[1]
 
@@ -454,21 +456,21 @@
 
 
 def test_a_summary_says_what_was_counted() -> None:
-    book = Book(SETTINGS, SKETCHED, 0.0)
+    book = DecisionLog(SETTINGS, SKETCHED, 0.0)
     for number in range(90):
         book.add(story(f"r{number}", 10.0 + number, "refused" if number % 3 else "served"))
     said = run(asked(book, "--summary", now=120.0))
     assert said[0] == "YES" and {"reason refused no_credit: 60", f"volume {HEX} no_credit: 60"} <= set(said)
     whole = json.loads(run(asked(book, "--summary", "--json", now=120.0))[1])
     assert sum(row["refused"] for row in whole["minutes"]) == 60 and whole["nodes"][0]["count"] == 30
-    assert run(asked(Book(SETTINGS, LEAST, 0.0), "--summary"))[0].startswith("NO ")
+    assert run(asked(DecisionLog(SETTINGS, LEAST, 0.0), "--summary"))[0].startswith("NO ")
 
 
 # From one process to the next.
 
 
 def test_a_successor_answers_for_what_its_predecessor_decided() -> None:
-    first, second = Book(SETTINGS, SKETCHED, 0.0), Book(SETTINGS, SKETCHED, 50.0)
+    first, second = DecisionLog(SETTINGS, SKETCHED, 0.0), DecisionLog(SETTINGS, SKETCHED, 50.0)
     for number in range(2000):
         kind = ("served", "refused")[number % 2]
         first.nodes.number("s-1", 1.0)
@@ -491,7 +493,7 @@
 @fuzz
 @given(spoiled(PIECE))
 def test_spoiled_pieces_are_refused_in_words(garbage: bytes) -> None:
-    book = Book(SETTINGS, SKETCHED, 0.0)
+    book = DecisionLog(SETTINGS, SKETCHED, 0.0)
     try:
         piece = json.loads(garbage)
         if isinstance(piece, dict):
--- a/tests/test_why_loopback.py
+++ b/tests/test_why_loopback.py
@@ -21,8 +21,8 @@
 from cherrycove.broker import config
 from cherrycove.broker.core import Ending, Maintenance, Member, NodeList
 from cherrycove.broker.decision_log import ask
-from cherrycove.broker.decision_log.book import Book
-from cherrycove.broker.decision_log.pack import Story
+from cherrycove.broker.decision_log.book import DecisionLog
+from cherrycove.broker.decision_log.pack import RequestRecord
 from cherrycove.broker.local_codes import Own
 from cherrycove.broker.nbd import Command, Errno
 from cherrycove.scheduling import interface as api
@@ -114,7 +114,7 @@
         fresh = await Watched(log, "fresh", *dice.choices(steps, k=60)).start()
         block = await BlockNode(*dice.choices(["ok"] * 9 + ["drop", "5"], k=60)).start()
         async with World(*nodes, platform=config.parse_platform_config(raw(3), {})) as world:
-            book = world.core.recorder = Book(world.core.settings, 2 << 20, 0.0)
+            book = world.core.recorder = DecisionLog(world.core.settings, 2 << 20, 0.0)
             members = [Member(f"d{i}", f"127.0.0.1:{node.port}", i) for i, node in enumerate(nodes)]
             members.append(Member("d3", f"127.0.0.1:{block.port}", BLOCK_SHARD))
             world.core.update(NodeList(1, True, tuple(members)))
@@ -185,7 +185,7 @@
     run(story())
 
 
-def compare(ident: str, verdict: str, found: list[Story], log: list[tuple[str, str, str]]) -> None:
+def compare(ident: str, verdict: str, found: list[RequestRecord], log: list[tuple[str, str, str]]) -> None:
     if verdict == "?" and not found:
         return  # it never came whole
     assert len(found) == 1, (ident, verdict)
@@ -228,7 +228,7 @@
 def test_a_decision_by_the_last_resort_is_told_as_that() -> None:
     async def story() -> None:
         async with World(await Node().start(), platform=config.parse_platform_config(raw(1), {})) as world:
-            book = world.core.recorder = Book(world.core.settings, books.LEAST, 0.0)
+            book = world.core.recorder = DecisionLog(world.core.settings, books.LEAST, 0.0)
             world.core._scheduler.handle = lambda now, events: []  # type: ignore[method-assign, assignment]
             assert (await world.ask(id="a1", ms=300))[0] == 503  # nothing of it was sent
             found = book.find("a1", asyncio.get_running_loop().time())[0]
@@ -240,7 +240,7 @@
 def test_an_id_that_is_used_again_is_told_of_twice() -> None:
     async def story() -> None:
         async with World(await Node("ok", "500").start()) as world:
-            book = world.core.recorder = Book(world.core.settings, books.LEAST, 0.0)
+            book = world.core.recorder = DecisionLog(world.core.settings, books.LEAST, 0.0)
             assert (await world.ask(id="a1"))[0] == 200
             assert (await world.ask(id="a1", cls="claim-write", method="PUT", body=b"x"))[0] == 500
             found = book.find("a1", asyncio.get_running_loop().time())
@@ -255,7 +255,7 @@
 def test_a_step_of_the_wall_clock_moves_no_record(monkeypatch: pytest.MonkeyPatch) -> None:
     async def story() -> None:
         async with World(await Node().start()) as world:
-            book = world.core.recorder = Book(world.core.settings, books.LEAST, 0.0)
+            book = world.core.recorder = DecisionLog(world.core.settings, books.LEAST, 0.0)
             loop = asyncio.get_running_loop()
             await world.ask(id="a1")
             monkeypatch.setattr(ask.time, "time", lambda: 1e6)  # back to 1970
