--- a/cherrycove/broker/core.py
+++ b/cherrycove/broker/core.py
@@ -1,11 +1,11 @@
-"""The broker's core: requests, attempts, endings and final answers, whatever wire they travel on.
+"""The broker's core: requests, attempts, endings and final answers, whatever protocol they arrive by.
 
-It owns the one decision module of the process, its clock, its timers and its batches, and gives the fronts a
+It owns the scheduler of the process, its clock, its timers and its batches of events, and gives the servers a
 facade in blocking style: ``pick`` the next step of a request, ``report`` how an attempt ended, ``tick``. It
-is the only place that sees the module's events and actions, the only one that turns an ``Ending`` into
-an ``Outcome``, and the one that sees to it that each request gets exactly one final answer before its client
-gives up. It must never open a socket, know a header or a frame, decide where or when a request is sent, or
-hold back an answer the module has given.
+is the only place that handles the scheduler's events and actions, the only one that maps an ``Ending`` to
+an ``Outcome``, and it ensures that each request gets exactly one final answer before its client's deadline.
+It must never open a socket, know a header or a frame, decide where or when a request is sent, or delay an
+answer that the scheduler has given.
 """
 
 from __future__ import annotations
@@ -27,33 +27,33 @@
 
 log = Log("cherrycove.core")
 
-# Guard: a machine busy with others can hold this process up for tens of ms, and an answer that goes out after
-# the client's deadline is a request lost. What these give away are answers too late to be worth much.
-MARGIN = 0.050  # s before the client's deadline at which the module's budget ends, but
-MARGIN_PART = 0.1  # no more than this part of what the client waits: many wait hardly longer than MARGIN
-LAST_RESORT = 0.5  # part of the margin that is left when the core answers by itself, the module being silent
+# A busy machine can delay this process for tens of ms, and an answer after the client's deadline is a failed
+# request. The margins give away answers that would come too late to have much value.
+MARGIN = 0.050  # s between the end of the scheduler's budget and the client's deadline, but
+MARGIN_PART = 0.1  # at most this fraction of the client's time: many wait hardly longer than MARGIN
+LAST_RESORT = 0.5  # fraction of the margin left when the core answers in place of the scheduler
 NO_BOUND = 1 << 30  # requests
-DECISION_TICKS = 5  # that the module has in any case
+DECISION_TICKS = 5  # that the scheduler has in any case
 
 
 class Ending(Enum):
     """Every way in which an attempt and the connection that carried it can end."""
 
-    SERVED = "served"  # the node's whole answer has come
+    SERVED = "served"  # the node's complete response was received
     NODE_ERROR = "node error"  # the node answered that it failed
-    TURNED_AWAY = "turned away"  # the node vouches that it did not run the request
+    TURNED_AWAY = "turned away"  # the node guarantees that it did not run the request
     CONNECT_REFUSED = "connect refused"
-    CONNECT_TIMEOUT = "connect timeout"  # the connection never came up, or no place in the pool came free
+    CONNECT_TIMEOUT = "connect timeout"  # not connected in time, or no slot of the pool came free
     BROKEN_UNSENT = "broken unsent"  # the connection broke before the request's last byte was written
-    BROKEN = "broken"  # it broke after that, or nobody can tell
-    CUT_SHORT = "cut short"  # it broke within the answer
-    SPOILT = "spoilt"  # the node answered, but with what cannot be read or cannot be told whole
-    TIMED_OUT = "timed out"  # written whole, no whole answer in time
-    CLIENT_BROKE = "client broke off"  # what the client sent of a long body is not all of it
-    EXPIRED = "expired unsent"  # called off, or out of time, before its last byte was written
-    GIVEN_UP = "given up"  # the module called the attempt off, or the client has gone
-    NOT_STARTED = "not started"  # nothing was sent: the request was over, or the node has no address
-    NOT_ITS = "not its to serve"  # the node vouches that it did not run it: over, or of another shard
+    BROKEN = "broken"  # it broke after that, or that cannot be told
+    CUT_SHORT = "cut short"  # it broke within the response
+    SPOILT = "spoilt"  # the response is malformed, or its end cannot be told
+    TIMED_OUT = "timed out"  # written completely, no complete response in time
+    CLIENT_BROKE = "client broke off"  # the client did not send all of a streamed body
+    EXPIRED = "expired unsent"  # cancelled or timed out before its last byte was written
+    GIVEN_UP = "given up"  # the scheduler cancelled the attempt, or the client disconnected
+    NOT_STARTED = "not started"  # nothing was sent: the request had ended, or the node has no address
+    NOT_ITS = "not its to serve"  # the node guarantees that it did not run it: expired, or of another shard
 
 
 OUTCOMES: Mapping[Ending, api.Outcome] = {
@@ -65,30 +65,30 @@
     Ending.BROKEN_UNSENT: api.Outcome.CONNECT_FAILED,
     Ending.BROKEN: api.Outcome.RESET,
     Ending.CUT_SHORT: api.Outcome.RESET,
-    # Guard: it may have run, but the node is there: to rest it would hold up all that waits for its shard.
+    # It may have run, but the node is reachable: to eject it would delay all that waits for its shard.
     Ending.SPOILT: api.Outcome.ERROR,
     Ending.TIMED_OUT: api.Outcome.TIMEOUT,
-    # Guard: it never ran, and it is no evidence against the node: the request's own time was too short.
+    # It never ran, and says nothing about the node: the request's own time was too short.
     Ending.EXPIRED: api.Outcome.MOOT,
     Ending.GIVEN_UP: api.Outcome.CANCELLED,
-    # Guard: a part of it is with the node, and only the node knows what it makes of that.
+    # The node has a part of it, and only the node knows the effect of that.
     Ending.CLIENT_BROKE: api.Outcome.CANCELLED,
     Ending.NOT_STARTED: api.Outcome.MOOT,
-    # Guard: it tells nothing of the node's load. As a full queue it rested a node that served all others.
+    # It says nothing about the node's load: counted as a full queue, it would eject a healthy node.
     Ending.NOT_ITS: api.Outcome.MOOT,
 }
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One node of the list, as any source of lists tells it."""
+    """One node of the node list, from whichever source."""
 
     name: str
     address: str
     shard: int
     zone: int = 0
     weight: float = 1.0
-    since_ms: float = 0.0  # Unix time of its last start; 0: long ago
+    since_ms: float = 0.0  # Unix time of its last start; 0: unknown, long ago
     state: api.NodeState = api.NodeState.UP
 
 
@@ -101,10 +101,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Maintenance:
-    """Who is out by the operators' word, and who is back but not known by discovery to have restarted."""
+    """Nodes that operators took out, and nodes put back whose restart discovery does not know yet."""
 
-    out: Mapping[str, float] = field(default_factory=dict)  # by name: the start discovery had told before
-    back: Mapping[str, tuple[float, float]] = field(default_factory=dict)  # that start, and its return
+    out: Mapping[str, float] = field(
+        default_factory=dict
+    )  # by name: the start that discovery had reported before
+    back: Mapping[str, tuple[float, float]] = field(
+        default_factory=dict
+    )  # that start, and the time of its return
 
     def taking_out(self, name: str, since_ms: float) -> Maintenance:
         if name in self.out:
@@ -120,10 +124,10 @@
         )
 
     def joined(self, told: Member) -> Member:
-        """What holds for a node of which discovery told this."""
+        """The node as discovery reported it, with maintenance applied."""
         since, returned = self.back.get(told.name, (nan, 0.0))
         if since == told.since_ms:
-            # Guard: it was restarted while out, and discovery may be seconds late to say so.
+            # It was restarted while out, and discovery may report that seconds late.
             told = replace(told, since_ms=returned)
         if told.name in self.out and told.state is api.NodeState.UP:
             return replace(told, state=api.NodeState.DRAINING)
@@ -132,7 +136,7 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """What the core must know of a request. What it carries is the backend's business."""
+    """What the core must know of a request; its content is known to the backend alone."""
 
     cls: int
     plan: int
@@ -140,11 +144,11 @@
     units: float
     shard: int | None
     hosts: int
-    deadline: float  # on the core's clock: when the client stops waiting
+    deadline: float  # on the loop's clock: when the client stops waiting
     key: str | None = None
     repeat: bool = False
-    upload: bool = False  # its last byte is still to come; its deadline counts from then on
-    id: str = ""  # by which its client knows it
+    upload: bool = False  # its last byte is still to be received; its deadline counts from then on
+    id: str = ""  # the client's id of it
     front: str = "http"
 
 
@@ -158,10 +162,10 @@
     address: str
     expires: float
     began: float
-    wait: float = 0.0  # s that the broker waits for the answer
-    life: str = ""  # the node's name and start: another life of it does not know what this one was told
-    written: bool = False  # the last byte may have left this machine
-    begun: bool = False  # so may a part of a long body
+    wait: float = 0.0  # s that the broker waits for the response
+    life: str = ""  # the node's incarnation: name and start
+    written: bool = False  # the last byte may have been sent
+    begun: bool = False  # a part of a streamed body may have been sent
     on_written: Callable[[Attempt], None] | None = None
     scope: asyncio.Timeout | None = None
     given_up: bool = False
@@ -169,7 +173,7 @@
     why: api.Reason | None = None
     took: float = 0.0  # s, once it has ended
     ending: Ending | None = None
-    write_by: float = inf  # by then the last byte has left, or the attempt is called off
+    write_by: float = inf  # by then the last byte has been sent, or the attempt is cancelled
 
     def wrote(self) -> None:
         """Called by the backend once the last byte may have left."""
@@ -181,21 +185,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """How an attempt ended, and what the node sent along."""
+    """How an attempt ended, and what the node sent."""
 
     ending: Ending
     body: bytes = b""
-    kind: str = ""  # the media type of the body, where the wire has one
-    use: float | None = None  # the volume's use in a finished period, in usual rates
+    kind: str = ""  # the media type of the body, if the protocol has one
+    use: float | None = None  # the volume's use in a finished period, as a multiple of its plan's rate
     elsewhere: float = 0.0
     load: Mapping[str, float] = field(default_factory=dict)
-    relay: Callable[[], Awaitable[Ending]] | None = None  # passes on a long answer, whose start body is
+    relay: Callable[[], Awaitable[Ending]] | None = (
+        None  # streams the rest of a long response, which begins with body
+    )
 
 
 class Verdict(Enum):
     SERVED = "served"
-    REFUSED = "refused"  # a new try does no harm
-    FAILED = "failed"  # no claim on whether it took effect
+    REFUSED = "refused"  # it did not run: a retry is safe
+    FAILED = "failed"  # it may have taken effect
 
 
 @dataclass(frozen=True, slots=True)
@@ -206,22 +212,22 @@
     reply: Reply | None = None
     retry_after: float = 0.0
     cause: Ending | None = None  # how the last attempt ended, if there was one
-    why: api.Reason | None = None  # the module's
-    own: Own = Own.NOTHING  # the core's, where the module had no part in it
+    why: api.Reason | None = None  # the scheduler's
+    own: Own = Own.NOTHING  # the core's, if the scheduler had no part in it
 
 
 @dataclass(slots=True, eq=False)
 class Ended:
-    """A request that is over, or open still, as a recorder is told of it. Times are the core's clock's."""
+    """A request that has ended, or is in flight, as a recorder gets it. Times are on the loop's clock."""
 
     came: float
     at: float
-    verdict: Verdict | None  # None: its client left, or it is open
+    verdict: Verdict | None  # None: its client disconnected, or it is in flight
     own: Own = Own.NOTHING
     why: api.Reason | None = None
-    request: Request | None = None  # None: a front answered it by itself; then these say what is known of it
+    request: Request | None = None  # None: a server answered it by itself; the fields below identify it
     tries: list[Attempt] = field(default_factory=list)
-    first: str = ""  # the id of the try that it is a client's retry of
+    first: str = ""  # the id of the request that the client retries
     rivals: int = 0
     id: str = ""
     volume: str = ""
@@ -230,27 +236,27 @@
 
 
 class Recorder(Protocol):
-    """Is told of every request once, when it is over."""
+    """Gets every request once, when it has ended."""
 
     def came(self, request: Request, now: float) -> tuple[str, int]:
-        """A marked retry: the id of its first try, and how many it could be."""
+        """A marked retry: the id of the request that it repeats, and how many candidates there were."""
 
     def ended(self, ended: Ended) -> None: ...
 
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """What operators read of a broker, as it is now."""
+    """Figures of a broker for its operators."""
 
     answers: Mapping[str, Mapping[Verdict, int]]  # by class, since the start
-    tries: int  # attempts written whole
+    tries: int  # attempts written completely
     open: int  # requests
     known: int  # nodes in the list
-    skipped: int  # nodes of these that get nothing now
+    skipped: int  # of these, nodes that get no requests now
 
 
 class Backend(Protocol):
-    """One request on one wire: carries out an attempt. Cancelled, it must close the connection it used."""
+    """Carries out attempts of one request over one protocol; cancelled, it closes the connection it used."""
 
     async def attempt(self, attempt: Attempt) -> Reply: ...
 
@@ -260,21 +266,24 @@
     id: int
     request: Request
     wait: float  # s that its client waits
-    margin: float  # s before its deadline at which its budget ends
+    margin: float  # s between the end of its budget and its deadline
     limit: asyncio.Timeout | None = None
     waiter: asyncio.Future[Attempt | Answer] | None = None
-    step: Attempt | Answer | None = None  # given before anybody waited for it
+    step: Attempt | Answer | None = None  # decided before anybody waited for it
     attempts: int = 0
     current: Attempt | None = None
     cause: Ending | None = None
-    over: bool = False  # it has its answer, or its client has gone; kept until the module has been told
+    over: bool = False  # answered, or its client disconnected; kept until the scheduler knows
     came: float = 0.0
     tries: list[Attempt] = field(default_factory=list)
     first: tuple[str, int] = ("", 0)
 
 
 class Core:
-    """The facade over the decision module, for one event loop."""
+    """The facade over the scheduler, for one event loop.
+
+    The broker owns it. A fault of the scheduler is logged; the requests concerned fail at their deadlines.
+    """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings = settings
@@ -282,38 +291,38 @@
         self.endings: Counter[Ending] = Counter()
         self._answers = {cls.name: dict.fromkeys(Verdict, 0) for cls in settings.classes}
         self._tries = 0
-        self.version: int | None = None  # of the node list; None: none has been told yet
+        self.version: int | None = None  # of the node list; None: there is none yet
         self.recorder: Recorder | None = None
         self.lists = 0  # how often the list has changed
         self._ask_room: Callable[[str, float], None] = lambda node, units: None
-        self.on_list: Callable[[NodeList], None] | None = None  # told of each list from the source itself
-        self.silent = False  # whether the source of the node list has stopped to answer
-        self.watching = asyncio.Event()  # set whenever the module asks for the list's changes
+        self.on_list: Callable[[NodeList], None] | None = None  # called with each list from the source itself
+        self.silent = False  # whether the source of the node list is unreachable
+        self.watching = asyncio.Event()  # set whenever the scheduler asks for the list's changes
         self._scheduler = Scheduler(settings, seed)
         self._loop = asyncio.get_running_loop()
-        # Guard: one fixed step between the clocks. A node's start must not seem to move with the wall clock.
+        # Fixed once: a node's start must not move when the wall clock is adjusted.
         self._unix_offset = time.time() - self._loop.time()
         self._events: list[api.Event] = []
         self._wake: asyncio.TimerHandle | None = None
         self._places = RequestLimit(NO_BOUND)
-        self._told = NO_BOUND  # places, as the module knows them
+        self._told = NO_BOUND  # the limit that the scheduler knows
         self._last_tick = -inf
         self._tickets: dict[int, _Ticket] = {}
-        self._over: list[int] = []  # tickets to forget once the next batch has told the module
+        self._over: list[int] = []  # tickets to delete after the next batch
         self._open = 0
         self._serial = 0
-        self._members: dict[str, Member] = {}  # as told, whoever is out
+        self._members: dict[str, Member] = {}  # as reported, without maintenance
         self.maintenance = Maintenance()
-        self._given_up: float | None = None  # since then whatever comes is answered at once
+        self._given_up: float | None = None  # since then new requests are rejected at once
         self._idle = asyncio.Event()
         self._idle.set()
 
-    # What the fronts use.
+    # What the servers use.
 
     async def serve(self, request: Request, backend: Backend) -> Answer:
-        """Take a request to its one final answer. Cancelled, the client has gone and nothing is owed."""
-        # Guard: the module takes the longest wait it has seen in a class for that of a first try. One client
-        # that claims to wait longer than the class allows would make all others look like late retries.
+        """Serve a request up to its one final answer. Cancellation means that the client has disconnected."""
+        # The scheduler takes the longest wait seen in a class for that of a first request. One client that
+        # claims to wait longer than the class allows would make all others look like late retries.
         allowed = self._loop.time() + self.settings.classes[request.cls].deadline
         request.deadline = min(request.deadline, allowed)
         if self._given_up is not None:
@@ -326,7 +335,7 @@
     async def _serve(self, request: Request, backend: Backend) -> Answer:
         ticket = self._take(request)
         answer: Answer | None = None
-        # Guard: a client's late retry may bring less time than the last resort takes; the module decides.
+        # A client's late retry may have less time left than the last resort; the scheduler still decides.
         latest = max(
             request.deadline - LAST_RESORT * ticket.margin,
             self._loop.time() + DECISION_TICKS * self.settings.tick,
@@ -344,7 +353,7 @@
                             answer = Answer(Verdict.SERVED, reply)
         except TimeoutError:
             if answer is None:
-                # Guard: a module without a word, or a loop that ran late, must leave no client unanswered.
+                # Even without a decision, or on a loop that is late, each client gets an answer.
                 own = Own.LAST_RESORT if self._given_up is None else Own.ENDING
                 if own is Own.LAST_RESORT:
                     log.warning("request.undecided")
@@ -378,7 +387,7 @@
         volume: str = "",
         front: str = "http",
     ) -> None:
-        """A front has answered a request of this class by itself: it is not one that the core could take."""
+        """Record that a server rejected a request of this class by itself; the core has not served it."""
         if cls is not None:
             self._answers[self.settings.classes[cls].name][verdict] += 1
         if self.recorder is not None:
@@ -386,7 +395,7 @@
             self.recorder.ended(Ended(now, now, verdict, own, id=id, volume=volume, front=front, cls=cls))
 
     def find(self, id: str) -> list[Ended]:
-        """The open requests of this id."""
+        """The requests in flight with this id."""
         now = self._loop.time()
         return [
             Ended(
@@ -414,7 +423,7 @@
         )
 
     async def pick(self, ticket: _Ticket) -> Attempt | Answer:
-        """The next step of a request: an attempt to carry out, or its final refusal or failure."""
+        """The next step of a request: an attempt to carry out, or its final rejection or failure."""
         if ticket.step is None:
             ticket.waiter = self._loop.create_future()
             try:
@@ -425,7 +434,7 @@
         return step
 
     def report(self, attempt: Attempt, reply: Reply) -> None:
-        """How an attempt ended; each is reported once."""
+        """Report how an attempt ended; repeated reports are ignored."""
         if attempt.reported:
             return
         attempt.reported = True
@@ -452,7 +461,7 @@
         )
 
     def tick(self) -> None:
-        """Hand the module what has happened since the last tick and carry out what it says."""
+        """Pass the events since the last tick to the scheduler and carry out its actions."""
         now = self._loop.time()
         places = self._places.now(now, now - self._wake.when() if self._wake else 0.0)
         self._wake, self._last_tick = None, now
@@ -465,13 +474,13 @@
             for action in self._scheduler.handle(now, events):
                 self._act(action)
         except Exception:
-            # Guard: the requests concerned fail at their deadlines; the broker goes on serving the others.
+            # The requests concerned fail at their deadlines; the broker goes on serving the others.
             log.exception("module.failed", events=len(events))
         for number in over:
             del self._tickets[number]
 
     def update(self, news: NodeList, restored: bool = False) -> None:
-        """Take in a node list, or changes of it, as its source told them."""
+        """Apply a node list, or changes of it, from its source; ``restored``: from an earlier process."""
         self.version, self.silent = news.version, False
         kind = api.ListKind.FULL if news.full else api.ListKind.CHANGES
         self._take_in(news, api.ListKind.RESTORED if restored else kind)
@@ -495,10 +504,10 @@
         self._hurry()
 
     def _hurry(self) -> None:
-        """Call off what is not on its way to a node by the end of the grace within which sends to one that
-        drains, or has gone, have to cease.
+        """Cancel attempts to draining or removed nodes that are not written within the drain grace.
 
-        Guard: an attempt may wait for its connection for longer than that, having been handed out before.
+        An attempt that began before may wait for its connection for longer than the grace, within which
+        sends to such a node must cease.
         """
         latest = self._loop.time() + self.settings.drain_grace
         for ticket in self._tickets.values():
@@ -525,7 +534,7 @@
         )
 
     def maintain(self, state: Maintenance) -> None:
-        """From now on these nodes are out, and those back."""
+        """Replace the maintenance state and update the scheduler for the nodes it changes."""
         before, self.maintenance = self.maintenance, state
         changed = [m for m in self._members.values() if before.joined(m) != state.joined(m)]
         if changed:
@@ -533,37 +542,39 @@
             self._hurry()
 
     def share(self, part: float, sent: Mapping[str, float] | None = None) -> None:
-        """This process is one of several that count as one broker; what the others sent to nodes of late."""
+        """Use this share of the broker's budget; ``sent`` is what its other processes sent recently."""
         self._push(api.BudgetShare(part, sent or {}))
 
     def bound(self, places: int) -> None:
-        """How many requests may be open before the wire has no place for others, while this is in time."""
+        """Limit the requests in flight, so that the servers keep connections for others."""
         self._places.most = self._told = places
         self._push(api.OpenRequestLimit(places))
 
     def pool_room(self, part: float, ask: Callable[[str, float], None]) -> None:
-        """This part of what cold nodes bear is lent among the brokers; ``ask`` is called with the name of a
-        node and the units for which room is wanted, as often as the module likes."""
+        """Pool this fraction of the capacity of nodes in slow start among the brokers.
+
+        ``ask`` is called with the name of a node and the units wanted, as often as the scheduler likes.
+        """
         self._ask_room = ask
         self._push(api.CapacityPool(part))
 
     def room_lent(self, node: str, units: float, time: float) -> None:
-        """Room that another broker has lent, to be used within that time (s)."""
+        """Use capacity that another broker has lent, within ``time`` seconds."""
         self._push(api.CapacityLoan(node, units, time))
 
     def started(self, member: Member) -> float | None:
-        """When a node last started, on the loop's clock; None: long ago."""
+        """When a node last started, on the loop's clock; None if that is unknown."""
         return self._clock(member.since_ms)
 
     def sent(self) -> dict[str, float]:
         return self._scheduler.sent()
 
     def remember(self) -> api.RestartState:
-        """What the next process of this broker may take up, on the loop's clock."""
+        """The state for the next process of this broker; times are on the loop's clock."""
         return self._scheduler.remember()
 
     def recall(self, told: api.RestartState) -> None:
-        """What an earlier process of this broker left."""
+        """Apply the state that an earlier process of this broker saved."""
         self._push(told)
 
     def list_unavailable(self) -> None:
@@ -571,18 +582,18 @@
         self._push(api.NodeListFailure())
 
     def restrain(self, member: Member) -> None:
-        """Give a node no new work, on another's word than that of the list's source."""
+        """Send a node no new requests, on information that is not from the list's source."""
         if member.name in self._members and member.state is not api.NodeState.UP and self.version is not None:
             self._take_in(NodeList(self.version, False, (member,)), api.ListKind.CHANGES)
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """The list as told."""
+        """The node list as reported, without maintenance."""
         return tuple(self._members.values())
 
     @property
     def ready(self) -> bool:
-        """Whether there is a node to send to."""
+        """Whether any node is up."""
         return any(
             self.maintenance.joined(member).state is api.NodeState.UP for member in self._members.values()
         )
@@ -592,18 +603,20 @@
         return self._open
 
     def give_up(self) -> None:
-        """Answer whatever is open, and whatever still comes, at once: the process ends. What already flows
-        to its client goes on."""
+        """Answer all requests in flight, and reject new ones, at once: the process ends.
+
+        Responses that are being streamed go on.
+        """
         self._given_up = self._loop.time()
         for ticket in self._tickets.values():
             if ticket.limit is not None and not ticket.limit.expired():
                 ticket.limit.reschedule(self._given_up)
 
     async def idle(self) -> None:
-        """Wait until no request is open."""
+        """Wait until no request is in flight."""
         await self._idle.wait()
 
-    # Between the facade and the module.
+    # Between the facade and the scheduler.
 
     def _clock(self, since_ms: float) -> float | None:
         return since_ms / 1000 - self._unix_offset if since_ms > 0 else None
@@ -643,7 +656,7 @@
         self.counts[answer.verdict.value if answer else "client gone"] += 1
         if answer is not None:
             self._answers[self.settings.classes[ticket.request.cls].name][answer.verdict] += 1
-        # An attempt handed out in the moment the client left was never carried out, and still gets its end.
+        # An attempt decided as the client disconnected was never carried out; its end is still reported.
         for attempt in (ticket.current, ticket.step):
             if isinstance(attempt, Attempt):
                 self.report(attempt, Reply(Ending.GIVEN_UP if attempt.scope else Ending.NOT_STARTED))
@@ -681,7 +694,7 @@
             return Reply(Ending.BROKEN)
 
     def _push(self, event: api.Event) -> None:
-        """Into the next batch. Batches are a tick apart, so that a burst costs the module one call."""
+        """Add an event to the next batch; batches are a tick apart, so that a burst costs one call."""
         self._events.append(event)
         if self._wake is None:
             when = max(self._last_tick + self.settings.tick, self._loop.time())
@@ -710,7 +723,7 @@
             case api.Report(text):
                 log.info("module.state", shards=text)
             case api.Probe(node):
-                # No deployment of ours lets the module probe: settings say so, and it asks for none.
+                # No deployment's settings let the scheduler probe, and it asks for none.
                 self._push(api.ProbeEnd(node, api.Outcome.MOOT, 0.0))
 
     def _send(
@@ -722,11 +735,11 @@
         within: float = inf,
     ) -> None:
         ticket, now = self._tickets.get(request), self._loop.time()
-        member = self._members.get(node)  # none: it has gone, and no longer has an address
+        member = self._members.get(node)  # None: it was removed, and has no address
         number = ticket.attempts if ticket else 0
         expires = min(ticket.request.deadline - ticket.margin if ticket else now, now + (timeout or inf))
         if ticket is not None and ticket.request.upload:
-            expires = inf  # the client's time has not begun; the backend sees to it that the body moves on
+            expires = inf  # the client's time has not begun; the backend bounds the time of each chunk
         wait = min(expires - now, ticket.wait if ticket else 0.0)
         life = f"{node}@{member.since_ms if member else 0}"
         attempt = Attempt(
@@ -747,7 +760,7 @@
             if self.recorder is not None:
                 ticket.tries.append(attempt)
         if ticket is None or ticket.over or member is None:
-            # Guard: the client left while this was decided, or the list never told where the node is.
+            # The client disconnected meanwhile, or the list does not have the node's address.
             self.report(attempt, Reply(Ending.NOT_STARTED))
             return
         ticket.current = attempt
