--- a/cherrycove/broker/warm_restart/restore.py
+++ b/cherrycove/broker/warm_restart/restore.py
@@ -42,10 +42,12 @@
     """Hand the scheduler what is usable of a snapshot.
 
     Args:
-        core: the core whose scheduler receives it. rows: the snapshot. broker: this broker's name; a snapshot
-        of another broker is unusable. source: where it is from, for the log. sent_is_known: whether the units
-        sent to nodes in slow start were received elsewhere already. They must
-            not count twice.
+        core: the core whose scheduler receives it.
+        rows: the snapshot.
+        broker: this broker's name; a snapshot of another broker is unusable.
+        source: where it is from, for the log.
+        sent_is_known: whether the units sent to nodes in slow start were received elsewhere already. They
+            must not count twice.
 
     Raises:
         UnusableError: nothing of it is usable.
