--- a/cherrycove/tier/batch/store/call_handlers.py
+++ b/cherrycove/tier/batch/store/call_handlers.py
@@ -20,6 +20,7 @@
 from cherrycove.tier.protocol import batch_methods
 from cherrycove.tier.protocol import batch_pb2 as pb
 from cherrycove.tier.protocol.calls import CallRegistry
+from cherrycove.tier.replication.interface import not_primary_failure
 
 MAX_READ_WAIT_S = 2.0
 
@@ -158,9 +159,7 @@
         return Ok(pb.ReportReply())
 
     def _not_primary(self) -> Err[Failure]:
-        primary = self._group.primary
-        hint = primary.address if primary is not None else ""
-        return Err(Failure(ErrorKind.NOT_PRIMARY, "this store does not lead", hint))
+        return Err(not_primary_failure(self._group, "this store does not lead"))
 
 
 def _unknown_job() -> Err[Failure]:
--- a/cherrycove/tier/controlplane/configuration_service.py
+++ b/cherrycove/tier/controlplane/configuration_service.py
@@ -4,14 +4,14 @@
 
 import asyncio
 import logging
-from collections.abc import AsyncIterator
-from contextlib import asynccontextmanager
+from contextlib import AbstractAsyncContextManager
 
 from result import Err, Ok, Result
 
 from cherrycove.tier.configuration import parse_configuration
 from cherrycove.tier.controlplane.barrier_proposer import BarrierProposer
 from cherrycove.tier.controlplane.configuration_state import AcceptOutcome, content_digest
+from cherrycove.tier.controlplane.exclusive_access import exclusive_access
 from cherrycove.tier.controlplane.leadership import Leadership
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.errors import ErrorKind, Failure
@@ -73,19 +73,9 @@
                 return Ok(None)
             return await self._commit(command.ok_value, deadline - loop.time())
 
-    @asynccontextmanager
-    async def _exclusive_access(self, timeout_s: float) -> AsyncIterator[bool]:
+    def _exclusive_access(self, timeout_s: float) -> AbstractAsyncContextManager[bool]:
         """Hold the lock; yields False where it was not free within ``timeout_s``."""
-        try:
-            async with asyncio.timeout(timeout_s):
-                await self._lock.acquire()
-        except TimeoutError:
-            yield False
-            return
-        try:
-            yield True
-        finally:
-            self._lock.release()
+        return exclusive_access(self._lock, asyncio.get_running_loop().time() + timeout_s)
 
     def _check(self, body: bytes, base_version: int) -> Result[AcceptConfiguration | None, Failure]:
         """Return the command to commit, or None when exactly this document is committed already.
--- a/cherrycove/tier/controlplane/controller.py
+++ b/cherrycove/tier/controlplane/controller.py
@@ -15,7 +15,6 @@
 from cherrycove.tier.controlplane.retirement import RetirementService
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.controlplane.status_service import StatusService
-from cherrycove.tier.controlplane.store_group_bootstrap import full_size
 from cherrycove.tier.controlplane.store_group_reconciler import StoreGroupReconciler
 from cherrycove.tier.controlplane.topics import ControlTopics
 from cherrycove.tier.distribution.cluster_view import ClusterView
@@ -23,6 +22,7 @@
 from cherrycove.tier.protocol.calls import Caller, CallRegistry
 from cherrycove.tier.protocol.controller_methods import STATUS
 from cherrycove.tier.replication.interface import Group
+from cherrycove.tier.replication.quorums import target_group_size
 from cherrycove.tier.settings import Settings
 
 
@@ -123,7 +123,7 @@
             self._leadership,
             self.directory.store_inventory,
             self._coordinator.stores_had_time_to_announce,
-            full_size(self._settings),
+            target_group_size(self._settings.fault_tolerance.machine_failures),
         )
         return OperatorApi(self._leadership, configuration, retirement)
 
--- a/cherrycove/tier/controlplane/retirement.py
+++ b/cherrycove/tier/controlplane/retirement.py
@@ -9,6 +9,7 @@
 from result import Err, Ok, Result
 
 from cherrycove.tier.controlplane.barrier_proposer import BarrierProposer
+from cherrycove.tier.controlplane.exclusive_access import exclusive_access
 from cherrycove.tier.controlplane.leadership import Leadership
 from cherrycove.tier.controlplane.state import ControlState
 from cherrycove.tier.controlplane.storage_machines import same_machine
@@ -61,15 +62,10 @@
         identical earlier one may be, and may be sent again; DEADLINE: it may have been committed.
         """
         deadline = asyncio.get_running_loop().time() + RETIRE_TIMEOUT_S
-        try:
-            async with asyncio.timeout_at(deadline):
-                await self._lock.acquire()
-        except TimeoutError:
-            return Err(Failure(ErrorKind.UNAVAILABLE, "earlier orders are still being decided"))
-        try:
+        async with exclusive_access(self._lock, deadline) as acquired:
+            if not acquired:
+                return Err(Failure(ErrorKind.UNAVAILABLE, "earlier orders are still being decided"))
             return await self._order(node_name, deadline)
-        finally:
-            self._lock.release()
 
     def state(self, node_name: str) -> Result[RetireState, Failure]:
         """Return how far the order for ``node_name`` is; NOT_FOUND without one, or NOT_PRIMARY."""
--- a/cherrycove/tier/controlplane/store_group_bootstrap.py
+++ b/cherrycove/tier/controlplane/store_group_bootstrap.py
@@ -7,6 +7,7 @@
 from cherrycove.tier.controlplane.process_registry import Registration
 from cherrycove.tier.program_names import STORE_PROGRAM
 from cherrycove.tier.protocol.control_pb2 import Announcement, Replica
+from cherrycove.tier.replication.quorums import target_group_size
 from cherrycove.tier.settings import Settings
 
 GATHER_S = 1.0  # after the first store was seen, so that all are seen
@@ -14,11 +15,6 @@
 LAST_RESORT_S = 5.0  # after this the group is formed of whatever is alive
 
 
-def full_size(settings: Settings) -> int:
-    """Return the size at which a group keeps a majority after as many losses as are tolerated (2f + 1)."""
-    return 2 * settings.fault_tolerance.machine_failures + 1
-
-
 class StoreGroupBootstrap:
     """Collects the stores seen in one epoch, and chooses when enough of them were seen for long enough.
 
@@ -48,7 +44,7 @@
         waited_s = now - self._first_seen
         if waited_s >= LAST_RESORT_S:
             return self._pick(fresh if self._is_enough(fresh) else present)
-        if waited_s >= GATHER_S and len(fresh) >= full_size(self._settings):
+        if waited_s >= GATHER_S and len(fresh) >= self._target_size():
             return self._pick(fresh)
         stable = now - self._seen_since >= GATHER_S
         if waited_s >= SPARSE_GATHER_S and stable and self._is_enough(fresh):
@@ -63,8 +59,11 @@
     def _is_enough(self, stores: Sequence[Announcement]) -> bool:
         return len(stores) > self._settings.fault_tolerance.machine_failures
 
+    def _target_size(self) -> int:
+        return target_group_size(self._settings.fault_tolerance.machine_failures)
+
     def _pick(self, stores: Iterable[Announcement]) -> list[Replica]:
-        chosen = _spread_over_zones(stores)[: full_size(self._settings)]
+        chosen = _spread_over_zones(stores)[: self._target_size()]
         return [
             Replica(
                 member_id=store.member_id,
--- a/cherrycove/tier/controlplane/store_group_reconciler.py
+++ b/cherrycove/tier/controlplane/store_group_reconciler.py
@@ -11,13 +11,14 @@
 from cherrycove.tier.controlplane.leadership_period import LeadershipPeriod
 from cherrycove.tier.controlplane.retirement_check import CommittedMembership, blocking_reason
 from cherrycove.tier.controlplane.state import ControlState
-from cherrycove.tier.controlplane.store_group_bootstrap import StoreGroupBootstrap, full_size
+from cherrycove.tier.controlplane.store_group_bootstrap import StoreGroupBootstrap
 from cherrycove.tier.controlplane.store_inventory import StoreInventory, order_updates, record_updates
 from cherrycove.tier.controlplane.store_members import StoreMembersReader
 from cherrycove.tier.program_names import STORE_PROGRAM
 from cherrycove.tier.protocol.calls import Caller
 from cherrycove.tier.protocol.keeper_pb2 import Command, FormStoreGroup, Retired, RetireOrder
 from cherrycove.tier.replication.interface import Group
+from cherrycove.tier.replication.quorums import target_group_size
 from cherrycove.tier.settings import Settings
 
 INTERVAL_S = 0.1  # between two passes
@@ -97,7 +98,9 @@
             if committed is None or not self._period.is_leading():
                 return
             controllers = CommittedMembership.of_controllers(committed)
-            reason = blocking_reason(order, controllers, stores, full_size(self._settings))
+            reason = blocking_reason(
+                order, controllers, stores, target_group_size(self._settings.fault_tolerance.machine_failures)
+            )
             self._log_reason(order, reason or "")
             if reason is None:
                 await self._propose(Command(retired=_retired(order)))
--- a/cherrycove/tier/controlplane/store_members.py
+++ b/cherrycove/tier/controlplane/store_members.py
@@ -12,7 +12,7 @@
 from cherrycove.tier.protocol.calls import Caller, CallRegistry
 from cherrycove.tier.protocol.controller_methods import STORE_MEMBERS
 from cherrycove.tier.protocol.keeper_pb2 import StoreMembersReply, StoreMembersRequest
-from cherrycove.tier.replication.interface import Group
+from cherrycove.tier.replication.interface import Group, not_primary_failure
 
 CALL_TIMEOUT_S = 0.5
 
@@ -40,9 +40,7 @@
         """Return the members in force; NOT_PRIMARY, with the primary's address if known, where unsure."""
         committed = self._group.committed_members()
         if committed is None:
-            primary = self._group.primary
-            address = "" if primary is None else primary.address
-            return Err(Failure(ErrorKind.NOT_PRIMARY, "no member list in force is known here", address))
+            return Err(not_primary_failure(self._group, "no member list in force is known here"))
         return Ok(
             StoreMembersReply(
                 epoch=self._group.epoch,
--- a/cherrycove/tier/replication/group_membership.py
+++ b/cherrycove/tier/replication/group_membership.py
@@ -7,7 +7,7 @@
 from cherrycove.tier.replication.interface import MemberIdentity
 from cherrycove.tier.replication.log import ReplicatedLog
 from cherrycove.tier.replication.membership import IndexedMembership, Members, Membership
-from cherrycove.tier.replication.quorums import JointConfiguration
+from cherrycove.tier.replication.quorums import JointConfiguration, target_group_size
 
 #: Epoch of the entry with the initial members, which counts as committed.
 INITIAL_EPOCH = 0
@@ -47,7 +47,7 @@
     @property
     def target_size(self) -> int:
         """Number of members with which a majority survives the loss of ``faults`` disks."""
-        return 2 * self._faults + 1
+        return target_group_size(self._faults)
 
     @property
     def is_member(self) -> bool:
--- a/cherrycove/tier/replication/interface.py
+++ b/cherrycove/tier/replication/interface.py
@@ -8,7 +8,7 @@
 import attrs
 from result import Result
 
-from cherrycove.tier.errors import Failure
+from cherrycove.tier.errors import ErrorKind, Failure
 
 
 @attrs.frozen
@@ -104,3 +104,10 @@
 
     def on_change(self, callback: Callable[[], None]) -> None:
         """Call ``callback`` after each change of role, epoch, primary or members."""
+
+
+def not_primary_failure(group: Group, detail: str) -> Failure:
+    """Return NOT_PRIMARY with the address of the replica believed to be the primary, if any."""
+    primary = group.primary
+    address = primary.address if primary is not None else ""
+    return Failure(ErrorKind.NOT_PRIMARY, detail, address)
--- a/cherrycove/tier/replication/quorums.py
+++ b/cherrycove/tier/replication/quorums.py
@@ -53,6 +53,11 @@
 Value = TypeVar("Value", int, float)
 
 
+def target_group_size(faults: int) -> int:
+    """Return the number of members with which a majority survives the loss of ``faults`` of them."""
+    return 2 * faults + 1
+
+
 def write_quorum(members: int, faults: int) -> int:
     """Return how many of ``members`` must have synced an entry that commits."""
     return min(faults + 1, members)
