--- a/cherrycove/tier/configuration.py
+++ b/cherrycove/tier/configuration.py
@@ -51,7 +51,7 @@
     resumable: bool = False  # a stream that breaks off may be resumed at another broker
     gap_aim_ms: float = 0.0  # target for the time between two events of a stream
     completion_target_ms: float = 0.0  # of batch jobs; 0: none
-    retention_s: float = 0.0  # of batch jobs: unfinished items are given up afterwards; 0: never
+    retention_s: float = 0.0  # of batch jobs: unfinished items are dead-lettered afterwards; 0: never
     max_queued_tokens: float | None = None  # None: no limit
 
     @property
