--- a/cherrycove/broker/cli/call.py
+++ b/cherrycove/broker/cli/call.py
@@ -1,8 +1,4 @@
-"""One call on a broker's operators' address, in blocking style.
-
-It owns the connection of a call and when it has waited long enough. It must never send a line with an end
-within.
-"""
+"""One call on a broker's operators' address, in blocking style."""
 
 from __future__ import annotations
 
@@ -15,12 +11,14 @@
 
 
 class CallError(OSError):
-    """Nobody answers there, or not as a broker does; the message says what happened."""
+    """Nobody answers there, or not as a broker does; the text says what happened."""
 
 
 def address(given: str | None) -> tuple[str, int]:
-    """Where to call: as given, else as the broker of this environment is told; ValueError says what is
-    wrong."""
+    """Return the address to call: the given one, else that of the broker of this environment.
+
+    ValueError if it is no HOST:PORT, or the configuration cannot be read.
+    """
     text = given or os.environ.get("RELAY_ADMIN") or _configured()
     host, _, port = (text or "").rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
@@ -44,7 +42,12 @@
 
 
 def call(place: tuple[str, int], line: str) -> list[str]:
-    """The answer's lines, without the END of those that have one; CallError if none came."""
+    """Make a call; return the answer's lines, without END.
+
+    Raises:
+        ValueError: ``line`` is more than one line, or not ASCII.
+        CallError: no answer came.
+    """
     if "\n" in line or "\r" in line:
         raise ValueError("a call is one line")
     said = bytearray()
--- a/cherrycove/broker/decision_log/__init__.py
+++ b/cherrycove/broker/decision_log/__init__.py
@@ -1,9 +1,9 @@
-"""Why it went there: what was decided on recent requests, kept within a bound of bytes, and told when asked.
+"""The decision log: what was decided on recent requests and why, kept in memory within a limit of bytes.
 
-``codes`` names what the core and the fronts decide by themselves; ``pack`` turns one request's story into
-bytes and back; ``ring`` holds such bytes and finds them again; ``retries`` joins a client's retry to its
-first try; ``sketches`` counts what no longer fits; ``book`` is all of these together, fed by the core;
-``words`` makes sentences; ``ask`` takes questions. ``report`` and ``spans`` write files and are imported
-only where they are asked for. The package must never decide anything about a request, never hold more than
-its bound, and never tell what it does not know.
+``pack`` is the codec of a request's record; ``ring`` a ring buffer of records with indexes by id, volume and
+time; ``retries`` correlates a client's retry with its first attempt; ``seen`` is a Bloom filter of recent
+ids; ``sketches`` holds summaries of what no longer fits. ``book`` combines them and receives the ended
+requests from the core. ``ask`` answers queries, ``words`` puts records into sentences, ``report`` writes an
+HTML report, and ``spans`` exports traces. ``report`` and ``spans`` are imported only where they are asked
+for. The log decides nothing about a request, and every answer says what it no longer knows.
 """
--- a/cherrycove/broker/decision_log/ask.py
+++ b/cherrycove/broker/decision_log/ask.py
@@ -1,8 +1,7 @@
-"""Questions about recent requests, and their answers in lines.
+"""Queries of the decision log, and their answers in lines.
 
-It owns the form of a question and the slices in which it is answered. It must never hold up the loop for
-longer than a slice, never answer later than ANSWER_TIME after it was asked, and never leave out what is not
-known.
+A query runs in slices, so that it never holds up the event loop for longer than ``SLICE``, and ends after
+``ANSWER_TIME`` with what it has found. Every answer says what the log no longer holds.
 """
 
 from __future__ import annotations
@@ -30,11 +29,13 @@
 
 
 class AskError(ValueError):
-    """What is no question; the message says why."""
+    """Arguments that are no query; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class Question:
+    """A query: of one id, of recent requests by volume and verdict, or of the summary."""
+
     id: str = ""
     volume: str = ""
     since: float = 300.0  # s ago
@@ -50,7 +51,7 @@
 
 
 def span(text: str) -> float:
-    """A length of time such as 90s or 5m, in seconds."""
+    """Parse a length of time such as 90s or 5m; return seconds."""
     found = SPAN.fullmatch(text)
     if not found:
         raise argparse.ArgumentTypeError(f"a time is such as 500ms, 90s, 5m or 1h, not {words.plain(text)}")
@@ -81,7 +82,7 @@
 
 
 def parse(arguments: list[str]) -> Question:
-    """The words behind ``why``, or AskError."""
+    """Parse the arguments of ``why``; AskError if they are no query."""
     try:
         given = _PARSER.parse_args(arguments)
     except argparse.ArgumentError as error:
@@ -93,7 +94,7 @@
 
 
 class _Pace:
-    """Gives the loop back after each slice, and says when the answer is due."""
+    """Yields to the event loop after each slice, and says when the answer is due."""
 
     def __init__(self, clock: Callable[[], float] = time.perf_counter) -> None:
         self._clock = clock
@@ -111,7 +112,14 @@
 async def answer(
     question: Question, book: DecisionLog, now: Callable[[], float], still_open: Callable[[str], list[Ended]]
 ) -> list[str]:
-    """The answer's lines, the first of them YES or NO. ``now`` is the machine's monotonic clock."""
+    """Return the lines of the answer, of which the first begins with YES or NO.
+
+    Args:
+        question: the query.
+        book: the decision log.
+        now: the machine's monotonic clock.
+        still_open: returns the open requests of an id.
+    """
     wall = time.time()
     pace = _Pace()
     if question.summary:
@@ -125,7 +133,7 @@
             stopped = "; it stopped where its time was over, so ask for less"
             break
         found.append(story)
-        if len(found) > 4 * question.most:  # the newest are wanted, and rings are walked one behind the other
+        if len(found) > 4 * question.most:  # the newest are wanted, and one ring is walked after the other
             found = sorted(found, key=lambda each: each.ended)[-question.most :]
     more = len(found) > question.most
     found = sorted(found, key=lambda each: each.ended)[-question.most :]
@@ -164,7 +172,7 @@
     said: list[str] = []
     for ended in still_open:
         said += _say(question, book, story_of(ended), now, wall, still_open=True)
-    # Guard: a retry is asked for by its own id, and its first try tells the whole story.
+    # For a retry, the first attempt and all its retries are shown.
     told: set[tuple[str, float]] = set()
     for story in book.find(question.id, now):
         for root in (book.find(story.first, now) or [story]) if story.first else [story]:
@@ -178,7 +186,7 @@
 
 
 def _unknown(id: str, book: DecisionLog, now: float, wall: float) -> str:
-    """Whether it never came, has been given up, or is of before the start, as far as that can be told."""
+    """Return whether an id never arrived, was dropped, or may be from before the start."""
     begun = words.when(book.seen.since, now, wall)
     if hash(id) in book.seen:
         return f"this id was here since {begun}; its record has been given up (1 stranger in 50 is told so)"
@@ -188,7 +196,7 @@
 
 
 def _gaps(book: DecisionLog, now: float, wall: float) -> list[str]:
-    """What the record no longer holds."""
+    """Return what the log no longer holds, in lines."""
     said = [f"# the record begins at {words.when(book.start, now, wall)}"]
     names = {
         "kept": "refused, failed, retried or left",
--- a/cherrycove/broker/decision_log/book.py
+++ b/cherrycove/broker/decision_log/book.py
@@ -1,8 +1,8 @@
-"""The record: every request that has ended, whoever ended it, within one bound of bytes.
+"""The decision log: every request that has ended, however it ended, within one limit of bytes.
 
-It owns the two rings, the names of nodes, the sketches, and what is told of all that has been given up. It
-must never hold more than its bound, never delay the request that it is told of by more than one insert, and
-never give an answer that leaves out what it no longer knows.
+Combines two ring buffers (one for what is likely to be asked for, one for the others), a third for what a
+predecessor has handed over, the names of nodes, the ids seen and the summaries. A request costs one
+insertion, in batches.
 """
 
 from __future__ import annotations
@@ -35,8 +35,8 @@
 from cherrycove.broker.local_codes import AnyCode, Own
 from cherrycove.scheduling.interface import Reason, Settings
 
-LEAST = 192 * 1024  # bytes; below that nothing of use fits
-KEPT = 0.85  # part of the rings' bytes for what matters
+LEAST = 192 * 1024  # bytes; a smaller limit holds nothing useful
+KEPT = 0.85  # part of the rings' bytes for records that ``matters`` selects
 FORMER = 1 / 4  # part of the rings' bytes for what a predecessor has handed over
 NODES = 256  # names of nodes at once
 MOST_NODE = 64  # characters of a name that are kept
@@ -51,16 +51,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Gaps:
-    """What a ring has given up, told with every answer."""
+    """What a ring has dropped; part of every answer."""
 
     ring: str
-    held: int  # records
-    lost: int  # records given up since the start
-    whole_since: float | None  # s on the monotonic clock: all that ended later is here; None: nothing is gone
+    held: int  # records at present
+    lost: int  # records dropped since the start
+    whole_since: float | None  # s, monotonic: all that ended later is held; None: nothing was dropped
 
 
 class Nodes:
-    """Names of nodes by small numbers; a number is given anew once all are in use."""
+    """Names of nodes by small numbers; numbers are reused once all are assigned."""
 
     def __init__(self) -> None:
         self.numbers: dict[str, int] = {}
@@ -69,7 +69,7 @@
         self._next = 0
 
     def number(self, name: str, now: float) -> None:
-        """See to it that the name has one."""
+        """Assign a number to this name unless it has one."""
         if name in self.numbers or not name:
             return
         now = int(now * 1000) / 1000  # as a record keeps it
@@ -85,18 +85,23 @@
 
     @property
     def reused(self) -> bool:
-        """Whether a number has had two names."""
+        """Whether any number has had two names."""
         return bool(self._next)
 
     def as_of(self, ended: float) -> list[str]:
-        """The names by number, for a record of that time. Guard: a number that has got another name since
-        must
-        not put a later node's name on what an earlier one did."""
+        """Return the names by number, for a record of that time.
+
+        A number that was reassigned since is left empty: a later node's name must not stand in an earlier
+        record.
+        """
         return [name if since <= ended else "" for name, since in zip(self.names, self._since, strict=True)]
 
 
 class DecisionLog:
-    """``bound`` bytes in all. Every time is the machine's monotonic clock, in seconds."""
+    """The log of one process, within ``bound`` bytes. The broker's process owns it, the core feeds it.
+
+    Every time is one of the machine's monotonic clock, in seconds, which is the same for all processes.
+    """
 
     def __init__(self, settings: Settings, bound: int, start: float) -> None:
         if bound < LEAST:
@@ -112,14 +117,13 @@
         self.former = Ring(former) if former else None
         self.nodes = Nodes()
         self.counts: Counter[str] = Counter()
-        self._pending: list[Any] = []  # told of, and not taken in yet
-        self.former_lost = 0  # pieces of the predecessor's that did not come
-        self.former_from = start  # when the predecessor began, should there have been one
-        self.on_story: Callable[[RequestRecord], None] | None = None  # told of each, as spans are
+        self._pending: list[Any] = []  # received, and not inserted yet
+        self.former_lost = 0  # chunks of the predecessor's log that did not arrive
+        self.former_from = start  # when the predecessor's log began, if there was one
+        self.on_story: Callable[[RequestRecord], None] | None = None  # called with each record, for traces
 
     def footprint(self) -> int:
-        """Bytes that it holds or may come to hold, by exact sizes of its arrays and the bounds of the
-        rest."""
+        """Return the bytes that it may hold at most: exact sizes of its arrays, limits of the rest."""
         return (
             sum(ring.footprint() for _, ring in self.rings())
             + NAMES
@@ -129,28 +133,32 @@
         )
 
     def rings(self) -> list[tuple[str, Ring]]:
+        """Return the ring buffers by their names."""
         own = [("kept", self.kept), ("plain", self.plain)]
         return own + ([("former", self.former)] if self.former else [])
 
     def gaps(self) -> list[Gaps]:
+        """Return what each ring has dropped."""
         self.flush()
         return [
             Gaps(name, ring.count, ring.lost, ring.lost_until if ring.lost else None)
             for name, ring in self.rings()
         ]
 
-    # What the core tells.
+    # Called by the core.
 
     def came(self, request: Request, now: float) -> tuple[str, int]:
-        """A request that its client has marked as a retry: what it repeats, and of how many."""
+        """Return the id of the first attempt of a marked retry, and how many it could have been."""
         self.flush()
         patience = self.settings.classes[request.cls].deadline
         return retries.claim(self.kept, request.volume, request.cls, _thing(request.key), now, patience)
 
     def ended(self, ended: Ended) -> None:
-        """A request is over. Some are taken in together: one by one, between other work, each costs three
-        times the CPU, for nothing of it is in the processor's caches. What waits is plain values: the core's
-        own objects would hold on to tasks and timers, and grow old enough for every collection to visit them.
+        """Record an ended request.
+
+        Inserted in batches: one by one, between other work, each costs three times the CPU, since nothing of
+        it is in the processor's caches. Pending requests are plain values: the core's own objects would keep
+        tasks and timers alive, and grow old enough for each garbage collection to visit them.
         """
         request, tries, why = ended.request, ended.tries, ended.why
         usual = request is not None and not ended.own and not request.repeat and self.on_story is None
@@ -196,7 +204,7 @@
             self.flush()
 
     def flush(self) -> None:
-        """Take in all that has been told; whoever asks does this first."""
+        """Insert what is pending; every query does this first."""
         pending, self._pending = self._pending, []
         for each in pending:
             if isinstance(each, RequestRecord):
@@ -222,7 +230,7 @@
         began: float,
         lasted: float,
     ) -> None:
-        """What by far the most are: served at the first attempt."""
+        """Insert a request served at its first attempt: by far the most."""
         number = self.nodes.numbers.get(node)
         record = None
         if number is not None:
@@ -269,7 +277,7 @@
         why: Reason,
         thing: int,
     ) -> None:
-        """What most of the others are: given up on before it was sent."""
+        """Insert a request that ended before it was sent: most of the others."""
         number = self.nodes.numbers.get(why.node, NO_NODE)
         verdict = "failed" if failed else "refused"
         record = None
@@ -303,6 +311,7 @@
             self.sketches.ended(at, verdict, why.code, volume)
 
     def add(self, story: RequestRecord) -> None:
+        """Insert any record."""
         for each in story.tries:
             self.nodes.number(each.node, story.ended)
         if story.why is not None:
@@ -319,10 +328,10 @@
         if self.on_story is not None:
             self.on_story(story)
 
-    # What is asked.
+    # Queries.
 
     def find(self, id: str, now: float) -> list[RequestRecord]:
-        """Every request of this id that is known, newest first; ids may be used again."""
+        """Return all records of this id, newest first; clients may reuse ids."""
         self.flush()
         found = []
         for _, ring in self.rings():
@@ -333,7 +342,7 @@
         return sorted(found, key=lambda story: -story.ended)
 
     def retries_of(self, story: RequestRecord, now: float) -> list[RequestRecord]:
-        """The requests that were joined to it, oldest first."""
+        """Return the retries that were correlated with it, oldest first."""
         self.flush()
         found = []
         for _, ring in self.rings():
@@ -346,7 +355,7 @@
     def walk(
         self, since: float, volume: str = "", only: frozenset[str] = frozenset(), now: float = 0.0
     ) -> Iterator[RequestRecord | None]:
-        """All that ended from then on and fits; None for each that does not, so that a caller may pause."""
+        """Yield what ended since then and matches, and None for each other record: the caller may pause."""
         self.flush()
         for _, ring in self.rings():
             # A volume's chain runs from new to old and ends where it is too old; time has marks.
@@ -365,6 +374,7 @@
                 yield story if fits else None
 
     def read(self, ring: Ring, at: int, now: float) -> RequestRecord | None:
+        """Return the record at this offset of a ring, None if it is malformed."""
         try:
             if not self.nodes.reused:
                 return unpack(ring.data, at, now, self.nodes.names)
@@ -375,7 +385,7 @@
     # Between two processes of one broker.
 
     def pieces(self, since: float, now: float) -> Iterator[dict[str, object]]:
-        """What a successor is handed, oldest first: records as they are, and the names they use."""
+        """Yield the records since then, oldest first, in chunks with the names that they use."""
         self.flush()
 
         def of(ring: Ring) -> Iterator[RequestRecord]:
@@ -399,7 +409,7 @@
             yield {"nodes": self.nodes.names, "records": b"".join(batch).hex()}
 
     def take_over(self, piece: dict[str, object], now: float) -> int:
-        """Take in a piece; how many records it held. PackError says that it is none."""
+        """Insert a chunk of a predecessor's log; return its records. PackError if it is malformed."""
         if self.former is None:
             return 0
         names, records = piece.get("nodes"), piece.get("records")
@@ -426,9 +436,9 @@
         return taken
 
 
-BATCH = 24  # requests taken in together
-WAITING = 2200  # bytes of one that waits, with three attempts and their reasons
-OWN = sys.getsizeof({}) + 4096 + BATCH * WAITING  # bytes of the book's own objects
+BATCH = 24  # requests inserted together
+WAITING = 2200  # bytes of a pending request with three attempts and their reasons
+OWN = sys.getsizeof({}) + 4096 + BATCH * WAITING  # bytes of the log's own objects
 
 
 def _verdict(ring: Ring, at: int) -> str:
@@ -440,7 +450,7 @@
 
 
 def story_of(ended: Ended) -> RequestRecord:
-    """What is kept of it."""
+    """Return the record of an ended request, or of an open one as it stands."""
     request = ended.request
     verdict = VERDICTS[ended.verdict] if ended.verdict is not None else "gone"
     code: AnyCode = Own(ended.own) if ended.own else ended.why.code if ended.why else Own.NOTHING
--- a/cherrycove/broker/decision_log/pack.py
+++ b/cherrycove/broker/decision_log/pack.py
@@ -1,9 +1,8 @@
-"""One request's story as bytes, and back.
+"""Codec of a request's record: fixed head, id and volume, attempts, reason of its end unless served.
 
-It owns the form of a record: fixed head, id and volume, the attempts, and the reason of its end where there
-was no served answer. It must never do I/O, never lose the order of attempts, and never read beyond a
-record's bytes. Sizes are in bytes; times in milliseconds, saturated where a field ends; L, units and
-credits in half precision.
+Pure, and never reads beyond a record's bytes. Integers in little-endian order; sizes in bytes; times in
+milliseconds, saturated where a field ends; thresholds, units and credits in half precision (IEEE 754
+binary16).
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
 HEAD = struct.Struct("<HBBIIIHBBBeH")
 TRY = struct.Struct("<HBBHHeBBeH")  # node, code, ending, at, took, L, out, queued, credits, wait
 END = struct.Struct("<HBeBBeHhHII")  # node, place, L, out, queued, credits, wait, left, refill, epoch, object
-# By far the most: hex names, and one attempt or none and a reason.
+# By far the most records: hex names, and either one attempt or none and a reason.
 PLAIN = struct.Struct(HEAD.format + "QQ" + TRY.format[1:])
 UNSENT = struct.Struct(HEAD.format + "QQ" + END.format[1:])
 LINKS, LINKS_AT = struct.Struct("<II"), 4
@@ -30,38 +29,38 @@
 MOST_NAME, MOST_TRIES = 255, 15
 NO_SHARD, NO_CLASS, NO_NODE = 0xFFFF, 0xFF, 0xFFFF
 MASK = 0xFFFFFFFF
-ENDINGS = tuple(Ending)  # by place: new ones are added behind the others
+ENDINGS = tuple(Ending)  # by number: new ones are appended
 NO_ENDING = 0xFF
 PLACES = ("", "lane", "queue")
-CLAIMED = 0x80  # beside the place: a retry has been joined to it
-_NONE = Reason(Code.NO_TIME)  # packed where the module gave none
+CLAIMED = 0x80  # beside the place: a retry has been correlated with it
+_NONE = Reason(Code.NO_TIME)  # packed where the scheduler gave none
 VERDICTS = ("served", "refused", "failed", "gone")
 FRONTS = ("http", "nbd")
 
 
 class PackError(ValueError):
-    """Bytes that are no record; the message says why."""
+    """Bytes that are no record; the text says why."""
 
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """One attempt."""
+    """One attempt of a request at a node."""
 
     node: str
     why: Reason
-    at: float  # s after the request came
+    at: float  # s after the request arrived
     took: float  # s
     ending: Ending | None
 
 
 @dataclass(slots=True)
 class RequestRecord:
-    """All that is kept of one request."""
+    """What the log holds of one request."""
 
     id: str
     volume: str
     ended: float  # s on the monotonic clock of the machine
-    took: float  # s from its coming to its end
+    took: float  # s from its arrival to its end
     verdict: str  # of VERDICTS
     code: AnyCode
     front: str = "http"
@@ -70,11 +69,11 @@
     units: float = 0.0
     shard: int | None = None
     repeat: bool = False  # a client's marked retry
-    first: str = ""  # the id of the request that it is a retry of, if that is known
-    rivals: int = 0  # how many first tries it could as well belong to
+    first: str = ""  # id of its first attempt, if it is a correlated retry
+    rivals: int = 0  # how many first attempts it could belong to
     tries: list[AttemptRecord] = field(default_factory=list)
-    why: Reason | None = None  # of its end, where the module gave one
-    object: int = 0  # 32 bits of a hash of its piece of data; of those served, not kept
+    why: Reason | None = None  # of its end, if the scheduler decided it
+    object: int = 0  # CRC-32 of the key of its object; not stored if it was served
 
 
 def _ms(seconds: float, most: int = 0xFFFF) -> int:
@@ -93,12 +92,12 @@
 
 
 def matters(story: RequestRecord) -> bool:
-    """Whether it outlives plain ones: all but those served at the first attempt, unmarked."""
+    """Return whether it is kept longer: all but unmarked requests served at their first attempt."""
     return story.verdict != "served" or len(story.tries) != 1 or story.repeat
 
 
 def pack(story: RequestRecord, number: dict[str, int] | None = None) -> bytes:
-    """A record, with its links left 0. ``number`` gives the place of each node's name."""
+    """Encode a record, with its links left 0; ``number`` holds the number of each node's name."""
     names = number or {}
     id_hex, volume_hex = HEX16.fullmatch(story.id), HEX16.fullmatch(story.volume)
     tries = story.tries[:MOST_TRIES]
@@ -172,8 +171,10 @@
     at: float,
     lasted: float,
 ) -> bytes | None:
-    """The record of a request served at its first attempt, as ``pack`` makes it; None where a field does not
-    fit as it is. By far the most are such, and this takes a third of the time."""
+    """Encode a request served at its first attempt as ``pack`` does; None if a field does not fit unchanged.
+
+    By far the most are such, and this takes a third of the time.
+    """
     if not (HEX16.fullmatch(id) and HEX16.fullmatch(volume)):
         return None
     code, _, _, level, out, queued, credits, wait, *_ = why
@@ -223,7 +224,7 @@
     why: Reason,
     thing: int,
 ) -> bytes | None:
-    """The record of a request that the module gave up on unsent, likewise."""
+    """Encode a request that ended unsent by the scheduler's decision, likewise."""
     if not (HEX16.fullmatch(id) and HEX16.fullmatch(volume)):
         return None
     code, _, place, level, out, queued, credits, wait, left, refill, epoch = why
@@ -280,7 +281,7 @@
 
 
 def end_at(data: bytes | bytearray | memoryview, at: int) -> int:
-    """Where the reason of its end lies, in a record that has one."""
+    """Return the offset of the reason of its end, in a record that has one."""
     flags, place = data[at + 2], at + HEAD.size
     for is_hex in (flags & 4, flags & 64):
         place += 8 if is_hex else 1 + data[place]
@@ -290,7 +291,7 @@
 def unpack(
     data: bytes | bytearray | memoryview, at: int, now: float, nodes: list[str] | None = None
 ) -> RequestRecord:
-    """The story there, which ended at most 49 days before ``now``; PackError if there is none."""
+    """Decode a record, which ended at most 49 days before ``now``; PackError if it is malformed."""
     try:
         return _unpack(data, at, now, nodes or [])
     except (struct.error, IndexError, ValueError) as error:
--- a/cherrycove/broker/decision_log/report.py
+++ b/cherrycove/broker/decision_log/report.py
@@ -1,8 +1,6 @@
-"""A report of the last hour in HTML: refusals by reason over time, latency by node, and the last refusals
-in words.
+"""Writes an HTML report of recent requests: refusals by reason over time, latency by node, the last refusals.
 
-It owns the page and its plots. It must never fetch anything, and never put a client's word on the page
-unescaped.
+Everything on the page comes from the broker's answers; clients' texts are escaped, and nothing is fetched.
 """
 
 from __future__ import annotations
@@ -24,7 +22,7 @@
 
 
 class ReportError(ValueError):
-    """The broker has no figures; the message is its own."""
+    """The broker has no summary; the text is its own."""
 
 
 def _whole(said: list[str]) -> dict[str, Any]:
@@ -35,7 +33,15 @@
 
 
 def write(out: Path, ask: Ask, since: str) -> Path:
-    """Ask a broker and write the report into a folder; the page's path. ReportError, OSError."""
+    """Query a broker and write the report into a folder.
+
+    Returns:
+        The path of the page.
+
+    Raises:
+        ReportError: the broker has no summary.
+        OSError: the folder or a file in it cannot be written.
+    """
     whole = _whole(ask(f"why --summary --json --since {since}"))
     rows = ask(f"why --only refused,failed --most 50 --json --since {since}")
     last = [json.loads(line) for line in rows if line.startswith("{")]
@@ -75,7 +81,7 @@
     names = [f"{row['node']}\n{row['class']}" for row in whole["nodes"]]
     for part, mark in ((50, "o"), (95, "^"), (99, "x")):
         axes.plot(range(len(names)), [row[f"p{part}_ms"] for row in whole["nodes"]], mark, label=f"{part}%")
-    # Guard: a name with a dollar would be read as a formula.
+    # matplotlib reads text between dollars as a formula.
     axes.set_xticks(
         range(len(names)), [name.replace("$", r"\$") for name in names], rotation=45, ha="right", fontsize=7
     )
--- a/cherrycove/broker/decision_log/retries.py
+++ b/cherrycove/broker/decision_log/retries.py
@@ -1,12 +1,9 @@
-"""Joins a client's marked retry, which has a new id, to the try that it repeats.
+"""Correlates a client's marked retry, which has a new id, with the attempt that it repeats.
 
-It owns the rule. It must never join a request that its client has not marked, join two retries to one try, or
-join to what was served: who asks anew after an answer is another client, or another wish.
-
-The rule: the earliest request of the same volume, class and object that ended refused, failed or left, no
-longer before the retry than a client of that class waits, and that no other retry has claimed. Two clients
-on one object are told apart by nothing on the wire, so their tries and retries pair off one to one in their
-order; how many first tries it could have been is kept beside it.
+The rule: the earliest request of the same volume, class and object that was refused, failed or abandoned, no
+longer before the retry than a client of that class waits, and that no other retry has claimed. Requests that
+were served are not repeated. Two clients of one object cannot be told apart on the wire, so their first
+attempts and retries are paired in their order; the number of candidates is recorded.
 """
 
 from __future__ import annotations
@@ -14,13 +11,16 @@
 from cherrycove.broker.decision_log.pack import CLAIMED, END, HEAD, MASK, end_at, unpack
 from cherrycove.broker.decision_log.ring import Ring
 
-MOST_STEPS = 256  # records of a volume's bucket that are looked at for one retry
+MOST_STEPS = 256  # records of a volume's bucket that are examined for one retry
 _OBJECT_AT = END.size - 4
 
 
 def claim(ring: Ring, volume: str, cls: int, thing: int, now: float, patience: float) -> tuple[str, int]:
-    """The id of the first try, and how many it could have been; ("", 0) if there is none. Marks it
-    claimed."""
+    """Claim the first attempt of a retry.
+
+    Returns:
+        Its id, and how many it could have been; ``("", 0)`` if there is none.
+    """
     oldest, found, rivals = int((now - patience) * 1000), -1, 0
     data, now_ms = ring.data, int(now * 1000)
     for steps, at in enumerate(ring.by_volume(hash(volume)), 1):
--- a/cherrycove/broker/decision_log/ring.py
+++ b/cherrycove/broker/decision_log/ring.py
@@ -1,12 +1,9 @@
-"""Records in a ring of bytes, the oldest given up first, with hash chains threaded through them.
+"""A ring buffer of records, the oldest dropped first, indexed by hash chains and marks of time.
 
-It owns where a record lies and how it is found by id, by volume and by time. It must never hold more than its
-bytes, never move a record, and never show one that has been overwritten.
-
-A record's position only grows; its place is the position modulo the ring's size. Two arrays of heads hold
-the newest position of each bucket, and each record those of the next older in its two chains. A chain runs
-from new to old, so the first position that is overwritten ends the walk: nothing is ever deleted from the
-index.
+A record's position only grows; its offset is the position modulo the ring's size. Two arrays of heads hold
+the newest position of each hash bucket (by id and by volume), and each record those of the next older in its
+two chains. A chain runs from new to old, so the first overwritten position ends a walk, and nothing is ever
+deleted from the index.
 """
 
 from __future__ import annotations
@@ -24,7 +21,7 @@
 
 
 class Ring:
-    """``room`` bytes in all, index and marks included."""
+    """A ring of ``room`` bytes in all, index and marks included; ValueError if that is too little."""
 
     def __init__(self, room: int) -> None:
         if room < LEAST_ROOM:
@@ -41,18 +38,18 @@
         self._data = bytearray(self.size)
         self.head = self.tail = self.size  # positions; 0 in a link says that there is none
         self.count = self.lost = self.added = 0
-        self.lost_until = 0.0  # s: when the newest of those given up had ended
+        self.lost_until = 0.0  # s: when the newest dropped record had ended
         self._since_mark = 0
         self._last_ms = 0
 
     def footprint(self) -> int:
-        """Bytes that it holds, whatever it has taken in."""
+        """Return the bytes that it holds, whatever was inserted."""
         return OWN + sum(
             map(sys.getsizeof, (self._data, self._ids, self._volumes, self._mark_at, self._mark_when))
         )
 
     def add(self, record: bytes, id_hash: int, volume_hash: int, ended: float) -> int:
-        """Take in a record; its position. One that is larger than a quarter of the ring is refused (0)."""
+        """Insert a record and return its position; one larger than a quarter of the ring is rejected (0)."""
         need = len(record)
         if need > self.size // 4:
             self.lost += 1
@@ -84,7 +81,7 @@
         return place
 
     def _free(self, need: int) -> None:
-        """Give up the oldest until this much more fits."""
+        """Drop the oldest until this much more fits."""
         least, last = self.head + need - self.size, -1
         while self.tail < least:
             at = self.tail % self.size
@@ -107,29 +104,30 @@
         return (self._last_ms - ((self._last_ms - low) & MASK)) / 1000
 
     def _position(self, link: int) -> int:
-        """The position that these 32 bits stand for, or 0: none, or overwritten."""
+        """Return the position that these low 32 bits stand for; 0 if there is none or it is overwritten."""
         if not link:
             return 0
         position = self.head - ((self.head - link) & MASK)
         return position if self.tail <= position < self.head else 0
 
     def by_id(self, id_hash: int) -> Iterator[int]:
-        """Places in ``data`` of the records in that bucket, newest first; others may be among them."""
+        """Yield the offsets in ``data`` of the bucket's records, newest first; others may be among them."""
         return self._chain(self._ids[id_hash & self._mask], 0)
 
     def by_volume(self, volume_hash: int) -> Iterator[int]:
+        """Yield offsets as ``by_id`` does, by volume."""
         return self._chain(self._volumes[volume_hash & self._mask], 1)
 
     def _chain(self, link: int, which: int) -> Iterator[int]:
         before = self.head
-        # Guard: a caller may stop for a while between two; what was overwritten meanwhile ends the walk.
+        # A caller may pause between two records; what was overwritten meanwhile ends the walk.
         while (position := self._position(link)) and position < before:
             at = position % self.size
             link, before = LINKS.unpack_from(self._data, at + LINKS_AT)[which], position
             yield at
 
     def since(self, when: float) -> Iterator[int]:
-        """Places of all records that ended then or later, oldest first, and of a few before."""
+        """Yield the offsets of all records that ended then or later, oldest first, and of a few before."""
         position, wanted = self.tail, int(when * 1000)
         low, high = self._first_mark, self._next_mark
         while low < high:
@@ -141,7 +139,7 @@
         if low > self._first_mark:
             position = max(self._mark_at[(low - 1) % len(self._mark_at)], self.tail)
         while position < self.head:
-            # Guard: what was overwritten since the last step is passed over, never read as what it was.
+            # What was overwritten since the last step is skipped, not read as what it was.
             position = max(position, self.tail)
             at = position % self.size
             size = self._size(at)
@@ -153,7 +151,9 @@
 
     @property
     def data(self) -> bytearray:
+        """The bytes of the ring."""
         return self._data
 
     def record(self, at: int) -> bytes:
+        """Return the bytes of the record at this offset."""
         return bytes(self._data[at : at + self._size(at)])
--- a/cherrycove/broker/decision_log/seen.py
+++ b/cherrycove/broker/decision_log/seen.py
@@ -1,10 +1,8 @@
-"""Which ids have been here of late, in a few bits each, for those whose record has been given up.
+"""A Bloom filter of recent request ids, for those whose record was dropped.
 
-It owns a Bloom filter in two generations. It must never say of an id that was here lately that it was not,
-and never grow; it may say of one in a hundred strangers that they were.
-
-A generation takes as many ids as keep it under one in a hundred; then the other one, the older, is emptied
-and takes over. So what is told covers at least the ids of one generation, and both start times are known.
+Two generations: when the younger is full, the older is emptied and takes over. What it says covers at least
+the ids of one generation, and both start times are known. It never misses an id that it covers, and takes at
+most two of a hundred unknown ids for known ones.
 """
 
 from __future__ import annotations
@@ -12,13 +10,13 @@
 import sys
 from math import log
 
-WRONG = 0.01  # of strangers that are taken for known, for one generation
+WRONG = 0.01  # false positive rate of one generation
 PROBES = 4
 LEAST = 1024  # bytes
 
 
 class Seen:
-    """``room`` bytes in all. Ids are told by their 64-bit hash."""
+    """The filter, of ``room`` bytes in all; ids are given by their 64-bit hash."""
 
     def __init__(self, room: int, now: float) -> None:
         size = max(room - 512, 2 * LEAST) // 2
@@ -31,9 +29,11 @@
         self.since, self._started = now, now  # when the older generation began, and the younger
 
     def footprint(self) -> int:
+        """Return the bytes that it holds."""
         return 512 + sys.getsizeof(self._now) + sys.getsizeof(self._before)
 
     def add(self, hashed: int, now: float) -> None:
+        """Add an id; ``now`` becomes the start of a generation if it begins one."""
         if self.count >= self.most:
             self._now, self._before = bytearray(len(self._now)), self._now
             self.since, self._started, self.count = self._started, now, 0
--- a/cherrycove/broker/decision_log/sketches.py
+++ b/cherrycove/broker/decision_log/sketches.py
@@ -1,8 +1,8 @@
-"""Counts of what no longer fits as single records: by minute for an hour, within a fixed number of places.
+"""Summaries of requests by minute for an hour, within a limit of bytes, for what no longer fits as records.
 
-It owns a space-saving table of volumes and reasons, a count by verdict and reason, and sketches of latency
-by node and class. It must never grow with the number of requests, volumes, nodes or ids, and never hide its
-error: the table tells how much too high each count may be.
+A space-saving table of volumes and reasons, counts by verdict and reason, and quantile sketches of latency by
+node and class. The size does not grow with the number of requests, volumes, nodes or ids, and every estimate
+has a stated error.
 """
 
 from __future__ import annotations
@@ -15,19 +15,20 @@
 from typing import Any
 
 MINUTES = 60
-TABLE = 32  # volumes with a reason kept for each minute
-SERIES = 48  # nodes with a class that have a latency sketch in a minute
+TABLE = 32  # entries (volume and reason) of a minute
+SERIES = 48  # latency sketches (node and class) of a minute
 ACCURACY = 0.05  # relative error of a latency
 BINS = 96  # of a sketch, at this accuracy four powers of ten
-OPEN = 176 * 1024  # bytes of an open minute with all its places taken: measured, a fifth to spare
+OPEN = 176 * 1024  # bytes of a full open minute: as measured, and a fifth more
 EACH = 128  # bytes of the objects around a packed minute
 
 
 class SpaceSaving:
-    """The heaviest of a stream in a fixed number of places (Metwally, Agrawal and El Abbadi, 2005).
+    """The most frequent keys of a stream in a fixed number of entries.
 
-    A count is never too low, and too high by no more than its error. Whatever makes up more than 1 /
-    ``size`` of the stream is in the table.
+    Space-Saving (Metwally, Agrawal and El Abbadi, "Efficient Computation of Frequent and Top-k Elements in
+    Data Streams", 2005). A count is never too low, and too high by no more than its error. Whatever makes up
+    more than 1 / ``size`` of the stream is in the table.
     """
 
     __slots__ = ("size", "total", "_counts")
@@ -37,6 +38,7 @@
         self._counts: dict[tuple[str, int], list[int]] = {}  # count, error
 
     def add(self, key: tuple[str, int], amount: int = 1, error: int = 0) -> None:
+        """Count a key; in a full table it replaces the least frequent and inherits its count as error."""
         self.total += amount
         entry = self._counts.get(key)
         if entry is not None:
@@ -50,12 +52,12 @@
             self._counts[key] = [floor + amount, floor + error]
 
     def top(self, most: int) -> list[tuple[tuple[str, int], int, int]]:
-        """Key, count and error, the heaviest first."""
+        """Return key, count and error of the most frequent."""
         rows = ((key, count, error) for key, (count, error) in self._counts.items())
         return nlargest(most, rows, key=lambda row: (row[1], row[0]))
 
     def merge(self, other: SpaceSaving) -> None:
-        """Join another table in; an absent key may have had as much as the least that is there."""
+        """Add another table to this one."""
         total = self.total + other.total
         for key, (count, error) in other._counts.items():
             self.add(key, count, error)
@@ -74,11 +76,10 @@
 
 
 class Sketches:
-    """An hour of minutes in ``room`` bytes: the one at hand open, those before it packed, the oldest
-    dropped."""
+    """The minutes of an hour in ``room`` bytes: the present one open, those before packed."""
 
     def __init__(self, room: int, minutes: int = MINUTES) -> None:
-        # Imported here: a process whose record is off must not pay for them.
+        # Imported here: a process whose decision log is disabled must not pay for them.
         import msgpack  # type: ignore[import-untyped]  # packs a minute that is over, a twentieth of its bytes as objects
         from ddsketch import LogCollapsingLowestDenseDDSketch  # quantiles with a stated error, mergeable
 
@@ -94,7 +95,7 @@
         self._until = 0.0  # s, when it is over
 
     def footprint(self) -> int:
-        """Bytes that it may hold now: the open minute at its largest, and what is packed."""
+        """Return the bytes that it may hold now: the open minute at its largest, and the packed ones."""
         return OPEN + self._bytes
 
     def _minute(self, now: float) -> Minute:
@@ -106,13 +107,14 @@
         return self._open
 
     def ended(self, now: float, verdict: str, code: int, volume: str) -> None:
+        """Count an ended request."""
         minute = self._minute(now)
         minute.counts[verdict, code] += 1
         if verdict != "served":
             minute.volumes.add((volume, code))
 
     def answered(self, now: float, node: str, cls: int, latency: float) -> None:
-        """A node's whole answer came ``latency`` seconds after its attempt began."""
+        """Count an answer that was complete ``latency`` seconds after its attempt began."""
         minute = self._minute(now)
         sketch = minute.latency.get((node, cls))
         if sketch is None:
@@ -142,7 +144,7 @@
             self._bytes -= len(self._packed.popleft()[1]) + EACH
 
     def minutes(self, since: float) -> Iterator[Minute]:
-        """All minutes from then on, oldest first."""
+        """Yield all minutes from then on, oldest first."""
         for number, packed in list(self._packed):
             if number >= int(since // 60):
                 yield self._unpacked(number, packed)
@@ -165,7 +167,7 @@
         return minute
 
     def latency(self, since: float) -> dict[tuple[str, int], Any]:
-        """Sketches by node and class over all minutes from then on."""
+        """Return sketches by node and class over all minutes from then on."""
         joined: dict[tuple[str, int], Any] = {}
         for minute in self.minutes(since):
             for key, each in minute.latency.items():
@@ -173,10 +175,12 @@
         return joined
 
     def volumes(self, since: float) -> SpaceSaving:
+        """Return the table of volumes and reasons over all minutes from then on."""
         joined = SpaceSaving(TABLE * 4)
         for minute in self.minutes(since):
             joined.merge(minute.volumes)
         return joined
 
     def counts(self, since: float) -> Counter[tuple[str, int]]:
+        """Return the counts by verdict and reason over all minutes from then on."""
         return sum((minute.counts for minute in self.minutes(since)), Counter())
--- a/cherrycove/broker/decision_log/spans.py
+++ b/cherrycove/broker/decision_log/spans.py
@@ -1,10 +1,8 @@
-"""Traces of sampled requests: the tree of attempts as OpenTelemetry spans, in a file of OTLP JSON lines.
+"""Exports traces of sampled requests: attempts as OpenTelemetry spans, as OTLP JSON lines in a file.
 
-It owns which requests are sampled and the file. It must never wait for the disk on the loop, never trace
-more refusals a second than it is told, and never keep the broker from serving: a file that cannot be
-written is said once and traces are dropped and counted.
-
-The form is that of OTLP's JSON encoding: one ExportTraceServiceRequest a line, ids in hex.
+One ``ExportTraceServiceRequest`` a line, ids in hex (OTLP specification, JSON Protobuf encoding). The file is
+written on a thread of the SDK's. A file that cannot be written is logged once; its traces are dropped and
+counted.
 """
 
 from __future__ import annotations
@@ -32,17 +30,18 @@
 
 log = Log("cherrycove.why")
 
-MOST_BYTES = 64 << 20  # of the file; then it becomes FILE.1, in the place of the one before
+MOST_BYTES = 64 << 20  # of the file; then it is renamed to FILE.1, which replaces the former one
 IDS = ("traceId", "spanId", "parentSpanId")
 
 
 class Bucket:
-    """So many a second, and as many at once."""
+    """A token bucket: ``rate`` tokens a second, and as many at once."""
 
     def __init__(self, rate: float) -> None:
         self.rate, self._level, self._at = rate, rate, 0.0
 
     def take(self, now: float) -> bool:
+        """Take a token; return whether there was one."""
         self._level = min(self.rate, self._level + max(now - self._at, 0.0) * self.rate)
         self._at = max(now, self._at)
         if self._level < 1.0:
@@ -52,14 +51,14 @@
 
 
 class Sampler:
-    """Refused and failed requests up to a rate, whole stories of retries likewise, and a part of the
-    others."""
+    """Selects refused, failed and retried requests up to a rate a second, and a random part of the others."""
 
     def __init__(self, part: float, rate: float, seed: int) -> None:
         self._part, self._bucket, self._dice = part, Bucket(rate), random.Random(seed)
         self.passed_over = 0  # refused and failed ones beyond the rate
 
     def chosen(self, story: RequestRecord) -> bool:
+        """Return whether a request is traced."""
         if story.verdict in ("refused", "failed") or story.repeat:
             if self._bucket.take(story.ended):
                 return True
@@ -69,12 +68,13 @@
 
 
 class Lines(SpanExporter):
-    """Appends to the file; called on a thread of the library's."""
+    """Appends spans to the file; called on a thread of the SDK's."""
 
     def __init__(self, path: Path) -> None:
         self._path, self._failed, self.dropped = path, False, 0
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
+        """Append the spans in one line."""
         try:
             line = json.dumps(in_hex(MessageToDict(encode_spans(spans)))) + "\n"
             if self._path.exists() and self._path.stat().st_size + len(line) > MOST_BYTES:
@@ -90,11 +90,11 @@
         return SpanExportResult.SUCCESS
 
     def shutdown(self) -> None:
-        pass
+        """Do nothing: the file is closed after each line."""
 
 
 def in_hex(message: Any) -> Any:
-    """Protobuf's JSON has bytes in base64; OTLP's has its ids in hex."""
+    """Return the message with its ids in hex, as OTLP has them; Protobuf's JSON has them in base64."""
     if isinstance(message, dict):
         return {
             key: base64.b64decode(value).hex() if key in IDS else in_hex(value)
@@ -104,7 +104,7 @@
 
 
 class Tracer:
-    """Told of each story; ``close`` writes what is left."""
+    """Makes the spans of the requests that the sampler selects. The broker's process owns it."""
 
     def __init__(self, settings: Settings, path: Path, sampler: Sampler, name: str) -> None:
         self.sampler, self.lines = sampler, Lines(path)
@@ -117,6 +117,7 @@
         self._offset = time.time() - time.monotonic()
 
     def tell(self, story: RequestRecord) -> None:
+        """Make the spans of a request if the sampler selects it."""
         if not self.sampler.chosen(story):
             return
         came = story.ended - story.took
@@ -162,4 +163,5 @@
         return int((at + self._offset) * 1e9)
 
     def close(self) -> None:
+        """Write what is pending; blocks."""
         self._provider.shutdown()
--- a/cherrycove/broker/decision_log/words.py
+++ b/cherrycove/broker/decision_log/words.py
@@ -1,7 +1,6 @@
-"""Sentences about requests, for people who do not know the broker, and the same as fields for programs.
+"""Records in sentences for people, and as fields for programs.
 
-It owns the wording. It must never let a byte out that a terminal, a page or a program could take for more
-than text: ids and volumes are clients' words.
+Ids and volumes are clients' texts: everything outside printable ASCII is escaped.
 """
 
 from __future__ import annotations
@@ -18,7 +17,7 @@
 
 
 def plain(text: str) -> str:
-    """The text in printable ASCII alone; anything else escaped."""
+    """Return the text in printable ASCII, everything else escaped."""
     return "".join(each if " " <= each <= "~" else each.encode("unicode_escape").decode() for each in text)
 
 
@@ -106,7 +105,7 @@
 
 
 def reason(story: RequestRecord) -> str:
-    """Why it ended as it did."""
+    """Return in words why a request ended as it did."""
     if isinstance(story.code, Own):
         return OWN[story.code]
     say = ENDED.get(story.code)
@@ -115,6 +114,7 @@
 
 
 def attempt(each: AttemptRecord, number: int) -> str:
+    """Return an attempt in words: why it was sent, to which node, and how it ended."""
     why = SENT.get(each.why.code)
     sent = why(each.why) if why else each.why.code.name.lower()
     ending = each.ending.value if each.ending else "still out"
@@ -123,7 +123,7 @@
 
 
 def when(ended: float, now: float, wall: float) -> str:
-    """A time of the monotonic clock in UTC, by what the two clocks show now."""
+    """Return a time of the monotonic clock in UTC, given what both clocks show now."""
     at = wall - (now - ended)
     return time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(at)) + f".{int(at % 1 * 1000):03d}Z"
 
@@ -131,7 +131,7 @@
 def lines(
     story: RequestRecord, settings: Settings, now: float, wall: float, still_open: bool = False
 ) -> list[str]:
-    """A request in sentences: one for its end, one for each attempt."""
+    """Return a request in sentences: one for its end, one for each attempt."""
     cls = settings.classes[story.cls].name if story.cls is not None else "a request"
     plan = f", plan {settings.plans[story.plan].name}" if story.plan is not None else ""
     what = f"{plain(story.id) or 'without an id'} ({cls}, volume {plain(story.volume) or 'unknown'}{plan})"
@@ -170,7 +170,7 @@
 def fields(
     story: RequestRecord, settings: Settings, now: float, wall: float, still_open: bool = False
 ) -> dict[str, Any]:
-    """A request for a program; times in ms, ``ended`` in UTC."""
+    """Return a request as JSON values; times in ms, ``ended`` in UTC."""
     return {
         "id": story.id,
         "volume": story.volume,
--- a/cherrycove/broker/lifecycle/handover.py
+++ b/cherrycove/broker/lifecycle/handover.py
@@ -162,8 +162,7 @@
 
         Raises:
             TwoLiveError: it has had another beside it for ``BUSY_TIMEOUT_S``. A third that served at once
-            would
-                have half of the budgets beside two others.
+                would have half of the budgets beside two others.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + BUSY_TIMEOUT_S
--- a/cherrycove/broker/process.py
+++ b/cherrycove/broker/process.py
@@ -54,9 +54,10 @@
     A part that fails ends the process in order; the platform starts the next.
 
     Args:
-        platform: the platform's configuration. operator: the operator's configuration. announcement: the
-        connection over which this start was announced, closed once it has met the process in
-            service.
+        platform: the platform's configuration.
+        operator: the operator's configuration.
+        announcement: the connection over which this start was announced, closed once it has met the process
+            in service.
     """
 
     def __init__(
