--- a/tests/tier/storage_crashes.py
+++ b/tests/tier/storage_crashes.py
@@ -11,13 +11,13 @@
 from pathlib import Path
 
 import attrs
+from disk_model import Contents, DiskState, RecordedDisk
 
 from cherrycove.tier.storage.entries import Entry, EntryKind
 from cherrycove.tier.storage.hard_state import HardState
 from cherrycove.tier.storage.identity import open_identity
 from cherrycove.tier.storage.replica_storage import RecoveredState, ReplicaStorage
 from cherrycove.tier.storage.snapshots import Snapshot
-from tests.tier.disk_model import Contents, DiskState, RecordedDisk
 
 IP = "10.0.0.1"
 REPLICA = "replica"  # the replica's folder below the root
--- a/tests/tier/test_storage_crashes.py
+++ b/tests/tier/test_storage_crashes.py
@@ -10,12 +10,8 @@
 from pathlib import Path
 
 import pytest
-
-from cherrycove.tier import storage
-from cherrycove.tier.storage.errors import DamagedStorageError
-from cherrycove.tier.storage.identity import open_identity, renew_identity
-from tests.tier.disk_model import SYNC_HELPERS, DiskState, RecordedDisk
-from tests.tier.storage_crashes import (
+from disk_model import SYNC_HELPERS, DiskState, RecordedDisk
+from storage_crashes import (
     HISTORIES,
     IP,
     REPLICA,
@@ -24,6 +20,10 @@
     check_history,
 )
 
+from cherrycove.tier import storage
+from cherrycove.tier.storage.errors import DamagedStorageError
+from cherrycove.tier.storage.identity import open_identity, renew_identity
+
 FAILING = ["replaced entries", "snapshots in a row", "snapshot from the primary"]
 
 
--- a/tests/tier/test_storage_lives.py
+++ b/tests/tier/test_storage_lives.py
@@ -11,11 +11,8 @@
 
 import attrs
 import pytest
-
-from cherrycove.tier.storage.entries import Entry
-from cherrycove.tier.storage.replica_storage import RecoveredState
-from tests.tier.disk_model import DiskState, RecordedDisk
-from tests.tier.storage_crashes import (
+from disk_model import DiskState, RecordedDisk
+from storage_crashes import (
     EMPTY,
     Step,
     append_entries,
@@ -26,6 +23,9 @@
     snapshot_before,
 )
 
+from cherrycove.tier.storage.entries import Entry
+from cherrycove.tier.storage.replica_storage import RecoveredState
+
 SEEDS = range(8)
 LIVES = 25
 MOST_STEPS = 16  # in one life
