--- a/tests/confined.py
+++ b/tests/confined.py
@@ -14,7 +14,7 @@
 import runpy
 import socket
 import sys
-from typing import Any
+from typing import Any, NoReturn
 
 PROGRAMS = (
     "os.fork",
@@ -37,14 +37,14 @@
         raise ConnectionRefusedError(errno.ECONNREFUSED, "nobody comes to a Unix socket")
 
 
-def absent(*_: object, **__: object) -> None:
+def absent(*_: object, **__: object) -> NoReturn:
     raise OSError(errno.ENOSYS, "refused: sendfile or splice")
 
 
 def confine() -> None:
-    os.sendfile = absent  # type: ignore[assignment]
+    os.sendfile = absent
     os.splice = absent
-    socket.socket.sendfile = absent  # type: ignore[assignment,method-assign]
+    socket.socket.sendfile = absent  # type: ignore[method-assign]  # replaced on purpose
     sys.addaudithook(refuse)
 
 
--- a/tests/golden_broker.py
+++ b/tests/golden_broker.py
@@ -159,7 +159,7 @@
     """The fields of a data class or named tuple, in their order."""
     if dataclasses.is_dataclass(kind):
         return tuple(each.name for each in dataclasses.fields(kind))
-    names: tuple[str, ...] = kind._fields  # type: ignore[attr-defined]
+    names: tuple[str, ...] = kind._fields  # type: ignore[attr-defined]  # kind is a named tuple
     return names
 
 
@@ -198,12 +198,12 @@
             *[list(each) if name == "story" and each and type(each) is tuple else each for each in values]
         )
     if isinstance(plain, str) and plain.startswith("="):
-        kind, _, rest = plain[1:].partition(".")
-        if kind == "code":
+        tag, _, rest = plain[1:].partition(".")
+        if tag == "code":
             return codes.code(int(rest))
-        if kind == "hex":
+        if tag == "hex":
             return bytes.fromhex(rest)
-        return float(kind) if kind in ("inf", "-inf") else _MEMBERS[plain]
+        return float(tag) if tag in ("inf", "-inf") else _MEMBERS[plain]
     return plain
 
 
@@ -392,7 +392,8 @@
             for name, value in settings.items():
                 plain["settings"][places[name]] = value
             super().__init__(from_plain(plain), seed)
-            self.recording, self.vary, self.said = Recording(plain, seed, []), vary(), []  # type: ignore[var-annotated]
+            self.recording, self.vary = Recording(plain, seed, []), vary()
+            self.said: list[Plain] = []
             recordings.append((self.recording, self))
 
         def handle(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
@@ -403,7 +404,7 @@
             return acts
 
     with mock.patch.object(play, "Scheduler", Recorded):
-        play.Day(dataclasses.replace(draw.draw(seed), **day)).play()  # type: ignore[arg-type]
+        play.Day(dataclasses.replace(draw.draw(seed), **day)).play()  # type: ignore[arg-type]  # ``day`` names its fields
     for recording, scheduler in recordings:
         recording.known = to_plain([scheduler.remember(), scheduler.sent(), sorted(scheduler.in_use())])
     return [recording for recording, _ in recordings]
@@ -556,7 +557,7 @@
     """The names of the parts that write log lines."""
     return sorted(
         {
-            node.args[0].value
+            str(node.args[0].value)
             for node in _walk()
             if isinstance(node, ast.Call)
             and isinstance(node.func, ast.Name)
@@ -765,7 +766,7 @@
         await asyncio.to_thread(successor)
         said.append(json.dumps(to_plain(own.maintenance)))
         await former.close()
-        former._listeners.socket.close()  # type: ignore[attr-defined]
+        former._listeners.socket.close()  # type: ignore[attr-defined]  # it is _Doors here
 
     with mock.patch.object(restore, "moment", lambda: from_plain(moment)):
         asyncio.run(talk())
@@ -819,7 +820,7 @@
         said.extend(json.dumps(to_plain(each)) for each in (*own.members, own.maintenance))
         raw.close()
         await fresh.close()
-        for each in (listening, fresh._listeners.socket, *(given or [])):  # type: ignore[attr-defined]
+        for each in (listening, fresh._listeners.socket, *(given or [])):  # type: ignore[attr-defined]  # it is _Doors here
             each.close()
 
     asyncio.run(talk())
--- a/tests/make_golden_broker.py
+++ b/tests/make_golden_broker.py
@@ -162,6 +162,18 @@
     ("nbd_option_reply", [7, 3, "=hex.000000"]),
     ("nbd_go", ["disk-ü", [0, 3]]),
 ]
+WIRE_ACTIONS: list[Plain] = [
+    {"send": [5, "d0", None, None, 0.1]},
+    {"send": [5, "d0", 0.25, None, None]},
+    {"send": [5, "d0", 1e-12, None, None]},
+    {"refuse": [5, 0.125, None]},
+    {"fail": [5, None]},
+    {"cancel": [5, 1, None]},
+    {"set_timer": [0, 0.0123456789]},
+    {"probe": ["d0"]},
+    {"watch": []},
+    {"note": ["two  words\nEND"]},
+]
 WRITTEN: list[tuple[str, list[Plain]]] = [
     ("herald_coming", []),
     ("nbd_greeting", []),
@@ -172,21 +184,7 @@
     ("directory", ["n1", "127.0.0.1", 8080, "/tmp"]),
     ("memory_path", ["/var/lib/x", "b/ü 1"]),
     ("node_key", ["d0", 1700000000123.0]),
-    *(
-        ("wire_action", [7, act])
-        for act in (
-            {"send": [5, "d0", None, None, 0.1]},
-            {"send": [5, "d0", 0.25, None, None]},
-            {"send": [5, "d0", 1e-12, None, None]},
-            {"refuse": [5, 0.125, None]},
-            {"fail": [5, None]},
-            {"cancel": [5, 1, None]},
-            {"set_timer": [0, 0.0123456789]},
-            {"probe": ["d0"]},
-            {"watch": []},
-            {"note": ["two  words\nEND"]},
-        )
-    ),
+    *(("wire_action", [7, action]) for action in WIRE_ACTIONS),
 ]
 HEALTH = [
     {
--- a/tests/support.py
+++ b/tests/support.py
@@ -24,7 +24,7 @@
 from cherrycove.scheduling.interface import NodeState
 
 ROOT = Path(__file__).parent.parent
-RAW = json.loads((ROOT / "examples/config.json").read_text())
+RAW: dict[str, Any] = json.loads((ROOT / "examples/config.json").read_text())
 fuzz = hypothesis.settings(derandomize=True, database=None, deadline=None, max_examples=60)
 Writer = asyncio.StreamWriter
 
--- a/tests/tier/admission_transcript.py
+++ b/tests/tier/admission_transcript.py
@@ -8,7 +8,6 @@
 
 import lzma
 import random
-import sys
 from collections.abc import Callable, Iterable
 from pathlib import Path
 from typing import Any
@@ -208,4 +207,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(record())
+    record()
--- a/tests/tier/cli_support.py
+++ b/tests/tier/cli_support.py
@@ -105,7 +105,7 @@
         self._runner: web.ServerRunner | None = None
 
     async def start(self) -> None:
-        self._runner = web.ServerRunner(web.Server(self._handle))  # type: ignore[arg-type]
+        self._runner = web.ServerRunner(web.Server(self._handle))
         await self._runner.setup()
         await web.TCPSite(self._runner, "127.0.0.1", 0).start()
         host, port = self._runner.addresses[0][:2]
--- a/tests/tier/disk_model.py
+++ b/tests/tier/disk_model.py
@@ -234,19 +234,19 @@
     @contextmanager
     def recording(self) -> Iterator[None]:
         """Storage's calls come here."""
-        replaced = {
-            "open": self._open_file,
-            "close": self._close,
-            "lseek": self._seek,
-            "write": self._write,
-            "ftruncate": self._truncate,
-            "fsync": self._sync,
-            "fdatasync": self._sync,
-            "rename": self._rename,
-            "unlink": self._unlink,
-            "mkdir": self._make_folder,
-        }
-        with mock.patch.multiple(os, **replaced):
+        with mock.patch.multiple(
+            os,
+            open=self._open_file,
+            close=self._close,
+            lseek=self._seek,
+            write=self._write,
+            ftruncate=self._truncate,
+            fsync=self._sync,
+            fdatasync=self._sync,
+            rename=self._rename,
+            unlink=self._unlink,
+            mkdir=self._make_folder,
+        ):
             yield
 
     def _name(self, path: Any) -> str:
--- a/tests/tier/golden_interfaces.py
+++ b/tests/tier/golden_interfaces.py
@@ -25,7 +25,7 @@
 import golden_support as support
 from aiohttp import web
 from cleo.testers.command_tester import CommandTester
-from golden_stories import OneReplica, Wire, announcement, control_state, settings
+from golden_stories import OneReplica, Wire, announcement, control_state, jobs_state, settings
 from google.protobuf.message import Message
 from loopback_ports import free_address, free_ports
 from result import Err, Ok, Result
@@ -43,9 +43,12 @@
 from cherrycove.tier.distribution.cluster_view import ClusterView
 from cherrycove.tier.errors import ANSWERS, ErrorKind, Failure
 from cherrycove.tier.protocol.batch_methods import BODY
+from cherrycove.tier.protocol.batch_pb2 import BodyRequest
 from cherrycove.tier.protocol.calls import RpcMethod
 from cherrycove.tier.protocol.control_methods import PULL
+from cherrycove.tier.protocol.control_pb2 import PullRequest
 from cherrycove.tier.protocol.controller_methods import STATUS
+from cherrycove.tier.protocol.keeper_pb2 import StatusReply, StatusRequest
 from cherrycove.tier.protocol.rpc import RpcClient, RpcServer
 from cherrycove.tier.settings import CloudApi, Settings, parse_settings
 
@@ -189,7 +192,7 @@
         with mock.patch.object(secrets, "token_hex", return_value="0123456789ab"):
             client = RpcClient()
         await client.start()
-        message = support.build("cherrycove.batch.BodyRequest", {"job_id": "job", "item_id": "item"})
+        message = support.build_as(BodyRequest, {"job_id": "job", "item_id": "item"})
         outcome = await client.call(address, BODY, message, 5.0, "disk-b")
         await client.stop()
     sent = [_normal(one.decode("latin-1"), address) for one in requests]
@@ -219,11 +222,11 @@
 
 async def _operator(group: OneReplica) -> list[list[str]]:
     wire, address = Wire(), free_address()
-    keeper = Controller(settings(), group, group.state, wire, wire)  # type: ignore[arg-type]
+    keeper = Controller(settings(), group, group.state, wire, wire)
     if group.is_confirmed_primary():
         for number in (1, 4):
             announced = {**support.plain(announcement("store", number)), "node_name": f"core-{number}"}
-            pull = support.build("cherrycove.control.PullRequest", {"announcement": announced})
+            pull = support.build_as(PullRequest, {"announcement": announced})
             await wire.call("", PULL, pull, 1.0)
     await keeper.operator_api.start(address)
     loop = asyncio.get_running_loop()
@@ -249,8 +252,8 @@
 
 async def clients() -> list[list[str]]:
     """What clients ask about batch jobs."""
-    state, wire, address = support.state_after("store", support.payloads("store")), Wire(), free_address()
-    BatchStoreService(settings(), OneReplica(state), state, wire)  # type: ignore[arg-type]
+    state, wire, address = jobs_state(), Wire(), free_address()
+    BatchStoreService(settings(), OneReplica(state), state, wire)
     configuration = parse_configuration(inputs.COMPLETE_CONFIGURATION.encode()).unwrap()
     views = ClusterView(configuration=configuration, members=(announcement("store", 1),))
     api = BatchApi(BatchClient(wire, views, settings()), views)
@@ -314,7 +317,10 @@
         proxy_response(404, "no route", "", close=False),
         proxy_response(503, "later", "id-1", close=False, retry_after_s=0.5),
     ]
-    return [[one.status, dict(one.headers), bytes(one.body or b"").decode()] for one in answers]  # type: ignore[arg-type]
+    return [
+        [one.status, dict(one.headers), bytes(one.body or b"").decode()]  # type: ignore[arg-type]  # bodies are bytes
+        for one in answers
+    ]
 
 
 def header_fields() -> list[str]:
@@ -398,8 +404,8 @@
     async def play() -> list[Any]:
         server, address = RpcServer(), free_address()
 
-        async def answer(message: Any) -> Result[Message, Failure]:
-            return Ok(support.build("cherrycove.keeper.StatusReply", reply))
+        async def answer(request: StatusRequest) -> Result[StatusReply, Failure]:
+            return Ok(support.build_as(StatusReply, reply))
 
         server.register(STATUS, answer)
         await server.start(address)
@@ -413,7 +419,7 @@
 
 def commands(data: Path) -> list[list[Any]]:
     """Commands about the files in ``data`` and about a keeper, with exit codes and documents."""
-    (reply,) = support.samples(support.message_class("cherrycove.keeper.StatusReply").DESCRIPTOR)
+    (reply,) = support.samples(support.descriptor_of(StatusReply))
     with mock.patch.object(support, "DATA", data):
         ran = [[name, arguments, *run_command(name, arguments)] for name, arguments in inputs.RUN]
     ran.append(["status", "confirmed", *run_status(reply)])
@@ -509,9 +515,10 @@
     for path in sorted(SOURCES.rglob("*.py")):
         module = ast.parse(path.read_text(encoding="utf-8"), str(path))
         for function, call in _log_calls(module):
+            assert isinstance(call.func, ast.Attribute)  # a method of ``log``
             details = _details(function, call)
             for name in _event_names(module, call.args[0]):
-                lines.add(_event_line(name, call.func.attr, details))  # type: ignore[attr-defined]
+                lines.add(_event_line(name, call.func.attr, details))
     return sorted(lines)
 
 
--- a/tests/tier/golden_stories.py
+++ b/tests/tier/golden_stories.py
@@ -38,8 +38,11 @@
 from cherrycove.tier.membership.parameters import SwimParameters
 from cherrycove.tier.membership.service import MembershipService
 from cherrycove.tier.programs.replica import replica_announcement
+from cherrycove.tier.protocol import replication_pb2
 from cherrycove.tier.protocol.calls import Caller, OutgoingCall, RpcMethod
 from cherrycove.tier.protocol.control_methods import PULL
+from cherrycove.tier.protocol.control_pb2 import Announcement, BrokerList, MemberList, PullRequest
+from cherrycove.tier.protocol.membership_pb2 import Datagram
 from cherrycove.tier.protocol.replication_methods import replicate
 from cherrycove.tier.replication.effects import WriteEntries, WriteHardState
 from cherrycove.tier.replication.factory import create_group
@@ -96,7 +99,7 @@
         self.now = 0.0
         self.replicas = [Replica(number, directory / f"replica-{number}") for number in range(3)]
         self.transcript: Transcript = []
-        self._queue: deque[tuple[Replica, Replica, Message]] = deque()
+        self._queue: deque[tuple[Replica, Replica, replication_pb2.Message]] = deque()
         for one in self.replicas:
             one.machine.bootstrap([each.identity for each in self.replicas], self.now)
 
@@ -129,7 +132,7 @@
             replica.machine.complete_writes(write.ticket, self.now)
         return bool(effects.messages or effects.writes)
 
-    def _deliver(self, sender: Replica, receiver: Replica, message: Message) -> None:
+    def _deliver(self, sender: Replica, receiver: Replica, message: replication_pb2.Message) -> None:
         names = {"from": sender.identity.node_name, "to": receiver.identity.node_name}
         if not (sender.cut_off or receiver.cut_off):
             self.transcript.append({**names, **shown(message)})
@@ -186,7 +189,7 @@
         self.now = 0.0
         self.silent: set[str] = set()
         self.transcript: Transcript = []
-        self._queue: deque[tuple[str, str, Message]] = deque()
+        self._queue: deque[tuple[str, str, Datagram]] = deque()
         seeds = (_address(members[0]),)
         self.machines = {
             _address(one): SwimMachine(
@@ -213,7 +216,7 @@
         while self._queue:
             self._deliver(*self._queue.popleft())
 
-    def _deliver(self, source: str, target: str, datagram: Message) -> None:
+    def _deliver(self, source: str, target: str, datagram: Datagram) -> None:
         if target not in self.silent:
             self._note("datagram", source, target, datagram)
             self.perform(target, self.machines[target].receive(self.now, source, datagram))
@@ -367,13 +370,13 @@
     )
 
 
-def announcement(program: str, number: int) -> Any:
+def announcement(program: str, number: int) -> Announcement:
     """How a replica on the first core machine announces itself."""
     group = OneReplica(None)
     return replica_announcement(
         program,
         settings(),
-        group,  # type: ignore[arg-type]
+        group,  # type: ignore[arg-type]  # it has what is read of a ReplicatedGroup
         fresh=True,
         incarnation=f"process-{number}",
         leaving=False,
@@ -387,22 +390,30 @@
     return state
 
 
+def jobs_state() -> JobsState:
+    """The state of the stores after all commands."""
+    state = support.state_after("store", support.payloads("store"))
+    assert isinstance(state, JobsState)
+    return state
+
+
 KEEPER = "10.1.0.1:7700"
 
 
 async def pulls(view: ClusterView) -> Transcript:
     """A process pulls until it has all topics; then from a keeper that does not lead."""
-    state, wire, announced = control_state(), Wire(), []
+    state, wire = control_state(), Wire()
+    announced: list[PullRequest] = []
     publisher = Publisher(Leader(leads=True), announced.append)
     publisher.serve_on(wire)
     topics = ControlTopics(publisher, state)
     topics.begin_epoch(5)
-    topics.publish_members(support.build("cherrycove.control.MemberList", inputs.MEMBER_LIST), 1.0)
-    topics.publish_brokers(support.build("cherrycove.control.BrokerList", inputs.BROKER_LIST))
+    topics.publish_members(support.build_as(MemberList, inputs.MEMBER_LIST), 1.0)
+    topics.publish_brokers(support.build_as(BrokerList, inputs.BROKER_LIST))
     puller = Puller(settings(), wire, view, lambda: announcement("store", 1))
     await puller.start()
     await wire.answered(1)
-    topics.publish_members(support.build("cherrycove.control.MemberList", {}), 2.0)
+    topics.publish_members(support.build_as(MemberList, {}), 2.0)
     await wire.answered(2)
     Publisher(Leader(leads=False), announced.append).serve_on(wire)
     publisher.close()
@@ -432,9 +443,9 @@
 async def statuses() -> Transcript:
     """The command line asks the primary keeper for its status."""
     state, wire = control_state(), Wire()
-    Controller(settings(), OneReplica(state), state, wire, wire)  # type: ignore[arg-type]
+    Controller(settings(), OneReplica(state), state, wire, wire)
     announced = {"announcement": support.plain(announcement("store", 1))}
-    await wire.call(KEEPER, PULL, support.build("cherrycove.control.PullRequest", announced), 1.0)
+    await wire.call(KEEPER, PULL, support.build_as(PullRequest, announced), 1.0)
     await status_command.request_status(wire, KEEPER)
     return wire.transcript[1:]
 
@@ -445,7 +456,7 @@
     transcript: Transcript = []
     for leads in (True, False):
         wire = Wire()
-        StoreMembersService(OneReplica(None, leads=leads), views).serve_on(wire)  # type: ignore[arg-type]
+        StoreMembersService(OneReplica(None, leads=leads), views).serve_on(wire)
         await StoreMembersReader(wire).read(["10.1.0.1:7701"])
         transcript += wire.transcript
     return transcript
@@ -456,7 +467,7 @@
     state, wire = JobsState(), Wire()
     group = OneReplica(state)
     times: dict[str, Any] = {"clock": lambda: 1000.0, "wall_clock": lambda: 1_750_000_000.5}
-    BatchStoreService(settings(), group, state, wire, **times)  # type: ignore[arg-type]
+    BatchStoreService(settings(), group, state, wire, **times)
     views = ClusterView(members=(announcement("store", 1),))
     client = BatchClient(wire, views, settings())
     for method, name, fields in inputs.BATCH_CALLS:
@@ -471,19 +482,19 @@
 
 async def given_up() -> Transcript:
     """A store gives up items: some are past their retention, then the route of the others is removed."""
-    state = support.state_after("store", support.payloads("store"))
+    state = jobs_state()
     group, times = OneReplica(state), [1000.0]
     views = ClusterView()
     clocks: dict[str, Any] = {"clock": lambda: times[0], "wall_clock": lambda: 1_750_000_001.456}
-    store = BatchStoreService(settings(), group, state, Wire(), cluster_view=views, **clocks)  # type: ignore[arg-type]
+    store = BatchStoreService(settings(), group, state, Wire(), cluster_view=views, **clocks)
     await store.maintain_once()
     configured = inputs.COMPLETE_CONFIGURATION.encode()  # without the route of the jobs
     views.configuration = parse_configuration(configured).unwrap()
     times[0] += 10.0
     await store.maintain_once()
-    late = OneReplica(support.state_after("store", support.payloads("store")))
+    late = OneReplica(jobs_state())
     times[0] = 1000.0
-    store = BatchStoreService(settings(), late, late.state, Wire(), **clocks)  # type: ignore[arg-type]
+    store = BatchStoreService(settings(), late, late.state, Wire(), **clocks)
     await store.maintain_once()
     times[0] += 100.0
     await store.maintain_once()
@@ -513,7 +524,7 @@
     create_group(group_options(program, identity, ControlState(), wire))
     peer = MemberIdentity("disk-b", "core-2", "10.1.0.2:7700", "south")
     transport = Transport(wire, replicate(program), lambda sender, batch: None)
-    message = support.build("cherrycove.replication.Message", {"epoch": 5, "append": {"sent_us": 7}})
+    message = support.build_as(replication_pb2.Message, {"epoch": 5, "append": {"sent_us": 7}})
     transport.send(identity, peer, message)
     await transport.flush(1.0)
     return wire.transcript
@@ -524,7 +535,7 @@
 
     async def register() -> dict[str, str]:
         wire, state = Wire(), control_state()
-        group: Any = OneReplica(state)
+        group = OneReplica(state)
         Controller(settings(), group, state, wire, wire)
         StoreMembersService(group, ClusterView()).serve_on(wire)
         BatchStoreService(settings(), group, JobsState(), wire)
--- a/tests/tier/golden_support.py
+++ b/tests/tier/golden_support.py
@@ -7,11 +7,11 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Iterator, Sequence
+import uuid
+from collections.abc import Callable, Iterator, Sequence
 from pathlib import Path
-from typing import Any
+from typing import Any, TypeVar, cast
 from unittest import mock
-from uuid import UUID
 
 import golden_inputs as inputs
 from google.protobuf import descriptor_pool, message_factory
@@ -34,12 +34,14 @@
 from cherrycove.tier.replication.interface import MemberIdentity
 from cherrycove.tier.replication.membership import encode_members
 from cherrycove.tier.settings import ProcessLimits, Settings
-from cherrycove.tier.storage import identity as identity_module
 from cherrycove.tier.storage.entries import Entry, EntryKind
 from cherrycove.tier.storage.hard_state import HardState
+from cherrycove.tier.storage.identity import open_identity
 from cherrycove.tier.storage.replica_storage import RecoveredState, ReplicaStorage
 from cherrycove.tier.storage.snapshots import Snapshot
 
+MessageT = TypeVar("MessageT", bound=Message)
+
 DATA = Path(__file__).resolve().parents[1] / "data" / "tier"
 
 PROTOCOL_FILES: tuple[FileDescriptor, ...] = (
@@ -66,6 +68,11 @@
     return message_factory.GetMessageClass(descriptor)
 
 
+def descriptor_of(message: Message | type[Message]) -> Descriptor:
+    """The descriptor of a message or of its class."""
+    return cast(Descriptor, message.DESCRIPTOR)  # the stub names the C implementation as well; same interface
+
+
 def former_type(present: str) -> str:
     """What a message or an enum was called in full."""
     return next((old for old, new in RENAMED_TYPES.items() if new == present), present)
@@ -84,7 +91,13 @@
 
 def former_field(field: FieldDescriptor) -> str:
     """What a field was called."""
-    return _former_part(former_type(field.containing_type.full_name), field.name, RENAMED_FIELDS)
+    return _former_part(_former_owner(field), field.name, RENAMED_FIELDS)
+
+
+def _former_owner(field: FieldDescriptor) -> str:
+    """What the message that has the field was called in full."""
+    assert field.containing_type is not None  # every field is in a message
+    return former_type(field.containing_type.full_name)
 
 
 def is_map(field: FieldDescriptor) -> bool:
@@ -92,11 +105,17 @@
     return field.message_type is not None and bool(field.message_type.GetOptions().map_entry)
 
 
+def _entry_type(field: FieldDescriptor) -> Descriptor:
+    """The message that a map has for its entries: a key and a value."""
+    assert field.message_type is not None  # ``is_map`` holds
+    return field.message_type
+
+
 def build(name: str, fields: dict[str, Any]) -> Message:
     """A message from plain data; of a field of bytes, one character stands for a byte."""
     message = message_class(name)()
     for key, value in fields.items():
-        field = message.DESCRIPTOR.fields_by_name[RENAMED_FIELDS.get(f"{name}.{key}", key)]
+        field = descriptor_of(message).fields_by_name[RENAMED_FIELDS.get(f"{name}.{key}", key)]
         if is_map(field):
             getattr(message, field.name).update(value)
         elif field.is_repeated:
@@ -108,6 +127,13 @@
     return message
 
 
+def build_as(message_type: type[MessageT], fields: dict[str, Any]) -> MessageT:
+    """A message of ``message_type`` from plain data, as ``build`` makes it."""
+    message = build(former_type(message_type.DESCRIPTOR.full_name), fields)
+    assert isinstance(message, message_type)
+    return message
+
+
 def _built(field: FieldDescriptor, value: Any) -> Any:
     if field.message_type is not None:
         return build(former_type(field.message_type.full_name), value)
@@ -163,7 +189,7 @@
 
 def _type_of(field: FieldDescriptor) -> str:
     if is_map(field):
-        return f"map<{', '.join(_type_of(part) for part in field.message_type.fields)}>"
+        return f"map<{', '.join(_type_of(part) for part in _entry_type(field).fields)}>"
     kind = field.message_type or field.enum_type
     return _SCALARS[field.type] if kind is None else former_type(kind.full_name)
 
@@ -171,8 +197,7 @@
 def _field_line(field: FieldDescriptor) -> str:
     label = "repeated" if field.is_repeated and not is_map(field) else "single"
     choice = f" oneof {field.containing_oneof.index}" if field.containing_oneof is not None else ""
-    message = former_type(field.containing_type.full_name)
-    return f"{message} {field.number} {former_field(field)} {label} {_type_of(field)}{choice}"
+    return f"{_former_owner(field)} {field.number} {former_field(field)} {label} {_type_of(field)}{choice}"
 
 
 def schema() -> str:
@@ -202,7 +227,7 @@
 def _sample(field: FieldDescriptor) -> Any:
     name = former_field(field)
     if is_map(field):
-        return {f"key of {name}": _sample(field.message_type.fields_by_name["value"])}
+        return {f"key of {name}": _sample(_entry_type(field).fields_by_name["value"])}
     if field.message_type is not None:
         every = samples(field.message_type)
         return [*every, *every] if field.is_repeated else every[-1]
@@ -213,13 +238,13 @@
 # Durable state
 
 
-STATES = {"keeper": ControlState, "store": JobsState}
+STATES: dict[str, Callable[[], ControlState | JobsState]] = {"keeper": ControlState, "store": JobsState}
 
 
 def make_identity(directory: Path, *, first_start: bool, ip: str, random_id: str) -> str:
     """The member id of a disk that is empty; ``random_id`` is what chance brings."""
-    with mock.patch.object(identity_module.uuid, "uuid4", return_value=UUID(random_id)):
-        return identity_module.open_identity(directory, first_start=first_start, ip=ip)[0]
+    with mock.patch.object(uuid, "uuid4", return_value=uuid.UUID(random_id)):
+        return open_identity(directory, first_start=first_start, ip=ip)[0]
 
 
 def make_replica(
@@ -288,7 +313,7 @@
     )
 
 
-def state_after(program: str, commands: Sequence[bytes]) -> Any:
+def state_after(program: str, commands: Sequence[bytes]) -> ControlState | JobsState:
     """The state machine of ``program`` after ``commands``."""
     state = STATES[program]()
     for index, command in enumerate(commands, 1):
--- a/tests/tier/swim_network.py
+++ b/tests/tier/swim_network.py
@@ -7,6 +7,7 @@
 import random
 import zlib
 from collections.abc import Callable, Iterable
+from functools import partial
 
 import attrs
 
@@ -191,7 +192,7 @@
             elif isinstance(effect, SendDatagram):
                 self._send(process, effect)
             else:
-                self._later(lambda address=effect.address: self._exchange(process, address))
+                self._later(partial(self._exchange, process, effect.address))
         self._arm(process)
 
     def _send(self, process: Process, effect: SendDatagram) -> None:
