--- /dev/null
+++ b/cherrycove/broker/core/__init__.py
@@ -0,0 +1,29 @@
+"""The broker's core: requests, attempts, endings and final answers, whatever protocol they arrive by.
+
+It owns the scheduler of the process, its clock, its timers and its batches of events. It is the only package
+that handles the scheduler's events and actions, the only one that maps an ``Ending`` to an ``Outcome``, and
+it ensures that each request gets exactly one final answer before its client's deadline.
+"""
+
+from cherrycove.broker.core.endings import Ending
+from cherrycove.broker.core.facade import Core
+from cherrycove.broker.core.figures import Ended, Figures, Recorder
+from cherrycove.broker.core.nodes import Maintenance, Member, NodeList
+from cherrycove.broker.core.requests import Answer, Attempt, Backend, Reply, Request, Verdict
+
+__all__ = [
+    "Answer",
+    "Attempt",
+    "Backend",
+    "Core",
+    "Ended",
+    "Ending",
+    "Figures",
+    "Maintenance",
+    "Member",
+    "NodeList",
+    "Recorder",
+    "Reply",
+    "Request",
+    "Verdict",
+]
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -18,9 +18,6 @@
 
 from cherrycove.broker import config
 from cherrycove.broker.core import (
-    MARGIN,
-    MARGIN_PART,
-    OUTCOMES,
     Attempt,
     Core,
     Ending,
@@ -30,6 +27,8 @@
     Request,
     Verdict,
 )
+from cherrycove.broker.core.endings import OUTCOMES
+from cherrycove.broker.core.request_table import MARGIN_FRACTION, MARGIN_S
 from cherrycove.broker.lifecycle import shutdown_timetable
 from cherrycove.broker.process import Broker
 from cherrycove.broker.request_limit import RequestLimit
@@ -116,7 +115,11 @@
             core.update(NodeList(number + 2, False, (*gone, Member(f"d{number + 1}", "here", 0))))
             backend = Scripted(core, Ending.SERVED)
             assert (await core.serve(request(READ), backend)).verdict is Verdict.SERVED
-        sizes = [len(kept) for kept in vars(core).values() if isinstance(kept, dict | list | set)]
+        parts = (core, core._driver, core._nodes, core._counters, core._requests)
+        every = [kept for part in parts for kept in vars(part).values()]
+        sizes = [len(kept) for kept in every if isinstance(kept, dict | list | set)]
+        # counts, endings, answers; events; tickets, those that are over; members
+        assert len(sizes) == 7
         assert max(sizes) <= 12, sizes
 
     run(story())
@@ -129,7 +132,7 @@
         found = await core.serve(asked, backend)
         assert found.verdict is Verdict.FAILED and core.endings == {Ending.TIMED_OUT: 1}
         made = backend.made[0]  # what the client still waits when it is sent is at most what it waited before
-        assert asked.deadline - made.expires >= MARGIN_PART * (asked.deadline - made.began) - 1e-9
+        assert asked.deadline - made.expires >= MARGIN_FRACTION * (asked.deadline - made.began) - 1e-9
 
     run(story())
 
@@ -143,7 +146,7 @@
         backend, asked = Scripted(core, Ending.SERVED), request(READ, wait)
         assert (await core.serve(asked, backend)).verdict is Verdict.SERVED
         kept = asked.deadline - backend.made[0].expires
-        assert abs(kept - min(MARGIN, MARGIN_PART * wait)) < 0.001
+        assert abs(kept - min(MARGIN_S, MARGIN_FRACTION * wait)) < 0.001
 
     run(story())
 
@@ -159,7 +162,7 @@
         backend = Waiting(core)
         found = await core.serve(request(WRITE, 0.3), backend)
         assert found.verdict is Verdict.REFUSED and core.endings == {Ending.EXPIRED: 1}  # it never ran
-        assert not core._scheduler.state.nodes[0].failures
+        assert not core._driver.scheduler.state.nodes[0].failures
 
     run(story())
 
@@ -186,7 +189,7 @@
 def test_a_silent_module_leaves_nobody_unanswered() -> None:
     async def story() -> None:
         core = core_with()
-        core._scheduler.handle = lambda now, events: 1 / 0  # type: ignore
+        core._driver.scheduler.handle = lambda now, events: 1 / 0  # type: ignore
         found = await core.serve(request(READ, 0.2), Scripted(core))
         assert found.verdict is Verdict.REFUSED and not core.open_requests  # nothing of it was sent
 
@@ -198,7 +201,7 @@
         core = core_with()
         backend = Scripted(core)
         task = asyncio.create_task(core.serve(request(READ), backend))
-        while not any(ticket.current for ticket in core._tickets.values()):
+        while not any(ticket.current for ticket in core._requests.tickets.values()):
             await asyncio.sleep(0)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
@@ -211,7 +214,7 @@
 def test_a_start_time_does_not_move_between_lists_and_a_drain_holds_at_once() -> None:
     async def story() -> None:
         core = core_with()
-        assert core._clock(5e9) == core._clock(5e9) and core._clock(0) is None
+        assert core._nodes.loop_time(5e9) == core._nodes.loop_time(5e9) and core._nodes.loop_time(0) is None
         core.update(NodeList(2, False, (Member("d0", "here", 0, state=NodeState.DRAINING),)))
         backend = Scripted(core)
         assert (await core.serve(request(READ, 0.3), backend)).verdict is Verdict.REFUSED
@@ -241,21 +244,21 @@
 
     async def story() -> None:
         core = core_with()
-        node = core._scheduler.state.node(0)
+        node = core._driver.scheduler.state.node(0)
         core.maintain(core.maintenance.taking_out("d0", 0.0))
         now = time.time() * 1000
         core.maintain(core.maintenance.putting_back("d0", now))
         core.update(NodeList(2, True, (Member("d0", "here", 0),)))  # old news
         assert (await core.serve(request(READ), Scripted(core))).verdict is Verdict.SERVED  # it gets some
-        assert core._scheduler.state.is_cold(node) and node.started == core._clock(now)
+        assert core._driver.scheduler.state.is_cold(node) and node.started == core._nodes.loop_time(now)
         core.update(NodeList(3, False, (Member("d0", "here", 0, since_ms=now - 3000),)))
         core.tick()
-        assert node.started == core._clock(now - 3000) and not core.maintenance.back
+        assert node.started == core._nodes.loop_time(now - 3000) and not core.maintenance.back
         core.maintain(core.maintenance.taking_out("d0", now - 3000))
         core.update(NodeList(4, False, (Member("d0", "here", 0, since_ms=now - 1000),)))
         core.maintain(core.maintenance.putting_back("d0", now))  # its restart was told while it was out
         core.tick()
-        assert node.started == core._clock(now - 1000)
+        assert node.started == core._nodes.loop_time(now - 1000)
 
     run(story())
 
@@ -473,10 +476,10 @@
         core = core_with()
         core.bound(96)
         core.tick()
-        assert core._scheduler.shedding.max_open_requests == 96
-        core._push(api.TimerExpiry(0))
+        assert core._driver.scheduler.shedding.max_open_requests == 96
+        core._driver.push(api.TimerExpiry(0))
         time.sleep(0.06)  # the loop is held up, as by another process on its core
         await asyncio.sleep(0.005)
-        assert core._scheduler.shedding.max_open_requests < 96
+        assert core._driver.scheduler.shedding.max_open_requests < 96
 
     run(story())
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -56,17 +56,18 @@
     """The module's hand is held back: what comes waits, as for credit, until ``free``."""
 
     def __init__(self, world: World) -> None:
-        self._core, self._handle = world.core, world.core._scheduler.handle
+        self._core, self._handle = world.core, world.core._driver.scheduler.handle
         self.events: list[Any] = []
-        world.core._scheduler.handle = self._hold  # type: ignore[method-assign]
+        world.core._driver.scheduler.handle = self._hold  # type: ignore[method-assign]
 
     def _hold(self, now: float, events: Any) -> list[Any]:
         self.events += events
         return []
 
     def free(self) -> None:
-        self._core._scheduler.handle = self._handle  # type: ignore[method-assign]
-        self._core._events = self.events + self._core._events
+        self._core._driver.scheduler.handle = self._handle  # type: ignore[method-assign]
+        driver = self._core._driver
+        driver.pending_events = self.events + driver.pending_events
         self._core.tick()
 
 
@@ -91,7 +92,9 @@
     assert (status, data) == (200, b"data of later")
     assert [each["x-request-id"] for each in node.seen] == [*before, "later"] and not node.scraps
     await until(
-        lambda: all(each.out == each.waiting == 0 for each in world.core._scheduler.state.nodes.values())
+        lambda: all(
+            each.out == each.waiting == 0 for each in world.core._driver.scheduler.state.nodes.values()
+        )
     )
 
 
@@ -208,7 +211,9 @@
         async with World(node, platform=patient()) as world:
             _, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(message(id="gone"))
-            await until(lambda: any(t.current and t.current.scope for t in world.core._tickets.values()))
+            await until(
+                lambda: any(t.current and t.current.scope for t in world.core._requests.tickets.values())
+            )
             await leave(writer, how)
             await until(lambda: world.core.counts["client gone"])
             filler.close()
@@ -242,10 +247,10 @@
     async def story() -> None:
         node = await Node().start()
         async with World(node) as world:
-            give = world.core._give
+            give = world.core._requests.deliver
 
             def cross(ticket: Any, step: Any) -> None:
-                world.core._give = give  # type: ignore[method-assign]
+                world.core._requests.deliver = give  # type: ignore[method-assign]
                 assert isinstance(step, Attempt)
                 if first == "attempt":
                     give(ticket, step)
@@ -254,7 +259,7 @@
                 if first == "leaving":
                     give(ticket, step)
 
-            world.core._give = cross  # type: ignore[method-assign]
+            world.core._requests.deliver = cross  # type: ignore[method-assign]
             _, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(message(id="gone"))
             await until(lambda: world.core.counts["client gone"])
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -311,7 +311,7 @@
 
         def most(broker: Broker) -> float:
             broker.core.tick()
-            return broker.core._scheduler.shedding.max_open_requests
+            return broker.core._driver.scheduler.shedding.max_open_requests
 
         first, second = (Broker(platform, config.OperatorConfig()) for _ in range(2))
         await first.start()
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -293,8 +293,8 @@
         async with World(node) as world:
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(message(cls="claim-write", method="PUT", body=LONG)[:200_000])
-            while not world.core._tries and not any(
-                t.current and t.current.begun for t in world.core._tickets.values()
+            while not world.core._counters.attempts_written and not any(
+                t.current and t.current.begun for t in world.core._requests.tickets.values()
             ):
                 await asyncio.sleep(0.01)
             if end == "stops":
@@ -304,7 +304,7 @@
             await world.core.idle()
             ending = {"stops": Ending.CLIENT_BROKE, "leaves": Ending.GIVEN_UP}[end]
             assert world.core.endings == {ending: 1} and not node.seen and not world.core.figures().tries
-            assert not world.core._scheduler.state.nodes[0].failures  # none of it was the node's fault
+            assert not world.core._driver.scheduler.state.nodes[0].failures  # none of it was the node's fault
 
     run(story())
 
@@ -333,7 +333,7 @@
                 writer.write(whole[at : at + 60_000])
                 await asyncio.sleep(0.15)  # in all more than the 0.5 s that the client waits
             assert (await answer(reader))[0] == 200
-            assert world.core._scheduler.state.nodes[0].service < 0.15
+            assert world.core._driver.scheduler.state.nodes[0].service < 0.15
             writer.close()
 
     run(story())
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -14,6 +14,7 @@
 
 from cherrycove.broker import config
 from cherrycove.broker.core import Attempt, Core, Ending, Member, NodeList, Reply, Request, Verdict
+from cherrycove.broker.core.driver import SchedulerDriver
 from cherrycove.scheduling.interface import (
     AttemptEnd,
     Effect,
@@ -258,10 +259,10 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     told: list[AttemptEnd] = []
-    push = Core._push
+    push = SchedulerDriver.push
     monkeypatch.setattr(
-        Core,
-        "_push",
+        SchedulerDriver,
+        "push",
         lambda self, event: (
             told.append(event) if isinstance(event, AttemptEnd) else None,
             push(self, event),
--- a/tests/test_why_loopback.py
+++ b/tests/test_why_loopback.py
@@ -229,7 +229,7 @@
     async def story() -> None:
         async with World(await Node().start(), platform=config.parse_platform_config(raw(1), {})) as world:
             book = world.core.recorder = DecisionLog(world.core.settings, books.LEAST, 0.0)
-            world.core._scheduler.handle = lambda now, events: []  # type: ignore[method-assign, assignment]
+            world.core._driver.scheduler.handle = lambda now, events: []  # type: ignore[method-assign, assignment]
             assert (await world.ask(id="a1", ms=300))[0] == 503  # nothing of it was sent
             found = book.find("a1", asyncio.get_running_loop().time())[0]
             assert found.code is Own.LAST_RESORT and found.verdict == "refused" and not found.tries
