--- a/cherrycove/broker/core/facade.py
+++ b/cherrycove/broker/core/facade.py
@@ -38,7 +38,7 @@
         self.silent = False  # whether the source of the node list is unreachable
         self.watching = asyncio.Event()  # set whenever the scheduler asks for the list's changes
         self._loop = asyncio.get_running_loop()
-        self._driver = SchedulerDriver(settings, seed, self.tick, self._act)
+        self._driver = SchedulerDriver(settings, seed, self.tick, self._run_action)
         self._nodes = NodeTable(self._loop.time())
         self._counters = Counters(settings)
         self._requests = RequestTable(self._driver, self._nodes, self._counters)
@@ -55,12 +55,14 @@
         request.deadline = min(request.deadline, allowed)
         if self._given_up is not None:
             own = Own.ENDING
-            self.turned_away(request.cls, Verdict.REFUSED, own, request.id, request.volume, request.front)
+            self.record_rejection(
+                request.cls, Verdict.REFUSED, own, request.id, request.volume, request.front
+            )
             return Answer(Verdict.REFUSED, retry_after=self.settings.retry_advice, own=own)
         with bound(request=request.id):
             return await self._serve(request, backend)
 
-    def turned_away(
+    def record_rejection(
         self,
         cls: int | None,
         verdict: Verdict = Verdict.FAILED,
@@ -137,7 +139,7 @@
         return self._nodes.version
 
     @property
-    def lists(self) -> int:
+    def list_updates(self) -> int:
         """How often the node list has changed."""
         return self._nodes.updates
 
@@ -156,20 +158,20 @@
         """Whether any node is up."""
         return self._nodes.any_up()
 
-    def update(self, news: NodeList, restored: bool = False) -> None:
+    def update(self, update: NodeList, *, restored: bool = False) -> None:
         """Apply a node list, or changes of it, from its source; ``restored``: from an earlier process."""
-        self._nodes.version, self.silent = news.version, False
-        kind = api.ListKind.FULL if news.full else api.ListKind.CHANGES
-        self._apply(news, api.ListKind.RESTORED if restored else kind)
+        self._nodes.version, self.silent = update.version, False
+        kind = api.ListKind.FULL if update.full else api.ListKind.CHANGES
+        self._apply(update, api.ListKind.RESTORED if restored else kind)
         if self.on_list is not None and not restored:
-            self.on_list(news)
+            self.on_list(update)
 
     def list_unavailable(self) -> None:
         """Record that the source of the node list is unreachable."""
         self.silent = True
         self._driver.push(api.NodeListFailure())
 
-    def restrain(self, member: Member) -> None:
+    def drain_node(self, member: Member) -> None:
         """Send a node no new requests, on information that is not from the list's source."""
         is_listed = member.name in self._nodes.members and self.version is not None
         if is_listed and member.state is not api.NodeState.UP:
@@ -187,25 +189,25 @@
 
     # The scheduler's budget, capacity and state.
 
-    def share(self, part: float, sent: Mapping[str, float] | None = None) -> None:
+    def set_budget_share(self, fraction: float, sent: Mapping[str, float] | None = None) -> None:
         """Use this share of the broker's budget; ``sent`` is what its other processes sent recently."""
-        self._driver.push(api.BudgetShare(part, sent or {}))
+        self._driver.push(api.BudgetShare(fraction, sent or {}))
 
-    def bound(self, places: int) -> None:
+    def limit_open_requests(self, most: int) -> None:
         """Limit the requests in flight, so that the servers keep connections for others."""
-        self._driver.limit_open_requests(places)
+        self._driver.limit_open_requests(most)
 
-    def pool_room(self, part: float, ask: Callable[[str, float], None]) -> None:
+    def pool_capacity(self, fraction: float, ask: Callable[[str, float], None]) -> None:
         """Pool this fraction of the capacity of nodes in slow start among the brokers.
 
         ``ask`` is called with the name of a node and the units wanted, as often as the scheduler likes.
         """
         self._borrow_capacity = ask
-        self._driver.push(api.CapacityPool(part))
+        self._driver.push(api.CapacityPool(fraction))
 
-    def room_lent(self, node: str, units: float, time: float) -> None:
-        """Use capacity that another broker has lent, within ``time`` seconds."""
-        self._driver.push(api.CapacityLoan(node, units, time))
+    def use_loan(self, node: str, units: float, valid_s: float) -> None:
+        """Use capacity that another broker has lent, within ``valid_s``."""
+        self._driver.push(api.CapacityLoan(node, units, valid_s))
 
     def sent(self) -> dict[str, float]:
         """Return the units sent recently, by the node's name."""
@@ -215,9 +217,9 @@
         """Return the state for the next process of this broker; times are on the loop's clock."""
         return self._driver.scheduler.remember()
 
-    def recall(self, told: api.RestartState) -> None:
+    def recall(self, state: api.RestartState) -> None:
         """Apply the state that an earlier process of this broker saved."""
-        self._driver.push(told)
+        self._driver.push(state)
 
     def tick(self) -> None:
         """Pass the events since the last tick to the scheduler and carry out its actions."""
@@ -303,7 +305,7 @@
         self._driver.push(self._nodes.scheduler_update(version, kind, members))
         self._requests.cancel_unwritten(self._loop.time() + self.settings.drain_grace)
 
-    def _act(self, action: api.Action) -> None:
+    def _run_action(self, action: api.Action) -> None:
         match action:
             case api.Send():
                 self._requests.send(action)
--- a/cherrycove/broker/http1/server.py
+++ b/cherrycove/broker/http1/server.py
@@ -371,7 +371,7 @@
         self.last_request = asyncio.get_running_loop().time()
         cls = self._names.classes.get((path.split("/", 2) + [""])[1])
         if cls is None:
-            self._core.turned_away(None, own=Own.NO_PATH, id=_id(request))
+            self._core.record_rejection(None, own=Own.NO_PATH, id=_id(request))
             return self._response(404, "no such path\n", whole=not request.body_exists)
         try:
             if request.method not in ("GET", "PUT"):
@@ -545,7 +545,7 @@
         verdict: Verdict = Verdict.FAILED,
         own: Own | None = None,
     ) -> web.Response:
-        self._core.turned_away(cls, verdict, own or BY_STATUS.get(status, Own.MALFORMED), _id(request))
+        self._core.record_rejection(cls, verdict, own or BY_STATUS.get(status, Own.MALFORMED), _id(request))
         response = self._response(status, why, whole=whole)
         advice = min(MEMORY_TIMEOUT_S, self._core.settings.retry_advice)
         if verdict is Verdict.REFUSED and advice > 0:
--- a/cherrycove/broker/lifecycle/coordinator.py
+++ b/cherrycove/broker/lifecycle/coordinator.py
@@ -135,7 +135,7 @@
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             log.warning("handover.state_unusable", why=error)
             sent = {}
-        self._core.share(SHARED_FRACTION, sent)
+        self._core.set_budget_share(SHARED_FRACTION, sent)
         if self._remembers and "memory" in state:
             try:
                 restore_snapshot(self._core, state["memory"], self._broker, "process", sent_is_known=True)
@@ -178,7 +178,7 @@
     def apply_budget(self) -> None:
         """Apply the budget of the present state: two processes count as one broker."""
         budget = self.life.budget()
-        self._core.share(budget.fraction)
+        self._core.set_budget_share(budget.fraction)
         self._listeners.resize(budget.client_connections, budget.node_connections, budget.body_bytes)
         # A process that ends must not open the address of the exchange again: its successor is about to.
         self._listeners.talk(budget.uses_tier)
@@ -186,7 +186,7 @@
 
     def apply_request_limit(self) -> None:
         """Apply the limit of open requests of the present state."""
-        self._core.bound(self.life.budget().open_requests)
+        self._core.limit_open_requests(self.life.budget().open_requests)
 
     def announcements_changed(self) -> None:
         """Count the processes that have announced themselves, and apply the limit of open requests."""
@@ -248,7 +248,7 @@
             return None
         log.info("handover.successor_started")
         self.life.successor_found()
-        self._core.share(self.life.budget().fraction)
+        self._core.set_budget_share(self.life.budget().fraction)
         state = {
             "version": self._core.version,
             "members": [pack_member(member) for member in self._core.members],
--- a/cherrycove/broker/nbd/_session.py
+++ b/cherrycove/broker/nbd/_session.py
@@ -168,7 +168,7 @@
 
     def _reject(self, request: CommandRequest, errno: Errno | None) -> _Result:
         if request.command in self._config.classes:
-            self._core.turned_away(
+            self._core.record_rejection(
                 self._config.classes[Command(request.command)],
                 own=Own.BAD_COMMAND,
                 id=self._request_id(request),
--- a/cherrycove/broker/peer_capacity/exchange.py
+++ b/cherrycove/broker/peer_capacity/exchange.py
@@ -54,7 +54,7 @@
         self.counts: Counter[str] = Counter()
         # Also while there is no socket: a broker that used its whole even part beside what is lent of it
         # would pass the node's capacity.
-        core.pool_room(lending.LENT_FRACTION, self._ask)
+        core.pool_capacity(lending.LENT_FRACTION, self._ask)
 
     def start(self, listen: Address) -> None:
         """Open the socket in the background; see ``serve``."""
@@ -114,9 +114,9 @@
 
     def _update_nodes(self) -> None:
         """Tell the lender the nodes of the present list."""
-        if self._known_list == self._core.lists:
+        if self._known_list == self._core.list_updates:
             return
-        self._known_list = self._core.lists
+        self._known_list = self._core.list_updates
         starts = {
             lending.node_key(member.name, member.since_ms): (member.name, started)
             for member in self._core.members
@@ -163,7 +163,7 @@
         node, valid_s = answered
         if units > 0 and node in self._names:
             self.counts["borrowed"] += 1
-            self._core.room_lent(self._names[node], units, valid_s)
+            self._core.use_loan(self._names[node], units, valid_s)
 
     def _send(self, host: int, message: datagram.LoanRequest | datagram.Loan) -> None:
         if self._transport is not None and host < len(self._addresses):
--- a/cherrycove/broker/shared_map.py
+++ b/cherrycove/broker/shared_map.py
@@ -251,7 +251,7 @@
         return
     if member.state is NodeState.UP:
         log.warning("store.restrained", node=name)
-        core.restrain(replace(member, state=NodeState.DRAINING))
+        core.drain_node(replace(member, state=NodeState.DRAINING))
 
 
 def _is_drain_of(value: str, since_ms: float) -> bool:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -474,7 +474,7 @@
 
     async def story() -> None:
         core = core_with()
-        core.bound(96)
+        core.limit_open_requests(96)
         core.tick()
         assert core._driver.scheduler.shedding.max_open_requests == 96
         core._driver.push(api.TimerExpiry(0))
--- a/tests/test_fleet_room.py
+++ b/tests/test_fleet_room.py
@@ -180,7 +180,7 @@
                 )
             )
         lent: asyncio.Queue[tuple[str, float]] = asyncio.Queue()
-        cores[0].room_lent = lambda node, units, time: lent.put_nowait((node, units))  # type: ignore[method-assign]
+        cores[0].use_loan = lambda node, units, time: lent.put_nowait((node, units))  # type: ignore[method-assign]
         sides[0]._ask(names[0], 1.0)  # of its own books
         assert await lent.get() == (names[0], 1.0)
         sides[0]._ask(names[1], 1.0)
