--- a/cherrycove/tier/dataplane/admission/__init__.py
+++ b/cherrycove/tier/dataplane/admission/__init__.py
@@ -1,7 +1,9 @@
-"""Admission control of one proxy: which request starts an attempt at which broker, and when. Pure.
+"""Admission control of one proxy: decides which request starts an attempt at which broker, and when.
 
-The scheduler is a state machine without clock, sockets or tasks: events and the time go in, actions come out.
-``cherrycove.tier.dataplane.admission_controller`` drives it. The reasons are in ``docs/design/admission.md``.
+The scheduler is a state machine: it receives events with their time and returns actions. No
+module of this package does I/O, reads a clock or starts tasks;
+``cherrycove.tier.dataplane.admission_controller`` does that on its behalf. ``docs/design/admission.md`` gives
+the reasons for the design.
 """
 
 from cherrycove.tier.dataplane.admission._interface import (
--- a/cherrycove/tier/dataplane/admission/_admission_state.py
+++ b/cherrycove/tier/dataplane/admission/_admission_state.py
@@ -1,4 +1,4 @@
-"""The state that the policies of admission share, folded from snapshots of the cluster. Pure."""
+"""State that the admission policies share; cluster snapshots update it."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
     """
 
     def __init__(self) -> None:
-        self.routes: dict[str, RouteState] = {}  # of live requests, by name
+        self.routes: dict[str, RouteState] = {}  # routes of live requests, by name
         self.brokers: dict[str, BrokerState] = {}  # by instance id, in the order of their first listing
-        self.latencies: dict[str, LatencyEstimate] = {}  # by service
+        self.latencies: dict[str, LatencyEstimate] = {}  # by service name
         self.proxies = 1
         self.pending = PendingRequests()
         self.batch_queue = BatchQueue()
-        self.attempts: dict[AdmissionRequest, BrokerState] = {}  # in flight, and where
+        self.attempts: dict[AdmissionRequest, BrokerState] = {}  # requests in flight, with their broker
         self._last_broker_number = 0
 
     def update(self, now: float, snapshot: ClusterSnapshot) -> None:
-        """Take over a snapshot of the cluster."""
+        """Apply a snapshot of the cluster."""
         self.proxies = max(snapshot.proxies, 1)
         if snapshot.configuration is not None:
             for route in snapshot.configuration.routes:
@@ -38,24 +38,24 @@
         self._update_brokers(now, snapshot)
 
     def remove_unlisted(self) -> None:
-        """Drop brokers that are unlisted, once nothing is in flight or queued there."""
+        """Remove unlisted brokers that have no attempts in flight and no queued requests."""
         for broker in list(self.brokers.values()):
             if not broker.is_listed and not broker.in_flight and not broker.queue.head():
                 del self.brokers[broker.instance_id]
 
-    def serving(self, request: AdmissionRequest) -> list[BrokerState]:
-        """Brokers that could run the request, sooner or later."""
+    def capable_brokers(self, request: AdmissionRequest) -> list[BrokerState]:
+        """Return the brokers that could run the request, whether or not they have capacity now."""
         return [broker for broker in self.brokers.values() if broker.can_serve(request)]
 
     def latency(self, service: str) -> LatencyEstimate:
-        """The latency estimate of a service, made where there is none."""
+        """Return the latency estimate of a service, which is created on first use."""
         estimate = self.latencies.get(service)
         if estimate is None:
             estimate = self.latencies[service] = LatencyEstimate()
         return estimate
 
     def start_attempt(self, request: AdmissionRequest, broker: BrokerState, now: float) -> StartAttempt:
-        """Account for an attempt, and return the action that starts it."""
+        """Record that an attempt starts, and return the action that starts it."""
         request.attempts += 1
         broker.start_attempt(request, now)
         self.attempts[request] = broker
@@ -64,11 +64,11 @@
     def _update_route(self, route: Route, arrivals_per_s: float | None, now: float) -> None:
         state = self.routes.get(route.name)
         if state is None or state.route != route:
-            renewed = new_route_state(route, now)
+            new_state = new_route_state(route, now)
             if state is not None:
-                renewed.credit_account = state.credit_account
-                renewed.max_client_timeout_s = state.max_client_timeout_s
-            state = self.routes[route.name] = renewed
+                new_state.credit_account = state.credit_account
+                new_state.max_client_timeout_s = state.max_client_timeout_s
+            state = self.routes[route.name] = new_state
         if arrivals_per_s is not None:
             state.set_arrival_rate(arrivals_per_s / self.proxies)
 
--- a/cherrycove/tier/dataplane/admission/_attempt_feedback.py
+++ b/cherrycove/tier/dataplane/admission/_attempt_feedback.py
@@ -1,4 +1,4 @@
-"""What attempts teach of their brokers: first events, load reports, outcomes, stalls. Pure."""
+"""Updates the state of brokers from their attempts: first events, load reports, outcomes, stalls."""
 
 from __future__ import annotations
 
@@ -16,8 +16,11 @@
 from cherrycove.tier.dataplane.admission._stall_detection import eject_stalled, restart_stall_timers
 from cherrycove.tier.dataplane.headers import InstanceLoad
 
-STALL_GRACE_S = 0.5  # after this process was stalled, in which a time-out is no evidence against a broker
-EXCLUSION_S = {  # for which a request does not return to a broker after an attempt with this outcome
+# For this long after a stall of this process, failed connections and timeouts are not counted against a
+# broker, since the stall may have caused them.
+STALL_GRACE_S = 0.5
+# For this long after an attempt with the given outcome, the request is not sent to the same broker again.
+EXCLUSION_S = {
     AttemptOutcome.REJECTED: 0.1,
     AttemptOutcome.UNREACHABLE: 0.2,
     AttemptOutcome.MISDIRECTED: 1.0,
@@ -28,14 +31,14 @@
 
 
 class AttemptFeedback:
-    """Updates brokers' health, load and latency from the attempts in flight there."""
+    """Updates the health, load and latency estimates of brokers from the attempts in flight there."""
 
     def __init__(self, state: AdmissionState) -> None:
         self._state = state
         self._process_stalled_at = -inf
 
     def response_started(self, now: float, request: AdmissionRequest, load: InstanceLoad | None) -> None:
-        """The head of a response came, perhaps with a load report."""
+        """Record that the head of a response was received, with the broker's load report if it had one."""
         broker = self._state.attempts.get(request)
         if broker is None:
             return
@@ -44,7 +47,7 @@
             broker.load.record_report(now, load)
 
     def body_received(self, now: float, request: AdmissionRequest) -> None:
-        """Bytes of a response's body came; the first of them count as its first event."""
+        """Record that bytes of a response body were received; the first ones count as the first event."""
         broker = self._state.attempts.get(request)
         if broker is None:
             return
@@ -54,24 +57,24 @@
             self._record_first_event(broker, request, now - broker.in_flight[request])
 
     def attempt_ended(self, now: float, request: AdmissionRequest, outcome: AttemptOutcome) -> bool:
-        """Account for the end of an attempt; False if it is not in flight."""
+        """Record the end of an attempt; returns False if the attempt is not in flight."""
         broker = self._state.attempts.pop(request, None)
         if broker is None:
             return False
         started_at = broker.end_attempt(request)
         request.excluded_until[broker.instance_id] = now + EXCLUSION_S.get(outcome, 0.0)
-        self._judge(broker, outcome, now)
+        self._update_health(broker, outcome, now)
         if outcome is AttemptOutcome.SERVED:
             self._state.latency(request.service).record_slot_hold(now - started_at)
         return True
 
     def process_stalled(self, now: float) -> None:
-        """The process did not run for a while: what seemed silent or unreachable may not have been."""
+        """Record a stall of this process: brokers that seemed silent or unreachable may not have been."""
         self._process_stalled_at = now
         restart_stall_timers(self._state, now)
 
     def cancel_stalled(self, now: float) -> list[Action]:
-        """Eject brokers that have stalled, and give up their attempts."""
+        """Eject stalled brokers, and return the actions that cancel their attempts."""
         return [CancelStalledAttempt(request) for request in eject_stalled(self._state, now)]
 
     def _record_first_event(self, broker: BrokerState, request: AdmissionRequest, latency_s: float) -> None:
@@ -82,8 +85,8 @@
         if not request.is_batch:
             _concurrency_limit.record_first_event(broker, request.route, latency_s)
 
-    def _judge(self, broker: BrokerState, outcome: AttemptOutcome, now: float) -> None:
-        """Update the broker's health."""
+    def _update_health(self, broker: BrokerState, outcome: AttemptOutcome, now: float) -> None:
+        """Update the broker's health, and its load estimate after a rejection."""
         health = broker.health
         match outcome:
             case AttemptOutcome.SERVED:
--- a/cherrycove/tier/dataplane/admission/_broker_selector.py
+++ b/cherrycove/tier/dataplane/admission/_broker_selector.py
@@ -1,4 +1,4 @@
-"""Choice among several brokers by expected time to the first event: prefill, load, memory. Pure."""
+"""Selects among brokers by the expected time to the first event, from prefill, load and memory use."""
 
 from __future__ import annotations
 
@@ -10,22 +10,29 @@
 from cherrycove.tier.dataplane.admission._interface import AdmissionRequest
 from cherrycove.tier.dataplane.admission._prefix_cache import affinity_segment, preferred_broker
 
-BROKER_QUEUE_PLACE = "queue"  # ``Request.place`` of an entry in the queue of a broker
-PREFILL_TIE_S = 0.01  # difference of prefill times below which load alone decides between two random choices
-JITTER_S = 0.004  # random part of each cost, so that proxies with the same knowledge do not herd
-MEMORY_PRESSURE_COST_S = 0.2  # of a broker whose KV cache would be over-committed
-QUEUEING_COST_S = 0.5  # of requests beyond its slots, for as many as it has slots
+BROKER_QUEUE_PLACE = "queue"  # value of ``Request.place`` while the entry is in a broker's queue
+# If the prefill times of all candidates differ by less than this, the less loaded of two random candidates is
+# selected.
+PREFILL_TIE_S = 0.01
+# Upper bound of the random part of each cost, which keeps proxies with the same information from all
+# selecting the same broker.
+JITTER_S = 0.004
+MEMORY_PRESSURE_COST_S = 0.2  # cost of a broker whose KV cache the request would over-commit
+QUEUEING_COST_S = 0.5  # cost of a queue at the broker that is as long as its number of slots
 
 
 class BrokerSelector:
-    """Selects brokers for the policies of one scheduler; ``rng`` is the only source of randomness."""
+    """Selects brokers for the policies of one scheduler; ``rng`` is its only source of randomness."""
 
     def __init__(self, state: AdmissionState, rng: random.Random) -> None:
         self._state = state
         self._rng = rng
 
     def select(self, request: AdmissionRequest, candidates: Sequence[BrokerState], now: float) -> BrokerState:
-        """One of ``candidates``, which is not empty: the one in whose queue it waits, else the fastest."""
+        """Return one of ``candidates``, which must not be empty.
+
+        This is the broker in whose queue the request waits, if it is a candidate, otherwise the fastest one.
+        """
         entry = request.queue_entry
         if entry is not None and entry.place == BROKER_QUEUE_PLACE:
             for broker in candidates:
@@ -49,10 +56,10 @@
         return candidates[costs_s.index(min(costs_s))]
 
     def _prefill_s(self, request: AdmissionRequest, candidates: Sequence[BrokerState]) -> list[float]:
-        """Time for which each candidate would process the prompt.
+        """Estimate the time in seconds that each candidate would take to process the prompt.
 
-        The broker preferred by its largest shared segment counts as having all shared ones: another proxy may
-        have sent them there, or this request should.
+        The broker that the prompt's largest shared segment prefers is assumed to have cached all shared
+        segments: another proxy may have sent them there, and if not, this request should.
         """
         prompt = request.prompt
         if not prompt.segments:
@@ -68,14 +75,19 @@
         return times_s
 
     def _preferred_id(self, request: AdmissionRequest) -> str | None:
-        """Over all brokers that could serve it, not the candidates: on these all proxies agree."""
+        """Return the instance id of the preferred broker; None if the prompt has no shared segment.
+
+        It is chosen from all capable brokers rather than the candidates, so that all proxies agree on it.
+        """
         segment = affinity_segment(request.prompt)
         if segment is None:
             return None
-        return preferred_broker(segment, [broker.instance_id for broker in self._state.serving(request)])
+        return preferred_broker(
+            segment, [broker.instance_id for broker in self._state.capable_brokers(request)]
+        )
 
     def _load_cost_s(self, broker: BrokerState, request: AdmissionRequest, now: float) -> float:
-        """Time that the broker's other requests and its slow start cost this one."""
+        """Estimate the delay of this request by the broker's other requests, memory use and slow start."""
         first_event_s = self._state.latency(request.service).first_event_s
         total = broker.load.total_requests(now, self._state.proxies)
         slots = max(broker.load.slots, 1)
--- a/cherrycove/tier/dataplane/admission/_broker_state.py
+++ b/cherrycove/tier/dataplane/admission/_broker_state.py
@@ -1,4 +1,4 @@
-"""State of one broker as admission sees it: queue, concurrency limit, load, health, prefix cache. Pure."""
+"""State of one broker: queue, concurrency limit, load, health and prefix cache estimate."""
 
 from __future__ import annotations
 
@@ -12,52 +12,57 @@
 from cherrycove.tier.dataplane.admission._prefix_cache import PrefixCacheEstimate
 from cherrycove.tier.distribution.cluster_view import Broker
 
-INITIAL_LIMIT = 4.0  # L of a broker that nothing is known of
-DEFAULT_CONNECTIONS = 64  # where the configuration names no limit
-DEFAULT_SLOTS = 16  # where neither the broker list nor the configuration says
-BATCH_FRACTION = 0.85  # of the slots up to which batch items are sent; the rest is kept for live requests
-URGENT_BATCH_FRACTION = 0.95  # the same for items that are nearly due
-SLOW_START_PENALTY = 1.0  # extra time, in multiples of the usual, at the start of a broker's warm-up
+INITIAL_LIMIT = 4.0  # concurrency limit of a newly listed broker
+DEFAULT_CONNECTIONS = 64  # connections of this proxy if the configuration sets no limit
+DEFAULT_SLOTS = 16  # slots if neither the broker list nor the configuration gives a number
+BATCH_FRACTION = 0.85  # fraction of the slots open to batch items; the rest is reserved for live requests
+URGENT_BATCH_FRACTION = 0.95  # the same fraction for urgent items
+SLOW_START_PENALTY = 1.0  # extra time at the start of a broker's warm-up, as a multiple of the usual time
 
 
 @attrs.define(eq=False, kw_only=True)
 class BrokerState:
-    """One broker, owned by ``AdmissionState`` from its first listing until it is unlisted and idle.
+    """The known state of one broker.
 
-    States: *listed* or not, and as listed *draining* or not; its health has states of its own. Nothing new is
-    sent to one that is unlisted or draining; attempts in flight there are counted until they end.
+    ``AdmissionState`` owns it from the broker's first listing until the broker is unlisted and idle.
+
+    States: *listed* or not, and while listed *draining* or not; ``BrokerHealth`` has its own states. Nothing
+    new is sent to a broker that is unlisted or draining; its attempts in flight are counted until they end.
     """
 
-    listing: Broker  # as the platform last listed it
-    service: Service | None
-    queue: NodeQueue  # earliest deadline first, with the concurrency limit L (``threshold``) and its window
+    listing: Broker  # entry of the last broker list that contained it
+    service: Service | None  # None: not configured
+    queue: NodeQueue  # requests by due time, with the concurrency limit and the window of statistics for it
     load: LoadEstimate
     prefix_cache: PrefixCacheEstimate
     warm_at: float
     health: BrokerHealth = attrs.field(factory=BrokerHealth)
-    in_flight: dict[AdmissionRequest, float] = attrs.field(factory=dict)  # attempts, by when they started
-    awaiting_first_event: set[AdmissionRequest] = attrs.field(factory=set)  # those without a byte of body
-    reserved_tokens: int = 0  # KV cache of the attempts in flight, shared segments counted for each
+    in_flight: dict[AdmissionRequest, float] = attrs.field(factory=dict)  # start time of each attempt
+    awaiting_first_event: set[AdmissionRequest] = attrs.field(factory=set)  # attempts without a body byte yet
+    reserved_tokens: int = 0  # KV cache of the attempts in flight; shared segments count for each attempt
     is_listed: bool = True
 
     @property
     def instance_id(self) -> str:
-        """The id under which the platform lists it; another start of the broker has another."""
+        """The id under which the platform lists the broker; it changes with each start of the broker."""
         return self.listing.instance_id
 
     @property
     def memory_tokens(self) -> int:
-        """Its KV cache in tokens; 0: unknown."""
+        """Size of the broker's KV cache in tokens; 0 if unknown."""
         return self.service.engine.kv_cache_tokens if self.service else 0
 
     def free_connections(self, proxies: int) -> int:
-        """What is left of this proxy's share of the connections that the broker accepts, less a spare one."""
+        """Return how many further connections this proxy may use.
+
+        Its share is an equal part of the broker's connection limit, less one spare connection.
+        """
         limit = self.service.connection_limit if self.service else 0
         share = max(limit // proxies - 1, 1) if limit else DEFAULT_CONNECTIONS
         return max(share - len(self.in_flight), 0)
 
     def can_serve(self, request: AdmissionRequest) -> bool:
-        """Whether the request could run there, sooner or later."""
+        """Whether the broker could run the request, regardless of its present load and health."""
         return (
             self.is_listed
             and not self.listing.draining
@@ -66,7 +71,7 @@
         )
 
     def accepts(self, request: AdmissionRequest, now: float) -> bool:
-        """Whether the request may go there, now or once a slot is free."""
+        """Whether the request may be sent to the broker as soon as a slot is free."""
         return (
             self.can_serve(request)
             and request.is_eligible_at(self.instance_id, now)
@@ -76,7 +81,8 @@
     def has_live_capacity(self, now: float, proxies: int) -> bool:
         """Whether a live request may be sent there now.
 
-        A fresh report decides by its free slots, and L only in an overload; without one L decides.
+        With a fresh load report the free slots decide, and in an overload also the concurrency limit.
+        Without one the concurrency limit decides.
         """
         if not self.free_connections(proxies):
             return False
@@ -86,9 +92,9 @@
         return now >= self.load.full_until and self.queue.out < min(self.queue.threshold, self.load.slots)
 
     def has_overdue_capacity(self, now: float, proxies: int) -> bool:
-        """Whether a request that is past its target may be sent there regardless of L.
+        """Whether a request past its target latency may be sent there, regardless of the concurrency limit.
 
-        Bounded by the slots: an attempt beyond them would be rejected by the broker.
+        The slots still bound it: the broker would reject an attempt beyond them.
         """
         if not self.free_connections(proxies):
             return False
@@ -97,7 +103,7 @@
         return now >= self.load.full_until and self.queue.out < self.load.slots
 
     def batch_capacity(self, now: float, proxies: int, *, urgent: bool = False) -> float:
-        """How many batch items more it could run, of all proxies together."""
+        """Return how many further batch items of all proxies together the broker could run."""
         is_blocked = self.queue.overload or now < self.load.full_until or not self.health.is_usable(now)
         if is_blocked or not self.free_connections(proxies):
             return 0.0
@@ -105,27 +111,27 @@
         return max(usable_slots - self.load.total_requests(now, proxies), 0.0)
 
     def start_attempt(self, request: AdmissionRequest, now: float) -> None:
-        """Account for an attempt that starts now."""
+        """Record an attempt that starts now."""
         self.in_flight[request] = now
         self.awaiting_first_event.add(request)
         self.load.in_flight += 1
         self.reserved_tokens += request.prompt.total_tokens
         self.health.attempt_started()
-        self._estimate_uncached(request)
+        self._estimate_uncached_tokens(request)
         self.prefix_cache.add(request.prompt)
         if not request.is_batch:
             self.queue.count_sent(now, 1.0)
 
     def end_attempt(self, request: AdmissionRequest) -> float:
-        """Give back what the attempt held, and return when it started."""
+        """Release the resources of an attempt, and return its start time."""
         self.awaiting_first_event.discard(request)
         self.load.in_flight -= 1
         self.reserved_tokens -= request.prompt.total_tokens
         self.queue.out -= not request.is_batch
         return self.in_flight.pop(request)
 
-    def _estimate_uncached(self, request: AdmissionRequest) -> None:
-        """Note how much of the prompt is probably not in the prefix cache."""
+    def _estimate_uncached_tokens(self, request: AdmissionRequest) -> None:
+        """Set the request's estimates of its prompt tokens that are not in the prefix cache."""
         prompt = request.prompt
         cached = self.prefix_cache.cached_tokens(prompt)
         shared = sum(segment.tokens for segment in prompt.shared_segments)
@@ -133,7 +139,7 @@
         request.uncached_shared_tokens = max(shared - cached, 0)
 
     def slow_start_factor(self, now: float) -> float:
-        """How many times its usual time it takes while it warms up; falls to 1 linearly."""
+        """Return the factor by which the broker is slower while it warms up; it falls linearly to 1."""
         warm_up_s = self.listing.warmup_remaining_ms / 1000
         if now >= self.warm_at or warm_up_s <= 0:
             return 1.0
@@ -141,7 +147,7 @@
 
 
 def new_broker_state(listing: Broker, service: Service | None, number: int, now: float) -> BrokerState:
-    """State of a broker that was just listed; ``number`` identifies its queue."""
+    """Return the state of a newly listed broker; ``number`` identifies its queue."""
     engine_slots = service.engine.capacity_slots if service else 0
     slots = listing.capacity_slots or engine_slots or DEFAULT_SLOTS
     limit = min(INITIAL_LIMIT, float(slots))
--- a/cherrycove/tier/dataplane/admission/_credit_policy.py
+++ b/cherrycove/tier/dataplane/admission/_credit_policy.py
@@ -1,4 +1,4 @@
-"""Credits by route: they decide which pending requests count as demand for a broker's L. Pure."""
+"""Credits per route, which decide what counts as demand when a broker's concurrency limit is set."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 from cherrycove.tier.dataplane.admission._broker_state import BrokerState
 from cherrycove.tier.dataplane.admission._interface import AdmissionRequest
 
-CREDIT_WAIT_PLACE = "lane"  # ``Request.place`` of an entry that waits for a credit
-CREDIT_WAIT_LIMIT = 1.0  # L of the queue that stands for no broker; it is never read
+CREDIT_WAIT_PLACE = "lane"  # value of ``Request.place`` while the entry waits for a credit
+CREDIT_WAIT_LIMIT = 1.0  # concurrency limit of the queue that belongs to no broker; never read
 
 
 class CreditPolicy:
-    """Owns the periods by which credits are counted and windows of L close.
+    """Owns the periods in which credits are granted and after which concurrency limits are set.
 
-    A pending live request waits first in its route's queue. While its route has credits, its head is put into
-    the deadline queue of a broker. Credits do not delay an attempt: a broker with capacity takes any pending
-    request (``LiveDispatcher``), so they decide only which requests count as demand for the controller of L.
+    A pending live request first waits in the credit queue of its route. While the route has credits, the head
+    of that queue moves to the deadline queue of a broker. Credits do not delay an attempt: ``LiveDispatcher``
+    sends any pending request to a broker with capacity, so credits decide only which requests count as demand
+    when concurrency limits are set.
     """
 
     def __init__(self, state: AdmissionState, selector: BrokerSelector, now: float) -> None:
@@ -30,12 +31,12 @@
         self.window_end = now + PERIOD
 
     def enqueue(self, request: AdmissionRequest) -> None:
-        """Let a live request of a known route wait for a credit."""
+        """Add a live request to the credit queue of its route, which must be known."""
         self._last_entry_number += 1
         self._state.routes[request.route].enqueue(request, self._last_entry_number, self._credit_wait)
 
     def spend_credit(self, request: AdmissionRequest, now: float) -> None:
-        """Move the request to a broker's queue, if it is the first of its route and that has a credit."""
+        """Move the request to a broker's queue, if it heads its route's credit queue and a credit is left."""
         entry, route = request.queue_entry, self._state.routes[request.route]
         assert entry is not None
         route.refill(self._period)
@@ -49,13 +50,13 @@
         route.credit_account.credits -= 1.0
         broker = self._selector.select(request, candidates, now)
         entry.leave()
-        entry.wait_at(broker.queue, now)  # which counts the arrival
-        _concurrency_limit.record_early_due(broker, entry.due, self.window_end)
+        entry.wait_at(broker.queue, now)  # this also counts the arrival
+        _concurrency_limit.record_due_in_window(broker, entry.due, self.window_end)
 
     def close_period(self, now: float) -> None:
-        """At the end of a period set each broker's L and spend the credits of the next one.
+        """At the end of a period, set the concurrency limits and spend the credits of the next period.
 
-        A route is refilled when one of its requests next asks for a credit, at the rate known then.
+        A route is refilled when one of its requests next needs a credit, at the rate known at that time.
         """
         if now < self.window_end:
             return
@@ -68,8 +69,8 @@
         for request in self._state.pending.in_dispatch_order(now):
             self.spend_credit(request, now)
 
-    def evacuate(self, broker: BrokerState) -> None:
-        """Let what waits in the queue of a broker that accepts nothing any more wait for a credit again."""
+    def return_to_credit_queue(self, broker: BrokerState) -> None:
+        """Move the requests queued for a broker that accepts no more back to the credit queues."""
         for entry in broker.queue.held():
             entry.leave()
             entry.wait_for_credit(self._credit_wait)
--- a/cherrycove/tier/dataplane/admission/_deadline_feasibility.py
+++ b/cherrycove/tier/dataplane/admission/_deadline_feasibility.py
@@ -1,4 +1,4 @@
-"""Whether a pending live request can still be served in time, or is better rejected at once. Pure."""
+"""Decides whether a pending live request can still be served in time or should be rejected now."""
 
 from __future__ import annotations
 
@@ -7,35 +7,40 @@
 from cherrycove.tier.dataplane.admission._admission_state import AdmissionState
 from cherrycove.tier.dataplane.admission._interface import AdmissionRequest, Reject, RejectionReason
 
-# Reasons are in docs/design/admission.md ("Rejections"): arguments, not measurements.
-DECISION_FRACTION = 0.22  # of the target latency, within which a first attempt is rejected or kept
-NO_BROKER_FRACTION = (
-    0.12  # of the target latency, after which a request is rejected if no broker is reachable
-)
-MAX_WAIT_FRACTION = 0.45  # of the client's timeout, after which a request that was never sent is rejected
-RETRY_AFTER_FRACTION = 0.3  # of the time left, advised as Retry-After; clients heed up to a third
+# docs/design/admission.md ("Rejections") derives these values by argument; they are not measured.
+# Within this fraction of the target latency, a client's first request is rejected if the forecast exceeds the
+# target.
+DECISION_FRACTION = 0.22
+# After this fraction of the target latency, a request is rejected if no broker is reachable.
+NO_BROKER_FRACTION = 0.12
+# After this fraction of the client's timeout, a request that was never sent to a broker is rejected.
+MAX_WAIT_FRACTION = 0.45
+# Fraction of the remaining time that is sent as Retry-After. Clients wait for at most a third of that time.
+RETRY_AFTER_FRACTION = 0.3
 MAX_NO_BROKER_RETRY_AFTER_S = 0.5
-MIN_SLOT_HOLD_S = 0.001
+MIN_SLOT_HOLD_S = 0.001  # lower bound of the slot hold time by which the forecast divides
 
 
 @attrs.frozen(kw_only=True)
 class LatencyForecast:
     """Expected latency of a pending live request."""
 
-    queue_wait_s: float  # until its attempt starts
-    first_event_s: float  # from there to the first event
-    is_reachable: bool  # whether any broker that could run it is reachable
-    is_retry: bool  # a guess (``RouteState.is_retry``): its timeout is shorter than others of the route
+    queue_wait_s: float  # time until its attempt starts
+    first_event_s: float  # time from the start of the attempt to its first event
+    is_reachable: bool  # whether any broker that could run the request is reachable
+    is_retry: bool  # a guess from its timeout (``RouteState.is_retry``)
 
 
 def forecast_latency(state: AdmissionState, request: AdmissionRequest, ahead: int) -> LatencyForecast:
-    """The forecast for a live request with ``ahead`` others before it.
+    """Return the forecast for a live request with ``ahead`` others before it.
 
     It assumes that all slots of the reachable brokers are taken, and that this proxy gets an equal share of
     those that become free.
     """
     latency = state.latency(request.service)
-    reachable = [broker for broker in state.serving(request) if not broker.health.consecutive_failures]
+    reachable = [
+        broker for broker in state.capable_brokers(request) if not broker.health.consecutive_failures
+    ]
     slots = sum(broker.load.slots for broker in reachable)
     freed_per_s = slots / max(latency.slot_hold_s, MIN_SLOT_HOLD_S) / state.proxies
     return LatencyForecast(
@@ -47,13 +52,13 @@
 
 
 def rejection(request: AdmissionRequest, now: float, forecast: LatencyForecast) -> Reject | None:
-    """The rejection of a request that is to be rejected now; None while it stays pending."""
+    """Return a rejection if the request should be rejected now; None if it stays pending."""
     waited_s = now - request.arrived_at
     left_s = max(request.deadline - now, 0.0)
     retry_after_s = RETRY_AFTER_FRACTION * left_s
     is_last_chance = forecast.is_retry or bool(request.attempts)
     if not is_last_chance and waited_s >= MAX_WAIT_FRACTION * request.client_timeout_s:
-        # It leaves the client time for one retry.
+        # A rejection now leaves the client time for one retry.
         return Reject(request, retry_after_s, RejectionReason.WAITED_TOO_LONG)
     if not forecast.is_reachable:
         if forecast.is_retry or waited_s < NO_BROKER_FRACTION * request.target_latency_s:
@@ -68,7 +73,7 @@
 def _is_too_late(
     request: AdmissionRequest, now: float, forecast: LatencyForecast, *, is_last_chance: bool
 ) -> bool:
-    """Whether the forecast says that waiting on is worth less than a rejection now."""
+    """Whether the forecast makes a rejection now preferable to further waiting."""
     needed_s = forecast.queue_wait_s + forecast.first_event_s
     if is_last_chance:
         return needed_s > max(request.deadline - now, 0.0)
--- a/cherrycove/tier/dataplane/admission/_interface.py
+++ b/cherrycove/tier/dataplane/admission/_interface.py
@@ -1,4 +1,4 @@
-"""Requests, events and actions between the data plane and admission. Times are monotonic seconds."""
+"""Requests, events and actions exchanged by the data plane and admission. Times are monotonic seconds."""
 
 from __future__ import annotations
 
@@ -15,82 +15,82 @@
 
 
 class PendingCause(Enum):
-    """Why a live request became pending instead of starting an attempt at once."""
+    """Why a live request became pending instead of being sent to a broker at once."""
 
-    NO_BROKER = "no_broker"  # no broker could run it
-    EJECTED = "ejected"  # those that could are ejected, or excluded by its earlier attempts
-    NO_CONNECTION = "no_connection"  # this proxy uses all connections that it may have there
-    NO_SLOT = "no_slot"  # all slots are taken, as far as this proxy knows, or L is reached
+    NO_BROKER = "no_broker"  # no broker could run the request
+    EJECTED = "ejected"  # all capable brokers are ejected, or excluded by the request's earlier attempts
+    NO_CONNECTION = "no_connection"  # this proxy uses all connections that it may have to these brokers
+    NO_SLOT = "no_slot"  # all known slots are taken, or the concurrency limit is reached
 
 
 class RejectionReason(Enum):
-    """What decided that a request is rejected without an attempt."""
+    """Why a request is rejected without an attempt."""
 
-    FORECAST = "forecast"  # it could not be answered in time, by the forecast latency
-    NO_BROKER = "no_broker"  # no broker that could run it is reachable
-    WAITED_TOO_LONG = "waited_too_long"  # time would not be left for a retry of its client
-    NOT_CONFIGURED = "not_configured"  # its route or service is not known here
+    FORECAST = "forecast"  # the forecast latency exceeds the time that is left
+    NO_BROKER = "no_broker"  # no broker that could run the request is reachable
+    WAITED_TOO_LONG = "waited_too_long"  # longer waiting would leave the client no time for a retry
+    NOT_CONFIGURED = "not_configured"  # the route is unknown here, or no broker can run the batch item
 
 
 @attrs.define(eq=False, kw_only=True)
 class AdmissionRequest:
-    """One live request or batch item, the same object for all of its attempts.
+    """One live request or batch item; the same object is used for all of its attempts.
 
-    The data plane creates it and owns it; admission fills in the fields below ``is_batch``. It is *pending*
-    from ``request_arrived`` until an action names it, *in flight* from ``StartAttempt`` until
+    The data plane creates and owns it; admission fills in the fields below ``is_batch``. It is *pending* from
+    ``request_arrived`` until an action names it, and *in flight* from ``StartAttempt`` until
     ``attempt_ended``.
     """
 
     route: str
     service: str
     arrived_at: float
-    target_latency_s: float  # from the arrival to the first event; an answer within it has its full value
-    deadline: float  # by when it must have been answered
-    client_timeout_s: float  # how long its client waits, counted from the arrival
+    target_latency_s: float  # from arrival to first event; a response within it has its full value
+    deadline: float  # time by which it must have been answered
+    client_timeout_s: float  # how long the client waits, counted from the arrival
     prompt: Prompt = NO_PROMPT
     is_batch: bool = False
-    due_at: float = inf  # of a batch item set by the caller, of a live request the arrival plus the target
+    due_at: float = inf  # batch item: set by the caller; live request: arrival plus target latency
     preferred_broker: str = ""  # instance id at which the stores placed a batch item; empty: any
-    queue_key: float = inf  # order among pending live requests, smallest first
-    attempts: int = 0  # started, also those that a broker rejected
+    queue_key: float = inf  # sort key among pending live requests, smallest first
+    attempts: int = 0  # attempts started, including those that a broker rejected
     queued_at: float = 0.0  # when it last became pending
-    queue_entry: Request | None = None  # of a live request, in the queue of its route or of a broker
-    pending_cause: PendingCause | None = None  # of a live request that last became pending; None: it did not
-    uncached_tokens: int = 0  # of the prompt, that the broker of the last attempt probably had to process
-    uncached_shared_tokens: int = 0  # those of them that belong to shared segments
-    excluded_until: dict[str, float] = attrs.field(factory=dict)  # by instance id, after attempts that failed
+    queue_entry: Request | None = None  # entry of a live request in the queue of its route or of a broker
+    pending_cause: PendingCause | None = None  # of a live request; None: it was sent without waiting
+    uncached_tokens: int = 0  # prompt tokens that the broker of the last attempt probably had to process
+    uncached_shared_tokens: int = 0  # the part of them that belongs to shared segments
+    excluded_until: dict[str, float] = attrs.field(factory=dict)  # by instance id, after failed attempts
 
     def is_eligible_at(self, instance_id: str, now: float) -> bool:
-        """Whether its earlier attempts allow another one at this broker."""
+        """Whether the request's earlier attempts allow another one at this broker."""
         return self.excluded_until.get(instance_id, -inf) <= now
 
 
 class AttemptOutcome(Enum):
-    """How an attempt ended, as far as admission learns from it."""
+    """How an attempt ended, in the distinctions that admission uses."""
 
     SERVED = "served"
     REJECTED = "rejected"  # the broker had no free slot and did not run the request
     UNREACHABLE = "unreachable"  # no connection was established
     MISDIRECTED = "misdirected"  # another broker listens at the address
-    VERSION_MISMATCH = "version_mismatch"  # 421 to a request with Expect-Version: its weights may differ
-    INCOMPLETE = "incomplete"  # the response was closed, reset or malformed
-    STALLED = "stalled"  # nothing was received for long
-    CANCELLED = "cancelled"  # the client left, or its deadline passed
+    VERSION_MISMATCH = "version_mismatch"  # 421 to a request with Expect-Version: model weights may differ
+    INCOMPLETE = "incomplete"  # the connection was closed or reset early, or the response was malformed
+    STALLED = "stalled"  # nothing was received within the stall timeout
+    CANCELLED = "cancelled"  # the client disconnected, or the deadline passed
 
 
 @attrs.frozen(kw_only=True)
 class ClusterSnapshot:
-    """Event: what the proxy's view of the cluster says, as far as admission needs it."""
+    """Event: the part of the proxy's view of the cluster that admission needs."""
 
     configuration: Configuration | None
     brokers: tuple[Broker, ...]
-    proxies: int  # alive, this one included
-    arrivals_per_s: Mapping[str, float]  # by route name, the sum over all proxies
+    proxies: int  # proxies alive, including this one
+    arrivals_per_s: Mapping[str, float]  # by route name, summed over all proxies
 
 
 @attrs.frozen
 class StartAttempt:
-    """Action: send the request to this broker now."""
+    """Action: sends the request to this broker now."""
 
     request: AdmissionRequest
     instance_id: str
@@ -98,7 +98,7 @@
 
 @attrs.frozen
 class Reject:
-    """Action: answer the request without an attempt, since none would succeed in time."""
+    """Action: answers the request without an attempt, since none would succeed in time."""
 
     request: AdmissionRequest
     retry_after_s: float
@@ -107,7 +107,7 @@
 
 @attrs.frozen
 class CancelStalledAttempt:
-    """Action: the broker that runs the request has stalled; its attempt may be given up."""
+    """Action: allows the attempt of the request to be cancelled, since its broker has stalled."""
 
     request: AdmissionRequest
 
--- a/cherrycove/tier/dataplane/admission/_latency_estimate.py
+++ b/cherrycove/tier/dataplane/admission/_latency_estimate.py
@@ -1,4 +1,4 @@
-"""Estimates of a service's latency, learned from first events: usual time, prefill speed, slot time. Pure."""
+"""Latency estimates of a service: time to the first event, prefill speed and slot hold time."""
 
 from __future__ import annotations
 
@@ -14,16 +14,18 @@
 MIN_PREFILL_TOKENS_PER_S = 10_000.0
 MAX_PREFILL_TOKENS_PER_S = 2_000_000.0
 MIN_PREFILL_S = 0.001
-SHORT_PROMPT_TOKENS = 1_000  # prompts up to this length show the usual time to a first event
-LONG_PROMPT_TOKENS = 3_000  # from this length on, what they take beyond it is prefill
-SAMPLE_WEIGHT = 0.1  # of a new sample in the exponential moving averages
+# Prompts up to SHORT_PROMPT_TOKENS update the usual time to a first event. From LONG_PROMPT_TOKENS on, the
+# time beyond the usual counts as prefill.
+SHORT_PROMPT_TOKENS = 1_000
+LONG_PROMPT_TOKENS = 3_000
+SAMPLE_WEIGHT = 0.1  # weight of a new sample in the exponential moving averages
 MAX_SAMPLES = 64
 SLOW_QUANTILE = 0.95
 
 
 @attrs.define
 class LatencyEstimate:
-    """What all brokers of a service show together; owned by ``AdmissionState``."""
+    """Latency estimates over all brokers of a service; owned by ``AdmissionState``."""
 
     first_event_s: float = INITIAL_FIRST_EVENT_S
     prefill_tokens_per_s: float = INITIAL_PREFILL_TOKENS_PER_S
@@ -31,9 +33,9 @@
     _recent_s: deque[float] = attrs.field(factory=lambda: deque(maxlen=MAX_SAMPLES))
 
     def record_first_event(self, latency_s: float, prefill_tokens: int) -> None:
-        """Learn from a first event that came ``latency_s`` after the start of an attempt.
+        """Update the estimates from a first event, ``latency_s`` after the start of its attempt.
 
-        ``prefill_tokens`` is about how many tokens of the prompt the broker had to process for it.
+        ``prefill_tokens`` is the approximate number of prompt tokens that the broker had to process first.
         """
         self._recent_s.append(latency_s)
         if prefill_tokens <= SHORT_PROMPT_TOKENS:
@@ -44,13 +46,13 @@
             self.prefill_tokens_per_s += SAMPLE_WEIGHT * (bounded - self.prefill_tokens_per_s)
 
     def record_slot_hold(self, held_s: float) -> None:
-        """Learn from a served request that held its slot for ``held_s``."""
+        """Update the slot hold time from a served request that held its slot for ``held_s``."""
         self.slot_hold_s += SAMPLE_WEIGHT * (held_s - self.slot_hold_s)
 
     def slow_first_event_s(self) -> float:
-        """The time to a first event that 95 in 100 of the recent ones did not exceed."""
+        """Return the 95th percentile of the recent times to a first event."""
         return percentile(list(self._recent_s), SLOW_QUANTILE) if self._recent_s else self.first_event_s
 
     def prefill_s(self, tokens: int) -> float:
-        """The time that processing so many tokens of a prompt takes."""
+        """Return the time in seconds that a broker takes to process this many prompt tokens."""
         return tokens / self.prefill_tokens_per_s
--- a/cherrycove/tier/dataplane/admission/_live_dispatcher.py
+++ b/cherrycove/tier/dataplane/admission/_live_dispatcher.py
@@ -1,4 +1,4 @@
-"""Dispatch of pending live requests to brokers with capacity; rejection of those too late. Pure."""
+"""Dispatches pending live requests to brokers with capacity, and rejects those that would be late."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from cherrycove.tier.dataplane.admission._deadline_feasibility import forecast_latency, rejection
 from cherrycove.tier.dataplane.admission._interface import Action, AdmissionRequest, PendingCause
 
-BrokerSet = dict[BrokerState, None]  # keeps the order of the brokers
+BrokerSet = dict[BrokerState, None]  # used as an ordered set
 
 
 class LiveDispatcher:
-    """Takes live requests out of ``AdmissionState.pending``: into an attempt, or rejected.
+    """Takes live requests out of ``AdmissionState.pending``: starts an attempt or rejects them.
 
     A request is never kept pending while a broker that accepts it has capacity.
     """
@@ -23,7 +23,7 @@
         self._selector = selector
 
     def dispatch(self, now: float, window_end: float) -> list[Action]:
-        """Start attempts in dispatch order; requests past their target may exceed L."""
+        """Start attempts in dispatch order; requests past their target may exceed the concurrency limit."""
         if not self._state.pending:
             return []
         proxies = self._state.proxies
@@ -56,16 +56,16 @@
         return actions
 
     def reject_if_infeasible(self, request: AdmissionRequest, now: float) -> list[Action]:
-        """The same for one pending request."""
+        """Reject this pending request if it cannot be served in time."""
         ahead = self._state.pending.in_dispatch_order(now).index(request)
         return self._reject_if_infeasible(request, ahead, now)
 
     def pending_cause(self, request: AdmissionRequest, now: float) -> PendingCause:
-        """Why the request, for which no attempt started just now, has to wait."""
-        serving = self._state.serving(request)
-        if not serving:
+        """Return why the request, for which no attempt has just started, has to wait."""
+        capable = self._state.capable_brokers(request)
+        if not capable:
             return PendingCause.NO_BROKER
-        accepting = [broker for broker in serving if broker.accepts(request, now)]
+        accepting = [broker for broker in capable if broker.accepts(request, now)]
         if not accepting:
             return PendingCause.EJECTED
         if not any(broker.free_connections(self._state.proxies) for broker in accepting):
--- a/cherrycove/tier/dataplane/admission/_pending_requests.py
+++ b/cherrycove/tier/dataplane/admission/_pending_requests.py
@@ -1,4 +1,4 @@
-"""Live requests that are pending at this proxy, in dispatch order. Pure."""
+"""The live requests that are pending at this proxy, in dispatch order."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 class PendingRequests:
     """A queue sorted by ``AdmissionRequest.queue_key``, owned by ``AdmissionState``.
 
-    One queue for the whole proxy: a free slot is never withheld from an earlier request that waits for
-    another broker.
+    There is one queue for the whole proxy, so that a free slot goes to the first request that may use it,
+    even if that request is queued for another broker.
     """
 
     def __init__(self) -> None:
@@ -24,17 +24,17 @@
         return request in self._requests
 
     def add(self, request: AdmissionRequest) -> None:
-        """Insert the request behind those with the same key."""
-        insort(self._requests, request, key=lambda each: each.queue_key)
+        """Insert the request after those with the same key."""
+        insort(self._requests, request, key=lambda pending: pending.queue_key)
 
     def remove(self, request: AdmissionRequest) -> None:
-        """Take it out, also of the queue of its route or broker."""
+        """Remove the request, also from the queue of its route or broker."""
         self._requests.remove(request)
         if request.queue_entry is not None:
             request.queue_entry.leave()
 
     def in_dispatch_order(self, now: float) -> list[AdmissionRequest]:
-        """All of them: by key, but those past their target behind those that can still meet theirs.
+        """Return all requests by key, but those past their target latency after all others.
 
         Otherwise, in an overload, each late request would make the next one late too.
         """
--- a/cherrycove/tier/dataplane/admission/_prefix_cache.py
+++ b/cherrycove/tier/dataplane/admission/_prefix_cache.py
@@ -1,4 +1,4 @@
-"""Estimate of a broker's prefix cache, and the affinity of prompt prefixes to brokers. Pure."""
+"""Estimates the contents of a broker's prefix cache, and assigns shared prompt segments to brokers."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 
 from cherrycove.tier.dataplane.prompt import Prompt, PromptSegment
 
-DEFAULT_CAPACITY_TOKENS = 100_000  # where the configuration does not say a service's KV cache
+DEFAULT_CAPACITY_TOKENS = 100_000  # used if the service's KV cache size is not configured
 
 
 class PrefixCacheEstimate:
-    """Prompt segments that one broker probably keeps, evicted least recently used first as it does.
+    """Tracks the prompt segments that one broker has probably cached, with LRU eviction as at the broker.
 
-    Owned by the broker's ``BrokerState``; a wrong estimate costs prefill time, nothing else.
+    Owned by the broker's ``BrokerState``. A wrong estimate costs prefill time only.
     """
 
     def __init__(self, capacity_tokens: int) -> None:
-        """``capacity_tokens`` 0: unknown."""
+        """Create an empty estimate; ``capacity_tokens`` of 0 means that the capacity is unknown."""
         self._capacity_tokens = capacity_tokens or DEFAULT_CAPACITY_TOKENS
         self._segments: OrderedDict[str, int] = OrderedDict()  # tokens by id, least recently used first
         self._tokens = 0
 
     def add(self, prompt: Prompt) -> None:
-        """A request with this prompt was sent there."""
+        """Record that a request with this prompt was sent to the broker."""
         for segment in prompt.segments:
             self._tokens += segment.tokens - self._segments.pop(segment.id, 0)
             self._segments[segment.id] = segment.tokens
@@ -32,7 +32,7 @@
             self._tokens -= self._segments.popitem(last=False)[1]
 
     def cached_tokens(self, prompt: Prompt) -> int:
-        """Tokens of the longest prefix of ``prompt``, in whole segments, that is cached."""
+        """Return the number of tokens in the longest cached prefix of ``prompt``, in whole segments."""
         tokens = 0
         for segment in prompt.segments:
             if segment.id not in self._segments:
@@ -42,12 +42,12 @@
 
 
 def affinity_segment(prompt: Prompt) -> PromptSegment | None:
-    """The segment that decides the prompt's preferred broker: the largest shared one."""
+    """Return the prompt's largest shared segment, which determines its preferred broker; None without one."""
     return max(prompt.shared_segments, key=lambda segment: segment.tokens, default=None)
 
 
 def preferred_broker(segment: PromptSegment, instance_ids: Iterable[str]) -> str | None:
-    """The broker that requests with ``segment`` prefer, the same at every proxy.
+    """Return the broker that requests with ``segment`` prefer, the same at every proxy; None without brokers.
 
     Rendezvous hashing (Thaler, Ravishankar: A Name-Based Mapping Scheme for Rendezvous, 1996): a broker that
     leaves moves only the segments that preferred it.
--- a/cherrycove/tier/dataplane/admission/_scheduler.py
+++ b/cherrycove/tier/dataplane/admission/_scheduler.py
@@ -1,4 +1,4 @@
-"""The state machine of admission at one proxy: dispatches events to the policies. Pure."""
+"""The state machine of admission at one proxy, which passes events on to the policies."""
 
 from __future__ import annotations
 
@@ -22,17 +22,18 @@
 from cherrycove.tier.dataplane.admission._live_dispatcher import LiveDispatcher
 from cherrycove.tier.dataplane.headers import InstanceLoad
 
-PENDING_TICK_S = 0.02  # between wake-ups while live requests are pending
-IN_FLIGHT_TICK_S = 0.05  # and while only attempts or batch items are open
-PROCESS_STALL_S = 0.25  # without an event while attempts are in flight, after which this process was stalled
+PENDING_TICK_S = 0.02  # interval of wake-ups while live requests are pending
+IN_FLIGHT_TICK_S = 0.05  # interval of wake-ups while there are only attempts in flight or pending batch items
+# This process is taken to have stalled if it handled no event for this long while attempts were in flight.
+PROCESS_STALL_S = 0.25
 
 
 class AdmissionScheduler:
-    """Decides for all requests of one proxy; owned by its ``AdmissionController``.
+    """Admits, queues and rejects all requests of one proxy; owned by its ``AdmissionController``.
 
-    Each method takes an event and the monotonic time ``now``, which never decreases, and returns the actions
-    in the order in which they are to be carried out. It has no clock and does no I/O; after a restart it
-    begins anew.
+    Event methods take the monotonic time ``now``, which must never decrease, and return actions in the order
+    in which they are to be executed. The scheduler has no clock and does no I/O; a restart of the process
+    loses its state.
     """
 
     def __init__(self, rng: random.Random, now: float) -> None:
@@ -45,40 +46,40 @@
         self._advanced_at = now
 
     def cluster_changed(self, now: float, snapshot: ClusterSnapshot) -> list[Action]:
-        """Brokers, configuration, proxies or arrival rates have changed.
+        """Apply a change of brokers, configuration, proxies or arrival rates.
 
-        A stall of this process that ends with this event, or with an arrival, is not noticed: only ``wake``
-        and ``attempt_ended`` look for one, and this event restarts the time that they compare with.
+        A stall of this process that ends with this event or with an arrival is not detected: only ``wake``
+        and ``attempt_ended`` check for one, and this event resets the time that they compare with.
         """
         self.state.update(now, snapshot)
         for broker in self.state.brokers.values():
             if not broker.is_listed or broker.listing.draining:
-                self._credits.evacuate(broker)
+                self._credits.return_to_credit_queue(broker)
         self.state.remove_unlisted()
-        return self._batch.reject_unserved(now) + self._advance(now)
+        return self._batch.reject_unservable(now) + self._advance(now)
 
     def request_arrived(self, now: float, request: AdmissionRequest) -> list[Action]:
-        """A request is to be attempted, for the first time or again."""
+        """Add a request that is to be sent to a broker, for the first time or again."""
         request.queued_at = now
         return self._batch_arrived(now, request) if request.is_batch else self._live_arrived(now, request)
 
     def request_withdrawn(self, request: AdmissionRequest) -> None:
-        """A pending request has been cancelled."""
+        """Remove a pending request that was cancelled."""
         if request.is_batch:
             self.state.batch_queue.remove(request)
         elif request in self.state.pending:
             self.state.pending.remove(request)
 
     def response_started(self, now: float, request: AdmissionRequest, load: InstanceLoad | None) -> None:
-        """The head of a response came, perhaps with the broker's load."""
+        """Record that the head of a response was received, with the broker's load report if it had one."""
         self._feedback.response_started(now, request, load)
 
     def body_received(self, now: float, request: AdmissionRequest) -> None:
-        """Bytes of a response's body came."""
+        """Record that bytes of a response body were received."""
         self._feedback.body_received(now, request)
 
     def attempt_ended(self, now: float, request: AdmissionRequest, outcome: AttemptOutcome) -> list[Action]:
-        """An attempt ended; a request that is to be retried arrives again."""
+        """Record the end of an attempt; to retry the request, call ``request_arrived`` again."""
         self._check_process_stall(now)
         if not self._feedback.attempt_ended(now, request, outcome):
             return []
@@ -86,7 +87,7 @@
         return self._advance(now)
 
     def next_wake_at(self) -> float:
-        """When ``wake`` is to be called; inf while nothing is pending or in flight."""
+        """Return when ``wake`` is to be called; inf while nothing is pending or in flight."""
         if self.state.pending:
             return self._advanced_at + PENDING_TICK_S
         if self.state.batch_queue or self.state.attempts:
@@ -94,7 +95,7 @@
         return inf
 
     def wake(self, now: float) -> list[Action]:
-        """Time has passed."""
+        """Do what is due by ``now``: cancel stalled attempts, dispatch, and reject what would be late."""
         self._check_process_stall(now)
         actions = self._feedback.cancel_stalled(now)
         actions += self._advance(now)
@@ -102,15 +103,19 @@
         return actions
 
     def free_slots(self, now: float) -> int:
-        """How many batch items this proxy could start now, besides those that are queued here."""
+        """Return how many batch items this proxy could start now, in addition to those queued here."""
         return self._batch.free_slots(now)
 
     def usable_slots(self, services: Set[str]) -> int:
-        """The slots of the brokers of ``services`` that get requests: listed, not draining, healthy."""
+        """Return the slots of all brokers of ``services`` that are listed, not draining and healthy."""
         return sum(broker.load.slots for broker in self._healthy_brokers(services))
 
     def brokers_for_items(self, services: Set[str], now: float) -> dict[str, int]:
-        """The slots, by instance id, of those among them at which this proxy could start an item now."""
+        """Return the slots, by instance id, of the brokers at which this proxy could start a batch item now.
+
+        These are the brokers that ``usable_slots`` counts, except those that have no connection left for this
+        proxy or have just rejected a request.
+        """
         proxies = self.state.proxies
         return {
             broker.instance_id: broker.load.slots
@@ -125,7 +130,7 @@
                 yield broker
 
     def _batch_arrived(self, now: float, request: AdmissionRequest) -> list[Action]:
-        if not self.state.serving(request):
+        if not self.state.capable_brokers(request):
             return [Reject(request, 0.0)]
         self.state.batch_queue.add(request)
         return self._advance(now)
@@ -144,7 +149,7 @@
         return actions
 
     def _advance(self, now: float) -> list[Action]:
-        """Close what is over and dispatch what may be: live requests first, then batch items."""
+        """Close the period if it has ended, then dispatch live requests and after them batch items."""
         self._advanced_at = now
         self._credits.close_period(now)
         return self._live.dispatch(now, self._credits.window_end) + self._batch.dispatch(now)
--- a/cherrycove/tier/dataplane/admission/_stall_detection.py
+++ b/cherrycove/tier/dataplane/admission/_stall_detection.py
@@ -1,4 +1,4 @@
-"""Detection of brokers that have stopped sending while attempts are in flight there. Pure."""
+"""Detects brokers that have stopped sending while attempts are in flight there."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 from cherrycove.tier.dataplane.admission._latency_estimate import LatencyEstimate
 
 MIN_STALL_TIMEOUT_S = 0.5
-SLOW_FIRST_EVENT_FACTOR = 4.0
-SINGLE_REQUEST_FACTOR = 2.0  # longer where one request alone is the evidence
+SLOW_FIRST_EVENT_FACTOR = 4.0  # stall timeout as a multiple of the 95th percentile of times to a first event
+SINGLE_REQUEST_FACTOR = 2.0  # factor for a longer timeout if a single request is the only evidence
 
 
 def restart_stall_timers(state: AdmissionState, now: float) -> None:
-    """Count silence from now on: this process itself did not run, so earlier silence proves nothing."""
+    """Measure silence of brokers from now on: this process did not run and could not receive anything."""
     for broker in state.brokers.values():
         broker.health.last_response_at = now
 
 
 def eject_stalled(state: AdmissionState, now: float) -> Iterator[AdmissionRequest]:
-    """Eject brokers that sent nothing for longer than their stall timeout; yield what is in flight there."""
+    """Eject brokers that sent nothing within their stall timeout, and yield their requests in flight."""
     for broker in state.brokers.values():
         if not broker.in_flight:
             continue
         since = max(broker.health.last_response_at, min(broker.in_flight.values()))
         if now - since > _stall_timeout_s(broker, state.latency(broker.listing.service)):
             broker.health.attempt_failed(now)
-            broker.health.last_response_at = now  # the next failure only after a further timeout
+            broker.health.last_response_at = now  # so the next failure is counted only after another timeout
             yield from broker.in_flight
 
 
