--- a/tests/tier/admission_model.py
+++ b/tests/tier/admission_model.py
@@ -1,4 +1,4 @@
-"""A model of several proxies and model brokers in simulated time, driving the scheduler of each proxy."""
+"""Simulates several proxies and model brokers in virtual time, to test the proxies' admission schedulers."""
 
 from __future__ import annotations
 
@@ -25,232 +25,249 @@
 from cherrycove.tier.dataplane.prompt import Prompt, PromptSegment
 from cherrycove.tier.distribution.cluster_view import Broker
 
-WAY_S = 0.001  # between proxy and broker
+NETWORK_DELAY_S = 0.001  # from proxy to broker
 SLOTS = 24
-QUEUE = 4  # requests that a broker holds beyond its slots
-EVENT_S = 0.045  # between events of a stream
-READ_TOKENS_PER_S = 128_000
+QUEUE_LIMIT = 4  # requests that a broker queues while its slots are taken
+EVENT_INTERVAL_S = 0.045  # interval between the events of a stream
+PREFILL_TOKENS_PER_S = 128_000
 TARGET_LATENCY_S = 0.2
 CLIENT_TIMEOUT_S = 6.0
 ITEM_DUE_S = 8.0
-EVENTS = {"chat": 15, "report": 8, "lots": 30}
+EVENTS_BY_ROUTE = {"chat": 15, "report": 8, "lots": 30}
 
 
 @attrs.define(eq=False)
-class Work:
-    """One request of a client, or one batch item, over all its tries."""
+class SimulatedRequest:
+    """One client request or batch item, over all its tries."""
 
-    kind: str
-    began: float
+    route_name: str
+    first_arrived_at: float
     prompt: Prompt
     tries: int = 0
-    try_began: float = 0.0
-    first_s: float | None = None  # from the last try to the first event
-    done: float | None = None
-    refused: bool = False
-    broken: bool = False
+    try_arrived_at: float = 0.0
+    first_event_s: float | None = None  # time from the last try to the first event
+    completed_at: float | None = None
+    rejected: bool = False
+    interrupted: bool = False
 
 
 @attrs.define(eq=False)
-class Engine:
-    """One model broker."""
+class SimulatedBroker:
+    """One model broker, with the requests that it runs and queues, and its prefix cache."""
 
-    broker: Broker
+    listing: Broker
     running: dict[AdmissionRequest, int] = attrs.field(factory=dict)
     waiting: list[tuple[AdmissionRequest, int]] = attrs.field(factory=list)
-    kept: set[str] = attrs.field(factory=set)
-    reads_until: float = 0.0
-    read_tokens: int = 0
-    dead: bool = False
+    cached_segments: set[str] = attrs.field(factory=set)
+    prefill_until: float = 0.0
+    prefilled_tokens: int = 0
+    has_crashed: bool = False
 
 
 @attrs.define(eq=False)
-class Fleet:
+class SimulatedCluster:
+    """Proxies, brokers and the requests sent to them; ``run`` executes scheduled calls in order of time."""
+
     proxies: int = 3
-    brokers: int = 3
+    broker_count: int = 3
     seed: int = 1
     now: float = 0.0
-    works: list[Work] = attrs.field(factory=list)
-    backlog: list[Work] = attrs.field(factory=list)  # items that no proxy has
-    engines: dict[str, Engine] = attrs.field(init=False)
+    requests: list[SimulatedRequest] = attrs.field(factory=list)
+    backlog: list[SimulatedRequest] = attrs.field(factory=list)  # batch items that no proxy has leased
+    simulated_brokers: dict[str, SimulatedBroker] = attrs.field(init=False)
     schedulers: list[AdmissionScheduler] = attrs.field(init=False)
     _rng: random.Random = attrs.field(init=False)
-    _agenda: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = attrs.field(factory=list)
-    _serial: int = 0
-    _open: dict[AdmissionRequest, Work] = attrs.field(factory=dict)
-    _wakes: dict[int, float] = attrs.field(factory=dict)
+    _schedule: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = attrs.field(factory=list)
+    _last_number: int = 0
+    _open_requests: dict[AdmissionRequest, SimulatedRequest] = attrs.field(factory=dict)
+    _wake_times: dict[int, float] = attrs.field(factory=dict)
     _arrivals: list[ArrivalRates] = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         self._rng = random.Random(self.seed)
-        names = [f"i-{number}" for number in range(self.brokers)]
-        self.engines = {name: Engine(_listed(name)) for name in names}
+        names = [f"i-{number}" for number in range(self.broker_count)]
+        self.simulated_brokers = {name: SimulatedBroker(_listed(name)) for name in names}
         seeds = range(self.seed, self.seed + 7 * self.proxies, 7)
         self.schedulers = [AdmissionScheduler(random.Random(seed), 0.0) for seed in seeds]
         self._arrivals = [ArrivalRates() for _ in range(self.proxies)]
-        self._know()
+        self._update_cluster()
 
     # Traffic
 
-    def requests(self, kind: str, per_s: float, start: float, end: float, shared: int, own: int) -> None:
-        """Requests at random times; those of ``report`` belong to one of six subjects."""
-        when = start + self._rng.expovariate(per_s)
-        while when < end:
-            subject = f"{kind}-{self._rng.randrange(6) if kind == 'report' else 0}"
-            self._serial += 1
+    def add_traffic(
+        self, route_name: str, per_s: float, start: float, end: float, shared: int, own: int
+    ) -> None:
+        """Schedule requests at random times; each of route ``report`` uses one of six shared segments."""
+        at = start + self._rng.expovariate(per_s)
+        while at < end:
+            shared_id = f"{route_name}-{self._rng.randrange(6) if route_name == 'report' else 0}"
+            self._last_number += 1
             prompt = Prompt(
-                (PromptSegment(subject, shared), PromptSegment(f"own-{self._serial}", own)),
+                (PromptSegment(shared_id, shared), PromptSegment(f"own-{self._last_number}", own)),
                 shared + own,
-                EVENTS[kind] * 20,
+                EVENTS_BY_ROUTE[route_name] * 20,
             )
-            self._at(when, self._begin, Work(kind, when, prompt))
-            when += self._rng.expovariate(per_s)
+            self._call_at(at, self._arrive_first, SimulatedRequest(route_name, at, prompt))
+            at += self._rng.expovariate(per_s)
 
-    def crash(self, name: str, when: float, unlisted_after: float) -> None:
-        self._at(when, self._die, self.engines[name])
-        self._at(when + unlisted_after, self._unlist, name)
+    def crash(self, name: str, at: float, unlisted_after: float) -> None:
+        self._call_at(at, self._crash_broker, self.simulated_brokers[name])
+        self._call_at(at + unlisted_after, self._unlist, name)
 
     def run(self, until: float) -> None:
-        while self._agenda and self._agenda[0][0] <= until:
-            self.now, _, task, subject = heappop(self._agenda)
-            task(*subject)
-
-    def of(self, kind: str) -> list[Work]:
-        return [work for work in self.works if work.kind == kind]
-
-    def _at(self, when: float, task: Callable[..., None], *subject: Any) -> None:
-        self._serial += 1
-        heappush(self._agenda, (when, self._serial, task, subject))
-
-    def _begin(self, work: Work) -> None:
-        self.works.append(work)
-        if work.kind == "lots":
-            self.backlog.append(work)
-            self._lease()
+        while self._schedule and self._schedule[0][0] <= until:
+            self.now, _, callback, arguments = heappop(self._schedule)
+            callback(*arguments)
+
+    def requests_of(self, route_name: str) -> list[SimulatedRequest]:
+        return [simulated for simulated in self.requests if simulated.route_name == route_name]
+
+    def _call_at(self, at: float, callback: Callable[..., None], *arguments: Any) -> None:
+        self._last_number += 1
+        heappush(self._schedule, (at, self._last_number, callback, arguments))
+
+    def _arrive_first(self, simulated: SimulatedRequest) -> None:
+        self.requests.append(simulated)
+        if simulated.route_name == "lots":
+            self.backlog.append(simulated)
+            self._lease_items()
         else:
-            self._try(work)
+            self._send_to_proxy(simulated)
 
-    def _try(self, work: Work) -> None:
+    def _send_to_proxy(self, simulated: SimulatedRequest) -> None:
         proxy = self._rng.randrange(self.proxies)
-        work.tries, work.try_began = work.tries + 1, self.now
-        left = CLIENT_TIMEOUT_S - (self.now - work.began)
-        self._arrivals[proxy].add(work.kind, self.now)
-        self._arrive(proxy, work, AdmissionRequest(
-            route=work.kind, service="lm", arrived_at=self.now, target_latency_s=TARGET_LATENCY_S,
-            deadline=self.now + left, client_timeout_s=left, prompt=work.prompt,
+        simulated.tries, simulated.try_arrived_at = simulated.tries + 1, self.now
+        left = CLIENT_TIMEOUT_S - (self.now - simulated.first_arrived_at)
+        self._arrivals[proxy].add(simulated.route_name, self.now)
+        self._submit(proxy, simulated, AdmissionRequest(
+            route=simulated.route_name, service="lm", arrived_at=self.now, target_latency_s=TARGET_LATENCY_S,
+            deadline=self.now + left, client_timeout_s=left, prompt=simulated.prompt,
         ))  # fmt: skip
 
-    def _lease(self) -> None:
-        """Items to the proxies that have places; asked again while some are left."""
+    def _lease_items(self) -> None:
+        """Lease batch items to the proxies that have free slots for them."""
         for proxy, scheduler in enumerate(self.schedulers):
             for _ in range(min(scheduler.free_slots(self.now), len(self.backlog))):
-                work = self.backlog.pop(0)
-                self._arrive(proxy, work, AdmissionRequest(
+                simulated = self.backlog.pop(0)
+                self._submit(proxy, simulated, AdmissionRequest(
                     route="lots", service="lm", arrived_at=self.now, target_latency_s=ITEM_DUE_S,
-                    deadline=float("inf"), client_timeout_s=float("inf"), prompt=work.prompt, is_batch=True,
-                    due_at=work.began + ITEM_DUE_S,
+                    deadline=float("inf"), client_timeout_s=float("inf"), prompt=simulated.prompt,
+                    is_batch=True, due_at=simulated.first_arrived_at + ITEM_DUE_S,
                 ))  # fmt: skip
 
     # Proxies
 
-    def _know(self) -> None:
+    def _update_cluster(self) -> None:
         rates: dict[str, float] = {}
         for arrivals in self._arrivals:
             for name, rate in arrivals.per_second(self.now).items():
                 rates[name] = rates.get(name, 0.0) + rate
         snapshot = ClusterSnapshot(
-            configuration=CONFIGURATION, brokers=tuple(each.broker for each in self.engines.values()),
+            configuration=CONFIGURATION,
+            brokers=tuple(each.listing for each in self.simulated_brokers.values()),
             proxies=self.proxies, arrivals_per_s=rates,
         )  # fmt: skip
         for proxy, scheduler in enumerate(self.schedulers):
-            self._carry_out(proxy, scheduler.cluster_changed(self.now, snapshot))
+            self._execute(proxy, scheduler.cluster_changed(self.now, snapshot))
         if self.backlog:
-            self._lease()
-        self._at(self.now + 0.25, self._know)
+            self._lease_items()
+        self._call_at(self.now + 0.25, self._update_cluster)
 
-    def _arrive(self, proxy: int, work: Work, request: AdmissionRequest) -> None:
-        self._open[request] = work
-        self._carry_out(proxy, self.schedulers[proxy].request_arrived(self.now, request))
+    def _submit(self, proxy: int, simulated: SimulatedRequest, request: AdmissionRequest) -> None:
+        self._open_requests[request] = simulated
+        self._execute(proxy, self.schedulers[proxy].request_arrived(self.now, request))
 
-    def _carry_out(self, proxy: int, actions: list[Action]) -> None:
+    def _execute(self, proxy: int, actions: list[Action]) -> None:
         for action in actions:
             match action:
                 case StartAttempt(request, name):
-                    self._at(self.now + WAY_S, self._receive, proxy, request, self.engines[name])
-                case Reject(request, advice):
-                    self._refused(self._open.pop(request), advice)
+                    self._call_at(
+                        self.now + NETWORK_DELAY_S,
+                        self._receive_at_broker,
+                        proxy,
+                        request,
+                        self.simulated_brokers[name],
+                    )
+                case Reject(request, retry_after_s):
+                    self._reject(self._open_requests.pop(request), retry_after_s)
         wake = self.schedulers[proxy].next_wake_at()
-        if wake < self._wakes.get(proxy, float("inf")):
-            self._wakes[proxy] = wake
-            self._at(max(wake, self.now), self._wake, proxy, wake)
+        if wake < self._wake_times.get(proxy, float("inf")):
+            self._wake_times[proxy] = wake
+            self._call_at(max(wake, self.now), self._wake, proxy, wake)
 
     def _wake(self, proxy: int, wake: float) -> None:
-        if self._wakes.get(proxy) == wake:
-            del self._wakes[proxy]
-            self._carry_out(proxy, self.schedulers[proxy].wake(self.now))
-
-    def _refused(self, work: Work, advice: float) -> None:
-        left = CLIENT_TIMEOUT_S - (self.now - work.began)
-        if work.tries < 2:
-            self._at(self.now + min(advice, left / 3), self._try, work)
+        if self._wake_times.get(proxy) == wake:
+            del self._wake_times[proxy]
+            self._execute(proxy, self.schedulers[proxy].wake(self.now))
+
+    def _reject(self, simulated: SimulatedRequest, retry_after_s: float) -> None:
+        left = CLIENT_TIMEOUT_S - (self.now - simulated.first_arrived_at)
+        if simulated.tries < 2:
+            self._call_at(self.now + min(retry_after_s, left / 3), self._send_to_proxy, simulated)
         else:
-            work.refused = True
+            simulated.rejected = True
 
     # Brokers
 
-    def _receive(self, proxy: int, request: AdmissionRequest, engine: Engine) -> None:
-        if engine.dead:
-            return self._end(proxy, request, AttemptOutcome.UNREACHABLE)
-        if len(engine.running) < SLOTS:
-            return self._start(proxy, request, engine)
-        if len(engine.waiting) < QUEUE:
-            engine.waiting.append((request, proxy))
+    def _receive_at_broker(self, proxy: int, request: AdmissionRequest, broker: SimulatedBroker) -> None:
+        if broker.has_crashed:
+            return self._end_attempt(proxy, request, AttemptOutcome.UNREACHABLE)
+        if len(broker.running) < SLOTS:
+            return self._start_at_broker(proxy, request, broker)
+        if len(broker.waiting) < QUEUE_LIMIT:
+            broker.waiting.append((request, proxy))
         else:
-            self._end(proxy, request, AttemptOutcome.REJECTED)
-
-    def _start(self, proxy: int, request: AdmissionRequest, engine: Engine) -> None:
-        tokens = sum(part.tokens for part in request.prompt.segments if part.id not in engine.kept)
-        engine.kept.update(part.id for part in request.prompt.shared_segments)
-        engine.running[request] = proxy
-        engine.read_tokens += tokens
-        engine.reads_until = max(engine.reads_until, self.now) + tokens / READ_TOKENS_PER_S
-        self._at(engine.reads_until + EVENT_S, self._event, proxy, request, engine, 1)
-
-    def _event(self, proxy: int, request: AdmissionRequest, engine: Engine, number: int) -> None:
-        if engine.dead:
+            self._end_attempt(proxy, request, AttemptOutcome.REJECTED)
+
+    def _start_at_broker(self, proxy: int, request: AdmissionRequest, broker: SimulatedBroker) -> None:
+        tokens = sum(
+            segment.tokens for segment in request.prompt.segments if segment.id not in broker.cached_segments
+        )
+        broker.cached_segments.update(segment.id for segment in request.prompt.shared_segments)
+        broker.running[request] = proxy
+        broker.prefilled_tokens += tokens
+        broker.prefill_until = max(broker.prefill_until, self.now) + tokens / PREFILL_TOKENS_PER_S
+        self._call_at(broker.prefill_until + EVENT_INTERVAL_S, self._send_event, proxy, request, broker, 1)
+
+    def _send_event(
+        self, proxy: int, request: AdmissionRequest, broker: SimulatedBroker, number: int
+    ) -> None:
+        if broker.has_crashed:
             return
-        work, scheduler = self._open[request], self.schedulers[proxy]
+        simulated, scheduler = self._open_requests[request], self.schedulers[proxy]
         if number == 1:
-            load = InstanceLoad(len(engine.running), len(engine.waiting), SLOTS)
+            load = InstanceLoad(len(broker.running), len(broker.waiting), SLOTS)
             scheduler.response_started(self.now, request, load)
-            work.first_s = self.now - work.try_began
+            simulated.first_event_s = self.now - simulated.try_arrived_at
         scheduler.body_received(self.now, request)
-        if number < EVENTS[work.kind]:
-            return self._at(self.now + EVENT_S, self._event, proxy, request, engine, number + 1)
-        work.done = self.now
-        del engine.running[request]
-        self._end(proxy, request, AttemptOutcome.SERVED)
-        if engine.waiting:
-            waiting, its_proxy = engine.waiting.pop(0)
-            self._start(its_proxy, waiting, engine)
-
-    def _end(self, proxy: int, request: AdmissionRequest, ending: AttemptOutcome) -> None:
-        self._carry_out(proxy, self.schedulers[proxy].attempt_ended(self.now, request, ending))
-        work = self._open.pop(request)
-        if ending in (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE):
-            self._arrive(proxy, work, request)
-        elif ending is AttemptOutcome.INCOMPLETE:
-            work.broken = True
+        if number < EVENTS_BY_ROUTE[simulated.route_name]:
+            return self._call_at(
+                self.now + EVENT_INTERVAL_S, self._send_event, proxy, request, broker, number + 1
+            )
+        simulated.completed_at = self.now
+        del broker.running[request]
+        self._end_attempt(proxy, request, AttemptOutcome.SERVED)
+        if broker.waiting:
+            waiting, its_proxy = broker.waiting.pop(0)
+            self._start_at_broker(its_proxy, waiting, broker)
+
+    def _end_attempt(self, proxy: int, request: AdmissionRequest, outcome: AttemptOutcome) -> None:
+        self._execute(proxy, self.schedulers[proxy].attempt_ended(self.now, request, outcome))
+        simulated = self._open_requests.pop(request)
+        if outcome in (AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE):
+            self._submit(proxy, simulated, request)
+        elif outcome is AttemptOutcome.INCOMPLETE:
+            simulated.interrupted = True
             if request.is_batch:
-                self.backlog.append(work)
+                self.backlog.append(simulated)
 
-    def _die(self, engine: Engine) -> None:
-        engine.dead = True
-        for request, proxy in [*engine.running.items(), *engine.waiting]:
-            self._end(proxy, request, AttemptOutcome.INCOMPLETE)
+    def _crash_broker(self, broker: SimulatedBroker) -> None:
+        broker.has_crashed = True
+        for request, proxy in [*broker.running.items(), *broker.waiting]:
+            self._end_attempt(proxy, request, AttemptOutcome.INCOMPLETE)
 
     def _unlist(self, name: str) -> None:
-        del self.engines[name]
+        del self.simulated_brokers[name]
 
 
 def _listed(name: str) -> Broker:
--- a/tests/tier/admission_transcript.py
+++ b/tests/tier/admission_transcript.py
@@ -1,7 +1,7 @@
-"""Transcripts of admission: random events into one scheduler, and all that it decides, line by line.
+"""Transcripts of admission: feeds random events to one scheduler and lists its decisions, one per line.
 
-Run as a program it records them under ``tests/data/admission``; they are recorded anew only where a decision
-is meant to change.
+Run as a program, it records them under ``tests/data/admission``. They are to be recorded again only if a
+decision is meant to change.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 
 DATA = Path(__file__).resolve().parents[1] / "data" / "admission"
 SEEDS = range(12)
-EVENTS = 900
-MEAN_GAPS_S = (0.004, 0.02, 0.1)  # between events: an overload, a busy proxy, an idle one
+EVENT_COUNT = 900
+MEAN_EVENT_INTERVALS_S = (0.004, 0.02, 0.1)  # an overloaded, a busy and an idle proxy
 LIVE_ROUTES = ("chat", "report", "later")
-STALL_S = 3.0  # for which the process does not run, now and then
+STALL_S = 3.0  # duration of the occasional stalls of the process
 
 
 def _configuration(version: int, target_latency_ms: int) -> Configuration:
@@ -52,7 +52,7 @@
 
 @attrs.define(eq=False)
 class Transcript:
-    """Plays the events of one seed; ``lines`` has one line for each decision."""
+    """Generates the events of one seed; ``lines`` has one line for each decision."""
 
     seed: int
     lines: list[str] = attrs.field(factory=list)
@@ -68,8 +68,8 @@
         self._random = random.Random(self.seed)
         self._scheduler = AdmissionScheduler(random.Random(self.seed + 1), self.now)
 
-    def play(self) -> list[str]:
-        """All lines."""
+    def run(self) -> list[str]:
+        """Send all events to the scheduler, and return the lines."""
         self._change_cluster()
         events: tuple[tuple[float, Callable[[], None]], ...] = (
             (0.30, self._arrive),
@@ -82,14 +82,16 @@
             (0.08, self._wake),
         )
         weights = [weight for weight, _ in events]
-        for _ in range(EVENTS):
-            self._let_time_pass()
+        for _ in range(EVENT_COUNT):
+            self._advance_clock()
             self._random.choices(events, weights)[0][1]()
             self.lines.append(f"wake at {self._scheduler.next_wake_at()!r}")
         return self.lines
 
-    def _let_time_pass(self) -> None:
-        self.now += self._random.expovariate(1 / MEAN_GAPS_S[self.seed % len(MEAN_GAPS_S)])
+    def _advance_clock(self) -> None:
+        self.now += self._random.expovariate(
+            1 / MEAN_EVENT_INTERVALS_S[self.seed % len(MEAN_EVENT_INTERVALS_S)]
+        )
         if self._random.random() < 0.003:
             self.now += STALL_S
 
@@ -119,7 +121,7 @@
 
     def _submit(self, request: AdmissionRequest) -> None:
         self._pending.append(request)
-        self._take(self._scheduler.request_arrived(self.now, request))
+        self._apply(self._scheduler.request_arrived(self.now, request))
 
     def _respond(self) -> None:
         if not self._in_flight:
@@ -141,7 +143,7 @@
         if self._random.random() < 0.25:
             outcome = self._random.choice(list(AttemptOutcome))
         self._in_flight.remove(request)
-        self._take(self._scheduler.attempt_ended(self.now, request, outcome))
+        self._apply(self._scheduler.attempt_ended(self.now, request, outcome))
         if outcome is not AttemptOutcome.SERVED and self._random.random() < 0.7:
             self._submit(request)
 
@@ -159,7 +161,7 @@
             configuration=self._configuration, brokers=tuple(self._brokers()), proxies=rng.randrange(5),
             arrivals_per_s={name: rng.random() * 30 for name in LIVE_ROUTES if rng.random() < 0.8},
         )  # fmt: skip
-        self._take(self._scheduler.cluster_changed(self.now, snapshot))
+        self._apply(self._scheduler.cluster_changed(self.now, snapshot))
 
     def _brokers(self) -> Iterable[Broker]:
         rng = self._random
@@ -174,9 +176,9 @@
         self.lines.append(f"free slots {self._scheduler.free_slots(self.now)}")
 
     def _wake(self) -> None:
-        self._take(self._scheduler.wake(self.now))
+        self._apply(self._scheduler.wake(self.now))
 
-    def _take(self, actions: Iterable[Action]) -> None:
+    def _apply(self, actions: Iterable[Action]) -> None:
         for action in actions:
             match action:
                 case StartAttempt(request, instance_id):
@@ -191,14 +193,14 @@
 
 
 def recorded_lines(seed: int) -> list[str]:
-    """The lines that were recorded for a seed."""
+    """Return the lines that were recorded for a seed."""
     return lzma.decompress(_path(seed).read_bytes()).decode().splitlines()
 
 
 def record() -> None:
-    """Write the lines of all seeds."""
+    """Record the lines of all seeds."""
     for seed in SEEDS:
-        text = "".join(f"{line}\n" for line in Transcript(seed).play())
+        text = "".join(f"{line}\n" for line in Transcript(seed).run())
         _path(seed).write_bytes(lzma.compress(text.encode(), preset=9))
 
 
--- a/tests/tier/test_admission.py
+++ b/tests/tier/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission driven step by step with a clock of its own."""
+"""Tests of the admission scheduler of one proxy, driven step by step with a simulated clock."""
 
 from __future__ import annotations
 
@@ -42,444 +42,447 @@
 
 @attrs.define(eq=False)
 class Proxy:
-    """A scheduler with a clock, and the requests that it has let through or refused."""
+    """A scheduler with a simulated clock, and the requests that it has sent, rejected or cancelled."""
 
     brokers: list[Broker]
     proxies: int = 1
-    rates: dict[str, float] = attrs.field(factory=dict)
+    arrival_rates: dict[str, float] = attrs.field(factory=dict)
     now: float = 100.0
     seed: int = 1
     scheduler: AdmissionScheduler = attrs.field(init=False)
-    sent: dict[AdmissionRequest, str] = attrs.field(factory=dict)  # to which broker it last went
-    refused: dict[AdmissionRequest, float] = attrs.field(factory=dict)
-    abandoned: list[AdmissionRequest] = attrs.field(factory=list)
+    sent: dict[AdmissionRequest, str] = attrs.field(factory=dict)  # the broker of the last attempt
+    rejected: dict[AdmissionRequest, float] = attrs.field(factory=dict)  # with its Retry-After in seconds
+    cancelled: list[AdmissionRequest] = attrs.field(factory=list)
 
     def __attrs_post_init__(self) -> None:
         self.scheduler = AdmissionScheduler(random.Random(self.seed), self.now)
-        self.know()
+        self.update_cluster()
 
-    def know(self) -> None:
+    def update_cluster(self) -> None:
         configuration = parse_configuration(configuration_bytes(ROUTES)).unwrap()
-        self._take(self.scheduler.cluster_changed(self.now, ClusterSnapshot(
+        self._apply(self.scheduler.cluster_changed(self.now, ClusterSnapshot(
             configuration=configuration, brokers=tuple(self.brokers), proxies=self.proxies,
-            arrivals_per_s=self.rates,
+            arrivals_per_s=self.arrival_rates,
         )))  # fmt: skip
 
-    def arrive(self, route: str = "chat", **fields: Any) -> AdmissionRequest:
+    def submit(self, route: str = "chat", **fields: Any) -> AdmissionRequest:
         prompt = fields.pop("prompt", NO_PROMPT)
         client_timeout_s = fields.pop("client_timeout_s", CLIENT_TIMEOUT_S)
         request = AdmissionRequest(
             route=route, service="lm", arrived_at=self.now, target_latency_s=TARGET_LATENCY_S,
             deadline=self.now + client_timeout_s, client_timeout_s=client_timeout_s, prompt=prompt, **fields,
         )  # fmt: skip
-        self._take(self.scheduler.request_arrived(self.now, request))
+        self._apply(self.scheduler.request_arrived(self.now, request))
         return request
 
-    def item(self, due_in: float = 8.0, **fields: Any) -> AdmissionRequest:
-        return self.arrive("lots", is_batch=True, due_at=self.now + due_in, client_timeout_s=1e9, **fields)
+    def submit_item(self, due_in: float = 8.0, **fields: Any) -> AdmissionRequest:
+        return self.submit("lots", is_batch=True, due_at=self.now + due_in, client_timeout_s=1e9, **fields)
 
-    def again(self, request: AdmissionRequest) -> None:
-        self._take(self.scheduler.request_arrived(self.now, request))
+    def resubmit(self, request: AdmissionRequest) -> None:
+        self._apply(self.scheduler.request_arrived(self.now, request))
 
-    def end(self, request: AdmissionRequest, ending: AttemptOutcome = AttemptOutcome.SERVED) -> None:
-        self._take(self.scheduler.attempt_ended(self.now, request, ending))
+    def end_attempt(self, request: AdmissionRequest, outcome: AttemptOutcome = AttemptOutcome.SERVED) -> None:
+        self._apply(self.scheduler.attempt_ended(self.now, request, outcome))
 
-    def report(self, request: AdmissionRequest, running: int, waiting: int = 0, slots: int = 8) -> None:
+    def report_load(self, request: AdmissionRequest, running: int, waiting: int = 0, slots: int = 8) -> None:
         self.scheduler.response_started(self.now, request, InstanceLoad(running, waiting, slots))
 
-    def heard(self, *requests: AdmissionRequest) -> None:
+    def receive_body(self, *requests: AdmissionRequest) -> None:
         for request in requests:
             self.scheduler.body_received(self.now, request)
 
-    def wait(self, seconds: float, streaming: bool = False) -> None:
-        """Let time pass, with the wakes that the scheduler asks for; ``streaming``: all that is out brings
-        events meanwhile."""
+    def advance(self, seconds: float, streaming: bool = False) -> None:
+        """Advance the clock and wake the scheduler whenever it asks for it.
+
+        With ``streaming``, every request in flight receives bytes at each wake.
+        """
         until = self.now + seconds
         while (wake := self.scheduler.next_wake_at()) <= until:
             self.now = max(wake, self.now)
             if streaming:
-                self.heard(*self.sent)
-            self._take(self.scheduler.wake(self.now))
+                self.receive_body(*self.sent)
+            self._apply(self.scheduler.wake(self.now))
         self.now = until
 
-    def _take(self, actions: list[Action]) -> None:
+    def _apply(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
                 case StartAttempt(request, name):
                     self.sent[request] = name
-                case Reject(request, advice):
-                    self.refused[request] = advice
+                case Reject(request, retry_after_s):
+                    self.rejected[request] = retry_after_s
                 case CancelStalledAttempt(request):
-                    self.abandoned.append(request)
+                    self.cancelled.append(request)
 
-    def state(self, name: str) -> Any:
+    def broker_state(self, name: str) -> Any:
         return self.scheduler.state.brokers[name]
 
 
-def full(proxy: Proxy, count: int | None = None) -> list[AdmissionRequest]:
-    """Fill every broker, which then says so."""
+def fill_brokers(proxy: Proxy, count: int | None = None) -> list[AdmissionRequest]:
+    """Send 8 requests per broker, or ``count`` in all; each broker then reports all 8 slots as taken."""
     requests: list[AdmissionRequest] = []
     for name in [each.instance_id for each in proxy.brokers]:
-        proxy.state(name).queue.threshold = 8.0
+        proxy.broker_state(name).queue.threshold = 8.0
     for _ in range(8 * len(proxy.brokers) if count is None else count):
-        requests.append(proxy.arrive())
+        requests.append(proxy.submit())
     for request in requests:
-        proxy.heard(request)
-        proxy.report(request, 8)
+        proxy.receive_body(request)
+        proxy.report_load(request, 8)
     return requests
 
 
-def test_a_request_goes_at_once_to_a_broker_with_room() -> None:
+def test_request_starts_at_once_at_a_broker_with_capacity() -> None:
     proxy = Proxy([broker("a"), broker("b")])
-    requests = [proxy.arrive() for _ in range(8)]
+    requests = [proxy.submit() for _ in range(8)]
     assert all(request in proxy.sent for request in requests)
 
 
-def test_an_unheard_broker_gets_four_and_overdue_ones_regardless() -> None:
+def test_broker_without_report_gets_the_initial_limit_and_overdue_requests_exceed_it() -> None:
     proxy = Proxy([broker("a")])
-    requests = [proxy.arrive() for _ in range(6)]
+    requests = [proxy.submit() for _ in range(6)]
     assert [request in proxy.sent for request in requests] == [True] * 4 + [False] * 2
-    proxy.wait(TARGET_LATENCY_S + 0.05)
+    proxy.advance(TARGET_LATENCY_S + 0.05)
     assert all(request in proxy.sent for request in requests)
 
 
-def test_a_report_of_free_places_goes_before_l() -> None:
+def test_reported_free_slots_take_precedence_over_the_concurrency_limit() -> None:
     proxy = Proxy([broker("a")])
-    first = proxy.arrive()
-    proxy.report(first, running=1)
-    requests = [proxy.arrive() for _ in range(9)]
+    first = proxy.submit()
+    proxy.report_load(first, running=1)
+    requests = [proxy.submit() for _ in range(9)]
     assert sum(request in proxy.sent for request in requests) == 7
 
 
-def test_nothing_is_refused_while_a_broker_has_places() -> None:
+def test_no_request_is_rejected_while_a_broker_has_free_slots() -> None:
     proxy = Proxy([broker("a", slots=64)])
-    proxy.report(proxy.arrive(), running=1, slots=64)
+    proxy.report_load(proxy.submit(), running=1, slots=64)
     for _ in range(60):
-        proxy.arrive()
-    proxy.wait(1.0)
-    assert not proxy.refused
+        proxy.submit()
+    proxy.advance(1.0)
+    assert not proxy.rejected
 
 
-def test_a_place_that_becomes_free_goes_to_the_earliest_due() -> None:
+def test_freed_slot_goes_to_the_earliest_due_request() -> None:
     proxy = Proxy([broker("a")])
-    out = full(proxy)
-    proxy.arrive("chat")  # from now on the patience of this kind is known
-    late = proxy.arrive("report", client_timeout_s=2.0)
+    in_flight = fill_brokers(proxy)
+    proxy.submit("chat")  # makes the longest client timeout of this route known
+    late = proxy.submit("report", client_timeout_s=2.0)
     proxy.now += 0.01
-    returned = proxy.arrive("chat", client_timeout_s=CLIENT_TIMEOUT_S - 1.0)  # its first try was 1 s ago
-    assert late not in proxy.sent and returned not in proxy.sent
-    proxy.end(out[0])
-    assert returned in proxy.sent and late not in proxy.sent
-
-
-def test_a_kind_over_its_rate_waits_for_credit_behind_others() -> None:
-    proxy = Proxy([broker("a")], rates={"chat": 2.0, "report": 2.0})
-    full(proxy)
-    for kind in proxy.scheduler.state.routes.values():
-        kind.credit_account.credits = kind.credit_account.full
-    requests = [proxy.arrive("chat") for _ in range(3)] + [proxy.arrive("report")]
+    retry = proxy.submit("chat", client_timeout_s=CLIENT_TIMEOUT_S - 1.0)  # the client first tried 1 s ago
+    assert late not in proxy.sent and retry not in proxy.sent
+    proxy.end_attempt(in_flight[0])
+    assert retry in proxy.sent and late not in proxy.sent
+
+
+def test_route_over_its_arrival_rate_waits_for_credit() -> None:
+    proxy = Proxy([broker("a")], arrival_rates={"chat": 2.0, "report": 2.0})
+    fill_brokers(proxy)
+    for route_state in proxy.scheduler.state.routes.values():
+        route_state.credit_account.credits = route_state.credit_account.full
+    requests = [proxy.submit("chat") for _ in range(3)] + [proxy.submit("report")]
     places = [request.queue_entry.place for request in requests if request.queue_entry]
     assert places == ["queue", "queue", "lane", "queue"]
-    proxy.wait(1.05, streaming=True)
+    proxy.advance(1.05, streaming=True)
     waiting = [
         request.queue_entry.place
         for request in requests
-        if request.queue_entry and request not in proxy.refused
+        if request.queue_entry and request not in proxy.rejected
     ]
     assert "lane" not in waiting
 
 
-def test_l_grows_where_it_is_filled_and_answers_come_in_time() -> None:
+def test_concurrency_limit_grows_while_it_is_reached_and_responses_are_in_time() -> None:
     proxy = Proxy([broker("a", slots=32)])
     for _ in range(4):
-        requests = [proxy.arrive() for _ in range(12)]  # more than L, so that it is filled
+        requests = [proxy.submit() for _ in range(12)]  # more than the concurrency limit allows
         proxy.now += 0.05
         for request in requests:
-            proxy.heard(request)
-            proxy.end(request)
-        proxy.wait(1.0)
-        proxy.end(proxy.arrive())
-    assert 4.0 < proxy.state("a").queue.threshold <= 32.0
+            proxy.receive_body(request)
+            proxy.end_attempt(request)
+        proxy.advance(1.0)
+        proxy.end_attempt(proxy.submit())
+    assert 4.0 < proxy.broker_state("a").queue.threshold <= 32.0
 
 
-def test_a_slow_broker_is_in_overload_until_demand_falls() -> None:
+def test_slow_broker_enters_overload() -> None:
     proxy = Proxy([broker("a", slots=32)])
-    node = proxy.state("a").queue
-    requests = [proxy.arrive() for _ in range(12)]
+    node = proxy.broker_state("a").queue
+    requests = [proxy.submit() for _ in range(12)]
     proxy.now += 1.2
-    proxy.heard(*requests)
-    proxy.wait(0.0)
+    proxy.receive_body(*requests)
+    proxy.advance(0.0)
     assert node.overload and node.threshold == 32.0
 
 
-def test_an_overload_ends_with_its_requests() -> None:
+def test_overload_ends_when_its_requests_have_ended() -> None:
     proxy = Proxy([broker("a", slots=32)])
-    requests = [proxy.arrive() for _ in range(12)]
+    requests = [proxy.submit() for _ in range(12)]
     proxy.now += 1.2
-    proxy.heard(*requests)
-    proxy.wait(0.0)
-    assert proxy.state("a").queue.overload
-    assert proxy.item() not in proxy.sent
+    proxy.receive_body(*requests)
+    proxy.advance(0.0)
+    assert proxy.broker_state("a").queue.overload
+    assert proxy.submit_item() not in proxy.sent
     for request in requests:
-        proxy.end(request)
-    proxy.wait(2.1)
-    assert not proxy.state("a").queue.overload
-    assert proxy.item() in proxy.sent
+        proxy.end_attempt(request)
+    proxy.advance(2.1)
+    assert not proxy.broker_state("a").queue.overload
+    assert proxy.submit_item() in proxy.sent
 
 
-def test_streams_that_flow_are_no_demand_on_a_broker() -> None:
+def test_streams_after_their_first_event_do_not_count_as_demand() -> None:
     proxy = Proxy([broker("a", slots=32)])
-    node = proxy.state("a").queue
+    node = proxy.broker_state("a").queue
     node.threshold = 32.0
-    for _ in range(3):  # streams that last longer than a window, their first events in half the aim
-        requests = [proxy.arrive() for _ in range(5)]
-        proxy.wait(TARGET_LATENCY_S / 2)
-        proxy.heard(*requests)
-        proxy.wait(1.0, streaming=True)
+    for _ in range(3):  # streams longer than a window; first events come after half of the target latency
+        requests = [proxy.submit() for _ in range(5)]
+        proxy.advance(TARGET_LATENCY_S / 2)
+        proxy.receive_body(*requests)
+        proxy.advance(1.0, streaming=True)
     assert not node.overload
 
 
-def test_first_tries_without_hope_are_told_at_once_when_to_come_back() -> None:
+def test_infeasible_first_requests_are_rejected_at_once_with_retry_after() -> None:
     proxy = Proxy([broker("a")])
-    full(proxy)
-    proxy.scheduler.state.latency("lm").slot_hold_s = 2.0  # 4 places a second
-    requests = [proxy.arrive() for _ in range(4)]
-    assert all(request in proxy.refused for request in requests[1:])
+    fill_brokers(proxy)
+    proxy.scheduler.state.latency("lm").slot_hold_s = 2.0  # frees 4 slots per second
+    requests = [proxy.submit() for _ in range(4)]
+    assert all(request in proxy.rejected for request in requests[1:])
     for request in requests[1:]:
-        assert 0.1 <= proxy.refused[request] <= CLIENT_TIMEOUT_S / 3
+        assert 0.1 <= proxy.rejected[request] <= CLIENT_TIMEOUT_S / 3
 
 
-def test_a_returned_request_is_held_as_long_as_it_can_be_served() -> None:
+def test_retry_stays_pending_while_it_can_be_served() -> None:
     proxy = Proxy([broker("a")])
-    out = full(proxy)
+    in_flight = fill_brokers(proxy)
     proxy.scheduler.state.latency("lm").slot_hold_s = 2.0
-    returned = proxy.arrive(client_timeout_s=CLIENT_TIMEOUT_S / 2)
-    proxy.wait(0.6, streaming=True)
-    assert returned not in proxy.refused
-    proxy.end(out[0])
-    assert returned in proxy.sent
+    retry = proxy.submit(client_timeout_s=CLIENT_TIMEOUT_S / 2)
+    proxy.advance(0.6, streaming=True)
+    assert retry not in proxy.rejected
+    proxy.end_attempt(in_flight[0])
+    assert retry in proxy.sent
 
 
-def test_a_request_that_was_never_sent_is_not_held_past_half_its_time() -> None:
+def test_unsent_request_is_rejected_within_half_of_its_timeout() -> None:
     proxy = Proxy([broker("a")])
-    full(proxy)
-    request = proxy.arrive()
-    proxy.wait(CLIENT_TIMEOUT_S / 2, streaming=True)
-    assert request in proxy.refused
+    fill_brokers(proxy)
+    request = proxy.submit()
+    proxy.advance(CLIENT_TIMEOUT_S / 2, streaming=True)
+    assert request in proxy.rejected
 
 
-def test_without_a_broker_that_answers_requests_are_refused_soon() -> None:
+def test_request_is_rejected_soon_without_a_broker() -> None:
     proxy = Proxy([])
-    request = proxy.arrive()
-    proxy.wait(TARGET_LATENCY_S / 4)
-    assert request in proxy.refused
+    request = proxy.submit()
+    proxy.advance(TARGET_LATENCY_S / 4)
+    assert request in proxy.rejected
 
 
-def test_a_broker_nobody_listens_at_rests_and_is_tried_by_one() -> None:
+def test_unreachable_broker_is_ejected_and_probed_by_one_request() -> None:
     proxy = Proxy([broker("a")])
-    first = proxy.arrive()
-    proxy.end(first, AttemptOutcome.UNREACHABLE)
-    others = [proxy.arrive() for _ in range(3)]
+    first = proxy.submit()
+    proxy.end_attempt(first, AttemptOutcome.UNREACHABLE)
+    others = [proxy.submit() for _ in range(3)]
     assert not any(request in proxy.sent for request in others)
-    proxy.wait(0.21)
-    again = [proxy.arrive(), proxy.arrive()]
-    tried = [request for request in [*others, *again] if request in proxy.sent]
-    assert len(tried) == 1
-    proxy.heard(tried[0])
-    more = proxy.arrive()
-    assert more in proxy.sent
+    proxy.advance(0.21)
+    newer = [proxy.submit(), proxy.submit()]
+    probes = [request for request in [*others, *newer] if request in proxy.sent]
+    assert len(probes) == 1
+    proxy.receive_body(probes[0])
+    after_response = proxy.submit()
+    assert after_response in proxy.sent
 
 
-def test_pauses_of_a_broker_that_stays_away_grow() -> None:
+def test_ejections_of_a_broker_that_stays_unreachable_grow_longer() -> None:
     proxy = Proxy([broker("a")])
-    proxy.end(proxy.arrive(), AttemptOutcome.UNREACHABLE)
-    rests = []
+    proxy.end_attempt(proxy.submit(), AttemptOutcome.UNREACHABLE)
+    ejections_s = []
     for _ in range(6):
-        rests.append(proxy.state("a").health.ejected_until - proxy.now)
-        proxy.wait(rests[-1] + 0.001)
-        trial = proxy.arrive()
-        assert trial in proxy.sent
-        proxy.end(trial, AttemptOutcome.UNREACHABLE)
-    assert rests == sorted(rests) and rests[0] < 0.25 and 1.5 < rests[-1] <= 2.0
+        ejections_s.append(proxy.broker_state("a").health.ejected_until - proxy.now)
+        proxy.advance(ejections_s[-1] + 0.001)
+        probe = proxy.submit()
+        assert probe in proxy.sent
+        proxy.end_attempt(probe, AttemptOutcome.UNREACHABLE)
+    assert ejections_s == sorted(ejections_s) and ejections_s[0] < 0.25 and 1.5 < ejections_s[-1] <= 2.0
 
 
-def test_a_broker_gone_silent_is_passed_over_and_its_requests_may_move() -> None:
+def test_stalled_broker_is_ejected_and_its_requests_move_to_another() -> None:
     proxy = Proxy([broker("a"), broker("b")])
-    requests = [proxy.arrive() for _ in range(8)]
-    here = [request for request in requests if proxy.sent[request] == "a"]
-    there = [request for request in requests if proxy.sent[request] == "b"]
-    proxy.wait(0.05)
-    proxy.heard(*there)
-    proxy.wait(0.4)
-    proxy.heard(*there)
-    proxy.wait(0.2)
-    assert set(proxy.abandoned) == set(here)
-    for request in here:
-        proxy.end(request, AttemptOutcome.STALLED)
-        proxy.again(request)
-    assert {proxy.sent[request] for request in here if request not in proxy.refused} == {"b"}
-
-
-def test_silence_proves_nothing_after_this_process_stood_still() -> None:
+    requests = [proxy.submit() for _ in range(8)]
+    stalled = [request for request in requests if proxy.sent[request] == "a"]
+    responding = [request for request in requests if proxy.sent[request] == "b"]
+    proxy.advance(0.05)
+    proxy.receive_body(*responding)
+    proxy.advance(0.4)
+    proxy.receive_body(*responding)
+    proxy.advance(0.2)
+    assert set(proxy.cancelled) == set(stalled)
+    for request in stalled:
+        proxy.end_attempt(request, AttemptOutcome.STALLED)
+        proxy.resubmit(request)
+    assert {proxy.sent[request] for request in stalled if request not in proxy.rejected} == {"b"}
+
+
+def test_silence_is_not_counted_against_brokers_after_a_process_stall() -> None:
     proxy = Proxy([broker("a"), broker("b")])
     for _ in range(4):
-        proxy.arrive()
+        proxy.submit()
     proxy.now += 5.0
-    proxy.wait(0.0)
-    assert not proxy.abandoned
-    proxy.end(next(iter(proxy.sent)), AttemptOutcome.UNREACHABLE)
+    proxy.advance(0.0)
+    assert not proxy.cancelled
+    proxy.end_attempt(next(iter(proxy.sent)), AttemptOutcome.UNREACHABLE)
     assert not any(state.health.consecutive_failures for state in proxy.scheduler.state.brokers.values())
 
 
-def test_what_waits_at_a_broker_that_drains_goes_elsewhere() -> None:
-    proxy = Proxy([broker("a")], rates={"chat": 9.0})
-    full(proxy)
+def test_request_queued_for_a_draining_broker_moves_to_another() -> None:
+    proxy = Proxy([broker("a")], arrival_rates={"chat": 9.0})
+    fill_brokers(proxy)
     proxy.scheduler.state.routes["chat"].credit_account.credits = 5.0
-    waiting = proxy.arrive()
+    waiting = proxy.submit()
     assert waiting.queue_entry and waiting.queue_entry.place == "queue"
     proxy.brokers = [broker("a", draining=True), broker("b")]
-    proxy.know()
+    proxy.update_cluster()
     assert proxy.sent[waiting] == "b"
-    assert proxy.sent[proxy.arrive()] == "b"
+    assert proxy.sent[proxy.submit()] == "b"
 
 
-def test_a_broker_that_refused_is_not_asked_again_at_once() -> None:
+def test_request_does_not_return_at_once_to_the_broker_that_rejected_it() -> None:
     proxy = Proxy([broker("a"), broker("b")])
-    request = proxy.arrive()
+    request = proxy.submit()
     first = proxy.sent.pop(request)
-    proxy.end(request, AttemptOutcome.REJECTED)
-    proxy.again(request)
+    proxy.end_attempt(request, AttemptOutcome.REJECTED)
+    proxy.resubmit(request)
     assert proxy.sent[request] != first
 
 
-def test_items_take_spare_places_only_and_the_most_urgent_first() -> None:
+def test_batch_items_take_spare_slots_only_and_the_earliest_due_first() -> None:
     proxy = Proxy([broker("a", slots=10)])
-    items = [proxy.item(due_in=20.0 - number) for number in range(10)]
+    items = [proxy.submit_item(due_in=20.0 - number) for number in range(10)]
     assert sum(item in proxy.sent for item in items) == 8
     waiting = [item for item in items if item not in proxy.sent]
-    proxy.end(items[0])
+    proxy.end_attempt(items[0])
     assert waiting[-1] in proxy.sent and waiting[0] not in proxy.sent
-    assert proxy.arrive() in proxy.sent
+    assert proxy.submit() in proxy.sent
     assert proxy.scheduler.free_slots(proxy.now) == 0
 
 
-def test_a_placed_item_goes_where_it_was_placed_unless_a_fresh_report_says_that_it_is_full() -> None:
+def test_placed_item_goes_to_its_broker_unless_a_fresh_report_shows_it_full() -> None:
     proxy = Proxy([broker("a", slots=10), broker("b", slots=10)], proxies=20)
-    first = proxy.item(preferred_broker="b")
+    first = proxy.submit_item(preferred_broker="b")
     assert proxy.sent[first] == "b"
-    # The other 19 proxies might run as many there: without a report, only the stores know that they do not.
-    second = proxy.item(preferred_broker="b")
+    # Without a load report this proxy assumes that the other 19 run as many items there; only the batch
+    # stores, which placed the item, know that they do not.
+    second = proxy.submit_item(preferred_broker="b")
     assert proxy.sent[second] == "b"
-    proxy.report(first, running=10, slots=10)
-    third = proxy.item(preferred_broker="b")
+    proxy.report_load(first, running=10, slots=10)
+    third = proxy.submit_item(preferred_broker="b")
     assert proxy.sent[third] == "a"
-    proxy.wait(1.1, streaming=True)
-    fourth = proxy.item(preferred_broker="b")
+    proxy.advance(1.1, streaming=True)
+    fourth = proxy.submit_item(preferred_broker="b")
     assert proxy.sent[fourth] == "b"
 
 
-def test_a_placed_item_may_take_a_slot_that_other_items_have_to_leave_free() -> None:
+def test_placed_item_may_take_a_slot_reserved_for_live_requests() -> None:
     proxy = Proxy([broker("a", slots=10), broker("b", slots=10)])
-    first = proxy.item(preferred_broker="b")
-    proxy.report(first, running=9, slots=10)
-    assert proxy.sent[proxy.item()] == "a"
-    assert proxy.sent[proxy.item(preferred_broker="b")] == "b"
+    first = proxy.submit_item(preferred_broker="b")
+    proxy.report_load(first, running=9, slots=10)
+    assert proxy.sent[proxy.submit_item()] == "a"
+    assert proxy.sent[proxy.submit_item(preferred_broker="b")] == "b"
 
 
-def test_a_placed_item_goes_elsewhere_if_its_broker_cannot_take_it() -> None:
+def test_placed_item_goes_to_another_broker_if_its_own_cannot_take_it() -> None:
     proxy = Proxy([broker("a"), broker("b", draining=True)])
-    assert proxy.sent[proxy.item(preferred_broker="b")] == "a"
-    assert proxy.sent[proxy.item(preferred_broker="unknown")] == "a"
+    assert proxy.sent[proxy.submit_item(preferred_broker="b")] == "a"
+    assert proxy.sent[proxy.submit_item(preferred_broker="unknown")] == "a"
 
 
-def test_an_item_that_was_refused_by_a_broker_is_sent_once_more_not_twice() -> None:
+def test_item_rejected_by_a_broker_is_sent_only_once_more() -> None:
     proxy = Proxy([broker("a"), broker("b")])
-    item = proxy.item()
-    proxy.end(item, AttemptOutcome.REJECTED)
-    proxy.again(item)
+    item = proxy.submit_item()
+    proxy.end_attempt(item, AttemptOutcome.REJECTED)
+    proxy.resubmit(item)
     assert item.attempts == 2
-    proxy.wait(1.0, streaming=True)
+    proxy.advance(1.0, streaming=True)
     assert item.attempts == 2
 
 
-def test_items_near_their_time_may_use_more_and_live_requests_go_first() -> None:
+def test_urgent_items_may_use_more_slots() -> None:
     proxy = Proxy([broker("a", slots=10)])
-    items = [proxy.item(due_in=4.0) for _ in range(10)]
+    items = [proxy.submit_item(due_in=4.0) for _ in range(10)]
     assert sum(item in proxy.sent for item in items) == 8
-    proxy.wait(1.1, streaming=True)
+    proxy.advance(1.1, streaming=True)
     assert sum(item in proxy.sent for item in items) == 9
 
 
-def test_a_more_urgent_kind_is_not_behind_a_less_urgent_one() -> None:
+def test_higher_priority_route_goes_before_lower_priority_route_and_items() -> None:
     proxy = Proxy([broker("a")])
-    out = full(proxy)
-    items = [proxy.item(due_in=1.0) for _ in range(3)]
-    less = [proxy.arrive("later") for _ in range(3)]
-    more = [proxy.arrive("chat") for _ in range(3)]
-    for request in out[:3]:
-        proxy.end(request)
-    assert all(request in proxy.sent for request in more)
-    assert not any(request in proxy.sent for request in [*less, *items])
+    in_flight = fill_brokers(proxy)
+    items = [proxy.submit_item(due_in=1.0) for _ in range(3)]
+    low_priority = [proxy.submit("later") for _ in range(3)]
+    high_priority = [proxy.submit("chat") for _ in range(3)]
+    for request in in_flight[:3]:
+        proxy.end_attempt(request)
+    assert all(request in proxy.sent for request in high_priority)
+    assert not any(request in proxy.sent for request in [*low_priority, *items])
 
 
-def test_free_places_are_shared_among_the_proxies() -> None:
+def test_free_slots_are_shared_among_the_proxies() -> None:
     proxy = Proxy([broker("a", slots=48), broker("b", slots=48)], proxies=4)
     assert proxy.scheduler.free_slots(proxy.now) == 20
     assert Proxy([]).scheduler.free_slots(100.0) == 0
 
 
-def test_an_item_larger_than_any_broker_is_handed_back() -> None:
+def test_item_larger_than_the_kv_cache_of_every_broker_is_returned() -> None:
     proxy = Proxy([broker("a")])
-    item = proxy.arrive("lots", is_batch=True, due_at=200.0, prompt=Prompt((), 200_000, 10))
-    assert item in proxy.refused
+    item = proxy.submit("lots", is_batch=True, due_at=200.0, prompt=Prompt((), 200_000, 10))
+    assert item in proxy.rejected
 
 
-def test_a_waiting_item_whose_service_has_lost_its_brokers_is_handed_back() -> None:
+def test_pending_item_is_returned_when_its_service_loses_its_brokers() -> None:
     proxy = Proxy([broker("a")])
-    full(proxy)
-    item = proxy.item()
-    assert item not in proxy.sent and item not in proxy.refused
+    fill_brokers(proxy)
+    item = proxy.submit_item()
+    assert item not in proxy.sent and item not in proxy.rejected
     proxy.brokers = [broker("a", draining=True)]
-    proxy.know()
-    assert item in proxy.refused
+    proxy.update_cluster()
+    assert item in proxy.rejected
     assert not proxy.scheduler.state.batch_queue
 
 
-def subject(part: str, tokens: int) -> Prompt:
-    return Prompt((PromptSegment(part, tokens), PromptSegment("own", 100)), tokens + 100, 20)
+def shared_prompt(segment_id: str, tokens: int) -> Prompt:
+    return Prompt((PromptSegment(segment_id, tokens), PromptSegment("own", 100)), tokens + 100, 20)
 
 
-def test_a_large_shared_part_goes_to_the_same_broker_from_every_proxy() -> None:
-    names = [broker(f"i-{number}") for number in range(5)]
-    for part in ("p1", "p2", "p3"):
+def test_large_shared_segment_goes_to_the_same_broker_from_every_proxy() -> None:
+    brokers = [broker(f"i-{number}") for number in range(5)]
+    for segment_id in ("p1", "p2", "p3"):
         chosen = set()
         for seed in range(6):
-            proxy = Proxy(names, seed=seed)
+            proxy = Proxy(brokers, seed=seed)
             for _ in range(3):
-                request = proxy.arrive(prompt=subject(part, 13_000))
+                request = proxy.submit(prompt=shared_prompt(segment_id, 13_000))
                 chosen.add(proxy.sent[request])
         assert len(chosen) == 1
 
 
-def test_small_shared_parts_do_not_draw_a_herd() -> None:
+def test_small_shared_segments_do_not_concentrate_requests() -> None:
     proxy = Proxy([broker(f"i-{number}") for number in range(5)])
-    chosen = [proxy.sent[proxy.arrive(prompt=subject("p", 100))] for _ in range(15)]
+    chosen = [proxy.sent[proxy.submit(prompt=shared_prompt("p", 100))] for _ in range(15)]
     assert max(chosen.count(name) for name in set(chosen)) <= 4 and len(set(chosen)) == 5
 
 
-def test_a_full_broker_loses_its_large_part_to_another() -> None:
+def test_large_shared_segment_moves_away_from_a_full_broker() -> None:
     proxy = Proxy([broker("a"), broker("b")])
-    home = proxy.sent[proxy.arrive(prompt=subject("p", 13_000))]
+    preferred = proxy.sent[proxy.submit(prompt=shared_prompt("p", 13_000))]
     request = next(iter(proxy.sent))
-    proxy.report(request, running=8)
-    assert proxy.sent[proxy.arrive(prompt=subject("p", 13_000))] != home
+    proxy.report_load(request, running=8)
+    assert proxy.sent[proxy.submit(prompt=shared_prompt("p", 13_000))] != preferred
 
 
-def test_withdrawn_requests_are_forgotten() -> None:
+def test_withdrawn_request_is_not_sent() -> None:
     proxy = Proxy([broker("a")])
-    out = full(proxy)
-    waiting = proxy.arrive()
+    in_flight = fill_brokers(proxy)
+    waiting = proxy.submit()
     proxy.scheduler.request_withdrawn(waiting)
-    for request in out:
-        proxy.end(request)
+    for request in in_flight:
+        proxy.end_attempt(request)
     assert waiting not in proxy.sent and proxy.scheduler.next_wake_at() == float("inf")
--- a/tests/tier/test_admission_model.py
+++ b/tests/tier/test_admission_model.py
@@ -1,72 +1,78 @@
-"""Admission of several proxies over the same brokers, in simulated time."""
+"""Tests of the admission of several proxies that share brokers, in virtual time."""
 
 from __future__ import annotations
 
-from admission_model import ITEM_DUE_S, TARGET_LATENCY_S, Fleet, Work
+from admission_model import ITEM_DUE_S, TARGET_LATENCY_S, SimulatedCluster, SimulatedRequest
 
-END_S = 10.0
-SETTLED_S = 25.0
+TRAFFIC_END_S = 10.0
+RUN_UNTIL_S = 25.0
 
 
-def in_time(work: Work) -> bool:
-    return work.first_s is not None and work.try_began + work.first_s - work.began <= TARGET_LATENCY_S
+def in_time(request: SimulatedRequest) -> bool:
+    return (
+        request.first_event_s is not None
+        and request.try_arrived_at + request.first_event_s - request.first_arrived_at <= TARGET_LATENCY_S
+    )
 
 
-def calm(seed: int = 1) -> Fleet:
-    """About half of the places in use."""
-    fleet = Fleet(seed=seed)
-    fleet.requests("chat", 30.0, 0.5, END_S, shared=172, own=543)
-    fleet.requests("report", 2.0, 0.5, END_S, shared=13_300, own=1_000)
-    fleet.requests("lots", 8.0, 0.5, END_S, shared=432, own=768)
-    return fleet
+def half_loaded_cluster(seed: int = 1) -> SimulatedCluster:
+    """Create a cluster with traffic that uses about half of the slots."""
+    cluster = SimulatedCluster(seed=seed)
+    cluster.add_traffic("chat", 30.0, 0.5, TRAFFIC_END_S, shared=172, own=543)
+    cluster.add_traffic("report", 2.0, 0.5, TRAFFIC_END_S, shared=13_300, own=1_000)
+    cluster.add_traffic("lots", 8.0, 0.5, TRAFFIC_END_S, shared=432, own=768)
+    return cluster
 
 
-def test_calm_traffic_is_served_in_time_and_nothing_is_refused() -> None:
-    fleet = calm()
-    fleet.run(SETTLED_S)
-    live = fleet.of("chat") + fleet.of("report")
-    assert all(work.done is not None and work.tries == 1 for work in live)
+def test_half_load_is_served_in_time_without_rejections() -> None:
+    cluster = half_loaded_cluster()
+    cluster.run(RUN_UNTIL_S)
+    live = cluster.requests_of("chat") + cluster.requests_of("report")
+    assert all(request.completed_at is not None and request.tries == 1 for request in live)
     assert sum(map(in_time, live)) >= 0.98 * len(live)
-    items = fleet.of("lots")
-    assert all(work.done is not None and work.done - work.began <= ITEM_DUE_S for work in items)
-
-
-def test_large_shared_parts_are_read_about_once() -> None:
-    fleet = calm()
-    fleet.run(SETTLED_S)
-    reports = fleet.of("report")
-    once = 6 * 13_300 + sum(1_000 for _ in reports)
-    others = 543 * len(fleet.of("chat")) + 768 * len(fleet.of("lots"))
-    read = sum(engine.read_tokens for engine in fleet.engines.values())
-    assert read - others <= 1.3 * once
-
-
-def test_in_a_surge_everybody_is_served_now_or_when_told_to_come_back() -> None:
-    fleet = calm()
-    fleet.requests("chat", 110.0, 3.0, 6.0, shared=172, own=543)
-    fleet.run(SETTLED_S)
-    live = fleet.of("chat") + fleet.of("report")
-    assert any(work.tries > 1 for work in live)
-    assert all(work.done is not None for work in live)
+    items = cluster.requests_of("lots")
+    assert all(
+        request.completed_at is not None and request.completed_at - request.first_arrived_at <= ITEM_DUE_S
+        for request in items
+    )
+
+
+def test_large_shared_segments_are_prefilled_about_once() -> None:
+    cluster = half_loaded_cluster()
+    cluster.run(RUN_UNTIL_S)
+    reports = cluster.requests_of("report")
+    expected = 6 * 13_300 + sum(1_000 for _ in reports)
+    others = 543 * len(cluster.requests_of("chat")) + 768 * len(cluster.requests_of("lots"))
+    prefilled = sum(broker.prefilled_tokens for broker in cluster.simulated_brokers.values())
+    assert prefilled - others <= 1.3 * expected
+
+
+def test_overload_requests_are_served_at_once_or_at_their_retry() -> None:
+    cluster = half_loaded_cluster()
+    cluster.add_traffic("chat", 110.0, 3.0, 6.0, shared=172, own=543)
+    cluster.run(RUN_UNTIL_S)
+    live = cluster.requests_of("chat") + cluster.requests_of("report")
+    assert any(request.tries > 1 for request in live)
+    assert all(request.completed_at is not None for request in live)
     assert sum(map(in_time, live)) >= 0.5 * len(live)
-    assert all(work.done is not None for work in fleet.of("lots"))
+    assert all(request.completed_at is not None for request in cluster.requests_of("lots"))
 
 
-def test_a_surge_of_batch_items_does_not_push_live_requests_aside() -> None:
-    fleet = calm()
-    fleet.requests("lots", 60.0, 3.0, 5.0, shared=432, own=768)
-    fleet.run(SETTLED_S)
-    live = fleet.of("chat") + fleet.of("report")
-    assert all(work.done is not None for work in live)
+def test_a_burst_of_batch_items_does_not_displace_live_requests() -> None:
+    cluster = half_loaded_cluster()
+    cluster.add_traffic("lots", 60.0, 3.0, 5.0, shared=432, own=768)
+    cluster.run(RUN_UNTIL_S)
+    live = cluster.requests_of("chat") + cluster.requests_of("report")
+    assert all(request.completed_at is not None for request in live)
     assert sum(map(in_time, live)) >= 0.9 * len(live)
-    assert all(work.done is not None for work in fleet.of("lots"))
+    assert all(request.completed_at is not None for request in cluster.requests_of("lots"))
 
 
-def test_only_what_was_open_at_a_broker_that_crashes_is_lost() -> None:
-    fleet = calm()
-    fleet.crash("i-1", when=5.0, unlisted_after=2.0)
-    fleet.run(SETTLED_S)
-    live = fleet.of("chat") + fleet.of("report")
-    whole = [work for work in live if not work.broken]
-    assert all(work.done is not None for work in whole)
-    assert sum(map(in_time, whole)) >= 0.95 * len(whole)
+def test_a_broker_crash_interrupts_only_its_requests_in_flight() -> None:
+    cluster = half_loaded_cluster()
+    cluster.crash("i-1", at=5.0, unlisted_after=2.0)
+    cluster.run(RUN_UNTIL_S)
+    live = cluster.requests_of("chat") + cluster.requests_of("report")
+    uninterrupted = [request for request in live if not request.interrupted]
+    assert all(request.completed_at is not None for request in uninterrupted)
+    assert sum(map(in_time, uninterrupted)) >= 0.95 * len(uninterrupted)
