--- a/bench/admission/proxy.py
+++ b/bench/admission/proxy.py
@@ -151,7 +151,7 @@
         self.exchanges[request].timeline.attempt_started(self._clock.now, request, prefill_s)
 
     def _arrives(self, exchange: Exchange) -> list[Action]:
-        exchange.timeline.waits(self._clock.now)
+        exchange.timeline.wait_started(self._clock.now)
         return self._scheduler.request_arrived(self._clock.now, exchange.request)
 
     def _send(self, exchange: Exchange, instance_id: str) -> None:
@@ -236,7 +236,7 @@
             ended = self._scheduler.attempt_ended(self._clock.now, exchange.request, AttemptOutcome.CANCELLED)
             self._execute(ended)
         else:
-            exchange.timeline.waited(self._clock.now, exchange.request.pending_cause)
+            exchange.timeline.wait_ended(self._clock.now, exchange.request.pending_cause)
             self._finish(exchange)
             self._scheduler.request_withdrawn(exchange.request)
         exchange.on_failed()
--- a/cherrycove/tier/dataplane/admission_controller.py
+++ b/cherrycove/tier/dataplane/admission_controller.py
@@ -95,12 +95,12 @@
         decision: asyncio.Future[Permit | Reject] = asyncio.get_running_loop().create_future()
         self._pending[request] = _Waiter(decision, timeline)
         now = self._now()
-        timeline.waits(now)
+        timeline.wait_started(now)
         try:
             self._execute(self._running_scheduler.request_arrived(now, request))
             return await decision
         except asyncio.CancelledError:
-            timeline.waited(self._now(), request.pending_cause)
+            timeline.wait_ended(self._now(), request.pending_cause)
             if decision.done() and not decision.cancelled() and isinstance(decision.result(), Permit):
                 self.release(request, AttemptOutcome.CANCELLED)
             raise
--- a/cherrycove/tier/dataplane/loss_cause.py
+++ b/cherrycove/tier/dataplane/loss_cause.py
@@ -88,18 +88,18 @@
     _last_event_at: float = attrs.field(default=inf, init=False)
     _last_failure: LossCause | None = attrs.field(default=None, init=False)
 
-    def waits(self, now: float) -> None:
+    def wait_started(self, now: float) -> None:
         """It waits for a permit."""
         self._waiting_since = now
 
-    def waited(self, now: float, cause: PendingCause | None) -> None:
+    def wait_ended(self, now: float, cause: PendingCause | None) -> None:
         """It waits no more: it has a permit, or its task was cancelled; None: it did not have to wait."""
         if cause is not None:
             self._spend(_WAITED[cause], now - self._waiting_since)
 
     def attempt_started(self, now: float, request: AdmissionRequest, prefill_s: float) -> None:
         """It has a permit; ``prefill_s`` is the expected time for the prompt's uncached tokens."""
-        self.waited(now, request.pending_cause)
+        self.wait_ended(now, request.pending_cause)
         self._attempt_started_at = now
         self._prefill_s = prefill_s
         is_cold = 2 * request.uncached_shared_tokens > request.uncached_tokens
--- a/tests/tier/test_losses.py
+++ b/tests/tier/test_losses.py
@@ -35,7 +35,7 @@
 ) -> RequestTimeline:
     """A live request due at 0.3 whose first attempt began after ``wait_s``."""
     timeline = RequestTimeline(due_at=0.3, pause_target_s=0.3)
-    timeline.waits(0.0)
+    timeline.wait_started(0.0)
     timeline.attempt_started(wait_s, request(cause, 1000, uncached_shared), prefill_s)
     return timeline
 
@@ -65,7 +65,7 @@
 def test_a_failed_attempt_counts_where_it_cost_most() -> None:
     timeline = started()
     timeline.attempt_ended(0.5, AttemptOutcome.STALLED)
-    timeline.waits(0.5)
+    timeline.wait_started(0.5)
     timeline.attempt_started(0.5, request(), 0.0)
     timeline.event_received(0.55)
     assert timeline.loss(1.0, is_complete=True) is LossCause.ATTEMPT_STALLED
@@ -79,7 +79,7 @@
     resumed = started()
     resumed.event_received(0.1)
     resumed.attempt_ended(0.2, AttemptOutcome.INCOMPLETE)
-    resumed.waits(0.2)
+    resumed.wait_started(0.2)
     resumed.attempt_started(0.2, request(), 0.0)
     resumed.event_received(0.5)
     assert resumed.loss(0.5, is_complete=True) is LossCause.ATTEMPT_INCOMPLETE
@@ -87,7 +87,7 @@
 
 def test_what_ended_a_request_without_an_answer_is_its_cause() -> None:
     rejected = RequestTimeline(due_at=0.3)
-    rejected.waits(0.0)
+    rejected.wait_started(0.0)
     rejected.rejected(RejectionReason.FORECAST)
     assert rejected.loss(0.1, is_complete=False) is LossCause.REJECTED_FORECAST
     left = started()
@@ -103,13 +103,13 @@
 
 def test_an_item_that_came_with_too_little_time_left_was_leased_late() -> None:
     item = RequestTimeline(due_at=0.5, is_batch=True)
-    item.waits(0.0)
+    item.wait_started(0.0)
     item.attempt_started(0.0, request(), 0.0)
     item.event_received(0.1)
     assert item.loss(0.4, is_complete=True) is None
     assert item.loss(1.5, is_complete=True) is LossCause.LEASED_LATE
     waited = RequestTimeline(due_at=0.5, is_batch=True)
-    waited.waits(0.0)
+    waited.wait_started(0.0)
     waited.attempt_started(2.0, request(PendingCause.NO_SLOT), 0.0)
     assert waited.loss(2.2, is_complete=True) is LossCause.WAITED_SLOT
 
