--- a/tests/tier/admission_model.py
+++ b/tests/tier/admission_model.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import attrs
-from dataplane_world import configuration_bytes, route
+from dataplane_harness import configuration_bytes, route
 
 from cherrycove.tier.configuration import parse_configuration
 from cherrycove.tier.dataplane.admission import (
--- a/tests/tier/admission_transcript.py
+++ b/tests/tier/admission_transcript.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 import attrs
-from dataplane_world import configuration_bytes, route
+from dataplane_harness import configuration_bytes, route
 
 from cherrycove.tier.configuration import Configuration, parse_configuration
 from cherrycove.tier.dataplane.admission import (
--- a/tests/tier/dataplane_world.py
+++ b/tests/tier/dataplane_harness.py
@@ -107,7 +107,7 @@
                 return Reply(status, headers, b"".join(parts), False)
             return Reply(status, headers, b"".join(parts), True)
 
-    async def ask(self, target: str, body: bytes = b"", **options: Any) -> Reply:
+    async def request(self, target: str, body: bytes = b"", **options: Any) -> Reply:
         await self.send(target, body, **options)
         return await self.reply()
 
@@ -116,17 +116,17 @@
 
 
 @attrs.define(eq=False)
-class World:
+class DataPlaneHarness:
     """Starts the toy brokers and a data plane that knows them."""
 
     brokers: list[ToyBroker]
     document: bytes | None = attrs.field(factory=configuration_bytes)
-    views: ClusterView = attrs.field(factory=ClusterView)
+    cluster_view: ClusterView = attrs.field(factory=ClusterView)
     settings: Settings = attrs.field(init=False)
-    plane: DataPlane = attrs.field(init=False)
+    data_plane: DataPlane = attrs.field(init=False)
     _clients: list[Client] = attrs.field(factory=list)
 
-    async def __aenter__(self) -> World:
+    async def __aenter__(self) -> DataPlaneHarness:
         for broker in self.brokers:
             await broker.start()
         self.settings = Settings(
@@ -135,9 +135,9 @@
             limits=ProcessLimits(file_descriptors=4096),
             listen_addresses=ListenAddresses(frontend=free_address(), readiness=free_address()),
         )  # fmt: skip
-        self.plane = DataPlane(self.settings, self.views, random.Random(1))
-        self.tell()
-        await self.plane.start()
+        self.data_plane = DataPlane(self.settings, self.cluster_view, random.Random(1))
+        self.update_cluster_view()
+        await self.data_plane.start()
         return self
 
     async def __aexit__(
@@ -145,42 +145,46 @@
     ) -> None:
         for client in self._clients:
             client.close()
-        await self.plane.stop()
+        await self.data_plane.stop()
         for broker in self.brokers:
             await broker.stop()
 
-    def tell(self, document: bytes | None = None, listed: list[ToyBroker] | None = None) -> None:
+    def update_cluster_view(
+        self, document: bytes | None = None, listed: list[ToyBroker] | None = None
+    ) -> None:
         """Replace what the data plane knows."""
         self.document = document or self.document
         if self.document is not None:
-            self.views.configuration = parse_configuration(self.document).unwrap()
-            self.views.document = self.document
-        self.views.brokers = tuple(entry(each) for each in (self.brokers if listed is None else listed))
-        self.views.changed()
+            self.cluster_view.configuration = parse_configuration(self.document).unwrap()
+            self.cluster_view.document = self.document
+        self.cluster_view.brokers = tuple(
+            listed_broker(each) for each in (self.brokers if listed is None else listed)
+        )
+        self.cluster_view.changed()
 
     async def client(self) -> Client:
         client = await Client.connect(self.settings.listen_addresses.frontend)
         self._clients.append(client)
         return client
 
-    async def ask(self, target: str, body: bytes = b"", **options: Any) -> Reply:
+    async def request(self, target: str, body: bytes = b"", **options: Any) -> Reply:
         """One request over a new connection."""
-        return await (await self.client()).ask(target, body, **options)
+        return await (await self.client()).request(target, body, **options)
 
     async def readiness(self) -> int:
-        return (await self._ask_readiness_address("/api/readiness")).status
+        return (await self._request_readiness_address("/api/readiness")).status
 
     async def losses(self) -> Any:
         """The document of losses that the proxy serves."""
-        return json.loads((await self._ask_readiness_address("/api/losses")).body)
+        return json.loads((await self._request_readiness_address("/api/losses")).body)
 
-    async def _ask_readiness_address(self, target: str) -> Reply:
+    async def _request_readiness_address(self, target: str) -> Reply:
         client = await Client.connect(self.settings.listen_addresses.readiness)
         self._clients.append(client)
-        return await client.ask(target, method="GET")
+        return await client.request(target, method="GET")
 
 
-def entry(broker: ToyBroker, draining: bool = False) -> Broker:
+def listed_broker(broker: ToyBroker, draining: bool = False) -> Broker:
     return Broker(
         instance_id=broker.instance_id, service="lm", address=broker.address, zone="z",
         capacity_slots=broker.slots, draining=draining,
--- a/tests/tier/test_batch_failing_items.py
+++ b/tests/tier/test_batch_failing_items.py
@@ -6,7 +6,7 @@
 
 import pytest
 from batch_support import PATIENCE_S, Clock, Tier, job
-from dataplane_world import World, configuration_bytes, route
+from dataplane_harness import DataPlaneHarness, configuration_bytes, route
 from result import Ok
 
 from cherrycove.tier.batch.jobs.model import ItemKey
@@ -39,9 +39,9 @@
         async with (
             asyncio.timeout(PATIENCE_S),
             Tier() as tier,
-            World([broker], configuration_bytes([ROUTE]), tier.views) as world,
+            DataPlaneHarness([broker], configuration_bytes([ROUTE]), tier.views) as world,
         ):
-            await tier.worker(world.plane.executor).start()
+            await tier.worker(world.data_plane.executor).start()
             assert isinstance(await tier.client.submit(job("j1", "a"), PATIENCE_S), Ok)
             results = tier.nodes[0].state.jobs["j1"].results
             while not results:
@@ -64,13 +64,13 @@
         async with (
             asyncio.timeout(PATIENCE_S),
             Tier(clock=clock) as tier,
-            World([broker], configuration_bytes([ROUTE]), tier.views) as world,
+            DataPlaneHarness([broker], configuration_bytes([ROUTE]), tier.views) as world,
         ):
             request = job("j1", "a")
             request.max_attempts = 4
             state, results = tier.nodes[0].state, []
             for number in range(1, 5):
-                worker = tier.worker(world.plane.executor, f"p{number}", clock)
+                worker = tier.worker(world.data_plane.executor, f"p{number}", clock)
                 await worker.start()
                 if number == 1:
                     assert isinstance(await tier.client.submit(request, PATIENCE_S), Ok)
--- a/tests/tier/test_dataplane_bounds.py
+++ b/tests/tier/test_dataplane_bounds.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 import pytest
-from dataplane_world import HOST, TIMEOUT_S, World, configuration_bytes, route
+from dataplane_harness import HOST, TIMEOUT_S, DataPlaneHarness, configuration_bytes, route
 from test_dataplane_exchanges import events
 from test_dataplane_items import RecordingBatchApi
 
@@ -36,24 +36,24 @@
     await wire.answer(request, b"why", "500 Internal Server Error")
 
 
-def given(world: World) -> list[int]:
+def given(harness: DataPlaneHarness) -> list[int]:
     """The times that brokers were handed, by their coming."""
-    received = [request for broker in world.brokers for request in broker.received]
+    received = [request for broker in harness.brokers for request in broker.received]
     return sorted((int(request.headers["deadline-ms"]) for request in received), reverse=True)
 
 
 @pytest.mark.parametrize(("asked", "most"), [("1000", 1000), ("60000", TIMEOUT_MS), (None, TIMEOUT_MS)])
 def test_a_broker_is_handed_what_the_client_and_the_route_leave(asked: str | None, most: int) -> None:
     async def story() -> None:
-        async with World([ToyBroker()]) as world:
+        async with DataPlaneHarness([ToyBroker()]) as harness:
             fields = f"Deadline-Ms: {asked}\r\n" if asked is not None else ""
-            client = await world.client()
+            client = await harness.client()
             client.writer.write(
                 f"POST /again/x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: r1\r\n{fields}"
                 "Content-Length: 0\r\n\r\n".encode()
             )
             assert (await client.reply()).status == 200
-            assert most - 500 < given(world)[0] <= most
+            assert most - 500 < given(harness)[0] <= most
 
     asyncio.run(story())
 
@@ -69,9 +69,9 @@
 
         brokers = [ToyBroker("i-1", script=stream(2)), ToyBroker("i-2", script=stream(2))]
         brokers[0].scripts = brokers[1].scripts = [late_reset]
-        async with World(brokers) as world:
-            assert (await world.ask(target)).status == 200
-            first, second = given(world)
+        async with DataPlaneHarness(brokers) as harness:
+            assert (await harness.request(target)).status == 200
+            first, second = given(harness)
             assert second <= first - AHEAD_S * 1000
 
     asyncio.run(story())
@@ -87,9 +87,9 @@
             for name, kind, resumable in kinds
         ]
         brokers = [ToyBroker(f"i-{number}", script=script) for number in range(4)]
-        async with World(brokers, document=configuration_bytes(routes)) as world:
+        async with DataPlaneHarness(brokers, document=configuration_bytes(routes)) as harness:
             for name, _, _ in kinds:
-                reply = await world.ask(f"/{name}/x")
+                reply = await harness.request(f"/{name}/x")
                 assert reply.status != 503
                 ran = [request for broker in brokers for request in broker.received]
                 assert 1 <= len(ran) <= attempts
@@ -113,16 +113,16 @@
         ]
         patient = {"Deadline-Ms": "60000"}
         broker = ToyBroker(slots=1, script=held)
-        async with World([broker], document=configuration_bytes(routes)) as world:
-            first, waiting = await world.client(), await world.client()
+        async with DataPlaneHarness([broker], document=configuration_bytes(routes)) as harness:
+            first, waiting = await harness.client(), await harness.client()
             await first.send("/again/x", headers=patient)
             await broker.wait_received()
             await waiting.send("/brief/x", headers=patient)
             async with asyncio.timeout(TIMEOUT_S + 21.0):
-                while not world.plane._admission._pending:
+                while not harness.data_plane._admission._pending:
                     await asyncio.sleep(0)
                 move(20.5)
-                await world.readiness()
+                await harness.readiness()
                 reply = await waiting.reply()
             assert reply.status == 503 and float(reply.headers["retry-after"]) > 0
             release.set()
@@ -140,8 +140,8 @@
         }  # fmt: skip
         brokers = [ToyBroker("i-1"), ToyBroker("i-2")]
         brokers[0].scripts = brokers[1].scripts = [stream(3, breaks_after=1), stream(3)]
-        async with World(brokers) as world:
-            reply = await world.ask("/resume/a?b=%20", b"\0body", headers=fields)
+        async with DataPlaneHarness(brokers) as harness:
+            reply = await harness.request("/resume/a?b=%20", b"\0body", headers=fields)
             assert (reply.body, reply.complete) == (events(1, 3), True)
             received = [request for broker in brokers for request in broker.received]
             assert len(received) == 2
@@ -165,11 +165,11 @@
             await wire.answer(request, b"new", Versions="2")
 
         brokers = [ToyBroker("i-1", script=other_weights), ToyBroker("i-2", script=expected)]
-        async with World(brokers) as world:
+        async with DataPlaneHarness(brokers) as harness:
             for _ in range(8):
-                assert (await world.ask("/once/x", headers={"Expect-Version": "2"})).body == b"new"
-            world.tell(listed=brokers[:1])
-            assert (await world.ask("/once/x")).body == b"old"
+                assert (await harness.request("/once/x", headers={"Expect-Version": "2"})).body == b"new"
+            harness.update_cluster_view(listed=brokers[:1])
+            assert (await harness.request("/once/x")).body == b"old"
             assert any("expect-version" in request.headers for request in brokers[0].received)
 
     asyncio.run(story())
@@ -186,20 +186,20 @@
             wire.reset()
 
         first, second = ToyBroker("i-1", script=breaks), ToyBroker("i-2", script=stream(4))
-        async with World([first, second]) as world, asyncio.timeout(TIMEOUT_S):
-            world.tell(listed=[first])
-            client = await world.client()
+        async with DataPlaneHarness([first, second]) as harness, asyncio.timeout(TIMEOUT_S):
+            harness.update_cluster_view(listed=[first])
+            client = await harness.client()
             await client.send("/resume/x")
             await client.head()
             text = await client.chunk()
-            world.tell(listed=[])
+            harness.update_cluster_view(listed=[])
             unlisted.set()
-            while not world.plane._admission._pending:
+            while not harness.data_plane._admission._pending:
                 await asyncio.sleep(0)
             move(0.5)  # no broker can be reached for longer than a request is held for that
-            while world.plane._admission._pending:
-                await world.readiness()
-            world.tell(listed=[second])
+            while harness.data_plane._admission._pending:
+                await harness.readiness()
+            harness.update_cluster_view(listed=[second])
             while chunk := await client.chunk():
                 text += chunk
             assert text == events(1, 4)
@@ -209,13 +209,13 @@
 
 def test_without_a_configuration_nothing_is_said_not_to_exist() -> None:
     async def story() -> None:
-        async with World([ToyBroker()], document=None) as world:
-            world.plane.attach_batch(RecordingBatchApi())
+        async with DataPlaneHarness([ToyBroker()], document=None) as harness:
+            harness.data_plane.attach_batch(RecordingBatchApi())
             for method, target in (
                 ("POST", "/nowhere/x"), ("POST", "/lots/7c41"), ("GET", "/api/lots/ID"),
                 ("GET", "/api/items/ID"), ("DELETE", "/api/lots/ID"), ("GET", "/"),
             ):  # fmt: skip
-                reply = await world.ask(target, method=method)
+                reply = await harness.request(target, method=method)
                 assert reply.status == 503 and float(reply.headers["retry-after"]) > 0
 
     asyncio.run(story())
@@ -227,13 +227,13 @@
             route("all", "/", "idempotent"),
             route("lots", "/lots/", "batch", timeoutMs=60000, completionTargetMs=8000, retentionS=60),
         ]
-        async with World([ToyBroker()], document=configuration_bytes(routes)) as world:
+        async with DataPlaneHarness([ToyBroker()], document=configuration_bytes(routes)) as harness:
             api = RecordingBatchApi()
-            world.plane.attach_batch(api)
+            harness.data_plane.attach_batch(api)
             calls = (("GET", "/api/lots/ID"), ("GET", "/api/items/ID"), ("DELETE", "/api/lots/ID"))
             for method, target in calls:
-                assert (await world.ask(target, method=method)).status == 202
-            assert (await world.ask("/else/x")).status == 200
+                assert (await harness.request(target, method=method)).status == 202
+            assert (await harness.request("/else/x")).status == 200
             assert [call[0] for call in api.calls] == ["GET", "GET", "DELETE"]
 
     asyncio.run(story())
@@ -252,14 +252,16 @@
 
         for target in ("/stream/x", "/resume/x"):
             release.clear()
-            async with World([ToyBroker(script=script)]) as world, asyncio.timeout(TIMEOUT_S):
-                client = await world.client()
+            async with DataPlaneHarness([ToyBroker(script=script)]) as harness, asyncio.timeout(TIMEOUT_S):
+                client = await harness.client()
                 await client.send(target)
                 await client.head()
                 assert await client.chunk() == events(1, 1)
-                world.tell(configuration_bytes([route("other", "/other/", "idempotent")], version=2))
-                world.tell(listed=[])
-                assert (await world.ask("/stream/y")).status == 404
+                harness.update_cluster_view(
+                    configuration_bytes([route("other", "/other/", "idempotent")], version=2)
+                )
+                harness.update_cluster_view(listed=[])
+                assert (await harness.request("/stream/y")).status == 404
                 release.set()
                 assert await client.chunk() == events(2, 2)
                 assert await client.chunk() == b""
--- a/tests/tier/test_dataplane_client_gone.py
+++ b/tests/tier/test_dataplane_client_gone.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 import pytest
-from dataplane_world import TIMEOUT_S, Client, World, configuration_bytes, route
+from dataplane_harness import TIMEOUT_S, Client, DataPlaneHarness, configuration_bytes, route
 
 from cherrycove.tier.dataplane.connection_pool import BrokerConnector
 from examples.toy_broker import SIGNATURE, Received, Script, ToyBroker, Wire
@@ -23,15 +23,15 @@
 PATIENT = {"Deadline-Ms": "60000"}
 
 
-async def at_rest(world: World) -> None:
+async def at_rest(harness: DataPlaneHarness) -> None:
     """Until no request is open at the proxy."""
     async with asyncio.timeout(TIMEOUT_S):
-        while world.plane._ingress.open_requests:
+        while harness.data_plane._ingress.open_requests:
             await asyncio.sleep(0)
 
 
-async def asking(world: World, target: str) -> Client:
-    client = await world.client()
+async def asking(harness: DataPlaneHarness, target: str) -> Client:
+    client = await harness.client()
     await client.send(target, headers=PATIENT)
     return client
 
@@ -67,14 +67,16 @@
             assert await wire.reader.read() == b""  # until the proxy closes
             freed.set()
 
-        async with World([ToyBroker(script=script)], document=configuration_bytes(ROUTES)) as world:
+        async with DataPlaneHarness(
+            [ToyBroker(script=script)], document=configuration_bytes(ROUTES)
+        ) as harness:
             async with asyncio.timeout(TIMEOUT_S):
-                client = await asking(world, target)
+                client = await asking(harness, target)
                 await begun.wait()
                 client.close()
                 await freed.wait()
-                await at_rest(world)
-            assert len(world.brokers[0].received) == 1
+                await at_rest(harness)
+            assert len(harness.brokers[0].received) == 1
 
     asyncio.run(story())
 
@@ -88,19 +90,19 @@
             await wire.answer(request, b"")
 
         broker = ToyBroker(slots=1, scripts=[held])
-        async with World([broker], document=configuration_bytes(ROUTES)) as world:
-            first = await asking(world, "/again/first")
+        async with DataPlaneHarness([broker], document=configuration_bytes(ROUTES)) as harness:
+            first = await asking(harness, "/again/first")
             await broker.wait_received()
-            leaver = await asking(world, "/again/leaver")
+            leaver = await asking(harness, "/again/leaver")
             async with asyncio.timeout(TIMEOUT_S):
-                while not world.plane._admission._pending:
+                while not harness.data_plane._admission._pending:
                     await asyncio.sleep(0)
                 leaver.close()
-                while world.plane._admission._pending:
+                while harness.data_plane._admission._pending:
                     await asyncio.sleep(0)
             release.set()
             assert (await first.reply()).status == 200
-            assert (await world.ask("/again/third", headers=PATIENT)).status == 200
+            assert (await harness.request("/again/third", headers=PATIENT)).status == 200
             assert [each.target for each in broker.received] == ["/again/first", "/again/third"]
 
     asyncio.run(story())
@@ -119,14 +121,14 @@
 
         monkeypatch.setattr(BrokerConnector, "_create_connection", hangs)
         monkeypatch.setattr("cherrycove.tier.dataplane.upstream.POOL_TIMEOUT_S", TIMEOUT_S, raising=False)
-        async with World([ToyBroker()], document=configuration_bytes(ROUTES)) as world:
+        async with DataPlaneHarness([ToyBroker()], document=configuration_bytes(ROUTES)) as harness:
             async with asyncio.timeout(TIMEOUT_S):
-                leaver = await asking(world, "/again/x")
+                leaver = await asking(harness, "/again/x")
                 await connecting.wait()
                 leaver.close()
                 await given_up.wait()
-                await at_rest(world)
-            assert world.brokers[0].connections == 0
+                await at_rest(harness)
+            assert harness.brokers[0].connections == 0
 
     asyncio.run(story())
 
@@ -138,14 +140,14 @@
             wire.reset()
 
         broker = ToyBroker(script=resets)
-        async with World([broker], document=configuration_bytes(ROUTES)) as world:
+        async with DataPlaneHarness([broker], document=configuration_bytes(ROUTES)) as harness:
             async with asyncio.timeout(TIMEOUT_S):
-                leaver = await asking(world, target)
+                leaver = await asking(harness, target)
                 await broker.wait_received()
-                while not world.plane._admission._pending:
+                while not harness.data_plane._admission._pending:
                     await asyncio.sleep(0)
                 leaver.close()
-                await at_rest(world)
-            assert len(broker.received) == 1 and not world.plane._admission._pending
+                await at_rest(harness)
+            assert len(broker.received) == 1 and not harness.data_plane._admission._pending
 
     asyncio.run(story())
--- a/tests/tier/test_dataplane_drain.py
+++ b/tests/tier/test_dataplane_drain.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from aiohttp import web
-from dataplane_world import TIMEOUT_S, Reply, World, configuration_bytes, route
+from dataplane_harness import TIMEOUT_S, DataPlaneHarness, Reply, configuration_bytes, route
 from test_dataplane_items import RecordingBatchApi
 
 from cherrycove.tier.configuration import ClientLimits
@@ -80,21 +80,21 @@
             await wire.end_stream()
 
         broker = ToyBroker(scripts=[held], script=stream(2))
-        async with World([broker], document=configuration_bytes(ROUTES)) as world:
+        async with DataPlaneHarness([broker], document=configuration_bytes(ROUTES)) as harness:
             api = RecordingBatchApi()
-            world.plane.attach_batch(api)
-            open_one = await world.client()
+            harness.data_plane.attach_batch(api)
+            open_one = await harness.client()
             await open_one.send("/long/before", headers=PATIENT)
             await broker.wait_received()
-            draining = asyncio.create_task(world.plane.drain(GRACE_S, notice_s=0.0))
-            assert await world.readiness() == 503
-            assert turned_away(await world.ask("/long/x", headers=PATIENT))
-            assert turned_away(await world.ask("/long/x", headers={"Deadline-Ms": "9000"}))
-            in_time = await world.ask("/short/x")
+            draining = asyncio.create_task(harness.data_plane.drain(GRACE_S, notice_s=0.0))
+            assert await harness.readiness() == 503
+            assert turned_away(await harness.request("/long/x", headers=PATIENT))
+            assert turned_away(await harness.request("/long/x", headers={"Deadline-Ms": "9000"}))
+            in_time = await harness.request("/short/x")
             assert (in_time.status, in_time.complete) == (200, True)
-            in_time = await world.ask("/long/x", headers={"Deadline-Ms": "5000"})
+            in_time = await harness.request("/long/x", headers={"Deadline-Ms": "5000"})
             assert (in_time.status, in_time.complete) == (200, True)
-            assert (await world.ask("/api/lots/ID", method="GET")).headers["connection"] == "close"
+            assert (await harness.request("/api/lots/ID", method="GET")).headers["connection"] == "close"
             release.set()
             reply = await open_one.reply()
             assert (reply.status, reply.complete) == (200, True)
@@ -114,13 +114,13 @@
 
         brokers = [ToyBroker("i-1"), ToyBroker("i-2")]
         brokers[0].scripts = brokers[1].scripts = [resets]
-        async with World(brokers, document=configuration_bytes(ROUTES)) as world:
-            client = await world.client()
+        async with DataPlaneHarness(brokers, document=configuration_bytes(ROUTES)) as harness:
+            client = await harness.client()
             await client.send("/again/x", headers=PATIENT)
             while not any(broker.received for broker in brokers):
                 await asyncio.sleep(0)
-            draining = asyncio.create_task(world.plane.drain(GRACE_S))
-            await world.readiness()
+            draining = asyncio.create_task(harness.data_plane.drain(GRACE_S))
+            await harness.readiness()
             release.set()
             assert (await client.reply()).status == 200
             given = [int(each.headers["deadline-ms"]) for broker in brokers for each in broker.received]
@@ -136,21 +136,21 @@
             await wire.reader.read()
 
         broker = ToyBroker(script=silent)
-        async with World([broker], document=configuration_bytes(ROUTES)) as world:
-            out = await world.client()
+        async with DataPlaneHarness([broker], document=configuration_bytes(ROUTES)) as harness:
+            out = await harness.client()
             await out.send("/long/out", headers=PATIENT)
             await broker.wait_received()
-            world.tell(listed=[])
-            waiting = await world.client()
+            harness.update_cluster_view(listed=[])
+            waiting = await harness.client()
             await waiting.send("/long/waiting", headers=PATIENT)
-            while world.plane._ingress.open_requests < 2:
+            while harness.data_plane._ingress.open_requests < 2:
                 await asyncio.sleep(0)
             async with asyncio.timeout(TIMEOUT_S):
-                await world.plane.drain(END_RESERVE_S)
+                await harness.data_plane.drain(END_RESERVE_S)
                 assert (await out.reply()).status == 504
                 assert turned_away(await waiting.reply())
-                assert turned_away(await world.ask("/short/late"))
-                await world.plane.stop()
+                assert turned_away(await harness.request("/short/late"))
+                await harness.data_plane.stop()
             assert len(broker.received) == 1
 
     asyncio.run(story())
@@ -165,16 +165,16 @@
                 arrived.set()
                 return await asyncio.Event().wait()
 
-        async with World([ToyBroker()], document=configuration_bytes(ROUTES)) as world:
-            world.plane.attach_batch(HoldingApi())
-            held = await world.client()
+        async with DataPlaneHarness([ToyBroker()], document=configuration_bytes(ROUTES)) as harness:
+            harness.data_plane.attach_batch(HoldingApi())
+            held = await harness.client()
             await held.send("/api/lots/ID", method="GET")
             await arrived.wait()
             async with asyncio.timeout(TIMEOUT_S):
-                await world.plane.drain(END_RESERVE_S)
+                await harness.data_plane.drain(END_RESERVE_S)
                 assert (await held.reply()).status == 504
-                assert turned_away(await world.ask("/api/lots/ID", method="GET"))
-                assert turned_away(await world.ask("/lots/7c41", b"{}"))
+                assert turned_away(await harness.request("/api/lots/ID", method="GET"))
+                assert turned_away(await harness.request("/lots/7c41", b"{}"))
 
     asyncio.run(story())
 
@@ -188,15 +188,15 @@
             await wire.answer(request, b"done")
 
         broker = ToyBroker(script=held)
-        async with World([broker], document=configuration_bytes(ROUTES)) as world:
-            open_one = await world.client()
-            draining = asyncio.create_task(world.plane.drain(GRACE_S, notice_s=0.0))
-            await world.readiness()
+        async with DataPlaneHarness([broker], document=configuration_bytes(ROUTES)) as harness:
+            open_one = await harness.client()
+            draining = asyncio.create_task(harness.data_plane.drain(GRACE_S, notice_s=0.0))
+            await harness.readiness()
             await open_one.send("/again/x", headers={"Deadline-Ms": "5000"})
             await broker.wait_received()
             draining.cancel()
-            stopping = asyncio.create_task(world.plane.stop())
-            assert turned_away(await world.ask("/again/x", headers={"Deadline-Ms": "5000"}))
+            stopping = asyncio.create_task(harness.data_plane.stop())
+            assert turned_away(await harness.request("/again/x", headers={"Deadline-Ms": "5000"}))
             release.set()
             assert (await open_one.reply()).body == b"done"
             await stopping
--- a/tests/tier/test_dataplane_exchanges.py
+++ b/tests/tier/test_dataplane_exchanges.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from dataplane_world import TIMEOUT_S, World, configuration_bytes, route
+from dataplane_harness import TIMEOUT_S, DataPlaneHarness, configuration_bytes, route
 
 from examples.toy_broker import SIGNATURE, Received, ToyBroker, Wire, stream
 
@@ -15,15 +15,15 @@
 
 def test_a_request_and_its_answer_pass_unchanged() -> None:
     async def story() -> None:
-        async with World([ToyBroker()]) as world:
-            reply = await world.ask(
+        async with DataPlaneHarness([ToyBroker()]) as harness:
+            reply = await harness.request(
                 "/once/a%2Fb//..;x?q=%20+&a=%41", b"\0body\xff",
                 headers={"Model": "m", "Connection": "close, X-Hop", "X-Hop": "1", "X-End": "2"},
             )  # fmt: skip
             assert (reply.status, reply.body, reply.complete) == (200, b"\0body\xff", True)
             assert reply.headers["response-signature"] == SIGNATURE
             assert reply.headers["request-id"] == "r1"
-            (received,) = world.brokers[0].received
+            (received,) = harness.brokers[0].received
             assert (received.method, received.body) == ("POST", b"\0body\xff")
             assert received.target == "/once/a%2Fb//..;x?q=%20+&a=%41"
             assert received.headers["expected-instance"] == "i-1"
@@ -37,81 +37,85 @@
 
 def test_a_body_in_chunks_is_sent_on_with_a_length() -> None:
     async def story() -> None:
-        async with World([ToyBroker()]) as world:
-            client = await world.client()
+        async with DataPlaneHarness([ToyBroker()]) as harness:
+            client = await harness.client()
             client.writer.write(
                 b"POST /once/c HTTP/1.1\r\nHost: nony24.example\r\nRequest-Id: r1\r\n"
                 b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
             )
             reply = await client.reply()
             assert reply.body == b"abcde"
-            assert world.brokers[0].received[0].headers["content-length"] == "5"
+            assert harness.brokers[0].received[0].headers["content-length"] == "5"
 
     asyncio.run(story())
 
 
 def test_one_connection_of_a_client_serves_many_requests_over_one_to_the_broker() -> None:
     async def story() -> None:
-        async with World([ToyBroker()]) as world:
-            client = await world.client()
+        async with DataPlaneHarness([ToyBroker()]) as harness:
+            client = await harness.client()
             for number in range(5):
                 body = f"{number}".encode()
-                assert (await client.ask("/once/x", body, headers={"Request-Id": f"r{number}"})).body == body
-            assert world.brokers[0].connections == 1
+                assert (
+                    await client.request("/once/x", body, headers={"Request-Id": f"r{number}"})
+                ).body == body
+            assert harness.brokers[0].connections == 1
 
     asyncio.run(story())
 
 
 def test_targets_that_a_library_would_tidy_up_pass_unchanged() -> None:
     async def story() -> None:
-        async with World([ToyBroker()]) as world:
+        async with DataPlaneHarness([ToyBroker()]) as harness:
             targets = ["/once/x?", "/once/x?a=1#b", "/once/../once/x", "/once//x/./y", "/once/%7Ex?%zz"]
             for target in targets:
-                assert (await world.ask(target)).status == 200
-            assert [received.target for received in world.brokers[0].received] == targets
+                assert (await harness.request(target)).status == 200
+            assert [received.target for received in harness.brokers[0].received] == targets
 
     asyncio.run(story())
 
 
 def test_unknown_routes_and_hosts_get_404() -> None:
     async def story() -> None:
-        async with World([ToyBroker()]) as world:
-            assert (await world.ask("/nowhere/x")).status == 404
-            assert (await world.ask("/once/x", headers={"Host": "other.example"})).status == 404
-            assert not world.brokers[0].received
+        async with DataPlaneHarness([ToyBroker()]) as harness:
+            assert (await harness.request("/nowhere/x")).status == 404
+            assert (await harness.request("/once/x", headers={"Host": "other.example"})).status == 404
+            assert not harness.brokers[0].received
 
     asyncio.run(story())
 
 
 def test_without_a_configuration_a_request_is_told_to_come_back() -> None:
     async def story() -> None:
-        async with World([ToyBroker()], document=None) as world:
-            reply = await world.ask("/once/x")
+        async with DataPlaneHarness([ToyBroker()], document=None) as harness:
+            reply = await harness.request("/once/x")
             assert reply.status == 503 and float(reply.headers["retry-after"]) > 0
-            assert await world.readiness() == 503
-            world.tell(configuration_bytes())
-            assert await world.readiness() == 200
-            assert (await world.ask("/once/x")).status == 200
+            assert await harness.readiness() == 503
+            harness.update_cluster_view(configuration_bytes())
+            assert await harness.readiness() == 200
+            assert (await harness.request("/once/x")).status == 200
 
     asyncio.run(story())
 
 
 def test_a_head_or_body_over_the_bounds_is_refused() -> None:
     async def story() -> None:
-        async with World([ToyBroker()]) as world:
-            assert (await world.ask("/once/x", b"x" * 100_001)).status == 413
-            assert (await world.ask("/once/x", headers={"X-Long": "x" * 5000})).status == 431
-            assert (await world.ask("/once/x", b"x" * 100_000)).status == 200
+        async with DataPlaneHarness([ToyBroker()]) as harness:
+            assert (await harness.request("/once/x", b"x" * 100_001)).status == 413
+            assert (await harness.request("/once/x", headers={"X-Long": "x" * 5000})).status == 431
+            assert (await harness.request("/once/x", b"x" * 100_000)).status == 200
 
     asyncio.run(story())
 
 
 def test_a_head_within_its_bound_may_have_many_fields() -> None:
     async def story() -> None:
-        async with World([ToyBroker()], document=configuration_bytes(maxHeaderBytes=16384)) as world:
+        async with DataPlaneHarness(
+            [ToyBroker()], document=configuration_bytes(maxHeaderBytes=16384)
+        ) as harness:
             fields = {f"X-{number}": "v" for number in range(1000)}
-            assert (await world.ask("/once/x", headers=fields)).status == 200
-            (received,) = world.brokers[0].received
+            assert (await harness.request("/once/x", headers=fields)).status == 200
+            (received,) = harness.brokers[0].received
             assert all(received.headers[name.lower()] == "v" for name in fields)
 
     asyncio.run(story())
@@ -130,8 +134,8 @@
 
         for prefix in ("/stream/x", "/resume/x"):
             seen.clear()
-            async with World([ToyBroker(script=script)]) as world, asyncio.timeout(TIMEOUT_S):
-                client = await world.client()
+            async with DataPlaneHarness([ToyBroker(script=script)]) as harness, asyncio.timeout(TIMEOUT_S):
+                client = await harness.client()
                 await client.send(prefix)
                 status, headers = await client.head()
                 assert (status, headers["content-type"]) == (200, "text/event-stream")
@@ -146,8 +150,8 @@
 
 def test_a_client_of_http_1_0_gets_a_stream_that_its_connection_ends() -> None:
     async def story() -> None:
-        async with World([ToyBroker(script=stream(2))]) as world, asyncio.timeout(TIMEOUT_S):
-            client = await world.client()
+        async with DataPlaneHarness([ToyBroker(script=stream(2))]) as harness, asyncio.timeout(TIMEOUT_S):
+            client = await harness.client()
             client.writer.write(
                 b"POST /stream/x HTTP/1.0\r\nHost: nony24.example\r\nRequest-Id: r1\r\n"
                 b"Content-Length: 0\r\n\r\n"
@@ -161,20 +165,22 @@
 
 def test_without_a_place_a_request_is_told_when_to_come_back() -> None:
     async def story() -> None:
-        async with World([ToyBroker(slots=0)]) as world:
-            reply = await world.ask("/once/x", headers={"Deadline-Ms": "600"})
+        async with DataPlaneHarness([ToyBroker(slots=0)]) as harness:
+            reply = await harness.request("/once/x", headers={"Deadline-Ms": "600"})
             assert reply.status == 503 and 0 < float(reply.headers["retry-after"]) <= 0.2
             assert reply.headers["request-id"] == "r1"
-            assert not world.brokers[0].received and world.brokers[0].rejected > 0
+            assert not harness.brokers[0].received and harness.brokers[0].rejected > 0
 
     asyncio.run(story())
 
 
 def test_a_stream_that_breaks_off_does_not_look_complete() -> None:
     async def story() -> None:
-        async with World([ToyBroker(script=stream(3, breaks_after=2)), ToyBroker("i-2")]) as world:
-            world.tell(listed=world.brokers[:1])
-            reply = await world.ask("/stream/x")
+        async with DataPlaneHarness(
+            [ToyBroker(script=stream(3, breaks_after=2)), ToyBroker("i-2")]
+        ) as harness:
+            harness.update_cluster_view(listed=harness.brokers[:1])
+            reply = await harness.request("/stream/x")
             assert (reply.status, reply.body, reply.complete) == (200, events(1, 2), False)
 
     asyncio.run(story())
@@ -184,8 +190,8 @@
     async def story() -> None:
         brokers = [ToyBroker("i-1"), ToyBroker("i-2")]
         brokers[0].scripts = brokers[1].scripts = [stream(5, breaks_after=3), stream(5)]
-        async with World(brokers) as world:
-            reply = await world.ask("/resume/x")
+        async with DataPlaneHarness(brokers) as harness:
+            reply = await harness.request("/resume/x")
             assert (reply.status, reply.body, reply.complete) == (200, events(1, 5), True)
             received = [request for broker in brokers for request in broker.received]
             assert sorted(request.headers.get("last-event-id", "") for request in received) == ["", "3"]
@@ -218,10 +224,10 @@
         for second, last, complete in second_answers:
             brokers = [ToyBroker("i-1", scripts=[stream(4, breaks_after=2)], script=second)]
             brokers.append(ToyBroker("i-2", scripts=[stream(4, breaks_after=2)], script=second))
-            async with World(brokers) as world:
+            async with DataPlaneHarness(brokers) as harness:
                 shared = brokers[0].scripts
                 brokers[1].scripts = shared
-                reply = await world.ask("/resume/x")
+                reply = await harness.request("/resume/x")
                 assert (reply.body, reply.complete) == (events(1, last), complete)
 
     asyncio.run(story())
@@ -229,8 +235,8 @@
 
 def test_the_clients_own_last_event_id_is_passed_on() -> None:
     async def story() -> None:
-        async with World([ToyBroker(script=stream(5))]) as world:
-            reply = await world.ask("/resume/x", headers={"Last-Event-Id": "3"})
+        async with DataPlaneHarness([ToyBroker(script=stream(5))]) as harness:
+            reply = await harness.request("/resume/x", headers={"Last-Event-Id": "3"})
             assert (reply.body, reply.complete) == (events(4, 5), True)
 
     asyncio.run(story())
@@ -278,11 +284,11 @@
     async def story() -> None:
         for script in BREAKS:
             brokers = [ToyBroker("i-1", script=script), ToyBroker("i-2", script=script)]
-            async with World(brokers) as world:
+            async with DataPlaneHarness(brokers) as harness:
                 for target in ("/once/x", "/stream/x"):
                     for broker in brokers:
                         broker.received.clear()
-                    reply = await world.ask(target)
+                    reply = await harness.request(target)
                     assert reply.status == 502, script
                     assert "response-signature" not in reply.headers
                     assert sum(len(broker.received) for broker in brokers) == 1, script
@@ -295,8 +301,8 @@
         for script in BREAKS:
             brokers = [ToyBroker("i-1"), ToyBroker("i-2")]
             brokers[0].scripts = brokers[1].scripts = [script]
-            async with World(brokers) as world:
-                reply = await world.ask("/again/x", b"data")
+            async with DataPlaneHarness(brokers) as harness:
+                reply = await harness.request("/again/x", b"data")
                 assert (reply.status, reply.body) == (200, b"data"), script
                 assert sorted(len(broker.received) for broker in brokers) == [1, 1]
 
@@ -306,8 +312,8 @@
 def test_no_more_brokers_run_it_than_the_route_allows() -> None:
     async def story() -> None:
         brokers = [ToyBroker(f"i-{number}", script=reset) for number in range(4)]
-        async with World(brokers) as world:
-            assert (await world.ask("/again/x")).status == 502
+        async with DataPlaneHarness(brokers) as harness:
+            assert (await harness.request("/again/x")).status == 502
             assert sum(len(broker.received) for broker in brokers) == 2
 
     asyncio.run(story())
@@ -317,13 +323,13 @@
     async def story() -> None:
         full = ToyBroker("i-1", slots=0)
         other = ToyBroker("i-2")
-        async with World([full, other]) as world:
+        async with DataPlaneHarness([full, other]) as harness:
             for _ in range(6):
-                assert (await world.ask("/once/x", b"data")).body == b"data"
+                assert (await harness.request("/once/x", b"data")).body == b"data"
             other.instance_id = "i-3"  # another broker took over the address
             full.slots = 8
             for _ in range(6):
-                assert (await world.ask("/once/x", b"data")).body == b"data"
+                assert (await harness.request("/once/x", b"data")).body == b"data"
             assert other.rejected >= 1
 
     asyncio.run(story())
@@ -331,10 +337,10 @@
 
 def test_a_broker_nobody_listens_at_is_passed_over() -> None:
     async def story() -> None:
-        async with World([ToyBroker("i-1"), ToyBroker("i-2")]) as world:
-            await world.brokers[0].stop()
+        async with DataPlaneHarness([ToyBroker("i-1"), ToyBroker("i-2")]) as harness:
+            await harness.brokers[0].stop()
             for _ in range(6):
-                assert (await world.ask("/once/x", b"data")).body == b"data"
+                assert (await harness.request("/once/x", b"data")).body == b"data"
 
     asyncio.run(story())
 
@@ -344,8 +350,8 @@
         await wire.answer(request, b"why", "500 Internal Server Error")
 
     async def story() -> None:
-        async with World([ToyBroker(script=failing)]) as world:
-            reply = await world.ask("/once/x")
+        async with DataPlaneHarness([ToyBroker(script=failing)]) as harness:
+            reply = await harness.request("/once/x")
             assert (reply.status, reply.body) == (500, b"why")
             assert reply.headers["response-signature"] == SIGNATURE
 
@@ -362,8 +368,8 @@
             await wire.reader.read()  # until the proxy closes
             ended.set()
 
-        async with World([ToyBroker(script=script)]) as world, asyncio.timeout(TIMEOUT_S):
-            client = await world.client()
+        async with DataPlaneHarness([ToyBroker(script=script)]) as harness, asyncio.timeout(TIMEOUT_S):
+            client = await harness.client()
             await client.send("/stream/x")
             await started.wait()
             client.close()
@@ -383,10 +389,12 @@
 
     async def story() -> None:
         routes = [route("stream", "/stream/", "streaming", timeoutMs=150)]
-        async with World([ToyBroker(script=silent)], document=configuration_bytes(routes)) as world:
-            assert (await world.ask("/stream/x")).status == 504
-            world.brokers[0].script = half
-            reply = await world.ask("/stream/x")
+        async with DataPlaneHarness(
+            [ToyBroker(script=silent)], document=configuration_bytes(routes)
+        ) as harness:
+            assert (await harness.request("/stream/x")).status == 504
+            harness.brokers[0].script = half
+            reply = await harness.request("/stream/x")
             assert (reply.status, reply.body, reply.complete) == (200, events(1, 1), False)
 
     asyncio.run(story())
@@ -398,11 +406,13 @@
         await wire.answer(request, request.body)
 
     async def story() -> None:
-        async with World([ToyBroker(script=twice)]) as world:
-            client = await world.client()
+        async with DataPlaneHarness([ToyBroker(script=twice)]) as harness:
+            client = await harness.client()
             for number in range(10):
                 body = f"{number}".encode()
-                assert (await client.ask("/once/x", body, headers={"Request-Id": f"r{number}"})).body == body
+                assert (
+                    await client.request("/once/x", body, headers={"Request-Id": f"r{number}"})
+                ).body == body
 
     asyncio.run(story())
 
@@ -415,16 +425,16 @@
             await release.wait()
             await wire.answer(request, b"done")
 
-        async with World([ToyBroker(script=script)]) as world, asyncio.timeout(TIMEOUT_S):
-            client = await world.client()
+        async with DataPlaneHarness([ToyBroker(script=script)]) as harness, asyncio.timeout(TIMEOUT_S):
+            client = await harness.client()
             await client.send("/once/x")
-            await world.brokers[0].wait_received()
-            draining = asyncio.create_task(world.plane.drain(8.0))
-            assert await world.readiness() == 503
+            await harness.brokers[0].wait_received()
+            draining = asyncio.create_task(harness.data_plane.drain(8.0))
+            assert await harness.readiness() == 503
             release.set()
             reply = await client.reply()
             assert (reply.status, reply.body, reply.headers["connection"]) == (200, b"done", "close")
-            later = await world.ask("/once/y")
+            later = await harness.request("/once/y")
             assert (later.status, later.headers["connection"]) == (200, "close")
             draining.cancel()
 
@@ -442,8 +452,8 @@
         for target, complete in (("/resume/x", True), ("/stream/x", False)):
             brokers = [ToyBroker("i-1", script=stream(4)), ToyBroker("i-2", script=stream(4))]
             brokers[0].scripts = brokers[1].scripts = [half]
-            async with World(brokers) as world:
-                reply = await world.ask(target)
+            async with DataPlaneHarness(brokers) as harness:
+                reply = await harness.request(target)
                 assert (reply.body, reply.complete) == (events(1, 4 if complete else 2), complete)
                 assert sum(len(broker.received) for broker in brokers) == (2 if complete else 1)
 
@@ -453,13 +463,13 @@
 def test_a_head_that_does_not_come_to_its_end_closes_the_connection() -> None:
     async def story() -> None:
         document = configuration_bytes(headerTimeoutMs=100)
-        async with World([ToyBroker()], document=document) as world, asyncio.timeout(TIMEOUT_S):
-            client = await world.client()
+        async with DataPlaneHarness([ToyBroker()], document=document) as harness, asyncio.timeout(TIMEOUT_S):
+            client = await harness.client()
             client.writer.write(b"POST /once/x HTTP/1.1\r\nHost: nony")
             assert await client.reader.read() == b""
-            client = await world.client()
-            assert (await client.ask("/once/x", b"1")).status == 200
-            assert (await client.ask("/once/x", b"2")).status == 200
+            client = await harness.client()
+            assert (await client.request("/once/x", b"1")).status == 200
+            assert (await client.request("/once/x", b"2")).status == 200
 
     asyncio.run(story())
 
@@ -473,10 +483,10 @@
 
     async def story() -> None:
         for script in (leaving, short):
-            async with World([ToyBroker(script=script)]) as world:
+            async with DataPlaneHarness([ToyBroker(script=script)]) as harness:
                 for _ in range(3):
-                    assert (await world.ask("/once/x")).status == 200
-                assert world.brokers[0].connections == 3
+                    assert (await harness.request("/once/x")).status == 200
+                assert harness.brokers[0].connections == 3
 
     asyncio.run(story())
 
@@ -487,9 +497,9 @@
             await wire.answer(request, request.body)
             wire.close()
 
-        async with World([ToyBroker(script=last)]) as world:
-            client = await world.client()
+        async with DataPlaneHarness([ToyBroker(script=last)]) as harness:
+            client = await harness.client()
             for number in range(5):
-                assert (await client.ask("/once/x", b"%d" % number)).body == b"%d" % number
+                assert (await client.request("/once/x", b"%d" % number)).body == b"%d" % number
 
     asyncio.run(story())
--- a/tests/tier/test_dataplane_items.py
+++ b/tests/tier/test_dataplane_items.py
@@ -7,7 +7,7 @@
 
 import attrs
 from aiohttp import web
-from dataplane_world import HOST, TIMEOUT_S, World, configuration_bytes, entry, route
+from dataplane_harness import HOST, TIMEOUT_S, DataPlaneHarness, configuration_bytes, listed_broker, route
 
 from cherrycove.tier.batch.execution import ExecutorLoad, ItemOutcome, ItemState
 from cherrycove.tier.configuration import Route, parse_configuration
@@ -43,9 +43,9 @@
         shared = list(scripts)
         for broker in brokers:
             broker.scripts = shared
-        async with World(brokers) as world, asyncio.timeout(TIMEOUT_S):
-            outcome = await world.plane.executor.run_item(leased(**fields), always, unrecorded)
-            assert world.plane.executor.free_slots() > 0
+        async with DataPlaneHarness(brokers) as harness, asyncio.timeout(TIMEOUT_S):
+            outcome = await harness.data_plane.executor.run_item(leased(**fields), always, unrecorded)
+            assert harness.data_plane.executor.free_slots() > 0
             return outcome, [request for broker in brokers for request in broker.received]
 
     return asyncio.run(story())
@@ -121,9 +121,9 @@
             await recorded.wait()
 
         broker = ToyBroker(scripts=[failing], script=stream(3))
-        async with World([broker]) as world, asyncio.timeout(TIMEOUT_S):
+        async with DataPlaneHarness([broker]) as harness, asyncio.timeout(TIMEOUT_S):
             item = leased(failed_attempts=1, max_attempts=3)
-            run = asyncio.create_task(world.plane.executor.run_item(item, always, record))
+            run = asyncio.create_task(harness.data_plane.executor.run_item(item, always, record))
             assert await told.get() == 2
             for _ in range(20):
                 await asyncio.sleep(0)
@@ -154,12 +154,12 @@
 
 def test_an_item_that_may_not_be_sent_is_returned_unsent() -> None:
     async def story() -> None:
-        async with World([ToyBroker(script=stream(3))]) as world:
-            outcome = await world.plane.executor.run_item(
+        async with DataPlaneHarness([ToyBroker(script=stream(3))]) as harness:
+            outcome = await harness.data_plane.executor.run_item(
                 leased(failed_attempts=1), lambda: False, unrecorded
             )
             assert outcome == ItemOutcome(ItemState.RETURNED, failed_attempts=1)
-            assert not world.brokers[0].received
+            assert not harness.brokers[0].received
 
     asyncio.run(story())
 
@@ -167,9 +167,9 @@
 def test_an_item_of_a_route_that_is_gone_is_returned() -> None:
     async def story() -> None:
         routes = [route("other", "/other/", "batch", timeoutMs=60000)]
-        async with World([ToyBroker()], document=configuration_bytes(routes)) as world:
-            outcome = await world.plane.executor.run_item(leased(), always, unrecorded)
-            assert outcome.state is ItemState.RETURNED and not world.brokers[0].received
+        async with DataPlaneHarness([ToyBroker()], document=configuration_bytes(routes)) as harness:
+            outcome = await harness.data_plane.executor.run_item(leased(), always, unrecorded)
+            assert outcome.state is ItemState.RETURNED and not harness.brokers[0].received
 
     asyncio.run(story())
 
@@ -183,20 +183,20 @@
             await wire.answer(request, b"")
 
         old, new = ToyBroker("i-1", slots=1, script=held), ToyBroker("i-2", script=stream(3))
-        async with World([old, new]) as world, asyncio.timeout(TIMEOUT_S):
-            world.tell(listed=[old])
-            client = await world.client()
+        async with DataPlaneHarness([old, new]) as harness, asyncio.timeout(TIMEOUT_S):
+            harness.update_cluster_view(listed=[old])
+            client = await harness.client()
             await client.send("/again/x")
             await old.wait_received()
-            run = asyncio.create_task(world.plane.executor.run_item(leased(), always, unrecorded))
-            while not any(ticket.is_batch for ticket in world.plane._admission._pending):
+            run = asyncio.create_task(harness.data_plane.executor.run_item(leased(), always, unrecorded))
+            while not any(ticket.is_batch for ticket in harness.data_plane._admission._pending):
                 await asyncio.sleep(0)
-            world.views.brokers = (attrs.evolve(entry(new), service="other"),)
+            harness.cluster_view.brokers = (attrs.evolve(listed_broker(new), service="other"),)
             moved = [route("lots", "/lots/", "batch", timeoutMs=60000, service="other")]
             document = json.loads(configuration_bytes(moved, version=2))
             document["services"].append({**document["services"][0], "name": "other"})
-            world.views.configuration = parse_configuration(json.dumps(document).encode()).unwrap()
-            world.views.changed()
+            harness.cluster_view.configuration = parse_configuration(json.dumps(document).encode()).unwrap()
+            harness.cluster_view.changed()
             assert (await run).text == TEXT
             assert len(new.received) == 1
             release.set()
@@ -212,9 +212,9 @@
             await wire.reader.read()  # until the proxy closes
             ended.set()
 
-        async with World([ToyBroker(script=script)]) as world, asyncio.timeout(TIMEOUT_S):
-            task = asyncio.create_task(world.plane.executor.run_item(leased(), always, unrecorded))
-            await world.brokers[0].wait_received()
+        async with DataPlaneHarness([ToyBroker(script=script)]) as harness, asyncio.timeout(TIMEOUT_S):
+            task = asyncio.create_task(harness.data_plane.executor.run_item(leased(), always, unrecorded))
+            await harness.brokers[0].wait_received()
             task.cancel()
             await ended.wait()
 
@@ -232,16 +232,16 @@
 
 def test_calls_for_batch_jobs_are_handed_on() -> None:
     async def story() -> None:
-        async with World([ToyBroker()]) as world:
+        async with DataPlaneHarness([ToyBroker()]) as harness:
             api = RecordingBatchApi()
-            world.plane.attach_batch(api)
-            assert (await world.ask("/lots/7c41", b"{}")).status == 202
-            assert (await world.ask("/api/lots/ID?pageCursor=12", method="GET")).status == 202
-            assert (await world.ask("/api/items/ID?instanceId=e5", method="GET")).status == 202
-            assert (await world.ask("/api/lots/ID", method="DELETE")).status == 202
-            assert (await world.ask("/lots/7c41", method="GET")).status == 404
+            harness.data_plane.attach_batch(api)
+            assert (await harness.request("/lots/7c41", b"{}")).status == 202
+            assert (await harness.request("/api/lots/ID?pageCursor=12", method="GET")).status == 202
+            assert (await harness.request("/api/items/ID?instanceId=e5", method="GET")).status == 202
+            assert (await harness.request("/api/lots/ID", method="DELETE")).status == 202
+            assert (await harness.request("/lots/7c41", method="GET")).status == 404
             other = {"Host": "other.example"}
-            assert (await world.ask("/api/lots/ID", method="GET", headers=other)).status == 202
+            assert (await harness.request("/api/lots/ID", method="GET", headers=other)).status == 202
             assert api.calls == [
                 ("POST", "/lots/7c41", b"{}", "lots"),
                 ("GET", "/api/lots/ID?pageCursor=12", b"", "lots"),
@@ -256,13 +256,13 @@
 def test_an_item_runs_at_the_broker_where_the_stores_placed_it() -> None:
     async def story() -> None:
         brokers = [ToyBroker(f"i-{number}", script=stream(3)) for number in range(6)]
-        async with World(brokers) as world, asyncio.timeout(TIMEOUT_S):
+        async with DataPlaneHarness(brokers) as harness, asyncio.timeout(TIMEOUT_S):
             item = leased()
             item.broker = "i-4"
-            await world.plane.executor.run_item(item, always, unrecorded)
+            await harness.data_plane.executor.run_item(item, always, unrecorded)
             assert [len(broker.received) for broker in brokers] == [0, 0, 0, 0, 1, 0]
             item.broker = "i-gone"
-            outcome = await world.plane.executor.run_item(item, always, unrecorded)
+            outcome = await harness.data_plane.executor.run_item(item, always, unrecorded)
             assert outcome.state is ItemState.COMPLETED
 
     asyncio.run(story())
@@ -277,18 +277,21 @@
             await echo(request, wire)
 
         brokers = [ToyBroker("i-0", script=hold), ToyBroker("i-1", script=hold)]
-        async with World(brokers) as world, asyncio.timeout(TIMEOUT_S):
-            executor = world.plane.executor
+        async with DataPlaneHarness(brokers) as harness, asyncio.timeout(TIMEOUT_S):
+            executor = harness.data_plane.executor
             slots = {broker.instance_id: broker.slots for broker in brokers}
             assert executor.load() == ExecutorLoad(sum(slots.values()), 0, slots)
-            client = asyncio.create_task(world.ask("/again/x"))
+            client = asyncio.create_task(harness.request("/again/x"))
             while not any(broker.received for broker in brokers):
                 await asyncio.sleep(0)
             assert executor.load().live_requests == 1
             held.set()
             assert (await client).status == 200
-            world.views.brokers = (entry(brokers[0], draining=True), entry(brokers[1]))
-            world.views.changed()
+            harness.cluster_view.brokers = (
+                listed_broker(brokers[0], draining=True),
+                listed_broker(brokers[1]),
+            )
+            harness.cluster_view.changed()
             assert executor.load() == ExecutorLoad(slots["i-1"], 0, {"i-1": slots["i-1"]})
 
     asyncio.run(story())
@@ -296,16 +299,16 @@
 
 def test_a_lease_request_names_a_bounded_number_of_brokers() -> None:
     async def story() -> None:
-        async with World([]) as world:
-            world.views.brokers = tuple(
+        async with DataPlaneHarness([]) as harness:
+            harness.cluster_view.brokers = tuple(
                 Broker(
                     instance_id=f"i-{number}", service="lm", address="127.0.0.1:9", zone="z",
                     capacity_slots=8, draining=False,
                 )
                 for number in range(MAX_OFFERED_BROKERS + 9)
             )  # fmt: skip
-            world.views.changed()
-            load = world.plane.executor.load()
+            harness.cluster_view.changed()
+            load = harness.data_plane.executor.load()
             assert load.broker_slots == 8 * (MAX_OFFERED_BROKERS + 9)
             assert len(load.usable_brokers) == MAX_OFFERED_BROKERS
 
--- a/tests/tier/test_dataplane_wire.py
+++ b/tests/tier/test_dataplane_wire.py
@@ -9,7 +9,7 @@
 import aiohttp.connector
 import attrs
 import pytest
-from dataplane_world import TIMEOUT_S, World, configuration_bytes, entry
+from dataplane_harness import TIMEOUT_S, DataPlaneHarness, configuration_bytes, listed_broker
 from multidict import CIMultiDict
 from wire_support import reset
 
@@ -48,12 +48,12 @@
 @pytest.mark.parametrize("target", ("/once/x", "/again/x"))
 def test_an_answer_without_a_length_is_whole_where_its_connection_ends_in_order(target: str) -> None:
     async def story() -> None:
-        async with World([ToyBroker(script=unframed(b"whole", media="text/plain"))]) as world:
+        async with DataPlaneHarness([ToyBroker(script=unframed(b"whole", media="text/plain"))]) as harness:
             for _ in range(2):
-                reply = await world.ask(target)
+                reply = await harness.request(target)
                 assert (reply.status, reply.body, reply.complete) == (200, b"whole", True)
                 assert reply.headers["response-signature"] == SIGNATURE
-            assert len(world.brokers[0].received) == 2
+            assert len(harness.brokers[0].received) == 2
 
     asyncio.run(story())
 
@@ -61,8 +61,8 @@
 @pytest.mark.parametrize("target", ("/stream/x", "/resume/x"))
 def test_a_stream_without_a_length_is_whole_where_its_connection_ends_in_order(target: str) -> None:
     async def story() -> None:
-        async with World([ToyBroker(script=unframed(events(1, 2)))]) as world:
-            reply = await world.ask(target)
+        async with DataPlaneHarness([ToyBroker(script=unframed(events(1, 2)))]) as harness:
+            reply = await harness.request(target)
             assert (reply.status, reply.body, reply.complete) == (200, events(1, 2), True)
 
     asyncio.run(story())
@@ -73,10 +73,10 @@
         release = asyncio.Event()
         release.set()
         script = unframed(b"half", release, "text/plain")
-        async with World([ToyBroker(script=script)]) as world, asyncio.timeout(TIMEOUT_S):
-            reply = await world.ask("/once/x")
+        async with DataPlaneHarness([ToyBroker(script=script)]) as harness, asyncio.timeout(TIMEOUT_S):
+            reply = await harness.request("/once/x")
             assert reply.status == 502 and "response-signature" not in reply.headers
-            assert len(world.brokers[0].received) == 1
+            assert len(harness.brokers[0].received) == 1
 
     asyncio.run(story())
 
@@ -85,8 +85,8 @@
     async def story() -> None:
         release = asyncio.Event()
         script = unframed(events(1, 2), release)
-        async with World([ToyBroker(script=script)]) as world, asyncio.timeout(TIMEOUT_S):
-            client = await world.client()
+        async with DataPlaneHarness([ToyBroker(script=script)]) as harness, asyncio.timeout(TIMEOUT_S):
+            client = await harness.client()
             await client.send("/stream/x")
             assert (await client.head())[0] == 200
             assert await client.chunk() == events(1, 2)
@@ -100,8 +100,8 @@
     async def story() -> None:
         release = asyncio.Event()
         script = unframed(events(1, 2), release)
-        async with World([ToyBroker(script=script)]) as world, asyncio.timeout(TIMEOUT_S):
-            client = await world.client()
+        async with DataPlaneHarness([ToyBroker(script=script)]) as harness, asyncio.timeout(TIMEOUT_S):
+            client = await harness.client()
             client.writer.write(
                 b"POST /stream/x HTTP/1.0\r\nHost: nony24.example\r\nRequest-Id: r1\r\n"
                 b"Content-Length: 0\r\n\r\n"
@@ -118,8 +118,8 @@
 def test_a_stream_without_a_length_that_ends_within_an_event_does_not_look_complete() -> None:
     async def story() -> None:
         script = unframed(events(1, 2) + b"id: 3\ndata: wo")
-        async with World([ToyBroker(script=script)]) as world, asyncio.timeout(TIMEOUT_S):
-            reply = await world.ask("/stream/x")
+        async with DataPlaneHarness([ToyBroker(script=script)]) as harness, asyncio.timeout(TIMEOUT_S):
+            reply = await harness.request("/stream/x")
             assert (reply.status, reply.complete) == (200, False)
 
     asyncio.run(story())
@@ -130,8 +130,8 @@
         brokers = [ToyBroker("i-1"), ToyBroker("i-2")]
         release = asyncio.Event()
         brokers[0].scripts = brokers[1].scripts = [unframed(events(1, 2), release), stream(4)]
-        async with World(brokers) as world, asyncio.timeout(TIMEOUT_S):
-            client = await world.client()
+        async with DataPlaneHarness(brokers) as harness, asyncio.timeout(TIMEOUT_S):
+            client = await harness.client()
             await client.send("/resume/x")
             assert (await client.head())[0] == 200
             assert await client.chunk() == events(1, 2)
@@ -194,10 +194,10 @@
     async def story() -> None:
         document = configuration_bytes(maxBodyBytes=2 * len(LONG_BODY))
         broker = EarlyBroker(heads=heads)
-        async with World([broker], document=document) as world, asyncio.timeout(TIMEOUT_S):
+        async with DataPlaneHarness([broker], document=document) as harness, asyncio.timeout(TIMEOUT_S):
             for number in (1, 2):
                 patience = {"Request-Id": f"r{number}", "Deadline-Ms": "60000"}
-                reply = await world.ask("/once/x", LONG_BODY, headers=patience)
+                reply = await harness.request("/once/x", LONG_BODY, headers=patience)
                 assert (reply.status, reply.body) == (500, b"why")
             broker.read_on.set()
             assert len(broker.came) == 2 * len(heads)
@@ -236,13 +236,13 @@
             await wire.answer(request, request.body)
             wire.writer.write(stray)
 
-        async with World([ToyBroker(script=script)]) as world, asyncio.timeout(TIMEOUT_S):
-            client = await world.client()
+        async with DataPlaneHarness([ToyBroker(script=script)]) as harness, asyncio.timeout(TIMEOUT_S):
+            client = await harness.client()
             for number in range(4):
                 body = b"%d" % number
-                reply = await client.ask("/once/x", body, headers={"Request-Id": f"r{number}"})
+                reply = await client.request("/once/x", body, headers={"Request-Id": f"r{number}"})
                 assert (reply.status, reply.body) == (200, body)
-            assert world.brokers[0].connections == 4
+            assert harness.brokers[0].connections == 4
 
     asyncio.run(story())
 
@@ -255,14 +255,14 @@
                 await wire.write(late)
             await wire.answer(request, request.body)
 
-        async with World([ToyBroker(script=script)]) as world, asyncio.timeout(TIMEOUT_S):
-            client = await world.client()
+        async with DataPlaneHarness([ToyBroker(script=script)]) as harness, asyncio.timeout(TIMEOUT_S):
+            client = await harness.client()
             for number in (1, 2, 3):
                 body = b"%d" % number
-                reply = await client.ask("/once/x", body, headers={"Request-Id": f"r{number}"})
+                reply = await client.request("/once/x", body, headers={"Request-Id": f"r{number}"})
                 assert (reply.status, reply.body) == (200, body)
                 assert reply.headers["response-signature"] == SIGNATURE
-            assert world.brokers[0].connections == 2  # the stray ended the first behind the second answer
+            assert harness.brokers[0].connections == 2  # the stray ended the first behind the second answer
 
     asyncio.run(story())
 
@@ -274,10 +274,10 @@
                 return await wire.write(STRAYS[2])
             await wire.answer(request, request.body)
 
-        async with World([ToyBroker(script=script)]) as world, asyncio.timeout(TIMEOUT_S):
-            assert (await world.ask("/once/x")).status == 502
-            assert (await world.ask("/once/x", headers={"Request-Id": "r2"})).status == 200
-            assert world.brokers[0].connections == 2
+        async with DataPlaneHarness([ToyBroker(script=script)]) as harness, asyncio.timeout(TIMEOUT_S):
+            assert (await harness.request("/once/x")).status == 502
+            assert (await harness.request("/once/x", headers={"Request-Id": "r2"})).status == 200
+            assert harness.brokers[0].connections == 2
 
     asyncio.run(story())
 
@@ -293,11 +293,11 @@
         await wire.answer(request, b"why", status, Location="http://127.0.0.1:1/x", X_Two="2")
 
     async def story() -> None:
-        async with World([ToyBroker(script=script)]) as world:
-            reply = await world.ask("/once/x")
+        async with DataPlaneHarness([ToyBroker(script=script)]) as harness:
+            reply = await harness.request("/once/x")
             assert (reply.status, reply.body) == (int(status[:3]), b"why")
             assert reply.headers["response-signature"] == SIGNATURE and reply.headers["x-two"] == "2"
-            assert len(world.brokers[0].received) == 1
+            assert len(harness.brokers[0].received) == 1
 
     asyncio.run(story())
 
@@ -312,12 +312,12 @@
 
     async def story() -> None:
         brokers = [ToyBroker("i-1"), ToyBroker("i-2")]
-        async with World(brokers) as world:
+        async with DataPlaneHarness(brokers) as harness:
             brokers[0].scripts = brokers[1].scripts = [without_proof]
-            reply = await world.ask("/once/x", b"data")
+            reply = await harness.request("/once/x", b"data")
             assert reply.status == 502 and "response-signature" not in reply.headers
             brokers[0].scripts = brokers[1].scripts = [with_proof]
-            assert (await world.ask("/once/x", b"data")).body == b"data"
+            assert (await harness.request("/once/x", b"data")).body == b"data"
             assert sum(len(broker.received) for broker in brokers) == 3
 
     asyncio.run(story())
@@ -329,10 +329,10 @@
 
     async def story() -> None:
         brokers = [ToyBroker("i-1"), ToyBroker("i-2")]
-        async with World(brokers) as world:
+        async with DataPlaneHarness(brokers) as harness:
             for target, status in (("/once/x", 502), ("/again/x", 200)):
                 brokers[0].scripts = brokers[1].scripts = [encoded]
-                assert (await world.ask(target)).status == status
+                assert (await harness.request(target)).status == status
 
     asyncio.run(story())
 
@@ -359,8 +359,8 @@
     async def story() -> None:
         brokers = [ToyBroker("i-1"), ToyBroker("i-2")]
         brokers[0].scripts = brokers[1].scripts = [breaks_within(part, 2, "first"), stream(4)]
-        async with World(brokers) as world, asyncio.timeout(TIMEOUT_S):
-            reply = await world.ask("/resume/x")
+        async with DataPlaneHarness(brokers) as harness, asyncio.timeout(TIMEOUT_S):
+            reply = await harness.request("/resume/x")
             assert (reply.body, reply.complete) == (events(1, 4), True)
             assert reply.headers["response-signature"] == "first"
             received = [request for broker in brokers for request in broker.received]
@@ -382,8 +382,8 @@
     async def story() -> None:
         brokers = [ToyBroker("i-1"), ToyBroker("i-2")]
         brokers[0].scripts = brokers[1].scripts = [breaks_within(b"versions: 7\n", 2), changing]
-        async with World(brokers) as world, asyncio.timeout(TIMEOUT_S):
-            reply = await world.ask("/resume/x")
+        async with DataPlaneHarness(brokers) as harness, asyncio.timeout(TIMEOUT_S):
+            reply = await harness.request("/resume/x")
             assert (reply.body, reply.complete) == (events(1, 2) + changed + events(4, 4), True)
 
     asyncio.run(story())
@@ -393,8 +393,8 @@
     async def story() -> None:
         brokers = [ToyBroker("i-1"), ToyBroker("i-2")]
         brokers[0].scripts = brokers[1].scripts = [stream(6, breaks_after=4), stream(6)]
-        async with World(brokers) as world, asyncio.timeout(TIMEOUT_S):
-            reply = await world.ask("/resume/x", headers={"Last-Event-Id": "2"})
+        async with DataPlaneHarness(brokers) as harness, asyncio.timeout(TIMEOUT_S):
+            reply = await harness.request("/resume/x", headers={"Last-Event-Id": "2"})
             assert (reply.body, reply.complete) == (events(3, 6), True)
             received = [request for broker in brokers for request in broker.received]
             assert sorted(request.headers["last-event-id"] for request in received) == ["2", "4"]
@@ -447,15 +447,15 @@
             await release.wait()
             await wire.answer(request, b"")
 
-        async with World([ToyBroker(scripts=[held])]) as world, asyncio.timeout(TIMEOUT_S):
-            broker, sender = world.brokers[0], upstream.UpstreamClient(1)
+        async with DataPlaneHarness([ToyBroker(scripts=[held])]) as harness, asyncio.timeout(TIMEOUT_S):
+            broker, sender = harness.brokers[0], upstream.UpstreamClient(1)
             await sender.start()
             sends = []
             for number, waits_s in ((1, 0.0), (2, 0.5)):
                 request = upstream.UpstreamRequest(
                     f"r{number}", "POST", "/x", CIMultiDict({"Request-Id": f"r{number}"}), b""
                 )
-                sends.append(asyncio.create_task(sender.send(entry(broker), request, 1.0)))
+                sends.append(asyncio.create_task(sender.send(listed_broker(broker), request, 1.0)))
                 await until_sent_or_waiting(sender, broker, number)
                 now[0] += waits_s
             release.set()
@@ -532,14 +532,14 @@
         await wire.answer(request, request.body, **fields)
 
     async def story() -> None:
-        async with World([ToyBroker(script=script)]) as world:
-            connector = world.plane._upstream._connector
+        async with DataPlaneHarness([ToyBroker(script=script)]) as harness:
+            connector = harness.data_plane._upstream._connector
             assert connector is not None
-            assert (await world.ask(target)).status == 200
+            assert (await harness.request(target)).status == 200
             (((first, _),),) = connector._conns.values()
             ahead[0] += idle_s
-            assert (await world.ask(target)).status == 200
-            assert world.brokers[0].connections == connections_used
+            assert (await harness.request(target)).status == 200
+            assert harness.brokers[0].connections == connections_used
             assert (first.transport is None) == (connections_used == 2)  # the one that is not used is closed
 
     asyncio.run(story())
--- a/tests/tier/test_hostile_peers.py
+++ b/tests/tier/test_hostile_peers.py
@@ -13,7 +13,7 @@
 
 import attrs
 import pytest
-from dataplane_world import World
+from dataplane_harness import DataPlaneHarness
 from wire_support import Arrival, Line, LineServer, reset
 
 from cherrycove.tier.errors import ErrorKind
@@ -194,10 +194,10 @@
     brokers = [ToyBroker(f"i-{number}", script=hostile.script) for number in range(3)]
     statuses: Counter[tuple[str, int, bool]] = Counter()
 
-    async def story(world: World) -> None:
+    async def story(world: DataPlaneHarness) -> None:
         async def ask(identity: str) -> None:
             kind = ("once", "again", "stream", "resume")[sum(identity.encode()) % 4]
-            reply = await world.ask(f"/{kind}/x", headers={"Request-Id": identity})
+            reply = await world.request(f"/{kind}/x", headers={"Request-Id": identity})
             statuses[kind, reply.status, reply.complete] += 1
             if reply.status == 200:
                 check_own(kind, identity, reply.body, reply.complete)
@@ -215,7 +215,7 @@
         assert body == whole if complete else whole.startswith(body)
 
     async def run() -> None:
-        async with World(brokers) as world:
+        async with DataPlaneHarness(brokers) as world:
             await story(world)
 
     asyncio.run(run())
--- a/tests/tier/test_losses.py
+++ b/tests/tier/test_losses.py
@@ -8,7 +8,7 @@
 
 import pytest
 from cli_support import DONE, INVALID, Loop, Scripted, StandIn, run
-from dataplane_world import World
+from dataplane_harness import DataPlaneHarness
 
 from cherrycove.tier.dataplane.admission import (
     AdmissionRequest,
@@ -136,18 +136,18 @@
 
 def test_a_proxy_counts_an_exchange_that_no_broker_answered() -> None:
     async def story() -> None:
-        async with World([]) as world:
-            assert (await world.ask("/once/x")).status == 503
-            assert await world.losses() == {"losses": {"once": {"rejected_no_broker": 1}}}
+        async with DataPlaneHarness([]) as harness:
+            assert (await harness.request("/once/x")).status == 503
+            assert await harness.losses() == {"losses": {"once": {"rejected_no_broker": 1}}}
 
     asyncio.run(story())
 
 
 def test_a_proxy_counts_nothing_for_an_answer_in_time() -> None:
     async def story() -> None:
-        async with World([ToyBroker()]) as world:
-            assert (await world.ask("/once/x")).status == 200
-            assert await world.losses() == {"losses": {}}
+        async with DataPlaneHarness([ToyBroker()]) as harness:
+            assert (await harness.request("/once/x")).status == 200
+            assert await harness.losses() == {"losses": {}}
 
     asyncio.run(story())
 
--- a/tests/tier/test_process_life.py
+++ b/tests/tier/test_process_life.py
@@ -11,7 +11,7 @@
 
 import attrs
 import pytest
-from dataplane_world import TIMEOUT_S, Client, configuration_bytes, entry, free_address
+from dataplane_harness import TIMEOUT_S, Client, configuration_bytes, free_address, listed_broker
 from test_dataplane_exchanges import events
 
 from cherrycove.tier import __main__ as command
@@ -124,7 +124,7 @@
         await broker.start()
         program = ProxyProgram(own)
         program._cluster_view.configuration = parse_configuration(configuration_bytes()).unwrap()
-        program._cluster_view.brokers = (entry(broker),)
+        program._cluster_view.brokers = (listed_broker(broker),)
         await program.start()
         async with asyncio.timeout(TIMEOUT_S):
             client = await Client.connect(own.listen_addresses.frontend)
@@ -133,7 +133,7 @@
             assert await client.chunk() == events(1, 1)
             program.reload(attrs.evolve(own, seed_nodes=["127.0.0.1:1"]))
             later = await Client.connect(own.listen_addresses.frontend)
-            assert (await later.ask("/nowhere/x")).status == 404
+            assert (await later.request("/nowhere/x")).status == 404
             release.set()
             assert await client.chunk() == events(2, 2)
             assert await client.chunk() == b""
