--- a/cherrycove/tier/dataplane/__init__.py
+++ b/cherrycove/tier/dataplane/__init__.py
@@ -1,4 +1,4 @@
-"""The data plane of a proxy: live requests and batch items between clients, admission and model brokers."""
+"""The data plane of a proxy: forwards live requests and batch items to model brokers."""
 
 from cherrycove.tier.dataplane.data_plane import DataPlane
 
--- a/cherrycove/tier/dataplane/admission_controller.py
+++ b/cherrycove/tier/dataplane/admission_controller.py
@@ -1,4 +1,4 @@
-"""Connects the tasks that wait for admission to its scheduler, which is pure: clock, timer and futures."""
+"""Drives the pure admission scheduler: supplies the clock, the timer and the futures that tasks await."""
 
 from __future__ import annotations
 
@@ -25,49 +25,49 @@
 from cherrycove.tier.dataplane.loss_cause import RequestTimeline
 from cherrycove.tier.distribution.cluster_view import Broker, ClusterView
 
-MAX_OFFERED_BROKERS = 32  # to the stores in one lease request, which bounds its size; drawn at random
+MAX_REPORTED_BROKERS = 32  # in one lease request, which bounds its size; sampled at random if there are more
 
 
 @attrs.define(eq=False)
 class Permit:
-    """Leave for one attempt at one broker, and the broker's slot that it takes.
+    """Permission for one attempt at one broker; holds one of the broker's slots until it is released.
 
-    Owned by the task that acquired it, which must call ``release`` once, however the attempt ends.
+    Owned by the task that acquired it, which must call ``release`` exactly once, however the attempt ends.
     """
 
     controller: AdmissionController
     request: AdmissionRequest
     broker: Broker
     timeline: RequestTimeline
-    on_stalled: Callable[[], None] | None = None  # called at most once, if the broker seems to have stalled
+    on_stalled: Callable[[], None] | None = None  # called at most once, when the broker appears stalled
 
     def response_started(self, load: InstanceLoad | None) -> None:
-        """The head of the response came."""
+        """Report that the response headers were received."""
         self.controller.response_started(self.request, load)
 
     def body_received(self) -> None:
-        """Bytes of the response's body came."""
+        """Report that bytes of the response body were received."""
         self.timeline.event_received(self.controller.body_received(self.request))
 
     def release(self, outcome: AttemptOutcome) -> None:
-        """The attempt is over."""
+        """Report how the attempt ended, and free the slot."""
         self.timeline.attempt_ended(self.controller.release(self.request, outcome), outcome)
 
 
 @attrs.frozen(eq=False)
 class _Waiter:
-    """A task that waits for the decision on its request."""
+    """A task that awaits the admission decision on its request."""
 
     decision: asyncio.Future[Permit | Reject]
     timeline: RequestTimeline
 
 
 class AdmissionController:
-    """Lets tasks wait for permits, and executes the scheduler's actions; owned by the ``DataPlane``.
+    """Grants permits to waiting tasks, and executes the scheduler's actions; owned by the ``DataPlane``.
 
     A request is pending (in ``_pending``) until it has a permit or is rejected, then in flight (in
-    ``_permits``) until the permit is released. A task that is cancelled meanwhile withdraws its request or
-    releases its permit.
+    ``_permits``) until the permit is released. If its task is cancelled first, the request is withdrawn or
+    the permit released.
     """
 
     def __init__(self, cluster_view: ClusterView, rng: random.Random) -> None:
@@ -79,19 +79,19 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begin to follow the cluster view; within the event loop."""
+        """Subscribe to the cluster view. Must be called within the event loop."""
         self._scheduler = AdmissionScheduler(self._rng, self._now())
         self._cluster_view.on_change(self._update_cluster)
         self._update_cluster()
 
     def stop(self) -> None:
-        """End the timer; tasks that still wait are cancelled by their owners."""
+        """Cancel the timer; waiting tasks are cancelled by their owners."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     async def acquire(self, request: AdmissionRequest, timeline: RequestTimeline) -> Permit | Reject:
-        """Wait until the request may be sent, or is rejected; ``timeline`` notes which, and what follows."""
+        """Wait until the request is admitted or rejected; ``timeline`` records the wait and the attempt."""
         decision: asyncio.Future[Permit | Reject] = asyncio.get_running_loop().create_future()
         self._pending[request] = _Waiter(decision, timeline)
         now = self._now()
@@ -109,34 +109,34 @@
                 self._running_scheduler.request_withdrawn(request)
 
     def response_started(self, request: AdmissionRequest, load: InstanceLoad | None) -> None:
-        """The head of a response came."""
+        """Tell the scheduler that the headers of a response were received."""
         self._running_scheduler.response_started(self._now(), request, load)
 
     def body_received(self, request: AdmissionRequest) -> float:
-        """Bytes of a response's body came; returns the monotonic time."""
+        """Tell the scheduler that bytes of a response body were received; returns the monotonic time."""
         now = self._now()
         self._running_scheduler.body_received(now, request)
         return now
 
     def release(self, request: AdmissionRequest, outcome: AttemptOutcome) -> float:
-        """The attempt of this request is over; returns the monotonic time."""
+        """Tell the scheduler how the request's attempt ended; returns the monotonic time."""
         now = self._now()
         self._permits.pop(request, None)
         self._execute(self._running_scheduler.attempt_ended(now, request, outcome))
         return now
 
     def limit_deadlines(self, at: float) -> None:
-        """Every live request that is pending or in flight must be answered by then; for a drain."""
+        """Cap the deadline of every pending or in-flight live request at ``at``; used by a drain."""
         for request in (*self._pending, *self._permits):
             if not request.is_batch:
                 request.deadline = min(request.deadline, at)
 
     def free_slots(self) -> int:
-        """How many batch items could be started now."""
+        """The number of batch items that could be started now."""
         return self._scheduler.free_slots(self._now()) if self._scheduler is not None else 0
 
     def load(self, services: Set[str]) -> ExecutorLoad:
-        """The slots of the usable brokers of ``services``, and the live requests at or for these."""
+        """The slots of the usable brokers of ``services``, and the live requests for these services."""
         if self._scheduler is None:
             return ExecutorLoad(0, 0)
         slots = self._scheduler.usable_slots(services)
@@ -145,9 +145,9 @@
             not request.is_batch and request.service in services
             for request in (*self._pending, *self._permits)
         )
-        if len(usable) > MAX_OFFERED_BROKERS:
-            offered = self._rng.sample(sorted(usable), MAX_OFFERED_BROKERS)
-            usable = {instance_id: usable[instance_id] for instance_id in offered}
+        if len(usable) > MAX_REPORTED_BROKERS:
+            sampled = self._rng.sample(sorted(usable), MAX_REPORTED_BROKERS)
+            usable = {instance_id: usable[instance_id] for instance_id in sampled}
         return ExecutorLoad(slots, live, usable)
 
     @property
@@ -184,7 +184,10 @@
         self._schedule_wake()
 
     def _grant(self, action: StartAttempt) -> None:
-        """Give the waiting task its permit; one that no task waits for any more is released soon."""
+        """Hand the waiting task its permit.
+
+        If no task waits for it any more, the permit is released in the next iteration of the event loop.
+        """
         request = action.request
         waiter = self._pending.pop(request, None)
         if waiter is None or waiter.decision.done():
@@ -211,7 +214,7 @@
             on_stalled()
 
     def _schedule_wake(self) -> None:
-        """Set the one timer to when the scheduler next wants to run."""
+        """Arm the single timer for the scheduler's next wake-up time, unless it is armed already."""
         when = self._running_scheduler.next_wake_at()
         if self._timer is None and when < inf:
             self._timer = asyncio.get_running_loop().call_at(when, self._wake)
--- a/cherrycove/tier/dataplane/arrival_rates.py
+++ b/cherrycove/tier/dataplane/arrival_rates.py
@@ -1,28 +1,28 @@
-"""Arrival rates by route, which a proxy announces to the controllers. Pure."""
+"""Arrival rates by route, which a proxy reports to the controllers. Performs no I/O and reads no clock."""
 
 from __future__ import annotations
 
 from cherrycove.scheduling.state import Recent
 
-WINDOW_S = 5.0  # over which a rate is taken
-MIN_WINDOW_S = 1.0  # just after the first arrival
+WINDOW_S = 5.0  # length of the sliding window
+MIN_WINDOW_S = 1.0  # lower bound while less than WINDOW_S has passed since the first arrival
 
 
 class ArrivalRates:
-    """Counts arrivals by route name in a sliding window; time is monotonic seconds. Owned by the ingress."""
+    """Counts arrivals by route in a sliding window; times are monotonic seconds. Owned by the ``Ingress``."""
 
     def __init__(self) -> None:
         self._arrivals: dict[str, Recent] = {}
         self._first_arrival_at: float | None = None
 
     def add(self, route: str, now: float) -> None:
-        """Count one arrival."""
+        """Count one arrival on ``route``."""
         if self._first_arrival_at is None:
             self._first_arrival_at = now
         self._arrivals.setdefault(route, Recent(WINDOW_S)).add(now)
 
     def per_second(self, now: float) -> dict[str, float]:
-        """Arrivals a second by route, of routes with any in the window."""
+        """Arrivals per second by route; routes without an arrival in the window are left out."""
         if self._first_arrival_at is None:
             return {}
         window_s = min(max(now - self._first_arrival_at, MIN_WINDOW_S), WINDOW_S)
--- a/cherrycove/tier/dataplane/attempt_outcomes.py
+++ b/cherrycove/tier/dataplane/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""What admission learns from a request that its broker certainly did not run."""
+"""Maps the reasons for which a broker did not execute a request to the outcomes reported to admission."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
 
 
 def not_executed_outcome(reason: NotExecutedReason, *, expects_version: bool) -> AttemptOutcome:
-    """The outcome of the attempt; ``expects_version``: the request has ``Expect-Version``.
+    """The outcome of the attempt; ``expects_version`` says whether the request has ``Expect-Version``.
 
-    To such a request 421 also means that the broker is the right one, but its weights have another version.
+    For such a request, status 421 may also mean that the broker is the expected instance but has loaded
+    another version of the weights.
     """
     if reason is NotExecutedReason.OTHER_INSTANCE and expects_version:
         return AttemptOutcome.VERSION_MISMATCH
--- a/cherrycove/tier/dataplane/batch_routing.py
+++ b/cherrycove/tier/dataplane/batch_routing.py
@@ -1,4 +1,7 @@
-"""Which requests are calls of the batch API: submit a job, or ask for one. Pure."""
+"""Recognises calls of the batch API: submissions of a job, and queries about one.
+
+Performs no I/O.
+"""
 
 from __future__ import annotations
 
@@ -10,8 +13,9 @@
 def is_batch_api_request(method: str, path: str, route: Route | None, host_batch_route: Route | None) -> bool:
     """Whether a request is for the batch API.
 
-    ``route`` is what the request matches, ``host_batch_route`` the batch route of its host. Paths of batch
-    jobs belong to no other route, unless its prefix is one of them, or its host has no batch route.
+    ``route`` is the route that the request matches, ``host_batch_route`` the batch route of its host. A
+    GET or DELETE below ``BATCH_PATHS`` is a batch API call even if another route matches it, unless the
+    prefix of that route is itself below ``BATCH_PATHS`` or the host has no batch route.
     """
     if route is None:
         return path.startswith(BATCH_PATHS)
@@ -22,7 +26,7 @@
 
 
 def find_batch_route(configuration: Configuration, host: str) -> Route | None:
-    """The first batch route of the host in a ``Host`` field."""
+    """The first batch route of the host named in a ``Host`` field; None if the host has none."""
     name = host.partition(":")[0].lower()
     of_host = (route for route in configuration.routes if route.hostname.lower() == name)
     return next((route for route in of_host if route.is_batch), None)
--- a/cherrycove/tier/dataplane/client_exchange.py
+++ b/cherrycove/tier/dataplane/client_exchange.py
@@ -1,4 +1,4 @@
-"""One client's request and its one response, over all attempts at brokers."""
+"""One client request and its response, across all attempts at brokers."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 )
 from cherrycove.tier.dataplane.upstream_response import IncompleteResponseError, UpstreamResponse
 
-MAX_ATTEMPTS_STARTED = 24  # of one request, also those that brokers rejected
+MAX_ATTEMPTS_STARTED = 24  # per request, including attempts that brokers rejected
 DEFAULT_RETRY_AFTER_S = 0.3
-RESUME_BACKOFF_S = 0.1  # before a stream that has begun asks for a broker again
+RESUME_BACKOFF_S = 0.1  # before admission is requested again for a stream that has begun
 
 
 @attrs.frozen
 class _AttemptResult:
-    """What one attempt brought: the client's response, if it is final, and what admission learns."""
+    """The result of one attempt: the final response to the client, if any, and the outcome for admission."""
 
     response: web.StreamResponse | None
     outcome: AttemptOutcome
@@ -43,11 +43,11 @@
 class ClientExchange:
     """The attempts of one request and its response; owned by the task that handles the request.
 
-    A request that may have run is retried only if its route is idempotent, within the route's
-    ``max_attempts`` (RFC 9110, 9.2.2); one that certainly has not run is sent to further brokers. Its
-    response says 503 with ``Retry-After`` only if it has not run; otherwise 502 or 504, or the stream is
-    broken off. At the deadline, or if the client leaves, the task is cancelled: the attempt's permit is
-    released and its connection closed.
+    A request that may have been executed is retried only if its route is idempotent, within the route's
+    ``max_attempts`` (RFC 9110, 9.2.2); one that certainly was not executed is sent to further brokers. On
+    failure the client gets 503 with ``Retry-After`` only if the request was not executed; otherwise it gets
+    502 or 504, or its stream is aborted. At the deadline, or if the client disconnects, the task is
+    cancelled: the attempt's permit is released and its connection closed.
     """
 
     admission: AdmissionController
@@ -59,9 +59,9 @@
     timeline: RequestTimeline
     closes_connection: Callable[[], bool]
     drain: DrainDeadline
-    _executions: int = attrs.field(default=0, init=False)  # brokers that may have run the request
-    _is_undecided: bool = attrs.field(default=False, init=False)  # sent, and not known whether it runs
-    is_complete: bool = attrs.field(default=False, init=False)  # the client has a broker's whole response
+    _executions: int = attrs.field(default=0, init=False)  # brokers that may have executed the request
+    _is_execution_unknown: bool = attrs.field(default=False, init=False)  # for the latest attempt sent
+    is_complete: bool = attrs.field(default=False, init=False)  # a success response was forwarded in full
     _relay: StreamRelay = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
@@ -74,7 +74,7 @@
         )
 
     async def run(self) -> web.StreamResponse:
-        """The response, at the deadline at the latest."""
+        """Return the response, at the deadline at the latest."""
         try:
             async with self.drain.limit(self.admission_request.deadline):
                 return await self._attempt_until_final()
@@ -87,7 +87,7 @@
             if isinstance(permit, Reject):
                 if not self._relay.has_begun:
                     return self._failure_response(HTTPStatus.BAD_GATEWAY, permit.retry_after_s)
-                await asyncio.sleep(RESUME_BACKOFF_S)  # its client has a part, and time is left for the rest
+                await asyncio.sleep(RESUME_BACKOFF_S)  # the stream can still be resumed until the deadline
                 continue
             response = await self._attempt(permit)
             if response is not None:
@@ -103,7 +103,7 @@
         return self.route.is_idempotent and self._executions < self.route.max_attempts
 
     async def _attempt(self, permit: Permit) -> web.StreamResponse | None:
-        """One attempt; None if it brought no response for the client."""
+        """Run one attempt; None if it gave no response for the client."""
         outcome = AttemptOutcome.CANCELLED
         try:
             async with asyncio.timeout(None) as stall_timeout:
@@ -124,10 +124,10 @@
 
     async def _send(self, permit: Permit) -> _AttemptResult:
         remaining_s = self.admission_request.deadline - asyncio.get_running_loop().time()
-        self._is_undecided = True
+        self._is_execution_unknown = True
         result = await self.upstream.send(permit.broker, self._next_request(), remaining_s)
         if isinstance(result, NotExecuted):
-            self._is_undecided = False
+            self._is_execution_unknown = False
             expects_version = EXPECT_VERSION in self.upstream_request.headers
             return _AttemptResult(None, not_executed_outcome(result.reason, expects_version=expects_version))
         self._count_execution()
@@ -139,12 +139,12 @@
             result.response.close()
 
     def _count_execution(self) -> None:
-        if self._is_undecided:
-            self._is_undecided = False
+        if self._is_execution_unknown:
+            self._is_execution_unknown = False
             self._executions += 1
 
     def _next_request(self) -> UpstreamRequest:
-        """The request; where a stream has begun it asks for what follows the client's last event."""
+        """The request to send; for a stream that has begun, it resumes after the client's last event."""
         if not self._relay.has_begun or self._relay.last_id is None:
             return self.upstream_request
         headers = self.upstream_request.headers.copy()
@@ -155,7 +155,7 @@
         """Forward a broker's response; None if the request may be retried instead."""
         permit.response_started(upstream.load)
         if upstream.is_success and upstream.media_type == EVENT_STREAM:
-            response = await self._relay.feed(upstream, permit.body_received)
+            response = await self._relay.forward(upstream, permit.body_received)
             self.is_complete = True
             return response
         body = await upstream.read()
@@ -172,12 +172,12 @@
     def _failure_response(
         self, status: HTTPStatus, retry_after_s: float = DEFAULT_RETRY_AFTER_S
     ) -> web.StreamResponse:
-        """The final response where no broker gave one: ``status`` if the request may have run, else 503."""
+        """The final response if no broker gave one: ``status`` if one may have run the request, else 503."""
         if self._relay.has_begun:
             return self._relay.abort()
         request_id = self.upstream_request.request_id
         close = self.closes_connection()
-        if self._executions or self._is_undecided:
+        if self._executions or self._is_execution_unknown:
             return proxy_response(status, "no whole answer came", request_id, close=close)
         return proxy_response(
             HTTPStatus.SERVICE_UNAVAILABLE,
--- a/cherrycove/tier/dataplane/client_request.py
+++ b/cherrycove/tier/dataplane/client_request.py
@@ -1,4 +1,4 @@
-"""Reading a client's request within the configured limits."""
+"""Reads client requests within the configured limits."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 class ClientRequestError(DataPlaneError):
-    """A request that could not be read; the fault is the client's, and its connection must be closed."""
+    """The client sent a request that could not be read; its connection must be closed.
+
+    ``status`` and ``reason`` are sent to the client.
+    """
 
     def __init__(self, status: HTTPStatus, reason: str) -> None:
         super().__init__(reason)
@@ -24,8 +27,8 @@
 
 
 async def read_request_body(request: web.BaseRequest, limits: ClientLimits) -> bytes:
-    """The complete body of a request, empty if it has none. Raises ``ClientRequestError``."""
-    if _head_bytes(request) > limits.max_header_bytes:
+    """Return the complete body of a request, empty if it has none. Raises ``ClientRequestError``."""
+    if _header_section_bytes(request) > limits.max_header_bytes:
         raise ClientRequestError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too long")
     try:
         async with asyncio.timeout(limits.idle_timeout_ms / 1000):
@@ -38,7 +41,7 @@
         raise ClientRequestError(HTTPStatus.BAD_REQUEST, "the body cannot be read") from error
 
 
-def _head_bytes(request: web.BaseRequest) -> int:
+def _header_section_bytes(request: web.BaseRequest) -> int:
     fields = sum(len(name) + len(value) + len(": \r\n") for name, value in request.raw_headers)
     return len(request.method) + len(request.raw_path) + fields
 
--- a/cherrycove/tier/dataplane/connection_pool.py
+++ b/cherrycove/tier/dataplane/connection_pool.py
@@ -1,6 +1,6 @@
-"""The pool of connections to model brokers: which connection may carry the next request.
+"""The pool of connections to model brokers: decides which connection may be reused.
 
-A connection is not reused while bytes of an earlier response may still come, while bytes of an earlier
+A connection is not reused while bytes of an earlier response may still arrive, while bytes of an earlier
 request are still unsent, or when its broker is about to close it (RFC 9112, 9.3 to 9.6).
 """
 
@@ -24,11 +24,11 @@
 from cherrycove.broker.http1.upstream import Connector, NodeConnection
 from cherrycove.tier.dataplane.headers import DEADLINE_MS, REQUEST_ID, parse_keep_alive_s, parse_unsigned
 
-REUSE_DELAY_S = 0.008  # after a response; a stray second response comes a few ms late
-IDLE_TIMEOUT_S = 4.0  # of a connection whose broker does not say for how long it keeps one
-SINGLE_EXECUTION_IDLE_TIMEOUT_S = 1.0  # the same for a request that may run once only
-KEEP_ALIVE_FRACTION = 0.7  # of the time for which a broker keeps an idle connection; the rest is for the way
-POOL_IDLE_FACTOR = 4  # times IDLE_TIMEOUT_S after which the pool closes any idle connection
+REUSE_DELAY_S = 0.008  # after a response; a duplicate response arrives a few ms later
+IDLE_TIMEOUT_S = 4.0  # of a connection whose broker announces no keep-alive timeout
+SINGLE_EXECUTION_IDLE_TIMEOUT_S = 1.0  # the same, for a request that must not be executed twice
+KEEP_ALIVE_FRACTION = 0.7  # of the broker's keep-alive timeout; the rest allows for network latency
+POOL_IDLE_FACTOR = 4  # the pool closes any connection that is idle for this multiple of IDLE_TIMEOUT_S
 
 _single_execution: ContextVar[bool] = ContextVar("single_execution", default=False)
 
@@ -37,8 +37,8 @@
 def single_execution(*, enabled: bool) -> Iterator[None]:
     """Send requests within the block only over connections that are certainly alive, if ``enabled``.
 
-    A request on a connection whose other end is gone may have run, as far as the proxy knows; one that may
-    run once only would then be lost (RFC 9112, 9.3.1).
+    If a request is sent on a connection that the broker has closed, the proxy cannot tell whether it was
+    executed; one that must not be executed twice could then not be retried (RFC 9112, 9.3.1).
     """
     token = _single_execution.set(enabled)
     try:
@@ -50,29 +50,29 @@
 class BrokerConnection(NodeConnection):
     """One connection, owned by the pool; accepts only the response with the id of the request that was sent.
 
-    A response with another id is a stray, a late second response to an earlier request: its body is skipped,
-    and the connection is closed after the response that was expected.
+    A response with another id is a late duplicate response to an earlier request: its body is skipped, and
+    the connection is closed after the expected response.
     """
 
     def __init__(self, loop: Any) -> None:
         super().__init__(loop)
         self._expected_id = ""
         self._idle_timeout_s = IDLE_TIMEOUT_S
-        self._has_keep_alive = False  # the broker said for how long it keeps an idle connection
+        self._has_keep_alive = False  # the broker announced a keep-alive timeout
         self._response_ended_at = inf
-        self._stray: StreamReader | None = None  # the body of a stray response
+        self._unexpected_body: StreamReader | None = None  # of a response with another id
 
     def expect(self, request_id: str) -> None:
-        """From now on accept only the response to this request."""
+        """Accept only the response to this request from now on."""
         self._expected_id = request_id
         self._response_ended_at = inf
 
     @property
     def should_close(self) -> bool:
-        """Whether it must not be reused.
+        """Whether the connection must not be reused.
 
-        Also where a response came before its request was sent completely (RFC 9112, 9.5): the broker may read
-        on, and then nothing but the rest of that request may come.
+        This includes the case that a response arrived before its request was sent completely (RFC 9112, 9.5):
+        the broker may go on reading, and would take further bytes for the rest of that request.
         """
         return super().should_close or self._has_unsent_bytes()
 
@@ -80,13 +80,13 @@
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
     def feed_data(self, data: tuple[RawResponseMessage, StreamReader], size: int = 0) -> None:
-        """A head was parsed; called by the library."""
+        """Handle parsed response headers; called by aiohttp."""
         message, body = data
         request_id = message.headers.get(REQUEST_ID)
         if self._answer is None and request_id != self._expected_id:
             self._should_close = True
             if request_id is not None:
-                self._stray = body
+                self._unexpected_body = body
                 return
         keep_alive_s = parse_keep_alive_s(message.headers)
         if keep_alive_s is not None:
@@ -95,21 +95,21 @@
         super().feed_data(data, size)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes came; called by the event loop."""
-        if self._stray is not None and not self._stray.is_eof():
-            self._heads = 0  # these bytes are not of a head, whatever their number
+        """Parse received bytes, and note the end of the response; called by the event loop."""
+        if self._unexpected_body is not None and not self._unexpected_body.is_eof():
+            self._heads = 0  # these bytes belong to a body, so the limit on header bytes does not apply
         super().data_received(data)
-        if self._stray is not None and self._stray.exception() is None:
-            self._stray.read_nowait()  # otherwise the library stops reading at its limit of unread bytes
+        if self._unexpected_body is not None and self._unexpected_body.exception() is None:
+            self._unexpected_body.read_nowait()  # otherwise aiohttp stops reading at its buffer limit
         if self._answer is not None and self._answer.is_eof():
             self._response_ended_at = min(self._response_ended_at, monotonic())
 
     def is_connected(self) -> bool:
-        """Whether it can be reused for a request that may be repeated."""
+        """Whether the connection can be reused for a request that may be executed more than once."""
         return super().is_connected() and self._idle_s() < self._idle_timeout_s
 
     def is_fit_for_single_execution(self) -> bool:
-        """Whether it can be reused for a request that may run once only."""
+        """Whether the connection can be reused for a request that must not be executed twice."""
         if not self.is_connected():
             return False
         return self._has_keep_alive or self._idle_s() < SINGLE_EXECUTION_IDLE_TIMEOUT_S
@@ -119,14 +119,14 @@
 
 
 class BrokerRequest(aiohttp.ClientRequest):
-    """A request that sets its connection's expected id, and the remaining time when it is sent."""
+    """A request that, when it is sent, sets its connection's expected id and updates ``Deadline-Ms``."""
 
     def __init__(self, *arguments: Any, **settings: Any) -> None:
         super().__init__(*arguments, **settings)
         self._created_at = monotonic()
 
     async def send(self, conn: Connection) -> aiohttp.ClientResponse:
-        """Send over a connection of the pool; called by the library."""
+        """Send the request over a connection of the pool; called by aiohttp."""
         self.update_remaining_time()
         protocol = conn.protocol
         if isinstance(protocol, BrokerConnection):
@@ -134,7 +134,7 @@
         return await super().send(conn)
 
     def update_remaining_time(self) -> None:
-        """Subtract the wait for a connection from ``Deadline-Ms``: no broker gets more time than is left."""
+        """Subtract the wait for a connection from ``Deadline-Ms``, so that it stays the time that is left."""
         remaining_ms = parse_unsigned(self.headers.get(DEADLINE_MS))
         if remaining_ms is not None:
             waited_ms = math.ceil((monotonic() - self._created_at) * 1000)
@@ -143,7 +143,7 @@
 
 
 class BrokerConnector(Connector):
-    """The pool, owned by the session of the ``UpstreamClient``; ``set_limit`` bounds it by broker."""
+    """The pool; ``set_limit`` changes its limit per broker. Owned by the ``UpstreamClient`` session."""
 
     def __init__(self, max_connections: int, max_per_broker: int) -> None:
         super().__init__(
@@ -153,11 +153,11 @@
         self._factory = partial(BrokerConnection, loop=self._loop)  # type: ignore[assignment]
 
     def set_limit(self, max_per_broker: int) -> None:
-        """Bound the connections to each broker; open ones stay."""
+        """Limit the connections per broker; open connections are kept."""
         self._limit_per_host = max_per_broker
 
     async def _get(self, key: Any, traces: Any) -> Any:
-        """A pooled connection that is fit for the request, or None where a new one should be opened."""
+        """A pooled connection that is fit for the request, or None if a new one should be opened."""
         while _single_execution.get() and (pooled := self._conns.get(key)):
             connection = pooled[0][0]
             if not isinstance(connection, BrokerConnection) or connection.is_fit_for_single_execution():
--- a/cherrycove/tier/dataplane/data_plane.py
+++ b/cherrycove/tier/dataplane/data_plane.py
@@ -1,4 +1,4 @@
-"""The data plane of one proxy: assembles its parts, starts and drains them."""
+"""The data plane of one proxy: assembles, starts, drains and stops its components."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from cherrycove.tier.batch.execution import ItemExecutor
 from cherrycove.tier.dataplane.admission_controller import AdmissionController
-from cherrycove.tier.dataplane.draining import NOTICE_S, DrainDeadline
+from cherrycove.tier.dataplane.draining import UNREADY_PROPAGATION_S, DrainDeadline
 from cherrycove.tier.dataplane.ingress import BatchApi, Ingress
 from cherrycove.tier.dataplane.item_executor import BrokerItemExecutor
 from cherrycove.tier.dataplane.loss_record import LossRecord
@@ -20,10 +20,10 @@
 
 _log = logging.getLogger(__name__)
 
-RESERVED_DESCRIPTORS = 400  # of the limit, for files, internal calls and listeners
+RESERVED_DESCRIPTORS = 400  # of the file descriptor limit, for files, internal calls and listeners
 MIN_DESCRIPTORS = 64
-CLIENT_FRACTION = 0.5  # of the other descriptors, for clients; the rest is for brokers
-QUIET_S = 0.3  # without an open request, after which a draining proxy expects no more
+CLIENT_FRACTION = 0.5  # of the remaining descriptors, for clients; the rest is for brokers
+IDLE_PERIOD_S = 0.3  # time without an open request after which a drain expects no further requests
 POLL_INTERVAL_S = 0.05
 
 
@@ -31,8 +31,8 @@
     """Serves live requests and runs batch items on one machine; owned by the proxy program.
 
     States: *stopped*, *serving* between ``start`` and ``drain``, *draining* until ``stop``. It is ready while
-    it serves with a configuration and brokers. Nothing here survives the process: an open request that
-    reaches the end of the grace period gets 504 or a broken stream, and batch items are leased again.
+    it is serving and has a configuration and brokers. No state survives the process: a request still open at
+    the end of the grace period gets 504 or an aborted stream, and batch items are leased again.
     """
 
     def __init__(self, settings: Settings, cluster_view: ClusterView, rng: random.Random) -> None:
@@ -55,15 +55,15 @@
         )
 
     def attach_batch(self, batch_api: BatchApi) -> None:
-        """Let ``batch_api`` serve the calls for batch jobs; before ``start``."""
+        """Set the handler of batch API calls. Must be called before ``start``."""
         self._ingress.batch_api = batch_api
 
     def arrivals(self) -> dict[str, float]:
-        """Live requests a second by route name."""
+        """Arrival rates of live requests, per second, by route name."""
         return self._ingress.arrivals.per_second(asyncio.get_running_loop().time())
 
     async def start(self) -> None:
-        """Listen; raises ``OSError`` if an address is taken."""
+        """Listen on the frontend and readiness addresses. Raises ``OSError`` if an address is in use."""
         await self._upstream.start()
         self._admission.start()
         self._cluster_view.on_change(self._update_connection_limit)
@@ -73,10 +73,10 @@
         _log.info("dataplane_listening", extra={"address": self._settings.listen_addresses.frontend})
 
     async def stop(self) -> None:
-        """End; after a drain only once open requests are answered, or the grace period is over."""
+        """Stop all components; after a drain, first wait for open requests until the drain deadline."""
         loop = asyncio.get_running_loop()
         self._drain.close()
-        # By polling, since the wait ends by time as well.
+        # Polls, since the wait also ends at the deadline.
         while self._is_draining and self._ingress.open_requests and loop.time() < self._drain.at:  # noqa: ASYNC110
             await asyncio.sleep(POLL_INTERVAL_S)
         await self._readiness.stop()
@@ -85,27 +85,30 @@
         await self._upstream.stop()
         self._losses.stop()
 
-    async def drain(self, grace_s: float | None = None, notice_s: float = NOTICE_S) -> None:
-        """Shut down gracefully: unready at once; serve until the platform has noticed; finish open requests.
+    async def drain(
+        self, grace_s: float | None = None, unready_propagation_s: float = UNREADY_PROPAGATION_S
+    ) -> None:
+        """Shut down gracefully.
 
-        ``grace_s`` is the time until the process must have ended, by default the setting ``gracePeriodS``;
-        what may not be answered within it is rejected at once.
+        The proxy is unready at once, serves new requests until the platform has observed that, and finishes
+        open requests. ``grace_s`` is the time until the process must have ended, by default the setting
+        ``gracePeriodS``; requests that may not be answered within it are rejected at once.
         """
         loop = asyncio.get_running_loop()
         grace_s = self._settings.bounds.grace_period_s if grace_s is None else grace_s
         self._is_draining = True
         _log.info("dataplane_draining", extra={"open_requests": self._ingress.open_requests})
         self._ingress.close_connections()
-        self._drain.begin(loop.time(), grace_s, notice_s)
+        self._drain.begin(loop.time(), grace_s, unready_propagation_s)
         self._admission.limit_deadlines(self._drain.at)
-        while loop.time() < self._drain.at and not self._is_quiet(loop.time()):  # noqa: ASYNC110
+        while loop.time() < self._drain.at and not self._is_drained(loop.time()):  # noqa: ASYNC110
             await asyncio.sleep(POLL_INTERVAL_S)
         _log.info("dataplane_drained", extra={"open_requests": self._ingress.open_requests})
 
-    def _is_quiet(self, now: float) -> bool:
+    def _is_drained(self, now: float) -> bool:
         ingress = self._ingress
-        is_idle = ingress.open_requests == 0 and now - ingress.last_active_at >= QUIET_S
-        return is_idle and self._drain.notice_elapsed(now)
+        is_idle = ingress.open_requests == 0 and now - ingress.last_active_at >= IDLE_PERIOD_S
+        return is_idle and self._drain.is_unready_propagated(now)
 
     def _is_ready(self) -> bool:
         return (
@@ -115,7 +118,7 @@
         )
 
     def _update_connection_limit(self) -> None:
-        """Bound the pool's connections to any broker; admission keeps to the limit of each service."""
+        """Limit the pool's connections per broker; admission enforces the limit of each service."""
         configuration = self._cluster_view.configuration
         limits = [service.connection_limit for service in configuration.services] if configuration else []
         share = max(limits, default=0) // max(len(self._cluster_view.proxies()), 1)
--- a/cherrycove/tier/dataplane/draining.py
+++ b/cherrycove/tier/dataplane/draining.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: which requests a draining proxy still accepts, and by when all of them are answered."""
+"""Graceful shutdown: which requests a draining proxy still accepts, and the deadline for answering them."""
 
 from __future__ import annotations
 
@@ -7,53 +7,57 @@
 from contextlib import asynccontextmanager
 from math import inf
 
-NOTICE_S = 2.5  # after which the platform has seen this proxy unready and sends no new connections
-END_RESERVE_S = 0.7  # of the grace period, for the end of the process itself
+UNREADY_PROPAGATION_S = 2.5  # until the platform has seen the unready proxy and sends it no new connections
+EXIT_RESERVE_S = 0.7  # of the grace period, reserved for the exit of the process
 
 
 class DrainDeadline:
-    """The end of one proxy's drain; times are those of the event loop.
+    """The deadline of one proxy's drain; times are those of the event loop.
 
-    Owned by the ``DataPlane``. States: *serving* (no deadline, everything is accepted); *draining* from
-    ``begin``: only what will be answered by ``at`` is accepted, and every open ``limit`` ends then; *closed*:
-    nothing is accepted. A request that reaches the deadline gets ``TimeoutError``.
+    Owned by the ``DataPlane``. States: *serving* (no deadline, all requests are accepted); *draining* from
+    ``begin``: only requests expected to be answered by ``at`` are accepted, and every open ``limit`` expires
+    at ``at``; *closed*: no request is accepted. An expired ``limit`` raises ``TimeoutError``.
     """
 
     def __init__(self) -> None:
-        self.at = inf  # by when every request is answered
-        self._notice_until = inf
+        self.at = inf  # when every request must have been answered
+        self._unready_propagated_at = inf
         self._closed = False
         self._limits: set[asyncio.Timeout] = set()
 
-    def begin(self, now: float, grace_s: float, notice_s: float = NOTICE_S) -> None:
-        """The process is to end within ``grace_s``; ``notice_s``: until the platform has noticed."""
-        self.at = now + max(grace_s - END_RESERVE_S, 0.0)
-        self._notice_until = min(now + notice_s, self.at)
+    def begin(self, now: float, grace_s: float, unready_propagation_s: float = UNREADY_PROPAGATION_S) -> None:
+        """Begin a drain of a process that must have ended after ``grace_s``.
+
+        ``unready_propagation_s`` is the time until the platform has observed that the proxy is unready.
+        """
+        self.at = now + max(grace_s - EXIT_RESERVE_S, 0.0)
+        self._unready_propagated_at = min(now + unready_propagation_s, self.at)
         for limit in self._limits:
             if not limit.expired():
-                limit.reschedule(min(_when(limit), self.at))
+                limit.reschedule(min(_expiry(limit), self.at))
 
     def close(self) -> None:
-        """From now on nothing is accepted."""
+        """Accept no further requests."""
         self._closed = True
 
-    def notice_elapsed(self, now: float) -> bool:
-        """Whether the platform had the time to send new connections elsewhere."""
-        return now >= self._notice_until
+    def is_unready_propagated(self, now: float) -> bool:
+        """Whether the platform has had time to stop routing new connections to this proxy."""
+        return now >= self._unready_propagated_at
 
-    def accepts(self, now: float, latest: float, usual_s: float) -> bool:
-        """Whether a request that arrives now will be answered in time.
+    def accepts(self, now: float, deadline: float, recent_max_s: float) -> bool:
+        """Whether a request that arrives now is expected to be answered before the end of the drain.
 
-        ``latest`` is when it is answered at the latest, which decides once no new connections are expected.
-        Until then clients still come, and ``usual_s`` decides, the longest that such requests took recently.
+        ``deadline`` is when the request is answered at the latest, and decides once no new connections are
+        expected. Until then clients still connect, so the request is expected to take ``recent_max_s``, the
+        longest recent duration of such requests, unless ``deadline`` is earlier.
         """
-        expected = latest if self.notice_elapsed(now) else min(latest, now + usual_s)
+        expected = deadline if self.is_unready_propagated(now) else min(deadline, now + recent_max_s)
         return not self._closed and expected <= self.at
 
     @asynccontextmanager
-    async def limit(self, latest: float = inf) -> AsyncIterator[asyncio.Timeout]:
-        """Raise ``TimeoutError`` within the block at ``latest``, or when a drain ends if that is sooner."""
-        when = min(latest, self.at)
+    async def limit(self, deadline: float = inf) -> AsyncIterator[asyncio.Timeout]:
+        """Raise ``TimeoutError`` within the block at ``deadline``, or at the end of a drain if earlier."""
+        when = min(deadline, self.at)
         async with asyncio.timeout_at(when if when < inf else None) as limit:
             self._limits.add(limit)
             try:
@@ -62,6 +66,6 @@
                 self._limits.discard(limit)
 
 
-def _when(limit: asyncio.Timeout) -> float:
+def _expiry(limit: asyncio.Timeout) -> float:
     when = limit.when()
     return inf if when is None else when
--- a/cherrycove/tier/dataplane/event_stream.py
+++ b/cherrycove/tier/dataplane/event_stream.py
@@ -1,6 +1,6 @@
-"""Incremental parser of ``text/event-stream`` (WHATWG HTML, 9.2 Server-sent events). Pure.
+"""Incremental parser of ``text/event-stream`` (WHATWG HTML, 9.2 Server-sent events).
 
-It keeps the bytes of each event, so that they can be forwarded unchanged.
+It keeps the raw bytes of each event, so that they can be forwarded unchanged. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -18,31 +18,31 @@
 
 
 class EventTooLongError(DataPlaneError):
-    """An event does not end within ``MAX_EVENT_BYTES``; the fault is the broker's."""
+    """The broker sent an event that does not end within ``MAX_EVENT_BYTES``."""
 
 
 @attrs.frozen
 class StreamEvent:
-    """One complete event: its bytes with the empty line, its id if it has one, and its data."""
+    """One complete event: its raw bytes including the final empty line, its id, and its data."""
 
     raw: bytes
-    id: int | None
-    data: bytes | None  # its data lines joined by line feeds; None: it has none
+    id: int | None  # None if the event has no numeric id
+    data: bytes | None  # the data lines joined by line feeds; None if there are none
 
 
 class EventStreamParser:
-    """Parses the body of one response; the caller that reads the response owns it."""
+    """Parses the body of one response; owned by the reader of that response."""
 
     def __init__(self) -> None:
         self._incomplete = b""
 
     @property
     def incomplete(self) -> bytes:
-        """Bytes of an event that has not ended."""
+        """The bytes received of an event that has not ended."""
         return self._incomplete
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """The events that end within ``data``. Raises ``EventTooLongError``."""
+        """Return the events that end within ``data``. Raises ``EventTooLongError``."""
         buffer = self._incomplete + data
         start = 0
         events = []
@@ -51,7 +51,7 @@
             start = end.end()
         self._incomplete = buffer[start:]
         if len(self._incomplete) > MAX_EVENT_BYTES:
-            raise EventTooLongError(f"an event is longer than {MAX_EVENT_BYTES} bytes")
+            raise EventTooLongError(f"event exceeds {MAX_EVENT_BYTES} bytes")
         return events
 
 
@@ -61,7 +61,7 @@
 
 
 def _parse_event(raw: bytes) -> StreamEvent:
-    """The fields of an event (9.2.6); ids other than unsigned numbers are ignored."""
+    """Parse the fields of an event (9.2.6); ids other than unsigned numbers are ignored."""
     event_id: int | None = None
     data: list[bytes] = []
     for line in _LINE_END.split(raw):
--- a/cherrycove/tier/dataplane/headers.py
+++ b/cherrycove/tier/dataplane/headers.py
@@ -1,7 +1,7 @@
-"""Codec of the header fields that the data plane reads, drops or adds.
+"""Codec of the header fields that the data plane reads, removes or adds.
 
-A field that cannot be parsed counts as absent. The names are words of the wire, defined by the model brokers'
-protocol except where an RFC is named.
+A field that cannot be parsed counts as absent. The field names are part of the wire protocol, which the model
+brokers define except where a standard is named.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from multidict import CIMultiDict, CIMultiDictProxy
 
 REQUEST_ID = "Request-Id"
-DEADLINE_MS = "Deadline-Ms"  # what is left of the client's timeout
+DEADLINE_MS = "Deadline-Ms"  # remaining time of the client's timeout
 EXPECTED_INSTANCE = "Expected-Instance"
 EXPECT_VERSION = "Expect-Version"
 RESPONSE_SIGNATURE = "Response-Signature"
@@ -34,9 +34,9 @@
 
 
 def end_to_end_headers(headers: CIMultiDictProxy[str] | CIMultiDict[str]) -> CIMultiDict[str]:
-    """The fields that a proxy forwards: all but those of one connection (RFC 9110, 7.6.1).
+    """The fields that a proxy forwards: all except the hop-by-hop fields (RFC 9110, 7.6.1).
 
-    ``Content-Length`` and ``Expect`` are dropped as well: the body is framed anew, and was read already.
+    ``Content-Length`` and ``Expect`` are removed as well: the body was read already, and is framed anew.
     """
     named = {name.strip().lower() for value in headers.getall("Connection", ()) for name in value.split(",")}
     dropped = _HOP_BY_HOP | named
@@ -44,15 +44,15 @@
 
 
 def parse_unsigned(text: str | None) -> int | None:
-    """A number without sign or fraction, of at most 15 digits; None if it is not one."""
+    """Parse a number without sign or fraction, of at most 15 digits; None if ``text`` is not one."""
     stripped = (text or "").strip()
     return int(stripped) if _UNSIGNED.fullmatch(stripped) else None
 
 
 def parse_keep_alive_s(headers: Mapping[str, str]) -> int | None:
-    """The time for which a broker keeps an idle connection; None if it does not say.
+    """The time for which a broker keeps an idle connection; None if it does not announce one.
 
-    ``Keep-Alive: timeout=5`` (RFC 2068, 19.7.1.1) or a bare number.
+    Accepts ``Keep-Alive: timeout=5`` (RFC 2068, 19.7.1.1) or a bare number of seconds.
     """
     value = headers.get("Keep-Alive")
     if value is None:
@@ -66,7 +66,7 @@
 
 @attrs.frozen
 class InstanceLoad:
-    """A broker's report of its load: requests running and waiting, and its slots."""
+    """A broker's load report: the numbers of running requests, of waiting requests, and of its slots."""
 
     running: int
     waiting: int
@@ -74,7 +74,7 @@
 
 
 def parse_instance_load(headers: Mapping[str, str]) -> InstanceLoad | None:
-    """The load in ``Instance-Load: running,waiting,slots``; None without a valid one."""
+    """Parse ``Instance-Load: running,waiting,slots``; None if the field is absent or invalid."""
     numbers = [parse_unsigned(text) for text in headers.get(INSTANCE_LOAD, "").split(",")]
     if len(numbers) != _LOAD_NUMBERS or None in numbers:
         return None
--- a/cherrycove/tier/dataplane/ingress.py
+++ b/cherrycove/tier/dataplane/ingress.py
@@ -1,4 +1,4 @@
-"""The frontend of a proxy: reads requests of clients, finds their routes, and hands them on."""
+"""The frontend of a proxy: reads client requests, matches their routes, and forwards them."""
 
 from __future__ import annotations
 
@@ -35,19 +35,19 @@
 
 
 class BatchApi(Protocol):
-    """Serves the calls for batch jobs."""
+    """Handles calls of the batch API."""
 
     async def handle(self, request: web.BaseRequest, body: bytes, route: Route | None) -> web.StreamResponse:
-        """The response to a call; ``route`` is the batch route that it concerns, if any."""
+        """Return the response to a call; ``route`` is the batch route that it concerns, if any."""
 
 
 class Ingress:
     """Serves the frontend address; owned by the ``DataPlane``.
 
     States: *serving*; *draining* from ``close_connections``, when each response closes its connection and
-    only requests that the ``DrainDeadline`` accepts are served; *stopped*. A request is rejected by it only
-    for a fault of the client's (4xx), before the first configuration, or during a drain (503, which another
-    proxy can serve).
+    only requests that the ``DrainDeadline`` accepts are served; *stopped*. The ingress itself rejects a
+    request only for an error of the client (4xx), or with 503 before the first configuration and during a
+    drain, when another proxy can serve it.
     """
 
     def __init__(
@@ -67,18 +67,18 @@
         self.batch_api: BatchApi | None = None
         self.arrivals = ArrivalRates()
         self.open_requests = 0
-        self.last_active_at = 0.0  # loop time at which a request last began or ended
+        self.last_active_at = 0.0  # event loop time at which a request last began or ended
         self._closes_connections = False
         self._runner: web.ServerRunner | None = None
 
     @property
     def limits(self) -> ClientLimits:
-        """The limits of the configuration in force, or the default ones before the first."""
+        """The limits of the current configuration, or the defaults before the first configuration."""
         configuration = self._cluster_view.configuration
         return configuration.limits if configuration else ClientLimits()
 
     async def start(self) -> None:
-        """Listen; raises ``OSError`` if the address is taken."""
+        """Listen on the frontend address. Raises ``OSError`` if it is in use."""
         server = ClientServer(self.handle, lambda: self.limits)
         self._runner = web.ServerRunner(server, shutdown_timeout=SHUTDOWN_TIMEOUT_S)
         await self._runner.setup()
@@ -92,7 +92,7 @@
             self._runner = None
 
     def close_connections(self) -> None:
-        """From now on each response closes its connection."""
+        """Make each response from now on close its connection."""
         self._closes_connections = True
 
     def closes_connections(self) -> bool:
@@ -100,7 +100,7 @@
         return self._closes_connections
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """The response to a client's request; called by the server, and cancelled if the client leaves."""
+        """Return the response to a request; called by the server, cancelled if the client disconnects."""
         loop = asyncio.get_running_loop()
         self.open_requests += 1
         self.last_active_at = arrived_at = loop.time()
@@ -143,8 +143,8 @@
     ) -> web.StreamResponse:
         loop = asyncio.get_running_loop()
         self.arrivals.add(route.name, arrived_at)
-        usual_s = self._durations.longest_s(route.name, arrived_at)
-        if not self._drain.accepts(loop.time(), response_deadline(request, route, arrived_at), usual_s):
+        recent_max_s = self._durations.longest_s(route.name, arrived_at)
+        if not self._drain.accepts(loop.time(), response_deadline(request, route, arrived_at), recent_max_s):
             self._losses.count(route.name, LossCause.DRAINING)
             return self._draining_response(request)
         try:
@@ -187,7 +187,7 @@
         is_request_read: bool = True,
         retry_after_s: float | None = None,
     ) -> web.Response:
-        """A response of the proxy; where the request was not read completely it closes the connection."""
+        """A response of the proxy itself; closes the connection if the request was not read completely."""
         return proxy_response(
             status,
             text,
--- a/cherrycove/tier/dataplane/item_execution.py
+++ b/cherrycove/tier/dataplane/item_execution.py
@@ -1,4 +1,4 @@
-"""One execution of a batch item: its attempts at brokers, and what its stream has brought so far."""
+"""One execution of a batch item: its attempts at brokers, and the events collected so far."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 )
 from cherrycove.tier.protocol.batch_pb2 import LeasedItem
 
-INITIAL_BACKOFF_S = 0.1  # after an attempt without progress; doubles up to the longest
+INITIAL_BACKOFF_S = 0.1  # after an attempt without progress; doubles up to MAX_BACKOFF_S
 MAX_BACKOFF_S = 1.0
-STALL_TIMEOUT_S = 5.0  # without a byte after which an attempt is given up
-MAX_FRUITLESS_ATTEMPTS = 20  # in a row, before the item is returned
+STALL_TIMEOUT_S = 5.0  # an attempt that receives no byte for this long is aborted
+MAX_ATTEMPTS_WITHOUT_PROGRESS = 20  # consecutive ones, after which the item is returned
 
 
 @attrs.frozen
 class _AttemptResult:
-    """What one attempt brought: the item's outcome, if it is final, and what admission learns."""
+    """The result of one attempt: the item's final outcome, if any, and the outcome for admission."""
 
     item_outcome: ItemOutcome | None
     outcome: AttemptOutcome
@@ -42,34 +42,34 @@
 class ItemExecution:
     """One execution of an item under one lease; owned by the task that runs it.
 
-    Its stream may be collected from several brokers one after the other, each asked for what follows the last
-    event (``Last-Event-Id``). The item is *completed* only once its stream has ended completely,
-    *dead-lettered* after a 422 or too many 500s, and otherwise *returned*, to be leased again. Nothing
-    collected survives the execution.
+    Its stream may be collected from several brokers in turn, each of which resumes after the last event
+    (``Last-Event-Id``). The item is *completed* only once its stream has ended completely, *dead-lettered*
+    after a 422 or too many 500s, and otherwise *returned*, to be leased again. Collected events are not kept
+    after the execution.
     """
 
     admission: AdmissionController
     upstream: UpstreamClient
     item: LeasedItem
     timeline: RequestTimeline
-    failed_attempts: int  # responses of 500, earlier executions included
+    failed_attempts: int  # responses with status 500, including those of earlier executions
     record_failures: RecordFailures
     _last_id: int | None = attrs.field(default=None, init=False)
     _data: list[bytes] = attrs.field(factory=list, init=False)
-    _fruitless_attempts: int = attrs.field(default=0, init=False)  # in a row
+    _attempts_without_progress: int = attrs.field(default=0, init=False)  # consecutive
     _backoff_s: float = attrs.field(default=INITIAL_BACKOFF_S, init=False)
 
     @property
     def has_failed(self) -> bool:
-        """Whether the item has used up its attempts."""
+        """Whether the failed attempts have reached the maximum."""
         return self.failed_attempts >= max(self.item.max_attempts, 1)
 
     def returned(self) -> ItemOutcome:
-        """The outcome of an item that is not done and may be leased again."""
+        """The outcome of an item that is not finished and may be leased again."""
         return ItemOutcome(ItemState.RETURNED, failed_attempts=self.failed_attempts)
 
     def dead_lettered(self) -> ItemOutcome:
-        """The outcome of an item that has used up its attempts."""
+        """The outcome of an item whose failed attempts have reached the maximum."""
         return ItemOutcome(ItemState.DEAD_LETTERED, reason="attempts", failed_attempts=self.failed_attempts)
 
     async def attempt(
@@ -78,10 +78,11 @@
         may_send: Callable[[], bool],
         is_served_by: Callable[[str], bool],
     ) -> ItemOutcome | None:
-        """One attempt; None if the item should be attempted again.
+        """Run one attempt; None if the item should be attempted again.
 
-        ``is_served_by`` says whether the configuration in force, which may have changed while the item was
-        pending, sends it to this service.
+        Just before the send, ``may_send`` says whether the item may still be sent, and ``is_served_by``
+        whether the current configuration, which may have changed while the item was pending, routes it to
+        this service.
         """
         permit = await self.admission.acquire(admission_request, self.timeline)
         if isinstance(permit, Reject):
@@ -101,9 +102,9 @@
         return result.item_outcome or await self._back_off()
 
     async def _back_off(self) -> ItemOutcome | None:
-        """Wait before the next attempt; return the item after many without progress."""
-        self._fruitless_attempts += 1
-        if self._fruitless_attempts >= MAX_FRUITLESS_ATTEMPTS:
+        """Wait before the next attempt; return the item after too many attempts without progress."""
+        self._attempts_without_progress += 1
+        if self._attempts_without_progress >= MAX_ATTEMPTS_WITHOUT_PROGRESS:
             return self.returned()
         await asyncio.sleep(self._backoff_s)
         self._backoff_s = min(self._backoff_s * 2, MAX_BACKOFF_S)
@@ -158,7 +159,7 @@
         return self._failure_outcome(response.status)
 
     def _failure_outcome(self, status: int) -> ItemOutcome | None:
-        """The outcome of a response that is no success; None if the item may be attempted again."""
+        """The outcome after an error response; None if the item may be attempted again."""
         if status == HTTPStatus.UNPROCESSABLE_ENTITY:
             return ItemOutcome(
                 ItemState.DEAD_LETTERED, reason="unprocessable", failed_attempts=self.failed_attempts
@@ -172,7 +173,10 @@
     async def _collect(
         self, response: UpstreamResponse, permit: Permit, stall_timeout: asyncio.Timeout
     ) -> ItemOutcome:
-        """Collect all events up to the end of the stream."""
+        """Collect all events up to the end of the stream.
+
+        Raises ``IncompleteResponseError`` if the stream is malformed or ends early.
+        """
         loop = asyncio.get_running_loop()
         parser = EventStreamParser()
         while chunk := await response.read_chunk():
@@ -185,22 +189,29 @@
             for event in events:
                 self._collect_event(event)
         if parser.incomplete.strip():
-            raise IncompleteResponseError(ResponseFault.MALFORMED, "the stream ends within an event")
+            raise IncompleteResponseError(ResponseFault.MALFORMED, "stream ended within an event")
         return ItemOutcome(
             ItemState.COMPLETED, text=b"\n".join(self._data), failed_attempts=self.failed_attempts
         )
 
     def _collect_event(self, event: StreamEvent) -> None:
-        """Keep the next event, skip known ones; ``IncompleteResponseError`` if one before it is missing."""
+        """Collect the next event, or skip one already collected.
+
+        Raises ``IncompleteResponseError`` if an event between the last one and this one is missing.
+        """
         if event.id is None:
             if event.data is not None:
-                raise IncompleteResponseError(ResponseFault.MALFORMED, "an event without id")
+                raise IncompleteResponseError(
+                    ResponseFault.MALFORMED, f"event with data but without id, after event {self._last_id}"
+                )
             return
         if self._last_id is not None and event.id <= self._last_id:
             return
         if self._last_id is not None and event.id != self._last_id + 1:
-            raise IncompleteResponseError(ResponseFault.MALFORMED, f"event {event.id} after {self._last_id}")
+            raise IncompleteResponseError(
+                ResponseFault.MALFORMED, f"event id gap: received {event.id} after {self._last_id}"
+            )
         self._last_id = event.id
         self._data.append(event.data or b"")
-        self._fruitless_attempts = 0
+        self._attempts_without_progress = 0
         self._backoff_s = INITIAL_BACKOFF_S
--- a/cherrycove/tier/dataplane/item_executor.py
+++ b/cherrycove/tier/dataplane/item_executor.py
@@ -24,7 +24,7 @@
 
 
 class BrokerItemExecutor:
-    """Starts an ``ItemExecution`` for each item; owned by the ``DataPlane``, used by the batch worker."""
+    """Runs each item as an ``ItemExecution``; owned by the ``DataPlane``, used by the batch worker."""
 
     def __init__(
         self,
@@ -41,11 +41,11 @@
         self._losses = losses
 
     def free_slots(self) -> int:
-        """How many further items could be started now without harming live requests."""
+        """The number of further items that could be started now without delaying live requests."""
         return self._admission.free_slots()
 
     def load(self) -> ExecutorLoad:
-        """The slots of the brokers that serve batch routes, and this proxy's live requests there."""
+        """The slots of the brokers of batch routes, and this proxy's live requests for the same services."""
         configuration = self._cluster_view.configuration
         if configuration is None:
             return ExecutorLoad(0, 0)
@@ -58,7 +58,7 @@
     async def run_item(
         self, item: LeasedItem, may_send: Callable[[], bool], record_failures: RecordFailures
     ) -> ItemOutcome:
-        """Run an item until its outcome is known, as ``ItemExecutor.run_item`` says."""
+        """Run an item until its outcome is known; see ``ItemExecutor.run_item``."""
         loop = asyncio.get_running_loop()
         timeline = RequestTimeline(due_at=loop.time() + item.due_in_ms / 1000, is_batch=True)
         outcome = await self._run(item, timeline, may_send, record_failures)
@@ -82,7 +82,7 @@
             failed_attempts=item.failed_attempts,
             record_failures=record_failures,
         )
-        if execution.has_failed:  # the last lease holder did not come to report that
+        if execution.has_failed:  # an earlier lease holder ended before it reported that
             return execution.dead_lettered()
         while True:
             route = self._route(item)
--- a/cherrycove/tier/dataplane/loss_record.py
+++ b/cherrycove/tier/dataplane/loss_record.py
@@ -1,4 +1,4 @@
-"""Counts of the requests that one proxy did not answer in time, by route and cause."""
+"""Counts of lost requests, those that one proxy did not answer in time, by route and cause."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 from cherrycove.tier.dataplane.loss_cause import LossCause
 
-LOG_INTERVAL_S = 1.0  # between two lines
-LOSSES_PATH = "/api/losses"  # at the readiness address
+LOG_INTERVAL_S = 1.0  # between two log lines
+LOSSES_PATH = "/api/losses"  # served at the readiness address
 
 _log = logging.getLogger(__name__)
 
@@ -19,9 +19,9 @@
 
 
 class LossRecord:
-    """Owned by the ``DataPlane``; in memory, from the start of the process on.
+    """Counts losses in memory since the start of the process; owned by the ``DataPlane``.
 
-    While there are losses it logs one event ``requests_lost`` a second, which counts those since the last.
+    While losses occur, it logs one event ``requests_lost`` per second with the counts since the previous one.
     """
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def count(self, route: str, cause: LossCause) -> None:
-        """Count one request of ``route``; within the event loop."""
+        """Count one lost request of ``route``. Must be called within the event loop."""
         for counts in (self._totals, self._unlogged):
             counts.setdefault(route, Counter())[cause.value] += 1
         if self._timer is None:
@@ -41,11 +41,11 @@
         return self._totals
 
     def totals_document(self) -> bytes:
-        """``totals`` as one JSON object: ``{"losses": {route: {cause: count}}}``."""
+        """Encode ``totals`` as a JSON object: ``{"losses": {route: {cause: count}}}``."""
         return json.dumps({"losses": self._totals}).encode()
 
     def stop(self) -> None:
-        """Log what is not logged yet."""
+        """Log the counts that are not logged yet."""
         if self._timer is not None:
             self._timer.cancel()
             self._flush()
--- a/cherrycove/tier/dataplane/prompt.py
+++ b/cherrycove/tier/dataplane/prompt.py
@@ -1,4 +1,4 @@
-"""The prompt of a generation as its headers describe it: segments, input tokens, most output tokens. Pure."""
+"""The prompt of a generation request, as its header fields describe it. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class PromptSegment:
-    """One segment of a prompt; requests with the same segment send the same id."""
+    """One segment of a prompt; requests that contain the same segment send the same id."""
 
     id: str
     tokens: int
@@ -19,20 +19,20 @@
 
 @attrs.frozen
 class Prompt:
-    """A prompt as its request describes it."""
+    """A prompt: its segments, the number of its input tokens, and the limit of its output tokens."""
 
-    segments: tuple[PromptSegment, ...] = ()  # in order; the last belongs to the request or its session alone
+    segments: tuple[PromptSegment, ...] = ()  # in order; the last is private to the request or session
     input_tokens: int = 0
     max_output_tokens: int = 0
 
     @property
     def shared_segments(self) -> tuple[PromptSegment, ...]:
-        """Segments that other requests may have as well."""
+        """The segments that other requests may share."""
         return self.segments[:-1]
 
     @property
     def total_tokens(self) -> int:
-        """The most memory that the request takes, in tokens of the KV cache."""
+        """The maximum memory that the request uses, in tokens of the KV cache."""
         return self.input_tokens + self.max_output_tokens
 
 
@@ -40,9 +40,9 @@
 
 
 def parse_prompt(headers: Mapping[str, str]) -> Prompt:
-    """The prompt in ``Prompt-Prefix: id:tokens,...`` and ``Token-Usage: input,max_output``.
+    """Parse ``Prompt-Prefix: id:tokens,...`` and ``Token-Usage: input,max_output``.
 
-    What cannot be parsed counts as absent.
+    Segments and numbers that cannot be parsed count as absent.
     """
     segments = _parse_segments(headers.get(PROMPT_PREFIX, ""))
     usage = [parse_unsigned(number) or 0 for number in headers.get(TOKEN_USAGE, "").split(",")]
--- a/cherrycove/tier/dataplane/readiness.py
+++ b/cherrycove/tier/dataplane/readiness.py
@@ -1,4 +1,4 @@
-"""The platform's readiness probe: whether this machine should get new connections; and its losses."""
+"""The endpoint of the platform's readiness probe, which also serves the loss counts."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class ReadinessServer:
-    """Serves ``GET /api/readiness`` on its own address: 200 while ``is_ready`` says so, else 503.
+    """Serves ``GET /api/readiness`` on a separate address: 200 while ``is_ready`` returns True, else 503.
 
-    ``GET /api/losses`` there answers the document of ``losses``, for the command line.
+    ``GET /api/losses`` on the same address returns the document of ``losses``, for the command line.
 
-    Owned by the ``DataPlane``. The listener of its own answers also while the frontend address is saturated.
+    Owned by the ``DataPlane``. The separate listener responds even while the frontend address is saturated.
     """
 
     def __init__(self, address: str, is_ready: Callable[[], bool], losses: Callable[[], bytes]) -> None:
@@ -28,7 +28,7 @@
         self._runner: web.ServerRunner | None = None
 
     async def start(self) -> None:
-        """Listen; raises ``OSError`` if the address is taken."""
+        """Listen on the readiness address. Raises ``OSError`` if it is in use."""
         host, _, port = self._address.rpartition(":")
         self._runner = web.ServerRunner(
             web.Server(self._handle, access_log=None), shutdown_timeout=SHUTDOWN_TIMEOUT_S
--- a/cherrycove/tier/dataplane/request_durations.py
+++ b/cherrycove/tier/dataplane/request_durations.py
@@ -1,4 +1,7 @@
-"""The longest recent duration of requests by route, from which a draining proxy estimates the next. Pure."""
+"""The longest recent request duration by route, with which a draining proxy estimates the next.
+
+Performs no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,10 @@
 
 
 class RecentMaxDuration:
-    """Maximum by route over the last one to two windows; time is monotonic seconds. Owned by the ingress."""
+    """Maximum by route over the last one to two windows; times are monotonic seconds.
+
+    Owned by the ``Ingress``.
+    """
 
     def __init__(self, window_s: float = WINDOW_S) -> None:
         self._window_s = window_s
@@ -17,12 +23,12 @@
         self._previous: dict[str, float] = {}
 
     def add(self, route: str, duration_s: float, now: float) -> None:
-        """Count a request of this route that has just ended."""
+        """Record the duration of a request of this route that has just ended."""
         self._advance(now)
         self._current[route] = max(self._current.get(route, 0.0), duration_s)
 
     def longest_s(self, route: str, now: float) -> float:
-        """Seconds; 0 where none has ended recently."""
+        """The longest recent duration in seconds; 0 if no request of this route has ended recently."""
         self._advance(now)
         return max(self._current.get(route, 0.0), self._previous.get(route, 0.0))
 
--- a/cherrycove/tier/dataplane/request_forwarder.py
+++ b/cherrycove/tier/dataplane/request_forwarder.py
@@ -1,4 +1,4 @@
-"""Turns each live request into an exchange: its service, its deadline, its prompt."""
+"""Creates the exchange of each live request: chooses its service, and sets its deadline and prompt."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 from cherrycove.tier.dataplane.prompt import parse_prompt
 from cherrycove.tier.dataplane.upstream import UpstreamClient, UpstreamRequest
 
-RESPONSE_MARGIN_S = 0.02  # ahead of the client's deadline, for the response's way to it
+RESPONSE_MARGIN_S = 0.02  # before the client's deadline, for the transfer of the response
 
 
 def response_deadline(request: web.BaseRequest, route: Route, arrived_at: float) -> float:
-    """When a request is answered at the latest: within its client's timeout and its route's."""
+    """When a request is answered at the latest: the earlier of its client's and its route's timeout."""
     timeout_ms = min(_client_timeout_ms(request, route), route.timeout_ms)
     return arrived_at + timeout_ms / 1000 - RESPONSE_MARGIN_S
 
 
 def choose_service(route: Route, rng: random.Random) -> str:
-    """One of the route's services, at random by their weights."""
+    """Choose one of the route's services at random, by their weights."""
     services = [split.service for split in route.splits]
     weights = [split.weight for split in route.splits]
     return rng.choices(services, weights)[0]
 
 
 class RequestForwarder:
-    """Starts a ``ClientExchange`` for each live request; owned by the ``DataPlane``."""
+    """Runs a ``ClientExchange`` for each live request; owned by the ``DataPlane``."""
 
     def __init__(
         self,
@@ -61,7 +61,7 @@
         arrived_at: float,
         closes_connection: Callable[[], bool],
     ) -> web.StreamResponse:
-        """The response to a request; ``closes_connection`` says whether its connection ends with it."""
+        """Return the response to a request; ``closes_connection`` says whether it closes its connection."""
         timeline = RequestTimeline(
             due_at=arrived_at + route.target_latency_ms / 1000,
             pause_target_s=route.gap_aim_ms / 1000 if route.gap_aim_ms else inf,
@@ -80,7 +80,7 @@
         try:
             return await exchange.run()
         except asyncio.CancelledError:
-            timeline.client_left()
+            timeline.client_disconnected()
             raise
         finally:
             cause = timeline.loss(asyncio.get_running_loop().time(), is_complete=exchange.is_complete)
@@ -113,6 +113,6 @@
 
 
 def _client_timeout_ms(request: web.BaseRequest, route: Route) -> float:
-    """How long the client waits, as it says; otherwise the route's timeout."""
+    """How long the client waits: its ``Deadline-Ms``, or the route's timeout if it sent none."""
     client_timeout_ms = parse_unsigned(request.headers.get(DEADLINE_MS))
     return route.timeout_ms if client_timeout_ms is None else client_timeout_ms
--- a/cherrycove/tier/dataplane/responses.py
+++ b/cherrycove/tier/dataplane/responses.py
@@ -1,4 +1,4 @@
-"""Responses that a proxy sends as one message: a buffered one of a broker, or one of its own."""
+"""Responses that are not streamed: buffered responses of brokers, and responses of the proxy itself."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def buffered_response(upstream: UpstreamResponse, body: bytes, *, close: bool) -> web.Response:
-    """A broker's response that was read to its end; ``close``: its client connection ends with it."""
+    """A broker's response that was read completely; ``close`` makes it close the client's connection."""
     response = web.Response(status=upstream.status, headers=end_to_end_headers(upstream.headers), body=body)
     if close:
         response.force_close()
@@ -20,9 +20,9 @@
 def proxy_response(
     status: int, text: str, request_id: str, *, close: bool, retry_after_s: float | None = None
 ) -> web.Response:
-    """A response that the proxy generates; ``text`` says why.
+    """A response that the proxy generates; ``text`` is the reason, sent as the body.
 
-    ``Retry-After`` (RFC 9110, 10.2.3) is given in seconds with a fraction, which the clients understand.
+    ``Retry-After`` (RFC 9110, 10.2.3) is sent in seconds with a fraction, which the clients understand.
     """
     headers: CIMultiDict[str] = CIMultiDict({"Content-Type": "text/plain"})
     if request_id:
--- a/cherrycove/tier/dataplane/stream_relay.py
+++ b/cherrycove/tier/dataplane/stream_relay.py
@@ -1,4 +1,4 @@
-"""Forwards the streams of brokers to one client, as one response that looks complete only if it is."""
+"""Forwards the streams of brokers to one client, as one response whose end is sent only if it is complete."""
 
 from __future__ import annotations
 
@@ -23,26 +23,26 @@
     UpstreamResponse,
 )
 
-BodyCallback = Callable[[], None]  # called whenever bytes of a response's body have come
+BodyCallback = Callable[[], None]  # called whenever bytes of a response body have been received
 LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER on, for 0 s: close sends a reset
 
 
 @attrs.frozen
 class _NewEvents:
-    """What of a chunk of events the client lacks."""
+    """The part of a chunk of events that the client lacks."""
 
     raw: bytes
-    last_id: int | None  # of the last event that the client has after them
-    gap: IncompleteResponseError | None  # an event is missing behind them
+    last_id: int | None  # of the last event that the client has once ``raw`` is written
+    gap: IncompleteResponseError | None  # set if an event is missing after ``raw``
 
 
 class StreamRelay:
-    """One client's stream, which the responses of several brokers may feed one after the other.
+    """One client's stream, assembled from the responses of one or more brokers in turn.
 
-    Owned by a ``ClientExchange``. States: *not begun*; *begun*, once the head has been sent, after which the
-    client can get no other response; then *complete* by ``feed`` or *aborted*. Where the stream is resumable
-    an event reaches the client once and in order: known ids are skipped, a missing id breaks the response
-    off.
+    Owned by a ``ClientExchange``. States: *not begun*; *begun*, once the headers have been sent, after which
+    the client can get no other response; then *complete* by ``forward`` or *aborted*. If the stream is
+    resumable, each event reaches the client once and in order: known ids are skipped, and a missing id fails
+    the broker's response.
     """
 
     def __init__(
@@ -57,32 +57,32 @@
 
     @property
     def has_begun(self) -> bool:
-        """Whether the client has been sent something of the response."""
+        """Whether part of the response has been sent to the client."""
         return self._response is not None
 
-    async def feed(self, upstream: UpstreamResponse, on_body: BodyCallback) -> web.StreamResponse:
-        """Forward what is new in ``upstream``, and return the response once that has ended completely.
+    async def forward(self, upstream: UpstreamResponse, on_body: BodyCallback) -> web.StreamResponse:
+        """Forward what the client lacks of ``upstream``; return the response once ``upstream`` is complete.
 
-        Backpressure: each chunk is written before the next one is read, so a slow client slows its broker.
+        Each chunk is written before the next one is read, so a slow client exerts backpressure on its broker.
         Raises ``IncompleteResponseError``; another broker's response may then continue the stream.
         """
         if self._is_resumable:
-            await self._feed_events(upstream, on_body)
+            await self._forward_events(upstream, on_body)
         else:
-            await self._feed_bytes(upstream, on_body)
+            await self._forward_bytes(upstream, on_body)
         response = await self._begin(upstream)
         await response.write_eof()
         return response
 
     def abort(self) -> web.StreamResponse:
-        """Close the client's connection within the response, so that it is incomplete (RFC 9112, 8)."""
+        """Close the client's connection within the response, which marks it incomplete (RFC 9112, 8)."""
         assert self._response is not None
-        if self._request.version < HttpVersion11:  # there an orderly close would mark the end of the response
+        if self._request.version < HttpVersion11:  # an orderly close would mark the response complete
             _reset(self._request)
         self._request.protocol.force_close()
         return self._response
 
-    async def _feed_bytes(self, upstream: UpstreamResponse, on_body: BodyCallback) -> None:
+    async def _forward_bytes(self, upstream: UpstreamResponse, on_body: BodyCallback) -> None:
         tail = b""
         while chunk := await upstream.read_chunk():
             on_body()
@@ -90,9 +90,9 @@
             await response.write(chunk)
             tail = (tail + chunk)[-MAX_EVENT_END_BYTES:]
         if tail and not upstream.is_framed and not ends_with_event(tail):
-            raise IncompleteResponseError(ResponseFault.CLOSED, "the stream ends within an event")
+            raise IncompleteResponseError(ResponseFault.CLOSED, "stream ended within an event")
 
-    async def _feed_events(self, upstream: UpstreamResponse, on_body: BodyCallback) -> None:
+    async def _forward_events(self, upstream: UpstreamResponse, on_body: BodyCallback) -> None:
         parser = EventStreamParser()
         while chunk := await upstream.read_chunk():
             on_body()
@@ -100,22 +100,25 @@
                 events = parser.feed(chunk)
             except EventTooLongError as error:
                 raise IncompleteResponseError(ResponseFault.MALFORMED, str(error)) from error
-            await self._forward(upstream, events)
+            await self._write_new_events(upstream, events)
         if parser.incomplete.strip():
-            raise IncompleteResponseError(ResponseFault.MALFORMED, "the stream ends within an event")
+            raise IncompleteResponseError(ResponseFault.MALFORMED, "stream ended within an event")
 
-    async def _forward(self, upstream: UpstreamResponse, events: list[StreamEvent]) -> None:
-        """Write the events the client lacks; ``IncompleteResponseError`` if an earlier one is missing."""
-        new = _select_new(events, self.last_id)
+    async def _write_new_events(self, upstream: UpstreamResponse, events: list[StreamEvent]) -> None:
+        """Write the events that the client lacks.
+
+        Raises ``IncompleteResponseError`` if an event between two of them is missing.
+        """
+        new = _select_new_events(events, self.last_id)
         if new.raw:
             response = await self._begin(upstream)
-            self.last_id = new.last_id  # from here to the transport nothing can interrupt the write
+            self.last_id = new.last_id  # nothing can interrupt between this and the write to the transport
             await response.write(new.raw)
         if new.gap is not None:
             raise new.gap
 
     async def _begin(self, upstream: UpstreamResponse) -> web.StreamResponse:
-        """The response; its head is that of the first broker, also if others continue it."""
+        """The response; its headers are those of the first broker, even if other brokers continue it."""
         if self._response is None:
             self._response = web.StreamResponse(
                 status=upstream.status, headers=end_to_end_headers(upstream.headers)
@@ -129,11 +132,13 @@
         return self._response
 
 
-def _select_new(events: list[StreamEvent], last_id: int | None) -> _NewEvents:
+def _select_new_events(events: list[StreamEvent], last_id: int | None) -> _NewEvents:
     raw = b""
     for event in events:
         if last_id is not None and event.id is not None and event.id > last_id + 1:
-            gap = IncompleteResponseError(ResponseFault.MALFORMED, f"event {event.id} after {last_id}")
+            gap = IncompleteResponseError(
+                ResponseFault.MALFORMED, f"event id gap: received {event.id} after {last_id}"
+            )
             return _NewEvents(raw, last_id, gap)
         if _is_new(event, last_id):
             raw += event.raw
@@ -144,8 +149,8 @@
 def _is_new(event: StreamEvent, last_id: int | None) -> bool:
     """Whether a client that has all events up to ``last_id`` lacks this one.
 
-    An event with data but without id is forwarded only where nothing came before it, since otherwise nobody
-    could tell whether the client has it.
+    An event with data but without id is forwarded only if the client has no event with an id, since otherwise
+    the proxy could not tell whether the client has it.
     """
     if event.id is None:
         return event.data is None or last_id is None
@@ -153,7 +158,7 @@
 
 
 def _reset(request: web.BaseRequest) -> None:
-    """End the client's connection by a TCP reset."""
+    """Reset the client's TCP connection."""
     if request.transport is None:
         return
     client = request.transport.get_extra_info("socket")
--- a/cherrycove/tier/dataplane/upstream.py
+++ b/cherrycove/tier/dataplane/upstream.py
@@ -1,4 +1,4 @@
-"""One attempt at one broker: sends the request once, and says whether the broker may have run it."""
+"""One attempt at one broker: sends the request once, and tells whether it may have been executed."""
 
 from __future__ import annotations
 
@@ -27,28 +27,28 @@
 from cherrycove.tier.protocol.sessions import client_session
 
 CONNECT_TIMEOUT_S = 0.25
-POOL_TIMEOUT_S = 0.5  # for a place in the pool of a broker, and the connection itself
-NOT_EXECUTED_STATUSES = frozenset({  # by which a broker may say that it did not run the request
+POOL_TIMEOUT_S = 0.5  # to wait for a free connection of the broker's pool, including connecting
+NOT_EXECUTED_STATUSES = frozenset({  # with which a broker may say that it did not execute the request
     HTTPStatus.REQUEST_TIMEOUT, HTTPStatus.MISDIRECTED_REQUEST, HTTPStatus.TOO_MANY_REQUESTS,
     HTTPStatus.SERVICE_UNAVAILABLE,
 })  # fmt: skip
 
 
 class NotExecutedReason(Enum):
-    """Why a broker certainly did not run a request."""
+    """Why a broker certainly did not execute a request."""
 
     UNREACHABLE = "unreachable"  # no connection was established, so no byte was sent
-    REJECTED = "rejected"  # the broker said that it did not run it
+    REJECTED = "rejected"  # the broker said that it did not execute the request
     OTHER_INSTANCE = "other_instance"  # another broker listens at this address
 
 
 @attrs.frozen
 class UpstreamRequest:
-    """A request as it is sent, except for the fields that differ by attempt."""
+    """A request as it is sent to brokers, without the header fields that differ between attempts."""
 
     request_id: str
     method: str
-    target: str  # path and query exactly as they came
+    target: str  # path and query exactly as received
     headers: CIMultiDict[str]
     body: bytes
     is_idempotent: bool = attrs.field(default=False, kw_only=True)  # its route allows several executions
@@ -56,7 +56,7 @@
 
 @attrs.frozen
 class NotExecuted:
-    """The broker certainly did not run the request; it may be sent again."""
+    """The broker certainly did not execute the request, which may be sent again."""
 
     reason: NotExecutedReason
     load: InstanceLoad | None = None
@@ -64,14 +64,14 @@
 
 @attrs.frozen
 class PossiblyExecuted:
-    """The request was sent, and no usable response came."""
+    """The request was sent, and no usable response was received."""
 
     fault: ResponseFault
 
 
 @attrs.frozen
 class ResponseStarted:
-    """The head of a response came; whoever gets this owns the response and closes it."""
+    """The headers of a response were received; the caller owns the response and must close it."""
 
     response: UpstreamResponse
 
@@ -82,7 +82,7 @@
 class UpstreamClient:
     """Sends requests to brokers over pooled connections; owned by the ``DataPlane``.
 
-    It never retries by itself, and never calls a request not executed without proof: no byte was sent, or the
+    It never retries by itself. It reports a request as not executed only if no byte of it was sent or the
     broker said so.
     """
 
@@ -92,7 +92,7 @@
         self._session: aiohttp.ClientSession | None = None
 
     async def start(self) -> None:
-        """Open the pool."""
+        """Open the connection pool."""
         trace = aiohttp.TraceConfig()
         trace.on_request_headers_sent.append(_mark_sent)
         self._connector = BrokerConnector(self._max_connections, self._max_connections)
@@ -107,22 +107,22 @@
         )
 
     async def stop(self) -> None:
-        """Close the pool; requests in flight fail as ``PossiblyExecuted``."""
+        """Close the connection pool; requests in flight fail as ``PossiblyExecuted``."""
         if self._session is not None:
             await self._session.close()
             self._session = None
 
     def limit_connections(self, max_per_broker: int) -> None:
-        """Bound the connections to each broker from now on."""
+        """Limit the connections per broker from now on."""
         if self._connector is not None:
             self._connector.set_limit(max_per_broker)
 
     async def send(
         self, broker: Broker, request: UpstreamRequest, remaining_s: float | None
     ) -> UpstreamResult:
-        """Send once and wait for the head of the response; the caller bounds the wait.
+        """Send once and wait for the response headers; the caller limits the wait.
 
-        ``remaining_s`` is what is left until the client's deadline; None: the broker is told none.
+        ``remaining_s`` is the time left until the client's deadline; if None, ``Deadline-Ms`` is not set.
         """
         if self._session is None:
             return NotExecuted(NotExecutedReason.UNREACHABLE)
@@ -145,7 +145,7 @@
     ) -> aiohttp.ClientResponse:
         assert self._session is not None
         host, _, port = broker.address.rpartition(":")
-        # The complete target as path, since the library would drop an empty query or a fragment.
+        # Passes the complete target as the path, since yarl would drop an empty query or a fragment.
         url = URL.build(scheme="http", host=host, port=int(port), path=request.target, encoded=True)
         return await self._session.request(
             request.method, url, headers=headers, data=request.body or None,
@@ -162,10 +162,10 @@
 
 
 async def _classify(response: aiohttp.ClientResponse, request_id: str) -> UpstreamResult:
-    """What a response means; one that is not to be forwarded is closed here.
+    """Classify a response; one that is not to be forwarded is closed here.
 
-    421 says by itself that the broker did not run the request (RFC 9110, 15.5.20), other statuses only
-    together with ``Not-Executed``; without it, the broker may have run the request before it answered so.
+    Status 421 alone says that the broker did not execute the request (RFC 9110, 15.5.20), other statuses only
+    together with ``Not-Executed``; without it, the broker may have executed the request before it responded.
     """
     upstream = UpstreamResponse(response)
     if response.headers.get(REQUEST_ID) != request_id:
@@ -184,7 +184,7 @@
 
 
 def _is_forwardable(response: aiohttp.ClientResponse) -> bool:
-    """Whether it may be forwarded: without content coding, and signed if it is a success."""
+    """Whether a response may be forwarded: it has no content coding, and is signed if it is a success."""
     headers = response.headers
     if "Content-Encoding" in headers or not 200 <= response.status < 600:
         return False
--- a/cherrycove/tier/dataplane/upstream_response.py
+++ b/cherrycove/tier/dataplane/upstream_response.py
@@ -1,4 +1,4 @@
-"""A response of a broker whose head has come, and the faults of one that does not come completely."""
+"""A broker's response whose headers were received, and the faults that make a response unusable."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 from cherrycove.tier.dataplane.errors import DataPlaneError
 from cherrycove.tier.dataplane.headers import parse_instance_load
 
-MAX_BUFFERED_BYTES = 32 * 1024 * 1024  # of a body that is read as one piece
+MAX_BUFFERED_BYTES = 32 * 1024 * 1024  # of a body that is not streamed
 DISCARD_TIMEOUT_S = 0.05
 MAX_DISCARDED_BYTES = 64 * 1024
 
 
 class ResponseFault(Enum):
-    """What is wrong with a response; the fault is the broker's or its connection's."""
+    """What is wrong with a response, caused by the broker or its connection."""
 
-    CLOSED = "closed"  # reset or closed before its end
-    MALFORMED = "malformed"  # what came is not a response to the request
+    CLOSED = "closed"  # the connection was reset or closed before the end
+    MALFORMED = "malformed"  # not a valid response to the request
 
 
 class IncompleteResponseError(DataPlaneError):
-    """A response did not come completely; the fault is the broker's or its connection's."""
+    """A response was not received completely, because of the broker or its connection."""
 
     def __init__(self, fault: ResponseFault, detail: str = "") -> None:
-        super().__init__(f"{fault.value} {detail}")
+        super().__init__(f"response {fault.value}: {detail}")
         self.fault = fault
 
 
 class UpstreamResponse:
-    """A response whose body is read once, by the attempt that owns it; ``close`` must follow in any case."""
+    """A response whose body is read once, by the attempt that owns it, which must always ``close`` it."""
 
     def __init__(self, response: aiohttp.ClientResponse) -> None:
         self._response = response
@@ -43,7 +43,7 @@
 
     @property
     def is_framed(self) -> bool:
-        """Whether its end is marked (RFC 9112, 6.3); if not, an orderly end of its connection is its end."""
+        """Whether the framing marks the end (RFC 9112, 6.3); if not, the connection's orderly close does."""
         coding = self.headers.get("Transfer-Encoding", "").lower()
         return "Content-Length" in self.headers or "chunked" in coding
 
@@ -58,19 +58,21 @@
         return self.headers.get("Content-Type", "").partition(";")[0].strip().lower()
 
     async def read_chunk(self) -> bytes:
-        """More of the body as it comes; empty only after its end. Raises ``IncompleteResponseError``."""
+        """Return the next bytes of the body; empty only at its end. Raises ``IncompleteResponseError``."""
         try:
             return await self._response.content.readany()
         except (aiohttp.ClientError, OSError) as error:
             raise IncompleteResponseError(ResponseFault.CLOSED, str(error)) from error
 
     async def read(self) -> bytes:
-        """The complete body. Raises ``IncompleteResponseError``, also where it is too long."""
+        """Return the complete body. Raises ``IncompleteResponseError``, also if the body is too long."""
         body = bytearray()
         while chunk := await self.read_chunk():
             body += chunk
             if len(body) > MAX_BUFFERED_BYTES:
-                raise IncompleteResponseError(ResponseFault.MALFORMED, "the answer is too long")
+                raise IncompleteResponseError(
+                    ResponseFault.MALFORMED, f"body exceeds {MAX_BUFFERED_BYTES} bytes"
+                )
         return bytes(body)
 
     async def discard(self) -> None:
@@ -81,7 +83,7 @@
         self.close()
 
     def close(self) -> None:
-        """Return the connection to the pool if the response has come to its end, else close it."""
+        """Return the connection to the pool if the response was read to its end, else close it."""
         if not self._response.content.is_eof():
             self._response.close()
         self._response.release()
--- a/tests/tier/dataplane_harness.py
+++ b/tests/tier/dataplane_harness.py
@@ -1,4 +1,4 @@
-"""A data plane on loopback between raw clients and toy brokers, for tests of whole exchanges."""
+"""A data plane on loopback between raw TCP clients and toy brokers, for tests of complete exchanges."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from examples.toy_broker import ToyBroker
 
 HOST = "nony24.example"
-TIMEOUT_S = 10.0  # of a test's waits; nothing takes that long unless it fails
+TIMEOUT_S = 10.0  # for the waits of a test; reached only if the test fails
 
 
 def route(name: str, prefix: str, kind: str, **fields: Any) -> dict[str, Any]:
@@ -53,16 +53,16 @@
 
 @attrs.define
 class Reply:
-    """An answer as a client read it."""
+    """A response as a client read it."""
 
     status: int
     headers: dict[str, str]  # names in lower case
     body: bytes
-    complete: bool  # whether its framing ended
+    complete: bool  # whether the end of its framing was received
 
 
 class Client:
-    """One connection of a client."""
+    """One client connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -88,7 +88,7 @@
         return int(first.split(" ")[1]), headers
 
     async def chunk(self) -> bytes:
-        """One chunk of a body; empty at its end."""
+        """Read one chunk of a body; empty at the end of the body."""
         size = int(await self.reader.readuntil(b"\r\n"), 16)
         data = await self.reader.readexactly(size + 2)
         return data[:-2]
@@ -117,7 +117,7 @@
 
 @attrs.define(eq=False)
 class DataPlaneHarness:
-    """Starts the toy brokers and a data plane that knows them."""
+    """Starts the toy brokers, and a data plane with these brokers in its cluster view."""
 
     brokers: list[ToyBroker]
     document: bytes | None = attrs.field(factory=configuration_bytes)
@@ -152,7 +152,7 @@
     def update_cluster_view(
         self, document: bytes | None = None, listed: list[ToyBroker] | None = None
     ) -> None:
-        """Replace what the data plane knows."""
+        """Replace the configuration, if ``document`` is given, and the listed brokers, by default all."""
         self.document = document or self.document
         if self.document is not None:
             self.cluster_view.configuration = parse_configuration(self.document).unwrap()
@@ -168,14 +168,14 @@
         return client
 
     async def request(self, target: str, body: bytes = b"", **options: Any) -> Reply:
-        """One request over a new connection."""
+        """Send one request over a new connection and read the response."""
         return await (await self.client()).request(target, body, **options)
 
     async def readiness(self) -> int:
         return (await self._request_readiness_address("/api/readiness")).status
 
     async def losses(self) -> Any:
-        """The document of losses that the proxy serves."""
+        """The document of losses that the proxy serves on its readiness address."""
         return json.loads((await self._request_readiness_address("/api/losses")).body)
 
     async def _request_readiness_address(self, target: str) -> Reply:
--- a/tests/tier/test_dataplane_bounds.py
+++ b/tests/tier/test_dataplane_bounds.py
@@ -1,4 +1,4 @@
-"""Bounds on one request: the time handed to brokers, the brokers it runs at, its final answer, its fields."""
+"""Limits of one request: its deadline at brokers, the number of attempts, its final response, its fields."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from examples.toy_broker import Received, Script, ToyBroker, Wire, stream
 
 TIMEOUT_MS = 3000
-AHEAD_S = 1.0  # by which a test moves the clock
+CLOCK_ADVANCE_S = 1.0  # by which a test advances the clock of the event loop
 
 
-def moved_clock() -> Callable[[float], None]:
-    """Lets a test move the clock of its event loop ahead."""
+def adjustable_clock() -> Callable[[float], None]:
+    """Replace the clock of the running event loop; the returned function advances it by some seconds."""
     loop = asyncio.get_running_loop()
-    true_time, ahead = loop.time, [0.0]
-    loop.time = lambda: true_time() + ahead[0]  # type: ignore[method-assign]
+    real_time, offset_s = loop.time, [0.0]
+    loop.time = lambda: real_time() + offset_s[0]  # type: ignore[method-assign]
 
-    def move(seconds: float) -> None:
-        ahead[0] += seconds
+    def advance(seconds: float) -> None:
+        offset_s[0] += seconds
 
-    return move
+    return advance
 
 
 async def reset(wire: Wire, request: Received) -> None:
@@ -36,51 +36,55 @@
     await wire.answer(request, b"why", "500 Internal Server Error")
 
 
-def given(harness: DataPlaneHarness) -> list[int]:
-    """The times that brokers were handed, by their coming."""
+def sent_deadlines_ms(harness: DataPlaneHarness) -> list[int]:
+    """The values of ``Deadline-Ms`` that brokers received, in decreasing order."""
     received = [request for broker in harness.brokers for request in broker.received]
     return sorted((int(request.headers["deadline-ms"]) for request in received), reverse=True)
 
 
-@pytest.mark.parametrize(("asked", "most"), [("1000", 1000), ("60000", TIMEOUT_MS), (None, TIMEOUT_MS)])
-def test_a_broker_is_handed_what_the_client_and_the_route_leave(asked: str | None, most: int) -> None:
-    async def story() -> None:
+@pytest.mark.parametrize(
+    ("client_timeout_ms", "expected_max_ms"), [("1000", 1000), ("60000", TIMEOUT_MS), (None, TIMEOUT_MS)]
+)
+def test_broker_deadline_is_the_smaller_of_client_and_route_timeout(
+    client_timeout_ms: str | None, expected_max_ms: int
+) -> None:
+    async def scenario() -> None:
         async with DataPlaneHarness([ToyBroker()]) as harness:
-            fields = f"Deadline-Ms: {asked}\r\n" if asked is not None else ""
+            fields = f"Deadline-Ms: {client_timeout_ms}\r\n" if client_timeout_ms is not None else ""
             client = await harness.client()
             client.writer.write(
                 f"POST /again/x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: r1\r\n{fields}"
                 "Content-Length: 0\r\n\r\n".encode()
             )
             assert (await client.reply()).status == 200
-            assert most - 500 < given(harness)[0] <= most
+            assert expected_max_ms - 500 < sent_deadlines_ms(harness)[0] <= expected_max_ms
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("target", ["/again/x", "/resume/x"])
-def test_a_second_broker_is_handed_only_what_is_left(target: str) -> None:
-    async def story() -> None:
-        move = moved_clock()
+def test_second_broker_gets_the_remaining_deadline(target: str) -> None:
+    async def scenario() -> None:
+        advance = adjustable_clock()
 
         async def late_reset(wire: Wire, request: Received) -> None:
-            move(AHEAD_S)
+            advance(CLOCK_ADVANCE_S)
             wire.reset()
 
         brokers = [ToyBroker("i-1", script=stream(2)), ToyBroker("i-2", script=stream(2))]
         brokers[0].scripts = brokers[1].scripts = [late_reset]
         async with DataPlaneHarness(brokers) as harness:
             assert (await harness.request(target)).status == 200
-            first, second = given(harness)
-            assert second <= first - AHEAD_S * 1000
+            first, second = sent_deadlines_ms(harness)
+            assert second <= first - CLOCK_ADVANCE_S * 1000
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("script", [reset, failing, stream(4, breaks_after=2)])
 @pytest.mark.parametrize("attempts", [1, 2, 3])
-def test_a_request_runs_at_no_more_brokers_than_its_route_allows(script: Script, attempts: int) -> None:
-    async def story() -> None:
+def test_request_is_executed_at_most_max_attempts_times(script: Script, attempts: int) -> None:
+    async def scenario() -> None:
         kinds = (("again", "idempotent", False), ("resume", "streaming", True))
         routes = [
             route(name, f"/{name}/", kind, maxAttempts=attempts, resumable=resumable)
@@ -91,37 +95,37 @@
             for name, _, _ in kinds:
                 reply = await harness.request(f"/{name}/x")
                 assert reply.status != 503
-                ran = [request for broker in brokers for request in broker.received]
-                assert 1 <= len(ran) <= attempts
+                executed = [request for broker in brokers for request in broker.received]
+                assert 1 <= len(executed) <= attempts
                 for broker in brokers:
                     broker.received.clear()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_at_the_time_out_of_its_route_a_request_that_waits_is_told_to_come_back() -> None:
-    async def story() -> None:
-        move, release = moved_clock(), asyncio.Event()
+def test_pending_request_gets_503_with_retry_after_at_its_route_timeout() -> None:
+    async def scenario() -> None:
+        advance, release = adjustable_clock(), asyncio.Event()
 
-        async def held(wire: Wire, request: Received) -> None:
+        async def wait_for_release(wire: Wire, request: Received) -> None:
             await release.wait()
             await wire.answer(request, b"")
 
         routes = [
             route("again", "/again/", "idempotent", timeoutMs=60_000, targetLatencyMs=60_000),
-            route("brief", "/brief/", "idempotent", timeoutMs=20_000, targetLatencyMs=60_000),
+            route("short", "/short/", "idempotent", timeoutMs=20_000, targetLatencyMs=60_000),
         ]
-        patient = {"Deadline-Ms": "60000"}
-        broker = ToyBroker(slots=1, script=held)
+        long_deadline = {"Deadline-Ms": "60000"}
+        broker = ToyBroker(slots=1, script=wait_for_release)
         async with DataPlaneHarness([broker], document=configuration_bytes(routes)) as harness:
             first, waiting = await harness.client(), await harness.client()
-            await first.send("/again/x", headers=patient)
+            await first.send("/again/x", headers=long_deadline)
             await broker.wait_received()
-            await waiting.send("/brief/x", headers=patient)
+            await waiting.send("/short/x", headers=long_deadline)
             async with asyncio.timeout(TIMEOUT_S + 21.0):
                 while not harness.data_plane._admission._pending:
                     await asyncio.sleep(0)
-                move(20.5)
+                advance(20.5)
                 await harness.readiness()
                 reply = await waiting.reply()
             assert reply.status == 503 and float(reply.headers["retry-after"]) > 0
@@ -129,11 +133,11 @@
             assert (await first.reply()).status == 200
             assert [each.target for each in broker.received] == ["/again/x"]
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_what_a_request_says_of_its_prompt_reaches_every_broker_unchanged() -> None:
-    async def story() -> None:
+def test_prompt_headers_reach_every_broker_unchanged() -> None:
+    async def scenario() -> None:
         fields = {
             "Model": "m-1; x", "Token-Usage": "1460,80", "Prompt-Prefix": "5c1e07a2:800,91bd3f06:410",
             "Expect-Version": "3",
@@ -150,11 +154,11 @@
                 assert sent == ("POST", "/resume/a?b=%20", b"\0body")
                 assert {name: request.headers[name.lower()] for name in fields} == fields
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_a_broker_with_other_weights_is_passed_over_and_stays_as_good_for_others() -> None:
-    async def story() -> None:
+def test_version_mismatch_skips_a_broker_for_that_request_only() -> None:
+    async def scenario() -> None:
         async def other_weights(wire: Wire, request: Received) -> None:
             if "expect-version" in request.headers:
                 await wire.head(request, "421 Misdirected Request", Content_Length="0", Versions="1")
@@ -172,20 +176,20 @@
             assert (await harness.request("/once/x")).body == b"old"
             assert any("expect-version" in request.headers for request in brokers[0].received)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_a_stream_that_has_begun_waits_for_a_broker_as_long_as_it_has_time() -> None:
-    async def story() -> None:
-        move, unlisted = moved_clock(), asyncio.Event()
+def test_begun_stream_waits_for_a_broker_until_its_deadline() -> None:
+    async def scenario() -> None:
+        advance, unlisted = adjustable_clock(), asyncio.Event()
 
-        async def breaks(wire: Wire, request: Received) -> None:
+        async def break_after_first_event(wire: Wire, request: Received) -> None:
             await wire.stream_head(request)
             await wire.event(1, "word 1")
             await unlisted.wait()
             wire.reset()
 
-        first, second = ToyBroker("i-1", script=breaks), ToyBroker("i-2", script=stream(4))
+        first, second = ToyBroker("i-1", script=break_after_first_event), ToyBroker("i-2", script=stream(4))
         async with DataPlaneHarness([first, second]) as harness, asyncio.timeout(TIMEOUT_S):
             harness.update_cluster_view(listed=[first])
             client = await harness.client()
@@ -196,7 +200,7 @@
             unlisted.set()
             while not harness.data_plane._admission._pending:
                 await asyncio.sleep(0)
-            move(0.5)  # no broker can be reached for longer than a request is held for that
+            advance(0.5)  # longer than a request is held while no broker is reachable
             while harness.data_plane._admission._pending:
                 await harness.readiness()
             harness.update_cluster_view(listed=[second])
@@ -204,11 +208,11 @@
                 text += chunk
             assert text == events(1, 4)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_without_a_configuration_nothing_is_said_not_to_exist() -> None:
-    async def story() -> None:
+def test_without_a_configuration_every_request_gets_503_instead_of_404() -> None:
+    async def scenario() -> None:
         async with DataPlaneHarness([ToyBroker()], document=None) as harness:
             harness.data_plane.attach_batch(RecordingBatchApi())
             for method, target in (
@@ -218,11 +222,11 @@
                 reply = await harness.request(target, method=method)
                 assert reply.status == 503 and float(reply.headers["retry-after"]) > 0
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_calls_for_batch_jobs_are_known_by_their_path_whatever_routes_there_are() -> None:
-    async def story() -> None:
+def test_batch_api_calls_are_recognised_by_path_despite_a_catch_all_route() -> None:
+    async def scenario() -> None:
         routes = [
             route("all", "/", "idempotent"),
             route("lots", "/lots/", "batch", timeoutMs=60000, completionTargetMs=8000, retentionS=60),
@@ -236,11 +240,11 @@
             assert (await harness.request("/else/x")).status == 200
             assert [call[0] for call in api.calls] == ["GET", "GET", "DELETE"]
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_a_request_under_way_is_not_cut_by_a_configuration_without_its_route() -> None:
-    async def story() -> None:
+def test_open_stream_survives_removal_of_its_route_and_broker() -> None:
+    async def scenario() -> None:
         release = asyncio.Event()
 
         async def script(wire: Wire, request: Received) -> None:
@@ -266,4 +270,4 @@
                 assert await client.chunk() == events(2, 2)
                 assert await client.chunk() == b""
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/tier/test_dataplane_parts.py
+++ b/tests/tier/test_dataplane_parts.py
@@ -1,4 +1,4 @@
-"""Small pure parts of the data plane: events, headers, prompts, arrivals, and what admission learns."""
+"""Units of the data plane without I/O: events, headers, prompts, arrival rates, and admission estimates."""
 
 from __future__ import annotations
 
@@ -29,22 +29,22 @@
 
 
 @given(st.lists(st.integers(0, len(STREAM)), max_size=8))
-def test_events_are_cut_out_wherever_their_bytes_are_parted(places: list[int]) -> None:
-    cuts = [0, *sorted(places), len(STREAM)]
-    splitter, events = EventStreamParser(), []
+def test_events_are_parsed_wherever_chunks_are_split(cut_positions: list[int]) -> None:
+    cuts = [0, *sorted(cut_positions), len(STREAM)]
+    parser, events = EventStreamParser(), []
     for start, end in zip(cuts, cuts[1:], strict=False):
-        events += splitter.feed(STREAM[start:end])
-    assert b"".join(event.raw for event in events) == STREAM and splitter.incomplete == b""
+        events += parser.feed(STREAM[start:end])
+    assert b"".join(event.raw for event in events) == STREAM and parser.incomplete == b""
     assert [event.id for event in events] == [1, 2, None, 3]
     assert [event.data for event in events] == [b"a", b"b\nc", None, b"d"]
 
 
-def test_an_unfinished_event_stays_pending() -> None:
-    splitter = EventStreamParser()
-    assert splitter.feed(b"id: 1\ndata: a\n") == [] and splitter.incomplete
+def test_unfinished_event_stays_incomplete() -> None:
+    parser = EventStreamParser()
+    assert parser.feed(b"id: 1\ndata: a\n") == [] and parser.incomplete
 
 
-def test_fields_of_one_connection_are_not_passed_on() -> None:
+def test_hop_by_hop_fields_are_not_forwarded() -> None:
     headers = CIMultiDict({
         "Connection": "close, X-Hop", "x-hop": "1", "Keep-Alive": "timeout=5", "Transfer-Encoding": "chunked",
         "Content-Length": "3", "Model": "m", "Upgrade": "h2c",
@@ -54,7 +54,7 @@
     assert list(end_to_end_headers(headers).items()) == [("Model", "m"), ("X-Two", "1"), ("X-Two", "2")]
 
 
-def test_numbers_in_fields_are_read_or_count_as_absent() -> None:
+def test_invalid_numbers_in_fields_count_as_absent() -> None:
     assert parse_instance_load({"Instance-Load": "3, 0,8"}) == InstanceLoad(3, 0, 8)
     for text in ("", "3,0", "3,0,x", "3,0,-8", "1,2,3,4", "\u0663,0,8x"):
         assert parse_instance_load({"Instance-Load": text}) is None
@@ -63,7 +63,7 @@
     assert parse_keep_alive_s({"Keep-Alive": "max=3"}) is None and parse_keep_alive_s({}) is None
 
 
-def test_a_prompt_is_read_from_its_fields() -> None:
+def test_prompt_is_parsed_from_its_header_fields() -> None:
     prompt = parse_prompt({"Token-Usage": "1460,80", "Prompt-Prefix": "5c1e:800,91bd:410,e440:250"})
     assert prompt == Prompt(
         (PromptSegment("5c1e", 800), PromptSegment("91bd", 410), PromptSegment("e440", 250)), 1460, 80
@@ -76,7 +76,7 @@
     )
 
 
-def test_rates_of_arrivals_fade() -> None:
+def test_arrival_rates_expire() -> None:
     arrivals = ArrivalRates()
     assert arrivals.per_second(0.0) == {}
     for number in range(20):
@@ -85,7 +85,7 @@
     assert arrivals.per_second(20.0) == {}
 
 
-def test_a_part_counts_as_kept_only_with_all_before_it() -> None:
+def test_segment_counts_as_cached_only_with_all_preceding_segments() -> None:
     cache = PrefixCacheEstimate(1000)
     first = Prompt((PromptSegment("a", 300), PromptSegment("b", 200), PromptSegment("own", 50)), 550, 10)
     cache.add(first)
@@ -96,18 +96,20 @@
     assert cache.cached_tokens(first) == 0
 
 
-def test_proxies_agree_on_the_place_of_a_part_and_losses_move_only_its_own() -> None:
+def test_segment_placement_is_deterministic_and_stable_when_a_broker_is_removed() -> None:
     names = [f"i-{number}" for number in range(6)]
-    places = {number: preferred_broker(PromptSegment(f"p{number}", 1), names) for number in range(200)}
-    assert set(places.values()) == set(names)
+    broker_by_segment = {
+        number: preferred_broker(PromptSegment(f"p{number}", 1), names) for number in range(200)
+    }
+    assert set(broker_by_segment.values()) == set(names)
     fewer = names[:-1]
-    for number, place in places.items():
-        if place in fewer:
-            assert preferred_broker(PromptSegment(f"p{number}", 1), reversed(fewer)) == place
+    for number, broker in broker_by_segment.items():
+        if broker in fewer:
+            assert preferred_broker(PromptSegment(f"p{number}", 1), reversed(fewer)) == broker
     assert preferred_broker(PromptSegment("p", 1), []) is None
 
 
-def test_load_counts_what_was_sent_since_the_report_and_forgets_old_reports() -> None:
+def test_load_estimate_adds_requests_since_the_report_and_discounts_old_reports() -> None:
     load = LoadEstimate(slots=10)
     assert load.total_requests(0.0, 4) == 0.0
     load.in_flight = 2
@@ -122,7 +124,7 @@
     assert load.free_slots(30.01, 4) == 0.0 and load.free_slots(30.2, 4) > 5.0
 
 
-def test_the_speed_of_reading_is_learned_from_long_prompts() -> None:
+def test_prefill_speed_is_estimated_from_long_prompts() -> None:
     latency = LatencyEstimate()
     for _ in range(100):
         latency.record_first_event(0.04, 500)
@@ -153,15 +155,15 @@
     return decision.retry_after_s
 
 
-def test_a_rejection_says_what_decided_it() -> None:
-    late = LatencyForecast(queue_wait_s=1.0, first_event_s=0.05, is_reachable=True, is_retry=False)
-    nowhere = LatencyForecast(queue_wait_s=0.0, first_event_s=0.05, is_reachable=False, is_retry=False)
+def test_rejection_states_its_reason() -> None:
+    too_slow = LatencyForecast(queue_wait_s=1.0, first_event_s=0.05, is_reachable=True, is_retry=False)
+    unreachable = LatencyForecast(queue_wait_s=0.0, first_event_s=0.05, is_reachable=False, is_retry=False)
     reasons = [
         decision and decision.reason
         for decision in (
-            rejection(admission_request(), 10.0, late),
-            rejection(admission_request(), 10.1, nowhere),
-            rejection(admission_request(), 13.0, late),
+            rejection(admission_request(), 10.0, too_slow),
+            rejection(admission_request(), 10.1, unreachable),
+            rejection(admission_request(), 13.0, too_slow),
         )
     ]
     assert reasons == [
@@ -171,15 +173,15 @@
     ]
 
 
-def test_a_refusal_comes_at_once_or_not_at_all() -> None:
-    late = LatencyForecast(queue_wait_s=1.0, first_event_s=0.05, is_reachable=True, is_retry=False)
-    assert retry_after_s(admission_request(), 10.0, late) == 0.3 * 6.0
-    assert retry_after_s(admission_request(), 10.1, late) is None
+def test_rejection_by_forecast_happens_on_arrival_or_not_at_all() -> None:
+    too_slow = LatencyForecast(queue_wait_s=1.0, first_event_s=0.05, is_reachable=True, is_retry=False)
+    assert retry_after_s(admission_request(), 10.0, too_slow) == 0.3 * 6.0
+    assert retry_after_s(admission_request(), 10.1, too_slow) is None
     in_time = LatencyForecast(queue_wait_s=0.1, first_event_s=0.05, is_reachable=True, is_retry=False)
     assert retry_after_s(admission_request(), 10.0, in_time) is None
-    returned = LatencyForecast(queue_wait_s=1.0, first_event_s=0.05, is_reachable=True, is_retry=True)
-    assert retry_after_s(admission_request(), 10.0, returned) is None
-    hopeless = LatencyForecast(queue_wait_s=9.0, first_event_s=0.05, is_reachable=True, is_retry=True)
-    assert retry_after_s(admission_request(), 10.0, hopeless) == 0.3 * 6.0
+    retried = LatencyForecast(queue_wait_s=1.0, first_event_s=0.05, is_reachable=True, is_retry=True)
+    assert retry_after_s(admission_request(), 10.0, retried) is None
+    far_too_slow = LatencyForecast(queue_wait_s=9.0, first_event_s=0.05, is_reachable=True, is_retry=True)
+    assert retry_after_s(admission_request(), 10.0, far_too_slow) == 0.3 * 6.0
     assert retry_after_s(admission_request(), 13.0, in_time) is not None
     assert retry_after_s(admission_request(attempts=1), 13.0, in_time) is None
--- a/tests/tier/test_dataplane_wire.py
+++ b/tests/tier/test_dataplane_wire.py
@@ -1,4 +1,4 @@
-"""What brokers put on the wire: ends without a length, early answers, strays, breaks within an event."""
+"""Unusual broker responses: without a length, early, duplicate or unexpected, interrupted within an event."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from cherrycove.tier.dataplane.connection_pool import BrokerConnection
 from examples.toy_broker import SIGNATURE, Received, Script, ToyBroker, Wire, stream
 
-LONG_BODY = bytes(range(256)) * 32 * 1024  # 8 MiB: more than the sockets between a proxy and a broker hold
+LONG_BODY = bytes(range(256)) * 32 * 1024  # 8 MiB: exceeds the socket buffers between a proxy and a broker
 SMALL_BUFFER = 4096
 LARGE_BUFFER = 1024 * 1024
 STREAM = "text/event-stream"
@@ -29,7 +29,7 @@
 
 
 def unframed(body: bytes, release: asyncio.Event | None = None, media: str = STREAM) -> Script:
-    """An answer without a length: ended by an orderly close or, once ``release`` is set, by a reset."""
+    """A response without a length: ends with an orderly close, or with a reset once ``release`` is set."""
 
     async def script(wire: Wire, request: Received) -> None:
         await wire.head(request, Response_Signature=SIGNATURE, Content_Type=media)
@@ -42,12 +42,12 @@
     return script
 
 
-# Answers without a length
+# Responses without a length
 
 
 @pytest.mark.parametrize("target", ("/once/x", "/again/x"))
-def test_an_answer_without_a_length_is_whole_where_its_connection_ends_in_order(target: str) -> None:
-    async def story() -> None:
+def test_unframed_response_is_complete_after_an_orderly_close(target: str) -> None:
+    async def scenario() -> None:
         async with DataPlaneHarness([ToyBroker(script=unframed(b"whole", media="text/plain"))]) as harness:
             for _ in range(2):
                 reply = await harness.request(target)
@@ -55,21 +55,21 @@
                 assert reply.headers["response-signature"] == SIGNATURE
             assert len(harness.brokers[0].received) == 2
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("target", ("/stream/x", "/resume/x"))
-def test_a_stream_without_a_length_is_whole_where_its_connection_ends_in_order(target: str) -> None:
-    async def story() -> None:
+def test_unframed_stream_is_complete_after_an_orderly_close(target: str) -> None:
+    async def scenario() -> None:
         async with DataPlaneHarness([ToyBroker(script=unframed(events(1, 2)))]) as harness:
             reply = await harness.request(target)
             assert (reply.status, reply.body, reply.complete) == (200, events(1, 2), True)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_an_answer_without_a_length_that_is_reset_is_none() -> None:
-    async def story() -> None:
+def test_unframed_response_that_is_reset_gets_502() -> None:
+    async def scenario() -> None:
         release = asyncio.Event()
         release.set()
         script = unframed(b"half", release, "text/plain")
@@ -78,11 +78,11 @@
             assert reply.status == 502 and "response-signature" not in reply.headers
             assert len(harness.brokers[0].received) == 1
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_a_stream_without_a_length_that_is_reset_does_not_look_complete() -> None:
-    async def story() -> None:
+def test_unframed_stream_that_is_reset_is_not_terminated() -> None:
+    async def scenario() -> None:
         release = asyncio.Event()
         script = unframed(events(1, 2), release)
         async with DataPlaneHarness([ToyBroker(script=script)]) as harness, asyncio.timeout(TIMEOUT_S):
@@ -91,13 +91,13 @@
             assert (await client.head())[0] == 200
             assert await client.chunk() == events(1, 2)
             release.set()
-            assert await client.reader.read() == b""  # the end, without the chunk that ends a body
+            assert await client.reader.read() == b""  # the end of the connection, without the last chunk
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_a_stream_of_http_1_0_that_breaks_off_is_reset_at_the_client_too() -> None:
-    async def story() -> None:
+def test_interrupted_stream_to_an_http_1_0_client_is_reset() -> None:
+    async def scenario() -> None:
         release = asyncio.Event()
         script = unframed(events(1, 2), release)
         async with DataPlaneHarness([ToyBroker(script=script)]) as harness, asyncio.timeout(TIMEOUT_S):
@@ -112,21 +112,21 @@
             with pytest.raises(ConnectionResetError):
                 await client.reader.read()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_a_stream_without_a_length_that_ends_within_an_event_does_not_look_complete() -> None:
-    async def story() -> None:
+def test_unframed_stream_that_ends_within_an_event_is_not_terminated() -> None:
+    async def scenario() -> None:
         script = unframed(events(1, 2) + b"id: 3\ndata: wo")
         async with DataPlaneHarness([ToyBroker(script=script)]) as harness, asyncio.timeout(TIMEOUT_S):
             reply = await harness.request("/stream/x")
             assert (reply.status, reply.complete) == (200, False)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_a_resumable_stream_without_a_length_that_is_reset_goes_on_elsewhere() -> None:
-    async def story() -> None:
+def test_unframed_resumable_stream_that_is_reset_continues_at_another_broker() -> None:
+    async def scenario() -> None:
         brokers = [ToyBroker("i-1"), ToyBroker("i-2")]
         release = asyncio.Event()
         brokers[0].scripts = brokers[1].scripts = [unframed(events(1, 2), release), stream(4)]
@@ -141,100 +141,103 @@
                 text += piece
             assert text == events(3, 4)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-# Answers before the whole of a long body
+# Responses before a long request body has been read
 
 
 @attrs.define(eq=False)
 class EarlyBroker(ToyBroker):
-    """Answers once the head is in, and reads on only when told to; keeps what comes on each connection."""
+    """Responds after the request headers, and reads the body only once ``read_on`` is set.
 
-    heads: tuple[bytes, ...] = ()  # of its connections, in turn
+    Keeps the bytes received on each connection.
+    """
+
+    response_heads: tuple[bytes, ...] = ()  # one per connection, in turn
     read_on: asyncio.Event = attrs.field(factory=asyncio.Event)
-    came: list[bytearray] = attrs.field(factory=list)
+    received_bytes: list[bytearray] = attrs.field(factory=list)
     ended: asyncio.Queue[int] = attrs.field(factory=asyncio.Queue)
 
     async def start(self) -> None:
-        place = socket.socket()
-        place.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
-        place.bind(("127.0.0.1", 0))
-        self._server = await asyncio.start_server(self._serve, sock=place, limit=SMALL_BUFFER)
-        self.address = f"127.0.0.1:{place.getsockname()[1]}"
+        listener = socket.socket()
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
+        listener.bind(("127.0.0.1", 0))
+        self._server = await asyncio.start_server(self._serve, sock=listener, limit=SMALL_BUFFER)
+        self.address = f"127.0.0.1:{listener.getsockname()[1]}"
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        number = len(self.came)
-        self.came.append(bytearray())
+        number = len(self.received_bytes)
+        self.received_bytes.append(bytearray())
         head = await reader.readuntil(b"\r\n\r\n")
-        self.came[number] += head
+        self.received_bytes[number] += head
         fields = {name.lower(): value.strip() for name, _, value in (
             line.partition(":") for line in head.decode().split("\r\n")[1:-2])}  # fmt: skip
-        writer.write(self.heads[number % len(self.heads)] % fields["request-id"].encode())
+        writer.write(self.response_heads[number % len(self.response_heads)] % fields["request-id"].encode())
         await writer.drain()
         await self.read_on.wait()
         writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, LARGE_BUFFER)
         try:
             while piece := await reader.read(65536):
-                self.came[number] += piece
+                self.received_bytes[number] += piece
         except ConnectionError:
             pass
         writer.close()
         self.ended.put_nowait(number)
 
 
-REFUSED = b"HTTP/1.1 503 Full\r\nRequest-Id: %s\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
-FAILED = b"HTTP/1.1 500 Early\r\nRequest-Id: %s\r\nResponse-Signature: s\r\nContent-Length: 3\r\n\r\nwhy"
+REJECTED_HEAD = b"HTTP/1.1 503 Full\r\nRequest-Id: %s\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
+FAILED_HEAD = b"HTTP/1.1 500 Early\r\nRequest-Id: %s\r\nResponse-Signature: s\r\nContent-Length: 3\r\n\r\nwhy"
 
 
-@pytest.mark.parametrize("heads", ((FAILED,), (REFUSED, FAILED)))
-def test_behind_an_early_answer_nothing_but_the_rest_of_the_body_is_sent(heads: tuple[bytes, ...]) -> None:
-    """A refused request is sent again; a failed one is answered."""
+@pytest.mark.parametrize("heads", ((FAILED_HEAD,), (REJECTED_HEAD, FAILED_HEAD)))
+def test_after_an_early_response_only_the_rest_of_the_body_is_sent(heads: tuple[bytes, ...]) -> None:
+    """A rejected request is retried; the response to a failed one is forwarded."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         document = configuration_bytes(maxBodyBytes=2 * len(LONG_BODY))
-        broker = EarlyBroker(heads=heads)
+        broker = EarlyBroker(response_heads=heads)
         async with DataPlaneHarness([broker], document=document) as harness, asyncio.timeout(TIMEOUT_S):
             for number in (1, 2):
-                patience = {"Request-Id": f"r{number}", "Deadline-Ms": "60000"}
-                reply = await harness.request("/once/x", LONG_BODY, headers=patience)
+                headers = {"Request-Id": f"r{number}", "Deadline-Ms": "60000"}
+                reply = await harness.request("/once/x", LONG_BODY, headers=headers)
                 assert (reply.status, reply.body) == (500, b"why")
             broker.read_on.set()
-            assert len(broker.came) == 2 * len(heads)
-            for _ in broker.came:
+            assert len(broker.received_bytes) == 2 * len(heads)
+            for _ in broker.received_bytes:
                 await broker.ended.get()
-            for came in broker.came:
-                _, _, body = bytes(came).partition(b"\r\n\r\n")
+            for received in broker.received_bytes:
+                _, _, body = bytes(received).partition(b"\r\n\r\n")
                 assert LONG_BODY.startswith(body)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-# Bytes that belong to no request
+# Unexpected responses and bytes
 
 
-def stray_answer(body: bytes, identity: str = "other") -> bytes:
+def unexpected_response(body: bytes, request_id: str = "other") -> bytes:
     return (
-        f"HTTP/1.1 200 OK\r\nRequest-Id: {identity}\r\nResponse-Signature: stray\r\n"
+        f"HTTP/1.1 200 OK\r\nRequest-Id: {request_id}\r\nResponse-Signature: stray\r\n"
         f"Content-Length: {len(body)}\r\n\r\n"
     ).encode() + body
 
 
-STRAYS = (
-    stray_answer(b"late"),
-    stray_answer(b"late" * 100_000),
+UNEXPECTED_BYTES = (
+    unexpected_response(b"late"),
+    unexpected_response(b"late" * 100_000),
     b"HTTP/1.1 200 OK\r\nResponse-Signature: stray\r\nContent-Length: 4\r\n\r\nlate",
     b"\x00\x01 these bytes are no answer\r\n\r\n",
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nla",
 )
 
 
-@pytest.mark.parametrize("stray", STRAYS)
-def test_what_waits_on_an_idle_connection_ends_it_before_it_is_used_again(stray: bytes) -> None:
-    async def story() -> None:
+@pytest.mark.parametrize("unexpected", UNEXPECTED_BYTES)
+def test_unexpected_bytes_on_an_idle_connection_prevent_its_reuse(unexpected: bytes) -> None:
+    async def scenario() -> None:
         async def script(wire: Wire, request: Received) -> None:
             await wire.answer(request, request.body)
-            wire.writer.write(stray)
+            wire.writer.write(unexpected)
 
         async with DataPlaneHarness([ToyBroker(script=script)]) as harness, asyncio.timeout(TIMEOUT_S):
             client = await harness.client()
@@ -244,12 +247,12 @@
                 assert (reply.status, reply.body) == (200, body)
             assert harness.brokers[0].connections == 4
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("late", (stray_answer(b"late"), stray_answer(b"late" * 100_000)))
-def test_a_late_answer_at_the_place_of_the_next_is_passed_over(late: bytes) -> None:
-    async def story() -> None:
+@pytest.mark.parametrize("late", (unexpected_response(b"late"), unexpected_response(b"late" * 100_000)))
+def test_late_response_before_the_expected_one_is_skipped(late: bytes) -> None:
+    async def scenario() -> None:
         async def script(wire: Wire, request: Received) -> None:
             if request.headers["request-id"] == "r2":
                 await wire.write(late)
@@ -262,16 +265,17 @@
                 reply = await client.request("/once/x", body, headers={"Request-Id": f"r{number}"})
                 assert (reply.status, reply.body) == (200, body)
                 assert reply.headers["response-signature"] == SIGNATURE
-            assert harness.brokers[0].connections == 2  # the stray ended the first behind the second answer
+            # The first connection was closed after the second response, as an unexpected one had arrived.
+            assert harness.brokers[0].connections == 2
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_an_answer_without_an_id_ends_its_connection() -> None:
-    async def story() -> None:
+def test_response_without_an_id_closes_its_connection() -> None:
+    async def scenario() -> None:
         async def script(wire: Wire, request: Received) -> None:
             if request.headers["request-id"] == "r1":
-                return await wire.write(STRAYS[2])
+                return await wire.write(UNEXPECTED_BYTES[2])
             await wire.answer(request, request.body)
 
         async with DataPlaneHarness([ToyBroker(script=script)]) as harness, asyncio.timeout(TIMEOUT_S):
@@ -279,38 +283,38 @@
             assert (await harness.request("/once/x", headers={"Request-Id": "r2"})).status == 200
             assert harness.brokers[0].connections == 2
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-# Statuses, stamps and encodings
+# Statuses, signatures and encodings
 
 
 @pytest.mark.parametrize(
     "status", ("200 OK", "201 Created", "301 Moved", "400 No", "404 No", "422 No", "500 No", "504 No")
 )
-def test_status_stamp_and_body_of_a_broker_pass_unchanged(status: str) -> None:
+def test_status_signature_and_body_are_forwarded_unchanged(status: str) -> None:
     async def script(wire: Wire, request: Received) -> None:
         await wire.answer(request, b"why", status, Location="http://127.0.0.1:1/x", X_Two="2")
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with DataPlaneHarness([ToyBroker(script=script)]) as harness:
             reply = await harness.request("/once/x")
             assert (reply.status, reply.body) == (int(status[:3]), b"why")
             assert reply.headers["response-signature"] == SIGNATURE and reply.headers["x-two"] == "2"
             assert len(harness.brokers[0].received) == 1
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("status", ("408 Late", "429 Many", "503 Full"))
-def test_a_promise_of_a_broker_is_one_only_with_its_proof(status: str) -> None:
+def test_status_says_not_executed_only_together_with_the_header(status: str) -> None:
     async def without_proof(wire: Wire, request: Received) -> None:
         await wire.answer(request, b"why", status)
 
     async def with_proof(wire: Wire, request: Received) -> None:
         await wire.answer(request, b"why", status, Not_Executed="1")
 
-    async def story() -> None:
+    async def scenario() -> None:
         brokers = [ToyBroker("i-1"), ToyBroker("i-2")]
         async with DataPlaneHarness(brokers) as harness:
             brokers[0].scripts = brokers[1].scripts = [without_proof]
@@ -320,34 +324,34 @@
             assert (await harness.request("/once/x", b"data")).body == b"data"
             assert sum(len(broker.received) for broker in brokers) == 3
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_an_encoded_body_is_not_the_brokers_and_is_not_passed_on() -> None:
+def test_response_with_a_content_coding_is_not_forwarded() -> None:
     async def encoded(wire: Wire, request: Received) -> None:
         await wire.answer(request, b"why", Content_Encoding="gzip")
 
-    async def story() -> None:
+    async def scenario() -> None:
         brokers = [ToyBroker("i-1"), ToyBroker("i-2")]
         async with DataPlaneHarness(brokers) as harness:
             for target, status in (("/once/x", 502), ("/again/x", 200)):
                 brokers[0].scripts = brokers[1].scripts = [encoded]
                 assert (await harness.request(target)).status == status
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-# Streams that are taken up again
+# Resumed streams
 
 
-def breaks_within(event: bytes, last: int, signature: str = SIGNATURE) -> Script:
-    """Events up to ``last`` in one chunk with the beginning of the next one, then a reset."""
+def break_within_event(beginning: bytes, last: int, signature: str = SIGNATURE) -> Script:
+    """Send the events up to ``last`` and the beginning of another event in one chunk, then close."""
 
     async def script(wire: Wire, request: Received) -> None:
         await wire.head(
             request, Response_Signature=signature, Content_Type=STREAM, Transfer_Encoding="chunked"
         )
-        text = events(1, last) + event
+        text = events(1, last) + beginning
         await wire.write(b"%x\r\n%s\r\n" % (len(text), text))
         wire.close()
 
@@ -355,10 +359,10 @@
 
 
 @pytest.mark.parametrize("part", (b"id: 3", b"id: 3\ndata: wo", b"versions: 7\nid: 3\ndata: word 3\n"))
-def test_a_break_within_an_event_passes_that_event_once_and_whole(part: bytes) -> None:
-    async def story() -> None:
+def test_event_interrupted_midway_is_forwarded_once_and_complete(part: bytes) -> None:
+    async def scenario() -> None:
         brokers = [ToyBroker("i-1"), ToyBroker("i-2")]
-        brokers[0].scripts = brokers[1].scripts = [breaks_within(part, 2, "first"), stream(4)]
+        brokers[0].scripts = brokers[1].scripts = [break_within_event(part, 2, "first"), stream(4)]
         async with DataPlaneHarness(brokers) as harness, asyncio.timeout(TIMEOUT_S):
             reply = await harness.request("/resume/x")
             assert (reply.body, reply.complete) == (events(1, 4), True)
@@ -366,10 +370,10 @@
             received = [request for broker in brokers for request in broker.received]
             assert sorted(request.headers.get("last-event-id", "") for request in received) == ["", "2"]
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_an_event_at_which_the_version_changes_is_passed_on_as_it_came() -> None:
+def test_event_that_announces_a_version_change_is_forwarded_unchanged() -> None:
     changed = b"versions: 7\nid: 3\ndata: word 3\n\n"
 
     async def changing(wire: Wire, request: Received) -> None:
@@ -379,18 +383,18 @@
         await wire.write(b"%x\r\n%s\r\n" % (len(text), text))
         await wire.end_stream()
 
-    async def story() -> None:
+    async def scenario() -> None:
         brokers = [ToyBroker("i-1"), ToyBroker("i-2")]
-        brokers[0].scripts = brokers[1].scripts = [breaks_within(b"versions: 7\n", 2), changing]
+        brokers[0].scripts = brokers[1].scripts = [break_within_event(b"versions: 7\n", 2), changing]
         async with DataPlaneHarness(brokers) as harness, asyncio.timeout(TIMEOUT_S):
             reply = await harness.request("/resume/x")
             assert (reply.body, reply.complete) == (events(1, 2) + changed + events(4, 4), True)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_a_client_that_takes_up_a_stream_gets_what_follows_also_over_a_break() -> None:
-    async def story() -> None:
+def test_stream_resumed_by_the_client_survives_an_interruption() -> None:
+    async def scenario() -> None:
         brokers = [ToyBroker("i-1"), ToyBroker("i-2")]
         brokers[0].scripts = brokers[1].scripts = [stream(6, breaks_after=4), stream(6)]
         async with DataPlaneHarness(brokers) as harness, asyncio.timeout(TIMEOUT_S):
@@ -399,14 +403,14 @@
             received = [request for broker in brokers for request in broker.received]
             assert sorted(request.headers["last-event-id"] for request in received) == ["2", "4"]
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 # Connections
 
 
 class StubTransport(asyncio.Transport):
-    """A transport that holds ``unsent`` bytes and has no socket."""
+    """A transport without a socket, whose write buffer holds ``unsent`` bytes."""
 
     def __init__(self, unsent: int) -> None:
         super().__init__()
@@ -419,8 +423,8 @@
         return False
 
 
-def test_a_connection_with_bytes_of_a_request_still_to_go_is_not_kept() -> None:
-    async def story() -> None:
+def test_connection_with_unsent_request_bytes_is_not_reused() -> None:
+    async def scenario() -> None:
         for unsent in (0, 1):
             connection = BrokerConnection(asyncio.get_running_loop())
             connection.connection_made(StubTransport(unsent))
@@ -430,24 +434,27 @@
             await connection.read()
             assert connection.should_close == bool(unsent)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_a_broker_is_told_what_time_is_left_once_a_connection_is_there(
+def test_deadline_is_reduced_by_the_wait_for_a_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     now = [100.0]
     monkeypatch.setattr(connection_pool, "monotonic", lambda: now[0])
     monkeypatch.setattr(upstream, "POOL_TIMEOUT_S", TIMEOUT_S)
 
-    async def story() -> None:
+    async def scenario() -> None:
         release = asyncio.Event()
 
-        async def held(wire: Wire, request: Received) -> None:
+        async def wait_for_release(wire: Wire, request: Received) -> None:
             await release.wait()
             await wire.answer(request, b"")
 
-        async with DataPlaneHarness([ToyBroker(scripts=[held])]) as harness, asyncio.timeout(TIMEOUT_S):
+        async with (
+            DataPlaneHarness([ToyBroker(scripts=[wait_for_release])]) as harness,
+            asyncio.timeout(TIMEOUT_S),
+        ):
             broker, sender = harness.brokers[0], upstream.UpstreamClient(1)
             await sender.start()
             sends = []
@@ -456,7 +463,7 @@
                     f"r{number}", "POST", "/x", CIMultiDict({"Request-Id": f"r{number}"}), b""
                 )
                 sends.append(asyncio.create_task(sender.send(listed_broker(broker), request, 1.0)))
-                await until_sent_or_waiting(sender, broker, number)
+                await wait_until_sent_or_queued(sender, broker, number)
                 now[0] += waits_s
             release.set()
             for send in sends:
@@ -466,11 +473,11 @@
             await sender.stop()
             assert [request.headers["deadline-ms"] for request in broker.received] == ["1000", "500"]
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-async def until_sent_or_waiting(sender: upstream.UpstreamClient, broker: ToyBroker, number: int) -> None:
-    """Until the first request is at the broker, or the second one waits for a place."""
+async def wait_until_sent_or_queued(sender: upstream.UpstreamClient, broker: ToyBroker, number: int) -> None:
+    """Wait until the first request is at the broker, or the second one waits for a connection."""
     if number == 1:
         return await broker.wait_received()
     assert sender._connector is not None
@@ -478,41 +485,41 @@
         await asyncio.sleep(0)
 
 
-def test_bytes_that_nobody_has_read_yet_end_an_idle_connection() -> None:
-    async def story() -> None:
-        loop, stray_due, stray_sent = asyncio.get_running_loop(), asyncio.Event(), asyncio.Event()
+def test_unread_bytes_prevent_the_reuse_of_an_idle_connection() -> None:
+    async def scenario() -> None:
+        loop, send_extra_byte, extra_byte_sent = asyncio.get_running_loop(), asyncio.Event(), asyncio.Event()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            writer.write(stray_answer(b"whole", "r1"))
-            await stray_due.wait()
+            writer.write(unexpected_response(b"whole", "r1"))
+            await send_extra_byte.wait()
             writer.write(b"x")
-            stray_sent.set()
+            extra_byte_sent.set()
             await reader.read()
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        place = server.sockets[0].getsockname()[:2]
-        transport, connection = await loop.create_connection(lambda: BrokerConnection(loop), *place)
+        address = server.sockets[0].getsockname()[:2]
+        transport, connection = await loop.create_connection(lambda: BrokerConnection(loop), *address)
         connection.set_response_params()
         connection.expect("r1")
         _, body = await connection.read()
         assert await body.read() == b"whole" and connection.is_connected()
-        transport.pause_reading()  # the loop is busy elsewhere
-        stray_due.set()
-        await stray_sent.wait()
+        transport.pause_reading()  # as if the event loop were busy elsewhere
+        send_extra_byte.set()
+        await extra_byte_sent.wait()
         assert not connection.is_connected()
         transport.close()
         server.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def clock_ahead(monkeypatch: pytest.MonkeyPatch) -> list[float]:
-    """The clock of the connections, as far ahead of the real one as the item of the list says, in s."""
-    ahead = [0.0]
+def offset_clock(monkeypatch: pytest.MonkeyPatch) -> list[float]:
+    """Offset the clock of the connections by the item of the returned list, in seconds."""
+    offset_s = [0.0]
     for module in (connection_pool, broker_upstream, aiohttp.connector):
-        monkeypatch.setattr(module, "monotonic", lambda: time.monotonic() + ahead[0])
-    return ahead
+        monkeypatch.setattr(module, "monotonic", lambda: time.monotonic() + offset_s[0])
+    return offset_s
 
 
 @pytest.mark.parametrize(
@@ -522,24 +529,24 @@
         ("timeout=10", "/once/x", 5.0, 1), ("timeout=10", "/once/x", 7.1, 2),
     ),
 )  # fmt: skip
-def test_an_idle_connection_is_trusted_for_as_long_as_the_request_allows(
+def test_idle_connection_is_reused_only_within_its_idle_timeout(
     monkeypatch: pytest.MonkeyPatch, keep_alive: str, target: str, idle_s: float, connections_used: int
 ) -> None:
-    ahead = clock_ahead(monkeypatch)
+    offset_s = offset_clock(monkeypatch)
 
     async def script(wire: Wire, request: Received) -> None:
         fields = {"Keep_Alive": keep_alive} if keep_alive else {}
         await wire.answer(request, request.body, **fields)
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with DataPlaneHarness([ToyBroker(script=script)]) as harness:
             connector = harness.data_plane._upstream._connector
             assert connector is not None
             assert (await harness.request(target)).status == 200
             (((first, _),),) = connector._conns.values()
-            ahead[0] += idle_s
+            offset_s[0] += idle_s
             assert (await harness.request(target)).status == 200
             assert harness.brokers[0].connections == connections_used
-            assert (first.transport is None) == (connections_used == 2)  # the one that is not used is closed
+            assert (first.transport is None) == (connections_used == 2)  # closed if it is not reused
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/tier/test_losses.py
+++ b/tests/tier/test_losses.py
@@ -1,4 +1,4 @@
-"""Losses: the cause that a request counts for, what the record logs, and the command that adds it up."""
+"""Losses: the cause of each lost request, what the record logs, and the command that sums the counts."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
     return timeline
 
 
-def test_an_answer_in_time_is_no_loss() -> None:
+def test_response_in_time_is_not_a_loss() -> None:
     timeline = started(0.2, PendingCause.NO_SLOT)
     timeline.event_received(0.29)
     timeline.event_received(0.5)
     assert timeline.loss(0.6, is_complete=True) is None
 
 
-def test_a_late_first_event_counts_for_what_took_most_of_the_time() -> None:
+def test_late_first_event_is_attributed_to_the_longest_phase() -> None:
     waited = started(0.25, PendingCause.NO_CONNECTION)
     waited.event_received(0.4)
     assert waited.loss(1.0, is_complete=True) is LossCause.WAITED_CONNECTION
@@ -62,7 +62,7 @@
     assert cold.loss(1.0, is_complete=True) is LossCause.BROKER_COLD_PREFIX
 
 
-def test_a_failed_attempt_counts_where_it_cost_most() -> None:
+def test_late_first_event_is_attributed_to_a_failed_attempt_that_took_longest() -> None:
     timeline = started()
     timeline.attempt_ended(0.5, AttemptOutcome.STALLED)
     timeline.wait_started(0.5)
@@ -71,7 +71,7 @@
     assert timeline.loss(1.0, is_complete=True) is LossCause.ATTEMPT_STALLED
 
 
-def test_a_pause_counts_for_the_attempt_that_failed_before_it_or_else_for_the_broker() -> None:
+def test_pause_is_attributed_to_a_preceding_failed_attempt_or_else_to_the_broker() -> None:
     at_one_broker = started()
     at_one_broker.event_received(0.1)
     at_one_broker.event_received(0.5)
@@ -85,23 +85,23 @@
     assert resumed.loss(0.5, is_complete=True) is LossCause.ATTEMPT_INCOMPLETE
 
 
-def test_what_ended_a_request_without_an_answer_is_its_cause() -> None:
+def test_unanswered_request_is_attributed_to_what_ended_it() -> None:
     rejected = RequestTimeline(due_at=0.3)
     rejected.wait_started(0.0)
     rejected.rejected(RejectionReason.FORECAST)
     assert rejected.loss(0.1, is_complete=False) is LossCause.REJECTED_FORECAST
-    left = started()
-    left.client_left()
-    assert left.loss(0.2, is_complete=False) is LossCause.CLIENT_LEFT
+    disconnected = started()
+    disconnected.client_disconnected()
+    assert disconnected.loss(0.2, is_complete=False) is LossCause.CLIENT_LEFT
     failed = started()
     failed.broker_failed()
     assert failed.loss(0.2, is_complete=False) is LossCause.BROKER_FAILURE
-    cut = started()
-    cut.attempt_ended(3.9, AttemptOutcome.CANCELLED)
-    assert cut.loss(3.9, is_complete=False) is LossCause.BROKER_QUEUE
+    cancelled = started()
+    cancelled.attempt_ended(3.9, AttemptOutcome.CANCELLED)
+    assert cancelled.loss(3.9, is_complete=False) is LossCause.BROKER_QUEUE
 
 
-def test_an_item_that_came_with_too_little_time_left_was_leased_late() -> None:
+def test_late_item_is_attributed_to_a_late_lease_unless_it_waited() -> None:
     item = RequestTimeline(due_at=0.5, is_batch=True)
     item.wait_started(0.0)
     item.attempt_started(0.0, request(), 0.0)
@@ -114,8 +114,8 @@
     assert waited.loss(2.2, is_complete=True) is LossCause.WAITED_SLOT
 
 
-def test_the_record_logs_what_came_since_its_last_line(caplog: pytest.LogCaptureFixture) -> None:
-    async def story() -> None:
+def test_record_logs_the_counts_since_its_previous_log_line(caplog: pytest.LogCaptureFixture) -> None:
+    async def scenario() -> None:
         record = LossRecord()
         record.count("r", LossCause.BROKER_QUEUE)
         record.count("r", LossCause.BROKER_QUEUE)
@@ -126,7 +126,7 @@
         assert record.totals() == {"r": {"broker_queue": 2, "waited_slot": 1}}
 
     with caplog.at_level(logging.INFO, logger="cherrycove.tier"):
-        asyncio.run(story())
+        asyncio.run(scenario())
     lines = [line for line in caplog.records if line.getMessage() == "requests_lost"]
     assert [line.losses for line in lines] == [  # type: ignore[attr-defined]
         {"r": {"broker_queue": 2}},
@@ -134,22 +134,22 @@
     ]
 
 
-def test_a_proxy_counts_an_exchange_that_no_broker_answered() -> None:
-    async def story() -> None:
+def test_proxy_counts_a_request_that_no_broker_answered() -> None:
+    async def scenario() -> None:
         async with DataPlaneHarness([]) as harness:
             assert (await harness.request("/once/x")).status == 503
             assert await harness.losses() == {"losses": {"once": {"rejected_no_broker": 1}}}
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_a_proxy_counts_nothing_for_an_answer_in_time() -> None:
-    async def story() -> None:
+def test_proxy_counts_no_loss_for_a_response_in_time() -> None:
+    async def scenario() -> None:
         async with DataPlaneHarness([ToyBroker()]) as harness:
             assert (await harness.request("/once/x")).status == 200
             assert await harness.losses() == {"losses": {}}
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 @pytest.fixture
@@ -161,7 +161,7 @@
 
 @pytest.fixture
 def proxy(loop: Loop) -> Iterator[Callable[[bytes], str]]:
-    """Starts a stand-in of a proxy with this document of losses, and returns its address."""
+    """Starts a fake proxy that serves the given document of losses; returns its address."""
     started: list[StandIn] = []
 
     def start(document: bytes) -> str:
@@ -174,7 +174,7 @@
         loop.run(server.stop())
 
 
-def test_the_command_adds_up_all_proxies(proxy: Callable[[bytes], str]) -> None:
+def test_command_sums_the_counts_of_all_proxies(proxy: Callable[[bytes], str]) -> None:
     first = proxy(b'{"losses": {"a": {"broker_queue": 2, "waited_slot": 5}}}')
     second = proxy(b'{"losses": {"a": {"broker_queue": 4}, "b": {"client_left": 1}}}')
     outcome = run("losses", f"{first} {second}")
@@ -184,7 +184,7 @@
     assert document["routes"][1] == {"route": "b", "causes": {"client_left": 1}}
 
 
-def test_the_command_names_a_proxy_whose_answer_is_none(proxy: Callable[[bytes], str]) -> None:
+def test_command_names_a_proxy_with_an_invalid_response(proxy: Callable[[bytes], str]) -> None:
     address = proxy(b'{"losses": {"a": {"broker_queue": "2"}}}')
     outcome = run("losses", address)
     assert outcome.exit_code == INVALID
