--- a/tests/tier/dataplane_world.py
+++ b/tests/tier/dataplane_harness.py
@@ -1,4 +1,4 @@
-"""A data plane on loopback between raw clients and toy brokers, for tests of whole exchanges."""
+"""A data plane on loopback between raw TCP clients and toy brokers, for tests of complete exchanges."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from examples.toy_broker import ToyBroker
 
 HOST = "nony24.example"
-TIMEOUT_S = 10.0  # of a test's waits; nothing takes that long unless it fails
+TIMEOUT_S = 10.0  # for the waits of a test; reached only if the test fails
 
 
 def route(name: str, prefix: str, kind: str, **fields: Any) -> dict[str, Any]:
@@ -53,16 +53,16 @@
 
 @attrs.define
 class Reply:
-    """An answer as a client read it."""
+    """A response as a client read it."""
 
     status: int
     headers: dict[str, str]  # names in lower case
     body: bytes
-    complete: bool  # whether its framing ended
+    complete: bool  # whether the end of its framing was received
 
 
 class Client:
-    """One connection of a client."""
+    """One client connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -88,7 +88,7 @@
         return int(first.split(" ")[1]), headers
 
     async def chunk(self) -> bytes:
-        """One chunk of a body; empty at its end."""
+        """Read one chunk of a body; empty at the end of the body."""
         size = int(await self.reader.readuntil(b"\r\n"), 16)
         data = await self.reader.readexactly(size + 2)
         return data[:-2]
@@ -107,7 +107,7 @@
                 return Reply(status, headers, b"".join(parts), False)
             return Reply(status, headers, b"".join(parts), True)
 
-    async def ask(self, target: str, body: bytes = b"", **options: Any) -> Reply:
+    async def request(self, target: str, body: bytes = b"", **options: Any) -> Reply:
         await self.send(target, body, **options)
         return await self.reply()
 
@@ -116,17 +116,17 @@
 
 
 @attrs.define(eq=False)
-class World:
-    """Starts the toy brokers and a data plane that knows them."""
+class DataPlaneHarness:
+    """Starts the toy brokers, and a data plane with these brokers in its cluster view."""
 
     brokers: list[ToyBroker]
     document: bytes | None = attrs.field(factory=configuration_bytes)
-    views: ClusterView = attrs.field(factory=ClusterView)
+    cluster_view: ClusterView = attrs.field(factory=ClusterView)
     settings: Settings = attrs.field(init=False)
-    plane: DataPlane = attrs.field(init=False)
+    data_plane: DataPlane = attrs.field(init=False)
     _clients: list[Client] = attrs.field(factory=list)
 
-    async def __aenter__(self) -> World:
+    async def __aenter__(self) -> DataPlaneHarness:
         for broker in self.brokers:
             await broker.start()
         self.settings = Settings(
@@ -135,9 +135,9 @@
             limits=ProcessLimits(file_descriptors=4096),
             listen_addresses=ListenAddresses(frontend=free_address(), readiness=free_address()),
         )  # fmt: skip
-        self.plane = DataPlane(self.settings, self.views, random.Random(1))
-        self.tell()
-        await self.plane.start()
+        self.data_plane = DataPlane(self.settings, self.cluster_view, random.Random(1))
+        self.update_cluster_view()
+        await self.data_plane.start()
         return self
 
     async def __aexit__(
@@ -145,42 +145,46 @@
     ) -> None:
         for client in self._clients:
             client.close()
-        await self.plane.stop()
+        await self.data_plane.stop()
         for broker in self.brokers:
             await broker.stop()
 
-    def tell(self, document: bytes | None = None, listed: list[ToyBroker] | None = None) -> None:
-        """Replace what the data plane knows."""
+    def update_cluster_view(
+        self, document: bytes | None = None, listed: list[ToyBroker] | None = None
+    ) -> None:
+        """Replace the configuration, if ``document`` is given, and the listed brokers, by default all."""
         self.document = document or self.document
         if self.document is not None:
-            self.views.configuration = parse_configuration(self.document).unwrap()
-            self.views.document = self.document
-        self.views.brokers = tuple(entry(each) for each in (self.brokers if listed is None else listed))
-        self.views.changed()
+            self.cluster_view.configuration = parse_configuration(self.document).unwrap()
+            self.cluster_view.document = self.document
+        self.cluster_view.brokers = tuple(
+            listed_broker(each) for each in (self.brokers if listed is None else listed)
+        )
+        self.cluster_view.changed()
 
     async def client(self) -> Client:
         client = await Client.connect(self.settings.listen_addresses.frontend)
         self._clients.append(client)
         return client
 
-    async def ask(self, target: str, body: bytes = b"", **options: Any) -> Reply:
-        """One request over a new connection."""
-        return await (await self.client()).ask(target, body, **options)
+    async def request(self, target: str, body: bytes = b"", **options: Any) -> Reply:
+        """Send one request over a new connection and read the response."""
+        return await (await self.client()).request(target, body, **options)
 
     async def readiness(self) -> int:
-        return (await self._ask_readiness_address("/api/readiness")).status
+        return (await self._request_readiness_address("/api/readiness")).status
 
     async def losses(self) -> Any:
-        """The document of losses that the proxy serves."""
-        return json.loads((await self._ask_readiness_address("/api/losses")).body)
+        """The document of losses that the proxy serves on its readiness address."""
+        return json.loads((await self._request_readiness_address("/api/losses")).body)
 
-    async def _ask_readiness_address(self, target: str) -> Reply:
+    async def _request_readiness_address(self, target: str) -> Reply:
         client = await Client.connect(self.settings.listen_addresses.readiness)
         self._clients.append(client)
-        return await client.ask(target, method="GET")
+        return await client.request(target, method="GET")
 
 
-def entry(broker: ToyBroker, draining: bool = False) -> Broker:
+def listed_broker(broker: ToyBroker, draining: bool = False) -> Broker:
     return Broker(
         instance_id=broker.instance_id, service="lm", address=broker.address, zone="z",
         capacity_slots=broker.slots, draining=draining,
