--- a/bench/tier_worlds.py
+++ b/bench/tier_worlds.py
@@ -61,7 +61,9 @@
     """Time to a primary after all were killed; ``waits``: every election waits for leases to end."""
     with ExitStack() as stack:
         if waits:
-            stack.enter_context(mock.patch.object(Candidate, "_is_group_unbound", lambda *arguments: False))
+            stack.enter_context(
+                mock.patch.object(Candidate, "_is_group_without_primary", lambda *arguments: False)
+            )
         times = sorted(time_to_primary(seed) for seed in range(groups))
     name = "waiting for leases" if waits else "waiting for no lease"
     return f"all killed, {name}: median {statistics.median(times):.2f} s, worst {times[-1]:.2f} s"
--- a/cherrycove/tier/replication/applier.py
+++ b/cherrycove/tier/replication/applier.py
@@ -32,7 +32,7 @@
     def restore(self, state: SnapshotState) -> None:
         """Replace the state by that of a snapshot."""
         self._state_machine.restore(state)
-        self._snapshot_policy.snapshot_in_place(state.rewritten_bytes)
+        self._snapshot_policy.reset_after_snapshot(state.rewritten_bytes)
 
     def apply(self, entry: Entry) -> None:
         """Apply a committed entry and resolve the proposal that waits for it, if there is one."""
@@ -51,7 +51,7 @@
         if not self._snapshot_policy.is_due:
             return None
         state = SnapshotState.of(self._state_machine.snapshot())
-        self._snapshot_policy.snapshot_in_place(state.rewritten_bytes)
+        self._snapshot_policy.reset_after_snapshot(state.rewritten_bytes)
         return state
 
     def snapshot_write_started(self, ticket: int) -> None:
--- a/cherrycove/tier/replication/candidate.py
+++ b/cherrycove/tier/replication/candidate.py
@@ -148,7 +148,7 @@
         campaign = self._campaign
         if campaign is None:
             return
-        if campaign.is_pre_vote and self._is_group_unbound(campaign, now):
+        if campaign.is_pre_vote and self._is_group_without_primary(campaign, now):
             self.campaign(now, incarnations=campaign.incarnations)
             return
         if not self._core.membership.joint_configuration().has_election_quorum(campaign.votes):
@@ -159,7 +159,7 @@
             self._campaign = None
             self._has_won = True
 
-    def _is_group_unbound(self, campaign: Campaign, now: float) -> bool:
+    def _is_group_without_primary(self, campaign: Campaign, now: float) -> bool:
         """Whether all replicas, this one included, follow no primary.
 
         Then no lease can be in force, and replicas that have just started need not wait for one to end.
--- a/cherrycove/tier/replication/primary.py
+++ b/cherrycove/tier/replication/primary.py
@@ -86,11 +86,11 @@
 
     # Lease
 
-    def _confirmed_since(self, now: float) -> float:
+    def _lease_start(self, now: float) -> float:
         """Return the time up to which an election quorum, with this replica, has acknowledged it."""
         acknowledged = self._peers.acknowledgment_times()
         acknowledged[self._core.identity.member_id] = now
-        return self._core.membership.joint_configuration().confirmed_since(acknowledged)
+        return self._core.membership.joint_configuration().lease_start(acknowledged)
 
     def is_confirmed_primary(self, now: float) -> bool:
         """Whether nobody else can have been elected yet, and all that others committed is committed here.
@@ -100,7 +100,7 @@
         """
         if self._core.log.commit_index < self._noop_index or not self._core.membership.is_voter:
             return False
-        return now - self._confirmed_since(now) < self._core.timing.lease_s
+        return now - self._lease_start(now) < self._core.timing.lease_s
 
     # Time
 
@@ -109,7 +109,7 @@
         core = self._core
         for peer in self._peers:
             peer.tick(now)
-        if now - max(self._confirmed_since(now), self._started_at) > core.timing.check_quorum_timeout_s:
+        if now - max(self._lease_start(now), self._started_at) > core.timing.check_quorum_timeout_s:
             core.become(Role.BACKUP, None)
         elif self._is_disk_stalled(now) or self._is_removed():
             self.transfer_leadership(now)
--- a/cherrycove/tier/replication/quorums.py
+++ b/cherrycove/tier/replication/quorums.py
@@ -107,7 +107,7 @@
         votes = sum(member.member_id in voters for member in members)
         return bool(members) and votes >= election_quorum(len(members), self.faults)
 
-    def confirmed_since(self, acknowledged: Mapping[str, float]) -> float:
+    def lease_start(self, acknowledged: Mapping[str, float]) -> float:
         """Return the time up to which an election quorum has acknowledged this primary.
 
         ``acknowledged`` holds, by member id, the sending time in seconds of the newest message answered.
--- a/cherrycove/tier/replication/snapshot_policy.py
+++ b/cherrycove/tier/replication/snapshot_policy.py
@@ -29,7 +29,7 @@
         """Count an entry that was applied."""
         self._log_bytes += size_bytes
 
-    def snapshot_in_place(self, rewritten_bytes: int) -> None:
+    def reset_after_snapshot(self, rewritten_bytes: int) -> None:
         """Start to count anew behind a snapshot that was taken or restored.
 
         ``rewritten_bytes``: how much of its state the next one writes again.
--- a/cherrycove/tier/replication/voter.py
+++ b/cherrycove/tier/replication/voter.py
@@ -40,7 +40,7 @@
         if request.preliminary:
             self._answer_pre_vote(sender, request, now, is_confirmed_primary=is_confirmed_primary)
             return
-        is_bound = self._is_bound_to_primary(request, now, is_confirmed_primary=is_confirmed_primary)
+        is_bound = self._must_honor_lease(request, now, is_confirmed_primary=is_confirmed_primary)
         if request.epoch < self._core.epoch or is_bound:
             self._reply(sender, request, granted=False)
             return
@@ -52,13 +52,13 @@
         self, sender: MemberIdentity, request: VoteRequest, now: float, *, is_confirmed_primary: bool
     ) -> None:
         """Answer whether the vote would be granted; nothing changes."""
-        is_bound = self._is_bound_to_primary(request, now, is_confirmed_primary=is_confirmed_primary)
+        is_bound = self._must_honor_lease(request, now, is_confirmed_primary=is_confirmed_primary)
         granted = request.epoch > self._core.epoch and not is_bound and self._is_log_up_to_date(request)
         follows_primary = is_confirmed_primary or self._contact.may_have_renewed_lease(now)
         removed = not granted and follows_primary and self._was_removed(sender)
         self._reply(sender, request, granted=granted, removed=removed, unbound=self._is_unbound(request, now))
 
-    def _is_bound_to_primary(self, request: VoteRequest, now: float, *, is_confirmed_primary: bool) -> bool:
+    def _must_honor_lease(self, request: VoteRequest, now: float, *, is_confirmed_primary: bool) -> bool:
         """Whether a primary may hold a lease that counts on this replica."""
         if is_confirmed_primary:
             return True
--- a/cherrycove/tier/simulation/control/mutations.py
+++ b/cherrycove/tier/simulation/control/mutations.py
@@ -120,7 +120,7 @@
 
 def _decides_before_its_first_entry() -> Patches:
     def is_confirmed_primary(primary: Any, now: float) -> bool:
-        return bool(now - primary._confirmed_since(now) < primary._core.timing.lease_s)
+        return bool(now - primary._lease_start(now) < primary._core.timing.lease_s)
 
     yield mock.patch.object(Primary, "is_confirmed_primary", is_confirmed_primary)
 
--- a/cherrycove/tier/simulation/mutations.py
+++ b/cherrycove/tier/simulation/mutations.py
@@ -59,7 +59,7 @@
 
 
 def _vote_within_lease() -> Patches:
-    yield mock.patch.object(Voter, "_is_bound_to_primary", lambda *arguments, **options: False)
+    yield mock.patch.object(Voter, "_must_honor_lease", lambda *arguments, **options: False)
 
 
 def _count_copies_of_older_epochs() -> Patches:
@@ -85,7 +85,7 @@
         voters = {*campaign.incarnations, core.identity.member_id}
         return bool(core.membership.joint_configuration().has_election_quorum(voters))
 
-    yield mock.patch.object(Candidate, "_is_group_unbound", is_group_unbound)
+    yield mock.patch.object(Candidate, "_is_group_without_primary", is_group_unbound)
 
 
 def _life_not_compared() -> Patches:
@@ -95,7 +95,7 @@
             return bool(is_confirmed_primary or contact.has_heard_primary(now))
         return bool(is_confirmed_primary or contact.may_have_renewed_lease(now))
 
-    yield mock.patch.object(Voter, "_is_bound_to_primary", is_bound)
+    yield mock.patch.object(Voter, "_must_honor_lease", is_bound)
 
 
 def _removed_primary_stays_confirmed() -> Patches:
--- a/tests/tier/full_store.py
+++ b/tests/tier/full_store.py
@@ -131,7 +131,7 @@
         plan = self.storage._packs.plan(snapshot.state)
         self.peak_bytes = max(self.peak_bytes, before_bytes + plan.size_bytes + snapshot.size_bytes)
         self.storage.save_snapshot(snapshot, [])
-        self.policy.snapshot_in_place(snapshot.state.rewritten_bytes)
+        self.policy.reset_after_snapshot(snapshot.state.rewritten_bytes)
         self.snapshots += 1
 
     @property
