--- a/cherrycove/tier/replication/__init__.py
+++ b/cherrycove/tier/replication/__init__.py
@@ -1,16 +1,18 @@
-"""Primary-backup replication of a log of opaque commands.
+"""Primary-backup replication of a log of opaque commands: Raft with leader leases and flexible quorums.
 
-``machine`` and what it is made of are pure: messages, time and finished writes come in as arguments, and
-messages, writes and committed entries go out as ``effects``.
+An epoch is what Raft calls a term, and the primary is Raft's leader.
 
-The machine by concern: ``core`` (state that all roles share), ``log``, ``membership`` and
+``machine.ReplicaMachine`` and the modules that it uses implement the protocol as a pure state machine: its
+inputs are messages, the current time and completed writes; its outputs, the ``effects``, are messages, writes
+and committed entries. Its modules are ``core`` (state that all roles share), ``log``, ``membership`` and
 ``group_membership``, ``pending_writes``; ``roles`` with ``elections`` (``candidate``, ``voter``), ``backup``
 and ``primary`` (``peer_set``, ``replicator``, ``progress``, ``snapshot_sender``, ``learners``,
-``membership_policy``). ``quorums`` has the argument why nothing that was committed is lost, ``elections`` the
-argument about leases; ``docs/design/replication.md`` has the states.
+``membership_policy``). ``quorums`` contains the proof that no committed entry is lost, ``elections`` the
+proof that leases hold; ``docs/design/replication.md`` describes the states.
 
-The runtime connects a machine to its process. ``factory.create_group`` builds a ``group.ReplicatedGroup``
-from ``options.GroupOptions``; ``recovery`` reads the disk; ``driver`` feeds events to the machine and carries
-out its effects with ``writer`` (disk writes), ``messenger`` (messages, by way of ``transport`` and
-``call_handler``), ``applier`` (the state machine) and ``change_notifier`` (listeners and the log).
+The runtime connects a replica machine to its process. ``factory.create_group`` builds a
+``group.ReplicatedGroup`` from ``options.GroupOptions``; ``recovery`` reads the disk; ``driver`` passes events
+to the machine and executes its effects with ``writer`` (disk writes), ``messenger`` (messages, through
+``transport`` and ``call_handler``), ``applier`` (the application's state machine) and ``change_notifier``
+(listeners and log lines).
 """
--- a/cherrycove/tier/replication/applier.py
+++ b/cherrycove/tier/replication/applier.py
@@ -1,4 +1,4 @@
-"""Committed entries and snapshots on their way into the state machine."""
+"""Applies committed entries and snapshots to the application's state machine."""
 
 from __future__ import annotations
 
@@ -23,31 +23,31 @@
         proposals: PendingProposals,
         snapshot_policy: SnapshotPolicy,
     ) -> None:
-        """``group_name`` is named in log lines."""
+        """Create an applier; ``group_name`` appears in log lines."""
         self._group_name = group_name
         self._state_machine = state_machine
         self._proposals = proposals
         self._snapshot_policy = snapshot_policy
 
     def restore(self, state: SnapshotState) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state with that of a snapshot."""
         self._state_machine.restore(state)
         self._snapshot_policy.reset_after_snapshot(state.rewritten_bytes)
 
     def apply(self, entry: Entry) -> None:
-        """Apply a committed entry and resolve the proposal that waits for it, if there is one."""
+        """Apply a committed entry and resolve the proposal that waits for it, if any."""
         self._snapshot_policy.entry_applied(entry.size_bytes)
         outcome: object = None
         if entry.kind is EntryKind.COMMAND:
             try:
                 outcome = self._state_machine.apply(entry.index, entry.payload)
-            except Exception:  # noqa: BLE001 -- a command must not stop those behind it; all replicas fare alike
+            except Exception:  # noqa: BLE001 -- later commands must still be applied; all replicas fail alike
                 _log.exception("apply_failed", extra={"group": self._group_name, "index": entry.index})
                 self._proposals.fail(entry.index)
         self._proposals.resolve(entry.index, entry.epoch, outcome)
 
     def take_due_snapshot(self) -> SnapshotState | None:
-        """Return the complete state if a snapshot is due, else None."""
+        """Return the complete state if a snapshot is due, otherwise None."""
         if not self._snapshot_policy.is_due:
             return None
         state = SnapshotState.of(self._state_machine.snapshot())
@@ -55,9 +55,9 @@
         return state
 
     def snapshot_write_started(self, ticket: int) -> None:
-        """Note the ticket of the write that stores the snapshot taken last."""
+        """Record the ticket of the write that stores the snapshot taken last."""
         self._snapshot_policy.write_started(ticket)
 
     def writes_finished(self, ticket: int) -> None:
-        """Note that all writes up to ``ticket`` are durable or skipped."""
+        """Record that all writes up to ``ticket`` are durable or skipped."""
         self._snapshot_policy.write_finished(ticket)
--- a/cherrycove/tier/replication/backup.py
+++ b/cherrycove/tier/replication/backup.py
@@ -1,4 +1,4 @@
-"""What a backup, or a standby, does with the entries and snapshots of a primary."""
+"""Handles the entries and snapshots that a backup or a standby receives from a primary."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 
 @attrs.define
 class IncomingSnapshot:
-    """A snapshot of which the first bytes have arrived."""
+    """A partially received snapshot."""
 
     index: int
     entry_epoch: int
     is_encoded: bool = False
-    data: BytesIO = attrs.field(factory=BytesIO)  # returns its content without another copy of it
+    data: BytesIO = attrs.field(factory=BytesIO)  # getvalue() does not copy the data
 
-    def is_of(self, chunk: SnapshotChunk) -> bool:
-        """Whether ``chunk`` is of the same snapshot, in the same form."""
+    def matches(self, chunk: SnapshotChunk) -> bool:
+        """Return whether ``chunk`` belongs to the same snapshot in the same form."""
         return (self.index, self.entry_epoch, self.is_encoded) == (
             chunk.index,
             chunk.entry_epoch,
@@ -42,21 +42,21 @@
 class Backup:
     """Follows the primary of the newest epoch.
 
-    Owned by ``ReplicaRoles`` for the lifetime of the process, and used whenever a primary is heard. For each
-    epoch that it follows it begins anew: nothing verified, nothing acknowledged. An incomplete snapshot is
-    lost with the process or the epoch, and the primary sends it again.
+    Owned by ``ReplicaRoles`` for the lifetime of the process, and used whenever a primary sends a message.
+    Each new epoch resets its progress: nothing is verified or acknowledged. An incomplete snapshot is dropped
+    at the end of the process or the epoch, and the primary sends it again.
     """
 
     def __init__(self, core: ReplicaCore) -> None:
         self._core = core
         self._followed_epoch = 0
-        self._verified_index = 0  # up to here the log equals that of the primary of the followed epoch
+        self._verified_index = 0  # up to here the log equals that of the followed primary
         self._acknowledged_index = 0
-        self._newest_sent_us = 0  # sending time of the newest message of the primary
+        self._newest_sent_us = 0  # send time of the newest message of the primary
         self._incoming: IncomingSnapshot | None = None
 
     def follow(self, primary: MemberIdentity) -> None:
-        """Become a backup of ``primary``, which leads the newest epoch."""
+        """Become a backup of ``primary``, the primary of the newest epoch."""
         core = self._core
         if self._followed_epoch != core.epoch:
             self._followed_epoch = core.epoch
@@ -69,7 +69,7 @@
     # Entries
 
     def receive_append(self, sender: MemberIdentity, append: Append, now: float) -> None:
-        """Append the entries of ``append`` if they join this log, and answer (Raft, section 5.3)."""
+        """Append the entries of ``append`` if they continue this log, and reply (Raft, section 5.3)."""
         self._newest_sent_us = max(self._newest_sent_us, append.sent_us)
         hint = self._find_mismatch(append)
         if hint is not None:
@@ -80,7 +80,7 @@
         self._reply(sender, accepted=True, sent_us=append.sent_us)
 
     def _find_mismatch(self, append: Append) -> int | None:
-        """Return the index after which the primary should go on; None if its entries join this log."""
+        """Return the index after which the primary should continue; None if its entries fit this log."""
         log = self._core.log
         if append.previous_index > log.last_index:
             return log.last_index
@@ -91,7 +91,7 @@
         return None
 
     def _append_new(self, append: Append, now: float) -> None:
-        """Append the entries from the first one that this log lacks, or has from another epoch."""
+        """Append the entries from the first one that is missing here or conflicts in its epoch."""
         log = self._core.log
         new: list[Entry] = []
         for message in append.entries:
@@ -103,7 +103,7 @@
         self._verified_index = max(self._verified_index, append.previous_index + len(append.entries))
 
     def acknowledge_synced(self) -> None:
-        """The disk made progress: report to the primary what is synced now."""
+        """Acknowledge newly synced entries to the primary."""
         primary = self._core.primary
         if primary is None or self._followed_epoch != self._core.epoch:
             return
@@ -111,12 +111,12 @@
             self._reply(primary, accepted=True, sent_us=self._newest_sent_us)
 
     def _match_index(self) -> int:
-        """Return the index up to which the log is synced here and equal to the primary's."""
+        """Return the index up to which the log is synced here and equals that of the primary."""
         return min(self._verified_index, self._core.writes.synced_index)
 
     def _reply(self, receiver: MemberIdentity, *, accepted: bool, sent_us: int, last_index: int = 0) -> None:
         if not self._core.is_hard_state_durable:
-            return  # after a crash this replica could go back to an older epoch
+            return  # a crash could return this replica to an older epoch
         match_index = self._match_index()
         if accepted:
             self._acknowledged_index = match_index
@@ -126,13 +126,13 @@
         self._core.send(receiver, Message(append_reply=reply))
 
     def reject_older_epoch(self, sender: MemberIdentity) -> None:
-        """Answer a primary of an older epoch with the newer one."""
+        """Reply to a primary of an older epoch with the current epoch."""
         self._core.send(sender, Message(append_reply=AppendReply(accepted=False)))
 
     # Snapshots
 
     def receive_chunk(self, sender: MemberIdentity, chunk: SnapshotChunk, now: float) -> None:
-        """Collect one chunk, install the snapshot when it is complete, and answer."""
+        """Store one chunk, install the snapshot once it is complete, and reply."""
         self._newest_sent_us = max(self._newest_sent_us, chunk.sent_us)
         received = self._collect(chunk, now)
         if self._core.is_hard_state_durable:
@@ -145,12 +145,12 @@
             self._core.send(sender, Message(snapshot_reply=reply))
 
     def _collect(self, chunk: SnapshotChunk, now: float) -> int:
-        """Return how many bytes of the snapshot are here, from its start, with this chunk."""
+        """Store ``chunk``; return the number of contiguous bytes received from the start of the snapshot."""
         if chunk.index <= self._core.log.commit_index:
             self._verified_index = max(self._verified_index, chunk.index)
             return chunk.size
         incoming = self._incoming
-        if incoming is None or not incoming.is_of(chunk):
+        if incoming is None or not incoming.matches(chunk):
             incoming = IncomingSnapshot(chunk.index, chunk.entry_epoch, chunk.encoded)
             self._incoming = incoming
         if chunk.offset == incoming.data.tell():
--- a/cherrycove/tier/replication/candidate.py
+++ b/cherrycove/tier/replication/candidate.py
@@ -1,7 +1,7 @@
-"""The candidate's side of an election: when a replica campaigns, and when it has won.
+"""Candidate's side of an election: when a replica campaigns, and when it has won.
 
-A campaign begins with a pre-vote, which binds nobody and raises no epoch; only when a quorum would grant its
-votes does the replica vote for itself in the next epoch and ask for the votes themselves.
+A campaign starts with a pre-vote, which leaves the voters' state and the epoch unchanged. Only if a quorum
+would grant its votes does the replica vote for itself in the next epoch and request the actual votes.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 from cherrycove.tier.replication.interface import MemberIdentity
 from cherrycove.tier.replication.primary_contact import PrimaryContact
 
-#: In place of the incarnation of a replica that does not run any more.
+#: Stands for the incarnation of a replica that is no longer running.
 NO_INCARNATION = 0
 
 
 @attrs.define(kw_only=True)
 class Campaign:
-    """One request for votes, or for pre-votes, to all voters.
+    """Represents one round of vote or pre-vote requests to all voters.
 
-    ``votes`` holds the member ids that granted. ``incarnations`` holds, by member id, the incarnations of
-    replicas that answered that they follow no primary.
+    ``votes`` holds the ids of the members that granted their vote. ``incarnations`` maps the member ids of
+    replicas that answered that they follow no primary to their incarnations.
     """
 
     number: int
@@ -37,11 +37,12 @@
 
 
 class Candidate:
-    """Campaigns of this replica.
+    """Runs the election campaigns of this replica.
 
     Owned by ``Elections``. States: no campaign; pre-vote (role BACKUP); campaign whose own vote is not yet
-    durable; campaign with votes requested (both role CANDIDATE); won, until ``take_victory``. A lost message
-    or a dead voter ends a campaign by time-out; a newer epoch or a message of a primary ends it at once.
+    durable; campaign with votes requested (both role CANDIDATE); won, until ``take_election_win``. If
+    messages are lost or voters are down, a campaign times out; a newer epoch or a message of a primary ends
+    it at once.
     """
 
     def __init__(self, core: ReplicaCore, contact: PrimaryContact, timer: ElectionTimer) -> None:
@@ -49,22 +50,22 @@
         self._contact = contact
         self._timer = timer
         self._campaign: Campaign | None = None
-        # Campaigns are numbered from a random start, so that no number comes again in another incarnation.
+        # Campaign numbers start at a random value, so that no other incarnation uses the same numbers.
         self._last_campaign = contact.incarnation
         self._has_won = False
 
-    def take_victory(self) -> bool:
-        """Whether a campaign was won since the last call."""
+    def take_election_win(self) -> bool:
+        """Return whether a campaign was won since the last call."""
         has_won, self._has_won = self._has_won, False
         return has_won
 
     def postpone(self, now: float) -> None:
-        """Give up the campaign and wait for an election time-out."""
+        """Abandon the campaign and wait for a full election time-out."""
         self._campaign = None
         self._timer.restart(now)
 
     def tick(self, now: float) -> None:
-        """Begin a pre-vote if the election time-out is over and this replica may lead."""
+        """Start a pre-vote if the election time-out has expired and this replica is electable."""
         if not self._may_campaign(now):
             return
         core = self._core
@@ -82,7 +83,7 @@
             return False
         if not core.membership.is_electable or core.is_disk_failing:
             return False
-        # A campaign whose own vote is not durable goes on: a slow disk is no reason to raise the epoch again.
+        # A campaign whose own vote is not durable continues: a slow disk must not raise the epoch again.
         return self._campaign is None or self._campaign.are_votes_requested
 
     def _next_campaign(self) -> int:
@@ -92,10 +93,10 @@
     def campaign(
         self, now: float, *, is_transfer: bool = False, incarnations: dict[str, int] | None = None
     ) -> None:
-        """Vote for itself in the next epoch; other votes are requested when that vote is durable.
+        """Vote for this replica in the next epoch; request other votes once that vote is durable.
 
-        ``is_transfer``: the primary transferred its leadership. ``incarnations``: those of all other
-        replicas, when none of them follows a primary.
+        ``is_transfer`` states that the primary transferred its leadership. ``incarnations`` holds the
+        incarnations of all other replicas if none of them follows a primary.
         """
         self._core.start_epoch_as_candidate()
         self._campaign = Campaign(
@@ -109,7 +110,7 @@
         self._timer.restart(now)
 
     def continue_when_durable(self, now: float) -> None:
-        """Request the votes that waited for the own vote to become durable."""
+        """Request the votes of the others once the own vote is durable."""
         campaign = self._campaign
         if campaign is None or campaign.are_votes_requested or not self._core.is_hard_state_durable:
             return
@@ -123,8 +124,8 @@
             return
         core = self._core
         campaign.are_votes_requested = True
-        # A candidate that has just started may have renewed a lease before, as any other voter: its own
-        # pre-vote counts only after the election time-out.
+        # A candidate that has just started may have renewed a lease before its start, like any other voter:
+        # its own pre-vote counts only after the election time-out.
         if not campaign.is_pre_vote or not self._contact.may_have_renewed_lease(now):
             campaign.votes.add(core.identity.member_id)
         for peer in core.membership.peers():
@@ -160,9 +161,9 @@
             self._has_won = True
 
     def _is_group_without_primary(self, campaign: Campaign, now: float) -> bool:
-        """Whether all replicas, this one included, follow no primary.
+        """Return whether no replica, including this one, follows a primary.
 
-        Then no lease can be in force, and replicas that have just started need not wait for one to end.
+        Then no lease can be valid, and replicas that have just started need not wait for one to expire.
         """
         if self._contact.has_heard_primary(now):
             return False
@@ -178,8 +179,8 @@
         return membership.joint_configuration().has_election_quorum(voters)
 
     def receive_vote_reply(self, sender: MemberIdentity, epoch: int, reply: VoteReply, now: float) -> None:
-        """Handle the answer of ``sender``, whose epoch is ``epoch``, to a vote request."""
-        self._learn_commit(reply)
+        """Handle the reply of ``sender``, whose epoch is ``epoch``, to a vote request."""
+        self._adopt_commit_index(reply)
         if epoch > self._core.epoch:
             self._core.adopt_epoch(epoch)
             self._campaign = None
@@ -195,21 +196,21 @@
             campaign.votes.add(sender.member_id)
             self._count_votes(now)
         if reply.unbound and self._campaign is campaign and campaign.is_pre_vote:
-            self._record_unbound(campaign, sender.member_id, reply.life, now)
+            self._record_no_primary(campaign, sender.member_id, reply.life, now)
 
-    def _learn_commit(self, reply: VoteReply) -> None:
-        """Commit what the voter knows to be committed: after a change the previous members no longer vote."""
+    def _adopt_commit_index(self, reply: VoteReply) -> None:
+        """Adopt the voter's commit index; once a change is committed, the previous members have no vote."""
         if self._core.log.epoch_at(reply.commit_index) == reply.commit_epoch:
             self._core.advance_commit(reply.commit_index)
 
     def record_disk_replaced(self, member_id: str, now: float) -> None:
-        """The replica ``member_id`` does not run any more: another disk is at its address."""
+        """Record that the replica ``member_id`` no longer runs, because another disk is at its address."""
         campaign = self._campaign
         if campaign is not None and campaign.is_pre_vote:
-            self._record_unbound(campaign, member_id, NO_INCARNATION, now)
+            self._record_no_primary(campaign, member_id, NO_INCARNATION, now)
 
-    def _record_unbound(self, campaign: Campaign, member_id: str, incarnation: int, now: float) -> None:
-        """Count a replica that follows no primary, unless its answer may be of an earlier incarnation."""
+    def _record_no_primary(self, campaign: Campaign, member_id: str, incarnation: int, now: float) -> None:
+        """Count a replica that follows no primary, unless its answer may be from an earlier incarnation."""
         if now - campaign.started_at <= self._core.timing.pre_vote_window_s:
             campaign.incarnations[member_id] = incarnation
             self._count_votes(now)
--- a/cherrycove/tier/replication/change_notifier.py
+++ b/cherrycove/tier/replication/change_notifier.py
@@ -1,4 +1,4 @@
-"""Changes of role, epoch, primary or members of a replica: logged, then passed on to listeners."""
+"""Logs changes of role, epoch, primary or members of a replica and notifies listeners."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ChangeNotifier:
-    """Logs each change once and calls the listeners back. Runs in the event loop."""
+    """Logs each change once and calls the listeners in the event loop."""
 
     def __init__(self, group_name: str) -> None:
         self._group_name = group_name
@@ -23,7 +23,7 @@
         self._listeners.append(listener)
 
     def notify(self, machine: ReplicaMachine) -> None:
-        """Log what ``machine`` knows now, unless the last line says the same, and call the listeners."""
+        """Log the state of ``machine`` unless it equals the last line, and call the listeners."""
         self._log_change(machine)
         for listener in self._listeners:
             listener()
--- a/cherrycove/tier/replication/core.py
+++ b/cherrycove/tier/replication/core.py
@@ -1,4 +1,4 @@
-"""State that every role of a replica shares: hard state, log, what is synced, what is committed."""
+"""State that all roles of a replica share: hard state, log, synced index and commit index."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 from cherrycove.tier.storage.replica_storage import RecoveredState
 from cherrycove.tier.storage.snapshots import Snapshot
 
-#: Size of the part of a snapshot in one message.
+#: Maximum size of the snapshot data in one message.
 CHUNK_BYTES = 1024 * 1024
 
 
 class Role(Enum):
-    """The role of a replica in its epoch. A standby, which is no member, is a backup as well."""
+    """The role of a replica in its epoch. A standby, which is not a member, also has the role BACKUP."""
 
     BACKUP = "backup"
     CANDIDATE = "candidate"
@@ -52,11 +52,11 @@
 
 
 class ReplicaCore:
-    """State shared by the roles, with the operations that keep it consistent. No clock, disk or socket.
+    """Holds the state shared by the roles and keeps it consistent; uses no clock, disk or socket.
 
     Owned by ``ReplicaMachine``; the roles (``Elections``, ``Backup``, ``Primary``) change it only through its
-    methods. Whatever must outlive the process is written as an effect in the same call that changes it, and
-    counts towards other replicas only when ``writes`` has it as durable.
+    methods. A call that changes state that must survive a restart also emits the write of it, and the change
+    is acknowledged to other replicas only after ``writes`` reports it as durable.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
         self._effects.committed.extend(self.log.entries(self.log.base_index + 1, self.log.commit_index))
 
     def take_effects(self) -> Effects:
-        """Return the effects since the last call, and begin anew."""
+        """Return the effects collected since the last call, and clear them."""
         effects, self._effects = self._effects, Effects()
         return effects
 
@@ -94,11 +94,11 @@
 
     @property
     def epoch(self) -> int:
-        """The newest epoch known to this replica."""
+        """Return the newest epoch known to this replica."""
         return self.hard_state.epoch
 
     def adopt_epoch(self, epoch: int, voted_for: str = "") -> None:
-        """Become a backup of ``epoch`` if it is newer, with a vote in it or without."""
+        """Become a backup in ``epoch`` if it is newer, with a vote for ``voted_for`` unless that is empty."""
         if epoch <= self.epoch:
             return
         self.write_hard_state(HardState(epoch, voted_for, self.hard_state.commit_index))
@@ -107,44 +107,44 @@
         self._effects.changed = True
 
     def start_epoch_as_candidate(self) -> None:
-        """Become a candidate of the next epoch, with the own vote in it."""
+        """Become a candidate of the next epoch and vote for itself in it."""
         vote = HardState(self.epoch + 1, self.identity.member_id, self.hard_state.commit_index)
         self.write_hard_state(vote)
         self.become(Role.CANDIDATE, None)
         self._effects.changed = True
 
     def vote_for(self, candidate: MemberIdentity) -> None:
-        """Give the vote of the present epoch, which must be free, to ``candidate``."""
+        """Vote for ``candidate`` in the current epoch, in which no vote may have been cast yet."""
         self.write_hard_state(attrs.evolve(self.hard_state, voted_for=candidate.member_id))
 
     def become(self, role: Role, primary: MemberIdentity | None) -> None:
-        """Take ``role`` in the present epoch, with ``primary`` as its primary as far as known."""
+        """Take ``role`` in the current epoch; ``primary`` is the primary of that epoch, None if unknown."""
         if (role, primary) != (self.role, self.primary):
             self.role = role
             self.primary = primary
             self._effects.changed = True
 
     def follow(self, primary: MemberIdentity) -> None:
-        """Become a backup of ``primary``, which leads the present epoch."""
+        """Become a backup of ``primary``, the primary of the current epoch."""
         self.become(Role.BACKUP, self.membership.identity_of(primary))
 
     # Messages
 
     def send(self, receiver: MemberIdentity, message: Message) -> None:
-        """Send ``message`` to ``receiver`` with the present epoch."""
+        """Send ``message`` to ``receiver`` with the current epoch."""
         message.epoch = self.epoch
         self._effects.messages.append(OutgoingMessage(receiver, message))
 
     # Writes
 
     def write_hard_state(self, hard_state: HardState) -> None:
-        """Replace the hard state."""
+        """Replace the hard state and emit its write."""
         self.hard_state = hard_state
         ticket = self.writes.add_hard_state(hard_state)
         self._effects.writes.append(WriteHardState(ticket, hard_state))
 
     def append(self, entries: Sequence[Entry], now: float) -> None:
-        """Add entries to the log; they replace those from the first one's index on."""
+        """Append entries to the log; they replace those from the first one's index on."""
         membership_before = self.log.newest_membership
         self.writes.invalidate_from(entries[0].index)
         self.log.append(entries)
@@ -154,7 +154,7 @@
             self._effects.changed = True
 
     def complete_writes(self, ticket: int) -> None:
-        """All writes up to ``ticket`` are durable: the log may be compacted behind a snapshot."""
+        """Record that all writes up to ``ticket`` are durable; compact the log after a durable snapshot."""
         self.is_disk_failing = False
         for snapshot in self.writes.complete(ticket):
             self.snapshot = snapshot
@@ -162,14 +162,14 @@
 
     @property
     def is_hard_state_durable(self) -> bool:
-        """Whether epoch and vote are durable, so that this replica may act on them towards others."""
+        """Return whether epoch and vote are durable, so that messages to others may depend on them."""
         durable = self.writes.durable_hard_state
         return (durable.epoch, durable.voted_for) == (self.hard_state.epoch, self.hard_state.voted_for)
 
     # Commit
 
     def advance_commit(self, index: int) -> bool:
-        """Commit the entries up to ``index``; whether any of them was not committed before."""
+        """Commit the entries up to ``index``; return whether any of them was not committed before."""
         if index <= self.log.commit_index:
             return False
         had_uncommitted_change = self.membership.has_uncommitted_change()
@@ -179,7 +179,7 @@
         return True
 
     def _record_committed_membership(self) -> None:
-        """Make durable that the previous members no longer count, so that no restart asks them again."""
+        """Persist that the change is committed, so that the previous members have no vote after a restart."""
         index = self.log.newest_membership.index
         self.write_hard_state(attrs.evolve(self.hard_state, commit_index=index))
         self._effects.changed = True
@@ -187,14 +187,14 @@
     # Snapshots
 
     def write_snapshot(self, snapshot: Snapshot, now: float, *, required: bool = False) -> int:
-        """Store ``snapshot`` in place of the log up to it; return the ticket of the write."""
+        """Replace the log up to ``snapshot`` with it on disk; return the ticket of the write."""
         tail = self.log.entries(snapshot.index + 1, self.log.last_index)
         ticket = self.writes.add_snapshot(SnapshotHeader.of(snapshot), self.log.last_index, now)
         self._effects.writes.append(WriteSnapshot(ticket, snapshot, tail, required=required))
         return ticket
 
     def install_snapshot(self, snapshot: Snapshot, now: float) -> None:
-        """Replace the log by ``snapshot``, which is of committed entries that this replica lacks in part."""
+        """Replace the log with ``snapshot``, which covers committed entries that this replica lacks."""
         self.writes.invalidate_from(1)
         self.log.reset(snapshot.index, snapshot.epoch, decode_members(snapshot.members))
         self._effects.committed.clear()
--- a/cherrycove/tier/replication/disk_interface.py
+++ b/cherrycove/tier/replication/disk_interface.py
@@ -1,4 +1,4 @@
-"""What a replicated group needs of its disk: a durable state and the writer in front of it."""
+"""Interfaces of the durable storage of a replica and of the writer that serializes its writes."""
 
 from __future__ import annotations
 
@@ -13,32 +13,32 @@
 
 
 class Storage(Protocol):
-    """The durable state of one replica (``storage.replica_storage.ReplicaStorage``: in files).
+    """Durable state of one replica; ``storage.replica_storage.ReplicaStorage`` keeps it in files.
 
-    Every write is durable when its method returns. One that raises ``OSError`` does not count and is to be
-    attempted again; a start before that may find it or not.
+    Every write is durable when its method returns. A write that raises ``OSError`` has failed and must be
+    retried; a restart before the retry may or may not recover it.
     """
 
     @property
     def size_bytes(self) -> int:
-        """Size of log and snapshot."""
+        """Return the size of the log and the snapshot in bytes."""
 
     def recover(self) -> RecoveredState:
-        """Read the durable state; to be called first. Raises ``DamagedStorageError`` where some is lost."""
+        """Read the durable state; must be called first. Raises ``DamagedStorageError`` if data is damaged."""
 
     def write_hard_state(self, hard_state: HardState) -> None:
         """Replace epoch, vote and commit index."""
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Append entries; the first one replaces the entry at its index and all behind it."""
+        """Append entries; the first one replaces the entry at its index and all after it."""
 
     def save_snapshot(self, snapshot: Snapshot, tail: Sequence[Entry]) -> None:
-        """Replace the log by ``snapshot`` and the entries behind it."""
+        """Replace the log with ``snapshot`` and the entries after it, ``tail``."""
 
     def read_state(self, index: int, offset: int, size: int, *, encoded: bool = False) -> bytes:
-        """Read ``size`` bytes of the state in the snapshot of entry ``index``; empty if not available.
+        """Read ``size`` bytes of the state in the snapshot at entry ``index``; empty if not available.
 
-        ``encoded``: of the state's encoded form.
+        With ``encoded``, ``offset`` and ``size`` refer to the encoded form of the state.
         """
 
     def close(self) -> None:
@@ -46,23 +46,23 @@
 
 
 class Writer(Protocol):
-    """Performs the writes of a replica in order and reports what is durable.
+    """Performs the writes of a replica in order and reports which are durable.
 
-    ``writer.DiskWriter`` does so in a thread. The writer owns its storage from ``start`` to ``stop``.
+    ``writer.DiskWriter`` performs them in a thread. The writer owns its storage from ``start`` to ``stop``.
     """
 
     def start(self) -> None:
-        """Begin to work; to be called in the event loop, once."""
+        """Start the writer; must be called once, in the event loop."""
 
     def submit(self, writes: list[Write]) -> None:
-        """Perform ``writes`` after all that were submitted before."""
+        """Queue ``writes`` after all that were submitted before."""
 
     async def stop(self) -> None:
-        """Finish the submitted writes, up to one that fails, then close the storage."""
+        """Finish the submitted writes, up to the first one that fails, then close the storage."""
 
 
 class WriterFactory(Protocol):
-    """Makes the writer in front of a storage."""
+    """Creates the writer of a storage."""
 
     def __call__(
         self,
@@ -72,4 +72,4 @@
         on_snapshot_skipped: Callable[[int, OSError], None],
         /,
     ) -> Writer:
-        """Return a writer that is not started; for the callbacks see ``writer.DiskWriter``."""
+        """Return a writer that is not started; ``writer.DiskWriter`` describes the callbacks."""
--- a/cherrycove/tier/replication/driver.py
+++ b/cherrycove/tier/replication/driver.py
@@ -1,4 +1,4 @@
-"""A started replica: events go into its machine, the effects that come out are carried out."""
+"""Connects a replica machine to its process: passes events to it and executes its effects."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @attrs.frozen(kw_only=True, eq=False)
 class GroupComponents:
-    """The components of a group that are there before its replica is started."""
+    """Holds the components of a group that exist before its replica is started."""
 
     group_name: str
     runtime: Runtime
@@ -37,18 +37,17 @@
 
 
 class ReplicaDriver:
-    """Drives one replica from its start to its stop. Runs in the event loop.
+    """Runs one replica in the event loop from its start to its stop.
 
-    Owns the machine, the writer with its storage, and the task that brings the machine the time. Every event
-    (a message, a finished write, the passing of time, a proposal) is handed to the machine together with the
-    time, and the machine's effects are carried out at once, before the next event. After ``close`` events are
-    ignored.
+    Owns the replica machine, the writer with its storage, and the task that ticks the machine. Every event
+    (a message, a completed write, a tick, a proposal) is passed to the machine with the current time, and the
+    machine's effects are executed before the next event. After ``close``, events are ignored.
     """
 
     def __init__(
         self, components: GroupComponents, machine: ReplicaMachine, storage: Storage, identity: MemberIdentity
     ) -> None:
-        """``storage`` has been recovered; ``machine`` was made of what it held."""
+        """Create a driver; ``storage`` is already recovered, and ``machine`` was created from its state."""
         self._group_name = components.group_name
         self._clock = components.runtime.clock
         self._messenger = components.messenger
@@ -66,30 +65,30 @@
 
     @property
     def machine(self) -> ReplicaMachine:
-        """The machine, for questions about its state; events go through the driver."""
+        """Return the machine, for reading its state only; events must go through the driver."""
         return self._machine
 
     @property
     def identity(self) -> MemberIdentity:
-        """The member that this replica is."""
+        """Return the identity of this replica."""
         return self._identity
 
     @property
     def has_pending_writes(self) -> bool:
-        """Whether any disk write is unfinished."""
+        """Return whether any disk write is not yet durable."""
         return self._machine.has_pending_writes
 
     @property
     def stored_bytes(self) -> int:
-        """Size of log and snapshot on the disk."""
+        """Return the size of log and snapshot on the disk."""
         return self._storage.size_bytes
 
     # Start and stop
 
     def start(self) -> None:
-        """Start the writer and the ticks."""
+        """Start the writer and the tick task."""
         self._writer.start()
-        self._carry_out_effects()
+        self._execute_effects()
         self._ticker = asyncio.get_running_loop().create_task(self._tick())
 
     def close(self) -> None:
@@ -99,45 +98,45 @@
         self._is_closed = True
 
     async def stop_writer(self) -> None:
-        """Finish the writes that can be finished and close the storage."""
+        """Finish the submitted writes, up to the first one that fails, and close the storage."""
         await self._writer.stop()
 
     # Events
 
     def bootstrap(self, members: Sequence[MemberIdentity]) -> None:
-        """Begin the group with ``members`` (``ReplicaMachine.bootstrap``)."""
+        """Initialize the group with ``members`` (``ReplicaMachine.bootstrap``)."""
         self._machine.bootstrap(members, self._clock())
-        self._carry_out_effects()
+        self._execute_effects()
 
     def propose(self, command: bytes) -> asyncio.Future[Outcome] | None:
-        """Append ``command`` to the log; None if this replica is not the confirmed primary."""
+        """Append ``command`` to the log; return None if this replica is not the confirmed primary."""
         index = self._machine.propose(command, self._clock())
         if index is None:
             return None
         future = self._proposals.add(index, self._machine.epoch)
-        self._carry_out_effects()
+        self._execute_effects()
         return future
 
     def transfer_leadership(self) -> None:
         """Ask another member to take over as primary, if this replica is the primary."""
         self._machine.transfer_leadership(self._clock())
-        self._carry_out_effects()
+        self._execute_effects()
 
     def deliver(self, sender: MemberIdentity, batch: Batch) -> None:
-        """Take the messages of ``sender``, in order."""
+        """Process the messages of ``sender`` in order."""
         if self._is_closed:
             return
-        if batch.stranger:  # the member that was meant is no longer at its address
+        if batch.stranger:  # the intended member is no longer at its address
             self._machine.record_disk_replaced(sender.member_id, self._clock())
-            self._carry_out_effects()
+            self._execute_effects()
         for message in batch.messages:
             self._machine.receive(sender, message, self._clock())
-            self._carry_out_effects()
+            self._execute_effects()
 
     async def _tick(self) -> None:
         while not self._is_closed:
             self._machine.tick(self._clock())
-            self._carry_out_effects()
+            self._execute_effects()
             await asyncio.sleep(TICK_S)
 
     def _on_written(self, ticket: int) -> None:
@@ -145,7 +144,7 @@
             return
         self._applier.writes_finished(ticket)
         self._machine.complete_writes(ticket, self._clock())
-        self._carry_out_effects()
+        self._execute_effects()
         if not self._machine.has_pending_writes:
             self._messenger.writes_finished()
 
@@ -153,7 +152,7 @@
         _log.error("disk_write_failed", extra={"group": self._group_name, "reason": str(error)})
         if not self._is_closed:
             self._machine.record_write_failure(self._clock())
-            self._carry_out_effects()
+            self._execute_effects()
 
     def _on_snapshot_skipped(self, ticket: int, error: OSError) -> None:
         _log.warning("snapshot_skipped", extra={"group": self._group_name, "reason": str(error)})
@@ -162,11 +161,11 @@
 
     # Effects
 
-    def _carry_out_effects(self) -> None:
-        """Do what the last event led to: write, send, apply, notify, in this order.
+    def _execute_effects(self) -> None:
+        """Execute the effects of the last event: write, send, apply and notify, in this order.
 
-        Messages may leave before the writes are durable: the machine emits a message that vouches for a write
-        only after that write was reported.
+        Messages may be sent before the writes are durable: the machine emits a message that acknowledges a
+        write only after that write was reported as durable.
         """
         if self._is_closed:
             return
@@ -190,4 +189,4 @@
         if state is not None:
             ticket = self._machine.save_snapshot(state, self._clock())
             self._applier.snapshot_write_started(ticket)
-            self._carry_out_effects()
+            self._execute_effects()
--- a/cherrycove/tier/replication/effects.py
+++ b/cherrycove/tier/replication/effects.py
@@ -1,4 +1,4 @@
-"""What a machine asks its runtime to do: writes, messages, commands to apply."""
+"""Outputs of a replica machine that its runtime executes: writes, messages and entries to apply."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 @attrs.frozen
 class WriteHardState:
-    """Store epoch, vote and commit index. ``ticket`` numbers the writes of a machine in order."""
+    """Requests a write of epoch, vote and commit index.
+
+    ``ticket`` numbers the writes of a replica machine consecutively.
+    """
 
     ticket: int
     hard_state: HardState
@@ -21,7 +24,7 @@
 
 @attrs.frozen
 class WriteEntries:
-    """Append the entries; the first one replaces the entry at its index and all after it."""
+    """Requests that the entries are appended; the first replaces the entry at its index and all after it."""
 
     ticket: int
     entries: list[Entry]
@@ -29,9 +32,9 @@
 
 @attrs.frozen
 class WriteSnapshot:
-    """Store the snapshot in place of the log up to its index, followed by ``tail``.
+    """Requests that the log is replaced with the snapshot and the entries after it, ``tail``.
 
-    A ``required`` snapshot came from the primary, and later entries need it; any other may be skipped when
+    A ``required`` snapshot came from the primary, and later entries depend on it; any other may be skipped if
     the disk has no space for it.
     """
 
@@ -46,7 +49,7 @@
 
 @attrs.frozen
 class OutgoingMessage:
-    """A message to one replica. It may be lost, duplicated or reordered."""
+    """A message to one replica; the network may lose, duplicate or reorder it."""
 
     receiver: MemberIdentity
     message: Message
@@ -54,11 +57,11 @@
 
 @attrs.define
 class Effects:
-    """Everything that a machine asked for since its effects were taken last.
+    """Collects the outputs of a replica machine since ``take_effects`` was last called.
 
-    The runtime hands ``writes`` to the writer in order, restores ``restore`` before it applies ``committed``,
-    and sends ``messages`` at once: none of them needs a write that is not yet durable. ``changed`` means that
-    role, epoch, primary or members are not what they were.
+    The runtime submits ``writes`` to the writer in order, restores ``restore`` before it applies
+    ``committed``, and sends ``messages`` at once: none of them depends on a write that is not yet durable.
+    ``changed`` is set if the role, the epoch, the primary or the members changed.
     """
 
     writes: list[Write] = attrs.field(factory=list)
--- a/cherrycove/tier/replication/group.py
+++ b/cherrycove/tier/replication/group.py
@@ -1,4 +1,4 @@
-"""A replicated group at run time, as the planes use it."""
+"""Implementation of a replicated group at run time."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 from cherrycove.tier.replication.options import GroupOptions
 from cherrycove.tier.replication.recovery import RecoveredReplica, ReplicaRecovery
 
-STOP_COMMIT_TIMEOUT_S = 0.5  # a graceful stop waits so long for pending proposals
-STOP_FLUSH_TIMEOUT_S = 0.5  # and so long for its last messages
-USABLE_DISK_SHARE = 0.9  # of the disk's limit, for commands; the rest is for entries of replication itself
+STOP_COMMIT_TIMEOUT_S = 0.5  # maximum wait of a graceful stop for pending proposals
+STOP_FLUSH_TIMEOUT_S = 0.5  # maximum wait of a graceful stop for its queued messages
+USABLE_DISK_SHARE = 0.9  # share of the disk limit for commands; the rest is for replication entries
 
 _log = logging.getLogger(__name__)
 
 
 class ReplicatedGroup:
-    """The replica of a group in this process; implements ``replication.interface.Group``.
+    """Runs the replica of a group in this process; implements ``replication.interface.Group``.
 
-    ``factory.create_group`` builds it, one program owns it. It has three states: not started (nothing is
-    known, proposals are rejected), started (``start`` to ``stop``), and stopped. It is not to be started
+    ``factory.create_group`` builds it, and one program owns it. It has three states: not started (nothing is
+    known, proposals are rejected), started (``start`` to ``stop``), and stopped. It must not be started
     again: nothing prevents that, but after the first ``stop`` all proposals are rejected. If the disk is
-    damaged, ``start`` goes on with an empty one under a new identity.
+    damaged, ``start`` empties it and continues under a new identity.
     """
 
     def __init__(self, options: GroupOptions, components: GroupComponents) -> None:
@@ -46,35 +46,35 @@
 
     @property
     def identity(self) -> MemberIdentity:
-        """The member that this replica is; ``start`` changes the member id if the disk is damaged."""
+        """Return the identity of this replica; ``start`` changes its member id if the disk is damaged."""
         return self._recovery.identity
 
     @property
     def epoch(self) -> int:
-        """The newest epoch known here; 0 while not started."""
+        """Return the newest epoch known to this replica; 0 while not started."""
         return self._driver.machine.epoch if self._driver is not None else 0
 
     @property
     def primary(self) -> MemberIdentity | None:
-        """The replica believed to be the primary; None while unknown."""
+        """Return the replica believed to be the primary; None while unknown."""
         return self._driver.machine.primary if self._driver is not None else None
 
     @property
     def members(self) -> tuple[MemberIdentity, ...]:
-        """Members in force, as far as known here."""
+        """Return the members in force, as far as this replica knows."""
         return self._driver.machine.members if self._driver is not None else ()
 
     def voting_member_ids(self) -> frozenset[str]:
-        """Ids of all members whose votes count, during a change those before and after it."""
+        """Return the ids of all voting members; during a membership change, of both memberships."""
         return self._driver.machine.voting_member_ids() if self._driver is not None else frozenset()
 
     def committed_members(self) -> CommittedMembers | None:
-        """The members in force; None during a change of members, or if this is not the confirmed primary."""
+        """Return the members in force; None during a change, or if this is not the confirmed primary."""
         driver = self._driver
         return driver.machine.committed_members(self._now()) if driver is not None else None
 
     def is_confirmed_primary(self) -> bool:
-        """Whether this replica is primary under a valid lease and has applied all that is committed."""
+        """Return whether this replica leads under a valid lease and has applied all committed entries."""
         return self._driver is not None and self._driver.machine.is_confirmed_primary(self._now())
 
     # Requests
@@ -82,8 +82,9 @@
     async def propose(self, command: bytes, timeout_s: float) -> Result[object, Failure]:
         """Replicate ``command`` and apply it.
 
-        Returns what ``StateMachine.apply`` returned. Failures: NOT_PRIMARY and OVERLOADED (the disk is nearly
-        full): certainly not taken; UNCERTAIN: not known to be committed within ``timeout_s`` seconds.
+        Returns the result of ``StateMachine.apply``. With NOT_PRIMARY and OVERLOADED (the disk is nearly
+        full) the command was not appended; with UNCERTAIN it is unknown whether the command will be applied,
+        as when it did not commit within ``timeout_s`` seconds.
         """
         driver = self._driver
         if driver is None or self._is_stopping:
@@ -96,23 +97,23 @@
         return await self._components.proposals.wait(future, timeout_s)
 
     def offer_standbys(self, standbys: Sequence[MemberIdentity]) -> None:
-        """Name the replicas outside the group that the primary may add; replaces those named before."""
+        """Set the replicas outside the group that the primary may add; replaces the previous ones."""
         self._membership_requests.standbys = tuple(standbys)
 
     def set_retiring(self, names: frozenset[str]) -> None:
-        """Name the members, by node name or member id, that must leave; replaces those named before."""
+        """Set the replicas, by node name or member id, that must leave; replaces the previous ones."""
         self._membership_requests.retiring = names
 
     def on_change(self, callback: Callable[[], None]) -> None:
-        """Call back after each change of role, epoch, primary or members."""
+        """Call ``callback`` after each change of role, epoch, primary or members."""
         self._components.notifier.subscribe(callback)
 
     # Lifecycle
 
     async def start(self, initial_members: Sequence[MemberIdentity] = ()) -> None:
-        """Recover the disk and take part in the group; may be called again when the initial members are set.
+        """Recover the disk and join the group; may be called again once the initial members are known.
 
-        ``initial_members`` counts only where nothing is logged yet and this replica is among them. Raises
+        ``initial_members`` is ignored if the log has entries or this replica is not among them. Raises
         ``OSError`` if the disk cannot be read or written.
         """
         async with self._start_lock:
@@ -125,7 +126,7 @@
             self._driver.bootstrap(initial_members)
 
     async def stop(self) -> None:
-        """Hand the primary's role over, if this replica has it, then stop. The disk stays as it is."""
+        """Transfer leadership if this replica is the primary, then stop; the stored state is kept."""
         self._is_stopping = True
         driver = self._driver
         if driver is None:
@@ -166,7 +167,7 @@
             timing=options.timing,
             membership_requests=self._membership_requests,
         )
-        # Listeners ask this group as soon as the driver starts, so it must be in place before.
+        # Listeners query this group as soon as the driver starts, so ``_driver`` must be set before.
         self._driver = ReplicaDriver(self._components, machine, recovered.storage, self.identity)
         self._components.messenger.attach(self._driver)
         self._driver.start()
--- a/cherrycove/tier/replication/group_membership.py
+++ b/cherrycove/tier/replication/group_membership.py
@@ -1,4 +1,4 @@
-"""Which members count for one replica: derived from its log, nothing of it stored elsewhere."""
+"""Effective membership of the group as one replica derives it from its log; it is stored nowhere else."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from cherrycove.tier.replication.membership import IndexedMembership, Members, Membership
 from cherrycove.tier.replication.quorums import JointConfiguration, target_group_size
 
-#: Epoch of the entry with the initial members, which counts as committed.
+#: Epoch of the entry that lists the initial members; this entry counts as committed.
 INITIAL_EPOCH = 0
 
 
@@ -20,15 +20,15 @@
 
 
 class GroupMembership:
-    """The members of the group as the log of one replica has them.
+    """Derives the members of the group from the log of one replica.
 
-    Owned by ``ReplicaCore``. A membership is either committed, and then alone in force, or uncommitted: then
-    the one before it counts as well (``quorums.JointConfiguration``). Truncating or replacing the log brings
-    an earlier membership back.
+    Owned by ``ReplicaCore``. A committed membership is in force alone; while a membership is uncommitted, the
+    previous one is in force as well (``quorums.JointConfiguration``). Truncating or replacing the log
+    restores an earlier membership.
     """
 
     def __init__(self, identity: MemberIdentity, faults: int, log: ReplicatedLog) -> None:
-        """``faults``: number of disks whose loss the group must survive."""
+        """Create the view of ``log``; ``faults`` is the number of disks whose loss the group must survive."""
         self._identity = identity
         self._faults = faults
         self._log = log
@@ -36,36 +36,36 @@
 
     @property
     def members(self) -> Members:
-        """Members of the newest membership, committed or not."""
+        """Return the members of the newest membership, committed or not."""
         return self._log.newest_membership.members
 
     @property
     def newest(self) -> Membership:
-        """The newest membership, committed or not."""
+        """Return the newest membership, committed or not."""
         return self._log.newest_membership.membership
 
     @property
     def target_size(self) -> int:
-        """Number of members with which a majority survives the loss of ``faults`` disks."""
+        """Return the number of members with which a majority survives the loss of ``faults`` disks."""
         return target_group_size(self._faults)
 
     @property
     def is_member(self) -> bool:
-        """Whether the newest membership includes this replica."""
+        """Return whether the newest membership includes this replica."""
         return any(member.member_id == self._identity.member_id for member in self.members)
 
     @property
     def is_voter(self) -> bool:
-        """Whether the joint configuration includes this replica."""
+        """Return whether the joint configuration includes this replica."""
         return self._voter_identity() is not None
 
     @property
     def is_electable(self) -> bool:
-        """Whether the joint configuration includes this replica at the address that it has.
+        """Return whether the joint configuration includes this replica at its current address.
 
-        A replica that is being removed may have the only log that is up to date, so it must be able to lead
-        until the change is committed. A disk that was moved to another address must not lead: whoever has
-        its earlier address answers that the replica of this disk does not run.
+        A replica that is being removed may have the only log that is up to date, so it must be electable
+        until the change is committed. A disk that was moved to another address must not lead: the process at
+        its earlier address answers that the replica of this disk is not running.
         """
         voter = self._voter_identity()
         return voter is not None and voter.address == self._identity.address
@@ -75,14 +75,14 @@
         return next((voter for voter in voters if voter.member_id == self._identity.member_id), None)
 
     def has_uncommitted_change(self) -> bool:
-        """Whether the newest membership is not known to be committed."""
+        """Return whether the newest membership is not known to be committed."""
         newest = self._log.newest_membership
         if newest.index <= self._log.commit_index:
             return False
         return self._log.epoch_at(newest.index) != INITIAL_EPOCH
 
     def joint_configuration(self) -> JointConfiguration:
-        """Return the members whose votes and replicas count now."""
+        """Return the members that currently count for quorums."""
         newest = self._log.newest_membership
         cached = self._cached
         if cached is not None and cached.newest is newest:
@@ -106,6 +106,6 @@
         return list(known.values())
 
     def identity_of(self, replica: MemberIdentity) -> MemberIdentity:
-        """Return the full identity of ``replica`` where the newest membership has it, else ``replica``."""
+        """Return the identity of ``replica`` in the newest membership, or ``replica`` if it is not listed."""
         known = (member for member in self.members if member.member_id == replica.member_id)
         return next(known, replica)
--- a/cherrycove/tier/replication/interface.py
+++ b/cherrycove/tier/replication/interface.py
@@ -1,4 +1,4 @@
-"""What a replicated group offers to the plane that uses it, and what it asks of its state machine."""
+"""Interfaces of a replicated group: for its users, and for the state machine that it replicates."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 @attrs.frozen
 class MemberIdentity:
-    """One replica.
+    """Identifies one replica.
 
-    ``member_id`` names the disk: a wiped disk gets a new one, and so is a new member. ``address`` is
-    host:port of its internal calls. ``zone`` is its failure domain, "" where none is known.
+    ``member_id`` identifies the disk: a wiped disk gets a new id and counts as a new member. ``address`` is
+    the host:port at which the replica serves internal calls. ``zone`` is its failure domain, "" if unknown.
     """
 
     member_id: str
@@ -28,10 +28,10 @@
 
 @attrs.frozen
 class CommittedMembers:
-    """The members in force, committed, as their primary knows them under a valid lease.
+    """Describes the committed membership in force, as the primary knows it under a valid lease.
 
-    ``index``: they are in force from this log index on at the latest; a later membership never has a lower
-    one. ``excluded``: ids of disks that are never added again.
+    The membership is in force from log index ``index`` or earlier; a later membership never has a lower one.
+    ``excluded`` holds the ids of disks that are never added again.
     """
 
     index: int
@@ -40,67 +40,71 @@
 
 
 class StateMachine(Protocol):
-    """State that is a function of the commands applied so far. Runs in the event loop; must not block."""
+    """Replicated state, a deterministic function of the commands applied so far.
+
+    Its methods run in the event loop and must not block.
+    """
 
     def apply(self, index: int, command: bytes) -> object:
-        """Apply one committed command; what it returns is the outcome of its ``propose`` at the primary."""
+        """Apply one committed command; the primary returns the result from ``propose``."""
 
     def snapshot(self) -> bytes | SnapshotState:
-        """Return the complete state; final blocks are the same objects as in the snapshot before."""
+        """Return the complete state; final blocks are the same objects as in the previous snapshot."""
 
     def restore(self, state: SnapshotState) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state with that of a snapshot."""
 
 
 class Group(Protocol):
-    """A replicated group as its plane sees it."""
+    """Interface of a replicated group for the component that uses it."""
 
     @property
     def identity(self) -> MemberIdentity:
-        """Identity of this replica."""
+        """Return the identity of this replica."""
 
     @property
     def epoch(self) -> int:
-        """The newest epoch known here."""
+        """Return the newest epoch known to this replica."""
 
     @property
     def primary(self) -> MemberIdentity | None:
-        """The replica believed to lead; None while unknown."""
+        """Return the replica believed to be the primary; None while unknown."""
 
     @property
     def members(self) -> tuple[MemberIdentity, ...]:
-        """Members in force, as far as known here."""
+        """Return the members in force, as far as this replica knows."""
 
     def is_confirmed_primary(self) -> bool:
-        """Whether this replica leads under a valid lease and has applied all that is committed.
+        """Return whether this replica leads under a valid lease and has applied all committed entries.
 
-        While true, a read of the local state machine is linearizable.
+        While this is true, a read of the local state machine is linearizable.
         """
 
     async def propose(self, command: bytes, timeout_s: float) -> Result[object, Failure]:
         """Replicate ``command`` and apply it.
 
-        Ok holds what ``apply`` returned, after the command was synced on as many disks as may be lost, plus
-        one. Err: NOT_PRIMARY or OVERLOADED: certainly not applied. UNCERTAIN: unknown.
+        Returns Ok with the result of ``apply`` once the command is synced on one disk more than the number
+        that may be lost. After Err with NOT_PRIMARY or OVERLOADED the command is not applied; after UNCERTAIN
+        it may or may not be.
         """
 
     def offer_standbys(self, standbys: Sequence[MemberIdentity]) -> None:
-        """Name replicas alive outside the group; the primary adds them where members are missing or lost."""
+        """Set the live replicas outside the group; the primary adds them if members are missing or lost."""
 
     def voting_member_ids(self) -> frozenset[str]:
-        """Return the ids of all members whose votes count, during a change also the previous ones."""
+        """Return the ids of all voting members; during a membership change, of both memberships."""
 
     def committed_members(self) -> CommittedMembers | None:
         """Return the members in force.
 
-        None while a change of members is uncommitted, or if this replica is not the confirmed primary.
+        Returns None while a membership change is uncommitted, or if this is not the confirmed primary.
         """
 
     def set_retiring(self, names: frozenset[str]) -> None:
-        """Name the machines that must leave the group, by node name or member id.
+        """Set the replicas that must leave the group, by node name or member id.
 
-        The primary replaces them by standbys, or removes them from a group that is larger than it must be.
-        Their ids are excluded: committed as never to be added again.
+        The primary replaces them with standbys, or removes them from a group that exceeds its target size.
+        Their ids are committed as excluded, so that they are never added again.
         """
 
     def on_change(self, callback: Callable[[], None]) -> None:
--- a/cherrycove/tier/replication/learners.py
+++ b/cherrycove/tier/replication/learners.py
@@ -1,4 +1,4 @@
-"""How a primary adds standbys: one at a time, as a learner until it is caught up, then by a members entry."""
+"""Adds standbys to the group one at a time: first as a learner, then, once caught up, as a member."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from cherrycove.tier.replication.replicator import PeerReplicator
 from cherrycove.tier.replication.snapshot_sender import SnapshotSource
 
-#: A learner that is at most so many entries behind may become a member.
+#: Maximum number of entries that a learner may lag when it becomes a member.
 MAX_LEARNER_LAG_ENTRIES = 16
 
 
 @attrs.define
 class MembershipRequests:
-    """What the user of a group asks of its members; kept through changes of role.
+    """Holds the requests of a group's user about its members; kept across role changes.
 
-    ``standbys`` are replicas alive, members included. ``retiring`` holds node names or member ids of machines
-    that must leave the group.
+    ``standbys`` are live replicas, which may include members. ``retiring`` holds node names or member ids of
+    replicas that must leave the group.
     """
 
     standbys: tuple[MemberIdentity, ...] = ()
@@ -32,24 +32,24 @@
 
 
 class LearnerPromotion:
-    """Chooses the next change of members and prepares it.
+    """Chooses the next membership change and prepares it.
 
     Owned by ``Primary`` for its period. States: no learner; a learner that is catching up (it receives the
-    log but does not count for any quorum). A learner that does not answer is dropped, and its standby is
-    chosen after all others for standby_backoff_s; another step of the policy drops the learner as well.
+    log but counts for no quorum). A learner that does not answer is dropped, and for standby_backoff_s its
+    standby is chosen only after all others; a different step of the policy also drops the learner.
     """
 
     def __init__(self, core: ReplicaCore, requests: MembershipRequests, source: SnapshotSource) -> None:
         self._core = core
         self._requests = requests
         self._source = source
-        self._backoff_until: dict[str, float] = {}  # by member id of a standby that did not answer
+        self._backoff_until: dict[str, float] = {}  # by member id of the unresponsive standby
         self.learner: PeerReplicator | None = None
 
     def step(
         self, unreachable: frozenset[str], unresponsive: frozenset[str], now: float
     ) -> MembershipStep | None:
-        """Return the step to take now, if one is wanted and prepared.
+        """Return the membership step to take now; None if none is needed or ready.
 
         ``unreachable`` and ``unresponsive`` are ids of members (``membership_policy.GroupView``).
         """
@@ -66,7 +66,7 @@
         return step if has_synced and learner.is_caught_up(MAX_LEARNER_LAG_ENTRIES) else None
 
     def take_learner(self, member_id: str) -> PeerReplicator | None:
-        """Return the learner and forget it, if it is the replica ``member_id``."""
+        """Return and release the learner if it is the replica ``member_id``; otherwise return None."""
         learner = self.learner
         if learner is None or learner.member.member_id != member_id:
             return None
--- a/cherrycove/tier/replication/log.py
+++ b/cherrycove/tier/replication/log.py
@@ -1,4 +1,4 @@
-"""The log of one replica in memory: the entries after a snapshot, and what of them is committed."""
+"""In-memory log of one replica: the entries after a snapshot and the commit index."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from cherrycove.tier.replication.membership import IndexedMembership, Membership, decode_members
 from cherrycove.tier.storage.entries import Entry, EntryKind
 
-#: Entries covered by a snapshot that stay in memory, for backups that lag a little.
+#: Entries covered by a snapshot that stay in memory, so that backups with a small lag need no snapshot.
 RETAINED_ENTRIES = 256
 RETAINED_BYTES = 1024 * 1024
 
 
 class ReplicatedLog:
-    """Entries ``base_index + 1`` to ``last_index``; those up to ``commit_index`` never change.
+    """Holds the entries ``base_index + 1`` to ``last_index``; those up to ``commit_index`` never change.
 
-    Owned by ``ReplicaCore`` for the lifetime of the process. Everything up to ``base_index`` is known only
-    by its state and by the membership in force there. The log is not durable: the core hands each change
-    to the writer, and a restarted process builds the log again from disk.
+    Owned by ``ReplicaCore`` for the lifetime of the process. Of the entries up to ``base_index``, only the
+    resulting state and the membership in force at that index are kept. This object is not durable: the core
+    emits each change as a write, and a restarted process rebuilds the log from disk.
     """
 
     def __init__(
@@ -31,23 +31,23 @@
 
     @property
     def last_index(self) -> int:
-        """Index of the newest entry, or ``base_index`` if there is none."""
+        """Return the index of the newest entry, or ``base_index`` if there is none."""
         return self.base_index + len(self._entries)
 
     @property
     def last_epoch(self) -> int:
-        """Epoch of the entry at ``last_index``."""
+        """Return the epoch of the entry at ``last_index``."""
         return self._entries[-1].epoch if self._entries else self.base_epoch
 
     def epoch_at(self, index: int) -> int | None:
-        """Return the epoch of the entry at ``index``; None where it is not in memory."""
+        """Return the epoch of the entry at ``index``; None if it is not in memory."""
         if index == self.base_index:
             return self.base_epoch
         position = index - self.base_index - 1
         return self._entries[position].epoch if 0 <= position < len(self._entries) else None
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Add ``entries``, which have no gap to the log; entries from the first one's index on are removed.
+        """Append ``entries``, which must leave no gap; existing entries from the first index on are removed.
 
         A membership is in force as soon as its entry is appended (Raft, section 6).
         """
@@ -63,17 +63,17 @@
             self._memberships.pop()
 
     def commit_to(self, index: int) -> list[Entry]:
-        """Set ``commit_index`` to the higher ``index``; return the entries that this commits."""
+        """Raise ``commit_index`` to ``index``; return the newly committed entries."""
         committed = self.entries(self.commit_index + 1, index)
         self.commit_index = index
         return committed
 
     def entries(self, first: int, last: int) -> list[Entry]:
-        """Return entries ``first`` to ``last``, both included."""
+        """Return the entries ``first`` to ``last``, both inclusive."""
         return self._entries[first - self.base_index - 1 : last - self.base_index]
 
     def entries_within(self, first: int, max_bytes: int) -> list[Entry]:
-        """Return entries from ``first`` on with ``max_bytes`` together, at least one if there is one."""
+        """Return entries from ``first`` on: at most ``max_bytes`` in total, but at least one if any exist."""
         start = first - self.base_index - 1
         end = start
         size_bytes = 0
@@ -91,11 +91,14 @@
 
     @property
     def newest_membership(self) -> IndexedMembership:
-        """The membership in force at the end of the log, committed or not."""
+        """Return the membership in force at the end of the log, committed or not."""
         return self._memberships[-1]
 
     def compact(self, index: int, retained_entries: int = RETAINED_ENTRIES) -> None:
-        """Drop entries up to ``index``, except the last ``retained_entries`` or RETAINED_BYTES of them."""
+        """Drop entries up to ``index``, except the last ``retained_entries`` or RETAINED_BYTES of them.
+
+        Whichever limit is reached first applies.
+        """
         base = index
         size_bytes = 0
         while base > self.base_index and index - base < retained_entries and size_bytes < RETAINED_BYTES:
@@ -110,7 +113,7 @@
         self.base_index = base
 
     def reset(self, base_index: int, base_epoch: int, membership: Membership) -> None:
-        """Replace the log by a snapshot of the entries up to ``base_index``, all of them committed."""
+        """Replace the log with a snapshot of the entries up to ``base_index``, which are all committed."""
         self.base_index = base_index
         self.base_epoch = base_epoch
         self.commit_index = base_index
--- a/cherrycove/tier/replication/membership.py
+++ b/cherrycove/tier/replication/membership.py
@@ -1,7 +1,7 @@
-"""The members of a group as a log entry holds them: types and their encoding.
+"""Group membership as stored in log entries: types and encoding.
 
 A members entry carries the complete list of members and of excluded disks (message ``MemberList`` of
-``replication.proto``), so the newest such entry alone says who is in the group.
+``replication.proto``), so the newest such entry alone determines the membership.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from cherrycove.tier.protocol.replication_pb2 import Member, MemberList
 from cherrycove.tier.replication.interface import MemberIdentity
 
-#: Number of excluded ids that a members entry keeps, the newest; see ``Membership.excluding``.
+#: Maximum number of excluded ids in a members entry, the newest ones; see ``Membership.excluding``.
 MAX_EXCLUDED = 512
 
 Members = tuple[MemberIdentity, ...]
@@ -21,9 +21,9 @@
 
 @attrs.frozen
 class Membership:
-    """Who is in the group, and which disks must never be added again.
+    """Holds the members of the group and the disks that must never be added again.
 
-    ``excluded`` holds member ids in the order of their exclusion.
+    ``excluded`` holds member ids in the order in which they were excluded.
     """
 
     members: Members = ()
@@ -32,9 +32,9 @@
     def excluding(self, member_ids: Iterable[str]) -> tuple[str, ...]:
         """Return ``excluded`` followed by ``member_ids``, without the oldest ids beyond MAX_EXCLUDED.
 
-        An id matters only as long as its process may still be offered as a standby, that is until the
-        retired machine is switched off. The limit is far above the number of machines between their order
-        to retire and that moment, and it keeps an entry below some twenty kilobytes.
+        An id matters only while its process may still be offered as a standby, that is, until the retired
+        host is switched off. The limit is far above the number of hosts that are between the request to
+        retire and that moment, and it keeps an entry below about 20 KB.
         """
         fresh = [member_id for member_id in member_ids if member_id not in self.excluded]
         return (*self.excluded, *dict.fromkeys(fresh))[-MAX_EXCLUDED:]
@@ -42,14 +42,14 @@
 
 @attrs.frozen
 class IndexedMembership:
-    """A membership and the log index from which it is in force."""
+    """A membership with the log index from which it is in force."""
 
     index: int
     membership: Membership
 
     @property
     def members(self) -> Members:
-        """Members without the excluded ids."""
+        """Return the members, without the excluded ids."""
         return self.membership.members
 
 
@@ -76,7 +76,7 @@
 
 
 def decode_members(data: bytes) -> Membership:
-    """Decode the payload of a members entry; raises protobuf's ``DecodeError`` for other bytes."""
+    """Decode the payload of a members entry; raises protobuf's ``DecodeError`` if it is invalid."""
     message = MemberList.FromString(data)
     members = tuple(member_from_message(member) for member in message.members)
     return Membership(members, tuple(message.excluded))
--- a/cherrycove/tier/replication/membership_policy.py
+++ b/cherrycove/tier/replication/membership_policy.py
@@ -1,4 +1,4 @@
-"""Which change of members a primary wants next. Pure: a view of the group goes in, one step comes out."""
+"""Membership policy: a pure function from a primary's view of the group to the next membership step."""
 
 from __future__ import annotations
 
@@ -12,45 +12,45 @@
 
 @attrs.frozen
 class GroupView:
-    """The group as its primary sees it; replicas are named by member id."""
+    """Describes the group as its primary sees it; sets of strings hold member ids unless stated otherwise."""
 
     primary: MemberIdentity
     members: tuple[MemberIdentity, ...]
     standbys: tuple[MemberIdentity, ...]
-    """Replicas alive, members included."""
+    """Live replicas, which may include members."""
     unreachable: frozenset[str]
-    """Members not heard from for unreachable_timeout_s: they may be replaced."""
+    """Members that sent nothing for unreachable_timeout_s, so that they may be replaced."""
     retiring: frozenset[str]
-    """Node names or member ids of machines that must leave the group."""
+    """Node names or member ids of replicas that must leave the group."""
     target_size: int
     excluded: frozenset[str] = frozenset()
     """Replicas that must never be added."""
     unresponsive_standbys: frozenset[str] = frozenset()
-    """Standbys that did not answer as learners: chosen after all others."""
+    """Standbys that did not answer as learners and are chosen after all others."""
     unresponsive: frozenset[str] = frozenset()
-    """Members that have not answered lately, among them the unreachable ones."""
+    """Members that have not answered recently, including the unreachable ones."""
 
     @property
     def member_ids(self) -> frozenset[str]:
-        """Ids of the members."""
+        """Return the ids of the members."""
         return frozenset(member.member_id for member in self.members)
 
 
 def is_retiring(member: MemberIdentity, retiring: frozenset[str]) -> bool:
-    """Whether ``retiring`` names ``member``, by its node name or its member id."""
+    """Return whether ``retiring`` contains the node name or the member id of ``member``."""
     return member.node_name in retiring or member.member_id in retiring
 
 
 @attrs.frozen
 class MembershipChange:
-    """Add ``add``, remove ``remove``, or both in one step; never add the ids of ``exclude`` again."""
+    """Adds ``add``, removes ``remove``, or both in one step; the ids in ``exclude`` are never added again."""
 
     add: MemberIdentity | None = None
     remove: MemberIdentity | None = None
     exclude: tuple[str, ...] = ()
 
     def apply(self, members: Iterable[MemberIdentity]) -> tuple[MemberIdentity, ...]:
-        """Return ``members`` with this change made."""
+        """Return ``members`` after this change."""
         removed_id = self.remove.member_id if self.remove is not None else ""
         remaining = tuple(member for member in members if member.member_id != removed_id)
         return (*remaining, self.add) if self.add is not None else remaining
@@ -58,17 +58,17 @@
 
 @attrs.frozen
 class TransferLeadership:
-    """The primary's own machine is retiring: another member must lead before it can be removed."""
+    """Requests a transfer of leadership: a retiring primary can be removed only once another member leads."""
 
 
 MembershipStep = MembershipChange | TransferLeadership
 
 
 def next_step(view: GroupView) -> MembershipStep | None:
-    """Return the most urgent step, or None while the group is as it should be.
+    """Return the most urgent step, or None if no step is needed or possible.
 
-    A machine that lost its disk comes first, then lost members, then retiring ones: retiring is planned, and
-    must not use up the standby or the member that a loss needs.
+    Members whose host lost its disk come first, then unreachable members, then retiring ones: retirement is
+    planned and must not consume the standby or the member that a loss needs.
     """
     standbys = _eligible_standbys(view)
     return (
@@ -76,12 +76,12 @@
         or _replace_unreachable_member(view, standbys)
         or _replace_retiring_member(view, standbys)
         or _exclude_retiring_standbys(view)
-        or _grow(view, standbys)
+        or _grow_to_target_size(view, standbys)
     )
 
 
 def _eligible_standbys(view: GroupView) -> list[MemberIdentity]:
-    """Return standbys that may be added; those that answer first, then those in zones without a member."""
+    """Return the standbys that may be added, responsive ones first, then those in zones without a member."""
     member_ids = view.member_ids
     covered_zones = {member.zone for member in view.members if member.member_id not in view.unreachable}
     eligible = [
@@ -99,31 +99,34 @@
     return sorted(eligible, key=rank)
 
 
-def _is_same_machine(one: MemberIdentity, other: MemberIdentity) -> bool:
+def _is_same_host(one: MemberIdentity, other: MemberIdentity) -> bool:
     if one.address == other.address:
         return True
     return one.node_name != "" and one.node_name == other.node_name
 
 
 def _replace(view: GroupView, member: MemberIdentity, standby: MemberIdentity | None) -> MembershipChange:
-    """Replace ``member`` by ``standby``, or only remove it; a retiring member is excluded as well."""
+    """Return the replacement of ``member`` with ``standby``, or its removal if ``standby`` is None.
+
+    A retiring member is also excluded.
+    """
     exclude = (member.member_id,) if is_retiring(member, view.retiring) else ()
     return MembershipChange(add=standby, remove=member, exclude=exclude)
 
 
 def _replace_wiped_member(view: GroupView, standbys: list[MemberIdentity]) -> MembershipChange | None:
-    """Replace a member by the new, empty disk of its machine, unless that does not answer this primary."""
+    """Replace a member with the new, empty disk on the same host unless that disk does not answer."""
     for standby in standbys:
         if standby.member_id in view.unresponsive_standbys:
             continue
         for member in view.members:
-            if member.member_id != view.primary.member_id and _is_same_machine(standby, member):
+            if member.member_id != view.primary.member_id and _is_same_host(standby, member):
                 return _replace(view, member, standby)
     return None
 
 
 def _replace_unreachable_member(view: GroupView, standbys: list[MemberIdentity]) -> MembershipChange | None:
-    """Replace an unreachable member, or only remove it where more are left than the group needs."""
+    """Replace an unreachable member, or only remove it if the group exceeds its target size."""
     unreachable = [member for member in view.members if member.member_id in view.unreachable]
     if not unreachable:
         return None
@@ -135,8 +138,8 @@
 def _replace_retiring_member(view: GroupView, standbys: list[MemberIdentity]) -> MembershipStep | None:
     """Replace or remove a retiring member while all members that stay answer.
 
-    A member that does not answer needs the standby more: it may be lost, and the standby its successor. A
-    machine that has left is switched off and does not count as a loss that the group may have.
+    A member that does not answer has priority: it may be lost, and then needs the standby as its replacement.
+    A host that has left is switched off and does not count among the losses that the group tolerates.
     """
     retiring = [member for member in view.members if is_retiring(member, view.retiring)]
     staying_ids = [member.member_id for member in view.members if member not in retiring]
@@ -153,7 +156,7 @@
 
 
 def _exclude_retiring_standbys(view: GroupView) -> MembershipChange | None:
-    """Exclude standbys that are retiring, so that no later primary adds them."""
+    """Exclude retiring standbys, so that no later primary adds them."""
     member_ids = view.member_ids
     retiring_ids = sorted(
         standby.member_id
@@ -164,8 +167,8 @@
     return MembershipChange(exclude=tuple(fresh)) if fresh else None
 
 
-def _grow(view: GroupView, standbys: list[MemberIdentity]) -> MembershipChange | None:
-    """Add a standby to a group that has fewer members than it needs."""
+def _grow_to_target_size(view: GroupView, standbys: list[MemberIdentity]) -> MembershipChange | None:
+    """Add a standby to a group that is below its target size."""
     if len(view.members) >= view.target_size or not standbys:
         return None
     return MembershipChange(add=standbys[0])
--- a/cherrycove/tier/replication/message_dispatcher.py
+++ b/cherrycove/tier/replication/message_dispatcher.py
@@ -1,4 +1,4 @@
-"""Hands each message of another replica to the role that it is for, after a look at its epoch."""
+"""Checks the epoch of each message of another replica and passes the message to the role that handles it."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 
 
 class MessageDispatcher:
-    """Dispatches messages by kind. Owned by ``ReplicaMachine``; has no state of its own.
+    """Dispatches messages by kind; owned by ``ReplicaMachine``, without state of its own.
 
-    A message of an older epoch changes nothing; one of a newer epoch makes this replica a backup of it. Vote
-    requests are the exception: the voter looks at their epoch itself, since most of them must not raise it.
+    A message of an older epoch changes nothing; one of a newer epoch makes this replica a backup in that
+    epoch. Vote requests are the exception: the voter checks their epoch itself, since most of them must not
+    raise the epoch.
     """
 
     def __init__(self, core: ReplicaCore, roles: ReplicaRoles) -> None:
@@ -20,7 +21,7 @@
         self._roles = roles
 
     def dispatch(self, sender: MemberIdentity, message: Message, now: float) -> None:
-        """Handle ``message`` of ``sender``; a kind that is not known here is ignored."""
+        """Handle ``message`` of ``sender``; unknown kinds are ignored."""
         body = message.WhichOneof("body")
         elections = self._roles.elections
         if body == "vote_request":
@@ -61,7 +62,7 @@
             primary.receive_snapshot_reply(sender, message.snapshot_reply, now)
 
     def _receive_transfer(self, sender: MemberIdentity, message: Message, now: float) -> None:
-        """Campaign at once if the present primary transfers its leadership to this replica."""
+        """Campaign at once if the current primary transfers its leadership to this replica."""
         core = self._core
         is_from_primary = core.primary is not None and core.primary.member_id == sender.member_id
         may_lead = core.membership.is_electable and not core.is_disk_failing
--- a/cherrycove/tier/replication/messenger.py
+++ b/cherrycove/tier/replication/messenger.py
@@ -1,4 +1,4 @@
-"""Delivery of messages between one replica and its peers."""
+"""Exchanges messages between one replica and its peers."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
 
 
 class MessageReceiver(Protocol):
-    """A started replica, as ``PeerMessenger`` sees it."""
+    """Interface of a started replica that ``PeerMessenger`` delivers messages to."""
 
     @property
     def identity(self) -> MemberIdentity:
-        """The member that this replica is."""
+        """Return the identity of this replica."""
 
     @property
     def has_pending_writes(self) -> bool:
-        """Whether any disk write is unfinished."""
+        """Return whether any disk write is not yet durable."""
 
     def deliver(self, sender: MemberIdentity, batch: Batch) -> None:
-        """Take the messages of ``sender``, in order."""
+        """Process the messages of ``sender`` in order."""
 
 
 class PeerMessenger:
     """Sends messages to peers and delivers theirs to the attached replica.
 
-    Lives as long as its group. Calls that come while no replica is attached are answered UNAVAILABLE; answers
-    that come then are dropped.
+    It lives as long as its group. While no replica is attached, incoming calls are answered with UNAVAILABLE,
+    and answers to earlier calls are dropped.
     """
 
     def __init__(self, group_name: str, server: CallRegistry, client: Caller) -> None:
-        """Register the call of the group ``group_name`` with ``server``."""
+        """Create a messenger and register the call of the group ``group_name`` with ``server``."""
         method = replicate(group_name)
         self._group_name = group_name
         self._replica: MessageReceiver | None = None
@@ -56,23 +56,23 @@
         self._transport.stop()
 
     def send(self, sender: MemberIdentity, receiver: MemberIdentity, message: Message) -> None:
-        """Send ``message`` with the answer to an open call of ``receiver``, else with a call to it."""
+        """Send ``message`` with the answer to a pending call of ``receiver``, otherwise with a call to it."""
         if not self._call_handler.add_reply(receiver, message):
             self._transport.send(sender, receiver, message)
 
     def writes_finished(self) -> None:
-        """Answer the calls that wait for the disk: no write is unfinished any more."""
+        """Answer the calls that wait for the disk, because no write is pending any more."""
         self._call_handler.writes_finished()
 
     async def flush(self, timeout_s: float) -> None:
-        """Wait until the queued messages are sent or lost, ``timeout_s`` seconds at most."""
+        """Wait until the queued messages are sent or lost, for at most ``timeout_s`` seconds."""
         await self._transport.flush(timeout_s)
 
     async def _handle_call(self, batch: Batch) -> Result[Batch, Failure]:
         if self._replica is None:
             return Err(Failure(ErrorKind.UNAVAILABLE, f"{self._group_name}: not started"))
         if batch.receiver_id != self._replica.identity.member_id:
-            return Ok(Batch(stranger=True))  # meant for the disk that was here before
+            return Ok(Batch(stranger=True))  # addressed to the disk that was here before
         return Ok(await self._call_handler.handle(batch))
 
     def _deliver(self, sender: MemberIdentity, batch: Batch) -> None:
--- a/cherrycove/tier/replication/options.py
+++ b/cherrycove/tier/replication/options.py
@@ -1,4 +1,4 @@
-"""What a replicated group is built from."""
+"""Construction options of a replicated group."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 class GroupOptions:
     """Options of ``factory.create_group``."""
 
-    name: str  # of the group, part of its call name; the same at all replicas
-    identity: MemberIdentity  # its member id is that of ``directory`` (``storage.identity.open_identity``)
-    directory: Path  # the durable state of this replica
-    faults: int  # replicas that may be lost with their disks without losing a committed entry
+    name: str  # name of the group and part of its call name; equal at all replicas
+    identity: MemberIdentity  # its member id belongs to ``directory`` (``storage.identity.open_identity``)
+    directory: Path  # holds the durable state of this replica
+    faults: int  # number of disks that may be lost without losing a committed entry
     state_machine: StateMachine
-    server: CallRegistry  # takes the handler of the calls from peers
-    client: Caller  # makes the calls to peers
-    disk_limit_bytes: int = 0  # of ``directory``; 0: no limit
+    server: CallRegistry  # registers the handler of calls from peers
+    client: Caller  # sends the calls to peers
+    disk_limit_bytes: int = 0  # limit of ``directory``; 0 means no limit
     random: Random = attrs.field(factory=Random)
     timing: Timing = attrs.field(factory=Timing)
-    snapshot_log_bytes: int = SNAPSHOT_LOG_BYTES  # a snapshot is due when the log behind the last is larger
+    snapshot_log_bytes: int = SNAPSHOT_LOG_BYTES  # minimum log growth before a snapshot is due
     runtime: Runtime = attrs.field(factory=Runtime)
--- a/cherrycove/tier/replication/peer_set.py
+++ b/cherrycove/tier/replication/peer_set.py
@@ -1,4 +1,4 @@
-"""The replicas to which a primary replicates: the peers of its configuration, and one learner."""
+"""Replicas to which a primary replicates: the peers in its configuration, and at most one learner."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class PeerSet:
-    """Replicators by member id. Owned by ``Primary`` for its period."""
+    """Holds the replicators by member id; owned by ``Primary`` for its period."""
 
     def __init__(
         self, core: ReplicaCore, source: SnapshotSource, promotion: LearnerPromotion, now: float
@@ -27,7 +27,7 @@
         return iter(self._peers.values())
 
     def with_learner(self) -> list[PeerReplicator]:
-        """Return the voting peers and the learner, if there is one."""
+        """Return the voting peers and the learner, if any."""
         peers = list(self._peers.values())
         learner = self._promotion.learner
         return peers if learner is None else [*peers, learner]
@@ -40,7 +40,7 @@
         return self._peers.get(member_id)
 
     def update(self, now: float) -> None:
-        """Follow the joint configuration; a learner that became a member keeps its progress."""
+        """Update the peers to the joint configuration; a learner that became a member keeps its progress."""
         known = self._peers
         self._peers = {}
         for member in self._core.membership.peers():
@@ -48,22 +48,22 @@
             self._peers[member.member_id] = peer or PeerReplicator(self._core, member, self._source, now)
 
     def match_indexes(self) -> dict[str, int]:
-        """Return, by member id, up to where each peer's log is synced and equal to the primary's."""
+        """Return, by member id, the index up to which each peer's log is synced and equals the primary's."""
         return {member_id: peer.progress.match_index for member_id, peer in self._peers.items()}
 
     def acknowledgment_times(self) -> dict[str, float]:
-        """Return, by member id, the sending time of the newest message that each peer answered."""
+        """Return, by member id, the send time of the newest message that each peer answered."""
         return {member_id: peer.progress.acknowledged_at for member_id, peer in self._peers.items()}
 
     def unreachable(self, now: float) -> frozenset[str]:
-        """Return the ids of peers not heard from for longer than unreachable_timeout_s."""
+        """Return the ids of peers that sent nothing for longer than unreachable_timeout_s."""
         timeout_s = self._core.timing.unreachable_timeout_s
         return frozenset(
             member_id for member_id, peer in self._peers.items() if now - peer.progress.heard_at > timeout_s
         )
 
     def unresponsive(self, now: float) -> frozenset[str]:
-        """Return the ids of peers that have not answered lately."""
+        """Return the ids of peers that have not answered recently."""
         return frozenset(
             member_id for member_id, peer in self._peers.items() if not peer.progress.has_answered_lately(now)
         )
--- a/cherrycove/tier/replication/pending_proposals.py
+++ b/cherrycove/tier/replication/pending_proposals.py
@@ -1,4 +1,4 @@
-"""Proposals of this replica whose log entry is not committed yet."""
+"""Proposals of this replica whose log entries are not committed yet."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 
 
 class PendingProposals:
-    """Outcomes of proposals, as futures by log index.
+    """Tracks the outcomes of proposals as futures by log index.
 
     An index alone does not identify a proposal: after a change of primary another entry may be committed
-    there. Each proposal therefore remembers the epoch that it was appended in.
+    there. Each proposal therefore stores the epoch in which it was appended.
     """
 
     def __init__(self) -> None:
         self._pending: dict[int, _PendingProposal] = {}
 
     def add(self, index: int, epoch: int) -> asyncio.Future[Outcome]:
-        """Return the future outcome of the entry that was appended at ``index`` in ``epoch``.
+        """Return a future for the outcome of the entry that was appended at ``index`` in ``epoch``.
 
-        A proposal that was pending at ``index`` ends as UNCERTAIN, since its entry was replaced.
+        A proposal that was pending at ``index`` resolves as UNCERTAIN, since its entry was replaced.
         """
         previous = self._pending.pop(index, None)
         if previous is not None and not previous.future.done():
@@ -52,9 +52,9 @@
         return _uncertain("not committed in time")
 
     def resolve(self, index: int, epoch: int, outcome: object) -> None:
-        """Resolve the proposal at ``index``: the entry of ``epoch`` was applied with ``outcome``.
+        """Resolve the proposal at ``index`` after the entry of ``epoch`` was applied with ``outcome``.
 
-        A proposal of another epoch at this index ends as UNCERTAIN.
+        A proposal of another epoch at this index resolves as UNCERTAIN.
         """
         proposal = self._pending.pop(index, None)
         if proposal is None or proposal.future.done():
@@ -65,19 +65,19 @@
             proposal.future.set_result(_uncertain("another entry was committed in its place"))
 
     def fail(self, index: int) -> None:
-        """Resolve the proposal at ``index`` as UNCERTAIN: its entry is committed, but applying it raised."""
+        """Resolve the proposal at ``index`` as UNCERTAIN: its entry is committed, but ``apply`` raised."""
         proposal = self._pending.pop(index, None)
         if proposal is not None and not proposal.future.done():
             proposal.future.set_result(_uncertain("committed, but it could not be applied"))
 
     async def wait_for_all(self, timeout_s: float) -> None:
-        """Wait until all proposals that are pending now are resolved, ``timeout_s`` seconds at most."""
+        """Wait until all currently pending proposals are resolved, for at most ``timeout_s`` seconds."""
         futures = [proposal.future for proposal in self._pending.values()]
         if futures:
             await asyncio.wait(futures, timeout=timeout_s)
 
     def abandon_all(self) -> None:
-        """Resolve all proposals as UNCERTAIN: the replica stops and will not learn their outcome."""
+        """Resolve all proposals as UNCERTAIN, because the replica stops before their outcome is known."""
         for proposal in self._pending.values():
             if not proposal.future.done():
                 proposal.future.set_result(_uncertain("the replica stopped"))
--- a/cherrycove/tier/replication/pending_writes.py
+++ b/cherrycove/tier/replication/pending_writes.py
@@ -1,4 +1,4 @@
-"""Writes that a machine has handed out: which are not yet durable, and what is."""
+"""Tracks the writes that a replica machine has issued and the state that is durable so far."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 @attrs.frozen
 class SnapshotHeader:
-    """A snapshot without its state, which stays on disk."""
+    """Describes a snapshot without its state, which stays on disk."""
 
     index: int
     epoch: int
     members: bytes
     state_bytes: int
-    encoded_bytes: int = 0  # length of the state's encoded form; 0 where it is not divided
+    encoded_bytes: int = 0  # length of the encoded state; 0 if it is not divided into blocks
 
     @staticmethod
     def of(snapshot: Snapshot) -> SnapshotHeader:
@@ -30,10 +30,10 @@
 
 @attrs.define
 class PendingWrite:
-    """A write handed out and not reported as durable.
+    """A write that was issued and is not yet reported as durable.
 
-    ``last_index`` is the highest index that it syncs and that was not replaced since. ``started_at`` is in
-    seconds of the monotonic clock.
+    ``last_index`` is the highest index that it syncs and that has not been replaced since. ``started_at`` is
+    in monotonic seconds.
     """
 
     ticket: int
@@ -44,14 +44,14 @@
 
 
 class PendingWrites:
-    """Writes in the order in which they become durable, and the durable state that they lead to.
+    """Holds the pending writes in the order in which they become durable, and the durable state.
 
-    Owned by ``ReplicaCore``. After a failed write nothing is removed: the writer repeats it until it
-    succeeds, and everything behind it waits.
+    Owned by ``ReplicaCore``. A failed write stays pending: the writer retries it until it succeeds, and all
+    later writes wait.
     """
 
     def __init__(self, hard_state: HardState, synced_index: int) -> None:
-        """``hard_state`` and the entries up to ``synced_index`` were recovered from disk."""
+        """Start from ``hard_state`` and the entries up to ``synced_index``, as recovered from disk."""
         self.durable_hard_state = hard_state
         self.synced_index = synced_index
         self._pending: deque[PendingWrite] = deque()
@@ -59,12 +59,12 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether everything handed out is durable."""
+        """Return whether all issued writes are durable."""
         return not self._pending
 
     @property
     def oldest_data_write_at(self) -> float:
-        """When the oldest pending write of entries or a snapshot was handed out; infinity if none is."""
+        """Return the issue time of the oldest pending write of entries or a snapshot; infinity if none."""
         return next((write.started_at for write in self._pending if write.hard_state is None), float("inf"))
 
     def add_hard_state(self, hard_state: HardState) -> int:
@@ -88,19 +88,19 @@
         return write.ticket
 
     def invalidate_from(self, first_index: int) -> None:
-        """Entries from ``first_index`` on are replaced: having synced the earlier ones no longer counts."""
+        """Treat entries from ``first_index`` on as not synced, because they are being replaced."""
         self.synced_index = min(self.synced_index, first_index - 1)
         for write in self._pending:
             write.last_index = min(write.last_index, first_index - 1)
 
     def skip_snapshot(self, ticket: int) -> None:
-        """The snapshot of ``ticket`` could not be stored; the log and the older snapshot stay in use."""
+        """Record that the snapshot of ``ticket`` was not stored; the log and the older snapshot remain."""
         for write in self._pending:
             if write.ticket == ticket:
                 write.snapshot = None
 
     def complete(self, ticket: int) -> list[SnapshotHeader]:
-        """All writes up to ``ticket`` are durable; return the snapshots among them, oldest first."""
+        """Record the writes up to ``ticket`` as durable; return the snapshots among them, oldest first."""
         snapshots = []
         while self._pending and self._pending[0].ticket <= ticket:
             write = self._pending.popleft()
--- a/cherrycove/tier/replication/primary.py
+++ b/cherrycove/tier/replication/primary.py
@@ -1,4 +1,4 @@
-"""What a primary does: append, replicate, commit, renew its lease, change members, transfer leadership."""
+"""Implements the primary: replication, commits, its lease, membership changes, transfer of leadership."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class Primary:
-    """One period as primary, from the election that was won until the role is lost.
+    """Represents one period as primary, from the won election until the role is lost.
 
     Owned by ``ReplicaRoles``. States: elected (its no-op is not committed: proposals are rejected),
-    confirmed (no-op committed and lease valid), unconfirmed (lease over; it goes on replicating and may be
-    confirmed again). The period ends by a newer epoch, by check_quorum_timeout_s without a lease, or by a
-    transfer of leadership; entries that are not committed then are left to the next primary.
+    confirmed (no-op committed and lease valid), unconfirmed (lease expired; it continues to replicate and may
+    be confirmed again). The period ends with a newer epoch, after check_quorum_timeout_s without a lease, or
+    with a transfer of leadership; the next primary decides about entries that are not committed by then.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
     # Entries
 
     def propose(self, command: bytes, now: float) -> int:
-        """Append ``command``; return the index that it has if it commits in this epoch."""
+        """Append ``command``; return its log index, which is valid only if it commits in this epoch."""
         return self._append(EntryKind.COMMAND, command, now)
 
     def _append(self, kind: EntryKind, payload: bytes, now: float) -> int:
@@ -45,23 +45,23 @@
             peer.replicate(now)
         return entry.index
 
-    def advance(self, now: float) -> None:
-        """Commit what is synced on enough replicas.
+    def commit_synced_entries(self, now: float) -> None:
+        """Commit the entries that are synced on enough replicas.
 
-        Backups learn of it with the next message, due at a tick. Of a committed change of members they learn
-        at once, also those that it removed.
+        The next message to each backup, due at a tick, carries the commit index. A committed membership
+        change is announced at once, also to the replicas that it removed.
         """
         membership = self._core.membership
         had_uncommitted_change = membership.has_uncommitted_change()
-        while self._commit_synced():
-            pass  # a committed change of members changes the quorum, so that more may commit
+        while self._advance_commit_index():
+            pass  # a committed membership change alters the quorum, so that more may commit
         if had_uncommitted_change and not membership.has_uncommitted_change():
             for peer in self._peers.with_learner():
                 peer.announce_commit(now)
             self._peers.update(now)
 
-    def _commit_synced(self) -> bool:
-        """Advance the commit index by the present quorum; whether it advanced."""
+    def _advance_commit_index(self) -> bool:
+        """Advance the commit index with the current quorum; return whether it advanced."""
         core = self._core
         synced = self._peers.match_indexes()
         synced[core.identity.member_id] = core.writes.synced_index
@@ -72,14 +72,14 @@
     # Replies
 
     def receive_append_reply(self, sender: MemberIdentity, reply: AppendReply, now: float) -> None:
-        """Handle the answer of a peer or learner to an append; others are ignored."""
+        """Handle the reply of a peer or learner to an append; replies of others are ignored."""
         peer = self._peers.find(sender.member_id)
         if peer is not None:
             peer.receive_append_reply(reply, now)
-            self.advance(now)
+            self.commit_synced_entries(now)
 
     def receive_snapshot_reply(self, sender: MemberIdentity, reply: SnapshotReply, now: float) -> None:
-        """Handle the answer of a peer or learner to a snapshot chunk; others are ignored."""
+        """Handle the reply of a peer or learner to a snapshot chunk; replies of others are ignored."""
         peer = self._peers.find(sender.member_id)
         if peer is not None:
             peer.receive_snapshot_reply(reply, now)
@@ -87,16 +87,16 @@
     # Lease
 
     def _lease_start(self, now: float) -> float:
-        """Return the time up to which an election quorum, with this replica, has acknowledged it."""
+        """Return the start of the lease: an election quorum has acknowledged messages sent then or later."""
         acknowledged = self._peers.acknowledgment_times()
         acknowledged[self._core.identity.member_id] = now
         return self._core.membership.joint_configuration().lease_start(acknowledged)
 
     def is_confirmed_primary(self, now: float) -> bool:
-        """Whether nobody else can have been elected yet, and all that others committed is committed here.
+        """Return whether no other primary can have been elected and all earlier commits are known here.
 
-        Never once this replica knows that its own removal is committed: the members left need not ask it
-        before they elect without waiting (``elections``).
+        Always false once this replica knows that its own removal is committed: the remaining members need no
+        answer from it before they elect a primary without waiting (``elections``).
         """
         if self._core.log.commit_index < self._noop_index or not self._core.membership.is_voter:
             return False
@@ -105,7 +105,7 @@
     # Time
 
     def tick(self, now: float) -> None:
-        """Send heartbeats, and give the role up or change members where that is due."""
+        """Send heartbeats; step down, transfer leadership or change members if needed."""
         core = self._core
         for peer in self._peers:
             peer.tick(now)
@@ -117,20 +117,20 @@
             self._change_members(now)
 
     def _is_disk_stalled(self, now: float) -> bool:
-        """Whether others commit while this disk does not finish a write."""
+        """Return whether other replicas commit entries while a write of this disk does not complete."""
         core = self._core
         is_slow = now - core.writes.oldest_data_write_at > core.timing.disk_stall_timeout_s
         return is_slow and core.log.commit_index > core.writes.synced_index
 
     def _is_removed(self) -> bool:
-        """Whether this replica led only to commit its own removal."""
+        """Return whether this replica's own removal is committed."""
         membership = self._core.membership
         return not membership.has_uncommitted_change() and not membership.is_member
 
     # Members
 
     def _change_members(self, now: float) -> None:
-        """Take the next step of the membership policy, if it is prepared."""
+        """Take the next step of the membership policy if it is ready."""
         step = self._promotion.step(self._peers.unreachable(now), self._peers.unresponsive(now), now)
         if step is None:
             return
@@ -141,12 +141,12 @@
         members = encode_members(step.apply(membership.members), membership.excluding(step.exclude))
         self._append(EntryKind.MEMBERS, members, now)
         self._peers.update(now)
-        self.advance(now)
+        self.commit_synced_entries(now)
 
     def transfer_leadership(self, now: float) -> bool:
-        """Release the lease and have the best backup campaign at once; whether there is one.
+        """Release the lease and ask the best backup to campaign at once; return whether there is one.
 
-        The best one stays in the group if any does, and has the highest match index.
+        Members that are not retiring are preferred, then the highest match index.
         """
         retiring = self._requests.retiring
         responsive = [peer for peer in self._peers if peer.progress.is_responsive(now)]
@@ -156,8 +156,8 @@
         staying = {member.member_id for member in members if not is_retiring(member, retiring)}
         best = max(responsive, key=lambda peer: (peer.member.member_id in staying, peer.progress.match_index))
         best.replicate(now)
-        # The role is given up before the message leaves: this replica is no longer confirmed when the
-        # candidate, which voters need not make wait, is elected.
+        # Step down before the message is sent: voters grant their vote to this candidate without waiting for
+        # the lease, so this replica must no longer be confirmed when the candidate is elected.
         self._core.become(Role.BACKUP, None)
         self._core.send(best.member, Message(hand_over=HandOver()))
         return True
--- a/cherrycove/tier/replication/primary_contact.py
+++ b/cherrycove/tier/replication/primary_contact.py
@@ -1,4 +1,4 @@
-"""When a replica last heard from a primary, in this incarnation of its process or possibly before."""
+"""Time of the last contact with a primary, in this incarnation of the process or possibly an earlier one."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class PrimaryContact:
-    """Contact with primaries, and the incarnation of this process that remembers it.
+    """Tracks contact with primaries in one incarnation of the process.
 
-    Owned by ``Elections``. Nothing of it is durable: a process that starts on a used disk may have renewed a
-    lease until just before its start, and counts its start as such a renewal.
+    Owned by ``Elections``. It is not durable: a process that starts on a used disk may have renewed a lease
+    until just before its start, so the start itself counts as a renewal.
     """
 
     def __init__(self, core: ReplicaCore, now: float, *, is_disk_new: bool) -> None:
-        """``is_disk_new``: there was no earlier incarnation."""
+        """Create the tracker; ``is_disk_new`` states that there was no earlier incarnation."""
         self._core = core
         self._started_at = now
         self._heard_at = NEVER
@@ -25,22 +25,22 @@
         self.incarnation = core.random.getrandbits(_INCARNATION_BITS) + 1
 
     def record(self, now: float) -> None:
-        """The primary of the newest epoch has sent something; the answer may renew its lease."""
+        """Record a message of the primary of the newest epoch; the answer may renew its lease."""
         self._heard_at = self._lease_renewed_at = now
         self._heard_epoch = self._core.epoch
 
     def may_have_renewed_lease(self, now: float) -> bool:
-        """Whether a primary may hold a lease that counts on this replica, by any of its incarnations."""
+        """Return whether any incarnation of this replica may have renewed a lease that is still valid."""
         return now - self._lease_renewed_at < self._core.timing.election_timeout_s
 
     def has_heard_primary(self, now: float) -> bool:
-        """Whether this incarnation heard from a primary within the election time-out."""
+        """Return whether this incarnation received a message of a primary within the election time-out."""
         return now - self._heard_at < self._core.timing.election_timeout_s
 
     def has_minimum_uptime(self, now: float) -> bool:
-        """Whether the process runs for so long that no campaign can count an answer of an earlier one."""
+        """Return whether the process has run so long that no campaign counts answers of an earlier one."""
         return now - self._started_at >= self._core.timing.pre_vote_window_s
 
     def was_lease_released_for(self, epoch: int) -> bool:
-        """Whether a transfer of leadership to ``epoch`` was begun by the primary that was heard from last."""
+        """Return whether the last known primary can have transferred its leadership to ``epoch``."""
         return epoch == self._heard_epoch + 1
--- a/cherrycove/tier/replication/progress.py
+++ b/cherrycove/tier/replication/progress.py
@@ -1,4 +1,4 @@
-"""How far the replication to one replica is, as its primary knows it (Raft, section 5.3)."""
+"""Replication progress of one replica, as its primary knows it (Raft, section 5.3)."""
 
 from __future__ import annotations
 
@@ -9,58 +9,58 @@
 from cherrycove.tier.protocol.replication_pb2 import AppendReply
 from cherrycove.tier.replication.timing import MICROSECONDS, NEVER, microseconds
 
-#: Messages with entries that may be unanswered.
+#: Maximum number of unanswered messages with entries.
 MAX_IN_FLIGHT = 8
-#: A replica that was not heard from for longer gets heartbeats only.
-RESPONSIVE_S = 0.6
+#: A replica that has sent nothing for longer than this receives heartbeats only.
+RESPONSE_TIMEOUT_S = 0.6
 
 
 @attrs.define(eq=False, kw_only=True)
 class ReplicationProgress:
-    """Replication progress of one replica; all times in seconds of the primary's monotonic clock.
+    """Tracks the replication progress of one replica; times are monotonic seconds of the primary.
 
-    Owned by ``PeerReplicator``, so it ends with the period as primary. States: probing (where the logs join
-    is not known, one message at a time) and replicating (up to MAX_IN_FLIGHT messages); a rejected append
-    leads back to probing.
+    Owned by ``PeerReplicator``, so it ends with the period as primary. States: probing (the index up to which
+    the logs match is unknown; one message at a time) and replicating (up to MAX_IN_FLIGHT messages); a
+    rejected append returns to probing.
     """
 
     next_index: int
     """Index of the next entry to send."""
     heard_at: float
-    """When it was last heard from; at first the time at which the primary began to send."""
+    """Time of the last message from the replica; initially the time at which the primary started to send."""
     match_index: int = 0
-    """Index up to which its log is synced and equal to the primary's."""
+    """Index up to which the replica's log is synced and equals the primary's."""
     acknowledged_at: float = NEVER
-    """Sending time of the newest message that it answered; this renews the lease."""
+    """Send time of the newest message that the replica answered; it determines the lease."""
     _is_probing: bool = True
     _in_flight: deque[int] = attrs.field(factory=deque)  # last index of each unanswered message with entries
     _probed_us: int = -1  # rejections of messages sent before this are outdated
 
     def is_responsive(self, now: float) -> bool:
-        """Whether it was heard from lately enough to get more than heartbeats."""
-        return now - self.heard_at < RESPONSIVE_S
+        """Return whether the replica sent a message recently enough to receive more than heartbeats."""
+        return now - self.heard_at < RESPONSE_TIMEOUT_S
 
     def has_answered_lately(self, now: float) -> bool:
-        """Whether it has answered this primary, and lately."""
+        """Return whether the replica has answered this primary, and recently."""
         return self.acknowledged_at > NEVER and self.is_responsive(now)
 
     @property
-    def has_window(self) -> bool:
-        """Whether another message with entries may be sent before an answer."""
+    def is_window_open(self) -> bool:
+        """Return whether another message with entries may be sent before the next answer."""
         return len(self._in_flight) < (1 if self._is_probing else MAX_IN_FLIGHT)
 
     def record_sent(self, entries: int, last_index: int) -> None:
-        """A message with ``entries`` entries up to ``last_index`` was sent."""
+        """Record that a message with ``entries`` entries up to ``last_index`` was sent."""
         self.next_index += entries
         self._in_flight.append(last_index)
 
     def record_answer(self, sent_us: int, now: float) -> None:
-        """It answered a message that was sent at ``sent_us`` (microseconds)."""
+        """Record an answer to a message that was sent at ``sent_us`` (microseconds)."""
         self.heard_at = now
         self.acknowledged_at = max(self.acknowledged_at, sent_us / MICROSECONDS)
 
     def record_append_reply(self, reply: AppendReply, now: float) -> None:
-        """It accepted or rejected an append."""
+        """Record that the replica accepted or rejected an append."""
         if reply.accepted:
             self._accept(reply.match_index)
         elif reply.sent_us >= self._probed_us:
@@ -77,6 +77,6 @@
             self._in_flight.popleft()
 
     def record_snapshot_received(self, index: int) -> None:
-        """It has the complete snapshot of the entries up to ``index``."""
+        """Record that the replica has received the complete snapshot at ``index``."""
         self._in_flight.clear()
         self.next_index = max(self.match_index, index) + 1
--- a/cherrycove/tier/replication/recovery.py
+++ b/cherrycove/tier/replication/recovery.py
@@ -1,4 +1,4 @@
-"""The start of a replica from its disk."""
+"""Recovers the state of a replica from its disk."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 @attrs.frozen(eq=False)
 class RecoveredReplica:
-    """An open storage and what was found in it."""
+    """An open storage and the state recovered from it."""
 
     storage: Storage
     state: RecoveredState
 
 
 class ReplicaRecovery:
-    """Opens the disk of a replica and knows the identity that goes with it."""
+    """Opens the disk of a replica and holds the identity that belongs to it."""
 
     def __init__(self, options: GroupOptions) -> None:
         self._group_name = options.name
@@ -35,14 +35,14 @@
 
     @property
     def identity(self) -> MemberIdentity:
-        """The identity of the disk; another one after a recovery that found it damaged."""
+        """Return the identity of the disk; it changes in a recovery that finds the disk damaged."""
         return self._identity
 
     def recover(self) -> RecoveredReplica:
-        """Read the disk. Blocks; raises ``OSError`` where it cannot be read.
+        """Read the disk, blocking the caller; raises ``OSError`` if it cannot be read.
 
-        A damaged disk may have lost a vote or an acknowledged entry, and must not take part under its
-        identity again: it is emptied and gets a new member id, so that the replica joins as a new member.
+        A damaged disk may have lost a vote or an acknowledged entry, and must not participate under its old
+        identity: it is emptied and gets a new member id, so that the replica joins as a new member.
         """
         storage = self._open_storage()
         try:
--- a/cherrycove/tier/replication/roles.py
+++ b/cherrycove/tier/replication/roles.py
@@ -1,4 +1,4 @@
-"""The roles of a replica, and the changes between them."""
+"""Roles of a replica and the transitions between them."""
 
 from __future__ import annotations
 
@@ -11,10 +11,12 @@
 
 
 class ReplicaRoles:
-    """Backup, candidate and voter for the lifetime of the process; a ``Primary`` for each election won.
+    """Holds the objects that implement the roles of a replica.
 
-    Owned by ``ReplicaMachine``, which calls ``update`` after every event. The role itself is in the core; the
-    state table is in ``docs/design/replication.md``.
+    Backup, candidate and voter live as long as the process; each election won creates a new ``Primary``.
+
+    Owned by ``ReplicaMachine``, which calls ``update`` after every event. The core stores the current role;
+    the state table is in ``docs/design/replication.md``.
     """
 
     def __init__(
@@ -26,7 +28,10 @@
         *,
         is_disk_new: bool,
     ) -> None:
-        """``is_disk_new``: nothing was recovered, so this replica has taken part in no group before."""
+        """Create the roles.
+
+        ``is_disk_new`` states that nothing was recovered, so this replica has never been part of a group.
+        """
         self.elections = Elections(core, now, is_disk_new=is_disk_new)
         self.backup = Backup(core)
         self._core = core
@@ -36,21 +41,21 @@
 
     @property
     def primary(self) -> Primary | None:
-        """The present period as primary; None in any other role."""
+        """Return the object for the current period as primary; None in any other role."""
         return self._primary if self._core.role is Role.PRIMARY else None
 
     def is_confirmed_primary(self, now: float) -> bool:
-        """Whether this replica leads under a valid lease and has committed an entry of its epoch."""
+        """Return whether this replica is primary under a valid lease and has committed in its epoch."""
         primary = self.primary
         return primary is not None and primary.is_confirmed_primary(now)
 
     def update(self, now: float) -> None:
-        """Begin a period as primary after an election won, and end it when the role is lost."""
+        """Start a period as primary after an election is won, and end it when the role is lost."""
         core = self._core
-        if self.elections.take_victory():
+        if self.elections.take_election_win():
             core.become(Role.PRIMARY, core.identity)
             self._primary = Primary(core, self._requests, self._source, now)
-            self._primary.advance(now)
+            self._primary.commit_synced_entries(now)
         if self._primary is not None and core.role is not Role.PRIMARY:
             self._primary = None
             if core.role is Role.BACKUP:
--- a/cherrycove/tier/replication/runtime.py
+++ b/cherrycove/tier/replication/runtime.py
@@ -1,4 +1,4 @@
-"""What a replicated group takes from its process: a clock, a disk and the writer in front of it."""
+"""Dependencies of a replicated group on its process: clock, storage, writer and threads."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 @attrs.frozen(kw_only=True)
 class Runtime:
-    """The surroundings of a group. The defaults are those of a real process; simulations replace them."""
+    """Holds the injectable dependencies of a group; the defaults are for production."""
 
     clock: Callable[[], float] = time.monotonic  # s
-    open_storage: Callable[[Path, int], Storage] = ReplicaStorage  # of a directory, with a limit in bytes
+    open_storage: Callable[[Path, int], Storage] = ReplicaStorage  # opens a directory with a limit in bytes
     make_writer: WriterFactory = DiskWriter
-    renew_identity: Callable[[Path], str] = identity.renew_identity  # empties a directory; its new member id
-    run_blocking: Callable[..., Awaitable[Any]] = asyncio.to_thread  # a function outside the event loop
+    renew_identity: Callable[[Path], str] = identity.renew_identity  # empties a directory; returns the new id
+    run_blocking: Callable[..., Awaitable[Any]] = asyncio.to_thread  # runs a function outside the event loop
--- a/cherrycove/tier/replication/snapshot_sender.py
+++ b/cherrycove/tier/replication/snapshot_sender.py
@@ -1,4 +1,4 @@
-"""Sends the stored snapshot to one replica, chunk by chunk."""
+"""Sends the stored snapshot to one replica in chunks."""
 
 from __future__ import annotations
 
@@ -16,26 +16,27 @@
 
 
 class SnapshotSource(Protocol):
-    """Reads the stored snapshot."""
+    """Interface for reading the stored snapshot."""
 
     def read_state(self, index: int, offset: int, size: int, *, encoded: bool = False) -> bytes:
         """Return ``size`` bytes of the state at entry ``index`` from ``offset`` on, fewer at its end.
 
-        ``encoded``: of its encoded form. Empty if another snapshot is stored by now.
+        With ``encoded``, ``offset`` and ``size`` refer to the encoded form. The result is empty if another
+        snapshot has been stored since.
         """
 
 
 class StateForm(Enum):
-    """The form in which a state is sent."""
+    """Form in which a snapshot's state is sent."""
 
-    OFFERED = "offered"  # the receiver was asked whether it takes the encoded form, and has not answered
+    OFFERED = "offered"  # the receiver has not yet answered whether it accepts the encoded form
     PLAIN = "plain"
     ENCODED = "encoded"
 
 
 @attrs.define
 class SnapshotTransfer:
-    """A snapshot in transit: ``offset`` bytes have arrived, and the next chunk was sent at ``sent_at``."""
+    """A snapshot in transit, of which ``offset`` bytes have arrived; a chunk was last sent at ``sent_at``."""
 
     header: SnapshotHeader
     form: StateForm
@@ -44,20 +45,20 @@
 
     @property
     def size_bytes(self) -> int:
-        """Length of the state in the form in which it is sent."""
+        """Return the length of the state in the form in which it is sent."""
         if self.form is StateForm.ENCODED:
             return self.header.encoded_bytes
         return self.header.state_bytes
 
 
 class SnapshotSender:
-    """Transfers of the newest snapshot to one replica.
+    """Transfers the newest snapshot to one replica.
 
     Owned by ``PeerReplicator``. One chunk is in flight at a time and is sent again after chunk_resend_s. A
-    transfer is superseded when a newer snapshot is stored, and ends when the replica has it completely.
+    transfer is superseded when a newer snapshot is stored, and ends when the replica has received all of it.
 
-    A state with final blocks is sent in its encoded form, which is shorter, if the replica takes that: the
-    first chunk of the transfer is empty and asks. A replica of an older release ignores the question.
+    A state with final blocks is sent in its encoded form, which is shorter, if the replica accepts that: the
+    first chunk of the transfer is empty and offers it. A replica of an older release ignores the offer.
     """
 
     def __init__(self, core: ReplicaCore, receiver: MemberIdentity, source: SnapshotSource) -> None:
@@ -68,11 +69,11 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether a transfer is not finished."""
+        """Return whether a transfer is in progress."""
         return self._transfer is not None
 
     def send_chunk(self, now: float) -> None:
-        """Send the next chunk unless one is in flight; begin a transfer if none is active."""
+        """Send the next chunk unless one is in flight; start a transfer if none is active."""
         header = self._core.snapshot
         if header is None:
             return
@@ -100,7 +101,7 @@
         )
 
     def record_reply(self, reply: SnapshotReply) -> bool:
-        """Whether ``reply`` answers the active transfer, so that the next chunk is due or it is over."""
+        """Process ``reply``; return whether it advanced or completed the active transfer."""
         transfer = self._transfer
         header = self._core.snapshot
         if transfer is None or transfer.header.index != reply.index or reply.received < transfer.offset:
--- a/cherrycove/tier/replication/transport.py
+++ b/cherrycove/tier/replication/transport.py
@@ -1,7 +1,7 @@
-"""One-way messages to peers over internal calls.
+"""Sends one-way messages to peers over internal calls.
 
-Messages are queued for each peer and sent in batches, one call at a time. A message of a call that fails is
-lost: the protocol above sends again what is still needed.
+Messages are queued for each peer and sent in batches, one call at a time. Messages of a failed call are lost;
+the replication protocol sends again what is still needed.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 from cherrycove.tier.replication.interface import MemberIdentity
 
 CALL_TIMEOUT_S = 0.5
-MAX_QUEUED_MESSAGES = 512  # for one peer; beyond it the oldest are dropped
-BATCH_BYTES = 4 * 1024 * 1024  # a batch is closed when its messages have this size or more
+MAX_QUEUED_MESSAGES = 512  # per peer; if exceeded, the oldest are dropped
+BATCH_BYTES = 4 * 1024 * 1024  # a batch is complete once its messages reach this size
 
 ReplyHandler = Callable[[MemberIdentity, Batch], None]
 
 
 class PeerSender:
-    """Sends the messages for one peer in order. Owns the task that empties the queue."""
+    """Sends the messages for one peer in order; owns the task that drains the queue."""
 
     def __init__(
         self, client: Caller, method: RpcMethod[Batch, Batch], peer: MemberIdentity, on_reply: ReplyHandler
     ) -> None:
-        """``method`` is the internal call; ``on_reply`` gets what ``peer`` answers with."""
+        """Create a sender; ``method`` is the internal call, ``on_reply`` receives the answers of ``peer``."""
         self._client = client
         self._method = method
         self._peer = peer
@@ -41,16 +41,16 @@
 
     @property
     def task(self) -> asyncio.Task[None] | None:
-        """The task that empties the queue; None while the queue is empty."""
+        """Return the task that drains the queue; None while no task is running."""
         return self._task
 
     def send(self, sender: MemberIdentity, message: Message) -> None:
-        """Queue ``message``; ``sender`` is the identity that this replica has now."""
+        """Queue ``message``; ``sender`` is the current identity of this replica."""
         self._sender = sender
         self._queue.append(message)
         if self._task is None:
             self._task = asyncio.get_running_loop().create_task(self._send_queued())
-            self._task.add_done_callback(self._forget_task)
+            self._task.add_done_callback(self._clear_task)
 
     def cancel(self) -> None:
         """Drop the queue and cancel the call in progress."""
@@ -58,7 +58,7 @@
         if self._task is not None:
             self._task.cancel()
 
-    def _forget_task(self, _task: asyncio.Task[None]) -> None:
+    def _clear_task(self, _task: asyncio.Task[None]) -> None:
         self._task = None
 
     async def _send_queued(self) -> None:
@@ -75,7 +75,7 @@
             if isinstance(outcome, Ok):
                 self._on_reply(self._peer, outcome.ok_value)
             elif outcome.err_value.kind is ErrorKind.MISDIRECTED:
-                # Another member has the address now: the same answer as from a replica of another identity.
+                # Another member has the address now: report it as if the disk there had answered.
                 self._on_reply(self._peer, Batch(stranger=True))
 
     def _next_messages(self) -> list[Message]:
@@ -88,17 +88,17 @@
 
 
 class Transport:
-    """Senders to all peers of one group, created when the first message to a peer is sent."""
+    """Holds a sender for each peer of one group; it is created with the first message to the peer."""
 
     def __init__(self, client: Caller, method: RpcMethod[Batch, Batch], on_reply: ReplyHandler) -> None:
-        """``method`` is the internal call; ``on_reply`` gets what the peers answer with."""
+        """Create a transport; ``method`` is the internal call, ``on_reply`` receives the peers' answers."""
         self._client = client
         self._method = method
         self._on_reply = on_reply
         self._senders: dict[tuple[str, str], PeerSender] = {}
 
     def send(self, sender: MemberIdentity, receiver: MemberIdentity, message: Message) -> None:
-        """Queue ``message`` for ``receiver``; ``sender`` is the identity that this replica has now."""
+        """Queue ``message`` for ``receiver``; ``sender`` is the current identity of this replica."""
         key = (receiver.member_id, receiver.address)
         peer = self._senders.get(key)
         if peer is None:
@@ -106,7 +106,7 @@
         peer.send(sender, message)
 
     async def flush(self, timeout_s: float) -> None:
-        """Wait until the queued messages are sent or lost, ``timeout_s`` seconds at most."""
+        """Wait until the queued messages are sent or lost, for at most ``timeout_s`` seconds."""
         tasks = [sender.task for sender in self._senders.values() if sender.task is not None]
         if tasks:
             await asyncio.wait(tasks, timeout=timeout_s)
--- a/cherrycove/tier/replication/voter.py
+++ b/cherrycove/tier/replication/voter.py
@@ -1,4 +1,4 @@
-"""The voter's side of an election: to whom a replica grants its vote."""
+"""Voter's side of an election: to which candidate a replica grants its vote."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @attrs.frozen(eq=False)
 class PendingGrant:
-    """A vote that is written, and granted to ``candidate`` as soon as it is durable."""
+    """A vote whose write is pending; it is granted to ``candidate`` once it is durable."""
 
     candidate: MemberIdentity
     request: VoteRequest
@@ -22,9 +22,9 @@
 class Voter:
     """Answers vote requests.
 
-    Owned by ``Elections``. States: vote free in the present epoch; vote written; vote granted. The vote is in
-    the hard state and is sent only when that is durable, so a crash in between grants nothing, and a restart
-    after it cannot vote twice.
+    Owned by ``Elections``. States: no vote in the current epoch; vote being written; vote granted. The vote
+    is part of the hard state and is sent only when that is durable: after a crash before that point no vote
+    was granted, and after a later crash the replica cannot vote twice.
     """
 
     def __init__(self, core: ReplicaCore, contact: PrimaryContact, candidate: Candidate) -> None:
@@ -36,12 +36,12 @@
     def receive_vote_request(
         self, sender: MemberIdentity, request: VoteRequest, now: float, *, is_confirmed_primary: bool
     ) -> None:
-        """Answer ``request``; ``is_confirmed_primary``: this replica itself leads under a valid lease."""
+        """Answer ``request``; ``is_confirmed_primary`` states that this replica leads under a valid lease."""
         if request.preliminary:
             self._answer_pre_vote(sender, request, now, is_confirmed_primary=is_confirmed_primary)
             return
-        is_bound = self._must_honor_lease(request, now, is_confirmed_primary=is_confirmed_primary)
-        if request.epoch < self._core.epoch or is_bound:
+        must_honor_lease = self._must_honor_lease(request, now, is_confirmed_primary=is_confirmed_primary)
+        if request.epoch < self._core.epoch or must_honor_lease:
             self._reply(sender, request, granted=False)
             return
         vote = sender.member_id if self._is_log_up_to_date(request) else ""
@@ -51,15 +51,19 @@
     def _answer_pre_vote(
         self, sender: MemberIdentity, request: VoteRequest, now: float, *, is_confirmed_primary: bool
     ) -> None:
-        """Answer whether the vote would be granted; nothing changes."""
-        is_bound = self._must_honor_lease(request, now, is_confirmed_primary=is_confirmed_primary)
-        granted = request.epoch > self._core.epoch and not is_bound and self._is_log_up_to_date(request)
-        follows_primary = is_confirmed_primary or self._contact.may_have_renewed_lease(now)
-        removed = not granted and follows_primary and self._was_removed(sender)
-        self._reply(sender, request, granted=granted, removed=removed, unbound=self._is_unbound(request, now))
+        """Answer whether the vote would be granted, without changing any state."""
+        must_honor_lease = self._must_honor_lease(request, now, is_confirmed_primary=is_confirmed_primary)
+        granted = (
+            request.epoch > self._core.epoch and not must_honor_lease and self._is_log_up_to_date(request)
+        )
+        has_active_primary = is_confirmed_primary or self._contact.may_have_renewed_lease(now)
+        removed = not granted and has_active_primary and self._was_removed(sender)
+        self._reply(
+            sender, request, granted=granted, removed=removed, unbound=self._follows_no_primary(request, now)
+        )
 
     def _must_honor_lease(self, request: VoteRequest, now: float, *, is_confirmed_primary: bool) -> bool:
-        """Whether a primary may hold a lease that counts on this replica."""
+        """Return whether a primary may hold a lease that this replica has renewed."""
         if is_confirmed_primary:
             return True
         if request.handed_over and self._contact.was_lease_released_for(request.epoch):
@@ -68,10 +72,10 @@
             return self._contact.has_heard_primary(now)
         return self._contact.may_have_renewed_lease(now)
 
-    def _is_unbound(self, request: VoteRequest, now: float) -> bool:
-        """Whether only a lease renewed by an earlier incarnation could keep this replica from voting.
+    def _follows_no_primary(self, request: VoteRequest, now: float) -> bool:
+        """Return whether only a lease renewed by an earlier incarnation could prevent this vote.
 
-        If all replicas are unbound, no lease can be valid (``elections``).
+        If this holds for all replicas, no lease can be valid (``elections``).
         """
         return (
             self._core.role is not Role.PRIMARY
@@ -82,15 +86,15 @@
         )
 
     def _was_removed(self, sender: MemberIdentity) -> bool:
-        """Whether a committed membership, as far as known here, is without ``sender``."""
+        """Return whether the newest membership known here is committed and does not include ``sender``."""
         membership = self._core.membership
         if membership.has_uncommitted_change():
             return False
-        members = membership.members  # empty where the first membership has not come yet
+        members = membership.members  # empty until the first membership is received
         return bool(members) and all(member.member_id != sender.member_id for member in members)
 
     def _is_log_up_to_date(self, request: VoteRequest) -> bool:
-        """Whether the candidate's log is at least as up to date as this one (Raft, section 5.4.1)."""
+        """Return whether the candidate's log is at least as up to date as this one (Raft, section 5.4.1)."""
         log = self._core.log
         return (request.last_epoch, request.last_index) >= (log.last_epoch, log.last_index)
 
@@ -107,7 +111,7 @@
             self._reply(sender, request, granted=granted)
 
     def send_pending_grant(self) -> None:
-        """Send the vote that waited for the disk, if it is durable and still that of the present epoch."""
+        """Send the vote that waited for the disk if it is durable and still the vote of the current epoch."""
         pending = self._pending_grant
         if pending is None or not self._core.is_hard_state_durable:
             return
--- a/cherrycove/tier/replication/writer.py
+++ b/cherrycove/tier/replication/writer.py
@@ -1,4 +1,4 @@
-"""The thread that performs the disk writes of a replica."""
+"""Thread that performs the disk writes of a replica."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from cherrycove.tier.replication.disk_interface import Storage
 from cherrycove.tier.replication.effects import Write, WriteEntries, WriteHardState, WriteSnapshot
 
-RETRY_S = 0.25  # pause between attempts of a write that failed
+RETRY_S = 0.25  # interval between attempts of a failing write
 
 
 def coalesce_writes(writes: Sequence[Write]) -> list[Write]:
-    """Merge neighbours into one write where that keeps the order, so that they share one sync.
+    """Merge adjacent writes where that preserves the order, so that they share one sync.
 
-    Entries are appended to the entries before them; a hard state replaces the one before it. A merged write
-    has the ticket of its last part, which reports the earlier ones as durable too.
+    Entries are appended to the preceding entries; a hard state replaces the preceding one. A merged write has
+    the ticket of its last part, whose completion also reports the earlier parts as durable.
     """
     coalesced: list[Write] = []
     for write in writes:
@@ -32,11 +32,11 @@
 
 
 class DiskWriter:
-    """Performs writes in order in a thread of its own; implements ``disk_interface.Writer``.
+    """Performs writes in order in a separate thread; implements ``disk_interface.Writer``.
 
-    Owns the storage from ``start`` to ``stop``. A write that fails with ``OSError`` is attempted again until
-    it succeeds, since a later one must not become durable before it; only a snapshot that is not required is
-    skipped. All callbacks run in the event loop that ``start`` was called in.
+    Owns the storage from ``start`` to ``stop``. A write that fails with ``OSError`` is retried until it
+    succeeds, since a later one must not become durable before it; only a snapshot that is not required is
+    skipped. All callbacks run in the event loop in which ``start`` was called.
     """
 
     def __init__(
@@ -49,30 +49,31 @@
     ) -> None:
         """Create a writer that is not started.
 
-        ``on_written`` gets the ticket up to which all writes are durable or skipped, ``on_failed`` the error
-        of a write's first failed attempt, ``on_snapshot_skipped`` ticket and error of a skipped snapshot.
+        ``on_written`` receives the ticket up to which all writes are durable or skipped, ``on_failed`` the
+        error of a write's first failed attempt, ``on_snapshot_skipped`` the ticket and error of a skipped
+        snapshot.
         """
         self._storage = storage
         self._on_written = on_written
         self._on_failed = on_failed
         self._on_snapshot_skipped = on_snapshot_skipped
         self._retry_s = retry_s
-        self._queue: queue.SimpleQueue[list[Write] | None] = queue.SimpleQueue()  # None: stop
+        self._queue: queue.SimpleQueue[list[Write] | None] = queue.SimpleQueue()  # None stops the thread
         self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, name="replica-writer", daemon=True)
         self._loop: asyncio.AbstractEventLoop | None = None
 
     def start(self) -> None:
-        """Start the thread; to be called in the event loop, once."""
+        """Start the thread; must be called once, in the event loop."""
         self._loop = asyncio.get_running_loop()
         self._thread.start()
 
     def submit(self, writes: list[Write]) -> None:
-        """Perform ``writes`` after all that were submitted before."""
+        """Queue ``writes`` after all that were submitted before."""
         self._queue.put(writes)
 
     async def stop(self) -> None:
-        """Finish the submitted writes, up to one that fails, then close the storage."""
+        """Finish the submitted writes, up to the first one that fails, then close the storage."""
         self._stopping.set()
         self._queue.put(None)
         await asyncio.to_thread(self._thread.join)
@@ -89,7 +90,7 @@
                 return
 
     def _next_writes(self) -> list[Write] | None:
-        """Wait for a write and return all that are queued; None when the writer stops."""
+        """Wait for a write and return all queued writes; None when the writer stops."""
         writes = self._queue.get()
         if writes is None:
             return None
@@ -103,7 +104,7 @@
         return queued
 
     def _perform_with_retries(self, write: Write) -> bool:
-        """Perform ``write`` or skip it; False if the writer was stopped while it failed."""
+        """Perform or skip ``write``; return False if the writer was stopped before the write succeeded."""
         has_failed = False
         while True:
             try:
