--- a/tests/tier/test_replication_loopback.py
+++ b/tests/tier/test_replication_loopback.py
@@ -1,4 +1,4 @@
-"""Three real groups in one process: real calls on loopback, real files, real clocks."""
+"""Three replicas of a group in one process, with real calls on loopback, real files and real clocks."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 TIMEOUT_S = 10.0
 
 
-class Journal:
-    """A state machine that keeps its commands."""
+class CommandRecorder:
+    """State machine that records the applied commands."""
 
     def __init__(self) -> None:
         self.commands: list[bytes] = []
@@ -42,13 +42,13 @@
 
 @attrs.define
 class Node:
-    """One replica with its server and client."""
+    """One replica with its RPC server and client."""
 
     name: str
     address: str
     directory: Path
     first_start: bool = True
-    journal: Journal = attrs.field(factory=Journal)
+    recorder: CommandRecorder = attrs.field(factory=CommandRecorder)
     group: ReplicatedGroup = attrs.field(init=False)
     server: RpcServer = attrs.field(init=False)
     client: RpcClient = attrs.field(init=False)
@@ -56,14 +56,14 @@
 
     async def start(self, initial: list[MemberIdentity], snapshot_log_bytes: int = 1024 * 1024) -> None:
         member_id, _ = open_identity(self.directory, first_start=self.first_start, ip=self.name)
-        self.journal = Journal()
+        self.recorder = CommandRecorder()
         self.server, self.client, self.changed = RpcServer(), RpcClient(), asyncio.Event()
         options = GroupOptions(
             name="test",
             identity=MemberIdentity(member_id, self.name, self.address),
             directory=self.directory,
             faults=1,
-            state_machine=self.journal,
+            state_machine=self.recorder,
             server=self.server,
             client=self.client,
             random=Random(self.name),
@@ -90,7 +90,7 @@
 
 
 async def primary_of(nodes: list[Node]) -> Node:
-    """The node that leads under a valid lease."""
+    """Wait until a node is primary under a valid lease and return it."""
     while True:
         for node in nodes:
             if node.group.is_confirmed_primary():
@@ -112,8 +112,8 @@
             return outcome.ok_value
 
 
-async def applied(node: Node, commands: list[bytes]) -> None:
-    while node.journal.commands != commands:
+async def wait_until_applied(node: Node, commands: list[bytes]) -> None:
+    while node.recorder.commands != commands:
         await asyncio.sleep(0)
 
 
@@ -132,10 +132,10 @@
         assert await propose(nodes, b"one") == 1
         first = await primary_of(nodes)
         backup = next(node for node in nodes if node is not first)
-        refused = await backup.group.propose(b"never", 1.0)
-        assert isinstance(refused, Err)
-        assert refused.err_value.kind is ErrorKind.NOT_PRIMARY
-        assert refused.err_value.primary == first.address
+        rejected = await backup.group.propose(b"never", 1.0)
+        assert isinstance(rejected, Err)
+        assert rejected.err_value.kind is ErrorKind.NOT_PRIMARY
+        assert rejected.err_value.primary == first.address
         await first.stop()
         rest = [node for node in nodes if node is not first]
         assert await propose(rest, b"two") == 2
@@ -145,7 +145,7 @@
         await asyncio.gather(*(node.start([]) for node in nodes))
         assert await propose(nodes, b"three") == 3
         for node in nodes:
-            await applied(node, [b"one", b"two", b"three"])
+            await wait_until_applied(node, [b"one", b"two", b"three"])
         await asyncio.gather(*(node.stop() for node in nodes))
 
     run(scenario)
@@ -159,7 +159,7 @@
             await propose(nodes, command)
         primary = await primary_of(nodes)
         damaged = next(node for node in nodes if node is not primary)
-        await applied(damaged, [b"one", b"two", b"three"])
+        await wait_until_applied(damaged, [b"one", b"two", b"three"])
         await damaged.stop()
         segment = next(damaged.directory.glob("*.log"))
         data = bytearray(segment.read_bytes())
@@ -167,16 +167,16 @@
         segment.write_bytes(data)
         await damaged.start([])
         assert damaged.group.identity.member_id != first_member_id(damaged.name)
-        assert damaged.journal.commands == []
+        assert damaged.recorder.commands == []
         for node in nodes:
             node.group.offer_standbys([damaged.group.identity])
-        await applied(damaged, [b"one", b"two", b"three"])
+        await wait_until_applied(damaged, [b"one", b"two", b"three"])
         await asyncio.gather(*(node.stop() for node in nodes))
 
     run(scenario)
 
 
-def test_an_emptied_disk_is_a_standby_until_it_is_taken_in(tmp_path: Path) -> None:
+def test_a_wiped_disk_is_a_standby_until_it_is_added(tmp_path: Path) -> None:
     async def scenario() -> None:
         nodes = make_nodes(tmp_path, 3)
         initial = initial_members(nodes)
@@ -187,18 +187,18 @@
         primary = await primary_of(nodes)
         lost = next(node for node in nodes if node is not primary)
         await lost.stop()
-        lost.directory = tmp_path / "emptied"
+        lost.directory = tmp_path / "wiped"
         lost.first_start = False
         await lost.start([], 2000)
         assert lost.group.identity.member_id != first_member_id(lost.name)
         assert lost.group.members == ()
         for node in nodes:
             node.group.offer_standbys([lost.group.identity])
-        await applied(lost, commands)
+        await wait_until_applied(lost, commands)
         while lost.group.identity not in lost.group.members:
             await asyncio.sleep(0)
         await propose(nodes, b"last")
-        await applied(lost, [*commands, b"last"])
+        await wait_until_applied(lost, [*commands, b"last"])
         assert len(lost.group.members) == 3
         await asyncio.gather(*(node.stop() for node in nodes))
 
--- a/tests/tier/test_replication_machine.py
+++ b/tests/tier/test_replication_machine.py
@@ -1,4 +1,4 @@
-"""Exchanges between pure machines, on a simulated network without disturbance and with a simulated clock."""
+"""Replica machines on a simulated network without faults and with a simulated clock, and single machines."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 STEP_S = 0.01
 
 
-def quiet_world(members: int = 3, standbys: int = 0, seed: int = 1, faults: int = 1) -> World:
-    """A world in which no message is lost, with every replica started."""
+def world_without_faults(members: int = 3, standbys: int = 0, seed: int = 1, faults: int = 1) -> World:
+    """Return a world without lost, duplicated or slow messages, with every replica started."""
     world = World(Random(seed), faults, members, standbys)
     world.network.conditions = NetworkConditions(slow_share=0.0, loss=0.0, duplicated=0.0)
     for replica in world.replicas:
@@ -45,7 +45,7 @@
 
 
 def wait(world: World, condition: Callable[[], bool], limit_s: float) -> float:
-    """Run until ``condition``; the simulated seconds that it took."""
+    """Run until ``condition`` holds; return the simulated seconds that it took."""
     started = world.now
     while not condition():
         assert world.now - started < limit_s, f"not within {limit_s} s"
@@ -61,7 +61,7 @@
 
 
 def commit(world: World, limit_s: float) -> float:
-    """Seconds until a further proposal is committed, proposing again at whoever leads."""
+    """Propose at the confirmed primary until a new proposal is committed; return the seconds that it took."""
     before = world.effects.acknowledged
 
     def committed() -> bool:
@@ -83,23 +83,23 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_new_group_leads_soon_and_commits_in_two_syncs(seed: int) -> None:
-    world = quiet_world(seed=seed)
+def test_a_new_group_elects_a_primary_soon_and_commits_in_two_syncs(seed: int) -> None:
+    world = world_without_faults(seed=seed)
     assert wait(world, lambda: world.confirmed_primary() is not None, 2.5) < 2.5
     assert commit(world, 0.1) < 0.05
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_lost_primary_is_followed_within_two_seconds(seed: int) -> None:
-    world = quiet_world(seed=seed)
+def test_a_lost_primary_is_replaced_within_two_seconds(seed: int) -> None:
+    world = world_without_faults(seed=seed)
     commit(world, 3.0)
     primary_of(world).end(Random(seed))
     assert commit(world, 2.0) < 1.6
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_primary_that_hands_over_is_followed_at_once(seed: int) -> None:
-    world = quiet_world(seed=seed)
+def test_a_transfer_of_leadership_completes_at_once(seed: int) -> None:
+    world = world_without_faults(seed=seed)
     commit(world, 3.0)
     before = primary_of(world)
     world.transfer_leadership(before)
@@ -108,8 +108,8 @@
     assert world.confirmed_primary() is not before
 
 
-def test_a_frozen_primary_is_not_confirmed_when_it_wakes() -> None:
-    world = quiet_world()
+def test_a_frozen_primary_is_not_confirmed_when_it_resumes() -> None:
+    world = world_without_faults()
     commit(world, 3.0)
     frozen = primary_of(world)
     frozen.is_frozen = True
@@ -122,8 +122,8 @@
     wait(world, lambda: machine.role is Role.BACKUP, 0.3)
 
 
-def test_a_backup_that_was_cut_off_does_not_disturb() -> None:
-    world = quiet_world()
+def test_a_backup_that_was_partitioned_does_not_disrupt_the_group() -> None:
+    world = world_without_faults()
     commit(world, 3.0)
     primary = primary_of(world)
     epoch = machine_of(primary).epoch
@@ -137,8 +137,8 @@
     assert machine_of(primary).epoch == epoch
 
 
-def test_a_primary_that_hears_nobody_steps_down() -> None:
-    world = quiet_world()
+def test_an_isolated_primary_steps_down() -> None:
+    world = world_without_faults()
     commit(world, 3.0)
     primary = primary_of(world)
     for other in world.replicas:
@@ -148,8 +148,8 @@
     wait(world, lambda: machine_of(primary).role is Role.BACKUP, 1.6)
 
 
-def test_a_primary_with_a_stalled_disk_hands_over() -> None:
-    world = quiet_world()
+def test_a_primary_with_a_stalled_disk_transfers_leadership() -> None:
+    world = world_without_faults()
     commit(world, 3.0)
     stalled = primary_of(world)
     stalled.stalled_until = world.now + 60.0
@@ -158,16 +158,16 @@
     assert commit(world, 0.1) < 0.1
 
 
-def test_a_backup_with_a_stalled_disk_holds_nobody_up() -> None:
-    world = quiet_world()
+def test_a_backup_with_a_stalled_disk_does_not_delay_commits() -> None:
+    world = world_without_faults()
     primary = primary_of(world)
     backup = next(replica for replica in world.replicas if replica is not primary)
     backup.stalled_until = world.now + 60.0
     assert commit(world, 0.1) < 0.1
 
 
-def test_an_emptied_member_is_replaced_once_caught_up() -> None:
-    world = quiet_world()
+def test_a_wiped_member_is_replaced_once_its_new_disk_is_caught_up() -> None:
+    world = world_without_faults()
     for _ in range(30):
         commit(world, 3.0)
     primary = primary_of(world)
@@ -185,23 +185,23 @@
     wait(world, lambda: lost.state == primary.state, 0.2)
 
 
-def test_a_silent_member_is_replaced_by_a_standby_and_is_one_when_it_returns() -> None:
-    world = quiet_world(standbys=1)
+def test_an_unreachable_member_is_replaced_by_a_standby_and_returns_as_one() -> None:
+    world = world_without_faults(standbys=1)
     commit(world, 3.0)
     primary = primary_of(world)
-    silent = next(replica for replica in world.replicas[:3] if replica is not primary)
-    silent.end(Random(1))
+    unreachable = next(replica for replica in world.replicas[:3] if replica is not primary)
+    unreachable.end(Random(1))
     world.update_membership_requests()
     wait(world, lambda: "new-n3" in member_ids(primary), 3.0)
-    assert silent.disk.member_id not in member_ids(primary)
-    world.start(silent)
+    assert unreachable.disk.member_id not in member_ids(primary)
+    world.start(unreachable)
     world.run_until(world.now + 3.0)
-    assert silent.disk.member_id not in member_ids(primary)
+    assert unreachable.disk.member_id not in member_ids(primary)
     assert world.confirmed_primary() is primary
 
 
-def test_a_removed_member_that_does_not_know_it_asks_seldom() -> None:
-    world = quiet_world(standbys=1)
+def test_a_removed_member_that_does_not_know_it_campaigns_rarely() -> None:
+    world = world_without_faults(standbys=1)
     commit(world, 3.0)
     primary = primary_of(world)
     cut_off = next(replica for replica in world.replicas[:3] if replica is not primary)
@@ -222,8 +222,8 @@
     assert world.confirmed_primary() is primary
 
 
-def test_a_primary_that_cannot_write_hands_over_and_stands_no_more() -> None:
-    world = quiet_world()
+def test_a_primary_that_cannot_write_transfers_leadership_and_does_not_campaign() -> None:
+    world = world_without_faults()
     commit(world, 3.0)
     full = primary_of(world)
     full.stalled_until = world.now + 5.0
@@ -238,8 +238,8 @@
     commit(world, 2.0)
 
 
-def test_a_retiring_primary_hands_over_and_is_replaced() -> None:
-    world = quiet_world(standbys=1)
+def test_a_retiring_primary_transfers_leadership_and_is_replaced() -> None:
+    world = world_without_faults(standbys=1)
     commit(world, 3.0)
     retiring = primary_of(world)
     world.retiring = frozenset({retiring.address})
@@ -258,8 +258,8 @@
     assert {member.member_id for member in committed.members} == member_ids(primary_of(world))
 
 
-def test_a_retiring_standby_is_excluded_by_a_change_of_its_own_that_snapshots_keep() -> None:
-    world = quiet_world(standbys=1)
+def test_a_retiring_standby_is_excluded_by_a_separate_change_that_snapshots_preserve() -> None:
+    world = world_without_faults(standbys=1)
     commit(world, 3.0)
     primary = primary_of(world)
     standby = world.replicas[3]
@@ -300,8 +300,8 @@
     assert standby.disk.member_id not in member_ids(primary_of(world))
 
 
-def test_committed_members_are_unknown_to_backups_and_while_a_change_is_open() -> None:
-    world = quiet_world(standbys=1)
+def test_committed_members_are_unknown_to_backups_and_during_an_uncommitted_change() -> None:
+    world = world_without_faults(standbys=1)
     commit(world, 3.0)
     primary = primary_of(world)
     backups = [replica for replica in world.replicas[:3] if replica is not primary]
@@ -315,32 +315,32 @@
     assert machine_of(primary).committed_members(world.now) is None
 
 
-def test_a_member_that_alone_knows_of_its_removal_leads_until_that_is_committed() -> None:
-    world = quiet_world(members=4)
+def test_the_only_member_that_knows_of_its_removal_leads_until_that_is_committed() -> None:
+    world = world_without_faults(members=4)
     commit(world, 3.0)
     primary = primary_of(world)
-    leaving = next(replica for replica in world.replicas if replica is not primary)
-    unaware = [replica for replica in world.replicas if replica not in (primary, leaving)]
+    departing = next(replica for replica in world.replicas if replica is not primary)
+    unaware = [replica for replica in world.replicas if replica not in (primary, departing)]
 
     def cut_off_at_change(replica: Replica, effects: Effects) -> None:
-        if leaving.disk.member_id not in member_ids(primary):
+        if departing.disk.member_id not in member_ids(primary):
             world.network.cuts |= {(primary.address, other.address) for other in unaware}
 
     world.effects.on_effects = cut_off_at_change
-    world.retiring = frozenset({leaving.address})
+    world.retiring = frozenset({departing.address})
     world.update_membership_requests()
-    wait(world, lambda: leaving.disk.member_id not in member_ids(leaving), 1.0)
-    wait(world, lambda: not machine_of(leaving).has_pending_writes, 0.1)
+    wait(world, lambda: departing.disk.member_id not in member_ids(departing), 1.0)
+    wait(world, lambda: not machine_of(departing).has_pending_writes, 0.1)
     world.effects.on_effects = lambda replica, effects: None
     primary.end(Random(1))
-    assert all(leaving.disk.member_id in member_ids(replica) for replica in unaware)
+    assert all(departing.disk.member_id in member_ids(replica) for replica in unaware)
     commit(world, 4.0)
     wait(world, lambda: world.confirmed_primary() in unaware, 2.0)
-    assert leaving.disk.member_id not in member_ids(primary_of(world))
+    assert departing.disk.member_id not in member_ids(primary_of(world))
 
 
-def test_a_standby_receives_the_snapshot_and_what_follows() -> None:
-    world = quiet_world()
+def test_a_standby_receives_the_snapshot_and_the_entries_after_it() -> None:
+    world = world_without_faults()
     for _ in range(40):
         commit(world, 3.0)
     primary = primary_of(world)
@@ -374,7 +374,7 @@
 
 
 def sync(machine: ReplicaMachine, disk: BufferedDisk, now: float) -> None:
-    """Make all writes that are asked for durable; other effects of the machine are dropped."""
+    """Make all requested writes durable; other effects of the machine are dropped."""
     disk.submit(machine.take_effects().writes)
     disk.begin()
     machine.complete_writes(disk.finish(), now)
@@ -389,7 +389,7 @@
     return Message(epoch=epoch, vote_request=request)
 
 
-def test_a_vote_is_sent_only_after_the_promise_is_synced() -> None:
+def test_a_vote_is_sent_only_after_the_hard_state_is_synced() -> None:
     machine, _ = single()
     machine.receive(identity(1), vote_request(4), 5.0)
     effects = machine.take_effects()
@@ -403,7 +403,7 @@
     assert outgoing.message.vote_reply.granted
 
 
-def test_one_vote_an_epoch() -> None:
+def test_a_replica_grants_one_vote_per_epoch() -> None:
     machine, _ = single()
     machine.receive(identity(1), vote_request(4), 5.0)
     machine.complete_writes(machine.take_effects().writes[-1].ticket, 5.0)
@@ -413,8 +413,8 @@
     assert not outgoing.message.vote_reply.granted
 
 
-def heard(machine: ReplicaMachine, epoch: int, now: float) -> None:
-    """``machine`` follows member 1 as primary of ``epoch``."""
+def follow_primary(machine: ReplicaMachine, epoch: int, now: float) -> None:
+    """Make ``machine`` follow member 1 as primary of ``epoch``."""
     machine.receive(identity(1), Message(epoch=epoch, append=Append(sent_us=1)), now)
     writes = machine.take_effects().writes
     if writes:
@@ -422,9 +422,9 @@
         machine.take_effects()
 
 
-def test_no_vote_within_the_election_time_out_unless_the_primary_handed_over() -> None:
+def test_no_vote_within_the_election_time_out_except_after_a_transfer_of_leadership() -> None:
     machine, _ = single()
-    heard(machine, 4, 5.0)
+    follow_primary(machine, 4, 5.0)
     machine.receive(identity(2), vote_request(5), 5.8)
     (outgoing,) = machine.take_effects().messages
     assert not outgoing.message.vote_reply.granted
@@ -439,14 +439,14 @@
     machine, disk = single()
     machine.receive(identity(1), vote_request(4), 5.0)
     sync(machine, disk, 5.0)
-    again = ReplicaMachine(identity(0), 1, disk.recovered(), disk, Random(1), 100.0)
-    again.receive(identity(2), vote_request(7), 100.5)
-    assert not again.take_effects().messages[0].message.vote_reply.granted
-    again.receive(identity(2), vote_request(7), 100.95)
-    assert again.epoch == 7
+    restarted = ReplicaMachine(identity(0), 1, disk.recovered(), disk, Random(1), 100.0)
+    restarted.receive(identity(2), vote_request(7), 100.5)
+    assert not restarted.take_effects().messages[0].message.vote_reply.granted
+    restarted.receive(identity(2), vote_request(7), 100.95)
+    assert restarted.epoch == 7
 
 
-def test_an_older_log_gets_no_vote() -> None:
+def test_a_candidate_with_an_older_log_gets_no_vote() -> None:
     machine, _ = single()
     machine.receive(identity(1), vote_request(4, last_index=0), 5.0)
     effects = machine.take_effects()
@@ -456,7 +456,7 @@
 
 def test_entries_are_acknowledged_only_when_synced() -> None:
     machine, _ = single()
-    heard(machine, 1, 5.0)
+    follow_primary(machine, 1, 5.0)
     append = Append(sent_us=2, previous_index=1, previous_epoch=0)
     append.entries.add(index=2, epoch=1, kind=EntryKind.NOOP)
     machine.receive(identity(1), Message(epoch=1, append=append), 5.1)
@@ -476,7 +476,7 @@
     return requests[-1].campaign
 
 
-def test_a_slow_disk_does_not_make_a_candidate_begin_anew() -> None:
+def test_a_slow_disk_does_not_restart_a_campaign() -> None:
     machine, _ = single()
     for tick in range(20):
         machine.tick(tick * 0.05)
@@ -505,8 +505,8 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_replicas_that_all_restart_wait_for_no_lease(seed: int) -> None:
-    world = quiet_world(seed=seed)
+def test_replicas_that_all_restart_do_not_wait_for_a_lease(seed: int) -> None:
+    world = world_without_faults(seed=seed)
     commit(world, 3.0)
     restart(world, world.replicas, 0.5)
     assert wait(world, lambda: world.confirmed_primary() is not None, 2.0) < 0.5 + 0.7
@@ -514,8 +514,8 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_restarted_replicas_wait_while_a_cut_off_primary_may_hold_a_lease(seed: int) -> None:
-    world = quiet_world(seed=seed)
+def test_restarted_replicas_wait_while_a_partitioned_primary_may_hold_a_lease(seed: int) -> None:
+    world = world_without_faults(seed=seed)
     primary = primary_of(world)
     commit(world, 1.0)
     others = [replica for replica in world.replicas if replica is not primary]
@@ -527,67 +527,67 @@
     assert wait(world, lambda: world.confirmed_primary() is not None, 2.0) > 0.0
 
 
-def test_a_replaced_disk_answers_for_the_replica_before_it() -> None:
-    world = quiet_world()
+def test_a_replaced_disk_counts_as_an_answer_of_the_previous_replica() -> None:
+    world = world_without_faults()
     commit(world, 3.0)
     first, second, third = world.replicas
-    gone = third.disk.member_id
+    replaced_id = third.disk.member_id
     restart(world, [first, second], 0.2)
     third.end(Random(1))
     wait(world, lambda: first.machine is not None and second.machine is not None, 1.0)
-    heard: dict[str, float] = {}
+    elected: dict[str, float] = {}
 
-    def tell() -> None:
+    def report_replaced_disk() -> None:
         for replica in (first, second):
-            machine_of(replica).record_disk_replaced(gone, world.now)
+            machine_of(replica).record_disk_replaced(replaced_id, world.now)
         if world.confirmed_primary() is not None:
-            heard.setdefault("led", world.now)
+            elected.setdefault("at", world.now)
 
-    begun = world.now
-    while "led" not in heard:
-        assert world.now - begun < 0.7
+    started_at = world.now
+    while "at" not in elected:
+        assert world.now - started_at < 0.7
         world.run_until(world.now + STEP_S)
-        tell()
+        report_replaced_disk()
 
 
-def preliminary_vote(granted: bool, campaign: int, commit_index: int = 1, commit_epoch: int = 0) -> Message:
+def pre_vote_reply(granted: bool, campaign: int, commit_index: int = 1, commit_epoch: int = 0) -> Message:
     reply = VoteReply(preliminary=True, epoch=2, granted=granted, campaign=campaign)
     reply.commit_index = commit_index
     reply.commit_epoch = commit_epoch
     return Message(epoch=1, vote_reply=reply)
 
 
-def test_a_candidate_learns_from_a_voter_that_its_list_is_committed() -> None:
+def test_a_candidate_learns_from_a_voter_that_its_membership_is_committed() -> None:
     machine, _ = single()
-    heard(machine, 1, 5.0)
+    follow_primary(machine, 1, 5.0)
     append = Append(sent_us=2, previous_index=1, previous_epoch=0, commit_index=2)
     append.entries.add(index=2, epoch=1, kind=EntryKind.NOOP)
-    new_list = encode_members([identity(0), identity(1), identity(3)])
-    append.entries.add(index=3, epoch=1, kind=EntryKind.MEMBERS, payload=new_list)
+    new_members = encode_members([identity(0), identity(1), identity(3)])
+    append.entries.add(index=3, epoch=1, kind=EntryKind.MEMBERS, payload=new_members)
     machine.receive(identity(1), Message(epoch=1, append=append), 5.0)
     machine.complete_writes(machine.take_effects().writes[-1].ticket, 5.0)
     for tick in range(100, 130):
         machine.tick(tick * 0.05)
     assert machine.voting_member_ids() == {"m0", "m1", "m2", "m3"}
     campaign = last_campaign(machine.take_effects())
-    machine.receive(identity(3), preliminary_vote(True, campaign), 6.5)
+    machine.receive(identity(3), pre_vote_reply(True, campaign), 6.5)
     assert machine.role is Role.BACKUP
-    machine.receive(identity(2), preliminary_vote(False, campaign, commit_index=3, commit_epoch=2), 6.5)
+    machine.receive(identity(2), pre_vote_reply(False, campaign, commit_index=3, commit_epoch=2), 6.5)
     assert machine.commit_index == 2
-    machine.receive(identity(2), preliminary_vote(False, campaign, commit_index=3, commit_epoch=1), 6.5)
+    machine.receive(identity(2), pre_vote_reply(False, campaign, commit_index=3, commit_epoch=1), 6.5)
     assert machine.voting_member_ids() == {"m0", "m1", "m3"}
-    machine.receive(identity(3), preliminary_vote(True, campaign), 6.5)
+    machine.receive(identity(3), pre_vote_reply(True, campaign), 6.5)
     assert machine.role is Role.CANDIDATE
 
 
-def test_a_voter_without_a_list_does_not_tell_a_candidate_that_it_was_removed() -> None:
+def test_a_voter_without_a_membership_does_not_report_a_candidate_as_removed() -> None:
     disk = BufferedDisk("m0")
     empty = ReplicaMachine(identity(0), 1, disk.recovered(), disk, Random(1), 0.0)
     empty.receive(identity(1), Message(epoch=1, append=Append(sent_us=1, previous_index=5)), 1.0)
     empty.take_effects()
-    question = vote_request(2)
-    question.vote_request.preliminary = True
-    empty.receive(identity(2), question, 1.1)
+    pre_vote = vote_request(2)
+    pre_vote.vote_request.preliminary = True
+    empty.receive(identity(2), pre_vote, 1.1)
     (outgoing,) = empty.take_effects().messages
     assert not outgoing.message.vote_reply.granted
     assert not outgoing.message.vote_reply.removed
@@ -596,16 +596,16 @@
 # Elections without waiting for a lease
 
 
-def unbound(campaign: int, incarnation: int = 7) -> Message:
-    """Answer of a replica that follows nobody."""
+def no_primary_reply(campaign: int, incarnation: int = 7) -> Message:
+    """Return the answer of a replica that follows no primary."""
     return Message(
         epoch=0,
         vote_reply=VoteReply(preliminary=True, epoch=1, unbound=True, life=incarnation, campaign=campaign),
     )
 
 
-def asking(now: float = 0.3) -> tuple[ReplicaMachine, int]:
-    """A machine of three that has just started, and the campaign that it began at ``now``."""
+def start_campaign(now: float = 0.3) -> tuple[ReplicaMachine, int]:
+    """Start a machine of a group of three; return it and the campaign that it starts at ``now``."""
     disk = BufferedDisk("m0")
     first = ReplicaMachine(identity(0), 1, disk.recovered(), disk, Random(1), 0.0)
     first.bootstrap(GROUP, 0.0)
@@ -615,43 +615,43 @@
     return machine, last_campaign(machine.take_effects())
 
 
-def test_all_must_answer_that_they_follow_nobody() -> None:
-    machine, campaign = asking()
-    machine.receive(identity(1), unbound(campaign), 0.31)
+def test_all_replicas_must_answer_that_they_follow_no_primary() -> None:
+    machine, campaign = start_campaign()
+    machine.receive(identity(1), no_primary_reply(campaign), 0.31)
     assert machine.role is Role.BACKUP
-    machine.receive(identity(2), unbound(campaign), 0.32)
+    machine.receive(identity(2), no_primary_reply(campaign), 0.32)
     assert machine.role is Role.CANDIDATE
 
 
-def test_a_primary_that_is_frozen_or_cut_off_answers_too_late() -> None:
-    machine, campaign = asking()
-    machine.receive(identity(1), unbound(campaign), 0.31)
-    machine.receive(identity(2), unbound(campaign), 0.46)
+def test_a_primary_that_is_frozen_or_partitioned_answers_too_late() -> None:
+    machine, campaign = start_campaign()
+    machine.receive(identity(1), no_primary_reply(campaign), 0.31)
+    machine.receive(identity(2), no_primary_reply(campaign), 0.46)
     assert machine.role is Role.BACKUP
 
 
-def test_an_answer_to_an_earlier_question_does_not_count() -> None:
-    machine, earlier = asking()
+def test_an_answer_to_an_earlier_campaign_does_not_count() -> None:
+    machine, earlier = start_campaign()
     for tick in range(7, 19):
         machine.tick(tick * 0.05)
     campaign = last_campaign(machine.take_effects())
     assert campaign != earlier
-    machine.receive(identity(1), unbound(campaign), 0.91)
-    machine.receive(identity(2), unbound(earlier), 0.91)
+    machine.receive(identity(1), no_primary_reply(campaign), 0.91)
+    machine.receive(identity(2), no_primary_reply(earlier), 0.91)
     assert machine.role is Role.BACKUP
 
 
-def test_an_address_used_again_answers_for_a_disk_that_is_gone_but_gives_no_vote() -> None:
-    machine, campaign = asking()
+def test_a_reused_address_answers_for_the_replaced_disk_but_gives_no_vote() -> None:
+    machine, campaign = start_campaign()
     machine.record_disk_replaced("m1", 0.31)
     assert machine.role is Role.BACKUP
     machine.record_disk_replaced("m2", 0.31)
     assert machine.role is Role.BACKUP
-    machine.receive(identity(2), unbound(campaign), 0.32)
+    machine.receive(identity(2), no_primary_reply(campaign), 0.32)
     assert machine.role is Role.CANDIDATE
 
 
-def test_a_disk_that_was_moved_to_another_address_does_not_stand() -> None:
+def test_a_disk_that_was_moved_to_another_address_does_not_campaign() -> None:
     disk = BufferedDisk("m0")
     first = ReplicaMachine(identity(0), 1, disk.recovered(), disk, Random(1), 0.0)
     first.bootstrap(GROUP, 0.0)
@@ -663,60 +663,60 @@
     assert bodies(machine.take_effects()) == []
 
 
-def test_a_member_that_answers_in_two_lives_waits_in_the_second() -> None:
+def test_a_member_that_answers_in_two_incarnations_waits_in_the_second() -> None:
     machine, disk = single()
-    question = vote_request(1)
-    question.vote_request.preliminary = True
-    machine.receive(identity(2), question, 0.2)
+    pre_vote = vote_request(1)
+    pre_vote.vote_request.preliminary = True
+    machine.receive(identity(2), pre_vote, 0.2)
     (outgoing,) = machine.take_effects().messages
     assert outgoing.message.vote_reply.unbound
-    life = outgoing.message.vote_reply.life
-    again = ReplicaMachine(identity(0), 1, disk.recovered(), disk, Random(2), 0.25)
+    incarnation = outgoing.message.vote_reply.life
+    restarted = ReplicaMachine(identity(0), 1, disk.recovered(), disk, Random(2), 0.25)
     request = vote_request(1)
-    request.vote_request.life = life
-    again.receive(identity(2), request, 0.5)
-    assert not again.take_effects().messages[0].message.vote_reply.granted
+    request.vote_request.life = incarnation
+    restarted.receive(identity(2), request, 0.5)
+    assert not restarted.take_effects().messages[0].message.vote_reply.granted
     machine.receive(identity(2), request, 0.5)
     assert machine.epoch == 1
 
 
-def test_a_member_that_heard_a_primary_after_its_answer_waits_all_the_same() -> None:
+def test_a_member_that_follows_a_primary_after_its_answer_waits() -> None:
     machine, _ = single()
-    question = vote_request(1)
-    question.vote_request.preliminary = True
-    machine.receive(identity(2), question, 0.2)
-    life = machine.take_effects().messages[0].message.vote_reply.life
-    heard(machine, 1, 0.3)
+    pre_vote = vote_request(1)
+    pre_vote.vote_request.preliminary = True
+    machine.receive(identity(2), pre_vote, 0.2)
+    incarnation = machine.take_effects().messages[0].message.vote_reply.life
+    follow_primary(machine, 1, 0.3)
     request = vote_request(2)
-    request.vote_request.life = life
+    request.vote_request.life = incarnation
     machine.receive(identity(2), request, 0.5)
     assert not machine.take_effects().messages[0].message.vote_reply.granted
 
 
 def test_a_removed_primary_is_not_confirmed_once_its_removal_is_committed() -> None:
-    """Those left do not ask it any more before they elect without waiting."""
-    world = quiet_world(members=4)
+    """The remaining members need no answer from it to elect without waiting, so its lease must not count."""
+    world = world_without_faults(members=4)
     commit(world, 3.0)
     primary = primary_of(world)
-    leaving = next(replica for replica in world.replicas if replica is not primary)
-    unaware = [replica for replica in world.replicas if replica not in (primary, leaving)]
+    departing = next(replica for replica in world.replicas if replica is not primary)
+    unaware = [replica for replica in world.replicas if replica not in (primary, departing)]
 
     def cut_off_at_change(replica: Replica, effects: Effects) -> None:
-        if leaving.disk.member_id not in member_ids(primary):
+        if departing.disk.member_id not in member_ids(primary):
             world.network.cuts |= {(primary.address, other.address) for other in unaware}
 
     world.effects.on_effects = cut_off_at_change
-    world.retiring = frozenset({leaving.address})
+    world.retiring = frozenset({departing.address})
     world.update_membership_requests()
-    wait(world, lambda: leaving.disk.member_id not in member_ids(leaving), 1.0)
-    wait(world, lambda: not machine_of(leaving).has_pending_writes, 0.1)
+    wait(world, lambda: departing.disk.member_id not in member_ids(departing), 1.0)
+    wait(world, lambda: not machine_of(departing).has_pending_writes, 0.1)
     confirmed: list[bool] = []
 
-    def note(replica: Replica, effects: Effects) -> None:
-        if replica is leaving and machine_of(leaving).role is Role.PRIMARY:
-            confirmed.append(machine_of(leaving).is_confirmed_primary(world.now))
+    def record_confirmation(replica: Replica, effects: Effects) -> None:
+        if replica is departing and machine_of(departing).role is Role.PRIMARY:
+            confirmed.append(machine_of(departing).is_confirmed_primary(world.now))
 
-    world.effects.on_effects = note
+    world.effects.on_effects = record_confirmation
     primary.end(Random(1))
     wait(world, lambda: world.confirmed_primary() in unaware, 6.0)
     assert confirmed
@@ -728,7 +728,7 @@
 
 @pytest.fixture
 def small_states(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The smallest state with final blocks is divided."""
+    """Make every state with final blocks divided, however small."""
     monkeypatch.setattr(snapshot_state, "MIN_DIVIDED_BYTES", 0)
 
 
@@ -739,7 +739,7 @@
 
 
 class Transfer:
-    """A sender with a stored snapshot of ``divided_state``, and a receiver that lacks it."""
+    """A sender with a stored snapshot of ``divided_state``, and the chunks that it sent."""
 
     def __init__(self) -> None:
         self.state = divided_state()
@@ -771,11 +771,11 @@
             if not transfer.sender.is_active:
                 return
         now += 0.01
-    pytest.fail("the transfer does not end")
+    pytest.fail("the transfer did not complete within 200 steps")
 
 
 @pytest.mark.usefixtures("small_states")
-def test_a_replica_that_takes_it_gets_a_divided_state_as_it_is_stored() -> None:
+def test_a_replica_that_accepts_the_encoded_form_receives_a_divided_state_as_stored() -> None:
     transfer = Transfer()
     receiver = ReplicaMachine(
         identity(1), 1, BufferedDisk("m1").recovered(), BufferedDisk("m1"), Random(1), 0.0
@@ -803,8 +803,8 @@
 
 
 @pytest.mark.usefixtures("small_states")
-def test_a_replica_of_a_release_that_knows_no_blocks_gets_the_state_as_before() -> None:
-    """It takes the question for a chunk without data, and answers how much it has."""
+def test_a_replica_of_a_release_without_state_blocks_receives_the_plain_state() -> None:
+    """It treats the offer as a chunk without data and answers with the number of bytes received."""
     transfer = Transfer()
     received = b""
 
@@ -821,7 +821,7 @@
 
 
 @pytest.mark.usefixtures("small_states")
-def test_an_offer_whose_answer_is_lost_is_made_again() -> None:
+def test_an_offer_whose_answer_is_lost_is_repeated() -> None:
     transfer = Transfer()
     first = transfer.next_chunk(0.0)
     assert first is not None and first.offers_encoded
@@ -834,7 +834,7 @@
     assert chunk is not None and chunk.encoded and len(chunk.data) == transfer.core.chunk_bytes
 
 
-def test_a_plain_state_is_sent_without_a_question() -> None:
+def test_a_plain_state_is_sent_without_an_offer() -> None:
     transfer = Transfer()
     plain = Snapshot(1, 0, encode_members(GROUP), b"state")
     transfer.core.snapshot = SnapshotHeader.of(plain)
--- a/tests/tier/test_replication_policy.py
+++ b/tests/tier/test_replication_policy.py
@@ -1,4 +1,4 @@
-"""Quorum sizes, and which change of members a primary wants next."""
+"""Quorum sizes, and the membership policy that chooses the next change of a primary."""
 
 from __future__ import annotations
 
@@ -34,50 +34,58 @@
     unresponsive_standbys: frozenset[str] = frozenset(),
     unresponsive: tuple[MemberIdentity, ...] = (),
 ) -> MembershipStep | None:
-    silent = frozenset(one.member_id for one in unreachable)
-    quiet = silent | {one.member_id for one in unresponsive}
+    unreachable_ids = frozenset(one.member_id for one in unreachable)
+    unresponsive_ids = unreachable_ids | {one.member_id for one in unresponsive}
     view = GroupView(
-        A, members, standbys, silent, frozenset(retiring), 3, excluded, unresponsive_standbys, quiet
+        A,
+        members,
+        standbys,
+        unreachable_ids,
+        frozenset(retiring),
+        3,
+        excluded,
+        unresponsive_standbys,
+        unresponsive_ids,
     )
     return next_step(view)
 
 
-def test_nothing_to_do() -> None:
+def test_no_step_is_taken_if_none_is_needed_or_possible() -> None:
     assert step() is None
     assert step(standbys=(D,)) is None
     assert step(standbys=(B, C)) is None
     assert step(unreachable=(B,)) is None
 
 
-def test_an_emptied_disk_takes_the_place_of_the_one_before() -> None:
-    emptied = member("b", "new")
-    assert step(standbys=(D, emptied), unreachable=(C,)) == MembershipChange(add=emptied, remove=B)
+def test_a_wiped_disk_replaces_the_previous_disk_of_its_host() -> None:
+    wiped = member("b", "new")
+    assert step(standbys=(D, wiped), unreachable=(C,)) == MembershipChange(add=wiped, remove=B)
 
 
-def test_an_emptied_disk_that_does_not_answer_leaves_its_place_to_another() -> None:
-    emptied = member("b", "new")
-    silent = frozenset({emptied.member_id})
-    assert step(standbys=(D, emptied), unreachable=(B,), unresponsive_standbys=silent) == MembershipChange(
-        add=D, remove=B
-    )
-    assert step(standbys=(emptied,), unreachable=(B,), unresponsive_standbys=silent) == MembershipChange(
-        add=emptied, remove=B
-    )
+def test_a_wiped_disk_that_does_not_answer_yields_to_another_standby() -> None:
+    wiped = member("b", "new")
+    unresponsive_ids = frozenset({wiped.member_id})
+    assert step(
+        standbys=(D, wiped), unreachable=(B,), unresponsive_standbys=unresponsive_ids
+    ) == MembershipChange(add=D, remove=B)
+    assert step(
+        standbys=(wiped,), unreachable=(B,), unresponsive_standbys=unresponsive_ids
+    ) == MembershipChange(add=wiped, remove=B)
 
 
-def test_an_emptied_disk_is_known_by_its_address_where_names_are_unknown() -> None:
+def test_a_wiped_disk_is_matched_by_address_if_node_names_are_unknown() -> None:
     unnamed = MemberIdentity("first-b", "", "b:1")
-    emptied = member("b", "new")
-    assert step(members=(A, unnamed, C), standbys=(emptied,)) == MembershipChange(add=emptied, remove=unnamed)
+    wiped = member("b", "new")
+    assert step(members=(A, unnamed, C), standbys=(wiped,)) == MembershipChange(add=wiped, remove=unnamed)
     assert step(members=(A, unnamed, C), standbys=(MemberIdentity("x", "", "x:1"),)) is None
 
 
-def test_a_retiring_member_is_replaced_or_removed_where_enough_are_left() -> None:
+def test_a_retiring_member_is_replaced_or_removed_if_enough_members_remain() -> None:
     assert step(retiring="b") is None
     assert step(retiring="b", standbys=(D,)) == MembershipChange(add=D, remove=B, exclude=(B.member_id,))
     assert step(members=(A, B, C, D), retiring="b") == MembershipChange(remove=B, exclude=(B.member_id,))
-    barred = frozenset({D.member_id})
-    assert step(retiring="bd", standbys=(D,), excluded=barred) is None
+    excluded_ids = frozenset({D.member_id})
+    assert step(retiring="bd", standbys=(D,), excluded=excluded_ids) is None
 
 
 def test_a_retiring_standby_is_excluded_once() -> None:
@@ -86,43 +94,45 @@
     assert step(retiring="d", standbys=(D,), excluded=frozenset({D.member_id})) is None
 
 
-def test_an_excluded_disk_is_taken_in_no_more_not_even_after_its_order() -> None:
-    barred = frozenset({D.member_id})
-    assert step(members=(A, B), standbys=(D,), excluded=barred) is None
-    assert step(unreachable=(C,), standbys=(D,), excluded=barred) is None
-    assert step(retiring="b", standbys=(D,), excluded=barred) is None
-    emptied = member("d", "new")
-    assert step(members=(A, B), standbys=(D, emptied), excluded=barred) == MembershipChange(add=emptied)
+def test_an_excluded_disk_is_never_added_even_after_the_retirement_request_ends() -> None:
+    excluded_ids = frozenset({D.member_id})
+    assert step(members=(A, B), standbys=(D,), excluded=excluded_ids) is None
+    assert step(unreachable=(C,), standbys=(D,), excluded=excluded_ids) is None
+    assert step(retiring="b", standbys=(D,), excluded=excluded_ids) is None
+    wiped = member("d", "new")
+    assert step(members=(A, B), standbys=(D, wiped), excluded=excluded_ids) == MembershipChange(add=wiped)
 
 
-def test_a_retiring_member_is_known_by_its_disk_where_names_are_unknown() -> None:
+def test_a_retiring_member_is_matched_by_member_id_if_node_names_are_unknown() -> None:
     unnamed = MemberIdentity("first-b", "", "b:1")
     view = GroupView(A, (A, unnamed, C), (D,), frozenset(), frozenset({"b", "first-b"}), 3)
     assert next_step(view) == MembershipChange(add=D, remove=unnamed, exclude=("first-b",))
-    leaving = frozenset({"first-b", D.member_id})
-    blocked = GroupView(A, (A, unnamed, C), (D,), frozenset(), leaving, 3, frozenset({D.member_id}))
-    assert next_step(blocked) is None
+    retiring_ids = frozenset({"first-b", D.member_id})
+    view_with_exclusion = GroupView(
+        A, (A, unnamed, C), (D,), frozenset(), retiring_ids, 3, frozenset({D.member_id})
+    )
+    assert next_step(view_with_exclusion) is None
 
 
-def test_a_retiring_primary_hands_over_last() -> None:
+def test_a_retiring_primary_transfers_leadership_after_other_retiring_members_left() -> None:
     assert step(retiring="a") is None
     assert step(retiring="a", standbys=(D,)) == TransferLeadership()
     assert step(retiring="ab", standbys=(D,)) == MembershipChange(add=D, remove=B, exclude=(B.member_id,))
     assert step(members=(A,), retiring="a", standbys=(D,)) == MembershipChange(add=D)
 
 
-def test_a_small_group_grows_and_prefers_a_new_zone() -> None:
+def test_a_group_below_its_target_size_grows_and_prefers_a_new_zone() -> None:
     near = member("e", zone="one")
     far = member("f", zone="two")
     assert step(members=(member("a", zone="one"), B), standbys=(near, far)) == MembershipChange(add=far)
 
 
-def test_a_silent_member_is_replaced() -> None:
+def test_an_unreachable_member_is_replaced() -> None:
     assert step(unreachable=(C,), standbys=(D,)) == MembershipChange(add=D, remove=C)
     assert step(members=(A, B, C, D), unreachable=(C,)) == MembershipChange(remove=C)
 
 
-def test_a_silent_member_gets_the_standby_before_one_that_retires() -> None:
+def test_an_unresponsive_member_has_priority_over_a_retiring_one() -> None:
     assert step(unreachable=(C,), retiring="b", standbys=(D,)) == MembershipChange(add=D, remove=C)
     assert step(unresponsive=(C,), retiring="b", standbys=(D,)) is None
     assert step(members=(A, B, C, D), unresponsive=(C,), retiring="b") is None
@@ -131,25 +141,25 @@
     )
 
 
-def test_a_standby_that_did_not_answer_is_taken_in_last() -> None:
+def test_a_standby_that_did_not_answer_is_chosen_last() -> None:
     late = member("e")
     assert step(unreachable=(C,), standbys=(D, late)) == MembershipChange(add=D, remove=C)
-    silent = frozenset({D.member_id})
-    assert step(unreachable=(C,), standbys=(D, late), unresponsive_standbys=silent) == MembershipChange(
-        add=late, remove=C
-    )
-    assert step(unreachable=(C,), standbys=(D,), unresponsive_standbys=silent) == MembershipChange(
+    unresponsive_ids = frozenset({D.member_id})
+    assert step(
+        unreachable=(C,), standbys=(D, late), unresponsive_standbys=unresponsive_ids
+    ) == MembershipChange(add=late, remove=C)
+    assert step(unreachable=(C,), standbys=(D,), unresponsive_standbys=unresponsive_ids) == MembershipChange(
         add=D, remove=C
     )
 
 
-def test_changes_give_whole_lists() -> None:
+def test_a_change_returns_the_complete_member_list() -> None:
     assert MembershipChange(add=D, remove=B).apply((A, B, C)) == (A, C, D)
     assert MembershipChange(remove=B).apply((A, B, C)) == (A, C)
     assert MembershipChange(add=D).apply((A, B, C)) == (A, B, C, D)
 
 
-def test_silence_is_borne_for_a_share_of_the_time_to_catch_up() -> None:
+def test_the_unreachable_time_out_is_a_fraction_of_the_catch_up_time() -> None:
     assert Timing.for_catch_up(4.8).unreachable_timeout_s == pytest.approx(1.2)
     assert Timing.for_catch_up(1.0).unreachable_timeout_s == Timing().election_timeout_s
     assert Timing.for_catch_up(60.0).unreachable_timeout_s == MAX_UNREACHABLE_TIMEOUT_S
@@ -157,7 +167,7 @@
 
 @pytest.mark.parametrize("faults", range(4))
 @pytest.mark.parametrize("size", range(1, 10))
-def test_quorums_meet(size: int, faults: int) -> None:
+def test_election_and_write_quorums_intersect(size: int, faults: int) -> None:
     write = write_quorum(size, faults)
     elect = election_quorum(size, faults)
     assert write == min(faults + 1, size)
@@ -173,31 +183,34 @@
 
 @pytest.mark.parametrize("faults", range(3))
 @pytest.mark.parametrize("size", range(1, 6))
-def test_quorums_of_changed_lists_meet(size: int, faults: int) -> None:
-    """Whoever may be elected without the members entry misses one copy of it; whoever has it, one commit."""
+def test_quorums_of_joint_configurations_intersect(size: int, faults: int) -> None:
+    """Replicas without a committed members entry must not be able to elect a primary.
+
+    An election quorum of the uncommitted change must intersect each quorum of the old or the new members.
+    """
     old = names(size)
     changes = [(*old, member("z")), (*old[1:], member("z"))]
     if size > 1:
         changes.append(old[1:])
     for new in changes:
-        open_change = JointConfiguration(faults, new, old, 7)
+        uncommitted_change = JointConfiguration(faults, new, old, 7)
         everyone = {one.member_id for one in (*old, *new)}
         for count in range(len(everyone) + 1):
-            for copies in combinations(sorted(everyone), count):
-                synced = dict.fromkeys(copies, 7)
-                if open_change.committable_index(synced) < 7:
+            for holders in combinations(sorted(everyone), count):
+                synced = dict.fromkeys(holders, 7)
+                if uncommitted_change.committable_index(synced) < 7:
                     continue
-                rest = everyone - set(copies)
+                rest = everyone - set(holders)
                 assert not JointConfiguration(faults, old).has_election_quorum(rest)
                 assert not JointConfiguration(faults, new).has_election_quorum(rest)
-                assert not open_change.has_election_quorum(rest)
+                assert not uncommitted_change.has_election_quorum(rest)
             for voters in combinations(sorted(everyone), count):
                 rest = everyone - set(voters)
                 assert not (
-                    open_change.has_election_quorum(voters)
+                    uncommitted_change.has_election_quorum(voters)
                     and JointConfiguration(faults, old).has_election_quorum(rest)
                 )
                 assert not (
-                    open_change.has_election_quorum(voters)
+                    uncommitted_change.has_election_quorum(voters)
                     and JointConfiguration(faults, new).has_election_quorum(rest)
                 )
--- a/tests/tier/test_replication_storage.py
+++ b/tests/tier/test_replication_storage.py
@@ -1,4 +1,4 @@
-"""The disk of a replica: torn tails are cut, damage is reported, nothing wrong is handed out."""
+"""Storage of a replica: torn tails are truncated, damage is reported, and no wrong data is returned."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @pytest.fixture(autouse=True)
 def no_syncs(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A sync shows only after a loss of power (``test_storage_crashes.py``); here it only takes time."""
+    """Disable syncs: they matter only after a loss of power (``test_storage_crashes.py``) and take time."""
     monkeypatch.setattr(os, "fsync", lambda descriptor: None)
     monkeypatch.setattr(os, "fdatasync", lambda descriptor: None)
 
@@ -53,7 +53,7 @@
     return sorted(directory.glob("*.log"))
 
 
-def test_entries_and_promise_come_back(tmp_path: Path) -> None:
+def test_entries_and_hard_state_are_recovered(tmp_path: Path) -> None:
     storage = new_storage(tmp_path)
     storage.append(entries(1, 3))
     storage.append(entries(4, 5))
@@ -65,7 +65,7 @@
     assert recovered.snapshot is None
 
 
-def test_a_later_entry_replaces_its_position_and_all_behind(tmp_path: Path) -> None:
+def test_a_later_entry_replaces_the_one_at_its_index_and_all_after_it(tmp_path: Path) -> None:
     storage = new_storage(tmp_path, segment_bytes=60)
     storage.append(entries(1, 6))
     storage.append(entries(4, 5, epoch=2))
@@ -75,7 +75,7 @@
     assert recover(tmp_path).entries == entries(1, 3) + entries(4, 5, epoch=2) + entries(6, 6, epoch=3)
 
 
-def test_a_segment_cut_at_any_byte_gives_whole_frames_only(tmp_path: Path) -> None:
+def test_a_segment_truncated_at_any_byte_recovers_complete_frames_only(tmp_path: Path) -> None:
     whole = tmp_path / "whole"
     storage = new_storage(whole)
     for first in (1, 3, 5):
@@ -102,7 +102,7 @@
     assert seen == {0, 2, 4, 6}
 
 
-def test_a_tail_that_is_zeros_or_noise_is_cut(tmp_path: Path) -> None:
+def test_a_tail_of_zeros_or_garbage_is_truncated(tmp_path: Path) -> None:
     whole = tmp_path / "whole"
     storage = new_storage(whole)
     storage.append(entries(1, 2))
@@ -122,7 +122,7 @@
             shutil.rmtree(directory)
 
 
-def test_a_flipped_bit_is_cut_in_the_last_frame_and_damage_before(tmp_path: Path) -> None:
+def test_a_flipped_bit_truncates_the_last_frame_and_is_damage_in_earlier_frames(tmp_path: Path) -> None:
     whole = tmp_path / "whole"
     storage = new_storage(whole)
     storage.append(entries(1, 2))
@@ -155,7 +155,7 @@
         recover(tmp_path)
 
 
-def test_a_missing_segment_or_promise_is_damage(tmp_path: Path) -> None:
+def test_a_missing_segment_or_hard_state_file_is_damage(tmp_path: Path) -> None:
     storage = new_storage(tmp_path, segment_bytes=10)
     for first in (1, 3, 5):
         storage.append(entries(first, first + 1))
@@ -168,7 +168,7 @@
         recover(tmp_path)
 
 
-def test_a_torn_promise_leaves_the_one_before(tmp_path: Path) -> None:
+def test_a_damaged_newest_hard_state_leaves_the_previous_one(tmp_path: Path) -> None:
     storage = new_storage(tmp_path)
     storage.write_hard_state(HardState(11, "a"))
     storage.write_hard_state(HardState(12, "b"))
@@ -198,7 +198,7 @@
     assert len(segments(tmp_path)) == 1
 
 
-def test_segments_that_come_back_beside_a_newer_snapshot_are_ignored(tmp_path: Path) -> None:
+def test_stale_segments_that_reappear_after_a_newer_snapshot_are_ignored(tmp_path: Path) -> None:
     storage = new_storage(tmp_path)
     storage.append(entries(1, 9))
     kept = {path.name: path.read_bytes() for path in segments(tmp_path)}
@@ -211,7 +211,7 @@
     assert recover(tmp_path).entries == entries(5, 5, epoch=2)
 
 
-def test_a_snapshot_that_was_not_finished_leaves_the_older_state(tmp_path: Path) -> None:
+def test_an_incomplete_snapshot_leaves_the_older_state(tmp_path: Path) -> None:
     storage = new_storage(tmp_path)
     storage.append(entries(1, 6))
     storage.save_snapshot(Snapshot(2, 1, b"", b"older"), entries(3, 6))
@@ -254,7 +254,7 @@
     assert peak < 1.1 * len(state)
 
 
-def test_a_full_disk_refuses_and_recovers(tmp_path: Path) -> None:
+def test_a_full_disk_rejects_writes_until_a_snapshot_frees_space(tmp_path: Path) -> None:
     storage = new_storage(tmp_path, limit_bytes=64 * 1024 + 2000)
     storage.append([entry(1, payload=b"x" * 1500)])
     with pytest.raises(OSError, match=os.strerror(errno.ENOSPC)):
@@ -265,7 +265,7 @@
     assert recover(tmp_path).entries == [entry(2, payload=b"z" * 1500)]
 
 
-def test_a_write_that_failed_midway_leaves_no_trace(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_partially_failed_write_has_no_effect(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     storage = new_storage(tmp_path)
     storage.append(entries(1, 2))
     write = os.write
@@ -284,7 +284,7 @@
     assert recover(tmp_path).entries == entries(1, 5)
 
 
-def test_identity_is_kept_and_an_emptied_disk_gets_another(tmp_path: Path) -> None:
+def test_an_identity_is_kept_and_a_wiped_disk_gets_a_new_one(tmp_path: Path) -> None:
     directory = tmp_path / "disk"
     assert open_identity(directory, first_start=True, ip="10.0.0.1") == ("first-10.0.0.1", True)
     assert open_identity(directory, first_start=False, ip="10.0.0.1") == ("first-10.0.0.1", False)
@@ -295,7 +295,7 @@
     assert open_identity(directory, first_start=True, ip="10.0.0.1") == (member_id, False)
 
 
-def test_files_without_an_identity_are_not_trusted(tmp_path: Path) -> None:
+def test_files_without_an_identity_are_deleted(tmp_path: Path) -> None:
     new_storage(tmp_path).close()
     member_id, fresh = open_identity(tmp_path, first_start=True, ip="10.0.0.1")
     assert fresh
--- a/tests/tier/test_replication_transport.py
+++ b/tests/tier/test_replication_transport.py
@@ -1,4 +1,4 @@
-"""Messages between replicas: whom a call is meant for, and what its failure tells of the peer."""
+"""Messages between replicas: the intended receiver of a call, and what its failure reports about the peer."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ScriptedCaller(Caller):
-    """Answers each call with ``outcome``; tells for whom it was meant."""
+    """Answers each call with ``outcome`` and records the intended receivers."""
 
     def __init__(self, outcome: Result[Batch, Failure]) -> None:
         self.outcome = outcome
@@ -31,28 +31,28 @@
         return self.outcome
 
 
-def heard_of_peer(outcome: Result[Batch, Failure]) -> tuple[list[str], list[Batch]]:
-    """The receivers of the calls that sending one message made, and what is told of the peer."""
+def send_message(outcome: Result[Batch, Failure]) -> tuple[list[str], list[Batch]]:
+    """Send one message; return the receivers of the calls and the batches reported for the peer."""
 
-    async def story() -> tuple[list[str], list[Batch]]:
-        caller, told = ScriptedCaller(outcome), []
-        transport = Transport(caller, replicate("group"), lambda sender, batch: told.append(batch))
+    async def scenario() -> tuple[list[str], list[Batch]]:
+        caller, reported = ScriptedCaller(outcome), []
+        transport = Transport(caller, replicate("group"), lambda sender, batch: reported.append(batch))
         transport.send(OWN, PEER, Message(epoch=3))
         await transport.flush(5.0)
-        return caller.receivers, told
+        return caller.receivers, reported
 
-    return asyncio.run(story())
+    return asyncio.run(scenario())
 
 
-def test_a_message_is_meant_for_one_member() -> None:
+def test_a_call_names_its_intended_receiver() -> None:
     reply = Batch(messages=[Message(epoch=4)])
-    assert heard_of_peer(Ok(reply)) == (["m-2"], [reply])
+    assert send_message(Ok(reply)) == (["m-2"], [reply])
 
 
-def test_a_peer_that_is_another_member_counts_as_a_stranger() -> None:
-    assert heard_of_peer(Err(Failure(ErrorKind.MISDIRECTED)))[1] == [Batch(stranger=True)]
+def test_a_misdirected_call_is_reported_as_a_replaced_disk() -> None:
+    assert send_message(Err(Failure(ErrorKind.MISDIRECTED)))[1] == [Batch(stranger=True)]
 
 
 @pytest.mark.parametrize("kind", (ErrorKind.UNREACHABLE, ErrorKind.UNCERTAIN, ErrorKind.UNAVAILABLE))
-def test_a_peer_that_does_not_answer_tells_nothing(kind: ErrorKind) -> None:
-    assert heard_of_peer(Err(Failure(kind)))[1] == []
+def test_a_peer_that_does_not_answer_reports_nothing(kind: ErrorKind) -> None:
+    assert send_message(Err(Failure(kind)))[1] == []
--- a/tests/tier/test_replication_writer.py
+++ b/tests/tier/test_replication_writer.py
@@ -1,4 +1,4 @@
-"""The writer thread: order, joined writes, and what it does when the disk refuses."""
+"""Writer thread: order, coalesced writes, and the handling of failed writes; replies that wait for it."""
 
 from __future__ import annotations
 
@@ -26,19 +26,19 @@
     return Entry(index, 1, EntryKind.COMMAND, b"")
 
 
-class Disk:
-    """Stands in for storage: keeps what is written, and refuses while ``refusals`` are left."""
+class StorageStub:
+    """Storage stub that records the writes and fails the first ``failures`` of them."""
 
-    def __init__(self, refusals: int = 0) -> None:
+    def __init__(self, failures: int = 0) -> None:
         self.written: list[object] = []
-        self.refusals = refusals
-        self.open = threading.Event()
-        self.open.set()
+        self.failures = failures
+        self.unblocked = threading.Event()
+        self.unblocked.set()
 
     def _write(self, what: object) -> None:
-        self.open.wait(TIMEOUT_S)
-        if self.refusals > 0:
-            self.refusals -= 1
+        self.unblocked.wait(TIMEOUT_S)
+        if self.failures > 0:
+            self.failures -= 1
             raise OSError(errno.ENOSPC, "full")
         self.written.append(what)
 
@@ -56,7 +56,7 @@
 
 
 class Reports:
-    """What the writer reported, in order."""
+    """Records the reports of the writer in order."""
 
     def __init__(self) -> None:
         self.seen: list[str] = []
@@ -75,32 +75,32 @@
     def skipped(self, ticket: int, error: OSError) -> None:
         self._add(f"skipped {ticket}")
 
-    async def until(self, what: str) -> None:
+    async def wait_for_report(self, what: str) -> None:
         while what not in self.seen:
             self.changed.clear()
             await self.changed.wait()
 
 
-def run(disk: Disk, submissions: list[list[Write]], last: str) -> list[str]:
-    """Submit while the disk is held up, let it go, and wait for the report ``last``."""
+def run(disk: StorageStub, submissions: list[list[Write]], last: str) -> list[str]:
+    """Submit writes while the disk is blocked, unblock it, and wait for the report ``last``."""
 
     async def scenario() -> list[str]:
         reports = Reports()
         storage = cast(ReplicaStorage, disk)
         writer = DiskWriter(storage, reports.written, reports.failed, reports.skipped, retry_s=0.0)
-        disk.open.clear()
+        disk.unblocked.clear()
         writer.start()
         for writes in submissions:
             writer.submit(writes)
-        disk.open.set()
-        await asyncio.wait_for(reports.until(last), TIMEOUT_S)
+        disk.unblocked.set()
+        await asyncio.wait_for(reports.wait_for_report(last), TIMEOUT_S)
         await writer.stop()
         return reports.seen
 
     return asyncio.run(scenario())
 
 
-def test_neighbours_are_joined_and_order_is_kept() -> None:
+def test_adjacent_writes_are_coalesced_and_order_is_kept() -> None:
     first, second = HardState(1, "a"), HardState(2, "b")
     writes: list[Write] = [
         WriteEntries(1, [entry(1)]),
@@ -117,34 +117,34 @@
 
 
 def test_writes_are_reported_in_order_and_the_storage_is_closed() -> None:
-    disk = Disk()
+    disk = StorageStub()
     seen = run(disk, [[WriteEntries(1, [entry(1)])], [WriteHardState(2, HardState(1))]], "written 2")
     assert seen == ["written 1", "written 2"]
     assert disk.written == [[1], HardState(1), "closed"]
 
 
-def test_a_refused_write_is_told_once_and_tried_until_it_succeeds() -> None:
-    disk = Disk(refusals=3)
+def test_a_failed_write_is_reported_once_and_retried_until_it_succeeds() -> None:
+    disk = StorageStub(failures=3)
     seen = run(disk, [[WriteEntries(1, [entry(1)])]], "written 1")
     assert seen == ["failed", "written 1"]
     assert disk.written == [[1], "closed"]
 
 
-def test_a_snapshot_taken_here_is_skipped_where_it_does_not_fit() -> None:
-    disk = Disk(refusals=1)
+def test_a_local_snapshot_is_skipped_if_it_does_not_fit() -> None:
+    disk = StorageStub(failures=1)
     seen = run(disk, [[WriteSnapshot(1, SNAPSHOT, [], required=False)]], "written 1")
     assert seen == ["skipped 1", "written 1"]
     assert disk.written == ["closed"]
 
 
-def test_a_snapshot_from_the_primary_is_tried_again() -> None:
-    disk = Disk(refusals=1)
+def test_a_snapshot_from_the_primary_is_retried() -> None:
+    disk = StorageStub(failures=1)
     seen = run(disk, [[WriteSnapshot(1, SNAPSHOT, [], required=True)]], "written 1")
     assert seen == ["failed", "written 1"]
     assert disk.written == [SNAPSHOT, "closed"]
 
 
-def test_a_reply_that_waits_for_the_disk_goes_back_with_the_call() -> None:
+def test_a_reply_that_waits_for_the_disk_is_returned_with_the_call() -> None:
     sender = MemberIdentity("m1", "", "n1:1")
     other = MemberIdentity("m2", "", "n2:1")
 
