--- a/cherrycove/tier/replication/__init__.py
+++ b/cherrycove/tier/replication/__init__.py
@@ -1,6 +1,7 @@
 """Primary-backup replication of a log of opaque commands: Raft with leader leases and flexible quorums.
 
-An epoch is what Raft calls a term, and the primary is Raft's leader.
+An epoch is what Raft calls a term, and the primary is Raft's leader. A standby is a live replica outside the
+group. An incarnation is one run of a replica's process.
 
 ``machine.ReplicaMachine`` and the modules that it uses implement the protocol as a pure state machine: its
 inputs are messages, the current time and completed writes; its outputs, the ``effects``, are messages, writes
--- a/cherrycove/tier/replication/disk_interface.py
+++ b/cherrycove/tier/replication/disk_interface.py
@@ -24,7 +24,7 @@
         """Return the size of the log and the snapshot in bytes."""
 
     def recover(self) -> RecoveredState:
-        """Read the durable state; must be called first. Raises ``DamagedStorageError`` if data is damaged."""
+        """Read the durable state; must be called first. Raises ``DamagedStorageError`` if data is lost."""
 
     def write_hard_state(self, hard_state: HardState) -> None:
         """Replace epoch, vote and commit index."""
--- a/cherrycove/tier/replication/primary.py
+++ b/cherrycove/tier/replication/primary.py
@@ -87,7 +87,7 @@
     # Lease
 
     def _lease_start(self, now: float) -> float:
-        """Return the start of the lease: an election quorum has acknowledged messages sent then or later."""
+        """Return the start of the lease; this replica counts as having acknowledged at ``now``."""
         acknowledged = self._peers.acknowledgment_times()
         acknowledged[self._core.identity.member_id] = now
         return self._core.membership.joint_configuration().lease_start(acknowledged)
--- a/cherrycove/tier/replication/timing.py
+++ b/cherrycove/tier/replication/timing.py
@@ -14,7 +14,7 @@
 
 @attrs.frozen(kw_only=True)
 class Timing:
-    """Defines the durations of the protocol in seconds, measured by the monotonic clock of each replica.
+    """Defines the durations in seconds; each is measured by the monotonic clock of a single replica.
 
     A lease must expire before any backup that renewed it may vote again: lease_s < election_timeout_s.
     """
@@ -49,7 +49,7 @@
 
     @classmethod
     def for_catch_up(cls, catch_up_s: float) -> Timing:
-        """Return durations that let a lost member be replaced ``catch_up_s`` after its successor's start.
+        """Return durations that replace a lost member within ``catch_up_s`` of its successor's start.
 
         This also holds if the lost member was the primary: the unreachable time-out then starts only after an
         election.
--- a/cherrycove/tier/replication/voter.py
+++ b/cherrycove/tier/replication/voter.py
@@ -63,7 +63,7 @@
         )
 
     def _must_honor_lease(self, request: VoteRequest, now: float, *, is_confirmed_primary: bool) -> bool:
-        """Return whether a primary may hold a lease that this replica has renewed."""
+        """Return whether a primary may hold a lease that depends on this replica."""
         if is_confirmed_primary:
             return True
         if request.handed_over and self._contact.was_lease_released_for(request.epoch):
