--- a/cherrycove/tier/controlplane/__init__.py
+++ b/cherrycove/tier/controlplane/__init__.py
@@ -1,6 +1,7 @@
-"""The control plane: configuration, known processes and brokers, and the store group, decided by one primary.
+"""The control plane manages the configuration, the store group and the lists of processes and brokers.
 
-``controller`` assembles it; ``state`` is what is replicated; ``leader_coordinator`` decides what happens when
-leadership begins and ends; ``operator_api`` is the operator's interface. docs/design/control-plane.md has the
-states of a configuration change and of a retire order.
+One elected controller, the primary, makes all decisions. ``controller`` assembles the parts; ``state`` is the
+replicated state machine; ``leader_coordinator`` handles the start and end of leadership; ``operator_api`` is
+the operator's HTTP interface. docs/design/control-plane.md describes the states of a configuration change and
+of a retire order.
 """
--- a/cherrycove/tier/controlplane/barrier_proposer.py
+++ b/cherrycove/tier/controlplane/barrier_proposer.py
@@ -1,4 +1,4 @@
-"""Proposals whose outcome can be determined later, where it was uncertain at first."""
+"""Proposes commands to a replicated group and resolves uncertain outcomes with a barrier entry."""
 
 from __future__ import annotations
 
@@ -10,34 +10,35 @@
 
 
 class BarrierProposer:
-    """Proposes commands one at a time, and records whether the outcome of the last one is open.
+    """Proposes commands one at a time and tracks whether the outcome of the last one is unknown.
 
-    Each service has its own, and serializes its calls. ``resolve`` commits a barrier: an entry behind the
-    open one in the same log. Once it is committed, the open one took effect or never will. The record is lost
-    in a crash; another primary needs none, since it has applied everything committed before it decides.
+    Each service has its own instance and serializes its calls. ``resolve`` commits a barrier, an entry that
+    follows the uncertain one in the same log. Once the barrier is committed, the uncertain command has either
+    taken effect or never will. The tracking is in memory only and lost in a crash. A new primary does not
+    need it, because it applies everything committed before it decides.
     """
 
     def __init__(self, group: Group) -> None:
-        """``group`` is the controllers' own."""
+        """Propose to ``group``, the group of the controllers."""
         self._group = group
-        self._open = False
+        self._outcome_unknown = False
 
     async def resolve(self, timeout_s: float) -> Result[None, Failure]:
-        """Wait until the outcome of every earlier proposal is known here.
+        """Wait until this controller knows the outcome of every earlier proposal.
 
-        UNAVAILABLE: the barrier was not committed within ``timeout_s``; the outcome stays open.
+        Returns UNAVAILABLE if the barrier was not committed within ``timeout_s``; the outcome stays unknown.
         """
-        if not self._open:
+        if not self._outcome_unknown:
             return Ok(None)
         outcome = await self._group.propose(Command(barrier=Barrier()).SerializeToString(), timeout_s)
         if isinstance(outcome, Err):
             return Err(Failure(ErrorKind.UNAVAILABLE, "an earlier order is not settled yet"))
-        self._open = False
+        self._outcome_unknown = False
         return Ok(None)
 
     async def propose(self, command: Command, timeout_s: float) -> Result[object, Failure]:
         """Replicate ``command`` and apply it; results and errors are those of ``Group.propose``."""
-        self._open = True  # before the wait: if this call is cancelled, the outcome is open
+        self._outcome_unknown = True  # Set before the wait, since a cancelled call has an unknown outcome.
         outcome = await self._group.propose(command.SerializeToString(), timeout_s)
-        self._open = isinstance(outcome, Err) and not outcome.err_value.is_certain
+        self._outcome_unknown = isinstance(outcome, Err) and not outcome.err_value.is_certain
         return outcome
--- a/cherrycove/tier/controlplane/broker_changes.py
+++ b/cherrycove/tier/controlplane/broker_changes.py
@@ -1,4 +1,4 @@
-"""What changed between two reads of the platform's list of brokers. Pure."""
+"""Compares successive reads of the platform's broker list, without I/O or clock access."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def broker_entry(broker: Broker) -> BrokerEntry:
-    """Return the message that ``broker`` was made of."""
+    """Convert ``broker`` back into its protobuf message."""
     return BrokerEntry(
         instance_id=broker.instance_id,
         service=broker.service,
@@ -21,7 +21,7 @@
 
 
 def same_brokers(left: BrokerList, right: BrokerList) -> bool:
-    """Whether two lists are equal, apart from the remaining warm-up times."""
+    """Return whether two lists are equal, apart from the remaining warm-up times."""
     return _without_warmup(left) == _without_warmup(right)
 
 
@@ -34,21 +34,22 @@
 
 
 class RemovalConfirmation:
-    """Takes a broker as gone after two reads without it, where a list has several pages.
+    """Removes a broker only after two consecutive reads without it, if the list has several pages.
 
-    Owned by the ``BrokerWatcher``, which makes a new one for each epoch. Pages are read one after the other;
-    when the list shifts in between, a broker can be on none of them.
+    Owned by the ``BrokerWatcher``, which creates a new one for each epoch. Pages are read one after the
+    other; if the list changes between two calls, a broker can be missing from all pages.
     """
 
     def __init__(self) -> None:
-        self._known: dict[str, BrokerEntry] = {}  # of the last read
-        self._missed: dict[str, BrokerEntry] = {}  # still published although the last read was without them
+        self._last_read: dict[str, BrokerEntry] = {}
+        # Brokers that are still published although they were missing from the last read.
+        self._missed: dict[str, BrokerEntry] = {}
 
     def merge(self, read: BrokerList, pages: int) -> BrokerList:
         """Return the list to publish after ``read``, which took ``pages`` calls."""
         present = {entry.instance_id: entry for entry in read.brokers}
-        missed = {key: entry for key, entry in self._known.items() if key not in present}
-        self._known = present
+        missed = {key: entry for key, entry in self._last_read.items() if key not in present}
+        self._last_read = present
         self._missed = missed if pages > 1 else {}
         published = {**present, **self._missed}
         return BrokerList(brokers=[published[key] for key in sorted(published)])
--- a/cherrycove/tier/controlplane/broker_discovery.py
+++ b/cherrycove/tier/controlplane/broker_discovery.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list of brokers over HTTP, page by page; only a complete list is used."""
+"""Reads the platform's broker list over HTTP, page by page; only complete lists are used."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from cherrycove.tier.protocol.sessions import NoRetryConnector, client_session
 from cherrycove.tier.settings import Settings
 
-READS_PER_DRAIN = 5.0  # reads of the list within bounds.drain_ms
+READS_PER_DRAIN = 5.0  # target number of reads within bounds.drain_ms
 MIN_INTERVAL_S = 0.3
 MAX_INTERVAL_S = 1.0
-RATE_SHARE = 0.5  # of the platform's rate limit, which all callers share
+RATE_SHARE = 0.5  # used fraction of the platform's rate limit, which applies to all callers together
 MAX_BACKOFF_S = 2.0
-MAX_BACKOFF_INTERVALS = 4  # the backoff grows by one interval with each failure
+MAX_BACKOFF_INTERVALS = 4  # limit of the linear backoff, which grows by one interval per failure
 MIN_CALLS_PER_S = 0.1
 CALL_TIMEOUT_S = 1.0
 MAX_PAGES = 1000
@@ -35,7 +35,7 @@
 
 @attrs.frozen(kw_only=True)
 class Instance:
-    """One entry of the platform's list; its JSON keys are the names in camel case."""
+    """Represents one entry of the platform's list; its JSON keys are the field names in camel case."""
 
     instance_id: str
     service: str
@@ -47,7 +47,7 @@
     warmup_remaining_ms: float = 0.0
 
     def to_entry(self) -> BrokerEntry:
-        """Return the entry as it is published; a broker that is not ready counts as draining."""
+        """Return the entry to publish; a broker that is not ready is published as draining."""
         return BrokerEntry(
             instance_id=self.instance_id,
             service=self.service,
@@ -62,7 +62,7 @@
 
 @attrs.frozen
 class Page:
-    """One response of the platform."""
+    """Represents one parsed response of the platform."""
 
     instances: tuple[BrokerEntry, ...]
     next_token: str  # empty on the last page
@@ -70,13 +70,13 @@
 
 def _converter() -> cattrs.Converter:
     converter = cattrs.Converter()
-    renames = {field.name: override(rename=_camel(field.name)) for field in attrs.fields(Instance)}
+    renames = {field.name: override(rename=_camel_case(field.name)) for field in attrs.fields(Instance)}
     hook = make_dict_structure_fn(Instance, converter, **renames)  # type: ignore[arg-type]
     converter.register_structure_hook(Instance, hook)
     return converter
 
 
-def _camel(name: str) -> str:
+def _camel_case(name: str) -> str:
     first, *rest = name.split("_")
     return first + "".join(part.capitalize() for part in rest)
 
@@ -85,13 +85,13 @@
 
 
 def parse_page(body: bytes) -> Result[Page, Failure]:
-    """Return the entries of one page; INVALID if it is not one. An invalid entry is logged and left out."""
+    """Parse one page; INVALID if the body is malformed. Invalid entries are logged and skipped."""
     try:
         document = json.loads(body)
     except (ValueError, RecursionError) as error:
-        return Err(Failure(ErrorKind.INVALID, f"list of brokers: not JSON: {error}"))
+        return Err(Failure(ErrorKind.INVALID, f"broker list: response is not JSON: {error}"))
     if not isinstance(document, dict) or not isinstance(document.get("instances"), list):
-        return Err(Failure(ErrorKind.INVALID, "list of brokers: no instances"))
+        return Err(Failure(ErrorKind.INVALID, "broker list: response has no array 'instances'"))
     entries = [_entry(item) for item in document["instances"]]
     token = document.get("nextPageToken")
     return Ok(
@@ -112,7 +112,11 @@
 
 
 class ReadPacing:
-    """When to read next: often enough to notice draining brokers, within a share of the rate limit. Pure."""
+    """Computes the pause before the next read, without I/O or clock access.
+
+    Reads are frequent enough to notice draining brokers in time, but use only ``RATE_SHARE`` of the
+    platform's rate limit.
+    """
 
     def __init__(self, settings: Settings) -> None:
         interval_s = settings.bounds.drain_ms / 1000.0 / READS_PER_DRAIN
@@ -120,22 +124,22 @@
         self._calls_per_s = max(settings.cloud_api.rate_per_s * RATE_SHARE, MIN_CALLS_PER_S)
         self._failures = 0
 
-    def succeeded(self, calls: int) -> float:
-        """Return the seconds until the next read after one that took ``calls`` calls."""
+    def pause_after_success(self, calls: int) -> float:
+        """Return the seconds to wait after a successful read that took ``calls`` calls."""
         self._failures = 0
         return max(self._interval_s, calls / self._calls_per_s)
 
-    def failed(self, calls: int) -> float:
-        """Return the seconds until the next read after one that failed, with a linear backoff."""
+    def pause_after_failure(self, calls: int) -> float:
+        """Return the seconds to wait after a failed read that took ``calls`` calls; the backoff is linear."""
         self._failures += 1
         backoff_s = self._interval_s * min(self._failures, MAX_BACKOFF_INTERVALS)
         return max(min(backoff_s, MAX_BACKOFF_S), calls / self._calls_per_s)
 
 
 class BrokerReader(Protocol):
-    """Reads the complete list of brokers; implemented by ``BrokerDiscoveryClient``."""
+    """Reads the complete broker list; implemented by ``BrokerDiscoveryClient``."""
 
-    calls: int  # made by the read in progress, or by the last one
+    calls: int  # number of calls made by the read in progress, or else by the last one
 
     async def start(self) -> None:
         """Prepare to read."""
@@ -144,23 +148,23 @@
         """Release what ``start`` opened."""
 
     async def read(self) -> Result[BrokerList, Failure]:
-        """Return the complete list, by instance id."""
+        """Return the complete list, sorted by instance id."""
 
 
 class BrokerDiscoveryClient:
     """Reads the platform's list at ``cloudApi.address``.
 
-    Owned by the ``BrokerWatcher``, one read at a time. Each call is sent once; a failed read is repeated only
-    by the next one.
+    Owned by the ``BrokerWatcher``, which runs one read at a time. Calls are not retried; after a failed read,
+    the caller starts a new one.
     """
 
     def __init__(self, settings: Settings) -> None:
         self._url = f"http://{settings.cloud_api.address}/instances"
         self._session: aiohttp.ClientSession | None = None
-        self.calls = 0  # made by the read in progress, or by the last one
+        self.calls = 0
 
     async def start(self) -> None:
-        """Open the session; one connection at a time."""
+        """Open the HTTP session, which uses at most one connection."""
         timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
         connector = NoRetryConnector(limit=1, keepalive_timeout=10.0)
         self._session = client_session(connector, timeout=timeout)
@@ -172,10 +176,10 @@
             self._session = None
 
     async def read(self) -> Result[BrokerList, Failure]:
-        """Return the complete list, by instance id.
+        """Return the complete list, sorted by instance id.
 
-        UNREACHABLE before ``start``; UNAVAILABLE where a call failed; INVALID where a page cannot be parsed,
-        or a page token repeats or the pages do not end within ``MAX_PAGES``.
+        Errors: UNREACHABLE before ``start``; UNAVAILABLE if a call failed; INVALID if a page cannot be
+        parsed, a page token repeats, or there are more than ``MAX_PAGES`` pages.
         """
         self.calls = 0
         brokers: dict[str, BrokerEntry] = {}
@@ -193,18 +197,30 @@
             if token in tokens:
                 break
             tokens.add(token)
-        return Err(Failure(ErrorKind.INVALID, "list of brokers: the pages do not end"))
+        return Err(
+            Failure(
+                ErrorKind.INVALID,
+                f"broker list: page token repeated, or no last page within {MAX_PAGES} pages",
+            )
+        )
 
     async def _page(self, token: str) -> Result[Page, Failure]:
         if self._session is None:
-            return Err(Failure(ErrorKind.UNREACHABLE, "reader is not started"))
+            return Err(Failure(ErrorKind.UNREACHABLE, "broker list: client is not started"))
         self.calls += 1
         parameters = {"pageToken": token} if token else {}
         try:
             async with self._session.get(self._url, params=parameters) as response:
                 body = await response.read()
         except (TimeoutError, aiohttp.ClientError, OSError, ValueError) as error:
-            return Err(Failure(ErrorKind.UNAVAILABLE, f"list of brokers: {type(error).__name__} {error}"))
+            return Err(
+                Failure(ErrorKind.UNAVAILABLE, f"broker list: request failed: {type(error).__name__} {error}")
+            )
         if response.status != HTTPStatus.OK:
-            return Err(Failure(ErrorKind.UNAVAILABLE, f"list of brokers: status {response.status}"))
+            return Err(
+                Failure(
+                    ErrorKind.UNAVAILABLE,
+                    f"broker list: platform answered with HTTP status {response.status}",
+                )
+            )
         return parse_page(body)
--- a/cherrycove/tier/controlplane/configuration_service.py
+++ b/cherrycove/tier/controlplane/configuration_service.py
@@ -1,4 +1,4 @@
-"""Decides on the configurations that operators send, one at a time."""
+"""Validates configuration changes sent by operators and commits them, one at a time."""
 
 from __future__ import annotations
 
@@ -19,32 +19,33 @@
 from cherrycove.tier.protocol.keeper_pb2 import AcceptConfiguration, Command
 from cherrycove.tier.replication.interface import Group
 
-DECISION_TIMEOUT_S = 2.0  # a change is decided within this time, or its outcome is reported as uncertain
-MAX_VERSION = 2**63 - 1  # versions travel as 64-bit integers
+DECISION_TIMEOUT_S = 2.0  # time limit of a change, after which its outcome is reported as uncertain
+MAX_VERSION = 2**63 - 1  # versions are transferred as signed 64-bit integers
 
 _log = logging.getLogger(__name__)
 
 
 class ConfigurationService:
-    """Serializes the changes, so that of two built on one version the second sees the first committed.
+    """Serializes the changes, so that of two changes based on one version the second sees the first one.
 
-    Owned by the ``Controller``. It changes nothing itself: a change is a command of the replicated state.
-    Only the confirmed primary decides, and that is checked again after every wait. After a change whose
-    outcome is uncertain, a barrier is committed before anything else is decided: by then the change took
-    effect or never will. The states of a change are in docs/design/control-plane.md.
+    Owned by the ``Controller``. Every change is a command to the replicated state machine; the service
+    modifies no state itself. Only the confirmed primary decides, and leadership is checked again after every
+    wait. After a change with an uncertain outcome, a barrier is committed before the next decision: by then
+    the change has either taken effect or never will. docs/design/control-plane.md describes the states of a
+    change.
     """
 
     def __init__(self, group: Group, state: ControlState, leadership: Leadership) -> None:
-        """``state`` is the state machine of ``group``, the controllers' own."""
+        """Commit to ``group``, the group of the controllers; ``state`` is its state machine."""
         self._proposer = BarrierProposer(group)
         self._state = state
         self._leadership = leadership
         self._lock = asyncio.Lock()
 
     def current(self) -> Result[ConfigurationDocument, Failure]:
-        """Return the newest configuration; NOT_FOUND before the first.
+        """Return the newest configuration, or NOT_FOUND if none was accepted yet.
 
-        The caller has checked that this controller is the confirmed primary.
+        The caller must have checked that this controller is the confirmed primary.
         """
         configuration = self._state.configuration
         if not configuration.version:
@@ -52,11 +53,11 @@
         return Ok(configuration)
 
     async def put(self, body: bytes, base_version: int) -> Result[None, Failure]:
-        """Commit ``body`` as the configuration that builds on ``base_version``.
+        """Commit ``body`` as the successor of the configuration ``base_version``.
 
-        Ok: it is committed, or was earlier. Errors: INVALID and VERSION_MISMATCH are final; NOT_PRIMARY and
-        UNAVAILABLE: not committed by this call, although an identical earlier one may be, and may be sent
-        again; DEADLINE: it may have been committed.
+        Returns Ok if ``body`` is committed now or was committed earlier. INVALID and VERSION_MISMATCH are
+        final errors. After NOT_PRIMARY and UNAVAILABLE the request may be sent again: this call committed
+        nothing, although an identical earlier one may have. After DEADLINE the outcome is unknown.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + DECISION_TIMEOUT_S
@@ -74,13 +75,13 @@
             return await self._commit(command.ok_value, deadline - loop.time())
 
     def _exclusive_access(self, timeout_s: float) -> AbstractAsyncContextManager[bool]:
-        """Hold the lock; yields False where it was not free within ``timeout_s``."""
+        """Hold the lock; yields False if it was not acquired within ``timeout_s``."""
         return exclusive_access(self._lock, asyncio.get_running_loop().time() + timeout_s)
 
     def _check(self, body: bytes, base_version: int) -> Result[AcceptConfiguration | None, Failure]:
-        """Return the command to commit, or None when exactly this document is committed already.
+        """Return the command to commit, or None if this document is already committed under its version.
 
-        Must not wait: the leadership that it checks first has to hold for every answer.
+        Must not await anything: leadership is checked first and must still hold for every result.
         """
         if not self._leadership.is_confirmed_primary():
             return Err(self._leadership.not_primary_failure())
@@ -113,7 +114,7 @@
         return self._committed(command, outcome.ok_value)
 
     def _uncommitted(self, failure: Failure) -> Failure:
-        """Return the answer to a change whose proposal failed; never a final refusal."""
+        """Return the error for a change whose proposal failed; it is never a final one."""
         if failure.kind is ErrorKind.NOT_PRIMARY:
             return self._leadership.not_primary_failure()
         if not failure.is_certain:
@@ -121,7 +122,7 @@
         return Failure(ErrorKind.UNAVAILABLE, failure.detail)
 
     def _committed(self, command: AcceptConfiguration, outcome: object) -> Result[None, Failure]:
-        """Return the answer to a change whose command was applied with ``outcome``."""
+        """Return the result of a change whose command was applied with ``outcome``."""
         current = self._state.configuration.version
         if outcome is AcceptOutcome.BASE_MISMATCH:
             return Err(_mismatch(command.base_version, current))
@@ -143,5 +144,5 @@
 
 
 def _forgotten(version: int) -> Failure:
-    """Return an answer that neither confirms nor refuses: just this content may have been accepted."""
+    """Return DEADLINE, which leaves the outcome open: this content may have been accepted earlier."""
     return Failure(ErrorKind.DEADLINE, f"version: {version} is too old to tell whether it was taken")
--- a/cherrycove/tier/controlplane/configuration_state.py
+++ b/cherrycove/tier/controlplane/configuration_state.py
@@ -1,4 +1,4 @@
-"""The configuration in the controllers' replicated state: newest document and accepted versions."""
+"""Replicated state of the configuration: the newest document and digests of the accepted versions."""
 
 from __future__ import annotations
 
@@ -10,21 +10,24 @@
 from cherrycove.tier.protocol.control_pb2 import ConfigurationDocument
 from cherrycove.tier.protocol.keeper_pb2 import AcceptConfiguration, AcceptedVersion
 
-MAX_ACCEPTED_VERSIONS = 4096  # accepted versions whose digests are kept
+MAX_ACCEPTED_VERSIONS = 4096  # number of accepted versions whose digests are retained
 
 
 class AcceptOutcome(Enum):
-    """The effect of an ``AcceptConfiguration`` command."""
+    """Enumerates the outcomes of an ``AcceptConfiguration`` command."""
 
     ACCEPTED = "accepted"
-    ALREADY_ACCEPTED = "already_accepted"  # exactly this document was accepted earlier
-    BASE_MISMATCH = "base_mismatch"  # another version is current
-    NOT_NEWER = "not_newer"  # its version is not above the current one
-    FORGOTTEN = "forgotten"  # too old to tell whether it was accepted
+    ALREADY_ACCEPTED = "already_accepted"  # The same document was accepted earlier under this version.
+    BASE_MISMATCH = "base_mismatch"  # The base version is not the current version.
+    NOT_NEWER = "not_newer"  # The version is not greater than the current one.
+    FORGOTTEN = "forgotten"  # The version's digest is no longer retained, so acceptance is unknown.
 
 
 def content_digest(body: bytes) -> bytes | None:
-    """Return the SHA-256 of the JSON content of ``body``, equal for equal content; None if it is not JSON."""
+    """Return the SHA-256 of the canonical form of the JSON document ``body``; None if it is not JSON.
+
+    Documents that differ only in key order or white space have the same digest.
+    """
     try:
         document = json.loads(body)
         canonical = json.dumps(document, sort_keys=True, separators=(",", ":"))
@@ -34,49 +37,49 @@
 
 
 class ConfigurationState:
-    """The newest configuration, and digests of the accepted versions.
+    """Holds the newest configuration and the digests of the accepted versions.
 
-    Part of ``ControlState``, which alone changes it, by committed commands and snapshots. Pure: every result
-    is a function of the commands so far, so all replicas agree. Survives a crash in the group's log and
-    snapshots.
+    Part of ``ControlState``, which alone changes it, by committed commands and snapshots. Every result is a
+    function of the commands so far, so all replicas agree. The group's log and snapshots persist it.
 
-    A digest lets an operator repeat an order whose answer was lost: the same document is acknowledged again,
-    whatever was accepted since. The newest ``MAX_ACCEPTED_VERSIONS`` digests are kept. Versions are accepted
-    in rising order, so a version at or below the newest one dropped may or may not have been accepted.
+    The digests make requests idempotent: an operator whose response was lost can send the same document
+    again and gets it acknowledged, whatever was accepted since. The newest ``MAX_ACCEPTED_VERSIONS`` digests
+    are retained. Versions are accepted in ascending order, so it is unknown whether a version at or below the
+    newest dropped one was accepted.
     """
 
     def __init__(self) -> None:
         self._document = ConfigurationDocument()
-        self._accepted: dict[int, bytes] = {}  # digests by version, in rising order
+        self._accepted: dict[int, bytes] = {}  # digests by version, in ascending order
         self._forgotten_version = 0
 
     @property
     def document(self) -> ConfigurationDocument:
-        """The newest configuration; version 0 before the first."""
+        """Return the newest configuration; its version is 0 before the first one."""
         return self._document
 
     @property
     def forgotten_version(self) -> int:
-        """The newest version whose digest was dropped; 0 before the first."""
+        """Return the newest version whose digest was dropped; 0 if none was."""
         return self._forgotten_version
 
     def accepted_versions(self) -> list[AcceptedVersion]:
-        """Return the kept digests with their versions, in the order of acceptance."""
+        """Return the retained digests with their versions, in the order of acceptance."""
         return [AcceptedVersion(version=version, digest=digest) for version, digest in self._accepted.items()]
 
     def was_accepted(self, digest: bytes, version: int) -> bool:
-        """Whether exactly the document with ``digest`` was accepted under ``version``."""
+        """Return whether the document with ``digest`` was accepted under ``version``."""
         return self._accepted.get(version) == digest
 
     def is_forgotten(self, version: int) -> bool:
-        """Whether ``version`` is too old to tell if it was accepted, and with what content."""
+        """Return whether ``version`` is too old to tell if it was accepted, and with what content."""
         return version <= self._forgotten_version
 
     def accept(self, command: AcceptConfiguration) -> AcceptOutcome:
         """Apply ``command``.
 
-        Its base version is checked here again: of two commands built on one version, only the first in commit
-        order takes effect.
+        The base version is checked here again: of two commands based on one version, only the first one in
+        commit order takes effect.
         """
         if self.was_accepted(command.digest, command.version):
             return AcceptOutcome.ALREADY_ACCEPTED
@@ -94,7 +97,7 @@
     def restore(
         self, document: ConfigurationDocument, accepted: Iterable[AcceptedVersion], forgotten_version: int
     ) -> None:
-        """Replace everything by the content of a snapshot."""
+        """Replace the whole state by the content of a snapshot."""
         self._document = document
         self._accepted = {entry.version: entry.digest for entry in accepted}
         self._forgotten_version = forgotten_version
--- a/cherrycove/tier/controlplane/controller.py
+++ b/cherrycove/tier/controlplane/controller.py
@@ -1,4 +1,4 @@
-"""The control plane of one machine, assembled; it is started and stopped here."""
+"""Assembles, starts and stops the control plane of one machine."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
 class Controller:
     """Builds the parts of the control plane, connects them, and owns their tasks.
 
-    One per ``keeper`` process, started and stopped by ``programs.controller``. What the parts do while this
-    controller leads is decided by the ``LeaderCoordinator``. Only the replicated state survives a crash.
+    Each ``keeper`` process has one, which ``programs.controller`` starts and stops. The ``LeaderCoordinator``
+    decides what the parts do while this controller leads. Only the replicated state survives a crash.
     """
 
     def __init__(
@@ -49,13 +49,13 @@
         reader: BrokerReader | None = None,
         contacts: ControllerContacts | None = None,
     ) -> None:
-        """Connect the parts and register the calls ``pull`` and ``status`` at ``server``.
+        """Connect the parts and register the calls ``pull`` and ``status`` with ``server``.
 
         The caller starts and stops ``group``, ``server`` and ``client``. ``state`` is the group's state
         machine. ``cluster_view`` is what a ``Puller`` of this process receives from the primary while this
-        controller does not lead. ``reader`` replaces the client of the platform's list of brokers.
-        ``contacts`` are the other controllers that this process knows; without them this controller
-        introduces itself to nobody.
+        controller does not lead. ``reader`` replaces the client that reads the platform's broker list.
+        ``contacts`` provides the other controllers that this process knows; without it this controller
+        introduces itself to no other controller.
         """
         self._settings = settings
         self._group = group
@@ -73,11 +73,11 @@
         self._register(server)
 
     async def start(self) -> None:
-        """Listen for operators and begin the background work.
+        """Open the operator's HTTP interface and start the background tasks.
 
-        Raises ``OSError`` where the operators' address cannot be bound.
+        Raises ``OSError`` if the interface's address cannot be bound.
         """
-        self._share_group_knowledge()
+        self._report_group_members()
         await self._coordinator.brokers.start()
         await self.operator_api.start(self._settings.listen_addresses.control_plane)
         self._tasks.start(
@@ -90,13 +90,14 @@
         )
 
     async def stop(self) -> None:
-        """Answer waiting pulls first, so that their callers ask another controller; then stop the parts."""
+        """Stop all parts, after answering waiting pulls so that their callers ask another controller."""
         self._publisher.close()
         await self._tasks.stop()
         await self.operator_api.stop()
         await self._coordinator.brokers.stop()
 
-    # The coordinator needs the period and the publisher, so these two look it up when they call it.
+    # The coordinator takes the period and the publisher as arguments, so it is created after them; their
+    # callbacks look it up when they are called.
 
     def _assemble_period(self) -> LeadershipPeriod:
         return LeadershipPeriod(
@@ -109,19 +110,19 @@
         return Publisher(
             LeadershipPeriodAuthority(self._period, self._leadership),
             lambda request: self._coordinator.on_pull(request),
-            self._note_introduction,
+            self._record_introduction,
         )
 
-    def _note_introduction(self, request: PullRequest) -> None:
-        """Keep what a rejected pull tells of the primary: it may be the only word of it that comes here."""
+    def _record_introduction(self, request: PullRequest) -> None:
+        """Record the primary named by a rejected pull, which may be the only information about it."""
         introduction = introduction_in(request, self._settings, asyncio.get_running_loop().time())
         if introduction is not None:
             self._leadership.record_introduction(introduction)
             self._contacts.suggest_primary(introduction.address)
 
-    def _share_group_knowledge(self) -> None:
-        """Tell the puller whom the group's log names: the seeds may all be outside the group."""
-        self._contacts.remember([member.address for member in self._group.members])
+    def _report_group_members(self) -> None:
+        """Report the group's members and primary to the puller, since all seeds may be outside the group."""
+        self._contacts.add_known_controllers([member.address for member in self._group.members])
         if self._group.primary is not None and self._group.primary.address:
             self._contacts.suggest_primary(self._group.primary.address)
 
@@ -156,7 +157,7 @@
         return OperatorApi(self._leadership, configuration, retirement)
 
     def _register(self, server: CallRegistry) -> None:
-        """Receive calls from now on, and the changes of the replicated state and of the group."""
+        """Register the calls with ``server``, and the callbacks with the replicated state and the group."""
         self._publisher.serve_on(server)
         status = StatusService(
             node_name=self._settings.node_name,
@@ -170,4 +171,4 @@
         server.register(STATUS, status.status)
         self._state.on_change(self._coordinator.on_state_change)
         self._group.on_change(self._coordinator.on_group_change)
-        self._group.on_change(self._share_group_knowledge)
+        self._group.on_change(self._report_group_members)
--- a/cherrycove/tier/controlplane/controller_contacts.py
+++ b/cherrycove/tier/controlplane/controller_contacts.py
@@ -1,4 +1,4 @@
-"""What the control plane of a machine and the puller beside it tell each other about controllers."""
+"""Exchanges addresses of controllers between the control plane and the puller of one process."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 
 class ControllerContacts:
-    """Controllers known to this process, and how it announces itself. This one knows nobody."""
+    """Provides the known controllers and this process's announcement; the base class has neither."""
 
     def announcement(self) -> Announcement | None:
-        """Return how this process announces itself; None: it introduces itself to nobody."""
+        """Return this process's announcement, or None if it must not introduce itself."""
         return None
 
     def known_controllers(self) -> Iterable[str]:
-        """Return the addresses (host:port) of all controllers that were heard of."""
+        """Return the addresses (host:port) of all controllers that this process knows of."""
         return ()
 
-    def remember(self, addresses: Iterable[str]) -> None:
-        """Note that controllers run at ``addresses``, or did."""
+    def add_known_controllers(self, addresses: Iterable[str]) -> None:
+        """Add ``addresses``, at which controllers run or used to run."""
 
     def suggest_primary(self, address: str) -> None:
-        """Note that the controller at ``address`` is said to lead."""
+        """Report that the controller at ``address`` is probably the primary."""
 
 
 class PullerContacts(ControllerContacts):
-    """The contacts of a process that pulls: its puller knows the controllers, and asks those named here."""
+    """Delegates to the ``Puller`` of this process, which tracks the controllers and selects one to ask."""
 
     def __init__(self, puller: Puller, announce: Callable[[], Announcement]) -> None:
         """``announce`` describes this process at the time of each call."""
@@ -35,17 +35,17 @@
         self._announce = announce
 
     def announcement(self) -> Announcement:
-        """Return how this process announces itself."""
+        """Return this process's announcement."""
         return self._announce()
 
     def known_controllers(self) -> Iterable[str]:
-        """Return the addresses (host:port) of all controllers that were heard of."""
+        """Return the addresses (host:port) of all controllers that this process knows of."""
         return self._puller.known_controllers()
 
-    def remember(self, addresses: Iterable[str]) -> None:
-        """Ask ``addresses`` too when no other controller knows the primary."""
-        self._puller.remember_controllers(addresses)
+    def add_known_controllers(self, addresses: Iterable[str]) -> None:
+        """Let the puller ask ``addresses`` as well when no other controller knows the primary."""
+        self._puller.add_known_controllers(addresses)
 
     def suggest_primary(self, address: str) -> None:
-        """Ask ``address`` next, unless a primary answers already."""
+        """Let the puller ask ``address`` next, unless it already reaches a primary."""
         self._puller.suggest_primary(address)
--- a/cherrycove/tier/controlplane/controller_group.py
+++ b/cherrycove/tier/controlplane/controller_group.py
@@ -1,4 +1,4 @@
-"""Which controllers should be members of the controllers' own group, and which must leave it."""
+"""Determines which controllers may join the controllers' replicated group and which must leave it."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 class ControllerGroupMembership:
     """Requests changes of the controllers' group; the group decides on them and commits them.
 
-    Owned by the ``Controller``, called by the ``LeaderCoordinator``. It keeps nothing: standbys come from the
-    announcements, and members that must leave come from the replicated state alone, so that every controller
-    names the same ones.
+    Owned by the ``Controller`` and called by the ``LeaderCoordinator``. It is stateless: standbys are taken
+    from the announcements. Members that must leave are taken from the replicated state alone, so that every
+    controller determines the same ones.
     """
 
     def __init__(self, settings: Settings, group: Group, state: ControlState) -> None:
@@ -27,20 +27,25 @@
         self._state = state
 
     def update_standbys(self, controllers: Iterable[Registration]) -> None:
-        """Offer the ``controllers`` alive that are not members, and name the members that must leave."""
+        """Offer those of the alive ``controllers`` that are not members, and update the members to retire."""
         self.update_retiring()
         announced = (entry.announcement for entry in controllers)
-        usable = [self._standby(one) for one in announced if one.member_id and not one.leaving]
+        usable = [
+            self._standby(controller)
+            for controller in announced
+            if controller.member_id and not controller.leaving
+        ]
         self._group.offer_standbys(self._outside_group([*usable, *self._retiring_disks()]))
 
     def withdraw_standbys(self) -> None:
-        """Offer no controller: what is known of them is too old by the time that this one leads again."""
+        """Offer no alive controller, since the list will be outdated when this controller leads again."""
         self._group.offer_standbys(self._outside_group(self._retiring_disks()))
 
     def update_retiring(self) -> None:
-        """Name the machines with a retire order, by node name and by the disks of their controllers.
+        """Report the machines with a retire order to the group: node names and disks of their controllers.
 
-        First members have no node name, so members at an address of such a machine are named by their ids.
+        The group's first members have no node name, so members at an address of such a machine are reported
+        by their member ids.
         """
         orders = self._state.retire_orders.values()
         names = {order.node_name for order in orders}
@@ -53,9 +58,10 @@
         self._group.set_retiring(frozenset(names | disks | present))
 
     def _retiring_disks(self) -> list[MemberIdentity]:
-        """Return the disks to exclude, also those of machines that are away.
+        """Return the disks to exclude, including those of machines that are offline.
 
-        The group adds none of them; it is offered them so that it commits that it never will.
+        The group does not add any of them as a member. They are offered so that the group commits their
+        permanent exclusion.
         """
         return [
             MemberIdentity(disk, order.node_name, self._address(order.ips[-1]))
@@ -77,5 +83,9 @@
 
     def _outside_group(self, controllers: Iterable[MemberIdentity]) -> list[MemberIdentity]:
         members = {member.member_id for member in self._group.members}
-        outside = {one.member_id: one for one in controllers if one.member_id not in members}
+        outside = {
+            controller.member_id: controller
+            for controller in controllers
+            if controller.member_id not in members
+        }
         return list(outside.values())
--- a/cherrycove/tier/controlplane/exclusive_access.py
+++ b/cherrycove/tier/controlplane/exclusive_access.py
@@ -1,4 +1,4 @@
-"""A lock that is waited for until a deadline."""
+"""Acquires a lock with a deadline."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @asynccontextmanager
 async def exclusive_access(lock: asyncio.Lock, deadline: float) -> AsyncIterator[bool]:
-    """Hold ``lock``; yields False where it was not free until ``deadline``, a time of the event loop."""
+    """Hold ``lock``; yields False if it was not acquired by ``deadline`` (time of the event loop, in s)."""
     try:
         async with asyncio.timeout_at(deadline):
             await lock.acquire()
--- a/cherrycove/tier/controlplane/leader_coordinator.py
+++ b/cherrycove/tier/controlplane/leader_coordinator.py
@@ -1,4 +1,4 @@
-"""What a controller does when its leadership begins, pauses or ends, and what it publishes while it leads."""
+"""Coordinates the parts of the control plane when leadership starts, pauses or ends."""
 
 from __future__ import annotations
 
@@ -18,10 +18,12 @@
 from cherrycove.tier.distribution.publisher import Publisher
 from cherrycove.tier.protocol.control_pb2 import BrokerList, PullRequest
 
-TICK_S = 0.1  # between two checks of the leadership and the processes
-STORES_ANNOUNCED_AFTER_S = 1.5  # after leadership began, every store had time to announce itself
-MEMBERS_ANNOUNCED_AFTER_S = 1.0  # the same, before a member list replaces that of an earlier primary
-INHERIT_MAX_AGE_S = 5.0  # what an earlier primary published is not used after this time
+TICK_S = 0.1  # interval of the checks of leadership and processes
+# Time from the start of leadership after which every store had time to announce itself.
+STORES_ANNOUNCED_AFTER_S = 1.5
+# Time from the start of leadership after which a member list may replace an earlier primary's list.
+MEMBERS_ANNOUNCED_AFTER_S = 1.0
+INHERIT_MAX_AGE_S = 5.0  # maximum age of lists of an earlier primary that are still used
 
 
 def _now() -> float:
@@ -30,13 +32,13 @@
 
 @attrs.define(kw_only=True, eq=False)
 class LeaderCoordinator:
-    """Decides what the other parts do, by the leadership of this controller.
+    """Controls the other parts according to the leadership of this controller.
 
-    Owned by the ``Controller``, which also owns the parts and routes events here. States: not leading
-    (nothing is published, nobody is offered as a standby) and leading in an epoch. To lose the lease and
-    regain it in one epoch is a pause: what was learned before stays. In a new epoch everything is learned
-    anew; until the processes announce themselves, what an earlier primary published lately serves. Soft state
-    only: a crash loses it, and the next primary rebuilds it.
+    Owned by the ``Controller``, which also owns the parts and routes events here. It is in one of two states:
+    not leading (publishes nothing and offers no standbys) and leading in an epoch. Losing and regaining the
+    lease within one epoch is a pause, after which the collected state remains valid. In a new epoch all state
+    is collected again; until the processes have announced themselves, recently published lists of an earlier
+    primary are used. All state is in memory only: it is lost in a crash, and the next primary rebuilds it.
     """
 
     period: LeadershipPeriod
@@ -47,11 +49,12 @@
     stores: StoreGroupReconciler
     brokers: BrokerWatcher
     introduction: PrimaryIntroduction
-    cluster_view: ClusterView  # what this process pulled from the primary while it did not lead itself
-    _members_due_at: float = attrs.field(default=0.0, init=False)  # monotonic s; no member list before
+    cluster_view: ClusterView  # state pulled from the primary while this controller did not lead
+    # Monotonic time in s before which no member list is published.
+    _members_due_at: float = attrs.field(default=0.0, init=False)
 
     def on_started_leading(self, epoch: int) -> None:
-        """Leadership began in ``epoch``, or continues in it after a pause."""
+        """Handle the start of leadership in ``epoch``, or its continuation after a pause."""
         now = _now()
         self._members_due_at = now
         self.membership.update_retiring()
@@ -59,52 +62,53 @@
             self.directory.resume(now)
             self.topics.publish_state()
             return
-        self.directory.start_over(now)
+        self.directory.reset(now)
         self.stores.on_started_leading()
         self.introduction.on_started_leading()
         self.brokers.on_started_leading(self._inherit_published_lists(now), now)
         self.topics.begin_epoch(epoch)
 
     def on_stopped_leading(self) -> None:
-        """The lease was lost, or another controller leads."""
+        """Handle the end of leadership: the lease was lost, or another controller leads."""
         self.membership.withdraw_standbys()
         self.publisher.wake()
 
     def on_pull(self, request: PullRequest) -> None:
-        """A process announced itself with a pull."""
+        """Register the process that announced itself with ``request``."""
         self.period.update()
         self.directory.registry.announce(request.announcement, _now())
 
     def on_group_change(self) -> None:
-        """Role, epoch, primary or members of the controllers' group changed."""
+        """Handle a change of role, epoch, primary or members of the controllers' group."""
         self.period.update()
         self.publisher.wake()
 
     def on_state_change(self) -> None:
-        """A committed command or a snapshot changed the replicated state."""
+        """Handle a change of the replicated state by a committed command or a snapshot."""
         self.membership.update_retiring()
         if self.period.epoch is not None:
             self.topics.publish_state()
 
     def stores_had_time_to_announce(self) -> bool:
-        """Whether a store that is not known can be taken as absent."""
+        """Return whether every store had time to announce itself, so that an unknown one does not exist."""
         return self.period.is_leading() and self.directory.leading_for_s() >= STORES_ANNOUNCED_AFTER_S
 
     async def step(self) -> None:
-        """Check the leadership, publish the members, offer standbys; then pause."""
+        """Check the leadership, publish the member list, offer standbys, and pause."""
         self.period.update()
         if self.period.is_leading():
             now = _now()
-            self.directory.registry.forget_old(now)
+            self.directory.registry.remove_expired(now)
             if now >= self._members_due_at:
                 self.topics.publish_members(self.directory.members(now), now)
             self.membership.update_standbys(self.directory.controllers_alive(now))
         await asyncio.sleep(TICK_S)
 
     def _inherit_published_lists(self, now: float) -> BrokerList:
-        """Take over the members that the earlier primary published, and return its brokers.
+        """Take over the member list that the earlier primary published, and return its broker list.
 
-        Without a recent contact with it, the first member list waits until processes announced themselves.
+        Without recent contact with that primary, the first member list is delayed until the processes have
+        had time to announce themselves.
         """
         if now - self.cluster_view.last_contact >= INHERIT_MAX_AGE_S:
             self._members_due_at = now + MEMBERS_ANNOUNCED_AFTER_S
--- a/cherrycove/tier/controlplane/leadership_period.py
+++ b/cherrycove/tier/controlplane/leadership_period.py
@@ -1,4 +1,4 @@
-"""The spans of time in which this controller leads, in the words of leader election."""
+"""Tracks the periods in which this controller is the primary, with callbacks for their start and end."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class LeadershipPeriod:
-    """Follows the group's leadership and reports its changes to the ``LeaderCoordinator``.
+    """Tracks the group's leadership and reports its changes to the ``LeaderCoordinator``.
 
-    Owned by the ``Controller``. States: not leading; leading in an epoch, while this replica is the confirmed
-    primary. A lost lease ends the period, and the same epoch may begin again. The group reports no change
-    when a lease runs out or is renewed, so ``update`` is called at every tick, pull and question of the
-    publisher.
+    Owned by the ``Controller``. It is in one of two states: not leading, or leading in an epoch while this
+    replica is the confirmed primary. A lost lease ends the period; a new period may start in the same epoch.
+    The group reports no change when a lease expires or is renewed, so ``update`` is called at every tick, at
+    every pull, and whenever the publisher checks the leadership.
     """
 
     def __init__(
@@ -26,7 +26,7 @@
         on_started_leading: Callable[[int], None],
         on_stopped_leading: Callable[[], None],
     ) -> None:
-        """``on_started_leading`` gets the epoch; it is called again where leadership resumes in one epoch."""
+        """``on_started_leading`` gets the epoch; it is called again if leadership resumes in that epoch."""
         self._group = group
         self._on_started_leading = on_started_leading
         self._on_stopped_leading = on_stopped_leading
@@ -34,13 +34,13 @@
 
     @property
     def epoch(self) -> int | None:
-        """The epoch in which this controller led at the last update; None if it did not lead."""
+        """Return the epoch in which this controller led at the last update; None if it did not lead."""
         return self._epoch
 
     def update(self) -> None:
-        """Compare with the group, and call back if leadership began or ended since the last update.
+        """Read the group's state, and call back if leadership started or ended since the last update.
 
-        If this controller leads in another epoch than at the last update, only the start is called back.
+        If the epoch changed while this controller led at both updates, only the start callback is called.
         """
         epoch = self._group.epoch if self._group.is_confirmed_primary() else None
         if epoch == self._epoch:
@@ -54,7 +54,7 @@
             self._on_started_leading(epoch)
 
     def is_leading(self) -> bool:
-        """Whether this replica still leads, in the epoch of the last update."""
+        """Return whether this replica still leads in the epoch of the last update."""
         return (
             self._epoch is not None
             and self._epoch == self._group.epoch
@@ -63,10 +63,10 @@
 
 
 class LeadershipPeriodAuthority:
-    """The ``Authority`` of the publisher: each question updates the period first.
+    """Implements the publisher's ``Authority``; each leadership check updates the period first.
 
     A lease can be renewed without a change that the group reports. Without the update, a pull that waited
-    meanwhile would be answered with what was published in an earlier period.
+    meanwhile would be answered with data published in an earlier period.
     """
 
     def __init__(self, period: LeadershipPeriod, leadership: Leadership) -> None:
@@ -75,14 +75,14 @@
 
     @property
     def epoch(self) -> int:
-        """The newest epoch known here."""
+        """Return the newest epoch known to this controller."""
         return self._leadership.epoch
 
     def is_confirmed_primary(self) -> bool:
-        """Whether this controller leads, and what it publishes belongs to the present period."""
+        """Return whether this controller leads and its published data belongs to the current period."""
         self._period.update()
         return self._period.is_leading()
 
     def primary_address(self) -> str:
-        """Return the RPC address (host:port) of the controller that leads; empty while unknown."""
+        """Return the RPC address (host:port) of the primary; empty while it is unknown."""
         return self._leadership.primary_address()
--- a/cherrycove/tier/controlplane/member_list_throttle.py
+++ b/cherrycove/tier/controlplane/member_list_throttle.py
@@ -1,17 +1,17 @@
-"""Decides when a new list of the tier's processes is published. Pure."""
+"""Limits how often a new list of the tier's processes is published, without I/O or clock access."""
 
 from __future__ import annotations
 
 from cherrycove.tier.protocol.control_pb2 import MemberList
 
-MINOR_CHANGE_INTERVAL_S = 1.0  # between two lists that differ in minor fields only
+MINOR_CHANGE_INTERVAL_S = 1.0  # minimum time between two lists that differ in minor fields only
 
 
 class MemberListThrottle:
     """Limits how often member lists are published that differ in minor fields only.
 
-    Owned by ``ControlTopics``, which makes a new one for each epoch. Minor fields are arrival rates and
-    configuration versions: they change all the time, and a list goes to every process.
+    Owned by ``ControlTopics``, which creates a new one for each epoch. Minor fields are arrival rates and
+    configuration versions. They change constantly, and every list is sent to every process.
     """
 
     def __init__(self) -> None:
@@ -20,7 +20,7 @@
         self._published_at = float("-inf")
 
     def admit(self, members: MemberList, now: float) -> bool:
-        """Whether to publish ``members`` at ``now`` (monotonic s); if so, records them as published."""
+        """Return whether to publish ``members`` at ``now`` (monotonic s); records them if so."""
         serialized = members.SerializeToString(deterministic=True)
         if self._relevant is not None and serialized == self._published:
             return False
--- a/cherrycove/tier/controlplane/operator_answers.py
+++ b/cherrycove/tier/controlplane/operator_answers.py
@@ -1,4 +1,4 @@
-"""What the operator's HTTP interface answers, and how an answer becomes a response."""
+"""Defines the results of the operator's HTTP interface and converts them to HTTP responses."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 @attrs.frozen
 class Accepted:
-    """The order is committed."""
+    """Reports that the operator's request is committed."""
 
 
 @attrs.frozen
 class CurrentConfiguration:
-    """The newest configuration, as the operator sent it."""
+    """Holds the newest configuration, as the operator sent it."""
 
     document: ConfigurationDocument
 
 
 @attrs.frozen
 class RetireStatus:
-    """How far a retire order is."""
+    """Holds the progress of a retire order."""
 
     state: RetireState
 
@@ -50,8 +50,9 @@
 def failure_response(failure: Failure, raw_path: str, port: int) -> web.Response:
     """Return the response for ``failure`` of a request for ``raw_path``.
 
-    Where another controller is known to lead: 307 to the same path on its host, at this interface's ``port``.
-    Otherwise the status and the advised pause that ``errors.py`` has for the kind of failure.
+    If another controller is known to be the primary, this is a 307 redirect to the same path on its host, at
+    this interface's ``port``. Otherwise ``errors.py`` defines the status and Retry-After for the kind of
+    failure.
     """
     body = {"error": failure.kind.value, "detail": failure.detail}
     if failure.kind is ErrorKind.NOT_PRIMARY and failure.primary:
--- a/cherrycove/tier/controlplane/operator_api.py
+++ b/cherrycove/tier/controlplane/operator_api.py
@@ -1,6 +1,7 @@
-"""The operator's HTTP interface: PUT and GET ``/api/configuration``, POST and GET ``/api/retire/NODE``.
+"""Serves the operator's HTTP interface.
 
-Only the confirmed primary decides; other controllers answer with the address of the primary.
+It answers PUT and GET on ``/api/configuration`` and POST and GET on ``/api/retire/NODE``. Only the confirmed
+primary decides; other controllers answer with the address of the primary.
 """
 
 from __future__ import annotations
@@ -27,17 +28,17 @@
 CONFIGURATION_PATH = "/api/configuration"
 RETIRE_PATH = "/api/retire/{node}"
 MAX_BODY_BYTES = 16 * 1024 * 1024
-BODY_TIMEOUT_S = 10.0  # within which a body must arrive
-SHUTDOWN_TIMEOUT_S = 0.5  # for requests in flight when the interface stops
+BODY_TIMEOUT_S = 10.0  # time limit for receiving a request body
+SHUTDOWN_TIMEOUT_S = 0.5  # time limit for requests in flight when the interface stops
 
 _VERSION = re.compile(r'"?([0-9]{1,19})"?', re.ASCII)
 
 
 class OperatorApi:
-    """Translates HTTP to the configuration and retirement services, and their results to HTTP.
+    """Translates HTTP requests to calls of the configuration and retirement services, and back.
 
-    Owned by the ``Controller``. It has no state of its own but the listener; each request is answered by the
-    services, after this controller is confirmed as the primary.
+    Owned by the ``Controller``. Its only state is the listener; the services answer each request after this
+    controller is confirmed as the primary.
     """
 
     def __init__(
@@ -50,9 +51,9 @@
         self._runner: web.AppRunner | None = None
 
     async def start(self, address: str) -> None:
-        """Listen on ``address`` (host:port); without an address, only ``answer`` serves.
+        """Listen on ``address`` (host:port); if it is empty, only direct calls of ``answer`` are served.
 
-        Raises ``OSError`` where the address cannot be bound.
+        Raises ``OSError`` if the address cannot be bound.
         """
         if not address:
             return
@@ -68,13 +69,13 @@
         await web.TCPSite(self._runner, host, self._port).start()
 
     async def stop(self) -> None:
-        """Close the listener; requests in flight have ``SHUTDOWN_TIMEOUT_S`` to end."""
+        """Close the listener; requests in flight have ``SHUTDOWN_TIMEOUT_S`` to finish."""
         if self._runner is not None:
             await self._runner.cleanup()
             self._runner = None
 
     async def answer(self, request: web.Request) -> web.Response:
-        """Answer one request that did not come through the listener, as a simulated operator's."""
+        """Answer one request that was not received by the listener, such as one of a simulated operator."""
         if request.method == "PUT":
             return await self._put_configuration(request)
         if request.method == "POST":
@@ -119,7 +120,10 @@
         return outcome.map(lambda _: Accepted())
 
     def _final_refusal(self, failure: Failure) -> Err[Failure]:
-        """Return ``failure`` if this controller may refuse for good: only the confirmed primary may."""
+        """Return ``failure``, or NOT_PRIMARY if this is not the confirmed primary.
+
+        Only the confirmed primary may return a final error.
+        """
         confirmed = self._leadership.is_confirmed_primary()
         return Err(failure if confirmed else self._leadership.not_primary_failure())
 
@@ -130,10 +134,9 @@
 
 
 async def _read_body(request: web.Request) -> Result[bytes, Failure]:
-    """Read the complete body.
+    """Read the complete body, even if it is not used.
 
-    It is read also where it is not used: to close the connection before its end would reset it, and the
-    client could miss the answer.
+    Closing the connection before the end of the body would reset it, and the client could miss the response.
     """
     try:
         return Ok(await asyncio.wait_for(request.read(), BODY_TIMEOUT_S))
@@ -144,7 +147,7 @@
 
 
 def _base_version(request: web.Request) -> int | None:
-    """Return the version in If-Match (RFC 9110, section 13.1.1); None if there is not exactly one."""
+    """Return the version in If-Match (RFC 9110, section 13.1.1); None unless there is exactly one."""
     values = request.headers.getall("If-Match", [])
     match = _VERSION.fullmatch(values[0].strip()) if len(values) == 1 else None
     version = int(match.group(1)) if match else None
--- a/cherrycove/tier/controlplane/primary_introduction.py
+++ b/cherrycove/tier/controlplane/primary_introduction.py
@@ -1,9 +1,9 @@
-"""The primary makes itself known to controllers that may not know it.
+"""Introduces the primary to controllers that may not know it.
 
-A process that starts knows the seeds of its settings, and asks these. Where all of them are outside the
-group (standbys, removed members, emptied machines), none of them hears the group's heartbeats, and none can
-point to the primary unless the primary turns to them. An introduction is a pull: its announcement says who
-leads in which epoch, and a controller that does not lead rejects the pull but keeps that.
+A starting process asks the seeds of its settings for the primary. If all of them are outside the group
+(standbys, removed members, retired machines), none receives the group's heartbeats, so none can name the
+primary unless the primary contacts it. An introduction is a pull whose announcement states the primary and
+its epoch. A controller that does not lead rejects the pull but records this information.
 """
 
 from __future__ import annotations
@@ -24,26 +24,26 @@
 from cherrycove.tier.protocol.control_pb2 import PullRequest
 from cherrycove.tier.settings import Settings
 
-INTERVAL_S = 0.25  # between two passes
+INTERVAL_S = 0.25  # interval of the passes over all candidates
 CALL_TIMEOUT_S = 0.5
-MIN_PAUSE_S = 0.25  # between two introductions to one controller; doubles with each
-MAX_PAUSE_S = 4.0
+MIN_BACKOFF_S = 0.25  # first interval of introductions to one controller; doubles with each introduction
+MAX_BACKOFF_S = 4.0
 
 
 @attrs.define
-class _Attempts:
-    """Introductions to one controller in this leadership period."""
+class _Backoff:
+    """Holds the retry state of the introductions to one controller in this leadership period."""
 
-    next_at: float = 0.0  # monotonic s
-    pause_s: float = MIN_PAUSE_S
+    next_attempt_at: float = 0.0  # monotonic time in s
+    delay_s: float = MIN_BACKOFF_S
 
 
 class PrimaryIntroduction:
     """Introduces this controller, while it leads, to those that have not announced themselves to it.
 
-    Owned by the ``Controller``. Candidates are the seeds and all controllers that this process has heard of,
-    and the storage machines on record, which may run one each. A controller that pulls from here needs no
-    introduction; one that does not answer is tried more and more rarely. Nothing survives a crash.
+    Owned by the ``Controller``. Candidates are the seeds, all controllers that this process knows of, and the
+    recorded storage machines, each of which may run one. Controllers that pull from this one need no
+    introduction. One that does not answer is retried with exponential backoff. Nothing is persisted.
     """
 
     def __init__(
@@ -61,38 +61,38 @@
         self._directory = directory
         self._client = client
         self._contacts = contacts
-        self._attempts: dict[str, _Attempts] = {}
+        self._backoffs: dict[str, _Backoff] = {}
 
     def on_started_leading(self) -> None:
-        """Leadership began in a new epoch: everybody is to hear of it soon."""
-        self._attempts = {}
+        """Handle the start of leadership in a new epoch: reset all backoffs so that all learn of it soon."""
+        self._backoffs = {}
 
     async def step(self) -> None:
-        """Make one pass, then pause."""
+        """Introduce this controller to all candidates that are due, then pause."""
         if self._period.is_leading():
             now = asyncio.get_running_loop().time()
-            await asyncio.gather(*(self._introduce(address) for address in self._due(now)))
+            await asyncio.gather(*(self._introduce(address) for address in self._due_addresses(now)))
         await asyncio.sleep(INTERVAL_S)
 
-    def _due(self, now: float) -> list[str]:
-        """Return the controllers to turn to now."""
-        unheard = set(self._candidates()) - self._heard(now)
-        self._attempts = {address: self._attempts.get(address, _Attempts()) for address in sorted(unheard)}
-        due = [address for address, attempts in self._attempts.items() if attempts.next_at <= now]
+    def _due_addresses(self, now: float) -> list[str]:
+        """Return the addresses to contact now, and schedule the next attempt for each."""
+        remaining = set(self._candidates()) - self._excluded_addresses(now)
+        self._backoffs = {address: self._backoffs.get(address, _Backoff()) for address in sorted(remaining)}
+        due = [address for address, backoff in self._backoffs.items() if backoff.next_attempt_at <= now]
         for address in due:
-            attempts = self._attempts[address]
-            attempts.next_at = now + attempts.pause_s
-            attempts.pause_s = min(attempts.pause_s * 2, MAX_PAUSE_S)
+            backoff = self._backoffs[address]
+            backoff.next_attempt_at = now + backoff.delay_s
+            backoff.delay_s = min(backoff.delay_s * 2, MAX_BACKOFF_S)
         return due
 
     def _candidates(self) -> list[str]:
         completed = {order.node_name for order in self._state.retire_orders.values() if order.completed}
-        machines = [one for one in self._state.machines.values() if one.node_name not in completed]
+        machines = [record for record in self._state.machines.values() if record.node_name not in completed]
         recorded = [self._address(machine.ip) for machine in machines if machine.ip]
         return [*self._contacts.known_controllers(), *recorded]
 
-    def _heard(self, now: float) -> set[str]:
-        """Return the addresses that need no introduction: this one, and those that pull from here."""
+    def _excluded_addresses(self, now: float) -> set[str]:
+        """Return the addresses that need no introduction: this controller's and those that pull from it."""
         announced = [
             entry.announcement.ip
             for entry in self._directory.controllers_alive(now)
@@ -104,7 +104,7 @@
         announcement = self._contacts.announcement()
         if announcement is None or not announcement.group_primary:
             return
-        # Whatever the outcome: a controller that does not pull from here is tried again after the pause.
+        # The outcome is ignored: a controller that does not pull from this one is retried after its backoff.
         await self._client.call(address, PULL, PullRequest(announcement=announcement), CALL_TIMEOUT_S)
 
     def _address(self, ip: str) -> str:
@@ -112,7 +112,7 @@
 
 
 def introduction_in(request: PullRequest, settings: Settings, now: float) -> Introduction | None:
-    """Return the introduction that a rejected pull brings; None if its sender does not say that it leads."""
+    """Return the introduction in a rejected pull; None if the sender does not claim to be the primary."""
     announcement = request.announcement
     if announcement.program != CONTROLLER_PROGRAM or not announcement.group_primary:
         return None
--- a/cherrycove/tier/controlplane/process_directory.py
+++ b/cherrycove/tier/controlplane/process_directory.py
@@ -1,4 +1,4 @@
-"""The processes that the leading controller knows, as its other parts need them."""
+"""Provides the processes known to the leading controller to its other parts."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 class ProcessDirectory:
     """Combines the announcements of this leadership period with the replicated state.
 
-    Owned by the ``Controller``; only the ``LeaderCoordinator`` changes it. Nothing of it survives a crash or
-    another primary's epoch: the next primary learns the processes anew from their announcements.
+    Owned by the ``Controller``; only the ``LeaderCoordinator`` changes it. Its content does not survive a
+    crash or another primary's epoch: a new primary learns the processes again from their announcements.
     """
 
     def __init__(self, settings: Settings, group: Group, state: ControlState) -> None:
-        """``group`` is the controllers' own; ``state`` is its state machine."""
+        """Read from ``group``, the group of the controllers, and ``state``, its state machine."""
         self._settings = settings
         self._group = group
         self._state = state
         self.registry = ProcessRegistry()
-        self.leading_since = 0.0  # monotonic s; of the newest leadership period
+        self.leading_since = 0.0  # monotonic time in s at which the newest leadership period began
 
     def resume(self, now: float) -> None:
-        """Leadership continues in the same epoch after a pause in which no process could announce itself."""
+        """Continue leadership in the same epoch after a pause in which no process could announce itself."""
         self.leading_since = now
         self.registry.resume(now)
 
-    def start_over(self, now: float) -> None:
-        """Leadership begins in a new epoch."""
+    def reset(self, now: float) -> None:
+        """Start leadership in a new epoch with an empty registry."""
         self.leading_since = now
         self.registry = ProcessRegistry()
 
@@ -43,14 +43,16 @@
         return asyncio.get_running_loop().time() - self.leading_since
 
     def members(self, now: float) -> MemberList:
-        """Return the processes alive, without stores whose present disk is not recorded yet.
+        """Return the alive processes, without stores whose current disk is not recorded yet.
 
-        The store group takes its standbys from this list, and a retire order must know every disk that could
+        The store group takes its standbys from this list, and a retire order must cover every disk that could
         become a member.
         """
         announced = self.registry.members(now).members
         return MemberList(
-            members=[one for one in announced if one.program != STORE_PROGRAM or self._is_recorded(one)]
+            members=[
+                member for member in announced if member.program != STORE_PROGRAM or self._is_recorded(member)
+            ]
         )
 
     def controllers_alive(self, now: float) -> list[Registration]:
@@ -58,7 +60,7 @@
         return self.registry.alive(now, CONTROLLER_PROGRAM)
 
     def store_inventory(self) -> StoreInventory:
-        """Return what is known of the stores at this moment."""
+        """Return a snapshot of what is known about the stores."""
         now = asyncio.get_running_loop().time()
         machines = self._state.machines
         return StoreInventory(
--- a/cherrycove/tier/controlplane/replica_message.py
+++ b/cherrycove/tier/controlplane/replica_message.py
@@ -1,4 +1,4 @@
-"""How a member of a replicated group appears in messages."""
+"""Converts a member of a replicated group to its protobuf message."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def replica_message(member: MemberIdentity) -> Replica:
-    """Return the message that names ``member``."""
+    """Return the message that identifies ``member``."""
     return Replica(
         member_id=member.member_id, node_name=member.node_name, address=member.address, zone=member.zone
     )
--- a/cherrycove/tier/controlplane/retirement.py
+++ b/cherrycove/tier/controlplane/retirement.py
@@ -1,4 +1,4 @@
-"""Accepts the operator's orders to retire a storage machine, and reports how far they are."""
+"""Accepts the operator's orders to retire storage machines, and reports their progress."""
 
 from __future__ import annotations
 
@@ -18,22 +18,23 @@
 from cherrycove.tier.protocol.keeper_pb2 import Command, Retire
 from cherrycove.tier.replication.interface import Group
 
-RETIRE_TIMEOUT_S = 2.5  # an order is accepted within this time, or its outcome is reported as uncertain
+RETIRE_TIMEOUT_S = 2.5  # time limit of accepting an order, after which its outcome is reported as uncertain
 
 
 class RetireState(Enum):
-    """How far a retire order is; the values appear in the operator's interface."""
+    """Enumerates the states of a retire order; the values appear in the operator's interface."""
 
-    ACTIVE = "active"  # the machine still counts for a group, or may
-    COMPLETED = "completed"  # the machine may be decommissioned
+    ACTIVE = "active"  # The machine is still a member of a group, or may be one.
+    COMPLETED = "completed"  # The machine may be decommissioned.
 
 
 class RetirementService:
     """Decides on retire orders, one at a time.
 
-    Owned by the ``Controller``. It changes nothing itself: an order is a command of the replicated state, and
-    ``StoreGroupReconciler`` completes it. Only the confirmed primary decides, and nothing is refused for good
-    before all stores could announce themselves. The states of an order are in docs/design/control-plane.md.
+    Owned by the ``Controller``. An order is a command to the replicated state machine, and
+    ``StoreGroupReconciler`` completes it; the service modifies no state itself. Only the confirmed primary
+    decides, and it returns no final error before all stores had time to announce themselves.
+    docs/design/control-plane.md describes the states of an order.
     """
 
     def __init__(
@@ -45,7 +46,10 @@
         stores_had_time_to_announce: Callable[[], bool],
         group_size: int,
     ) -> None:
-        """``inventory`` is the present view of the stores; ``group_size``: members of a complete group."""
+        """``inventory`` returns the current view of the stores.
+
+        ``group_size`` is the number of members of a complete group.
+        """
         self._proposer = BarrierProposer(group)
         self._state = state
         self._leadership = leadership
@@ -57,9 +61,10 @@
     async def order(self, node_name: str) -> Result[None, Failure]:
         """Order the machine ``node_name`` to retire.
 
-        Ok: the order is committed, or was earlier. Errors: NOT_FOUND (no such machine) and CONFLICT (too few
-        would remain) are final; NOT_PRIMARY and UNAVAILABLE: not committed by this call, although an
-        identical earlier one may be, and may be sent again; DEADLINE: it may have been committed.
+        Returns Ok if the order is committed now or was committed earlier. NOT_FOUND (no such machine) and
+        CONFLICT (too few machines would remain) are final errors. After NOT_PRIMARY and UNAVAILABLE the
+        request may be sent again: this call committed nothing, although an identical earlier one may have.
+        After DEADLINE the outcome is unknown.
         """
         deadline = asyncio.get_running_loop().time() + RETIRE_TIMEOUT_S
         async with exclusive_access(self._lock, deadline) as acquired:
@@ -68,7 +73,7 @@
             return await self._order(node_name, deadline)
 
     def state(self, node_name: str) -> Result[RetireState, Failure]:
-        """Return how far the order for ``node_name`` is; NOT_FOUND without one, or NOT_PRIMARY."""
+        """Return the state of the order for ``node_name``; NOT_FOUND if there is none, or NOT_PRIMARY."""
         if not self._leadership.is_confirmed_primary():
             return Err(self._leadership.not_primary_failure())
         order = self._state.retire_orders.get(node_name)
@@ -96,9 +101,9 @@
         return Err(Failure(kind, failure.detail))
 
     def _check(self, node_name: str) -> Result[Retire | None, Failure]:
-        """Return the command to commit, or None when the order is in force already.
+        """Return the command to commit, or None if the order is already committed.
 
-        Must not wait: the leadership that it checks first has to hold for every answer.
+        Must not await anything: leadership is checked first and must still hold for every result.
         """
         if not self._leadership.is_confirmed_primary():
             return Err(self._leadership.not_primary_failure())
@@ -113,7 +118,7 @@
         return Err(self._refusal(node_name, inventory))
 
     def _refusal(self, node_name: str, inventory: StoreInventory) -> Failure:
-        """Return why the order is not accepted: for good only where no absent store could change that."""
+        """Return why the order is rejected; the error is final only if no absent store could change it."""
         if not self._stores_had_time_to_announce() or not inventory.recently_seen:
             return Failure(ErrorKind.UNAVAILABLE, "the stores have not announced themselves yet")
         if not inventory.is_known(node_name):
--- a/cherrycove/tier/controlplane/retirement_check.py
+++ b/cherrycove/tier/controlplane/retirement_check.py
@@ -1,7 +1,7 @@
-"""Whether a machine with a retire order may be decommissioned. Pure.
+"""Checks whether a machine with a retire order may be decommissioned, without I/O or clock access.
 
-The decision is made from the committed members of both groups alone, never from announcements: after a
-partition or a change of primary those can be missing or old.
+The decision is based on the committed members of both groups alone, never on announcements, which can be
+missing or outdated after a partition or a change of primary.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class GroupMember:
-    """A member of a group, as far as its machine can be recognized by it."""
+    """Holds the attributes of a group member that identify its disk and its machine."""
 
     member_id: str
     node_name: str
@@ -26,31 +26,33 @@
 
 @attrs.frozen
 class CommittedMembership:
-    """The members that a group has committed, from its primary under a valid lease."""
+    """Holds the committed members of a group, as reported by its primary under a valid lease."""
 
     members: tuple[GroupMember, ...]
-    excluded: frozenset[str]  # disks that never become members again
-    revision: int | None = None  # of the orders that its primary has seen; None: all, they are its own state
+    excluded: frozenset[str]  # disks that can never become members again
+    # Newest revision of the retire orders known to the group's primary. It is None for the controllers'
+    # group, whose primary knows all orders because they are part of its own state.
+    revision: int | None = None
 
     @staticmethod
     def of_controllers(committed: CommittedMembers) -> CommittedMembership:
-        """Return that of the controllers' group."""
+        """Create it for the controllers' group."""
         members = (GroupMember(one.member_id, one.node_name, one.address) for one in committed.members)
         return CommittedMembership(tuple(members), committed.excluded)
 
     @staticmethod
     def of_stores(reply: StoreMembersReply) -> CommittedMembership:
-        """Return that of the store group, from the answer of its primary."""
+        """Create it for the store group, from the reply of that group's primary."""
         members = (GroupMember(one.member_id, one.node_name, one.address) for one in reply.members)
         return CommittedMembership(tuple(members), frozenset(reply.excluded), reply.revision)
 
-    def on_machine(self, order: RetireOrder, disks: Iterable[str]) -> list[str]:
-        """Return the ids of members on the machine of ``order``, or on one of its ``disks``."""
+    def members_on_machine(self, order: RetireOrder, disks: Iterable[str]) -> list[str]:
+        """Return the ids of the members that run on the machine of ``order`` or on one of ``disks``."""
         known = frozenset(disks)
         return [
-            one.member_id
-            for one in self.members
-            if one.member_id in known or is_on_machine(order, one.node_name, one.address)
+            member.member_id
+            for member in self.members
+            if member.member_id in known or is_on_machine(order, member.node_name, member.address)
         ]
 
 
@@ -59,8 +61,8 @@
 ) -> str | None:
     """Return what prevents the machine of ``order`` from being decommissioned; None if nothing does.
 
-    ``group_size`` is the size at which a group tolerates as many losses as the settings name. The stores are
-    checked for every order; the controllers' group has to be complete only where a controller ran on the
+    ``group_size`` is the size at which a group tolerates the configured number of machine failures. The store
+    group is checked for every order; the controllers' group must be complete only if a controller ran on the
     machine.
     """
     if not order.ips or not order.store_ids:
@@ -83,9 +85,9 @@
 ) -> str | None:
     if committed.revision is not None and committed.revision < order.revision:
         return f"the {group} group's primary does not know the order yet"
-    counting = committed.on_machine(order, disks)
-    if counting:
-        return f"the {group} group counts on {', '.join(counting)}"
+    members = committed.members_on_machine(order, disks)
+    if members:
+        return f"the {group} group still has members on the machine: {', '.join(members)}"
     not_excluded = sorted(frozenset(disks) - committed.excluded)
     if not_excluded:
         return f"the {group} group has not excluded {', '.join(not_excluded)}"
--- a/cherrycove/tier/controlplane/state.py
+++ b/cherrycove/tier/controlplane/state.py
@@ -1,4 +1,4 @@
-"""The controllers' replicated state machine: the configuration and the store group."""
+"""Implements the controllers' replicated state machine, which holds the configuration and the store group."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 
 @attrs.frozen
 class Applied:
-    """Outcome of every command but ``AcceptConfiguration``."""
+    """Represents the outcome of every command except ``AcceptConfiguration``."""
 
-    changed: bool  # whether the command took effect
+    changed: bool  # True if the command took effect
 
 
 class ControlState:
     """Implements ``replication.interface.StateMachine`` for the controllers' group.
 
-    Each controller has one replica. Only the group changes it, through ``apply`` and ``restore``; it is a
-    function of the committed commands alone, and each command checks again what it depends on. It survives
-    crashes in the group's log and snapshots. A read is linearizable only while
+    Each controller has one replica. Only the group changes it, through ``apply`` and ``restore``. It is a
+    function of the committed commands alone, and each command checks its preconditions again when it is
+    applied. The group's log and snapshots persist it. A read is linearizable only while
     ``Group.is_confirmed_primary()`` is true.
     """
 
@@ -42,49 +42,49 @@
 
     @property
     def configuration(self) -> ConfigurationDocument:
-        """The newest configuration; version 0 before the first."""
+        """Return the newest configuration; its version is 0 before the first one."""
         return self._configuration.document
 
     @property
     def store_group_revision(self) -> int:
-        """Number of changes of ``store_group()``; 0 before the first."""
+        """Return the number of changes of ``store_group()``; 0 before the first one."""
         return self._store_group.revision
 
     @property
     def initial_stores(self) -> Sequence[Replica]:
-        """The replicas that begin the store group; empty until it is formed."""
+        """Return the initial replicas of the store group; empty until it is formed."""
         return self._store_group.initial
 
     @property
     def retire_orders(self) -> Mapping[str, RetireOrder]:
-        """Retire orders by node name, also completed ones."""
+        """Return the retire orders by node name, including completed ones."""
         return self._store_group.retire_orders
 
     @property
     def machines(self) -> Mapping[str, StoreMachine]:
-        """Storage machines that ever announced themselves, by node name."""
+        """Return all storage machines that have ever announced themselves, by node name."""
         return self._store_group.machines
 
     def store_group(self) -> StoreGroup:
-        """Return what is published to the stores."""
+        """Return the message that is published to the stores."""
         return self._store_group.message()
 
     def was_accepted(self, digest: bytes, version: int) -> bool:
-        """Whether exactly the document with ``digest`` was accepted under ``version``."""
+        """Return whether the document with ``digest`` was accepted under ``version``."""
         return self._configuration.was_accepted(digest, version)
 
     def is_forgotten(self, version: int) -> bool:
-        """Whether ``version`` is too old to tell if it was accepted, and with what content."""
+        """Return whether ``version`` is too old to tell if it was accepted, and with what content."""
         return self._configuration.is_forgotten(version)
 
     def on_change(self, callback: Callable[[], None]) -> None:
-        """Call back after each command or snapshot that changed the state."""
+        """Register ``callback``, which is called after each command or snapshot that changed the state."""
         self._listeners.append(callback)
 
     def apply(self, index: int, command: bytes) -> AcceptOutcome | Applied:  # noqa: ARG002 - StateMachine's
         """Apply a serialized ``Command``.
 
-        A barrier and a command of a later release change nothing.
+        Barriers, and commands unknown to this release, change nothing.
         """
         message = Command.FromString(command)
         if message.WhichOneof("body") == "accept_configuration":
@@ -108,7 +108,7 @@
         return snapshot.SerializeToString()
 
     def restore(self, state: bytes | SnapshotState) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the whole state by the content of a snapshot."""
         snapshot = Snapshot.FromString(bytes(state))
         self._configuration.restore(snapshot.configuration, snapshot.accepted, snapshot.forgotten_version)
         self._store_group.restore(
--- a/cherrycove/tier/controlplane/status_service.py
+++ b/cherrycove/tier/controlplane/status_service.py
@@ -1,4 +1,4 @@
-"""Answers the call ``status`` of the command line."""
+"""Answers the RPC ``status``, which the command-line interface calls."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @attrs.frozen(kw_only=True)
 class StatusService:
-    """Reports what this controller knows. Reads the parts of the ``Controller`` and changes nothing."""
+    """Reports the state of this controller; it reads the parts of the ``Controller`` and changes nothing."""
 
     node_name: str
     group: Group
@@ -31,9 +31,9 @@
     cluster_view: ClusterView
 
     async def status(self, request: StatusRequest) -> Result[StatusReply, Failure]:  # noqa: ARG002 - empty
-        """Return this controller's view; only that of the confirmed primary is complete and current.
+        """Return this controller's view; only the confirmed primary's view is complete and current.
 
-        Another controller reports the processes that it pulled from the primary, which may be out of date.
+        Other controllers report the processes that they pulled from the primary, which may be out of date.
         """
         primary = self.group.primary
         leads = self.period.is_leading()
--- a/cherrycove/tier/controlplane/storage_machines.py
+++ b/cherrycove/tier/controlplane/storage_machines.py
@@ -1,7 +1,7 @@
-"""Storage machines, and the orders to retire them, in the controllers' replicated state.
+"""Replicated state of the storage machines and of the orders to retire them.
 
 A machine is recorded when its store first announces itself, with its address and the disks of its store and
-its controller. A retire order copies this record and is extended by later ones, so that a newly elected
+its controller. A retire order copies this record, and later records extend it, so that a newly elected
 primary knows from committed state alone which members of both groups run on the machine.
 """
 
@@ -19,9 +19,9 @@
 
 
 def same_machine(order: RetireOrder, machine: StoreMachine) -> bool:
-    """Whether ``machine``, which has the node name of ``order``, is the machine that was ordered to retire.
+    """Return whether ``machine``, which has the node name of ``order``, is the machine of that order.
 
-    A machine that lost its disk returns at its address; a new machine of that name has another address.
+    A machine that lost its disk keeps its address; a new machine with the same name has another address.
     """
     if not order.ips or not machine.ip:
         return machine.store_id in ("", order.member_id)
@@ -29,7 +29,7 @@
 
 
 def is_on_machine(order: RetireOrder, node_name: str, address: str) -> bool:
-    """Whether a group member runs on the machine of ``order``.
+    """Return whether a group member runs on the machine of ``order``.
 
     The first members of the controllers' group have no node name; they are compared by ``address``
     (host:port).
@@ -40,10 +40,10 @@
 
 
 class StorageMachines:
-    """Machine records and retire orders by node name.
+    """Holds machine records and retire orders by node name.
 
-    Part of ``StoreGroupState``, which alone changes it. Pure: every operation is a function of the state and
-    the command. The states of an order are in docs/design/control-plane.md.
+    Part of ``StoreGroupState``, which alone changes it. Every operation is a function of the state and the
+    command, without I/O or clock access. docs/design/control-plane.md describes the states of an order.
     """
 
     def __init__(self) -> None:
@@ -52,21 +52,21 @@
 
     @property
     def machines(self) -> Mapping[str, StoreMachine]:
-        """Recorded machines; a record is never removed."""
+        """Return the recorded machines; records are never removed."""
         return self._machines
 
     @property
     def orders(self) -> Mapping[str, RetireOrder]:
-        """Retire orders, active and completed."""
+        """Return the retire orders, both active and completed ones."""
         return self._orders
 
     def restore(self, machines: Iterable[StoreMachine], orders: Iterable[RetireOrder]) -> None:
-        """Replace everything by the content of a snapshot."""
+        """Replace the whole state by the content of a snapshot."""
         self._machines = {machine.node_name: machine for machine in machines}
         self._orders = {order.node_name: order for order in orders}
 
     def record_initial(self, replicas: Iterable[Replica]) -> None:
-        """Record the machines of the store group's first members."""
+        """Record the machines of the store group's initial members."""
         for replica in replicas:
             self._merge(
                 StoreMachine(
@@ -75,15 +75,15 @@
             )
 
     def record(self, machine: StoreMachine, revision: int) -> bool:
-        """Record what ``machine`` announced; return whether its order was extended, at ``revision``."""
+        """Record ``machine``; return whether this extended its retire order, which then gets ``revision``."""
         known = self._merge(machine)
         order = self._orders.get(machine.node_name)
-        if order is None or _is_over(order, known):
+        if order is None or _is_superseded(order, known):
             return False
         return self._extend(order, known, revision)
 
     def retire(self, command: Retire, revision: int) -> bool:
-        """Add an order, or extend the present one; return whether anything changed, at ``revision``."""
+        """Add or extend an order; return whether it changed, in which case it gets ``revision``."""
         known = self._merge(
             StoreMachine(
                 node_name=command.node_name,
@@ -93,16 +93,16 @@
             )
         )
         order = self._orders.get(command.node_name)
-        if order is not None and not _is_over(order, known):
+        if order is not None and not _is_superseded(order, known):
             return self._extend(order, known, revision)
         self._extend(RetireOrder(node_name=command.node_name), known, revision)
         return True
 
     def complete(self, command: Retired) -> bool:
-        """Complete an order: its machine may be decommissioned.
+        """Complete an order, so that its machine may be decommissioned; return whether it took effect.
 
-        No effect if the order was extended after the check that led to ``command``: the check did not cover
-        the new disk. Revision 0 comes from releases that sent none.
+        It has no effect if the order was extended after the check that led to ``command``, since that check
+        did not cover the new disk. Revision 0 comes from releases that did not send a revision.
         """
         order = self._orders.get(command.node_name)
         if order is None or order.completed or command.revision not in (0, order.revision):
@@ -114,7 +114,7 @@
         return True
 
     def forget(self, command: ForgetRetired) -> bool:
-        """Remove a completed order, since a new machine has its name; return whether it took effect."""
+        """Remove a completed order whose name a new machine uses; return whether it took effect."""
         order = self._orders.get(command.node_name)
         if order is None or not order.completed or order.member_id != command.member_id:
             return False
@@ -143,8 +143,8 @@
         return True
 
 
-def _is_over(order: RetireOrder, machine: StoreMachine) -> bool:
-    """Whether ``order`` is completed and ``machine`` is a new machine of that name."""
+def _is_superseded(order: RetireOrder, machine: StoreMachine) -> bool:
+    """Return whether ``order`` is completed and ``machine`` is a new machine with its node name."""
     return order.completed and not same_machine(order, machine)
 
 
--- a/cherrycove/tier/controlplane/store_group_reconciler.py
+++ b/cherrycove/tier/controlplane/store_group_reconciler.py
@@ -1,4 +1,4 @@
-"""The primary controller's work on the store group: form it, record machines, complete retire orders."""
+"""Manages the store group on the primary: forms it, records machines and completes retire orders."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 from cherrycove.tier.replication.quorums import target_group_size
 from cherrycove.tier.settings import Settings
 
-INTERVAL_S = 0.1  # between two passes
-COMMAND_TIMEOUT_S = 2.0  # for the commit of one command
+INTERVAL_S = 0.1  # interval of the reconciliation passes
+COMMAND_TIMEOUT_S = 2.0  # time limit for committing one command
 
 _log = logging.getLogger(__name__)
 
 
 class StoreGroupReconciler:
-    """Compares the stores with the replicated state, and proposes the commands that bring them together.
+    """Compares the stores with the replicated state, and proposes commands that remove the differences.
 
     Owned by the ``Controller``; the ``LeaderCoordinator`` notifies it of new epochs. It acts only while this
-    controller leads, and changes nothing itself: every change is a command of the replicated state. A command
-    that fails is proposed again by a later pass. Nothing of its own survives a crash.
+    controller leads. Every change is a command to the replicated state machine; a failed command is proposed
+    again in a later pass. Its own state is in memory only.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         client: Caller,
         inventory: Callable[[], StoreInventory],
     ) -> None:
-        """``group`` is the controllers' own; ``inventory`` is the present view of the stores."""
+        """``group`` is the controllers' group; ``inventory`` returns the current view of the stores."""
         self._settings = settings
         self._group = group
         self._state = state
@@ -52,20 +52,20 @@
         self._inventory = inventory
         self._reader = StoreMembersReader(client)
         self._bootstrap = StoreGroupBootstrap(settings)
-        self._reasons: dict[str, str] = {}  # logged last, by node name
+        self._reasons: dict[str, str] = {}  # last logged blocking reason by node name
 
     def on_started_leading(self) -> None:
-        """Leadership began in a new epoch: discard what was collected in earlier ones."""
+        """Handle the start of leadership in a new epoch: discard what was collected in earlier ones."""
         self._bootstrap = StoreGroupBootstrap(self._settings)
         self._reasons = {}
 
     async def step(self) -> None:
-        """Make one pass, then pause."""
-        await self.work()
+        """Reconcile once, then pause."""
+        await self.reconcile()
         await asyncio.sleep(INTERVAL_S)
 
-    async def work(self) -> None:
-        """Propose what is due now, if this controller leads."""
+    async def reconcile(self) -> None:
+        """Propose the commands that are currently needed, if this controller leads."""
         if not self._period.is_leading():
             return
         for command in self._commands():
@@ -73,7 +73,7 @@
         await self._complete_orders()
 
     def _commands(self) -> list[Command]:
-        """Return the commands that follow from the announcements."""
+        """Return the commands that the current announcements require."""
         inventory = self._inventory()
         if self._state.initial_stores:
             return [*record_updates(inventory), *order_updates(inventory)]
@@ -82,10 +82,10 @@
         return [*record_updates(inventory), *formation]
 
     async def _complete_orders(self) -> None:
-        """Complete the active orders whose machines both groups have excluded, by their committed members.
+        """Complete the active orders whose machines are excluded from the committed members of both groups.
 
-        The stores' primary is asked anew in each pass. A disk that its answer excludes stays excluded under
-        every later primary, so a change of primary between the answer and the commit does no harm.
+        Each pass asks the store group's primary again. A disk that its reply excludes stays excluded under
+        every later primary, so a change of primary between the reply and the commit is harmless.
         """
         if not self._active_orders():
             return
@@ -109,16 +109,22 @@
         return [order for order in self._state.retire_orders.values() if not order.completed]
 
     def _store_addresses(self) -> list[str]:
-        """Return the stores to ask: those that claim to lead, newest epoch first, then all others known."""
+        """Return the stores to ask: those that claim to lead, newest epoch first, then all known others."""
         alive = self._inventory().alive
-        leaders = [one.announcement for one in alive if one.announcement.group_primary]
+        leaders = [entry.announcement for entry in alive if entry.announcement.group_primary]
         leaders.sort(key=lambda leader: leader.group_epoch, reverse=True)
-        others = [one.announcement for one in alive]
-        ips = [*(one.ip for one in (*leaders, *others)), *(one.ip for one in self._state.machines.values())]
+        others = [entry.announcement for entry in alive]
+        ips = [
+            *(store.ip for store in (*leaders, *others)),
+            *(machine.ip for machine in self._state.machines.values()),
+        ]
         return [self._settings.peer_address(ip, STORE_PROGRAM) for ip in dict.fromkeys(ips) if ip]
 
     def _log_reason(self, order: RetireOrder, reason: str) -> None:
-        """Log what prevents ``order`` from being completed, when that changes; empty: nothing."""
+        """Log ``reason``, which prevents the completion of ``order``, if it changed.
+
+        It is empty if nothing prevents the completion.
+        """
         if reason != self._reasons.get(order.node_name, ""):
             _log.info("retire_order_blocked", extra={"machine": order.node_name, "reason": reason})
         self._reasons[order.node_name] = reason
--- a/cherrycove/tier/controlplane/store_group_state.py
+++ b/cherrycove/tier/controlplane/store_group_state.py
@@ -1,4 +1,4 @@
-"""The store group in the controllers' replicated state: first members, machines and retire orders."""
+"""Replicated state of the store group: its initial members, machines and retire orders."""
 
 from __future__ import annotations
 
@@ -18,13 +18,14 @@
 
 
 class StoreGroupState:
-    """What all controllers agree on about the stores.
+    """Holds the store group's initial members, the storage machines and the retire orders.
 
-    Part of ``ControlState``, which alone changes it, by committed commands and snapshots. Pure. Survives a
-    crash in the group's log and snapshots.
+    Part of ``ControlState``, which alone changes it, by committed commands and snapshots. Every operation is
+    a function of the state and the command. The group's log and snapshots persist it.
 
-    ``revision`` counts the changes that the stores are notified of. An order carries the revision at which it
-    was last extended, so an answer of the store group tells which extension its primary has seen.
+    ``revision`` counts the changes that are published to the stores. An order carries the revision at which
+    it was last extended, so the revision in a reply of the store group's primary tells which extensions that
+    primary has applied.
     """
 
     def __init__(self) -> None:
@@ -34,26 +35,26 @@
 
     @property
     def revision(self) -> int:
-        """Number of changes of ``message()``; 0 before the first."""
+        """Return the number of changes of ``message()``; 0 before the first one."""
         return self._revision
 
     @property
     def initial(self) -> Sequence[Replica]:
-        """The replicas that begin the store group; empty until it is formed."""
+        """Return the initial replicas of the store group; empty until it is formed."""
         return self._initial
 
     @property
     def retire_orders(self) -> Mapping[str, RetireOrder]:
-        """Retire orders by node name, also completed ones."""
+        """Return the retire orders by node name, including completed ones."""
         return self._machines.orders
 
     @property
     def machines(self) -> Mapping[str, StoreMachine]:
-        """Storage machines that ever announced themselves, by node name."""
+        """Return all storage machines that have ever announced themselves, by node name."""
         return self._machines.machines
 
     def message(self) -> StoreGroup:
-        """Return what is published to the stores."""
+        """Return the message that is published to the stores."""
         return StoreGroup(
             initial=self._initial,
             retiring=sorted(self.retire_orders),
@@ -66,30 +67,30 @@
         )
 
     def form(self, command: FormStoreGroup) -> bool:
-        """Fix the first members; return False when they are fixed already."""
+        """Set the initial members; return False if they are already set or ``command`` has none."""
         if self._initial or not command.initial:
             return False
         self._initial = tuple(command.initial)
         self._machines.record_initial(self._initial)
-        return self._count(changed=True)
+        return self._bump_revision(changed=True)
 
     def record(self, command: RecordMachines) -> bool:
-        """Record what machines announced; return whether that extended a retire order."""
+        """Record announced machines; return whether this extended a retire order."""
         revision = self._revision + 1
         extended = [self._machines.record(machine, revision) for machine in command.machines]
-        return self._count(changed=any(extended))
+        return self._bump_revision(changed=any(extended))
 
     def retire(self, command: Retire) -> bool:
         """Add a retire order or extend one; return whether anything changed."""
-        return self._count(changed=self._machines.retire(command, self._revision + 1))
+        return self._bump_revision(changed=self._machines.retire(command, self._revision + 1))
 
     def complete(self, command: Retired) -> bool:
         """Complete a retire order; return whether it took effect."""
-        return self._count(changed=self._machines.complete(command))
+        return self._bump_revision(changed=self._machines.complete(command))
 
     def forget(self, command: ForgetRetired) -> bool:
         """Remove a completed retire order; return whether it took effect."""
-        return self._count(changed=self._machines.forget(command))
+        return self._bump_revision(changed=self._machines.forget(command))
 
     def restore(
         self,
@@ -98,12 +99,12 @@
         machines: Iterable[StoreMachine],
         orders: Iterable[RetireOrder],
     ) -> None:
-        """Replace everything by the content of a snapshot."""
+        """Replace the whole state by the content of a snapshot."""
         self._revision = revision
         self._initial = tuple(initial)
         self._machines.restore(machines, orders)
 
-    def _count(self, *, changed: bool) -> bool:
+    def _bump_revision(self, *, changed: bool) -> bool:
         if changed:
             self._revision += 1
         return changed
--- a/cherrycove/tier/controlplane/store_inventory.py
+++ b/cherrycove/tier/controlplane/store_inventory.py
@@ -1,4 +1,7 @@
-"""The stores and storage machines as the primary knows them, and what it should record of them. Pure."""
+"""Combines what the primary knows of the stores, and derives the updates to the replicated state from it.
+
+It does no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
@@ -21,29 +24,30 @@
 
 @attrs.frozen
 class StoreInventory:
-    """A view of one moment: announcements to this primary, and the replicated state.
+    """Holds an immutable snapshot of the announcements to this primary and of the replicated state.
 
-    Made by ``ProcessDirectory.store_inventory``, never changed.
+    ``ProcessDirectory.store_inventory`` creates it.
     """
 
     alive: Sequence[Registration]
-    recently_seen: Sequence[Registration]  # also those lately gone
-    initial: Sequence[Replica]  # the replicas that began the store group
-    orders: Mapping[str, RetireOrder]  # by node name
-    machines: Mapping[str, StoreMachine] = attrs.field(factory=dict)  # recorded in the replicated state
-    # Disk (member id) of the newest controller on each machine.
+    recently_seen: Sequence[Registration]  # registered stores, including those that are no longer alive
+    initial: Sequence[Replica]  # initial replicas of the store group
+    orders: Mapping[str, RetireOrder]  # retire orders by node name
+    # Machines recorded in the replicated state, by node name.
+    machines: Mapping[str, StoreMachine] = attrs.field(factory=dict)
+    # Disk (member id) of the newest controller on each machine, by node name.
     controller_disks: Mapping[str, str] = attrs.field(factory=dict)
-    # Recorded machines that had too little time to announce themselves to this primary.
+    # Node names of recorded machines that had too little time to announce themselves to this primary.
     possibly_alive: frozenset[str] = frozenset()
 
     def is_known(self, node_name: str) -> bool:
-        """Whether there is, or was, a storage machine of that name."""
+        """Return whether there is, or was, a storage machine with that name."""
         known = {entry.announcement.node_name for entry in self.recently_seen}
         known.update(replica.node_name for replica in self.initial)
         return node_name in known or node_name in self.machines or node_name in self.orders
 
     def machine(self, node_name: str) -> StoreMachine:
-        """Return what is known of a machine: what it announced lately, else what is recorded."""
+        """Return the record of a machine, updated by its recent announcements."""
         known = StoreMachine(node_name=node_name)
         known.MergeFrom(self.machines.get(node_name, known))
         for entry in (*self.recently_seen, *self.alive):
@@ -52,19 +56,19 @@
         return known
 
     def announced_machines(self) -> list[StoreMachine]:
-        """Return the machines whose stores are alive and announced themselves to this primary."""
+        """Return the machines whose stores are alive and have announced themselves to this primary."""
         announced = [
             entry for entry in self.alive if not entry.is_unconfirmed and entry.announcement.member_id
         ]
         return [self._announced(entry) for entry in announced]
 
     def count_remaining(self, node_name: str, entries: Sequence[Registration]) -> int:
-        """Return how many machines of ``entries`` stay without ``node_name`` and all with a retire order."""
+        """Return how many machines of ``entries`` remain without ``node_name`` and all retiring ones."""
         names = {entry.announcement.node_name for entry in entries if not entry.announcement.leaving}
         return len(names - set(self.orders) - {node_name})
 
     def count_possibly_remaining(self, node_name: str) -> int:
-        """Return the same, with machines that are away at the moment and may come back."""
+        """Return the same number, including machines that are offline and may come back."""
         names = {entry.announcement.node_name for entry in self.recently_seen}
         return len((names | self.possibly_alive) - set(self.orders) - {node_name})
 
@@ -79,26 +83,26 @@
 
 
 def record_updates(inventory: StoreInventory) -> list[Command]:
-    """Return the command that records machines which are new, or have another address or disk, if any.
+    """Return a command that records new machines and those with a changed address or disk, or no command.
 
-    An active retire order is extended by it as well.
+    Applying it also extends the active retire orders of these machines.
     """
     changed = [
         machine
         for machine in inventory.announced_machines()
-        if _adds_to(inventory.machines.get(machine.node_name), machine)
+        if _has_new_fields(inventory.machines.get(machine.node_name), machine)
     ]
     return [Command(record_machines=RecordMachines(machines=changed))] if changed else []
 
 
 def order_updates(inventory: StoreInventory) -> list[Command]:
-    """Return the commands that bring the retire orders up to date with the announcements.
+    """Return the commands that update the retire orders according to the announcements.
 
-    - An active order without a disk, or whose machine lost its disk meanwhile, is extended by the present
-      disk.
-    - A completed order is removed when a store of that name announces another disk from another address:
-      that is a new machine. The retired machine may lose its disk before it is decommissioned; it is still at
-      its address then, and stays out of the groups.
+    - An active order that has no disk, or whose machine has lost its disk since, is extended by the machine's
+      current disk.
+    - A completed order is removed when a store of that name announces another disk from another address,
+      since that is a new machine. A retired machine that loses its disk before it is decommissioned still has
+      its address, so its order remains and it stays out of the groups.
     """
     commands = []
     for machine in inventory.announced_machines():
@@ -114,7 +118,7 @@
 
 
 def retire_command(machine: StoreMachine) -> Retire:
-    """Return the order to retire ``machine``, with what is known of it."""
+    """Return the command to retire ``machine``, with its known address and disks."""
     return Retire(
         node_name=machine.node_name,
         member_id=machine.store_id,
@@ -123,8 +127,8 @@
     )
 
 
-def _adds_to(known: StoreMachine | None, machine: StoreMachine) -> bool:
-    """Whether ``machine`` has anything that is not in the record ``known``."""
+def _has_new_fields(known: StoreMachine | None, machine: StoreMachine) -> bool:
+    """Return whether ``machine`` has field values that are not in the record ``known``."""
     if known is None:
         return True
     merged = StoreMachine()
--- a/cherrycove/tier/controlplane/store_members.py
+++ b/cherrycove/tier/controlplane/store_members.py
@@ -1,4 +1,4 @@
-"""The call ``store-members``: the store group's primary reports its committed members to the controllers."""
+"""Implements the RPC ``store-members``, by which controllers read the store group's committed members."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 
 
 class StoreMembersService:
-    """Answers at a store.
+    """Answers the RPC on a store.
 
-    Owned by the store's ``StoreMembership``. It answers only while its replica leads under a valid lease and
-    no change of members is open.
+    Owned by the store's ``StoreMembership``. It returns the members only while its replica leads under a
+    valid lease and no membership change is pending.
     """
 
     def __init__(self, group: Group, cluster_view: ClusterView) -> None:
-        """``group``: the store group; ``cluster_view`` has the revision of the orders this store applied."""
+        """``group`` is the store group; ``cluster_view`` has the revision of the orders applied here."""
         self._group = group
         self._cluster_view = cluster_view
 
     def serve_on(self, server: CallRegistry) -> None:
-        """Register the call at ``server``."""
+        """Register the call with ``server``."""
         server.register(STORE_MEMBERS, self.members)
 
     async def members(
         self,
         request: StoreMembersRequest,  # noqa: ARG002 - empty
     ) -> Result[StoreMembersReply, Failure]:
-        """Return the members in force; NOT_PRIMARY, with the primary's address if known, where unsure."""
+        """Return the committed members; NOT_PRIMARY, with the primary's address if known, otherwise."""
         committed = self._group.committed_members()
         if committed is None:
             return Err(not_primary_failure(self._group, "no member list in force is known here"))
@@ -53,16 +53,16 @@
 
 
 class StoreMembersReader:
-    """Asks stores in turn until the primary of their group answers. An answer is used once, never stored."""
+    """Asks stores in turn until the primary of their group answers; replies are not cached."""
 
     def __init__(self, client: Caller) -> None:
         self._client = client
 
     async def read(self, addresses: Sequence[str]) -> Result[StoreMembersReply, Failure]:
-        """Return the members in force, from the first store that knows them.
+        """Return the committed members from the first store that reports them.
 
-        Asks ``addresses`` (host:port) in turn, each once, and next the store that one of them names as its
-        primary. The last failure where none knows them; UNAVAILABLE without an address.
+        Asks ``addresses`` (host:port) in turn, each once. A store that another one names as its primary is
+        asked next. Returns the last failure if no store reports them, and UNAVAILABLE if there is no address.
         """
         failure = Failure(ErrorKind.UNAVAILABLE, "no store is known")
         waiting = list(dict.fromkeys(addresses))
@@ -75,5 +75,5 @@
                 return outcome
             failure = outcome.err_value
             if failure.primary and failure.primary not in asked:
-                waiting = [failure.primary, *(one for one in waiting if one != failure.primary)]
+                waiting = [failure.primary, *(other for other in waiting if other != failure.primary)]
         return Err(failure)
--- a/cherrycove/tier/controlplane/topics.py
+++ b/cherrycove/tier/controlplane/topics.py
@@ -1,4 +1,4 @@
-"""Publishes the controllers' state as topics, which all processes of the tier pull."""
+"""Publishes the controllers' state as topics that all processes of the tier pull."""
 
 from __future__ import annotations
 
@@ -15,12 +15,13 @@
 
 
 class ControlTopics:
-    """Numbers and publishes the topics; pullers keep the newest version of each.
+    """Assigns versions to the topics and publishes them; pullers keep the newest version of each.
 
     Owned by the ``Controller``; the ``LeaderCoordinator`` and the ``BrokerWatcher`` publish through it.
-    Committed state (configuration, store group) is numbered by its own version under epoch 0, the same at
-    every primary. Soft state (members, brokers) is numbered by the epoch in which it was learned and a
-    counter. Nothing survives a crash: the next primary publishes anew, in a later epoch.
+    Committed state (configuration, store group) is versioned by its own version or revision under epoch 0,
+    which is the same on every primary. Uncommitted state (members, brokers) is versioned by the epoch in
+    which it was collected and a counter. Nothing is persisted: the next primary publishes again, in a later
+    epoch.
     """
 
     def __init__(self, publisher: Publisher, state: ControlState) -> None:
@@ -34,18 +35,18 @@
 
     @property
     def epoch(self) -> int:
-        """The newest epoch in which this controller led; 0 before the first."""
+        """Return the newest epoch in which this controller led; 0 before the first one."""
         return self._epoch
 
     @property
     def brokers(self) -> BrokerList | None:
-        """The newest list of brokers of this epoch; None before the first."""
+        """Return the newest broker list of this epoch; None before the first one."""
         return self._brokers
 
     def begin_epoch(self, epoch: int) -> None:
-        """Withdraw what was published in earlier epochs, and publish the committed state.
+        """Withdraw the topics published in earlier epochs, and publish the committed state.
 
-        Pullers keep what they have until a newer version is published.
+        Pullers keep their versions until a newer one is published.
         """
         self._epoch = epoch
         self._sequence = 0
@@ -56,7 +57,7 @@
         self.publish_state()
 
     def publish_state(self) -> None:
-        """Publish the committed state, as far as it is newer than what is published."""
+        """Publish the parts of the committed state that are newer than their published versions."""
         document = self._state.configuration
         if document.version:
             version = TopicVersion(topic=CONFIGURATION, epoch=0, sequence=document.version)
@@ -67,13 +68,13 @@
             self._publisher.publish(TopicUpdate(version=version, store_group=self._state.store_group()))
 
     def publish_members(self, members: MemberList, now: float) -> None:
-        """Publish the processes alive if the list changed; minor changes wait for their interval."""
+        """Publish the list of alive processes if it changed; minor changes are rate-limited."""
         if self._member_throttle.admit(members, now):
             self._log_members(members)
             self._publisher.publish(TopicUpdate(version=self._next_version(MEMBERS), members=members))
 
     def publish_brokers(self, brokers: BrokerList) -> None:
-        """Publish the list of brokers if it changed, apart from remaining warm-up times."""
+        """Publish the broker list if it changed, apart from remaining warm-up times."""
         if self._brokers is None or not same_brokers(self._brokers, brokers):
             self._brokers = brokers
             self._publisher.publish(TopicUpdate(version=self._next_version(BROKERS), brokers=brokers))
--- a/cherrycove/tier/distribution/cluster_view_updater.py
+++ b/cherrycove/tier/distribution/cluster_view_updater.py
@@ -1,4 +1,4 @@
-"""Updates of topics on their way into the cluster view."""
+"""Applies topic updates to the cluster view."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class ClusterViewUpdater:
-    """Applies updates to the cluster view. While the process runs, no topic goes back to an older version.
+    """Applies updates to the cluster view; no topic returns to an older version while the process runs.
 
-    ``versions`` are those of the view: they advance with an update that was applied and with no other, so one
-    that could not be read is received again with every pull until it, or a newer one, can be.
+    ``versions`` are those of the view and advance only with applied updates. An update that could not be
+    parsed is therefore received again with every pull until it, or a newer one, can be parsed.
     """
 
     def __init__(self, view: ClusterView) -> None:
@@ -29,16 +29,16 @@
 
     @property
     def versions(self) -> VersionVector:
-        """The versions of the topics in the view."""
+        """Return the versions of the topics in the view."""
         return self._versions
 
     @property
     def has_unreadable(self) -> bool:
-        """Whether the last updates included one that is newer than the view and could not be read."""
+        """Return whether the last updates included one that is newer than the view and was not applied."""
         return self._has_unreadable
 
     def apply(self, updates: Iterable[TopicUpdate]) -> bool:
-        """Apply each update that is newer than the view; return whether there was one."""
+        """Apply each update that is newer than the view; return whether any was applied."""
         newer = [update for update in updates if self._versions.is_newer(update.version)]
         applied = [update for update in newer if self._apply_one(update)]
         for update in applied:
@@ -49,7 +49,7 @@
         return bool(applied)
 
     def _apply_one(self, update: TopicUpdate) -> bool:
-        """Apply ``update``; return False if it cannot be read."""
+        """Apply ``update``; return False if it cannot be parsed or is inconsistent."""
         body = update.WhichOneof("body")
         if body == "configuration":
             return self._apply_configuration(update)
--- a/cherrycove/tier/distribution/publisher.py
+++ b/cherrycove/tier/distribution/publisher.py
@@ -1,4 +1,4 @@
-"""The publishing side of pulls: the call "pull", answered by the primary controller."""
+"""Publishes topics on the primary controller by answering the RPC ``pull``."""
 
 from __future__ import annotations
 
@@ -15,28 +15,29 @@
 from cherrycove.tier.protocol.control_methods import PULL
 from cherrycove.tier.protocol.control_pb2 import PullReply, PullRequest, TopicUpdate
 
-MAX_WAIT_S = 5.0  # a pull is answered after so long, however long it asks to wait
+MAX_WAIT_S = 5.0  # upper limit of the time that a pull may ask to wait
 
 
 class Authority(Protocol):
-    """Whether this controller may publish, and which one else may."""
+    """Tells whether this controller may publish, and which controller is the primary otherwise."""
 
     @property
     def epoch(self) -> int:
-        """The epoch in which this controller is primary."""
+        """Return the epoch in which this controller is primary."""
 
     def is_confirmed_primary(self) -> bool:
-        """Whether this controller is the primary under a valid lease."""
+        """Return whether this controller is the primary under a valid lease."""
 
     def primary_address(self) -> str:
-        """RPC address of another controller that is the primary; empty while unknown."""
+        """Return the RPC address of another controller that is the primary; empty while it is unknown."""
 
 
 class Publisher:
-    """Answers pulls with what is newer than the caller's versions, by long poll.
+    """Answers pulls by long polling with the updates that are newer than the caller's versions.
 
-    One per controller, in memory only. A pull waits until something newer is published or its wait is over.
-    It is answered NOT_PRIMARY, with a hint to the primary, while this controller is not the confirmed one.
+    Each controller has one, which is in memory only. A pull waits until something newer is published or its
+    wait time is over. While this controller is not the confirmed primary, pulls are rejected with NOT_PRIMARY
+    and a hint to the primary.
     """
 
     def __init__(
@@ -45,9 +46,9 @@
         on_pull: Callable[[PullRequest], None],
         on_rejected: Callable[[PullRequest], None] = lambda _: None,
     ) -> None:
-        """``on_pull`` is called with each pull that is not rejected, before it is answered.
+        """``on_pull`` is called with each accepted pull, before it is answered.
 
-        ``on_rejected`` is called with each other one: its announcement may tell of the primary.
+        ``on_rejected`` is called with each rejected pull, since its announcement may name the primary.
         """
         self._topics = PublishedTopics()
         self._authority = authority
@@ -61,26 +62,29 @@
         server.register(PULL, self.pull)
 
     def publish(self, update: TopicUpdate) -> None:
-        """Publish ``update`` if it is newer than what is published, and answer the pulls that wait."""
+        """Publish ``update`` if it is newer than the published one, and answer the waiting pulls."""
         if self._topics.publish(update):
             self.wake()
 
     def withdraw(self, topic: str) -> None:
-        """Publish nothing under ``topic`` any more; pullers keep what they have."""
+        """Stop publishing ``topic``; pullers keep their version."""
         self._topics.withdraw(topic)
 
     def wake(self) -> None:
-        """Let every waiting pull check again: something was published, or the leadership changed."""
+        """Let every waiting pull check again, after a publication or a change of leadership."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     def close(self) -> None:
-        """Answer waiting and later pulls at once with NOT_PRIMARY."""
+        """Reject waiting and later pulls immediately with NOT_PRIMARY."""
         self._closed = True
         self.wake()
 
     async def pull(self, request: PullRequest) -> Result[PullReply, Failure]:
-        """Answer one pull."""
+        """Return the updates newer than the caller's versions, waiting for one if there is none.
+
+        Returns NOT_PRIMARY if this controller is not, or ceases to be, the confirmed primary.
+        """
         if not self._leads():
             self._on_rejected(request)
             return Err(self._not_primary())
--- a/cherrycove/tier/distribution/puller.py
+++ b/cherrycove/tier/distribution/puller.py
@@ -1,4 +1,4 @@
-"""Pulls from the primary controller by long poll, which keep the cluster view of one process up to date."""
+"""Keeps the cluster view of a process up to date by long polling the primary controller."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 from cherrycove.tier.protocol.control_pb2 import Announcement, PullReply, PullRequest
 from cherrycove.tier.settings import Settings
 
-LONG_POLL_MS = 700  # how long the controller may wait for something newer before it answers
-CALL_MARGIN_S = 0.6  # a pull that is not answered so long after its wait has failed
-UNREADABLE_BACKOFF_S = 0.3  # an update that cannot be read would otherwise be received again at once
+LONG_POLL_MS = 700  # time for which the controller may wait for an update before it answers
+CALL_MARGIN_S = 0.6  # time after the end of the wait after which an unanswered pull has failed
+UNREADABLE_BACKOFF_S = 0.3  # avoids receiving an update that cannot be parsed again immediately
 
 _log = logging.getLogger(__name__)
 
 
 class Puller:
-    """Pulls for as long as its process lives, one call at a time.
+    """Pulls continuously while its process runs, one call at a time.
 
-    Each program owns one, and with it the task that pulls. While no controller answers, the view stays as it
-    is, and the controllers that ``ControllerSelector`` knows are asked in turn.
+    Each program owns one, which in turn owns the pulling task. While no controller answers, the view stays
+    unchanged, and the controllers that ``ControllerSelector`` knows are asked in turn.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         view: ClusterView,
         announce: Callable[[], Announcement],
     ) -> None:
-        """``announce`` describes this process at the time of each pull."""
+        """``announce`` returns this process's announcement and is called for each pull."""
         self._settings = settings
         self._client = client
         self._view = view
@@ -49,18 +49,18 @@
         self._updater = ClusterViewUpdater(view)
         self._selector = ControllerSelector(_seeds(settings))
         self._version_log = VersionLog()
-        self._contact_log: ContactLog | None = None  # from ``start`` on
+        self._contact_log: ContactLog | None = None  # set by ``start``
         self._task: asyncio.Task[None] | None = None
         self._pull_task: asyncio.Task[None] | None = None
         self._pull_again = False
 
     async def start(self) -> None:
-        """Start to pull."""
+        """Start the pulling task."""
         self._contact_log = ContactLog(asyncio.get_running_loop().time())
         self._task = asyncio.create_task(self._run(), name="puller")
 
     async def stop(self) -> None:
-        """Cancel the pull in progress and stop."""
+        """Cancel the pull in progress and stop the pulling task."""
         if self._task is not None:
             self._task.cancel()
             with suppress(asyncio.CancelledError):
@@ -68,24 +68,24 @@
             self._task = None
 
     def reload(self, settings: Settings) -> None:
-        """Take over settings that were read again; the seeds may differ."""
+        """Use reloaded ``settings``, whose seeds may differ."""
         self._settings = settings
         self._selector.replace_seeds(_seeds(settings))
 
     def suggest_primary(self, address: str) -> None:
-        """Ask the controller at ``address`` next: it is said to lead. No effect while another answers."""
+        """Ask ``address``, the probable primary, next; no effect while another controller answers."""
         self._selector.suggest(address, asyncio.get_running_loop().time())
 
-    def remember_controllers(self, addresses: Iterable[str]) -> None:
+    def add_known_controllers(self, addresses: Iterable[str]) -> None:
         """Ask ``addresses`` as well when no other controller knows the primary."""
-        self._selector.remember(addresses)
+        self._selector.add_known(addresses)
 
     def known_controllers(self) -> list[str]:
-        """Return the addresses of all controllers that this process has heard of."""
+        """Return the addresses (host:port) of all controllers that this process knows of."""
         return self._selector.known()
 
     def announce_now(self) -> None:
-        """Cancel the pull that waits and pull again at once, since the announcement changed."""
+        """Cancel the waiting pull and pull again immediately, because the announcement has changed."""
         if self._pull_task is not None:
             self._pull_again = True
             self._pull_task.cancel()
@@ -100,7 +100,7 @@
                 if not self._pull_again or _is_cancelled():
                     pull.cancel()
                     raise
-            except Exception:  # noqa: BLE001 -- top of the task: without pulls the process would go stale
+            except Exception:  # noqa: BLE001 -- top level of the task: without pulls the view would become stale
                 _log.exception("pull_failed")
                 await asyncio.sleep(MAX_BACKOFF_S)
             finally:
@@ -112,7 +112,7 @@
         if not target:
             await asyncio.sleep(MAX_BACKOFF_S)
             return
-        # Only the known primary is asked to wait: others answer at once, or are found hanging soon.
+        # Only the known primary is asked to wait. Others answer at once, so a hanging one is detected soon.
         wait_ms = LONG_POLL_MS if self._selector.is_known_primary(target) else 0
         request = PullRequest(
             announcement=self._announce(), versions=self._updater.versions.messages(), wait_ms=wait_ms
@@ -124,7 +124,7 @@
             await asyncio.sleep(self._handle_failure(target, outcome.err_value))
 
     def _handle_reply(self, target: str, reply: PullReply) -> float:
-        """Apply ``reply``; return the pause before the next pull in s."""
+        """Apply ``reply``; return the pause in s before the next pull."""
         now = asyncio.get_running_loop().time()
         self._selector.record_answer(target)
         self._view.last_contact = now
@@ -135,7 +135,7 @@
         return UNREADABLE_BACKOFF_S if self._updater.has_unreadable else 0.0
 
     def _apply(self, reply: PullReply, now: float) -> None:
-        """Apply the updates of ``reply``, and log which configuration is in force."""
+        """Apply the updates of ``reply``, and log the version of the active configuration."""
         version_before = self._configuration_version()
         if self._updater.apply(reply.updates):
             self._selector.replace_discovered(self._controller_addresses())
@@ -150,7 +150,7 @@
         return 0 if configuration is None else configuration.version
 
     def _handle_failure(self, target: str, failure: Failure) -> float:
-        """Note that ``target`` did not answer as the primary; return the pause before the next pull in s."""
+        """Record that ``target`` did not answer as primary; return the pause in s before the next pull."""
         now = asyncio.get_running_loop().time()
         if self._contact_log is not None:
             self._contact_log.record_failure(target, failure.kind.value, now)
@@ -166,7 +166,7 @@
 
 
 def _is_cancelled() -> bool:
-    """Whether the present task itself was cancelled, not only the one that it awaits."""
+    """Return whether the current task itself was cancelled, not only the one that it awaits."""
     task = asyncio.current_task()
     return task is not None and task.cancelling() > 0
 
@@ -176,5 +176,5 @@
 
 
 def _addresses(settings: Settings, ips: Iterable[str]) -> list[str]:
-    """RPC addresses of the controllers at ``ips``."""
+    """Return the RPC addresses of the controllers at ``ips``."""
     return [settings.peer_address(ip, CONTROLLER_PROGRAM) for ip in ips]
--- a/cherrycove/tier/distribution/topics.py
+++ b/cherrycove/tier/distribution/topics.py
@@ -1,7 +1,8 @@
-"""Versioned topics and version vectors: what a publisher has, and what a puller lacks. Pure.
+"""Implements versioned topics and version vectors, without I/O or clock access.
 
-A topic has one body, which is replaced as a unit. Its version is an epoch and a sequence number: a newer
-epoch wins over any sequence number, so that a new primary that counts from 1 again supersedes the one before.
+A topic has one body, which is replaced as a unit. Its version consists of an epoch and a sequence number. A
+newer epoch takes precedence over any sequence number, so that the topics of a new primary, which counts from
+1 again, supersede those of the previous one.
 """
 
 from __future__ import annotations
@@ -20,22 +21,22 @@
 
 @attrs.frozen(order=True)
 class Version:
-    """The version of one topic. Versions are ordered by epoch, then by sequence number."""
+    """Represents the version of one topic; versions are ordered by epoch, then by sequence number."""
 
     epoch: int = 0
     sequence: int = 0
 
     @classmethod
     def of(cls, version: TopicVersion) -> Version:
-        """Return the version that a message names."""
+        """Convert the version of a message."""
         return cls(version.epoch, version.sequence)
 
 
-NO_VERSION = Version()  # of a topic that was never received; below every published one
+NO_VERSION = Version()  # version of a topic that was never received; lower than every published version
 
 
 class VersionVector:
-    """The newest version of each topic that one process has."""
+    """Holds the newest version of each topic that a process has."""
 
     def __init__(self, versions: Iterable[TopicVersion] = ()) -> None:
         self._versions = {version.topic: Version.of(version) for version in versions}
@@ -49,14 +50,14 @@
         return Version.of(version) > self.get(version.topic)
 
     def advance(self, version: TopicVersion) -> bool:
-        """Take over ``version`` if it is newer than the one in this vector; return whether it was."""
+        """Replace the topic's version by ``version`` if that is newer; return whether it was."""
         if not self.is_newer(version):
             return False
         self._versions[version.topic] = Version.of(version)
         return True
 
     def messages(self) -> list[TopicVersion]:
-        """Return the vector as it is sent in a pull."""
+        """Return the vector as protobuf messages for a pull."""
         return [
             TopicVersion(topic=topic, epoch=version.epoch, sequence=version.sequence)
             for topic, version in self._versions.items()
@@ -64,24 +65,24 @@
 
 
 class PublishedTopics:
-    """The newest update of every topic, at the publisher."""
+    """Holds the newest published update of every topic."""
 
     def __init__(self) -> None:
         self._updates: dict[str, TopicUpdate] = {}
 
     def publish(self, update: TopicUpdate) -> bool:
-        """Replace the topic of ``update`` if that is newer than what is published; return whether it was."""
+        """Replace the published update of the topic if ``update`` is newer; return whether it was."""
         if Version.of(update.version) <= self._version(update.version.topic):
             return False
         self._updates[update.version.topic] = update
         return True
 
     def withdraw(self, topic: str) -> None:
-        """Publish nothing under ``topic`` any more; pullers keep what they have."""
+        """Stop publishing ``topic``; pullers keep their version."""
         self._updates.pop(topic, None)
 
     def newer_than(self, vector: VersionVector) -> list[TopicUpdate]:
-        """Return the updates that are newer than those of ``vector``."""
+        """Return the updates whose versions are newer than those in ``vector``."""
         return [update for topic, update in self._updates.items() if self._version(topic) > vector.get(topic)]
 
     def _version(self, topic: str) -> Version:
--- a/tests/tier/test_contact_log.py
+++ b/tests/tier/test_contact_log.py
@@ -8,8 +8,8 @@
 
 from cherrycove.tier.distribution.contact_log import (
     MISSING_AFTER_S,
-    MISSING_AGAIN_S,
-    VERSION_INTERVAL_S,
+    MISSING_LOG_INTERVAL_S,
+    VERSION_LOG_INTERVAL_S,
     ContactLog,
     VersionLog,
 )
@@ -34,7 +34,7 @@
     log.record_failure("a:1", "not_primary", 10.1 + MISSING_AFTER_S)
     assert events(caplog) == ["primary_not_found"]
     assert vars(caplog.records[0])["asked"] == {"a:1": "not_primary", "b:1": "unreachable"}
-    log.record_failure("a:1", "not_primary", 10.0 + MISSING_AFTER_S + MISSING_AGAIN_S)
+    log.record_failure("a:1", "not_primary", 10.0 + MISSING_AFTER_S + MISSING_LOG_INTERVAL_S)
     log.record_answer("b:1", 40.0)
     log.record_answer("b:1", 41.0)
     assert events(caplog) == ["primary_not_found"] * 2 + ["primary_found"]
@@ -54,9 +54,9 @@
 ) -> None:
     log = VersionLog()
     for version in range(1, 11):
-        log.record(version, version * VERSION_INTERVAL_S / 100)
-    log.flush(VERSION_INTERVAL_S / 2)
+        log.record(version, version * VERSION_LOG_INTERVAL_S / 100)
+    log.flush(VERSION_LOG_INTERVAL_S / 2)
     assert [vars(record)["version"] for record in caplog.records] == [1]
-    log.flush(2 * VERSION_INTERVAL_S)
-    log.flush(4 * VERSION_INTERVAL_S)
+    log.flush(2 * VERSION_LOG_INTERVAL_S)
+    log.flush(4 * VERSION_LOG_INTERVAL_S)
     assert [vars(record)["version"] for record in caplog.records] == [1, 10]
--- a/tests/tier/test_control_brokers.py
+++ b/tests/tier/test_control_brokers.py
@@ -80,16 +80,16 @@
 
 
 def test_the_pace_follows_draining_and_the_platforms_rate() -> None:
-    assert ReadPacing(settings(drain_ms=3000.0)).succeeded(1) == 0.6
-    assert ReadPacing(settings(drain_ms=100.0)).succeeded(1) == MIN_INTERVAL_S
-    assert ReadPacing(settings(drain_ms=60_000.0)).succeeded(1) == MAX_INTERVAL_S
-    assert ReadPacing(settings(rate_per_s=2.0)).succeeded(4) == 4 / (2.0 * RATE_SHARE)
+    assert ReadPacing(settings(drain_ms=3000.0)).pause_after_success(1) == 0.6
+    assert ReadPacing(settings(drain_ms=100.0)).pause_after_success(1) == MIN_INTERVAL_S
+    assert ReadPacing(settings(drain_ms=60_000.0)).pause_after_success(1) == MAX_INTERVAL_S
+    assert ReadPacing(settings(rate_per_s=2.0)).pause_after_success(4) == 4 / (2.0 * RATE_SHARE)
     pacing = ReadPacing(settings(drain_ms=3000.0))
-    pauses = [pacing.failed(1) for _ in range(6)]
+    pauses = [pacing.pause_after_failure(1) for _ in range(6)]
     assert pauses[0] == 0.6
     assert pauses == sorted(pauses)
     assert pauses[-1] == 2.0
-    assert pacing.succeeded(1) == 0.6
+    assert pacing.pause_after_success(1) == 0.6
 
 
 def test_all_pages_make_one_list() -> None:
--- a/tests/tier/test_control_emptying.py
+++ b/tests/tier/test_control_emptying.py
@@ -47,8 +47,14 @@
 @pytest.mark.parametrize(
     ("changes", "reason"),
     [
-        ({"members": (member(1), member(2), member(3))}, "the store group counts on disk-3"),
-        ({"members": (member(1), member(2), member(3, disk="new"))}, "the store group counts on new"),
+        (
+            {"members": (member(1), member(2), member(3))},
+            "the store group still has members on the machine: disk-3",
+        ),
+        (
+            {"members": (member(1), member(2), member(3, disk="new"))},
+            "the store group still has members on the machine: new",
+        ),
         ({"members": (member(1), member(2))}, "the store group has 2 members of 3"),
         ({"excluded": frozenset()}, "the store group has not excluded disk-3"),
         ({"revision": 4}, "the store group's primary does not know the order yet"),
@@ -63,15 +69,15 @@
     [
         (
             {"members": (member(1), member(2), member(3, name="", disk="first-10.0.0.3"))},
-            "the controller group counts on first-10.0.0.3",
+            "the controller group still has members on the machine: first-10.0.0.3",
         ),
         (
             {"members": (member(1), member(2), member(3, name="", disk="unheard"))},
-            "the controller group counts on unheard",
+            "the controller group still has members on the machine: unheard",
         ),
         (
             {"members": (member(1), member(2), member(8, name="m3", disk="moved"))},
-            "the controller group counts on moved",
+            "the controller group still has members on the machine: moved",
         ),
         ({"members": (member(1), member(2))}, "the controller group has 2 members of 3"),
         ({"excluded": frozenset()}, "the controller group has not excluded first-10.0.0.3"),
--- a/tests/tier/test_control_introduction.py
+++ b/tests/tier/test_control_introduction.py
@@ -16,7 +16,7 @@
 from cherrycove.tier.controlplane.leadership import HINT_FRESH_S, Introduction, Leadership
 from cherrycove.tier.controlplane.primary_introduction import (
     INTERVAL_S,
-    MAX_PAUSE_S,
+    MAX_BACKOFF_S,
     PrimaryIntroduction,
     introduction_in,
 )
@@ -118,7 +118,7 @@
         await one.passes(LENGTH_S)
         times = [at for at, address, _ in one.caller.calls if address == STANDBY]
         pauses = [later - earlier for earlier, later in zip(times, times[1:], strict=False)]
-        assert pauses[0] < 3 * INTERVAL_S and MAX_PAUSE_S <= max(pauses) < MAX_PAUSE_S + 2 * INTERVAL_S
+        assert pauses[0] < 3 * INTERVAL_S and MAX_BACKOFF_S <= max(pauses) < MAX_BACKOFF_S + 2 * INTERVAL_S
         assert OTHER in one.caller.addresses()  # it fell silent meanwhile
         sent = one.caller.calls[0][2].announcement
         assert sent.group_primary and sent.incarnation == "a"
--- a/tests/tier/test_control_register.py
+++ b/tests/tier/test_control_register.py
@@ -54,9 +54,9 @@
 def test_gone_processes_are_remembered_for_a_while() -> None:
     register = ProcessRegistry()
     register.announce(store("s1"), 0.0)
-    register.forget_old(RETENTION_S - 0.1)
+    register.remove_expired(RETENTION_S - 0.1)
     assert len(register.recently_seen("store")) == 1
-    register.forget_old(RETENTION_S)
+    register.remove_expired(RETENTION_S)
     assert register.recently_seen("store") == []
 
 
--- a/tests/tier/test_control_store_group.py
+++ b/tests/tier/test_control_store_group.py
@@ -9,9 +9,9 @@
 
 from cherrycove.tier.controlplane.process_registry import Registration
 from cherrycove.tier.controlplane.store_group_bootstrap import (
-    GATHER_S,
-    LAST_RESORT_S,
-    SPARSE_GATHER_S,
+    DISCOVERY_PERIOD_S,
+    DISCOVERY_TIMEOUT_S,
+    PARTIAL_DISCOVERY_PERIOD_S,
     StoreGroupBootstrap,
 )
 from cherrycove.tier.controlplane.store_inventory import StoreInventory, order_updates, record_updates
@@ -46,8 +46,8 @@
     stores = heard(store("s1", zone="a"), store("s2", zone="a"), store("s3", zone="b"), store("s4", zone="c"))
     assert chosen(group, stores[:1], 0.0) == []
     assert chosen(group, stores, 0.3) == []
-    assert chosen(group, stores, GATHER_S) == ["s1", "s3", "s4"]
-    replicas = group.choose(stores, GATHER_S)
+    assert chosen(group, stores, DISCOVERY_PERIOD_S) == ["s1", "s3", "s4"]
+    replicas = group.choose(stores, DISCOVERY_PERIOD_S)
     assert replicas[0].address == "127.0.0.1:7001"
     assert replicas[0].member_id == "disk-s1"
 
@@ -56,38 +56,38 @@
     group = forming()
     two = heard(store("s1"), store("s2"))
     assert chosen(group, two, 0.0) == []
-    assert chosen(group, two, GATHER_S) == []
-    assert chosen(group, two, SPARSE_GATHER_S) == ["s1", "s2"]
+    assert chosen(group, two, DISCOVERY_PERIOD_S) == []
+    assert chosen(group, two, PARTIAL_DISCOVERY_PERIOD_S) == ["s1", "s2"]
     alone = forming()
     assert chosen(alone, two[:1], 0.0) == []
-    assert chosen(alone, two[:1], SPARSE_GATHER_S) == []
-    assert chosen(alone, two[:1], LAST_RESORT_S) == ["s1"]
+    assert chosen(alone, two[:1], PARTIAL_DISCOVERY_PERIOD_S) == []
+    assert chosen(alone, two[:1], DISCOVERY_TIMEOUT_S) == ["s1"]
 
 
 def test_a_store_that_just_came_puts_a_sparse_group_off() -> None:
     group = forming()
     assert chosen(group, heard(store("s1")), 0.0) == []
-    late = SPARSE_GATHER_S - 0.1
+    late = PARTIAL_DISCOVERY_PERIOD_S - 0.1
     assert chosen(group, heard(store("s1"), store("s2")), late) == []
-    assert chosen(group, heard(store("s1"), store("s2")), late + GATHER_S / 2) == []
-    assert chosen(group, heard(store("s1"), store("s2")), late + GATHER_S) == ["s1", "s2"]
+    assert chosen(group, heard(store("s1"), store("s2")), late + DISCOVERY_PERIOD_S / 2) == []
+    assert chosen(group, heard(store("s1"), store("s2")), late + DISCOVERY_PERIOD_S) == ["s1", "s2"]
 
 
 def test_without_first_starts_whatever_is_alive_is_taken_last() -> None:
     group = forming()
     stores = heard(store("s1", first_start=False), store("s2", first_start=False))
     assert chosen(group, stores, 0.0) == []
-    assert chosen(group, stores, SPARSE_GATHER_S + GATHER_S) == []
-    assert chosen(group, stores, LAST_RESORT_S) == ["s1", "s2"]
+    assert chosen(group, stores, PARTIAL_DISCOVERY_PERIOD_S + DISCOVERY_PERIOD_S) == []
+    assert chosen(group, stores, DISCOVERY_TIMEOUT_S) == ["s1", "s2"]
 
 
 def test_stores_that_leave_or_were_only_told_of_are_not_taken() -> None:
     group = forming(machine_failures=0)
     stores = heard(store("s1", leaving=True), store("s2", member_id="")) + heard(store("s3"), inherited=True)
     assert chosen(group, stores, 0.0) == []
-    assert chosen(group, stores, LAST_RESORT_S) == []
-    assert chosen(group, stores + heard(store("s4")), LAST_RESORT_S) == []
-    assert chosen(group, stores + heard(store("s4")), LAST_RESORT_S + GATHER_S) == ["s4"]
+    assert chosen(group, stores, DISCOVERY_TIMEOUT_S) == []
+    assert chosen(group, stores + heard(store("s4")), DISCOVERY_TIMEOUT_S) == []
+    assert chosen(group, stores + heard(store("s4")), DISCOVERY_TIMEOUT_S + DISCOVERY_PERIOD_S) == ["s4"]
 
 
 def inventory(order: RetireOrder, *alive: Announcement, inherited: bool = False) -> StoreInventory:
--- a/tests/tier/test_control_store_maintenance.py
+++ b/tests/tier/test_control_store_maintenance.py
@@ -115,7 +115,7 @@
 
 def test_a_primary_that_heard_nobody_completes_by_committed_lists_alone() -> None:
     async def play(scene: Scene) -> None:
-        await scene.stores.work()
+        await scene.stores.reconcile()
         assert scene.caller.called == ["127.0.0.1:7001 store-members"]
         assert scene.completed
 
@@ -125,10 +125,10 @@
 def test_without_an_answer_of_the_store_groups_primary_nothing_is_completed() -> None:
     async def play(scene: Scene) -> None:
         scene.caller.answers.clear()
-        await scene.stores.work()
+        await scene.stores.reconcile()
         not_primary = Failure(ErrorKind.NOT_PRIMARY, "does not lead")
         scene.caller.answers["127.0.0.1:7001"] = lambda: Err(not_primary)
-        await scene.stores.work()
+        await scene.stores.reconcile()
         assert not scene.completed
 
     everything_looks_well = store("s1", group_primary=True, group_members=["disk-s1", "disk-s2", "disk-s4"])
@@ -138,10 +138,10 @@
 def test_a_change_of_the_keepers_members_that_is_open_holds_the_machine_back() -> None:
     async def play(scene: Scene) -> None:
         scene.group.change_open = True
-        await scene.stores.work()
+        await scene.stores.reconcile()
         assert not scene.completed
         scene.group.change_open = False
-        await scene.stores.work()
+        await scene.stores.reconcile()
         assert scene.completed
 
     run(play)
@@ -154,10 +154,10 @@
         membership = ControllerGroupMembership(SETTINGS, scene.group, scene.state)
         membership.update_standbys([])
         assert scene.group.retiring == {"s3", "first-127.0.0.1"}
-        await scene.stores.work()
+        await scene.stores.reconcile()
         assert not scene.completed
         last.identity = MemberIdentity("keeper-9", "core-9", "10.0.0.9:7000")
-        await scene.stores.work()
+        await scene.stores.reconcile()
         assert scene.completed
 
     run(play)
@@ -171,7 +171,7 @@
 
         scene.caller.answers["127.0.0.1:7001"] = answer
         proposed = scene.replicas.proposed
-        await scene.stores.work()
+        await scene.stores.reconcile()
         assert scene.replicas.proposed == proposed
 
     run(play)
@@ -188,10 +188,10 @@
             return Ok(scene.reply)
 
         scene.caller.answers["127.0.0.1:7001"] = answer
-        await scene.stores.work()
+        await scene.stores.reconcile()
         assert not scene.completed
         scene.reply.excluded.append("disk-new")
-        await scene.stores.work()
+        await scene.stores.reconcile()
         assert scene.completed
 
     run(play)
