--- a/cherrycove/tier/controlplane/leadership.py
+++ b/cherrycove/tier/controlplane/leadership.py
@@ -16,7 +16,7 @@
 # A listed member that receives no heartbeats for this time, while a primary answers its pulls, was removed
 # from the group.
 NO_HEARTBEAT_TIMEOUT_S = 1.5
-HINT_FRESH_S = 3.0  # maximum age of the last contact with a primary to which callers are directed
+HINT_MAX_AGE_S = 3.0  # maximum age of the last contact with a primary to which callers are directed
 
 
 @attrs.frozen
@@ -59,10 +59,10 @@
         return self._group.is_confirmed_primary()
 
     def record_introduction(self, introduction: Introduction) -> None:
-        """Store ``introduction``, unless one of a newer epoch was received within ``HINT_FRESH_S``."""
+        """Store ``introduction``, unless one of a newer epoch was received within ``HINT_MAX_AGE_S``."""
         known = self._introduction
         is_outdated = known is not None and introduction.epoch < known.epoch
-        if known is None or not is_outdated or introduction.received_at - known.received_at >= HINT_FRESH_S:
+        if known is None or not is_outdated or introduction.received_at - known.received_at >= HINT_MAX_AGE_S:
             self._introduction = introduction
 
     def primary_address(self) -> str:
@@ -105,7 +105,7 @@
 
     def _usable_address(self, address: str, seen_at: float, now: float) -> str:
         """Return ``address`` if it was seen recently and is not this controller's own, else empty."""
-        if now - seen_at >= HINT_FRESH_S or address == self._group.identity.address:
+        if now - seen_at >= HINT_MAX_AGE_S or address == self._group.identity.address:
             return ""
         return address
 
--- a/cherrycove/tier/distribution/cluster_view.py
+++ b/cherrycove/tier/distribution/cluster_view.py
@@ -46,8 +46,8 @@
         """Register ``callback``, which is called after each update."""
         self._listeners.append(callback)
 
-    def changed(self) -> None:
-        """Call the listeners; called after each update."""
+    def notify_listeners(self) -> None:
+        """Call all listeners; the writer of the view calls this after each update."""
         for callback in self._listeners:
             callback()
 
--- a/cherrycove/tier/distribution/cluster_view_updater.py
+++ b/cherrycove/tier/distribution/cluster_view_updater.py
@@ -44,7 +44,7 @@
         for update in applied:
             self._versions.advance(update.version)
         if applied:
-            self._view.changed()
+            self._view.notify_listeners()
         self._has_unreadable = len(applied) < len(newer)
         return bool(applied)
 
--- a/tests/tier/dataplane_world.py
+++ b/tests/tier/dataplane_world.py
@@ -156,7 +156,7 @@
             self.views.configuration = parse_configuration(self.document).unwrap()
             self.views.document = self.document
         self.views.brokers = tuple(entry(each) for each in (self.brokers if listed is None else listed))
-        self.views.changed()
+        self.views.notify_listeners()
 
     async def client(self) -> Client:
         client = await Client.connect(self.settings.listen_addresses.frontend)
--- a/tests/tier/test_control_cut_off.py
+++ b/tests/tier/test_control_cut_off.py
@@ -161,7 +161,7 @@
     async def exchange() -> None:
         async with World(2) as world:
             await prepared(world)
-            monkeypatch.setattr(leadership_module, "HINT_FRESH_S", 0.0)
+            monkeypatch.setattr(leadership_module, "HINT_MAX_AGE_S", 0.0)
             approved(await ask(world, 1), UNDECIDED)
 
     asyncio.run(exchange())
--- a/tests/tier/test_control_introduction.py
+++ b/tests/tier/test_control_introduction.py
@@ -13,7 +13,7 @@
 
 from cherrycove.tier.controlplane.controller import Controller
 from cherrycove.tier.controlplane.controller_contacts import ControllerContacts
-from cherrycove.tier.controlplane.leadership import HINT_FRESH_S, Introduction, Leadership
+from cherrycove.tier.controlplane.leadership import HINT_MAX_AGE_S, Introduction, Leadership
 from cherrycove.tier.controlplane.primary_introduction import (
     INTERVAL_S,
     MAX_BACKOFF_S,
@@ -144,7 +144,7 @@
         assert refused.err_value.kind is ErrorKind.NOT_PRIMARY
         assert one.contacts.suggested == [OTHER]
         assert (await one.pull(announcement("10.0.9.9", 0, program="proxy"))).err_value.primary == OTHER
-        await asyncio.sleep(HINT_FRESH_S)
+        await asyncio.sleep(HINT_MAX_AGE_S)
         assert (await one.pull(announcement("10.0.9.9", 0, program="proxy"))).err_value.primary == ""
 
     run(story())
@@ -182,8 +182,8 @@
         leadership.record_introduction(Introduction(SELF, 99, now))
         replicas.lead(None)
         assert leadership.primary_address() == ""  # nobody is pointed to itself
-        await asyncio.sleep(HINT_FRESH_S)
-        leadership.record_introduction(Introduction(OTHER, 8, now + HINT_FRESH_S))
+        await asyncio.sleep(HINT_MAX_AGE_S)
+        leadership.record_introduction(Introduction(OTHER, 8, now + HINT_MAX_AGE_S))
         assert leadership.primary_address() == OTHER  # an epoch that nobody leads blocks no later word
 
     run(story())
--- a/tests/tier/test_dataplane_items.py
+++ b/tests/tier/test_dataplane_items.py
@@ -196,7 +196,7 @@
             document = json.loads(configuration_bytes(moved, version=2))
             document["services"].append({**document["services"][0], "name": "other"})
             world.views.configuration = parse_configuration(json.dumps(document).encode()).unwrap()
-            world.views.changed()
+            world.views.notify_listeners()
             assert (await run).text == TEXT
             assert len(new.received) == 1
             release.set()
@@ -288,7 +288,7 @@
             held.set()
             assert (await client).status == 200
             world.views.brokers = (entry(brokers[0], draining=True), entry(brokers[1]))
-            world.views.changed()
+            world.views.notify_listeners()
             assert executor.load() == ExecutorLoad(slots["i-1"], 0, {"i-1": slots["i-1"]})
 
     asyncio.run(story())
@@ -304,7 +304,7 @@
                 )
                 for number in range(MAX_OFFERED_BROKERS + 9)
             )  # fmt: skip
-            world.views.changed()
+            world.views.notify_listeners()
             load = world.plane.executor.load()
             assert load.broker_slots == 8 * (MAX_OFFERED_BROKERS + 9)
             assert len(load.usable_brokers) == MAX_OFFERED_BROKERS
