--- a/tests/tier/control_support.py
+++ b/tests/tier/control_support.py
@@ -61,9 +61,9 @@
         self.standbys: tuple[MemberIdentity, ...] = ()
         self.standbys_offered = asyncio.Event()
         self.retiring: frozenset[str] = frozenset()
-        self.cut_off = False  # hears of no other replica any more
-        self.listed_here = True  # is a member
-        self.change_open = False  # a change of members is not committed yet
+        self.is_partitioned = False  # hears of no other replica any more
+        self.is_member = True  # is a member
+        self.membership_change_pending = False  # a change of members is not committed yet
         self.excluded: set[str] = set()
         self.callbacks: list[Callable[[], None]] = []
 
@@ -74,22 +74,22 @@
     @property
     def primary(self) -> MemberIdentity | None:
         leader = self._replicas.leader
-        return None if leader is None or self.cut_off else leader.identity
+        return None if leader is None or self.is_partitioned else leader.identity
 
     @property
     def members(self) -> tuple[MemberIdentity, ...]:
-        return tuple(group.identity for group in self._replicas.groups if group.listed_here)
+        return tuple(group.identity for group in self._replicas.groups if group.is_member)
 
     def voting_member_ids(self) -> frozenset[str]:
         return frozenset(member.member_id for member in self.members)
 
     def committed_members(self) -> CommittedMembers | None:
-        if not self.is_confirmed_primary() or self.change_open:
+        if not self.is_confirmed_primary() or self.membership_change_pending:
             return None
         return CommittedMembers(1, self.members, frozenset(self.excluded))
 
     def is_confirmed_primary(self) -> bool:
-        return self._replicas.leader is self and self._replicas.lease and not self.cut_off
+        return self._replicas.leader is self and self._replicas.lease and not self.is_partitioned
 
     async def propose(self, command: bytes, timeout_s: float) -> Result[object, Failure]:
         return await self._replicas.propose(self, command)
@@ -216,7 +216,9 @@
         self.control_port, self.internal_port, platform_port = free_ports(3, self.hosts, following=1)
         self.replicas = MemoryReplicas()
         self.platform = PlatformList(f"127.0.0.1:{platform_port}")
-        self.keepers = [KeeperNode(self, self.settings(host, machine_failures)) for host in self.hosts]
+        self.controllers = [
+            ControllerNode(self, self.settings(host, machine_failures)) for host in self.hosts
+        ]
         self.http: aiohttp.ClientSession | None = None
         self.transcript: list[str] = []
         self._closers: list[Callable[[], Awaitable[None]]] = []
@@ -239,21 +241,21 @@
     async def __aenter__(self) -> World:
         self.http = aiohttp.ClientSession()
         await self.platform.start()
-        for keeper in self.keepers:
+        for keeper in self.controllers:
             await keeper.start()
         return self
 
     async def __aexit__(self, *_: object) -> None:
         for close in reversed(self._closers):
             await close()
-        for keeper in self.keepers:
+        for keeper in self.controllers:
             await keeper.stop()
         await self.platform.stop()
         assert self.http is not None
         await self.http.close()
 
     def lead(self, number: int | None, lease: bool = True) -> None:
-        self.replicas.lead(None if number is None else self.keepers[number].group, lease)
+        self.replicas.lead(None if number is None else self.controllers[number].group, lease)
 
     async def client(self, announcement: Announcement) -> Client:
         """A process of the tier that pulls from the keepers."""
@@ -307,7 +309,7 @@
         return "unreadable"
 
 
-class KeeperNode:
+class ControllerNode:
     """One keeper process, without its replication."""
 
     def __init__(self, world: World, settings: Settings) -> None:
@@ -318,11 +320,13 @@
             f"disk-{settings.node_name}", settings.node_name, self.address, settings.zone
         )
         self.group = world.replicas.add(identity, self.state)
-        self.views = ClusterView()
+        self.cluster_view = ClusterView()
         self._server = RpcServer()
         self.client = RpcClient()
-        self.keeper = Controller(settings, self.group, self.state, self._server, self.client, self.views)
-        self._puller = Puller(settings, self.client, self.views, self._announce)
+        self.controller = Controller(
+            settings, self.group, self.state, self._server, self.client, self.cluster_view
+        )
+        self._puller = Puller(settings, self.client, self.cluster_view, self._announce)
 
     def _announce(self) -> Announcement:
         return Announcement(
@@ -334,20 +338,20 @@
             group_epoch=self.group.epoch,
         )
 
-    async def seeds_cut_off(self) -> None:
+    async def isolate_from_seeds(self) -> None:
         """No pull of this process reaches a keeper any more, and what it learned from them is old."""
         await self._puller.stop()
-        self.views.last_contact = float("-inf")
+        self.cluster_view.last_contact = float("-inf")
 
     async def start(self) -> None:
         await self.client.start()
-        await self.keeper.start()
+        await self.controller.start()
         await self._server.start(self.address)
         await self._puller.start()
 
     async def stop(self) -> None:
         await self._puller.stop()
-        await self.keeper.stop()
+        await self.controller.stop()
         await self._server.stop()
         await self.client.stop()
 
@@ -385,11 +389,11 @@
 
     def __init__(self, settings: Settings, announcement: Announcement) -> None:
         self.announcement = announcement
-        self.views = ClusterView()
+        self.cluster_view = ClusterView()
         self._rpc = RpcClient()
-        self.puller = Puller(settings, self._rpc, self.views, lambda: self.announcement)
+        self.puller = Puller(settings, self._rpc, self.cluster_view, lambda: self.announcement)
         self._changed = asyncio.Event()
-        self.views.on_change(self._note)
+        self.cluster_view.on_change(self._note)
 
     def _note(self) -> None:
         self._changed.set()
@@ -406,7 +410,7 @@
     async def until(self, holds: Callable[[ClusterView], bool]) -> None:
         """Wait for an update after which ``holds`` is true."""
         async with asyncio.timeout(STEP_TIMEOUT_S):
-            while not holds(self.views):
+            while not holds(self.cluster_view):
                 await self._changed.wait()
 
 
--- a/tests/tier/test_control_brokers.py
+++ b/tests/tier/test_control_brokers.py
@@ -127,14 +127,14 @@
             await watcher.until(lambda views: len(views.brokers) == 2)
             world.platform.down = True
             async with asyncio.timeout(10.0):
-                while not world.keepers[1].views.brokers:
+                while not world.controllers[1].cluster_view.brokers:
                     await world.platform.called.wait()
             world.lead(1)
             starts = await world.client(Announcement(node_name="f1", program="proxy", incarnation="1"))
             await starts.until(lambda views: len(views.members) > 0)
-            assert starts.views.brokers == ()
+            assert starts.cluster_view.brokers == ()
             await starts.until(lambda views: len(views.brokers) > 0)
-            assert starts.views.brokers == watcher.views.brokers
+            assert starts.cluster_view.brokers == watcher.cluster_view.brokers
 
     asyncio.run(exchange())
 
@@ -150,12 +150,12 @@
             world.platform.failures[0] = 429
             world.platform.pages = [[instance("i-1")], [instance("i-2", state="draining")]]
             await client.until(lambda views: len(views.brokers) == 2)
-            assert [broker.draining for broker in client.views.brokers] == [False, True]
+            assert [broker.draining for broker in client.cluster_view.brokers] == [False, True]
             world.platform.down = True
             world.lead(1)
             epoch = world.replicas.epoch
             await client.until(lambda views: any(one.group_epoch == epoch for one in views.members))
-            assert len(client.views.brokers) == 2
+            assert len(client.cluster_view.brokers) == 2
             world.platform.pages = [[instance("i-9")]]
             world.platform.down = False
             await client.until(lambda views: [one.instance_id for one in views.brokers] == ["i-9"])
--- a/tests/tier/test_control_controller.py
+++ b/tests/tier/test_control_controller.py
@@ -30,7 +30,7 @@
             for version, base in ((3, "0"), (5, "3")):
                 await world.operator(0, "PUT", "/api/configuration", document(version), base)
                 await client.until(lambda views, n=version: has_version(views, n))  # type: ignore[misc]
-                assert client.views.document == document(version)
+                assert client.cluster_view.document == document(version)
 
     asyncio.run(exchange())
 
@@ -47,7 +47,7 @@
             await client.until(lambda views: has_version(views, 5))
             epoch = world.replicas.epoch
             await client.until(lambda views: {one.group_epoch for one in views.members} == {0, epoch})
-            assert len(client.views.members) == 4
+            assert len(client.cluster_view.members) == 4
 
     asyncio.run(exchange())
 
@@ -58,7 +58,7 @@
             world.lead(0)
             client = await world.client(proxy("f1"))
             await client.until(lambda views: len(views.members) == 3)
-            await world.keepers[0].stop()
+            await world.controllers[0].stop()
             world.lead(1)
             await world.operator(1, "PUT", "/api/configuration", document(3), "0")
             await client.until(lambda views: views.configuration is not None)
@@ -73,8 +73,8 @@
             stores = [await world.client(store(f"s{number}")) for number in range(1, 5)]
             last = stores[-1]
             await last.until(lambda views: len(views.store_group.initial) == 3)
-            assert [one.node_name for one in last.views.store_group.initial] == ["s1", "s2", "s3"]
-            assert [one.member_id for one in world.keepers[0].state.initial_stores] == [
+            assert [one.node_name for one in last.cluster_view.store_group.initial] == ["s1", "s2", "s3"]
+            assert [one.member_id for one in world.controllers[0].state.initial_stores] == [
                 "disk-s1",
                 "disk-s2",
                 "disk-s3",
@@ -92,11 +92,11 @@
                 node_name="core-9", program="keeper", ip="127.0.0.1", member_id="disk-9", incarnation="1"
             )
             await world.client(newcomer)
-            group = world.keepers[0].group
+            group = world.controllers[0].group
             async with asyncio.timeout(10.0):
                 await group.standbys_offered.wait()
             assert [one.node_name for one in group.standbys] == ["core-9"]
-            assert group.standbys[0].address == world.keepers[0].address
+            assert group.standbys[0].address == world.controllers[0].address
 
     asyncio.run(exchange())
 
@@ -124,12 +124,12 @@
             await world.operator(0, "PUT", "/api/configuration", document(3), "0")
             world.lead(0, lease=False)
             request = PullRequest(announcement=proxy("f1"), wait_ms=0)
-            node = world.keepers[1]
-            own = await node.client.call(world.keepers[0].address, PULL, request, 5.0)
+            node = world.controllers[1]
+            own = await node.client.call(world.controllers[0].address, PULL, request, 5.0)
             other = await node.client.call(node.address, PULL, request, 5.0)
             assert own.unwrap_err().kind.value == "not_primary"
             assert own.unwrap_err().primary == ""
-            assert other.unwrap_err().primary == world.keepers[0].address
+            assert other.unwrap_err().primary == world.controllers[0].address
 
     asyncio.run(exchange())
 
@@ -138,16 +138,16 @@
     async def exchange() -> None:
         async with World(2) as world:
             world.lead(0)
-            node = world.keepers[1]
+            node = world.controllers[1]
             has_all = [TopicVersion(topic=topic, epoch=99, sequence=1) for topic in ("members", "brokers")]
             request = PullRequest(announcement=proxy("f1"), versions=has_all, wait_ms=4000)
-            call = node.client.call(world.keepers[0].address, PULL, request, 10.0)
+            call = node.client.call(world.controllers[0].address, PULL, request, 10.0)
             held = asyncio.create_task(call)
             watcher = await world.client(proxy("f2"))
             await watcher.until(lambda views: any(one.node_name == "f1" for one in views.members))
             assert not held.done()
             world.lead(1)
-            assert (await held).unwrap_err().primary == world.keepers[1].address
+            assert (await held).unwrap_err().primary == world.controllers[1].address
 
     asyncio.run(exchange())
 
@@ -160,9 +160,9 @@
             await world.operator(0, "PUT", "/api/configuration", document(3), "0")
             client = await world.client(proxy("f1"))
             await client.until(lambda views: len(views.brokers) == 1 and len(views.members) == 3)
-            node = world.keepers[1]
+            node = world.controllers[1]
             replies = []
-            for keeper in world.keepers:
+            for keeper in world.controllers:
                 outcome = await node.client.call(keeper.address, STATUS, StatusRequest(), 5.0)
                 replies.append(outcome.unwrap())
             assert [reply.confirmed for reply in replies] == [True, False]
--- a/tests/tier/test_control_cut_off.py
+++ b/tests/tier/test_control_cut_off.py
@@ -38,13 +38,15 @@
 
 
 async def pull(world: World, keeper: int) -> str:
-    node = world.keepers[keeper]
+    node = world.controllers[keeper]
     announcement = Announcement(node_name="f1", program="proxy", incarnation="1")
     request = PullRequest(announcement=announcement, wait_ms=0)
     outcome = await node.client.call(node.address, PULL, request, STEP_TIMEOUT_S)
     if isinstance(outcome, Err):
         hint = outcome.err_value.primary
-        named = next((f"keeper {n}" for n, one in enumerate(world.keepers) if one.address == hint), "nobody")
+        named = next(
+            (f"keeper {n}" for n, one in enumerate(world.controllers) if one.address == hint), "nobody"
+        )
         return f"pull -> {outcome.err_value.kind.value}, points to {named}"
     updates = outcome.ok_value.updates
     versions = [one.configuration.version for one in updates if one.HasField("configuration")]
@@ -60,7 +62,7 @@
     world.lead(0)
     await world.operator(0, "PUT", CONFIGURATION, document(3), "0")
     formed = FormStoreGroup(initial=[replica(name) for name in ("s1", "s2", "s3")])
-    await world.keepers[0].group.propose(Command(form_store_group=formed).SerializeToString(), 1.0)
+    await world.controllers[0].group.propose(Command(form_store_group=formed).SerializeToString(), 1.0)
 
 
 UNDECIDED = """
@@ -89,7 +91,7 @@
             world.replicas.lease = False
             approved(await ask(world, 0), UNDECIDED)
             world.replicas.lease = True
-            world.keepers[0].group.cut_off = True
+            world.controllers[0].group.is_partitioned = True
             approved(await ask(world, 0), UNDECIDED)
             assert world.replicas.committed == 2
 
@@ -127,7 +129,7 @@
         async with World(2) as world:
             await prepared(world)
             approved(await ask(world, 1), POINTS_TO_KEEPER_0)
-            world.keepers[1].group.cut_off = True
+            world.controllers[1].group.is_partitioned = True
             approved(await ask(world, 1), UNDECIDED)
 
     asyncio.run(exchange())
@@ -150,7 +152,7 @@
 def test_a_member_whose_seeds_are_cut_off() -> None:
     async def exchange() -> None:
         async with World(2) as world:
-            await world.keepers[1].seeds_cut_off()
+            await world.controllers[1].isolate_from_seeds()
             await prepared(world)
             approved(await ask(world, 1), POINTS_TO_KEEPER_0)
 
@@ -170,9 +172,9 @@
 def test_a_keeper_outside_the_group_points_to_whom_answers_its_pulls() -> None:
     async def exchange() -> None:
         async with World(2) as world:
-            group = world.keepers[1].group
-            group.listed_here = False
-            group.cut_off = True
+            group = world.controllers[1].group
+            group.is_member = False
+            group.is_partitioned = True
             await prepared(world)
             client = await world.client(Announcement(node_name="f2", program="proxy", incarnation="1"))
             await client.until(lambda views: any(one.node_name == "core-2" for one in views.members))
@@ -184,10 +186,10 @@
 def test_a_keeper_outside_the_group_whose_seeds_are_cut_off() -> None:
     async def exchange() -> None:
         async with World(2) as world:
-            group = world.keepers[1].group
-            group.listed_here = False
-            group.cut_off = True
-            await world.keepers[1].seeds_cut_off()
+            group = world.controllers[1].group
+            group.is_member = False
+            group.is_partitioned = True
+            await world.controllers[1].isolate_from_seeds()
             await prepared(world)
             approved(await ask(world, 1), UNDECIDED)
 
@@ -198,11 +200,11 @@
     async def exchange() -> None:
         async with World(3) as world:
             await prepared(world)
-            for cut in (world.keepers[0], world.keepers[1]):
-                await cut.seeds_cut_off()
+            for cut in (world.controllers[0], world.controllers[1]):
+                await cut.isolate_from_seeds()
             world.lead(2)
-            world.keepers[0].group.cut_off = True
-            world.keepers[1].group.cut_off = True
+            world.controllers[0].group.is_partitioned = True
+            world.controllers[1].group.is_partitioned = True
             both = await asyncio.gather(ask_quietly(world, 0), ask_quietly(world, 1))
             assert both == [{503}, {503}]
             await world.operator(2, "PUT", CONFIGURATION, document(9), "3")
@@ -227,7 +229,7 @@
         async with World(2) as world:
             await prepared(world)
             order = Retire(node_name="s2")
-            await world.keepers[0].group.propose(Command(retire=order).SerializeToString(), 1.0)
+            await world.controllers[0].group.propose(Command(retire=order).SerializeToString(), 1.0)
             world.lead(1)
             first = len(world.transcript)
             await world.operator(1, "POST", "/api/retire/s1", b"{}")
@@ -235,7 +237,9 @@
             await world.operator(1, "POST", "/api/retire/s2", b"{}")
             await world.operator(1, "GET", "/api/retire/s2")
             await world.operator(1, "PUT", CONFIGURATION, document(9), "3")
-            world.keepers[1].keeper.directory.leading_since -= 10.0  # a term without a single announcement
+            world.controllers[
+                1
+            ].controller.directory.leading_since -= 10.0  # a term without a single announcement
             await world.operator(1, "POST", "/api/retire/s1", b"{}")
             await world.operator(1, "POST", "/api/retire/unknown", b"{}")
             approved(
@@ -260,16 +264,16 @@
             await prepared(world)
             stores = [await world.client(store(name)) for name in ("s1", "s2")]
             await stores[1].until(lambda views: len(views.stores()) == 2)
-            world.keepers[0].keeper.directory.leading_since -= 10.0
+            world.controllers[0].controller.directory.leading_since -= 10.0
             assert (await world.operator(0, "POST", "/api/retire/s1", b"{}"))[0] == 409
             machine = StoreMachine(node_name="s4", ip="127.0.0.9", store_id="disk-s4")
             record = Command(record_machines=RecordMachines(machines=[machine]))
-            await world.keepers[0].group.propose(record.SerializeToString(), 1.0)
+            await world.controllers[0].group.propose(record.SerializeToString(), 1.0)
             assert (await world.operator(0, "POST", "/api/retire/s1", b"{}"))[0] == 503
             assert (await world.operator(0, "POST", "/api/retire/s4", b"{}"))[0] == 503
             assert (await world.operator(0, "POST", "/api/retire/s9", b"{}"))[0] == 404
             # None of them came back in all that time.
-            world.keepers[0].keeper.directory.leading_since -= RETENTION_S
+            world.controllers[0].controller.directory.leading_since -= RETENTION_S
             assert (await world.operator(0, "POST", "/api/retire/s1", b"{}"))[0] == 409
 
     asyncio.run(exchange())
@@ -303,8 +307,10 @@
     async def exchange() -> None:
         async with World(1) as world:
             await prepared(world)
-            node = world.keepers[0]
-            decisions = ConfigurationService(node.group, node.state, Leadership(node.group, node.views))
+            node = world.controllers[0]
+            decisions = ConfigurationService(
+                node.group, node.state, Leadership(node.group, node.cluster_view)
+            )
             world.replicas.gate = asyncio.Event()
             first = asyncio.create_task(decisions.put(document(5), 3))
             await world.replicas.waiting.wait()
@@ -323,7 +329,7 @@
     async def exchange() -> None:
         async with World(1) as world:
             world.lead(0)
-            directory = world.keepers[0].keeper.directory
+            directory = world.controllers[0].controller.directory
             now = asyncio.get_running_loop().time()
             directory.registry.announce(store("s1"), now)
             directory.registry.announce(Announcement(node_name="f1", program="proxy", incarnation="1"), now)
@@ -331,7 +337,7 @@
             assert names == {"f1"}
             machine = StoreMachine(node_name="s1", ip="127.0.0.1", store_id="disk-s1")
             record = Command(record_machines=RecordMachines(machines=[machine]))
-            await world.keepers[0].group.propose(record.SerializeToString(), 1.0)
+            await world.controllers[0].group.propose(record.SerializeToString(), 1.0)
             names = {one.node_name for one in directory.members(now).members if one.program != "keeper"}
             assert names == {"f1", "s1"}
             directory.registry.announce(store("s1", incarnation="2", member_id="disk-new"), now)
--- a/tests/tier/test_control_operator.py
+++ b/tests/tier/test_control_operator.py
@@ -198,13 +198,13 @@
             await stores["s1"].until(lambda views: list(views.store_group.retiring) == ["s3"])
             await world.operator(0, "GET", "/api/retire/s3")
             group.members = [replica(name) for name in ("s1", "s2", "s4")]
-            group.revision = stores["s1"].views.store_group.revision
+            group.revision = stores["s1"].cluster_view.store_group.revision
             group.excluded = ["disk-s3"]
-            order = world.keepers[0].state.retire_orders
+            order = world.controllers[0].state.retire_orders
             await stores["s2"].until(lambda views: order["s3"].completed)
             _, body = await world.operator(0, "GET", "/api/retire/s3")
             assert json.loads(body) == {"state": "completed"}
-            assert world.keepers[0].group.retiring == {"s3", *order["s3"].keeper_ids}
+            assert world.controllers[0].group.retiring == {"s3", *order["s3"].keeper_ids}
             await world.operator(0, "GET", "/api/retire/s1")
             approved(
                 world,
@@ -236,7 +236,7 @@
             await world.operator(0, "PUT", CONFIGURATION, document(4, limits={}), "2")
             await world.operator(0, "PUT", CONFIGURATION, document(6), "4")
             await world.operator(0, "PUT", CONFIGURATION, document(6, limits={}), "4")
-            world.keepers[1].state.restore(world.keepers[0].state.snapshot())
+            world.controllers[1].state.restore(world.controllers[0].state.snapshot())
             world.lead(1)
             await world.operator(1, "PUT", CONFIGURATION, document(2), "0")
             await world.operator(1, "PUT", CONFIGURATION, document(6), "4")
@@ -276,7 +276,7 @@
             world.lead(1)
             await world.operator(1, "POST", "/api/retire/s4", b"{}")
             retired = Command(retired=Retired(node_name="s4", member_id="disk-s4"))
-            await world.keepers[1].group.propose(retired.SerializeToString(), 1.0)
+            await world.controllers[1].group.propose(retired.SerializeToString(), 1.0)
             await world.operator(1, "POST", "/api/retire/s4", b"{}")
             await world.operator(1, "GET", "/api/retire/s4")
             approved(
@@ -299,7 +299,7 @@
             world.lead(0)
             stores = [await world.client(store(f"s{number}")) for number in range(1, 5)]
             await stores[0].until(lambda views: len(views.stores()) == 4)
-            keeper = world.keepers[0].keeper
+            keeper = world.controllers[0].controller
             keeper.directory.leading_since -= RETENTION_S
             world.replicas.next_outcomes = ["uncertain_lost", "uncertain_lost"]
             await world.operator(0, "POST", "/api/retire/s4", b"{}")
--- a/tests/tier/test_control_store_maintenance.py
+++ b/tests/tier/test_control_store_maintenance.py
@@ -137,10 +137,10 @@
 
 def test_a_change_of_the_keepers_members_that_is_open_holds_the_machine_back() -> None:
     async def play(scene: Scene) -> None:
-        scene.group.change_open = True
+        scene.group.membership_change_pending = True
         await scene.stores.reconcile()
         assert not scene.completed
-        scene.group.change_open = False
+        scene.group.membership_change_pending = False
         await scene.stores.reconcile()
         assert scene.completed
 
@@ -232,7 +232,7 @@
             ("b", "s2", "127.0.0.2:1"),
         ]
         assert (list(reply.excluded), reply.revision, reply.epoch, reply.index) == (["x"], 8, 2, 1)
-        group.change_open = True
+        group.membership_change_pending = True
         assert (await service.members(StoreMembersRequest())).is_err()
 
     asyncio.run(exchange())
