--- a/cherrycove/tier/controlplane/store_group_reconciler.py
+++ b/cherrycove/tier/controlplane/store_group_reconciler.py
@@ -111,12 +111,12 @@
     def _store_addresses(self) -> list[str]:
         """Return the stores to ask: those that claim to lead, newest epoch first, then all known others."""
         alive = self._inventory().alive
-        leaders = [entry.announcement for entry in alive if entry.announcement.group_primary]
+        leaders = [peer.announcement for peer in alive if peer.announcement.group_primary]
         leaders.sort(key=lambda leader: leader.group_epoch, reverse=True)
-        others = [entry.announcement for entry in alive]
+        others = [peer.announcement for peer in alive]
         ips = [
-            *(store.ip for store in (*leaders, *others)),
-            *(machine.ip for machine in self._state.machines.values()),
+            *(peer.ip for peer in (*leaders, *others)),
+            *(peer.ip for peer in self._state.machines.values()),
         ]
         return [self._settings.peer_address(ip, STORE_PROGRAM) for ip in dict.fromkeys(ips) if ip]
 
--- a/tests/tier/control_support.py
+++ b/tests/tier/control_support.py
@@ -1,7 +1,7 @@
-"""What the tests of the control plane share: keepers on loopback, a group in memory, a platform's list.
+"""Provides controllers on loopback, an in-memory group and a fake platform to the control plane tests.
 
-Keepers listen at 127.0.0.1, 127.0.0.2 and so on, all at the same ports, as machines of a deployment do. Every
-wait ends on an event; ports are the system's choice.
+The controllers (programs ``keeper``) listen on 127.0.0.1, 127.0.0.2 and so on, all on the same ports, like
+the machines of a deployment. Every wait ends with an event; the system chooses the ports.
 """
 
 from __future__ import annotations
@@ -34,11 +34,11 @@
     Settings,
 )
 
-STEP_TIMEOUT_S = 10.0  # a test that waits longer has failed
+STEP_TIMEOUT_S = 10.0  # time limit of a single wait in a test
 
 
 def document(version: int, **changes: Any) -> bytes:
-    """A small valid configuration."""
+    """Return a small valid configuration."""
     route = {
         "name": "refunds",
         "hostname": "shop.example",
@@ -52,7 +52,7 @@
 
 
 class MemoryGroup:
-    """One replica's view of a group whose log is a list in memory."""
+    """Implements one replica of an in-memory group."""
 
     def __init__(self, replicas: MemoryReplicas, identity: MemberIdentity, state: ControlState) -> None:
         self._replicas = replicas
@@ -61,9 +61,9 @@
         self.standbys: tuple[MemberIdentity, ...] = ()
         self.standbys_offered = asyncio.Event()
         self.retiring: frozenset[str] = frozenset()
-        self.is_partitioned = False  # hears of no other replica any more
-        self.is_member = True  # is a member
-        self.membership_change_pending = False  # a change of members is not committed yet
+        self.is_partitioned = False  # True if the replica cannot communicate with the others
+        self.is_member = True
+        self.membership_change_pending = False  # True while a membership change is not committed
         self.excluded: set[str] = set()
         self.callbacks: list[Callable[[], None]] = []
 
@@ -107,7 +107,7 @@
 
 
 class MemoryReplicas:
-    """The group of all keepers of a test; the test decides who leads and what happens to a proposal."""
+    """Holds the replicas of a test's group; the test sets the primary and the outcomes of proposals."""
 
     def __init__(self) -> None:
         self.groups: list[MemoryGroup] = []
@@ -116,11 +116,10 @@
         self.epoch = 0
         self.committed = 0
         self.proposed = 0
-        self.gate: asyncio.Event | None = None  # proposals wait here while it is not None
-        self.waiting = asyncio.Event()  # a proposal has come to the gate
-        self.next_outcomes: list[
-            str
-        ] = []  # of the next proposals: uncertain_taken, uncertain_lost, not_primary
+        self.gate: asyncio.Event | None = None  # if set, proposals wait for this event
+        self.waiting = asyncio.Event()  # set when a proposal waits for ``gate``
+        # Outcomes of the next proposals: uncertain_committed, uncertain_lost or not_primary.
+        self.next_outcomes: list[str] = []
 
     def add(self, identity: MemberIdentity, state: ControlState) -> MemoryGroup:
         group = MemoryGroup(self, identity, state)
@@ -128,7 +127,7 @@
         return group
 
     def lead(self, leader: MemoryGroup | None, lease: bool = True) -> None:
-        """``leader`` leads from now on, in a newer epoch."""
+        """Make ``leader`` the primary in a new epoch, with a valid lease if ``lease``."""
         self.leader = leader
         self.lease = lease
         self.epoch += 1
@@ -141,29 +140,29 @@
         if self.gate is not None:
             self.waiting.set()
             await self.gate.wait()
-        outcome = self.next_outcomes.pop(0) if self.next_outcomes else "taken"
+        outcome = self.next_outcomes.pop(0) if self.next_outcomes else "committed"
         if outcome == "not_primary" or not group.is_confirmed_primary():
             return Err(Failure(ErrorKind.NOT_PRIMARY, "does not lead"))
         if outcome == "uncertain_lost":
             return Err(Failure(ErrorKind.UNCERTAIN, "no answer of the backups"))
         results = [replica.state.apply(self.committed, command) for replica in self.groups]
         self.committed += 1
-        if outcome == "uncertain_taken":
+        if outcome == "uncertain_committed":
             return Err(Failure(ErrorKind.UNCERTAIN, "no answer of the backups"))
         return Ok(results[self.groups.index(group)])
 
 
 class PlatformList:
-    """Stands in for the platform: pages of instances, a status to fail with, and events for each call."""
+    """Implements a fake platform with pages of instances, injected failures and an event for each call."""
 
     def __init__(self, address: str) -> None:
         self._address = address
         self._runner: web.AppRunner | None = None
         self.pages: list[list[dict[str, Any]]] = [[]]
-        self.endless = False
-        self.failures: dict[int, int] = {}  # status of the next call for the page of that number
+        self.endless = False  # True if every page refers to another one
+        self.failures: dict[int, int] = {}  # HTTP status of the next response, by page number
         self.down = False
-        self.calls: list[str] = []  # page tokens asked for
+        self.calls: list[str] = []  # requested page tokens
         self.called = asyncio.Event()
 
     async def start(self) -> None:
@@ -193,7 +192,7 @@
 
 
 def instance(name: str, **changes: Any) -> dict[str, Any]:
-    """One entry of the platform's list."""
+    """Return one entry of the platform's list."""
     return {
         "service": "ledger",
         "address": "10.0.0.9:8080",
@@ -209,10 +208,10 @@
 
 
 class World:
-    """Keepers, the platform and clients of one test."""
+    """Provides the controllers, the fake platform and the clients of one test."""
 
-    def __init__(self, keepers: int, machine_failures: int = 1) -> None:
-        self.hosts = [f"127.0.0.{number + 1}" for number in range(keepers)]
+    def __init__(self, controllers: int, machine_failures: int = 1) -> None:
+        self.hosts = [f"127.0.0.{number + 1}" for number in range(controllers)]
         self.control_port, self.internal_port, platform_port = free_ports(3, self.hosts, following=1)
         self.replicas = MemoryReplicas()
         self.platform = PlatformList(f"127.0.0.1:{platform_port}")
@@ -241,15 +240,15 @@
     async def __aenter__(self) -> World:
         self.http = aiohttp.ClientSession()
         await self.platform.start()
-        for keeper in self.controllers:
-            await keeper.start()
+        for controller in self.controllers:
+            await controller.start()
         return self
 
     async def __aexit__(self, *_: object) -> None:
         for close in reversed(self._closers):
             await close()
-        for keeper in self.controllers:
-            await keeper.stop()
+        for controller in self.controllers:
+            await controller.stop()
         await self.platform.stop()
         assert self.http is not None
         await self.http.close()
@@ -258,48 +257,48 @@
         self.replicas.lead(None if number is None else self.controllers[number].group, lease)
 
     async def client(self, announcement: Announcement) -> Client:
-        """A process of the tier that pulls from the keepers."""
+        """Start a process of the tier that pulls from the controllers."""
         client = Client(self.settings("127.0.0.1", node_name=announcement.node_name), announcement)
         self._closers.append(client.stop)
         await client.start()
         return client
 
     async def store_group(self, *names: str) -> StoreGroup:
-        """The store group's primary, at the address of all stores of a test."""
+        """Start a fake primary of the store group, at the address that all stores of a test share."""
         group = StoreGroup(self.settings("127.0.0.1").peer_address("127.0.0.1", "store"), *names)
         self._closers.append(group.stop)
         await group.start()
         return group
 
     async def operator(
-        self, keeper: int, method: str, path: str, body: bytes | None = None, if_match: str | None = None
+        self, controller: int, method: str, path: str, body: bytes | None = None, if_match: str | None = None
     ) -> tuple[int, bytes]:
-        """One call of the operator; the transcript gets a line of it."""
+        """Send one operator request and add a line to the transcript."""
         assert self.http is not None
         headers = {} if if_match is None else {"If-Match": if_match}
-        url = f"http://{self.hosts[keeper]}:{self.control_port}{path}"
+        url = f"http://{self.hosts[controller]}:{self.control_port}{path}"
         call = self.http.request(method, url, data=body, headers=headers, allow_redirects=False)
         async with asyncio.timeout(STEP_TIMEOUT_S), call as response:
             answer = await response.read()
-            self.transcript.append(self._line(keeper, method, path, body, if_match, response))
+            self.transcript.append(self._line(controller, method, path, body, if_match, response))
             return response.status, answer
 
     def _line(
         self,
-        keeper: int,
+        controller: int,
         method: str,
         path: str,
         body: bytes | None,
         if_match: str | None,
         response: aiohttp.ClientResponse,
     ) -> str:
-        told = "" if if_match is None else f" on {if_match}"
+        arguments = "" if if_match is None else f" on {if_match}"
         if body is not None and method == "PUT":
-            told = f" {_version(body)}{told}"
+            arguments = f" {_version(body)}{arguments}"
         location = response.headers.get("Location", "")
         for number, host in enumerate(self.hosts):
             location = location.replace(f"http://{host}:{self.control_port}", f"keeper {number}")
-        return f"keeper {keeper}: {method} {path}{told} -> {response.status} {location}".rstrip()
+        return f"keeper {controller}: {method} {path}{arguments} -> {response.status} {location}".rstrip()
 
 
 def _version(body: bytes) -> str:
@@ -310,7 +309,7 @@
 
 
 class ControllerNode:
-    """One keeper process, without its replication."""
+    """Runs one controller process, without its replication."""
 
     def __init__(self, world: World, settings: Settings) -> None:
         self.settings = settings
@@ -339,7 +338,7 @@
         )
 
     async def isolate_from_seeds(self) -> None:
-        """No pull of this process reaches a keeper any more, and what it learned from them is old."""
+        """Stop the pulls of this process, and make what it learned from them outdated."""
         await self._puller.stop()
         self.cluster_view.last_contact = float("-inf")
 
@@ -357,7 +356,7 @@
 
 
 class StoreGroup:
-    """Stands in for the store group's primary: tells the keepers which member list is in force."""
+    """Implements a fake primary of the store group, which reports the members to the controllers."""
 
     def __init__(self, address: str, *names: str) -> None:
         self._address = address
@@ -385,7 +384,7 @@
 
 
 class Client:
-    """A process that pulls; ``announcement`` may be changed by the test."""
+    """Runs a process that pulls; the test may change ``announcement``."""
 
     def __init__(self, settings: Settings, announcement: Announcement) -> None:
         self.announcement = announcement
@@ -393,9 +392,9 @@
         self._rpc = RpcClient()
         self.puller = Puller(settings, self._rpc, self.cluster_view, lambda: self.announcement)
         self._changed = asyncio.Event()
-        self.cluster_view.on_change(self._note)
+        self.cluster_view.on_change(self._on_change)
 
-    def _note(self) -> None:
+    def _on_change(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -407,15 +406,15 @@
         await self.puller.stop()
         await self._rpc.stop()
 
-    async def until(self, holds: Callable[[ClusterView], bool]) -> None:
-        """Wait for an update after which ``holds`` is true."""
+    async def until(self, condition: Callable[[ClusterView], bool]) -> None:
+        """Wait for an update after which ``condition`` is true."""
         async with asyncio.timeout(STEP_TIMEOUT_S):
-            while not holds(self.cluster_view):
+            while not condition(self.cluster_view):
                 await self._changed.wait()
 
 
 def store(name: str, **changes: Any) -> Announcement:
-    """A store as it announces itself at the first start."""
+    """Return the announcement of a store at the first start of the deployment."""
     fields: dict[str, Any] = {
         "node_name": name,
         "program": "store",
--- a/tests/tier/test_contact_log.py
+++ b/tests/tier/test_contact_log.py
@@ -1,4 +1,4 @@
-"""What a process logs of its contact with the primary, and of the configuration in force."""
+"""Tests what a process logs about its contact with the primary and about its active configuration."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     caplog.set_level(logging.INFO)
 
 
-def test_a_primary_that_is_missing_is_reported_with_all_who_were_asked(
+def test_a_missing_primary_is_logged_with_all_controllers_asked(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     log = ContactLog(10.0)
@@ -41,7 +41,7 @@
     assert vars(caplog.records[2])["missing_s"] == 30.0
 
 
-def test_a_short_absence_is_not_reported(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_short_absence_is_not_logged(caplog: pytest.LogCaptureFixture) -> None:
     log = ContactLog(0.0)
     for second in range(0, 100, 2):
         log.record_failure("a:1", "uncertain", second)
@@ -49,7 +49,7 @@
     assert not caplog.records
 
 
-def test_many_versions_are_one_line_a_second_and_the_newest_is_not_left_out(
+def test_version_logs_are_rate_limited_and_include_the_newest_version(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     log = VersionLog()
--- a/tests/tier/test_control_brokers.py
+++ b/tests/tier/test_control_brokers.py
@@ -1,4 +1,4 @@
-"""Reading the platform's list: pages, failures, pacing."""
+"""Tests reading the platform's broker list: pages, failures, intervals, and publication by the primary."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     )
 
 
-def test_a_page_is_read_and_bad_entries_are_left_out() -> None:
+def test_invalid_entries_of_a_page_are_skipped() -> None:
     body = {
         "instances": [
             instance("i-1", state="draining", warmupRemainingMs=700.5, news={"a": 1}),
@@ -53,12 +53,12 @@
     assert page.instances[1].zone == "" and page.instances[1].capacity_slots == 48
 
 
-def test_what_is_no_page_is_a_failure() -> None:
+def test_a_malformed_page_is_an_error() -> None:
     for body in (b"", b"{", b"[]", b"{}", b'{"instances":{}}', b"[" * 100_000):
         assert isinstance(parse_page(body), Err)
 
 
-def test_warm_up_time_alone_is_no_change() -> None:
+def test_a_changed_warm_up_time_alone_is_ignored() -> None:
     first = BrokerList(brokers=[BrokerEntry(instance_id="a", warmup_remaining_ms=900)])
     later = BrokerList(brokers=[BrokerEntry(instance_id="a", warmup_remaining_ms=100)])
     draining = BrokerList(brokers=[BrokerEntry(instance_id="a", draining=True)])
@@ -66,7 +66,7 @@
     assert not same_brokers(first, draining)
 
 
-def test_in_a_list_of_several_pages_a_broker_is_gone_after_two_reads() -> None:
+def test_a_broker_missing_from_a_multi_page_list_is_removed_after_two_reads() -> None:
     def listed(*names: str) -> BrokerList:
         return BrokerList(brokers=[BrokerEntry(instance_id=name) for name in names])
 
@@ -79,7 +79,7 @@
     assert RemovalConfirmation().merge(listed("a"), 1) == listed("a")
 
 
-def test_the_pace_follows_draining_and_the_platforms_rate() -> None:
+def test_the_read_interval_follows_the_drain_time_and_the_rate_limit() -> None:
     assert ReadPacing(settings(drain_ms=3000.0)).pause_after_success(1) == 0.6
     assert ReadPacing(settings(drain_ms=100.0)).pause_after_success(1) == MIN_INTERVAL_S
     assert ReadPacing(settings(drain_ms=60_000.0)).pause_after_success(1) == MAX_INTERVAL_S
@@ -92,7 +92,7 @@
     assert pacing.pause_after_success(1) == 0.6
 
 
-def test_all_pages_make_one_list() -> None:
+def test_all_pages_are_combined_and_any_failed_page_fails_the_read() -> None:
     async def exchange() -> None:
         platform = PlatformList(free_address())
         await platform.start()
@@ -118,46 +118,46 @@
     asyncio.run(exchange())
 
 
-def test_a_new_primary_passes_on_the_last_list_while_the_platform_is_down() -> None:
+def test_a_new_primary_publishes_the_inherited_broker_list_while_the_platform_is_down() -> None:
     async def exchange() -> None:
         async with World(2) as world:
             world.platform.pages = [[instance("i-1", warmupRemainingMs=5), instance("i-2", state="draining")]]
             world.lead(0)
             watcher = await world.client(Announcement(node_name="core-2", program="watch", incarnation="1"))
-            await watcher.until(lambda views: len(views.brokers) == 2)
+            await watcher.until(lambda view: len(view.brokers) == 2)
             world.platform.down = True
             async with asyncio.timeout(10.0):
                 while not world.controllers[1].cluster_view.brokers:
                     await world.platform.called.wait()
             world.lead(1)
             starts = await world.client(Announcement(node_name="f1", program="proxy", incarnation="1"))
-            await starts.until(lambda views: len(views.members) > 0)
+            await starts.until(lambda view: len(view.members) > 0)
             assert starts.cluster_view.brokers == ()
-            await starts.until(lambda views: len(views.brokers) > 0)
+            await starts.until(lambda view: len(view.brokers) > 0)
             assert starts.cluster_view.brokers == watcher.cluster_view.brokers
 
     asyncio.run(exchange())
 
 
-def test_only_the_primary_reads_and_a_failed_read_keeps_the_list() -> None:
+def test_only_the_primary_reads_and_a_failed_read_keeps_the_published_list() -> None:
     async def exchange() -> None:
         async with World(2) as world:
             world.platform.pages = [[instance("i-1")]]
             assert world.platform.calls == []
             world.lead(0)
             client = await world.client(Announcement(node_name="f1", program="proxy", incarnation="1"))
-            await client.until(lambda views: len(views.brokers) == 1)
+            await client.until(lambda view: len(view.brokers) == 1)
             world.platform.failures[0] = 429
             world.platform.pages = [[instance("i-1")], [instance("i-2", state="draining")]]
-            await client.until(lambda views: len(views.brokers) == 2)
+            await client.until(lambda view: len(view.brokers) == 2)
             assert [broker.draining for broker in client.cluster_view.brokers] == [False, True]
             world.platform.down = True
             world.lead(1)
             epoch = world.replicas.epoch
-            await client.until(lambda views: any(one.group_epoch == epoch for one in views.members))
+            await client.until(lambda view: any(one.group_epoch == epoch for one in view.members))
             assert len(client.cluster_view.brokers) == 2
             world.platform.pages = [[instance("i-9")]]
             world.platform.down = False
-            await client.until(lambda views: [one.instance_id for one in views.brokers] == ["i-9"])
+            await client.until(lambda view: [one.instance_id for one in view.brokers] == ["i-9"])
 
     asyncio.run(exchange())
--- a/tests/tier/test_control_controller.py
+++ b/tests/tier/test_control_controller.py
@@ -1,4 +1,4 @@
-"""Keepers, stores and proxies together over loopback, with the group in memory."""
+"""Tests controllers, stores and proxies together over loopback, with an in-memory group."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
     return Announcement(node_name=name, program="proxy", incarnation="1", **changes)  # type: ignore[arg-type]
 
 
-def has_version(views: ClusterView, version: int) -> bool:
-    return views.configuration is not None and views.configuration.version == version
+def has_version(view: ClusterView, version: int) -> bool:
+    return view.configuration is not None and view.configuration.version == version
 
 
-def test_a_configuration_reaches_a_process_that_waits_for_it() -> None:
+def test_a_waiting_process_receives_a_new_configuration() -> None:
     async def exchange() -> None:
         async with World(1) as world:
             world.lead(0)
             client = await world.client(proxy("f1"))
-            await client.until(lambda views: len(views.members) > 0)
+            await client.until(lambda view: len(view.members) > 0)
             for version, base in ((3, "0"), (5, "3")):
                 await world.operator(0, "PUT", "/api/configuration", document(version), base)
-                await client.until(lambda views, n=version: has_version(views, n))  # type: ignore[misc]
+                await client.until(lambda view, n=version: has_version(view, n))  # type: ignore[misc]
                 assert client.cluster_view.document == document(version)
 
     asyncio.run(exchange())
@@ -40,51 +40,51 @@
         async with World(3) as world:
             world.lead(2)
             client = await world.client(proxy("f1"))
-            await client.until(lambda views: len(views.members) == 4)
+            await client.until(lambda view: len(view.members) == 4)
             await world.operator(2, "PUT", "/api/configuration", document(3), "0")
             world.lead(0)
             await world.operator(0, "PUT", "/api/configuration", document(5), "3")
-            await client.until(lambda views: has_version(views, 5))
+            await client.until(lambda view: has_version(view, 5))
             epoch = world.replicas.epoch
-            await client.until(lambda views: {one.group_epoch for one in views.members} == {0, epoch})
+            await client.until(lambda view: {one.group_epoch for one in view.members} == {0, epoch})
             assert len(client.cluster_view.members) == 4
 
     asyncio.run(exchange())
 
 
-def test_a_primary_that_was_stopped_is_left_for_another() -> None:
+def test_processes_switch_to_another_primary_when_theirs_stops() -> None:
     async def exchange() -> None:
         async with World(2) as world:
             world.lead(0)
             client = await world.client(proxy("f1"))
-            await client.until(lambda views: len(views.members) == 3)
+            await client.until(lambda view: len(view.members) == 3)
             await world.controllers[0].stop()
             world.lead(1)
             await world.operator(1, "PUT", "/api/configuration", document(3), "0")
-            await client.until(lambda views: views.configuration is not None)
+            await client.until(lambda view: view.configuration is not None)
 
     asyncio.run(exchange())
 
 
-def test_the_store_group_is_formed_and_the_members_are_told() -> None:
+def test_the_store_group_is_formed_and_published() -> None:
     async def exchange() -> None:
         async with World(1) as world:
             world.lead(0)
             stores = [await world.client(store(f"s{number}")) for number in range(1, 5)]
             last = stores[-1]
-            await last.until(lambda views: len(views.store_group.initial) == 3)
+            await last.until(lambda view: len(view.store_group.initial) == 3)
             assert [one.node_name for one in last.cluster_view.store_group.initial] == ["s1", "s2", "s3"]
             assert [one.member_id for one in world.controllers[0].state.initial_stores] == [
                 "disk-s1",
                 "disk-s2",
                 "disk-s3",
             ]
-            await last.until(lambda views: len(views.stores()) == 4)
+            await last.until(lambda view: len(view.stores()) == 4)
 
     asyncio.run(exchange())
 
 
-def test_keepers_outside_the_group_are_offered_as_standbys() -> None:
+def test_controllers_outside_the_group_are_offered_as_standbys() -> None:
     async def exchange() -> None:
         async with World(1) as world:
             world.lead(0)
@@ -101,23 +101,23 @@
     asyncio.run(exchange())
 
 
-def test_a_leaving_proxy_is_told_at_once() -> None:
+def test_the_shutdown_of_a_proxy_is_published_immediately() -> None:
     async def exchange() -> None:
         async with World(1) as world:
             world.lead(0)
-            stays = await world.client(proxy("f1"))
-            leaves = await world.client(proxy("f2"))
-            await stays.until(lambda views: len(views.proxies()) == 2)
-            leaves.announcement = proxy("f2", leaving=True)
-            leaves.puller.announce_now()
-            await stays.until(lambda views: len(views.proxies()) == 1)
-            await leaves.puller.stop()
-            await stays.until(lambda views: all(one.node_name != "f2" for one in views.members))
+            staying = await world.client(proxy("f1"))
+            leaving = await world.client(proxy("f2"))
+            await staying.until(lambda view: len(view.proxies()) == 2)
+            leaving.announcement = proxy("f2", leaving=True)
+            leaving.puller.announce_now()
+            await staying.until(lambda view: len(view.proxies()) == 1)
+            await leaving.puller.stop()
+            await staying.until(lambda view: all(one.node_name != "f2" for one in view.members))
 
     asyncio.run(exchange())
 
 
-def test_nothing_is_given_out_without_a_lease() -> None:
+def test_pulls_are_rejected_without_a_lease() -> None:
     async def exchange() -> None:
         async with World(2) as world:
             world.lead(0)
@@ -134,7 +134,7 @@
     asyncio.run(exchange())
 
 
-def test_a_held_pull_ends_when_the_lease_does() -> None:
+def test_a_waiting_pull_is_rejected_when_leadership_ends() -> None:
     async def exchange() -> None:
         async with World(2) as world:
             world.lead(0)
@@ -142,28 +142,28 @@
             has_all = [TopicVersion(topic=topic, epoch=99, sequence=1) for topic in ("members", "brokers")]
             request = PullRequest(announcement=proxy("f1"), versions=has_all, wait_ms=4000)
             call = node.client.call(world.controllers[0].address, PULL, request, 10.0)
-            held = asyncio.create_task(call)
+            waiting = asyncio.create_task(call)
             watcher = await world.client(proxy("f2"))
-            await watcher.until(lambda views: any(one.node_name == "f1" for one in views.members))
-            assert not held.done()
+            await watcher.until(lambda view: any(one.node_name == "f1" for one in view.members))
+            assert not waiting.done()
             world.lead(1)
-            assert (await held).unwrap_err().primary == world.controllers[1].address
+            assert (await waiting).unwrap_err().primary == world.controllers[1].address
 
     asyncio.run(exchange())
 
 
-def test_any_keeper_tells_the_status() -> None:
+def test_every_controller_reports_the_status() -> None:
     async def exchange() -> None:
         async with World(2) as world:
             world.platform.pages = [[instance("i-1")]]
             world.lead(0)
             await world.operator(0, "PUT", "/api/configuration", document(3), "0")
             client = await world.client(proxy("f1"))
-            await client.until(lambda views: len(views.brokers) == 1 and len(views.members) == 3)
+            await client.until(lambda view: len(view.brokers) == 1 and len(view.members) == 3)
             node = world.controllers[1]
             replies = []
-            for keeper in world.controllers:
-                outcome = await node.client.call(keeper.address, STATUS, StatusRequest(), 5.0)
+            for controller in world.controllers:
+                outcome = await node.client.call(controller.address, STATUS, StatusRequest(), 5.0)
                 replies.append(outcome.unwrap())
             assert [reply.confirmed for reply in replies] == [True, False]
             assert [reply.primary for reply in replies] == ["core-1", "core-1"]
--- a/tests/tier/test_control_deploy.py
+++ b/tests/tier/test_control_deploy.py
@@ -1,4 +1,4 @@
-"""The layout with keepers on machines of their own differs from the deployed one in nothing else."""
+"""Compares the alternative layout with controllers (keepers) on core machines with the deployed layout."""
 
 from __future__ import annotations
 
@@ -8,8 +8,11 @@
 DEPLOY = Path(__file__).parent.parent.parent / "deploy"
 
 
-def test_keepers_on_core_machines_are_the_only_difference() -> None:
+def test_the_layouts_differ_only_in_the_machines_of_the_keepers() -> None:
     deployed = tomllib.loads((DEPLOY / "system.toml").read_text(encoding="utf-8"))
-    apart = tomllib.loads((DEPLOY / "alternatives/keepers-on-core.toml").read_text(encoding="utf-8"))
-    assert (deployed["roles"]["keeper"].pop("on"), apart["roles"]["keeper"].pop("on")) == ("storage", "core")
-    assert deployed == apart
+    alternative = tomllib.loads((DEPLOY / "alternatives/keepers-on-core.toml").read_text(encoding="utf-8"))
+    assert (deployed["roles"]["keeper"].pop("on"), alternative["roles"]["keeper"].pop("on")) == (
+        "storage",
+        "core",
+    )
+    assert deployed == alternative
--- a/tests/tier/test_control_introduction.py
+++ b/tests/tier/test_control_introduction.py
@@ -1,4 +1,4 @@
-"""A primary's introduction to controllers that do not pull from it, and what these make of it."""
+"""Tests a primary's introductions to controllers that do not pull from it, and how these use them."""
 
 from __future__ import annotations
 
@@ -45,22 +45,22 @@
     )
 
 
-class Silent(Caller):
-    """Notes each call; nobody answers."""
+class UnreachableCaller(Caller):
+    """Records each call; every call fails as unreachable."""
 
     def __init__(self) -> None:
         self.calls: list[tuple[float, str, PullRequest]] = []
 
     async def send(self, call: OutgoingCall[Any, Any]) -> Any:
         self.calls.append((asyncio.get_running_loop().time(), call.address, call.request))
-        return Err(Failure(ErrorKind.UNREACHABLE, "nobody is there"))
+        return Err(Failure(ErrorKind.UNREACHABLE, "no connection"))
 
     def addresses(self) -> set[str]:
         return {address for _, address, _ in self.calls}
 
 
 class Contacts(ControllerContacts):
-    """Knows two other controllers; says that this one leads."""
+    """Knows two other controllers, and announces this controller as the primary."""
 
     def __init__(self) -> None:
         self.suggested: list[str] = []
@@ -86,14 +86,14 @@
     )
 
 
-class OneController:
-    """A controller in a group of its own, with its calls noted."""
+class SingleController:
+    """Runs a controller in a group of one, and records its calls."""
 
     def __init__(self) -> None:
         self.replicas = MemoryReplicas()
         state = ControlState()
         self.group = self.replicas.add(MemberIdentity("d1", "m1", SELF), state)
-        self.caller, self.contacts, self.served = Silent(), Contacts(), HandlerTable()
+        self.caller, self.contacts, self.served = UnreachableCaller(), Contacts(), HandlerTable()
         self.controller = Controller(
             settings(), self.group, state, self.served, self.caller, contacts=self.contacts
         )
@@ -108,46 +108,46 @@
             await self.introduction.step()
 
 
-def test_who_does_not_pull_is_turned_to_more_and_more_rarely_and_who_pulls_is_not() -> None:
-    async def story() -> None:
-        one = OneController()
-        one.replicas.lead(one.group)
-        await one.pull(announcement("10.0.0.2", 0, leads=False))
-        await one.passes(2.0)
-        assert one.caller.addresses() == {STANDBY}
-        await one.passes(LENGTH_S)
-        times = [at for at, address, _ in one.caller.calls if address == STANDBY]
+def test_controllers_that_do_not_pull_are_contacted_with_backoff_and_others_are_not() -> None:
+    async def scenario() -> None:
+        node = SingleController()
+        node.replicas.lead(node.group)
+        await node.pull(announcement("10.0.0.2", 0, leads=False))
+        await node.passes(2.0)
+        assert node.caller.addresses() == {STANDBY}
+        await node.passes(LENGTH_S)
+        times = [at for at, address, _ in node.caller.calls if address == STANDBY]
         pauses = [later - earlier for earlier, later in zip(times, times[1:], strict=False)]
         assert pauses[0] < 3 * INTERVAL_S and MAX_BACKOFF_S <= max(pauses) < MAX_BACKOFF_S + 2 * INTERVAL_S
-        assert OTHER in one.caller.addresses()  # it fell silent meanwhile
-        sent = one.caller.calls[0][2].announcement
+        assert OTHER in node.caller.addresses()  # It has stopped pulling meanwhile.
+        sent = node.caller.calls[0][2].announcement
         assert sent.group_primary and sent.incarnation == "a"
 
-    run(story())
+    run(scenario())
 
 
-def test_a_controller_that_does_not_lead_introduces_itself_to_nobody() -> None:
-    async def story() -> None:
-        one = OneController()
-        await one.passes(2.0)
-        one.replicas.lead(one.group, lease=False)
-        await one.passes(2.0)
-        assert not one.caller.calls
+def test_a_controller_that_does_not_lead_sends_no_introduction() -> None:
+    async def scenario() -> None:
+        node = SingleController()
+        await node.passes(2.0)
+        node.replicas.lead(node.group, lease=False)
+        await node.passes(2.0)
+        assert not node.caller.calls
 
-    run(story())
+    run(scenario())
 
 
-def test_a_rejected_pull_of_the_primary_is_the_hint_for_all_others() -> None:
-    async def story() -> None:
-        one = OneController()
-        refused = await one.pull(announcement("10.0.0.2", 4))
+def test_a_rejected_pull_of_the_primary_provides_the_hint_for_others() -> None:
+    async def scenario() -> None:
+        node = SingleController()
+        refused = await node.pull(announcement("10.0.0.2", 4))
         assert refused.err_value.kind is ErrorKind.NOT_PRIMARY
-        assert one.contacts.suggested == [OTHER]
-        assert (await one.pull(announcement("10.0.9.9", 0, program="proxy"))).err_value.primary == OTHER
+        assert node.contacts.suggested == [OTHER]
+        assert (await node.pull(announcement("10.0.9.9", 0, program="proxy"))).err_value.primary == OTHER
         await asyncio.sleep(HINT_MAX_AGE_S)
-        assert (await one.pull(announcement("10.0.9.9", 0, program="proxy"))).err_value.primary == ""
+        assert (await node.pull(announcement("10.0.9.9", 0, program="proxy"))).err_value.primary == ""
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -160,12 +160,12 @@
     ],
     ids=["does not lead", "store", "no address", "empty"],
 )
-def test_what_is_no_introduction_changes_nothing(pulled: Announcement) -> None:
+def test_a_pull_that_is_no_introduction_is_ignored(pulled: Announcement) -> None:
     assert introduction_in(PullRequest(announcement=pulled), settings(), 1.0) is None
 
 
-def test_an_introduction_gives_way_to_newer_knowledge() -> None:
-    async def story() -> None:
+def test_an_introduction_is_superseded_by_newer_information() -> None:
+    async def scenario() -> None:
         replicas = MemoryReplicas()
         group = replicas.add(MemberIdentity("d1", "m1", SELF), ControlState())
         other = replicas.add(MemberIdentity("d4", "m4", "10.0.0.4:7000"), ControlState())
@@ -173,17 +173,18 @@
         now = asyncio.get_running_loop().time()
         replicas.epoch = 5
         leadership.record_introduction(Introduction(OTHER, 4, now))
-        assert leadership.primary_address() == ""  # of an epoch that is over
+        assert leadership.primary_address() == ""  # The introduction is of an earlier epoch.
         leadership.record_introduction(Introduction(STANDBY, 6, now))
         leadership.record_introduction(Introduction(OTHER, 5, now))
         assert leadership.primary_address() == STANDBY
         replicas.lead(other)
-        assert leadership.primary_address() == "10.0.0.4:7000"  # heard by the group's own heartbeats
+        assert leadership.primary_address() == "10.0.0.4:7000"  # known from the group's heartbeats
         leadership.record_introduction(Introduction(SELF, 99, now))
         replicas.lead(None)
-        assert leadership.primary_address() == ""  # nobody is pointed to itself
+        assert leadership.primary_address() == ""  # A controller never names its own address.
         await asyncio.sleep(HINT_MAX_AGE_S)
         leadership.record_introduction(Introduction(OTHER, 8, now + HINT_MAX_AGE_S))
-        assert leadership.primary_address() == OTHER  # an epoch that nobody leads blocks no later word
+        # The expired introduction of epoch 99 does not block a later one of an older epoch.
+        assert leadership.primary_address() == OTHER
 
-    run(story())
+    run(scenario())
--- a/tests/tier/test_control_operator.py
+++ b/tests/tier/test_control_operator.py
@@ -1,4 +1,4 @@
-"""Whole exchanges with the operator, over loopback; each test ends with the approved transcript."""
+"""Tests complete exchanges with the operator over loopback against approved transcripts."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 CONFIGURATION = "/api/configuration"
 
 
-def approved(world: World, transcript: str) -> None:
+def assert_transcript(world: World, transcript: str) -> None:
     assert "\n".join(world.transcript) == "\n".join(line.strip() for line in transcript.strip().splitlines())
 
 
-def test_a_configuration_is_taken_resent_and_read() -> None:
+def test_a_configuration_is_accepted_resent_and_read() -> None:
     async def exchange() -> None:
         async with World(1) as world:
             world.lead(0)
             await world.operator(0, "GET", CONFIGURATION)
-            spelled = document(3).replace(b": ", b":   ")
-            await world.operator(0, "PUT", CONFIGURATION, spelled, "0")
-            await world.operator(0, "PUT", CONFIGURATION, spelled, "0")
+            reformatted = document(3).replace(b": ", b":   ")
+            await world.operator(0, "PUT", CONFIGURATION, reformatted, "0")
+            await world.operator(0, "PUT", CONFIGURATION, reformatted, "0")
             await world.operator(0, "PUT", CONFIGURATION, document(8), '"3"')
             await world.operator(0, "PUT", CONFIGURATION, document(3), "0")
             await world.operator(0, "PUT", CONFIGURATION, document(9), "3")
@@ -34,7 +34,7 @@
             _, body = await world.operator(0, "GET", CONFIGURATION)
             assert body == document(8)
             assert world.replicas.committed == 2
-            approved(
+            assert_transcript(
                 world,
                 """
                 keeper 0: GET /api/configuration -> 404
@@ -51,7 +51,7 @@
     asyncio.run(exchange())
 
 
-def test_what_is_invalid_is_refused_with_the_reason() -> None:
+def test_invalid_requests_are_rejected_with_the_reason() -> None:
     async def exchange() -> None:
         async with World(1) as world:
             world.lead(0)
@@ -71,7 +71,7 @@
     asyncio.run(exchange())
 
 
-def test_a_backup_names_the_primary_or_asks_to_come_back() -> None:
+def test_a_backup_redirects_to_the_primary_or_answers_unavailable() -> None:
     async def exchange() -> None:
         async with World(2) as world:
             world.lead(0)
@@ -83,7 +83,7 @@
             world.lead(None)
             await world.operator(1, "PUT", CONFIGURATION, document(3), "0")
             await world.operator(0, "GET", CONFIGURATION)
-            approved(
+            assert_transcript(
                 world,
                 """
                 keeper 1: PUT /api/configuration v3 on 0 -> 307 keeper 0/api/configuration
@@ -99,7 +99,7 @@
     asyncio.run(exchange())
 
 
-def test_a_primary_whose_lease_ran_out_refuses_nothing_for_good() -> None:
+def test_a_primary_whose_lease_expired_returns_no_final_error() -> None:
     async def exchange() -> None:
         async with World(1) as world:
             world.lead(0)
@@ -120,7 +120,7 @@
     asyncio.run(exchange())
 
 
-def test_of_two_changes_at_once_one_wins() -> None:
+def test_of_concurrent_changes_only_one_is_committed() -> None:
     async def exchange() -> None:
         async with World(1) as world:
             world.lead(0)
@@ -139,7 +139,7 @@
     asyncio.run(exchange())
 
 
-def test_leadership_lost_while_a_change_waits_for_its_turn() -> None:
+def test_leadership_lost_while_a_change_waits_for_an_earlier_one() -> None:
     async def exchange() -> None:
         async with World(2) as world:
             world.lead(0)
@@ -155,11 +155,11 @@
     asyncio.run(exchange())
 
 
-def test_after_an_uncertain_outcome_a_barrier_comes_before_the_next_decision() -> None:
+def test_after_an_uncertain_outcome_a_barrier_precedes_the_next_decision() -> None:
     async def exchange() -> None:
         async with World(1) as world:
             world.lead(0)
-            world.replicas.next_outcomes = ["uncertain_taken", "uncertain_lost"]
+            world.replicas.next_outcomes = ["uncertain_committed", "uncertain_lost"]
             await world.operator(0, "PUT", CONFIGURATION, document(3), "0")
             await world.operator(0, "PUT", CONFIGURATION, document(3, limits={}), "0")
             await world.operator(0, "PUT", CONFIGURATION, document(3, limits={}), "0")
@@ -167,7 +167,7 @@
             world.replicas.next_outcomes = ["uncertain_lost"]
             await world.operator(0, "PUT", CONFIGURATION, document(6), "3")
             await world.operator(0, "PUT", CONFIGURATION, document(6), "3")
-            approved(
+            assert_transcript(
                 world,
                 """
                 keeper 0: PUT /api/configuration v3 on 0 -> 504
@@ -182,31 +182,31 @@
     asyncio.run(exchange())
 
 
-def test_a_store_is_emptied_step_by_step() -> None:
+def test_a_store_is_retired_step_by_step() -> None:
     async def exchange() -> None:
         async with World(1) as world:
             world.lead(0)
             await world.operator(0, "POST", "/api/retire/s4", b'{"durationS":10}')
             stores = {name: await world.client(store(name)) for name in ("s1", "s2", "s3", "s4")}
-            await stores["s1"].until(lambda views: len(views.store_group.initial) == 3)
+            await stores["s1"].until(lambda view: len(view.store_group.initial) == 3)
             while (await world.operator(0, "POST", "/api/retire/unknown", b"{}"))[0] == 503:
                 world.transcript.pop()
             group = await world.store_group("s1", "s2", "s3")
             await world.operator(0, "POST", "/api/retire/s3", b'{"durationS":10}')
             await world.operator(0, "POST", "/api/retire/s3", b'{"durationS":10}')
             await world.operator(0, "POST", "/api/retire/s2", b'{"durationS":10}')
-            await stores["s1"].until(lambda views: list(views.store_group.retiring) == ["s3"])
+            await stores["s1"].until(lambda view: list(view.store_group.retiring) == ["s3"])
             await world.operator(0, "GET", "/api/retire/s3")
             group.members = [replica(name) for name in ("s1", "s2", "s4")]
             group.revision = stores["s1"].cluster_view.store_group.revision
             group.excluded = ["disk-s3"]
             order = world.controllers[0].state.retire_orders
-            await stores["s2"].until(lambda views: order["s3"].completed)
+            await stores["s2"].until(lambda view: order["s3"].completed)
             _, body = await world.operator(0, "GET", "/api/retire/s3")
             assert json.loads(body) == {"state": "completed"}
             assert world.controllers[0].group.retiring == {"s3", *order["s3"].keeper_ids}
             await world.operator(0, "GET", "/api/retire/s1")
-            approved(
+            assert_transcript(
                 world,
                 """
                 keeper 0: POST /api/retire/s4 -> 503
@@ -223,7 +223,7 @@
     asyncio.run(exchange())
 
 
-def test_beyond_the_bounded_memory_nothing_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_versions_without_a_retained_digest_are_not_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(configuration_state, "MAX_ACCEPTED_VERSIONS", 2)
 
     async def exchange() -> None:
@@ -242,7 +242,7 @@
             await world.operator(1, "PUT", CONFIGURATION, document(6), "4")
             await world.operator(1, "PUT", CONFIGURATION, document(9), "8")
             await world.operator(1, "PUT", CONFIGURATION, document(6), "4")
-            approved(
+            assert_transcript(
                 world,
                 """
                 keeper 0: PUT /api/configuration v2 on 0 -> 504
@@ -259,16 +259,16 @@
     asyncio.run(exchange())
 
 
-def test_a_retire_order_is_sent_again() -> None:
-    """After a lost answer, after a change of primary, after it was carried out; never refused."""
+def test_a_resent_retire_order_is_acknowledged() -> None:
+    """It is resent after a lost response, a change of primary and its completion, and never rejected."""
 
     async def exchange() -> None:
         async with World(2) as world:
             world.lead(0)
             stores = [await world.client(store(f"s{number}")) for number in range(1, 5)]
-            await stores[0].until(lambda views: len(views.stores()) == 4)
+            await stores[0].until(lambda view: len(view.stores()) == 4)
             world.transcript.clear()
-            world.replicas.next_outcomes = ["uncertain_taken"]
+            world.replicas.next_outcomes = ["uncertain_committed"]
             await world.operator(0, "POST", "/api/retire/s4", b"{}")
             await world.operator(0, "POST", "/api/retire/s4", b"{}")
             for client in stores:
@@ -279,7 +279,7 @@
             await world.controllers[1].group.propose(retired.SerializeToString(), 1.0)
             await world.operator(1, "POST", "/api/retire/s4", b"{}")
             await world.operator(1, "GET", "/api/retire/s4")
-            approved(
+            assert_transcript(
                 world,
                 """
                 keeper 0: POST /api/retire/s4 -> 504
@@ -293,19 +293,19 @@
     asyncio.run(exchange())
 
 
-def test_a_retire_order_of_open_outcome_is_not_refused_before_that_is_known() -> None:
+def test_a_retire_order_with_unknown_outcome_is_not_rejected_before_the_outcome_is_known() -> None:
     async def exchange() -> None:
         async with World(1) as world:
             world.lead(0)
             stores = [await world.client(store(f"s{number}")) for number in range(1, 5)]
-            await stores[0].until(lambda views: len(views.stores()) == 4)
-            keeper = world.controllers[0].controller
-            keeper.directory.leading_since -= RETENTION_S
+            await stores[0].until(lambda view: len(view.stores()) == 4)
+            controller = world.controllers[0].controller
+            controller.directory.leading_since -= RETENTION_S
             world.replicas.next_outcomes = ["uncertain_lost", "uncertain_lost"]
             await world.operator(0, "POST", "/api/retire/s4", b"{}")
-            keeper.directory.registry = ProcessRegistry()
+            controller.directory.registry = ProcessRegistry()
             for name in ("s1", "s2"):
-                keeper.directory.registry.announce(store(name), asyncio.get_running_loop().time())
+                controller.directory.registry.announce(store(name), asyncio.get_running_loop().time())
             first = world.operator(0, "POST", "/api/retire/s4", b"{}")
             assert (await first)[0] == 503
 
--- a/tests/tier/test_control_quota.py
+++ b/tests/tier/test_control_quota.py
@@ -1,7 +1,8 @@
-"""A processor share that is a quota: full speed until it is spent, then nothing for the rest of its period.
+"""Tests the control plane under a CPU quota, in virtual time.
 
-Periods are a tenth of a second. In virtual time: every process of every machine stands still in each period,
-each at its own offset.
+A process with a quota runs at full speed until the quota is used up, and then not at all for the rest of the
+period. Periods are 0.1 s. All processes of a machine pause in every period, at an offset that differs between
+machines.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 
 class QuotaWorld:
-    """A world whose processes run for ``share`` of each period only, from ``FORMATION_S`` on."""
+    """Simulates processes that run only for ``share`` of each period, from ``FORMATION_S`` on."""
 
     def __init__(self, seed: int, share: float) -> None:
         self.world = World(seed, Topology(faults=1, machines=4, proxies=2, stores=True))
@@ -38,11 +39,11 @@
         self._until = FORMATION_S + LENGTH_S
         for machine in (*self.world.cluster.machines, *self.world.cluster.proxies):
             self.world.environment.after(
-                self.random.uniform(0.0, PERIOD_S), lambda one=machine: self._stop(one)
+                self.random.uniform(0.0, PERIOD_S), lambda target=machine: self._pause(target)
             )
 
     def epoch(self) -> int:
-        """Epoch of the controllers' primary."""
+        """Return the epoch of the controllers' primary."""
         primary = self.world.cluster.primary()
         assert primary is not None
         controller = self.world.cluster.controller(primary)
@@ -50,41 +51,41 @@
         return controller.group.epoch
 
     def change(self, version: int) -> float:
-        """Send one change; return the seconds to its acknowledgement."""
+        """Send one change; return the seconds until its acknowledgement."""
         began_at = self.world.now
         acknowledge_change(self.world, self.operators, version, self.random)
         return self.world.now - began_at
 
     def proxy_versions(self) -> set[int]:
-        """Versions by which the proxies work."""
+        """Return the configuration versions that the proxies use."""
         processes = [proxy.running[PROXY_PROGRAM] for proxy in self.world.cluster.proxies]
         return {process.version for process in processes if isinstance(process, ProxyProcess)}
 
     def close(self) -> None:
-        """End all processes."""
+        """Stop all processes."""
         self.world.close(self.operators.incarnation)
 
-    def _stop(self, machine: Machine) -> None:
+    def _pause(self, machine: Machine) -> None:
         if self.world.now < self._until:
             self.world.cluster.freeze(machine)
-            self.world.environment.after(PERIOD_S * (1.0 - self._share), lambda: self._go_on(machine))
+            self.world.environment.after(PERIOD_S * (1.0 - self._share), lambda: self._resume(machine))
 
-    def _go_on(self, machine: Machine) -> None:
+    def _resume(self, machine: Machine) -> None:
         self.world.cluster.thaw(machine)
-        self.world.environment.after(PERIOD_S * self._share, lambda: self._stop(machine))
+        self.world.environment.after(PERIOD_S * self._share, lambda: self._pause(machine))
 
 
 @pytest.mark.parametrize("share", [0.5, 0.2])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_quota_deposes_no_primary_and_delays_no_change_beyond_its_bound(seed: int, share: float) -> None:
-    slowed = QuotaWorld(seed, share)
+def test_a_cpu_quota_causes_no_change_of_primary_and_no_late_acknowledgement(seed: int, share: float) -> None:
+    throttled = QuotaWorld(seed, share)
     try:
-        epoch = slowed.epoch()
+        epoch = throttled.epoch()
         for version in range(1, CHANGES + 1):
-            assert slowed.change(version) < ACKNOWLEDGE_S / 2
-            slowed.world.run_until(slowed.world.now + CONFIG_APPLY_S / 2)
-            assert slowed.proxy_versions() == {version}
-        assert slowed.world.now > FORMATION_S + CHANGES * CONFIG_APPLY_S / 2
-        assert slowed.epoch() == epoch
+            assert throttled.change(version) < ACKNOWLEDGE_S / 2
+            throttled.world.run_until(throttled.world.now + CONFIG_APPLY_S / 2)
+            assert throttled.proxy_versions() == {version}
+        assert throttled.world.now > FORMATION_S + CHANGES * CONFIG_APPLY_S / 2
+        assert throttled.epoch() == epoch
     finally:
-        slowed.close()
+        throttled.close()
--- a/tests/tier/test_control_read_back.py
+++ b/tests/tier/test_control_read_back.py
@@ -1,6 +1,7 @@
-"""Reads of the configuration at every controller, after a loss of all power or of as many disks as allowed.
+"""Tests reads of the configuration from every controller after a power failure or a loss of disks.
 
-Each answer is the newest acknowledged configuration, byte for byte, or none (503, silence, or 307).
+All machines lose power, or as many disks are lost as the group tolerates. Each response must be the newest
+acknowledged configuration, byte for byte, or none (503, 307 or no answer).
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 class ReadBack:
-    """One world: acknowledges changes, strikes, and reads at every machine until all had time to answer."""
+    """Simulates a deployment: commits changes, injects the fault, then reads from every machine."""
 
     def __init__(self, seed: int, faults: int) -> None:
         self.random = Random(seed)
@@ -58,7 +59,7 @@
 @pytest.mark.parametrize("loss", ["power", "disks"])
 @pytest.mark.parametrize("faults", [1, 2])
 @pytest.mark.parametrize("seed", range(4))
-def test_each_machine_answers_the_newest_acknowledged_configuration_or_none(
+def test_each_machine_returns_the_newest_acknowledged_configuration_or_none(
     seed: int, faults: int, loss: str
 ) -> None:
     read_back = ReadBack(seed, faults)
--- a/tests/tier/test_control_replicated.py
+++ b/tests/tier/test_control_replicated.py
@@ -1,4 +1,4 @@
-"""Keepers with real replication and real disks over loopback: a change survives the loss of the primary."""
+"""Tests that a change survives the loss of the primary, with real replication and disks over loopback."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Node:
-    """One keeper on one disk."""
+    """Runs one controller on one disk."""
 
     def __init__(self, host: str, ports: list[int], folder: Path) -> None:
         control, internal, platform = ports
@@ -53,28 +53,28 @@
             client=self.client,
         )
         self.group = create_group(options)
-        self.keeper = Controller(settings, self.group, state, self.server, self.client)
+        self.controller = Controller(settings, self.group, state, self.server, self.client)
 
     async def start(self, members: list[MemberIdentity]) -> None:
         await self.client.start()
         await self.group.start(members)
-        await self.keeper.start()
+        await self.controller.start()
         await self.server.start(self.address)
 
     async def stop(self) -> None:
-        await self.keeper.stop()
+        await self.controller.stop()
         await self.server.stop()
         await self.group.stop()
         await self.client.stop()
 
 
 async def call(nodes: list[Node], port: int, method: str, body: bytes = b"", base: int = 0) -> bytes:
-    """One order of an operator who turns to the next keeper after each answer that is not clear."""
-    turn = 0
+    """Send an operator's request to the controllers in turn until one answers with status 200."""
+    attempt = 0
     async with asyncio.timeout(STEP_TIMEOUT_S), aiohttp.ClientSession() as session:
         while True:
-            url = f"http://{nodes[turn % len(nodes)].host}:{port}/api/configuration"
-            turn += 1
+            url = f"http://{nodes[attempt % len(nodes)].host}:{port}/api/configuration"
+            attempt += 1
             try:
                 headers = {"If-Match": str(base)}
                 async with session.request(method, url, data=body or None, headers=headers) as response:
@@ -86,7 +86,9 @@
                 continue
 
 
-def test_an_acknowledged_change_outlives_the_primary_and_then_all_processes(tmp_path: Path) -> None:
+def test_an_acknowledged_change_survives_the_primary_and_then_a_restart_of_all_processes(
+    tmp_path: Path,
+) -> None:
     async def exchange() -> None:
         ports = free_ports(3, HOSTS)
         nodes = [Node(host, ports, tmp_path) for host in HOSTS]
@@ -95,14 +97,14 @@
         await call(nodes, ports[0], "PUT", document(3), 0)
         first = next(node for node in nodes if node.group.is_confirmed_primary())
         await first.stop()
-        left = [node for node in nodes if node is not first]
-        assert await call(left, ports[0], "GET") == document(3)
-        await call(left, ports[0], "PUT", document(3), 0)
-        await call(left, ports[0], "PUT", document(7), 3)
-        await asyncio.gather(*(node.stop() for node in left))
-        again = [Node(host, ports, tmp_path) for host in HOSTS]
-        await asyncio.gather(*(node.start([]) for node in again))
-        assert await call(again, ports[0], "GET") == document(7)
-        await asyncio.gather(*(node.stop() for node in again))
+        remaining = [node for node in nodes if node is not first]
+        assert await call(remaining, ports[0], "GET") == document(3)
+        await call(remaining, ports[0], "PUT", document(3), 0)
+        await call(remaining, ports[0], "PUT", document(7), 3)
+        await asyncio.gather(*(node.stop() for node in remaining))
+        restarted = [Node(host, ports, tmp_path) for host in HOSTS]
+        await asyncio.gather(*(node.start([]) for node in restarted))
+        assert await call(restarted, ports[0], "GET") == document(7)
+        await asyncio.gather(*(node.stop() for node in restarted))
 
     asyncio.run(exchange())
--- a/tests/tier/test_control_retire_replicated.py
+++ b/tests/tier/test_control_retire_replicated.py
@@ -1,6 +1,8 @@
-"""Keepers and stores with real replication and real disks over loopback: a machine that is to be emptied
-leaves both groups for good before its order is completed, whether keepers share machines with stores or
-not."""
+"""Tests the retirement of a machine with real replication and disks over loopback.
+
+The machine must be excluded from both groups before its order is completed, whether controllers (keepers)
+share machines with stores or not.
+"""
 
 from __future__ import annotations
 
@@ -32,13 +34,13 @@
 
 
 class Site:
-    """Four storage machines with a store each; keepers there as well, or on three core machines."""
+    """Runs four stores on storage machines, and controllers there as well or on three core machines."""
 
-    def __init__(self, folder: Path, keeper_hosts: Sequence[str]) -> None:
+    def __init__(self, folder: Path, controller_hosts: Sequence[str]) -> None:
         self._folder = folder
-        self._keeper_hosts = keeper_hosts
+        self._hosts = controller_hosts
         self.control, self.internal, self.platform = free_ports(3, STORAGE + CORE, following=1)
-        self.keepers = {host: ControllerProgram(self.settings(host)) for host in keeper_hosts}
+        self.controllers = {host: ControllerProgram(self.settings(host)) for host in controller_hosts}
         self.stores = {host: StoreProgram(self.settings(host)) for host in STORAGE}
 
     def settings(self, host: str) -> Settings:
@@ -50,7 +52,7 @@
             zone="north",
             region="land",
             internal_port_range=[self.internal, self.internal + 9],
-            seed_nodes=[f"{one}:{self.control}" for one in self._keeper_hosts[:3]],
+            seed_nodes=[f"{one}:{self.control}" for one in self._hosts[:3]],
             first_start=True,
             listen_addresses=ListenAddresses(control_plane=f"{host}:{self.control}"),
             fault_tolerance=FaultTolerance(machine_failures=1),
@@ -61,19 +63,19 @@
         )
 
     async def __aenter__(self) -> Site:
-        await asyncio.gather(*(one.start() for one in (*self.keepers.values(), *self.stores.values())))
+        await asyncio.gather(*(one.start() for one in (*self.controllers.values(), *self.stores.values())))
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        await asyncio.gather(*(one.stop() for one in (*self.keepers.values(), *self.stores.values())))
+        await asyncio.gather(*(one.stop() for one in (*self.controllers.values(), *self.stores.values())))
 
     async def operator(self, method: str, path: str, body: bytes = b"", base: int = 0) -> bytes:
-        """An order that goes from keeper to keeper until it is answered for good."""
-        turn = 0
+        """Send a request to the controllers in turn until one gives a final answer, which must be 200."""
+        attempt = 0
         async with asyncio.timeout(LONG_TIMEOUT_S), aiohttp.ClientSession() as session:
             while True:
-                url = f"http://{self._keeper_hosts[turn % len(self._keeper_hosts)]}:{self.control}{path}"
-                turn += 1
+                url = f"http://{self._hosts[attempt % len(self._hosts)]}:{self.control}{path}"
+                attempt += 1
                 headers = {"If-Match": str(base)}
                 async with session.request(method, url, data=body or None, headers=headers) as response:
                     answer = await response.read()
@@ -81,16 +83,18 @@
                         assert response.status == 200, answer
                         return answer
 
-    async def until(self, step: Callable[[], Awaitable[bool]]) -> None:
+    async def until(self, condition: Callable[[], Awaitable[bool]]) -> None:
         async with asyncio.timeout(LONG_TIMEOUT_S):
-            while not await step():
+            while not await condition():
                 continue
 
 
-@pytest.mark.parametrize("keeper_hosts", [STORAGE, CORE], ids=["shared", "core"])
-def test_a_machine_leaves_both_groups_for_good(tmp_path: Path, keeper_hosts: Sequence[str]) -> None:
+@pytest.mark.parametrize("controller_hosts", [STORAGE, CORE], ids=["shared", "core"])
+def test_a_retired_machine_is_excluded_from_both_groups(
+    tmp_path: Path, controller_hosts: Sequence[str]
+) -> None:
     async def exchange() -> None:
-        async with Site(tmp_path, keeper_hosts) as site:
+        async with Site(tmp_path, controller_hosts) as site:
             await site.operator("PUT", "/api/configuration", document(3))
             leaving = "127.0.0.1"
             await site.operator("POST", "/api/retire/storage-1", b'{"durationS":10}')
@@ -99,19 +103,19 @@
                 return b"completed" in await site.operator("GET", "/api/retire/storage-1")
 
             async def settled() -> bool:
-                groups = (site.keepers.values(), site.stores.values())
-                known = [told(program._group for program in programs) for programs in groups]
-                return await completed() and all(len(lists) == 1 for lists in known)
+                groups = (site.controllers.values(), site.stores.values())
+                reported = [committed_members(program._group for program in programs) for programs in groups]
+                return await completed() and all(len(lists) == 1 for lists in reported)
 
             await site.until(completed)
             await site.until(settled)
-            [stores] = told(program._group for program in site.stores.values())
-            [keepers] = told(program._group for program in site.keepers.values())
+            [stores] = committed_members(program._group for program in site.stores.values())
+            [controllers] = committed_members(program._group for program in site.controllers.values())
             assert hosts(stores) == set(STORAGE) - {leaving}
             assert stores.excluded == {f"first-{leaving}"}
-            assert leaving not in hosts(keepers)
-            assert len(keepers.members) == 3
-            assert keepers.excluded == stores.excluded & {f"first-{host}" for host in keeper_hosts}
+            assert leaving not in hosts(controllers)
+            assert len(controllers.members) == 3
+            assert controllers.excluded == stores.excluded & {f"first-{host}" for host in controller_hosts}
             await site.operator("POST", "/api/retire/storage-1", b'{"durationS":10}')
             assert await completed()
             assert await site.operator("GET", "/api/configuration") == document(3)
@@ -119,9 +123,9 @@
     asyncio.run(exchange())
 
 
-def told(groups: Iterable[ReplicatedGroup]) -> list[CommittedMembers]:
-    """The lists in force that replicas tell: one, from the one that leads, unless a change is open."""
-    return [one for group in groups if (one := group.committed_members()) is not None]
+def committed_members(groups: Iterable[ReplicatedGroup]) -> list[CommittedMembers]:
+    """Return the members reported by the group's primary; empty while a membership change is pending."""
+    return [members for group in groups if (members := group.committed_members()) is not None]
 
 
 def hosts(group: CommittedMembers) -> set[str]:
--- a/tests/tier/test_control_emptying.py
+++ b/tests/tier/test_control_retirement_check.py
@@ -1,4 +1,4 @@
-"""When a machine to be emptied may be taken away: by the committed lists of both groups alone."""
+"""Tests when a retired machine may be decommissioned, based only on the committed members of both groups."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
 
 
 STORES = CommittedMembership((member(1), member(2), member(4)), frozenset({"disk-3"}), revision=5)
-KEEPERS = CommittedMembership(
+CONTROLLERS = CommittedMembership(
     (member(1, name=""), member(2, name=""), member(4)), frozenset({"first-10.0.0.3", "disk-9"})
 )
 
 
-def test_a_machine_that_both_groups_left_for_good_is_free_to_go() -> None:
-    assert blocking_reason(order(), KEEPERS, STORES, GROUP_SIZE) is None
+def test_a_machine_excluded_by_both_groups_may_be_decommissioned() -> None:
+    assert blocking_reason(order(), CONTROLLERS, STORES, GROUP_SIZE) is None
 
 
 @pytest.mark.parametrize(
@@ -60,8 +60,8 @@
         ({"revision": 4}, "the store group's primary does not know the order yet"),
     ],
 )
-def test_the_store_group_holds_a_machine_back(changes: dict[str, Any], reason: str) -> None:
-    assert blocking_reason(order(), KEEPERS, attrs.evolve(STORES, **changes), GROUP_SIZE) == reason
+def test_the_store_group_blocks_decommissioning(changes: dict[str, Any], reason: str) -> None:
+    assert blocking_reason(order(), CONTROLLERS, attrs.evolve(STORES, **changes), GROUP_SIZE) == reason
 
 
 @pytest.mark.parametrize(
@@ -83,36 +83,38 @@
         ({"excluded": frozenset()}, "the controller group has not excluded first-10.0.0.3"),
     ],
 )
-def test_the_keeper_group_holds_a_machine_back(changes: dict[str, Any], reason: str) -> None:
-    assert blocking_reason(order(), attrs.evolve(KEEPERS, **changes), STORES, GROUP_SIZE) == reason
+def test_the_controller_group_blocks_decommissioning(changes: dict[str, Any], reason: str) -> None:
+    assert blocking_reason(order(), attrs.evolve(CONTROLLERS, **changes), STORES, GROUP_SIZE) == reason
 
 
-def test_a_machine_whose_address_or_disk_is_unknown_stays() -> None:
+def test_an_unknown_address_or_disk_blocks_decommissioning() -> None:
     unknown = "the address or the disk of the machine is not known"
-    assert blocking_reason(order(ips=[]), KEEPERS, STORES, GROUP_SIZE) == unknown
-    assert blocking_reason(order(store_ids=[]), KEEPERS, STORES, GROUP_SIZE) == unknown
+    assert blocking_reason(order(ips=[]), CONTROLLERS, STORES, GROUP_SIZE) == unknown
+    assert blocking_reason(order(store_ids=[]), CONTROLLERS, STORES, GROUP_SIZE) == unknown
 
 
-def test_every_disk_that_was_ever_known_must_be_excluded() -> None:
+def test_every_disk_of_the_order_must_be_excluded() -> None:
     wiped = order(store_ids=["disk-3", "disk-new"])
-    assert blocking_reason(wiped, KEEPERS, STORES, GROUP_SIZE) == "the store group has not excluded disk-new"
+    assert (
+        blocking_reason(wiped, CONTROLLERS, STORES, GROUP_SIZE) == "the store group has not excluded disk-new"
+    )
     both = attrs.evolve(STORES, excluded=frozenset({"disk-3", "disk-new"}))
-    assert blocking_reason(wiped, KEEPERS, both, GROUP_SIZE) is None
+    assert blocking_reason(wiped, CONTROLLERS, both, GROUP_SIZE) is None
 
 
-def test_keepers_on_other_machines_are_not_asked_for() -> None:
+def test_the_controller_group_may_be_incomplete_if_no_controller_ran_on_the_machine() -> None:
     core = CommittedMembership((member(11, name=""), member(12, name="")), frozenset())
     assert blocking_reason(order(keeper_ids=[]), core, STORES, GROUP_SIZE) is None
 
 
-def test_an_address_used_again_by_a_machine_of_another_name_is_another_machine() -> None:
+def test_a_reused_address_with_another_node_name_is_another_machine() -> None:
     assert is_on_machine(order(), "", "10.0.0.3:7000")
     assert is_on_machine(order(), "m3", "10.0.0.9:7000")
     assert not is_on_machine(order(), "m7", "10.0.0.3:7000")
     assert not is_on_machine(order(), "", "10.0.0.33:7000")
 
 
-def test_lists_are_taken_from_both_groups() -> None:
+def test_committed_membership_is_created_for_both_groups() -> None:
     reply = StoreMembersReply(
         members=[Replica(member_id="a", node_name="m1", address="10.0.0.1:1")], excluded=["x"], revision=7
     )
--- a/tests/tier/test_control_store_maintenance.py
+++ b/tests/tier/test_control_store_group_reconciler.py
@@ -1,4 +1,4 @@
-"""Carrying out retire orders at the primary keeper: what both groups tell, and what changes meanwhile."""
+"""Tests the completion of retire orders on the primary controller, and concurrent changes during it."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 class ScriptedCaller(Caller):
-    """Answers calls by address, and notes whom was called."""
+    """Answers calls by address, and records the calls."""
 
     def __init__(self) -> None:
         self.answers: dict[str, Answer] = {}
@@ -59,8 +59,8 @@
         return self.answers.get(call.address, lambda: Err(UNREACHABLE))()
 
 
-class Scene:
-    """A keeper that leads, three stores s1 to s3 of which s3 is to be emptied, and s4 in its place."""
+class RetirementScenario:
+    """Sets up a leading controller and stores s1 to s3; s3 is to be retired and replaced by s4."""
 
     def __init__(self, alive: Sequence[Announcement] = ()) -> None:
         self.replicas = MemoryReplicas()
@@ -71,16 +71,16 @@
             self.replicas.add(identity, ControlState())
         self.caller = ScriptedCaller()
         self.alive = [Registration(one, 0.0) for one in alive]
-        self.term = LeadershipPeriod(self.group, lambda epoch: None, lambda: None)
+        self.period = LeadershipPeriod(self.group, lambda epoch: None, lambda: None)
         self.stores = StoreGroupReconciler(
-            SETTINGS, self.group, self.state, self.term, self.caller, lambda: self.inventory()
+            SETTINGS, self.group, self.state, self.period, self.caller, lambda: self.inventory()
         )
         self.reply = StoreMembersReply(
             members=[replica(name) for name in ("s1", "s2", "s4")], excluded=["disk-s3"], revision=99
         )
         self.caller.answers["127.0.0.1:7001"] = lambda: Ok(self.reply)
         self.replicas.lead(self.group)
-        self.term.update()
+        self.period.update()
 
     def inventory(self) -> StoreInventory:
         return StoreInventory(
@@ -104,116 +104,116 @@
         return self.state.retire_orders["s3"].completed
 
 
-def run(play: Callable[[Scene], Any], *alive: Announcement) -> None:
+def run(steps: Callable[[RetirementScenario], Any], *alive: Announcement) -> None:
     async def exchange() -> None:
-        scene = Scene(alive)
-        await scene.order()
-        await play(scene)
+        scenario = RetirementScenario(alive)
+        await scenario.order()
+        await steps(scenario)
 
     asyncio.run(exchange())
 
 
-def test_a_primary_that_heard_nobody_completes_by_committed_lists_alone() -> None:
-    async def play(scene: Scene) -> None:
-        await scene.stores.reconcile()
-        assert scene.caller.called == ["127.0.0.1:7001 store-members"]
-        assert scene.completed
+def test_a_primary_without_announcements_completes_orders_from_committed_members() -> None:
+    async def steps(scenario: RetirementScenario) -> None:
+        await scenario.stores.reconcile()
+        assert scenario.caller.called == ["127.0.0.1:7001 store-members"]
+        assert scenario.completed
 
-    run(play)
+    run(steps)
 
 
-def test_without_an_answer_of_the_store_groups_primary_nothing_is_completed() -> None:
-    async def play(scene: Scene) -> None:
-        scene.caller.answers.clear()
-        await scene.stores.reconcile()
+def test_no_order_is_completed_without_a_reply_from_the_store_groups_primary() -> None:
+    async def steps(scenario: RetirementScenario) -> None:
+        scenario.caller.answers.clear()
+        await scenario.stores.reconcile()
         not_primary = Failure(ErrorKind.NOT_PRIMARY, "does not lead")
-        scene.caller.answers["127.0.0.1:7001"] = lambda: Err(not_primary)
-        await scene.stores.reconcile()
-        assert not scene.completed
+        scenario.caller.answers["127.0.0.1:7001"] = lambda: Err(not_primary)
+        await scenario.stores.reconcile()
+        assert not scenario.completed
 
-    everything_looks_well = store("s1", group_primary=True, group_members=["disk-s1", "disk-s2", "disk-s4"])
-    run(play, everything_looks_well, store("s2"), store("s4"))
+    announced_primary = store("s1", group_primary=True, group_members=["disk-s1", "disk-s2", "disk-s4"])
+    run(steps, announced_primary, store("s2"), store("s4"))
 
 
-def test_a_change_of_the_keepers_members_that_is_open_holds_the_machine_back() -> None:
-    async def play(scene: Scene) -> None:
-        scene.group.membership_change_pending = True
-        await scene.stores.reconcile()
-        assert not scene.completed
-        scene.group.membership_change_pending = False
-        await scene.stores.reconcile()
-        assert scene.completed
+def test_a_pending_membership_change_of_the_controllers_blocks_completion() -> None:
+    async def steps(scenario: RetirementScenario) -> None:
+        scenario.group.membership_change_pending = True
+        await scenario.stores.reconcile()
+        assert not scenario.completed
+        scenario.group.membership_change_pending = False
+        await scenario.stores.reconcile()
+        assert scenario.completed
 
-    run(play)
+    run(steps)
 
 
-def test_a_first_keeper_without_a_name_holds_its_machine_back_by_its_address() -> None:
-    async def play(scene: Scene) -> None:
-        last = scene.replicas.groups[-1]
+def test_an_initial_controller_without_a_node_name_blocks_completion_by_its_address() -> None:
+    async def steps(scenario: RetirementScenario) -> None:
+        last = scenario.replicas.groups[-1]
         last.identity = MemberIdentity("first-127.0.0.1", "", "127.0.0.1:7000")
-        membership = ControllerGroupMembership(SETTINGS, scene.group, scene.state)
+        membership = ControllerGroupMembership(SETTINGS, scenario.group, scenario.state)
         membership.update_standbys([])
-        assert scene.group.retiring == {"s3", "first-127.0.0.1"}
-        await scene.stores.reconcile()
-        assert not scene.completed
+        assert scenario.group.retiring == {"s3", "first-127.0.0.1"}
+        await scenario.stores.reconcile()
+        assert not scenario.completed
         last.identity = MemberIdentity("keeper-9", "core-9", "10.0.0.9:7000")
-        await scene.stores.reconcile()
-        assert scene.completed
+        await scenario.stores.reconcile()
+        assert scenario.completed
 
-    run(play)
+    run(steps)
 
 
-def test_a_lease_that_ended_while_the_stores_were_asked() -> None:
-    async def play(scene: Scene) -> None:
+def test_nothing_is_proposed_if_the_lease_ends_while_the_stores_are_asked() -> None:
+    async def steps(scenario: RetirementScenario) -> None:
         def answer() -> Result[Any, Failure]:
-            scene.replicas.lease = False
-            return Ok(scene.reply)
+            scenario.replicas.lease = False
+            return Ok(scenario.reply)
 
-        scene.caller.answers["127.0.0.1:7001"] = answer
-        proposed = scene.replicas.proposed
-        await scene.stores.reconcile()
-        assert scene.replicas.proposed == proposed
+        scenario.caller.answers["127.0.0.1:7001"] = answer
+        proposed = scenario.replicas.proposed
+        await scenario.stores.reconcile()
+        assert scenario.replicas.proposed == proposed
 
-    run(play)
+    run(steps)
 
 
-def test_an_order_that_learns_of_a_disk_while_the_stores_are_asked() -> None:
-    async def play(scene: Scene) -> None:
+def test_an_order_extended_while_the_stores_are_asked_is_not_completed() -> None:
+    async def steps(scenario: RetirementScenario) -> None:
         machine = StoreMachine(node_name="s3", ip="127.0.0.1", store_id="disk-new")
         record = Command(record_machines=RecordMachines(machines=[machine])).SerializeToString()
 
         def answer() -> Result[Any, Failure]:
-            for group in scene.replicas.groups:
+            for group in scenario.replicas.groups:
                 group.state.apply(0, record)
-            return Ok(scene.reply)
+            return Ok(scenario.reply)
 
-        scene.caller.answers["127.0.0.1:7001"] = answer
-        await scene.stores.reconcile()
-        assert not scene.completed
-        scene.reply.excluded.append("disk-new")
-        await scene.stores.reconcile()
-        assert scene.completed
+        scenario.caller.answers["127.0.0.1:7001"] = answer
+        await scenario.stores.reconcile()
+        assert not scenario.completed
+        scenario.reply.excluded.append("disk-new")
+        await scenario.stores.reconcile()
+        assert scenario.completed
 
-    run(play)
+    run(steps)
 
 
-def test_disks_to_be_emptied_are_offered_so_that_they_are_excluded() -> None:
-    async def play(scene: Scene) -> None:
+def test_disks_of_retiring_machines_are_offered_so_that_they_are_excluded() -> None:
+    async def steps(scenario: RetirementScenario) -> None:
         machine = StoreMachine(node_name="s3", ip="127.0.0.1", keeper_id="away")
-        await scene.commit(record_machines=RecordMachines(machines=[machine]))
-        membership = ControllerGroupMembership(SETTINGS, scene.group, scene.state)
+        await scenario.commit(record_machines=RecordMachines(machines=[machine]))
+        membership = ControllerGroupMembership(SETTINGS, scenario.group, scenario.state)
         present = Announcement(node_name="core-8", program="keeper", ip="10.0.0.8", member_id="keeper-8")
         member = Announcement(node_name="core-2", program="keeper", ip="10.0.0.2", member_id="keeper-2")
         membership.update_standbys([Registration(present, 0.0), Registration(member, 0.0)])
-        assert [one.member_id for one in scene.group.standbys] == ["keeper-8", "away"]
-        assert scene.group.retiring == {"s3", "away"}
+        assert [one.member_id for one in scenario.group.standbys] == ["keeper-8", "away"]
+        assert scenario.group.retiring == {"s3", "away"}
         membership.withdraw_standbys()
-        assert [one.member_id for one in scene.group.standbys] == ["away"]
+        assert [one.member_id for one in scenario.group.standbys] == ["away"]
 
-    run(play)
+    run(steps)
 
 
-def test_the_store_groups_primary_tells_its_list_only_while_it_is_sure() -> None:
+def test_the_store_groups_primary_reports_its_members_only_while_confirmed() -> None:
     async def exchange() -> None:
         replicas = MemoryReplicas()
         group = replicas.add(MemberIdentity("a", "s1", "127.0.0.1:1", "z"), ControlState())
@@ -238,7 +238,7 @@
     asyncio.run(exchange())
 
 
-def test_stores_are_asked_in_turn_and_hints_followed_once() -> None:
+def test_stores_are_asked_in_turn_and_each_hint_is_followed_once() -> None:
     async def exchange() -> None:
         caller = ScriptedCaller()
         hint = Failure(ErrorKind.NOT_PRIMARY, "does not lead", "c:1")
--- a/tests/tier/test_distribution_puller.py
+++ b/tests/tier/test_distribution_puller.py
@@ -1,4 +1,4 @@
-"""Pulling from keepers that are cut off, hang or are gone; in virtual time, with scripted keepers."""
+"""Tests pulls from scripted controllers that are partitioned, hang or were removed, in virtual time."""
 
 from __future__ import annotations
 
@@ -34,8 +34,10 @@
 from cherrycove.tier.settings import Settings
 
 PULL_TIMEOUT_S = LONG_POLL_MS / 1000.0 + CALL_MARGIN_S
-MOST_CALLS = 200  # a caller that spins is slowed down behind these, so that its test ends
-APPLY_S = 2.0  # a proxy in touch has an acknowledged configuration after so long
+MAX_FAST_CALLS = (
+    200  # number of calls after which further ones are delayed, so that a busy loop ends its test
+)
+APPLY_S = 2.0  # time limit in which a connected proxy must receive an acknowledged configuration
 
 
 def address(number: int) -> str:
@@ -49,19 +51,21 @@
     )
 
 
-def members(epoch: int, *keepers: int) -> TopicUpdate:
-    announced = [Announcement(node_name=f"m{one}", program="keeper", ip=f"10.0.0.{one}") for one in keepers]
+def members(epoch: int, *numbers: int) -> TopicUpdate:
+    announced = [
+        Announcement(node_name=f"m{number}", program="keeper", ip=f"10.0.0.{number}") for number in numbers
+    ]
     return TopicUpdate(
         version=TopicVersion(topic="members", epoch=epoch, sequence=1), members=MemberList(members=announced)
     )
 
 
-class Keepers(Caller):
-    """Keepers by number; what each does with a pull is the test's to say. Counts as the network as well."""
+class ScriptedControllers(Caller):
+    """Implements controllers, identified by numbers, and the network; the test sets how each one responds."""
 
     def __init__(self) -> None:
-        self.silent: set[int] = set()  # a call hangs until its caller gives up
-        self.refusing: set[int] = set()  # no connection comes up
+        self.silent: set[int] = set()  # controllers whose calls hang until they time out
+        self.refusing: set[int] = set()  # controllers that refuse connections
         self.primary = 1
         self.hints: dict[int, int] = {}
         self.updates: list[TopicUpdate] = []
@@ -71,7 +75,7 @@
     async def send(self, call: OutgoingCall[Any, Any]) -> Any:
         number = int(call.address.partition(":")[0].rpartition(".")[2])
         self.calls.append((round(asyncio.get_running_loop().time(), 2), number))
-        if len(self.calls) > MOST_CALLS:
+        if len(self.calls) > MAX_FAST_CALLS:
             await asyncio.sleep(call.timeout_s)
         if number in self.refusing:
             return Err(Failure(ErrorKind.UNREACHABLE, "refused"))
@@ -86,28 +90,28 @@
     async def _answer(
         self, request: PullRequest, number: int, timeout_s: float
     ) -> Result[PullReply, Failure]:
-        held = {entry.topic: (entry.epoch, entry.sequence) for entry in request.versions}
+        versions = {entry.topic: (entry.epoch, entry.sequence) for entry in request.versions}
         newer = [
             update
             for update in self.updates
-            if (update.version.epoch, update.version.sequence) > held.get(update.version.topic, (0, 0))
+            if (update.version.epoch, update.version.sequence) > versions.get(update.version.topic, (0, 0))
         ]
         wait_s = 0.0 if newer else request.wait_ms / 1000.0
         await asyncio.sleep(wait_s)
-        if number in self.silent:  # the answer is lost on its way
+        if number in self.silent:  # The response is lost.
             await asyncio.sleep(timeout_s - wait_s)
             return Err(Failure(ErrorKind.UNCERTAIN, "no answer"))
         self.bodies_sent += len(newer)
         return Ok(PullReply(updates=newer))
 
-    def called_since(self, moment: float) -> list[int]:
-        return [number for at, number in self.calls if at >= moment]
+    def called_since(self, start: float) -> list[int]:
+        return [number for at, number in self.calls if at >= start]
 
 
 class Proxy:
-    """A process that pulls, with the first three keepers as its seeds."""
+    """Runs a process that pulls, with the first three controllers as its seeds."""
 
-    def __init__(self, keepers: Keepers, seeds: Sequence[int] = (1, 2, 3)) -> None:
+    def __init__(self, controllers: ScriptedControllers, seeds: Sequence[int] = (1, 2, 3)) -> None:
         settings = Settings(
             node_name="f1",
             machine_class="frontend",
@@ -117,59 +121,59 @@
             internal_port_range=[7000, 7010],
             seed_nodes=[f"10.0.0.{seed}:8000" for seed in seeds],
         )
-        self.views = ClusterView()
-        self.puller = Puller(settings, keepers, self.views, lambda: Announcement(node_name="f1"))
+        self.cluster_view = ClusterView()
+        self.puller = Puller(settings, controllers, self.cluster_view, lambda: Announcement(node_name="f1"))
         self._changed = asyncio.Event()
-        self.views.on_change(self._note)
+        self.cluster_view.on_change(self._on_change)
 
-    def _note(self) -> None:
+    def _on_change(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
     @property
     def version(self) -> int:
-        return 0 if self.views.configuration is None else self.views.configuration.version
+        return 0 if self.cluster_view.configuration is None else self.cluster_view.configuration.version
 
-    async def until(self, holds: Callable[[], bool], timeout_s: float) -> None:
+    async def until(self, condition: Callable[[], bool], timeout_s: float) -> None:
         async with asyncio.timeout(timeout_s):
-            while not holds():
+            while not condition():
                 await self._changed.wait()
 
 
-def test_a_primary_that_was_cut_off_is_left_in_time() -> None:
+def test_a_process_switches_from_a_partitioned_primary_in_time() -> None:
     async def exchange() -> None:
-        keepers = Keepers()
-        keepers.updates = [configuration(3), members(1, 1, 2, 3)]
-        proxy = Proxy(keepers)
+        controllers = ScriptedControllers()
+        controllers.updates = [configuration(3), members(1, 1, 2, 3)]
+        proxy = Proxy(controllers)
         await proxy.puller.start()
         await proxy.until(lambda: proxy.version == 3, 1.0)
-        keepers.silent = {1}
-        keepers.hints = {2: 1, 3: 1}  # both still take it for the primary
+        controllers.silent = {1}
+        controllers.hints = {2: 1, 3: 1}  # Both still consider it the primary.
         await asyncio.sleep(1.0)
-        keepers.hints = {2: 3}
-        keepers.primary = 3
-        keepers.updates = [configuration(5), members(2, 1, 2, 3)]
+        controllers.hints = {2: 3}
+        controllers.primary = 3
+        controllers.updates = [configuration(5), members(2, 1, 2, 3)]
         await proxy.until(lambda: proxy.version == 5, APPLY_S)
-        assert proxy.views.primary_address == address(3)
+        assert proxy.cluster_view.primary_address == address(3)
         await proxy.puller.stop()
 
     run(exchange())
 
 
-def test_two_keepers_that_hang_cost_no_whole_pull_each() -> None:
+def test_hanging_controllers_cost_less_than_a_full_pull_timeout_each() -> None:
     async def exchange() -> None:
-        keepers = Keepers()
-        keepers.updates = [configuration(3), members(1, 1, 2, 3, 4, 5)]
-        proxy = Proxy(keepers)
+        controllers = ScriptedControllers()
+        controllers.updates = [configuration(3), members(1, 1, 2, 3, 4, 5)]
+        proxy = Proxy(controllers)
         await proxy.puller.start()
         await asyncio.sleep(0.1)
-        keepers.silent = {1, 2, 3}
-        keepers.hints = {4: 5}
-        keepers.primary = 5
-        keepers.updates = [configuration(5), members(2, 4, 5)]
+        controllers.silent = {1, 2, 3}
+        controllers.hints = {4: 5}
+        controllers.primary = 5
+        controllers.updates = [configuration(5), members(2, 4, 5)]
         began = asyncio.get_running_loop().time()
         await proxy.until(lambda: proxy.version == 5, 10.0)
-        hanging = [number for number in keepers.called_since(began) if number in keepers.silent]
+        hanging = [number for number in controllers.called_since(began) if number in controllers.silent]
         assert hanging == [2, 3]
         assert asyncio.get_running_loop().time() - began < PULL_TIMEOUT_S + 3 * CALL_MARGIN_S
         await proxy.puller.stop()
@@ -177,60 +181,60 @@
     run(exchange())
 
 
-def test_keepers_that_are_listed_no_longer_are_tried_when_nobody_else_answers() -> None:
+def test_former_controllers_are_asked_when_no_other_answers() -> None:
     async def exchange() -> None:
-        keepers = Keepers()
-        keepers.updates = [members(1, 1, 7)]
-        proxy = Proxy(keepers)
+        controllers = ScriptedControllers()
+        controllers.updates = [members(1, 1, 7)]
+        proxy = Proxy(controllers)
         await proxy.puller.start()
-        await proxy.until(lambda: len(proxy.views.members) == 2, 1.0)
-        keepers.updates = [members(2, 1)]
-        await proxy.until(lambda: len(proxy.views.members) == 1, 2.0)
-        keepers.refusing = {1, 2, 3}
-        keepers.primary = 7
-        keepers.updates = [configuration(9)]
+        await proxy.until(lambda: len(proxy.cluster_view.members) == 2, 1.0)
+        controllers.updates = [members(2, 1)]
+        await proxy.until(lambda: len(proxy.cluster_view.members) == 1, 2.0)
+        controllers.refusing = {1, 2, 3}
+        controllers.primary = 7
+        controllers.updates = [configuration(9)]
         await proxy.until(lambda: proxy.version == 9, 5.0)
         await proxy.puller.stop()
 
     run(exchange())
 
 
-def test_a_process_whose_seeds_are_cut_off_follows_those_that_it_learned() -> None:
+def test_a_process_whose_seeds_are_unreachable_asks_discovered_controllers() -> None:
     async def exchange() -> None:
-        keepers = Keepers()
-        keepers.updates = [members(1, 1, 2, 3, 4)]
-        proxy = Proxy(keepers)
+        controllers = ScriptedControllers()
+        controllers.updates = [members(1, 1, 2, 3, 4)]
+        proxy = Proxy(controllers)
         await proxy.puller.start()
-        await proxy.until(lambda: len(proxy.views.members) == 4, 1.0)
-        keepers.silent = {1, 2, 3}
-        keepers.primary = 4
-        keepers.updates = [configuration(9)]
+        await proxy.until(lambda: len(proxy.cluster_view.members) == 4, 1.0)
+        controllers.silent = {1, 2, 3}
+        controllers.primary = 4
+        controllers.updates = [configuration(9)]
         await proxy.until(lambda: proxy.version == 9, 5.0)
         await proxy.puller.stop()
 
     run(exchange())
 
 
-def test_a_configuration_that_cannot_be_read_comes_again_without_haste() -> None:
+def test_an_unparsable_configuration_is_received_again_at_a_limited_rate() -> None:
     async def exchange() -> None:
-        keepers = Keepers()
-        keepers.updates = [configuration(3), configuration(5, b"{")]
-        proxy = Proxy(keepers)
+        controllers = ScriptedControllers()
+        controllers.updates = [configuration(3), configuration(5, b"{")]
+        proxy = Proxy(controllers)
         await proxy.puller.start()
         await proxy.until(lambda: proxy.version == 3, 1.0)
         await asyncio.sleep(3.0)
-        assert 5 <= keepers.bodies_sent <= 15
-        keepers.updates = [configuration(3), configuration(5)]
+        assert 5 <= controllers.bodies_sent <= 15
+        controllers.updates = [configuration(3), configuration(5)]
         await proxy.until(lambda: proxy.version == 5, 1.0)
         await proxy.puller.stop()
 
     run(exchange())
 
 
-def test_a_puller_ends_also_when_its_announcement_has_just_changed() -> None:
+def test_a_puller_can_be_stopped_just_after_its_announcement_changed() -> None:
     async def exchange() -> None:
-        keepers = Keepers()
-        proxy = Proxy(keepers)
+        controllers = ScriptedControllers()
+        proxy = Proxy(controllers)
         await proxy.puller.start()
         await asyncio.sleep(1.0)
         proxy.puller.announce_now()
@@ -241,8 +245,8 @@
     run(exchange())
 
 
-class Replica:
-    """A group of one as the publisher's leadership needs it; reports no change."""
+class SilentGroup:
+    """Implements a group of one for the publisher's leadership; it reports no changes."""
 
     identity = MemberIdentity("a", "m1", address(1))
     members = (identity,)
@@ -279,19 +283,21 @@
     state.apply(0, Command(accept_configuration=command).SerializeToString())
 
 
-def test_a_pull_held_over_a_lost_and_regained_lease_gets_what_was_committed_meanwhile() -> None:
+def test_a_pull_that_waits_across_a_lost_and_regained_lease_gets_later_commits() -> None:
     async def exchange() -> None:
-        group, state = Replica(), ControlState()
-        term = LeadershipPeriod(group, lambda epoch: topics.begin_epoch(epoch), lambda: None)
+        group, state = SilentGroup(), ControlState()
+        period = LeadershipPeriod(group, lambda epoch: topics.begin_epoch(epoch), lambda: None)
         publisher = Publisher(
-            LeadershipPeriodAuthority(term, Leadership(group, ClusterView())), lambda request: term.update()
+            LeadershipPeriodAuthority(period, Leadership(group, ClusterView())),
+            lambda request: period.update(),
         )
         topics = ControlTopics(publisher, state)
         accept(state, 3, 0)
-        held = [TopicVersion(topic="configuration", epoch=0, sequence=3)]
-        call = asyncio.create_task(publisher.pull(PullRequest(versions=held, wait_ms=700)))
+        versions = [TopicVersion(topic="configuration", epoch=0, sequence=3)]
+        call = asyncio.create_task(publisher.pull(PullRequest(versions=versions, wait_ms=700)))
         await asyncio.sleep(0.1)
-        accept(state, 5, 3)  # under another primary; this replica noticed neither its end nor its return
+        # Committed under another primary; this replica noticed neither the loss nor the return of its lease.
+        accept(state, 5, 3)
         group.epoch = 3
         reply = (await call).unwrap()
         assert [update.configuration.version for update in reply.updates] == [5]
--- a/tests/tier/test_distribution_topics.py
+++ b/tests/tier/test_distribution_topics.py
@@ -1,4 +1,4 @@
-"""Version vectors, the published topics, the choice of a keeper and the updating of views, step by step."""
+"""Tests version vectors, published topics, the selection of a controller and updates of the cluster view."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     return TopicUpdate(version=version("brokers", epoch, sequence), brokers=entries)
 
 
-def test_a_newer_epoch_wins_over_a_higher_sequence() -> None:
+def test_a_newer_epoch_takes_precedence_over_a_higher_sequence() -> None:
     vector = VersionVector()
     assert vector.advance(version("members", 2, 9))
     assert not vector.advance(version("members", 2, 9))
@@ -50,7 +50,7 @@
     assert VersionVector(vector.messages()).get("members") == Version(3, 1)
 
 
-def test_the_board_gives_what_is_missing() -> None:
+def test_published_topics_return_the_updates_missing_from_a_vector() -> None:
     topics = PublishedTopics()
     assert topics.publish(configuration(4))
     assert topics.publish(brokers(2, 1, "a"))
@@ -63,83 +63,83 @@
     assert topics.newer_than(has_brokers) == []
 
 
-def test_views_never_go_back() -> None:
-    views = ClusterView()
+def test_a_cluster_view_never_returns_to_an_older_version() -> None:
+    view = ClusterView()
     calls: list[int] = []
-    views.on_change(lambda: calls.append(1))
-    updater = ClusterViewUpdater(views)
+    view.on_change(lambda: calls.append(1))
+    updater = ClusterViewUpdater(view)
     assert updater.apply([configuration(4), brokers(2, 1, "a", "old")])
     assert not updater.apply([configuration(3), brokers(1, 9, "b")])
     assert calls == [1]
-    assert views.configuration is not None and views.configuration.version == 4
-    assert views.document == document(4)
-    assert [(one.instance_id, one.draining) for one in views.brokers] == [("a", False), ("old", True)]
+    assert view.configuration is not None and view.configuration.version == 4
+    assert view.document == document(4)
+    assert [(one.instance_id, one.draining) for one in view.brokers] == [("a", False), ("old", True)]
 
 
-def test_an_unreadable_configuration_leaves_the_one_before_in_force() -> None:
-    views = ClusterView()
-    updater = ClusterViewUpdater(views)
+def test_an_unparsable_configuration_does_not_replace_the_previous_one() -> None:
+    view = ClusterView()
+    updater = ClusterViewUpdater(view)
     updater.apply([configuration(4)])
     updater.apply([configuration(5, b"{")])
-    assert views.configuration is not None and views.configuration.version == 4
+    assert view.configuration is not None and view.configuration.version == 4
 
 
-def test_views_of_members_and_of_the_store_group() -> None:
-    views = ClusterView()
+def test_a_cluster_view_holds_members_and_the_store_group() -> None:
+    view = ClusterView()
     proxies = [Announcement(node_name="f1", program="proxy"), Announcement(node_name="f2", program="proxy")]
     proxies[1].leaving = True
     members = MemberList(members=[*proxies, Announcement(node_name="s1", program="store")])
     group = StoreGroup(retiring=["s1"])
-    updater = ClusterViewUpdater(views)
+    updater = ClusterViewUpdater(view)
     updater.apply(
         [
             TopicUpdate(version=version("members", 1, 1), members=members),
             TopicUpdate(version=version("store_group", 0, 1), store_group=group),
         ]
     )
-    assert [one.node_name for one in views.proxies()] == ["f1"]
-    assert [one.node_name for one in views.stores()] == ["s1"]
-    assert list(views.store_group.retiring) == ["s1"]
+    assert [one.node_name for one in view.proxies()] == ["f1"]
+    assert [one.node_name for one in view.stores()] == ["s1"]
+    assert list(view.store_group.retiring) == ["s1"]
 
 
 def test_hints_are_followed_and_failures_rotate() -> None:
-    choice = ControllerSelector(["a", "b"])
-    assert choice.target() == "a"
-    assert choice.record_not_primary("a", "c", 0.0) == 0.0
-    assert choice.target() == "c"
-    choice.record_answer("c")
-    assert choice.target() == "c"
-    assert choice.record_failure("c", 1.0) == MIN_BACKOFF_S
-    assert choice.target() == "b"
-    assert choice.record_not_primary("b", "c", 1.1) > 0.0
-    assert choice.target() == "a"
-    assert choice.record_not_primary("a", "c", 1.0 + HINT_IGNORED_S) == 0.0
-    assert choice.target() == "c"
-
-
-def test_hints_in_a_circle_are_slowed_down() -> None:
-    choice = ControllerSelector(["a", "b"])
-    pauses = [choice.record_not_primary(*pair, 0.0) for pair in (("a", "b"), ("b", "a"), ("a", "b"))]
+    selector = ControllerSelector(["a", "b"])
+    assert selector.target() == "a"
+    assert selector.record_not_primary("a", "c", 0.0) == 0.0
+    assert selector.target() == "c"
+    selector.record_answer("c")
+    assert selector.target() == "c"
+    assert selector.record_failure("c", 1.0) == MIN_BACKOFF_S
+    assert selector.target() == "b"
+    assert selector.record_not_primary("b", "c", 1.1) > 0.0
+    assert selector.target() == "a"
+    assert selector.record_not_primary("a", "c", 1.0 + HINT_IGNORED_S) == 0.0
+    assert selector.target() == "c"
+
+
+def test_circular_hints_cause_a_backoff() -> None:
+    selector = ControllerSelector(["a", "b"])
+    pauses = [selector.record_not_primary(*pair, 0.0) for pair in (("a", "b"), ("b", "a"), ("a", "b"))]
     assert pauses[:2] == [0.0, 0.0]
     assert pauses[2] > 0.0
 
 
-def test_pauses_grow_to_a_bound() -> None:
-    choice = ControllerSelector(["a"])
-    pauses = [choice.record_failure("a", float(turn)) for turn in range(20)]
+def test_the_backoff_grows_to_its_maximum() -> None:
+    selector = ControllerSelector(["a"])
+    pauses = [selector.record_failure("a", float(turn)) for turn in range(20)]
     assert pauses[0] == MIN_BACKOFF_S
     assert pauses == sorted(pauses)
     assert pauses[-1] == MAX_BACKOFF_S
 
 
-def test_keepers_learned_from_the_members_are_tried_after_the_seeds() -> None:
-    choice = ControllerSelector(["a"])
-    choice.replace_discovered(["a", "d"])
+def test_discovered_controllers_are_asked_after_the_seeds() -> None:
+    selector = ControllerSelector(["a"])
+    selector.replace_discovered(["a", "d"])
     tried = []
     for turn in range(4):
-        tried.append(choice.target())
-        choice.record_failure(tried[-1], float(turn))
+        tried.append(selector.target())
+        selector.record_failure(tried[-1], float(turn))
     assert tried == ["a", "d", "a", "d"]
-    choice.replace_seeds(["e"])
+    selector.replace_seeds(["e"])
     assert ControllerSelector([]).target() == ""
-    assert choice.target() in ("e", "a", "d")
+    assert selector.target() in ("e", "a", "d")
