--- a/cherrycove/tier/controlplane/broker_watcher.py
+++ b/cherrycove/tier/controlplane/broker_watcher.py
@@ -80,7 +80,7 @@
     def _publish_inherited(self) -> None:
         """Publish the earlier primary's list while the platform does not answer.
 
-        Processes that start meanwhile have no other source for the list.
+        This gives processes that start in the meantime a list of brokers.
         """
         waited_s = asyncio.get_running_loop().time() - self._leading_since
         unknown = self._topics.brokers is None and len(self._inherited.brokers) > 0
--- a/cherrycove/tier/controlplane/configuration_state.py
+++ b/cherrycove/tier/controlplane/configuration_state.py
@@ -1,4 +1,4 @@
-"""Replicated state of the configuration: the newest document and digests of the accepted versions."""
+"""Holds the replicated state of the configuration: the newest document and digests of accepted versions."""
 
 from __future__ import annotations
 
--- a/cherrycove/tier/controlplane/leadership.py
+++ b/cherrycove/tier/controlplane/leadership.py
@@ -11,7 +11,7 @@
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.replication.interface import Group
 
-POLL_INTERVAL_S = 0.05  # polling is needed because the group does not report the start or end of a lease
+POLL_INTERVAL_S = 0.05  # needed because a lease can start or end without a change reported by the group
 CONFIRMATION_TIMEOUT_S = 0.7  # must be below the timeout after which callers ask another controller
 # A listed member that receives no heartbeats for this time, while a primary answers its pulls, was removed
 # from the group.
--- a/cherrycove/tier/controlplane/operator_api.py
+++ b/cherrycove/tier/controlplane/operator_api.py
@@ -112,14 +112,14 @@
         if isinstance(confirmed, Err):
             return confirmed
         if isinstance(body, Err):
-            return self._final_refusal(body.err_value)
+            return self._final_error(body.err_value)
         base_version = _base_version(request)
         if base_version is None:
-            return self._final_refusal(Failure(ErrorKind.INVALID, "If-Match must be a version"))
+            return self._final_error(Failure(ErrorKind.INVALID, "If-Match must be a version"))
         outcome = await self._configuration.put(body.ok_value, base_version)
         return outcome.map(lambda _: Accepted())
 
-    def _final_refusal(self, failure: Failure) -> Err[Failure]:
+    def _final_error(self, failure: Failure) -> Err[Failure]:
         """Return ``failure``, or NOT_PRIMARY if this is not the confirmed primary.
 
         Only the confirmed primary may return a final error.
--- a/cherrycove/tier/controlplane/process_registry.py
+++ b/cherrycove/tier/controlplane/process_registry.py
@@ -29,9 +29,8 @@
 
     announcement: Announcement
     last_seen_at: float  # monotonic time in s
-    is_unconfirmed: bool = (
-        False  # True if the process has not announced itself since ``inherit`` or ``resume``
-    )
+    # True if the process has not announced itself since ``inherit`` or ``resume``.
+    is_unconfirmed: bool = False
     replaced_incarnations: tuple[str, ...] = ()  # earlier incarnations, the newest last
 
     def is_alive(self, now: float) -> bool:
--- a/cherrycove/tier/controlplane/retirement.py
+++ b/cherrycove/tier/controlplane/retirement.py
@@ -115,9 +115,9 @@
         enough = inventory.count_remaining(node_name, inventory.alive) >= self._group_size
         if inventory.is_known(node_name) and enough:
             return Ok(retire_command(machine))
-        return Err(self._refusal(node_name, inventory))
+        return Err(self._rejection(node_name, inventory))
 
-    def _refusal(self, node_name: str, inventory: StoreInventory) -> Failure:
+    def _rejection(self, node_name: str, inventory: StoreInventory) -> Failure:
         """Return why the order is rejected; the error is final only if no absent store could change it."""
         if not self._stores_had_time_to_announce() or not inventory.recently_seen:
             return Failure(ErrorKind.UNAVAILABLE, "the stores have not announced themselves yet")
--- a/cherrycove/tier/controlplane/storage_machines.py
+++ b/cherrycove/tier/controlplane/storage_machines.py
@@ -1,4 +1,4 @@
-"""Replicated state of the storage machines and of the orders to retire them.
+"""Holds the replicated state of the storage machines and of the orders to retire them.
 
 A machine is recorded when its store first announces itself, with its address and the disks of its store and
 its controller. A retire order copies this record, and later records extend it, so that a newly elected
--- a/cherrycove/tier/controlplane/store_group_state.py
+++ b/cherrycove/tier/controlplane/store_group_state.py
@@ -1,4 +1,4 @@
-"""Replicated state of the store group: its initial members, machines and retire orders."""
+"""Holds the replicated state of the store group: its initial members, machines and retire orders."""
 
 from __future__ import annotations
 
--- a/tests/tier/test_control_cut_off.py
+++ b/tests/tier/test_control_cut_off.py
@@ -237,9 +237,8 @@
             await world.operator(1, "POST", "/api/retire/s2", b"{}")
             await world.operator(1, "GET", "/api/retire/s2")
             await world.operator(1, "PUT", CONFIGURATION, document(9), "3")
-            world.controllers[
-                1
-            ].controller.directory.leading_since -= 10.0  # a term without a single announcement
+            # Simulate a leadership period without a single announcement.
+            world.controllers[1].controller.directory.leading_since -= 10.0
             await world.operator(1, "POST", "/api/retire/s1", b"{}")
             await world.operator(1, "POST", "/api/retire/unknown", b"{}")
             approved(
--- a/tests/tier/test_distribution_puller.py
+++ b/tests/tier/test_distribution_puller.py
@@ -34,9 +34,7 @@
 from cherrycove.tier.settings import Settings
 
 PULL_TIMEOUT_S = LONG_POLL_MS / 1000.0 + CALL_MARGIN_S
-MAX_FAST_CALLS = (
-    200  # number of calls after which further ones are delayed, so that a busy loop ends its test
-)
+MAX_FAST_CALLS = 200  # limit after which calls are delayed, so that the test of a busy loop ends
 APPLY_S = 2.0  # time limit in which a connected proxy must receive an acknowledged configuration
 
 
