--- a/tests/tier/dataplane_harness.py
+++ b/tests/tier/dataplane_harness.py
@@ -160,7 +160,7 @@
         self.cluster_view.brokers = tuple(
             listed_broker(each) for each in (self.brokers if listed is None else listed)
         )
-        self.cluster_view.changed()
+        self.cluster_view.notify_listeners()
 
     async def client(self) -> Client:
         client = await Client.connect(self.settings.listen_addresses.frontend)
--- a/tests/tier/test_dataplane_items.py
+++ b/tests/tier/test_dataplane_items.py
@@ -203,7 +203,7 @@
             document = json.loads(configuration_bytes(moved, version=2))
             document["services"].append({**document["services"][0], "name": "other"})
             harness.cluster_view.configuration = parse_configuration(json.dumps(document).encode()).unwrap()
-            harness.cluster_view.changed()
+            harness.cluster_view.notify_listeners()
             assert (await run).text == TEXT
             assert len(new.received) == 1
             release.set()
@@ -300,7 +300,7 @@
                 listed_broker(brokers[0], draining=True),
                 listed_broker(brokers[1]),
             )
-            harness.cluster_view.changed()
+            harness.cluster_view.notify_listeners()
             assert executor.load() == ExecutorLoad(slots["i-1"], 0, {"i-1": slots["i-1"]})
 
     asyncio.run(scenario())
@@ -316,7 +316,7 @@
                 )
                 for number in range(MAX_REPORTED_BROKERS + 9)
             )  # fmt: skip
-            harness.cluster_view.changed()
+            harness.cluster_view.notify_listeners()
             load = harness.data_plane.executor.load()
             assert load.broker_slots == 8 * (MAX_REPORTED_BROKERS + 9)
             assert len(load.usable_brokers) == MAX_REPORTED_BROKERS
