--- a/cherrycove/tier/batch/client/__init__.py
+++ b/cherrycove/tier/batch/client/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy's calls to the primary of the store group."""
+"""Sends the proxy's calls to the primary of the store group."""
--- a/cherrycove/tier/batch/client/batch_client.py
+++ b/cherrycove/tier/batch/client/batch_client.py
@@ -1,4 +1,4 @@
-"""Typed calls for batch jobs to the primary of the store group."""
+"""Provides typed batch calls to the primary of the store group."""
 
 from __future__ import annotations
 
@@ -13,37 +13,40 @@
 from cherrycove.tier.protocol.calls import Caller, ReplyT, RequestT, RpcMethod
 from cherrycove.tier.settings import Settings
 
-ATTEMPT_TIMEOUT_S = 0.8  # of one call to one store; a dead store does not answer
+ATTEMPT_TIMEOUT_S = 0.8  # bounds one call to one store, since a crashed store does not answer
 LEASE_ATTEMPT_TIMEOUT_S = 0.4
-READ_SLACK_S = 0.5  # beyond the time for which the store may keep a read open
+READ_SLACK_S = 0.5  # added to the time for which the store may hold a read open
 
 
 class BatchClient:
-    """The batch calls of one proxy. Each finds the primary and retries within its budget: ``PrimaryCall``."""
+    """Makes the batch calls of one proxy. Each call finds the primary and retries within its time budget.
+
+    ``PrimaryCall`` has the rules for retries.
+    """
 
     def __init__(self, client: Caller, cluster_view: ClusterView, settings: Settings) -> None:
         self._client = client
         self._finder = PrimaryFinder(cluster_view, settings)
 
     async def submit(self, request: pb.SubmitRequest, budget_s: float) -> Result[pb.SubmitReply, Failure]:
-        """Submit a job. After a failure that is certain the job was not accepted."""
+        """Submit a job. If the returned failure is certain, the job was not accepted."""
         return await self._call(batch_methods.SUBMIT, request, budget_s)
 
     async def read(self, request: pb.ReadRequest, budget_s: float) -> Result[pb.ReadReply, Failure]:
-        """Results from a cursor on; NOT_FOUND only from a primary with a valid lease."""
+        """Read results from a cursor on. NOT_FOUND comes only from a primary with a valid lease."""
         attempt_timeout_s = request.wait_ms / 1000.0 + READ_SLACK_S
         return await self._call(batch_methods.READ, request, budget_s, attempt_timeout_s)
 
     async def body(self, request: pb.BodyRequest, budget_s: float) -> Result[pb.BodyReply, Failure]:
-        """The request body of an item; NOT_FOUND once the store has dropped it."""
+        """Read the request body of an item; NOT_FOUND once the store has dropped it."""
         return await self._call(batch_methods.BODY, request, budget_s)
 
     async def end(self, request: pb.EndRequest, budget_s: float) -> Result[pb.EndReply, Failure]:
-        """End a job: its items are not run any more."""
+        """End a job, so that its remaining items are not run."""
         return await self._call(batch_methods.END, request, budget_s)
 
     async def lease(self, request: pb.LeaseRequest, budget_s: float) -> Result[pb.LeaseReply, Failure]:
-        """Renew leases, and ask for more."""
+        """Renew leases and request further items."""
         return await self._call(batch_methods.LEASE, request, budget_s, LEASE_ATTEMPT_TIMEOUT_S)
 
     async def report(self, request: pb.ReportRequest, budget_s: float) -> Result[pb.ReportReply, Failure]:
--- a/cherrycove/tier/batch/client/primary_call.py
+++ b/cherrycove/tier/batch/client/primary_call.py
@@ -1,4 +1,4 @@
-"""One call to the primary of the store group, attempted at store after store within a time budget."""
+"""Makes one call to the primary of the store group, trying store after store within a time budget."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol.calls import Caller, ReplyT, RequestT, RpcMethod
 
-MIN_BACKOFF_S = 0.03  # after all stores were tried once
+MIN_BACKOFF_S = 0.03  # pause after every store was tried once
 MAX_BACKOFF_S = 0.24
-MAX_HINTS_PER_PASS = 2  # then the other stores are tried
+MAX_HINTS_PER_PASS = 2  # primary hints followed before the remaining stores are tried
 
 FINAL_KINDS = frozenset((ErrorKind.NOT_FOUND, ErrorKind.INVALID, ErrorKind.OVERLOADED, ErrorKind.TOO_LARGE))
 UNRESPONSIVE_KINDS = frozenset((ErrorKind.UNREACHABLE, ErrorKind.UNCERTAIN))
 
 
 class PrimaryCall(Generic[RequestT, ReplyT]):
-    """All attempts of one call. Every method that is called so is idempotent, so attempts may be repeated.
+    """Makes all attempts of one call. Every method called this way is idempotent, so attempts may repeat.
 
-    The call ends with the first reply, with a failure that only a primary gives, or at its deadline. Only
-    if every attempt certainly had no effect is the failure of the call certain too.
+    The call ends with the first reply, with a failure that only a primary returns, or at its deadline. The
+    failure of the call is certain only if every attempt certainly had no effect.
     """
 
     def __init__(
@@ -40,11 +40,11 @@
         self._method = method
         self._request = request
         self._attempt_timeout_s = attempt_timeout_s
-        self._is_certain = True  # no attempt so far can have had an effect
+        self._is_certain = True  # whether all attempts so far certainly had no effect
         self._last_failure = Failure(ErrorKind.UNAVAILABLE, "no store is known")
 
     async def run(self, budget_s: float) -> Result[ReplyT, Failure]:
-        """The reply of the primary, or a failure after at most ``budget_s`` seconds."""
+        """Return the reply of the primary, or a failure after at most ``budget_s`` seconds."""
         deadline = _now() + budget_s
         backoff_s = MIN_BACKOFF_S
         while True:
@@ -52,7 +52,7 @@
             if outcome is not None:
                 return outcome
             if deadline - _now() <= backoff_s:
-                return Err(self._exhausted())
+                return Err(self._exhausted_failure())
             await asyncio.sleep(backoff_s)
             backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
 
@@ -78,7 +78,7 @@
         return None
 
     async def _attempt(self, address: str, remaining_s: float) -> Result[ReplyT, Failure] | Failure:
-        """The outcome of the call, or the failure of this attempt alone."""
+        """Try one store. Returns the outcome of the call, or a bare failure if other stores must be tried."""
         timeout_s = min(self._attempt_timeout_s, remaining_s)
         outcome = await self._client.call(address, self._method, self._request, timeout_s)
         if isinstance(outcome, Ok):
@@ -87,7 +87,7 @@
         failure = outcome.err_value
         if failure.kind in FINAL_KINDS:
             self._finder.mark_primary(address)
-            return Err(self._final(failure))
+            return Err(self._final_failure(failure))
         self._record_failure(address, failure)
         return failure
 
@@ -102,13 +102,16 @@
     def _is_usable_hint(self, address: str) -> bool:
         return bool(address) and not self._finder.is_unresponsive(address, _now())
 
-    def _final(self, failure: Failure) -> Failure:
-        """The primary's failure. Lack of capacity says nothing of an earlier attempt of unknown outcome."""
+    def _final_failure(self, failure: Failure) -> Failure:
+        """Return the failure of the call for the primary's ``failure``.
+
+        OVERLOADED does not rule out that an earlier attempt of unknown outcome took effect.
+        """
         if failure.kind is ErrorKind.OVERLOADED and not self._is_certain:
-            return self._exhausted()
+            return self._exhausted_failure()
         return failure
 
-    def _exhausted(self) -> Failure:
+    def _exhausted_failure(self) -> Failure:
         kind = ErrorKind.UNAVAILABLE if self._is_certain else ErrorKind.UNCERTAIN
         return Failure(kind, self._last_failure.detail)
 
--- a/cherrycove/tier/batch/client/primary_finder.py
+++ b/cherrycove/tier/batch/client/primary_finder.py
@@ -1,4 +1,4 @@
-"""Guesses which store is the primary of the store group, from announcements and from earlier replies."""
+"""Estimates which store is the primary of the store group, from announcements and earlier replies."""
 
 from __future__ import annotations
 
@@ -6,43 +6,47 @@
 from cherrycove.tier.program_names import STORE_PROGRAM
 from cherrycove.tier.settings import Settings
 
-UNRESPONSIVE_PERIOD_S = 2.0  # a store that did not answer is tried last for so long
+UNRESPONSIVE_PERIOD_S = 2.0  # how long a store that did not answer is tried after all others
 
 
 class PrimaryFinder:
-    """Orders the known stores by how likely each is the primary.
+    """Orders the known stores by how likely each is to be the primary.
 
-    Owned by one ``BatchClient``, which passes on what its calls show. ``now`` is monotonic time in seconds.
+    It is owned by one ``BatchClient``, which feeds it the results of its calls. ``now`` is monotonic time in
+    seconds.
     """
 
     def __init__(self, cluster_view: ClusterView, settings: Settings) -> None:
         self._cluster_view = cluster_view
         self._settings = settings
-        self._primary = ""  # address that answered as primary last
-        self._unresponsive_since: dict[str, float] = {}  # by address
+        self._primary = ""  # address of the store that last answered as primary; empty if none
+        self._unresponsive_since: dict[str, float] = {}  # address -> time of its latest missing answer
 
     def mark_primary(self, address: str) -> None:
-        """``address`` answered as the primary."""
+        """Record that ``address`` answered as the primary."""
         self._primary = address
         self._unresponsive_since.pop(address, None)
 
     def mark_not_primary(self, address: str) -> None:
-        """``address`` answered that it is not the primary."""
+        """Record that ``address`` answered that it is not the primary."""
         if self._primary == address:
             self._primary = ""
         self._unresponsive_since.pop(address, None)
 
     def mark_unresponsive(self, address: str, now: float) -> None:
-        """``address`` did not answer, whatever other stores say of it."""
+        """Record that ``address`` did not answer. Hints from other stores do not override this."""
         self.mark_not_primary(address)
         self._unresponsive_since[address] = now
 
     def is_unresponsive(self, address: str, now: float) -> bool:
-        """Whether ``address`` failed to answer within the last ``UNRESPONSIVE_PERIOD_S`` seconds."""
+        """Return whether ``address`` failed to answer within the last ``UNRESPONSIVE_PERIOD_S`` seconds."""
         return now - self._unresponsive_since.get(address, float("-inf")) < UNRESPONSIVE_PERIOD_S
 
     def candidates(self, now: float) -> list[str]:
-        """Addresses (host:port) to try, each once, best guess first and unresponsive stores last."""
+        """Return the addresses (host:port) to try, without duplicates.
+
+        The likeliest primary comes first, unresponsive stores come last.
+        """
         stores = sorted(
             self._cluster_view.stores(),
             key=lambda store: (store.group_primary, store.group_epoch),
--- a/cherrycove/tier/batch/frontend/__init__.py
+++ b/cherrycove/tier/batch/frontend/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP interface of batch jobs that a proxy serves to clients."""
+"""Serves the HTTP interface of batch jobs, which a proxy offers to clients."""
--- a/cherrycove/tier/batch/frontend/http_api.py
+++ b/cherrycove/tier/batch/frontend/http_api.py
@@ -1,7 +1,7 @@
-"""The HTTP interface of batch jobs to clients: submit a job, read results, read an item's body, end a job.
+"""Serves batch jobs to clients over HTTP: submit a job, read results, read an item's body, end a job.
 
-A status says how certain the outcome is: 503 where a job was certainly not accepted, 504 where that is
-unknown, 404 only where the primary of the store group found no such job while its lease was valid.
+The status says how certain the outcome is: 503 if a job was certainly not accepted, 504 if that is unknown,
+and 404 only if the primary of the store group found no such job while its lease was valid.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol import batch_pb2 as pb
 
-JOBS_PREFIX = "/api/lots/"  # followed by the job id
-ITEMS_PREFIX = "/api/items/"  # followed by the job id; the item id is a parameter
+JOBS_PREFIX = "/api/lots/"  # the job id follows
+ITEMS_PREFIX = "/api/items/"  # the job id follows; the item id is a query parameter
 JOB_ID_HEADER = "Request-Id"
 WAIT_HEADER = "Wait-Ms"
 DEADLINE_HEADER = "Deadline-Ms"
 CURSOR_PARAMETER = "pageCursor"
 ITEM_ID_PARAMETER = "instanceId"
 
-MAX_BATCH_CALL_S = 3.0  # for which a call of a client is kept open at most
+MAX_BATCH_CALL_S = 3.0  # longest time for which a client's call is held open
 SUBMIT_BUDGET_S = 2.0
-READ_BUDGET_S = 1.0  # beyond the time for which the client asked to wait
+READ_BUDGET_S = 1.0  # added to the time that the client asked to wait
 END_BUDGET_S = 2.0
-DEADLINE_FRACTION = 0.9  # of the client's deadline, so that the answer still reaches it
+DEADLINE_FRACTION = 0.9  # fraction of the client's deadline that is used, so that the answer arrives in time
 MAX_WAIT_MS = int((MAX_BATCH_CALL_S - READ_BUDGET_S) * 1000)
 MAX_CURSOR = 2**32 - 1
 MAX_MILLISECONDS = 2**31
@@ -44,7 +44,7 @@
         self._cluster_view = cluster_view
 
     async def handle(self, request: web.BaseRequest, body: bytes, route: Route | None) -> web.StreamResponse:
-        """Answer one request whose body is read. ``route`` is the batch route that it matches, if any."""
+        """Answer one request with its full ``body``. ``route`` is the batch route that it matches, if any."""
         method, path = request.method, request.path
         if path.startswith(JOBS_PREFIX) and method == "GET":
             return await self._read(request, path.removeprefix(JOBS_PREFIX))
@@ -67,7 +67,7 @@
         submission.configuration_version = configuration.version if configuration is not None else 0
         outcome = await self._client.submit(submission, _budget_s(request, SUBMIT_BUDGET_S))
         if isinstance(outcome, Err):
-            return _error_response(_failure_of_change(outcome.err_value))
+            return _error_response(_write_failure(outcome.err_value))
         return web.Response(status=202, text="{}", content_type=JSON_TYPE)
 
     async def _read(self, request: web.BaseRequest, job_id: str) -> web.Response:
@@ -80,25 +80,25 @@
         call = pb.ReadRequest(job_id=job_id, cursor=cursor, wait_ms=wait_ms)
         outcome = await self._client.read(call, wait_ms / 1000.0 + READ_BUDGET_S)
         if isinstance(outcome, Err):
-            return _error_response(_failure_of_read(outcome.err_value))
+            return _error_response(_read_failure(outcome.err_value))
         return web.Response(body=render_page(outcome.ok_value, cursor), content_type=JSON_TYPE)
 
     async def _body(self, request: web.BaseRequest, job_id: str) -> web.Response:
         call = pb.BodyRequest(job_id=job_id, item_id=request.query.get(ITEM_ID_PARAMETER, ""))
         outcome = await self._client.body(call, _budget_s(request, READ_BUDGET_S))
         if isinstance(outcome, Err):
-            return _error_response(_failure_of_read(outcome.err_value))
+            return _error_response(_read_failure(outcome.err_value))
         return web.Response(body=outcome.ok_value.body, content_type="application/octet-stream")
 
     async def _end(self, request: web.BaseRequest, job_id: str) -> web.Response:
         outcome = await self._client.end(pb.EndRequest(job_id=job_id), _budget_s(request, END_BUDGET_S))
         if isinstance(outcome, Err):
-            return _error_response(_failure_of_change(outcome.err_value))
+            return _error_response(_write_failure(outcome.err_value))
         return web.Response(text="{}", content_type=JSON_TYPE)
 
 
 def _budget_s(request: web.BaseRequest, default_s: float) -> float:
-    """Time for a call, shortened to what the client waits if it says so."""
+    """Return the time budget of a call: ``default_s``, or less if the client sent a shorter deadline."""
     deadline_ms = _parse_integer(request.headers.get(DEADLINE_HEADER, ""), MAX_MILLISECONDS)
     if not deadline_ms:
         return default_s
@@ -106,19 +106,22 @@
 
 
 def _parse_integer(text: str, maximum: int) -> int | None:
-    """The number in ``text``, at most ``maximum``; None if it has other characters or far too many digits."""
+    """Return the number in ``text``, capped at ``maximum``.
+
+    None if ``text`` is empty, has characters other than digits, or has more digits than ``maximum``.
+    """
     if not text.isascii() or not text.isdigit() or len(text) > len(str(maximum)):
         return None
     return min(int(text), maximum)
 
 
-def _failure_of_change(failure: Failure) -> Failure:
-    """A change that may have been made is answered by 504, which promises nothing."""
+def _write_failure(failure: Failure) -> Failure:
+    """Map an uncertain failure of a write to status 504, which leaves open whether the write took effect."""
     return failure if failure.is_certain else Failure(ErrorKind.DEADLINE, failure.detail)
 
 
-def _failure_of_read(failure: Failure) -> Failure:
-    """A read that failed may always be repeated, so it is answered by 503."""
+def _read_failure(failure: Failure) -> Failure:
+    """Map an uncertain failure of a read to status 503, because a read can always be retried."""
     return failure if failure.is_certain else Failure(ErrorKind.UNAVAILABLE, failure.detail)
 
 
--- a/cherrycove/tier/batch/frontend/result_page.py
+++ b/cherrycove/tier/batch/frontend/result_page.py
@@ -1,4 +1,4 @@
-"""The JSON page of results that a client reads, as the batch interface defines it."""
+"""Renders the JSON pages of results that clients read."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from cherrycove.tier.protocol.batch_pb2 import ReadReply, ResultEntry
 
 MAX_PAGE_BYTES = 1_000_000
-PAGE_ENVELOPE_BYTES = 200  # of a page beside its results
+PAGE_ENVELOPE_BYTES = 200  # size allowed for the part of a page outside its results
 
 
 def render_page(reply: ReadReply, cursor: int) -> bytes:
-    """One page of the results that ``reply`` holds from position ``cursor`` on.
+    """Render one page of the results in ``reply``, which start at position ``cursor``.
 
-    As many results as fit into ``MAX_PAGE_BYTES``, but at least one if there is one. ``nextPageToken`` is
-    the cursor of the next read.
+    The page holds as many results as fit into ``MAX_PAGE_BYTES``, but at least one if there is any.
+    ``nextPageToken`` is the cursor of the next read.
     """
     entries: list[bytes] = []
     size = PAGE_ENVELOPE_BYTES
--- a/cherrycove/tier/batch/frontend/submission.py
+++ b/cherrycove/tier/batch/frontend/submission.py
@@ -1,4 +1,4 @@
-"""Parses and checks the batch jobs that clients submit."""
+"""Parses and validates the batch jobs that clients submit."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 MAX_ITEMS = 200
 MAX_TOKENS = 2**32 - 1
 HEADER_NAME = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")  # a token of RFC 9110, section 5.6.2
-CONTROL = re.compile(r"[\x00-\x08\x0a-\x1f\x7f]")
-BLANK = re.compile(r"\s")
+CONTROL_CHARACTER = re.compile(r"[\x00-\x08\x0a-\x1f\x7f]")
+WHITESPACE = re.compile(r"\s")
 
 
 def parse_submission(job_id: str, route: Route, body: bytes) -> Result[SubmitRequest, Failure]:
-    """The job that the JSON document in ``body`` describes, on the terms of ``route``.
+    """Parse the JSON document in ``body`` into a job that takes its limits from ``route``.
 
-    INVALID with the key and the reason if the document is not a job. The version of the configuration is
-    left for the caller to set.
+    Returns INVALID with the key and the reason if the document is not a valid job. The caller sets the
+    configuration version.
     """
     if not job_id:
         return _invalid("Request-Id is missing")
@@ -41,9 +41,9 @@
     submission = _job_without_items(job_id, route)
     seen_ids: set[str] = set()
     for number, entry in enumerate(entries):
-        fault = _fill_item(submission.items.add(), entry, seen_ids)
-        if fault:
-            return _invalid(f"requests[{number}]: {fault}")
+        error_text = _fill_item(submission.items.add(), entry, seen_ids)
+        if error_text:
+            return _invalid(f"requests[{number}]: {error_text}")
     return Ok(submission)
 
 
@@ -59,16 +59,21 @@
 
 
 def _fill_item(item: Item, entry: Any, seen_ids: set[str]) -> str:
-    """Fill ``item`` from one entry of the document; returns what is wrong with the entry, or ''."""
+    """Fill ``item`` from one entry of the document. Returns what is wrong with the entry, or ''."""
     if not isinstance(entry, dict):
         return "must be an object"
     item_id, path, tokens = entry.get("instanceId"), entry.get("path"), entry.get("tokens")
-    if not isinstance(item_id, str) or not item_id or CONTROL.search(item_id):
+    if not isinstance(item_id, str) or not item_id or CONTROL_CHARACTER.search(item_id):
         return "instanceId: must be a text"
     if item_id in seen_ids:
         return f"instanceId: {item_id} comes twice"
     seen_ids.add(item_id)
-    if not isinstance(path, str) or not path.startswith("/") or CONTROL.search(path) or BLANK.search(path):
+    if (
+        not isinstance(path, str)
+        or not path.startswith("/")
+        or CONTROL_CHARACTER.search(path)
+        or WHITESPACE.search(path)
+    ):
         return "path: must begin with a slash and hold no blanks"
     if isinstance(tokens, bool) or not isinstance(tokens, int) or not 0 <= tokens <= MAX_TOKENS:
         return "tokens: must be a whole number"
@@ -82,7 +87,7 @@
     for name, value in headers.items():
         if not HEADER_NAME.fullmatch(name):
             return f"headers: {name!r} is not a name"
-        if not isinstance(value, str) or CONTROL.search(value):
+        if not isinstance(value, str) or CONTROL_CHARACTER.search(value):
             return f"headers: the value of {name} must be a text of one line"
         item.headers[name] = value
     return ""
--- a/cherrycove/tier/batch/jobs/__init__.py
+++ b/cherrycove/tier/batch/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated state of batch jobs and the commands that change it."""
+"""Holds the replicated state of batch jobs and the commands that change it."""
--- a/cherrycove/tier/batch/jobs/commands.py
+++ b/cherrycove/tier/batch/jobs/commands.py
@@ -10,7 +10,7 @@
 
 
 def accept_command(job: SubmitRequest, received_unix_ms: int) -> bytes:
-    """Accepts a job. ``received_unix_ms`` is the time of day at the primary."""
+    """Build the command that accepts a job. ``received_unix_ms`` is the primary's time of day."""
     command = BatchCommand()
     command.accept.job.CopyFrom(job)
     command.accept.received_unix_ms = received_unix_ms
@@ -18,21 +18,21 @@
 
 
 def end_command(job_id: str) -> bytes:
-    """Ends a job: its items are not run any more."""
+    """Build the command that ends a job, so that its remaining items are not run."""
     command = BatchCommand()
     command.end.job_id = job_id
     return command.SerializeToString()
 
 
 def forget_command(job_ids: Sequence[str]) -> bytes:
-    """Drops those of the jobs that are done."""
+    """Build the command that removes those of the given jobs that are done."""
     command = BatchCommand()
     command.forget.job_ids.extend(job_ids)
     return command.SerializeToString()
 
 
 def failures_command(key: ItemKey, failed_attempts: int) -> bytes:
-    """Records how many answers of status 500 an item has had; a lower count changes nothing."""
+    """Build the command that records an item's responses of status 500; a lower count has no effect."""
     command = BatchCommand()
     command.failures.reference.job_id = key.job_id
     command.failures.reference.item_id = key.item_id
@@ -41,16 +41,16 @@
 
 
 def results_command(results: Sequence[ItemResult]) -> bytes:
-    """Gives results their positions, in this order."""
+    """Build the command that appends results to their jobs, in this order."""
     command = BatchCommand()
     command.results.results.extend(results)
     return command.SerializeToString()
 
 
 def item_result(key: ItemKey, text: bytes, *, completed: bool) -> ItemResult:
-    """One result as it is replicated.
+    """Build the replicated form of one result.
 
-    ``text`` of a completed item is the data of its events, of a dead-lettered item the reason.
+    ``text`` is the event data of a completed item, or the dead-letter reason.
     """
     reference = ItemReference(job_id=key.job_id, item_id=key.item_id)
     return ItemResult(reference=reference, completed=completed, text=text)
--- a/cherrycove/tier/batch/jobs/recent_bodies.py
+++ b/cherrycove/tier/batch/jobs/recent_bodies.py
@@ -1,7 +1,7 @@
-"""The bodies of items that have just got their results.
+"""Keeps the bodies of items that got their results recently.
 
-A client may read the body of an item that its last page of results did not show yet, so the newest bodies
-are kept; the oldest ones over the bounds are dropped.
+A client may read the body of an item whose result it has not seen yet on its last page of results. So the
+newest bodies are kept, and the oldest are dropped once a limit is exceeded.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class RecentBodies:
-    """The bodies that are kept of items with a result, oldest first. Part of the replicated state."""
+    """Holds bodies of items with a result, oldest first. It is part of the replicated state."""
 
     def __init__(self) -> None:
         self._encoded: dict[ItemKey, bytes] = {}  # serialized Items
@@ -25,25 +25,25 @@
         return iter(self._encoded)
 
     def by_job(self) -> dict[str, dict[str, bytes]]:
-        """The serialized items by job id and item id."""
+        """Return the serialized items by job id and item id."""
         jobs: dict[str, dict[str, bytes]] = {}
         for key, encoded in self._encoded.items():
             jobs.setdefault(key.job_id, {})[key.item_id] = encoded
         return jobs
 
     def get(self, key: ItemKey) -> bytes | None:
-        """The serialized item, if it is kept."""
+        """Return the serialized item; None if it is not kept."""
         return self._encoded.get(key)
 
     def add(self, key: ItemKey, encoded: bytes) -> None:
-        """Add an item that has just got its result; drop the oldest ones over the bounds."""
+        """Add an item that has just got its result, and drop the oldest items while a limit is exceeded."""
         self._encoded[key] = encoded
         self.size_bytes += len(encoded)
         while self.size_bytes > MAX_RECENT_BYTES or len(self._encoded) > MAX_RECENT_COUNT:
             self._drop(next(iter(self._encoded)))
 
     def drop_jobs(self, job_ids: Container[str]) -> None:
-        """Forget the items of these jobs."""
+        """Drop the items of these jobs."""
         for key in [key for key in self._encoded if key.job_id in job_ids]:
             self._drop(key)
 
--- a/cherrycove/tier/batch/jobs/snapshot.py
+++ b/cherrycove/tier/batch/jobs/snapshot.py
@@ -1,9 +1,10 @@
 """Writes and reads the snapshot of all jobs, one job at a time.
 
-A snapshot is one serialized ``BatchSnapshot``. As one message it would be in memory twice beside the jobs,
-which is more than a store with many jobs may use. Serialized messages that are joined are one message with
-all their repeated fields (Protocol Buffers, "Encoding"), so a snapshot is written job by job and read field
-by field. A finished job is a block of its own within its field, the same one in each snapshot.
+A snapshot is one serialized ``BatchSnapshot``. As a single message it would be in memory twice in addition to
+the jobs, which is more than a store with many jobs may use. Concatenated serialized messages
+form one message with all their repeated fields (Protocol Buffers, "Encoding"), so a snapshot is written job
+by job and read field by field. A finished job is a separate block within its field, which all snapshots
+share.
 """
 
 from __future__ import annotations
@@ -13,34 +14,34 @@
 import attrs
 from google.protobuf.message import DecodeError
 
-from cherrycove.tier.batch.jobs.model import FinishedJob, Job, job_of_message
+from cherrycove.tier.batch.jobs.model import FinishedJob, Job, job_from_message
 from cherrycove.tier.batch.jobs.recent_bodies import RecentBodies
 from cherrycove.tier.protocol.batch_log_pb2 import BatchSnapshot, JobSnapshot
 from cherrycove.tier.protocol.batch_pb2 import ItemReference
 from cherrycove.tier.storage.snapshot_state import SnapshotState, StateBlock
 
-MAX_PLAIN_BYTES = 256 * 1024  # of a block that is not final, unless one job is larger
+MAX_PLAIN_BYTES = 256 * 1024  # size limit of a block that is not final; exceeded only by a larger job
 _WIRE_TYPE_BITS = 3
-_LENGTH_DELIMITED = 2  # wire type of messages and of bytes
+_LENGTH_DELIMITED = 2  # wire type of messages and bytes
 _VARINT_BITS = 7
 _VARINT_CONTINUED = 0x80
 _JOBS_TAG = bytes([BatchSnapshot.JOBS_FIELD_NUMBER << _WIRE_TYPE_BITS | _LENGTH_DELIMITED])
 
 
 def write_snapshot(jobs: Iterable[Job], recent_bodies: RecentBodies) -> SnapshotState:
-    """The snapshot of ``jobs``, and of the bodies that are kept of items with a result."""
+    """Build the snapshot of ``jobs``, with the kept bodies of items that have a result."""
     writer = _BlockWriter()
     bodies = recent_bodies.by_job()
     for job in jobs:
-        # Joined to the job itself, so that a block of a finished one stays as it is.
-        rest = _serialize_rest(job, bodies.get(job.job_id, {}))
+        # The bodies follow the job in the same field, so that the block of a finished job never changes.
+        trailer = _serialize_trailer(job, bodies.get(job.job_id, {}))
         if isinstance(job, FinishedJob):
-            writer.add_plain(_JOBS_TAG + _varint(job.block.state_bytes + len(rest)))
+            writer.add_plain(_JOBS_TAG + _varint(job.block.state_bytes + len(trailer)))
             writer.add_final(job.block)
         else:
             content = job.to_message().SerializeToString()
-            writer.add_plain(_JOBS_TAG + _varint(len(content) + len(rest)) + content)
-        writer.add_plain(rest)
+            writer.add_plain(_JOBS_TAG + _varint(len(content) + len(trailer)) + content)
+        writer.add_plain(trailer)
     recent = BatchSnapshot()
     for key in recent_bodies:
         recent.recently_listed.add(job_id=key.job_id, item_id=key.item_id)
@@ -48,38 +49,41 @@
     return writer.finish()
 
 
-def _serialize_rest(job: Job, bodies: Mapping[str, bytes]) -> bytes:
-    """What stands behind a job: its listed items whose bodies are kept, and whether its client ended it."""
-    rest = JobSnapshot(ended=job.ended)
+def _serialize_trailer(job: Job, bodies: Mapping[str, bytes]) -> bytes:
+    """Serialize what follows a job: its finished items whose bodies are kept, and whether it was ended."""
+    trailer = JobSnapshot(ended=job.ended)
     for item_id, encoded in bodies.items():
-        rest.items.add(item_id=item_id, encoded=encoded)
-    return rest.SerializeToString()
+        trailer.items.add(item_id=item_id, encoded=encoded)
+    return trailer.SerializeToString()
 
 
 @attrs.frozen
 class SnapshotField:
-    """One job or recently listed item of a snapshot; ``block`` is that of a finished job, if it has one."""
+    """Holds one field of a snapshot: a job, or a reference to an item whose body is kept.
+
+    ``block`` is the block of a finished job; None for all other fields.
+    """
 
     message: JobSnapshot | ItemReference
     block: StateBlock | None = None
 
 
 def read_snapshot(state: bytes | SnapshotState) -> Iterator[SnapshotField]:
-    """The jobs of a snapshot, then the items whose bodies are still kept, oldest first.
+    """Yield the jobs of a snapshot, then the items whose bodies are still kept, oldest first.
 
-    Raises ``DecodeError`` where ``state`` is not a snapshot or ends early.
+    Raises ``DecodeError`` if ``state`` is not a snapshot or is truncated.
     """
     reader = _BlockReader(SnapshotState.of(state))
     while not reader.is_at_end:
         tag = reader.read_varint()
         length = reader.read_varint()
         if tag & (1 << _WIRE_TYPE_BITS) - 1 != _LENGTH_DELIMITED:
-            raise DecodeError("not a snapshot of jobs")
+            raise DecodeError(f"jobs snapshot has tag {tag}, which is not length-delimited")
         yield _read_field(reader, tag >> _WIRE_TYPE_BITS, length)
 
 
-def job_of(field: SnapshotField) -> Job:
-    """The job of a field that holds one."""
+def job_from_field(field: SnapshotField) -> Job:
+    """Build the job from a snapshot field that holds one."""
     message = field.message
     assert isinstance(message, JobSnapshot)
     if field.block is not None:
@@ -91,7 +95,7 @@
             ended=message.ended,
             block=field.block,
         )
-    job = job_of_message(message)
+    job = job_from_message(message)
     is_done = message.ended or job.has_all_results
     return job.finished(ended=message.ended) if is_done else job
 
@@ -105,11 +109,11 @@
         return SnapshotField(JobSnapshot.FromString(data), block)
     if number == BatchSnapshot.RECENTLY_LISTED_FIELD_NUMBER:
         return SnapshotField(ItemReference.FromString(reader.read(length)))
-    raise DecodeError(f"field {number} in a snapshot of jobs")
+    raise DecodeError(f"jobs snapshot has unknown field number {number}")
 
 
 class _BlockWriter:
-    """Joins what is not final to blocks of moderate size."""
+    """Collects blocks, and merges data that is not final into blocks of about ``MAX_PLAIN_BYTES``."""
 
     def __init__(self) -> None:
         self._blocks: list[StateBlock] = []
@@ -137,24 +141,27 @@
 
 
 class _BlockReader:
-    """Reads a state from its start to its end, one block in memory at a time."""
+    """Reads a state from start to end with only one block decoded in memory at a time."""
 
     def __init__(self, state: SnapshotState) -> None:
         self._blocks = state.blocks
-        self._number = 0  # of the block that is read
-        self._offset = 0  # in that block
-        self._data: bytes | None = None  # of that block, once it is needed
+        self._block_index = 0  # block that is read next
+        self._offset = 0  # position in that block
+        self._data: bytes | None = None  # content of that block, decoded on first use
 
     @property
     def is_at_end(self) -> bool:
-        return self._number == len(self._blocks)
+        return self._block_index == len(self._blocks)
+
+    def take_final(self, max_bytes: int) -> StateBlock | None:
+        """Consume and return the block that begins here, if it is final and at most ``max_bytes`` long.
 
-    def take_final(self, most_bytes: int) -> StateBlock | None:
-        """Pass the block that begins here, if it is final and not longer than ``most_bytes``."""
+        Returns None and consumes nothing otherwise.
+        """
         if self.is_at_end or self._offset:
             return None
-        block = self._blocks[self._number]
-        if not block.is_final or block.state_bytes > most_bytes:
+        block = self._blocks[self._block_index]
+        if not block.is_final or block.state_bytes > max_bytes:
             return None
         self._advance(block.state_bytes)
         return block
@@ -163,9 +170,9 @@
         parts: list[bytes] = []
         while size > 0:
             if self.is_at_end:
-                raise DecodeError("a snapshot of jobs ends early")
+                raise DecodeError(f"jobs snapshot is truncated: {size} more bytes expected")
             if self._data is None:
-                self._data = self._blocks[self._number].data()
+                self._data = self._blocks[self._block_index].data()
             part = self._data[self._offset : self._offset + size]
             parts.append(part)
             size -= len(part)
@@ -173,7 +180,7 @@
         return b"".join(parts)
 
     def read_varint(self) -> int:
-        """A base 128 varint of the wire format."""
+        """Read a base 128 varint of the wire format."""
         number = 0
         shift = 0
         while True:
@@ -185,8 +192,8 @@
 
     def _advance(self, size: int) -> None:
         self._offset += size
-        if self._offset == self._blocks[self._number].state_bytes:
-            self._number += 1
+        if self._offset == self._blocks[self._block_index].state_bytes:
+            self._block_index += 1
             self._offset = 0
             self._data = None
 
--- a/cherrycove/tier/batch/jobs/state.py
+++ b/cherrycove/tier/batch/jobs/state.py
@@ -1,7 +1,7 @@
-"""The replicated state of batch jobs: what was accepted, and the results at their fixed positions.
+"""Holds the replicated state of batch jobs: accepted jobs, and their results at fixed positions.
 
-A state machine driven by committed commands only. It holds no clock: ages and leases are soft state of the
-primary (see ``store`` and ``leasing``), which observes every change here.
+It is a state machine that only committed commands change. It has no clock: ages and leases are soft state
+of the primary (see ``store`` and ``leasing``), which observes every change here.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from cherrycove.tier.batch.jobs.model import FinishedJob, ItemKey, Job, OpenJob, StoredItem, StoredResult
 from cherrycove.tier.batch.jobs.recent_bodies import RecentBodies
-from cherrycove.tier.batch.jobs.snapshot import job_of, read_snapshot, write_snapshot
+from cherrycove.tier.batch.jobs.snapshot import job_from_field, read_snapshot, write_snapshot
 from cherrycove.tier.protocol.batch_log_pb2 import (
     AcceptJob,
     BatchCommand,
@@ -26,61 +26,61 @@
 
 
 class AcceptOutcome(Enum):
-    """What applying the acceptance of a job did."""
+    """Enumerates the effects that applying an ``accept`` command can have."""
 
     ACCEPTED = "accepted"
-    ALREADY_ACCEPTED = "already accepted"  # nothing changed
+    ALREADY_ACCEPTED = "already accepted"  # the job was known and did not change
 
 
 class EndOutcome(Enum):
-    """What applying the end of a job did."""
+    """Enumerates the effects that applying an ``end`` command can have."""
 
-    ENDED = "ended"  # now or earlier
+    ENDED = "ended"  # by this command or an earlier one
     UNKNOWN = "unknown"
 
 
 class JobsObserver:
-    """Is notified of each change after it was applied. A subclass overrides what it needs."""
+    """Is notified of each change after it was applied. Subclasses override the methods they need."""
 
     def job_accepted(self, job: Job) -> None:
-        """``job`` is new."""
+        """Called after ``job`` was accepted."""
 
     def result_recorded(self, job: Job, item_id: str) -> None:
-        """An item of ``job`` has its result."""
+        """Called after an item of ``job`` got its result."""
 
     def job_ended(self, job: Job) -> None:
-        """The client ended ``job``."""
+        """Called after the client ended ``job``."""
 
     def jobs_forgotten(self, job_ids: Iterable[str]) -> None:
-        """These jobs are no longer part of the state."""
+        """Called after these jobs were removed from the state."""
 
     def state_restored(self) -> None:
-        """All jobs were replaced by those of a snapshot."""
+        """Called after all jobs were replaced by those of a snapshot."""
 
 
 @attrs.define
 class JobsUsage:
-    """What the jobs of a state take, in bytes but for the counts."""
+    """Accumulates sizes in bytes, and counts, over the jobs of a state."""
 
-    open_payload_bytes: int = 0  # bodies and results of jobs with items to be run
-    open_items: int = 0  # of these jobs
-    unfinished_items: int = 0  # of these, the items without a result
-    unfinished_body_bytes: int = 0  # and their bodies
-    finished_bytes: int = 0  # of all other jobs, as they are stored
+    open_payload_bytes: int = 0  # bodies and results of open jobs
+    open_items: int = 0  # items of open jobs
+    unfinished_items: int = 0  # items of open jobs without a result
+    unfinished_body_bytes: int = 0  # bodies of the unfinished items
+    finished_bytes: int = 0  # finished jobs as they are stored, compressed
     finished_results: int = 0
-    finished_state_bytes: int = 0  # of these jobs before they were compressed
+    finished_state_bytes: int = 0  # finished jobs before compression
 
     @property
     def total_bytes(self) -> int:
-        """Size of all jobs."""
+        """Return the size of all jobs."""
         return self.open_payload_bytes + self.finished_bytes
 
     def add(self, job: Job) -> None:
-        """Count a job."""
+        """Add a job to the totals."""
         self._count(job, 1)
 
     def remove(self, job: Job) -> None:
-        """Count a job no longer."""
+        """Subtract a job from the totals."""
         self._count(job, -1)
 
     def _count(self, job: Job, sign: int) -> None:
@@ -96,14 +96,14 @@
             self.unfinished_body_bytes += sign * body_bytes
 
     def result_recorded(self, body_bytes: int, text_bytes: int) -> None:
-        """An item of an open job has its result, and has lost its body."""
+        """Update the totals for an item of an open job that got its result and dropped its body."""
         self.open_payload_bytes += text_bytes - body_bytes
         self.unfinished_items -= 1
         self.unfinished_body_bytes -= body_bytes
 
 
 class JobsState:
-    """All jobs; a ``StateMachine`` of a replicated group.
+    """Holds all jobs as the ``StateMachine`` of a replicated group.
 
     Every replica applies the same commands in the same order and so has the same jobs, results and bodies.
     """
@@ -116,12 +116,12 @@
 
     @property
     def stored_bytes(self) -> int:
-        """Size of all jobs, and of the bodies that are kept beside them."""
+        """Return the size of all jobs and of the bodies kept for items with a result."""
         return self.usage.total_bytes + self._recent_bodies.size_bytes
 
     @property
     def recent_bytes(self) -> int:
-        """Size of the bodies that are kept of items with a result."""
+        """Return the size of the bodies kept for items with a result."""
         return self._recent_bodies.size_bytes
 
     def observe(self, observer: JobsObserver) -> None:
@@ -129,29 +129,29 @@
         self._observers.append(observer)
 
     def open_job(self, job_id: str) -> OpenJob | None:
-        """None where the job is unknown or nothing of it is left to be run."""
+        """Return the job if it has items left to run; None if it is unknown or finished."""
         job = self.jobs.get(job_id)
         return job if isinstance(job, OpenJob) else None
 
     def item(self, key: ItemKey) -> StoredItem | None:
-        """None where the job is unknown or finished, or the item is unknown."""
+        """Return an item of an open job; None if the job is unknown or finished, or the item is unknown."""
         job = self.open_job(key.job_id)
         return job.items.get(key.item_id) if job is not None else None
 
     def encoded_item(self, key: ItemKey) -> bytes | None:
-        """A serialized item with its body; None where the item is unknown or its body was dropped."""
+        """Return a serialized item with its body; None if the item is unknown or its body was dropped."""
         job = self.jobs.get(key.job_id)
         item = job.items.get(key.item_id) if job is not None else None
         return item.encoded if item is not None and item.encoded else self._recent_bodies.get(key)
 
     def body(self, key: ItemKey) -> bytes | None:
-        """The body of an item; None where the item is unknown or its body was dropped."""
+        """Return the body of an item; None if the item is unknown or its body was dropped."""
         encoded = self.encoded_item(key)
         return Item.FromString(encoded).body if encoded else None
 
     # StateMachine
 
-    def apply(self, index: int, command: bytes) -> object:  # noqa: ARG002 - part of StateMachine
+    def apply(self, index: int, command: bytes) -> object:  # noqa: ARG002 - required by StateMachine
         """Apply one committed command.
 
         Returns an ``AcceptOutcome`` or an ``EndOutcome`` for these commands, None for all others.
@@ -172,22 +172,22 @@
         return None
 
     def snapshot(self) -> SnapshotState:
-        """All jobs, as one serialized ``BatchSnapshot``."""
+        """Return all jobs as one serialized ``BatchSnapshot``."""
         return write_snapshot(self.jobs.values(), self._recent_bodies)
 
     def restore(self, state: bytes | SnapshotState) -> None:
-        """Replace all jobs by those of a snapshot; ``DecodeError`` if ``state`` is not one."""
-        self.jobs = {}  # the old jobs are released first, so that both never take memory at once
+        """Replace all jobs by those of a snapshot. Raises ``DecodeError`` if ``state`` is not one."""
+        self.jobs = {}  # release the old jobs first, so that both sets are never in memory at once
         self.usage = JobsUsage()
         self._recent_bodies = RecentBodies()
-        bodies = _ListedBodies()
+        bodies = _FinishedItemBodies()
         for field in read_snapshot(state):
             if isinstance(field.message, ItemReference):
                 key = ItemKey.of(field.message)
                 self._recent_bodies.add(key, bodies.take(key))
                 continue
             bodies.collect(field.message)
-            job = job_of(field)
+            job = job_from_field(field)
             self.jobs[job.job_id] = job
             self.usage.add(job)
         for observer in self._observers:
@@ -202,7 +202,7 @@
         items = {item.item_id: StoredItem(item.SerializeToString()) for item in command.job.items}
         del command.job.items[:]
         submission = SubmitRequest()
-        submission.CopyFrom(command.job)  # a submessage would keep the whole command in memory
+        submission.CopyFrom(command.job)  # a reference to the submessage would keep all of command in memory
         opened = OpenJob(submission, command.received_unix_ms, items)
         job = opened.finished(ended=False) if opened.has_all_results else opened
         self.jobs[job_id] = job
@@ -212,7 +212,7 @@
         return AcceptOutcome.ACCEPTED
 
     def _record(self, result: ItemResult) -> None:
-        """The first result of an item counts; a later one changes nothing."""
+        """Record the first result of an item; later results have no effect."""
         key = ItemKey.of(result.reference)
         job = self.open_job(key.job_id)
         item = job.items.get(key.item_id) if job is not None else None
@@ -260,20 +260,20 @@
             observer.jobs_forgotten(forgotten)
 
 
-class _ListedBodies:
-    """Bodies of items with a result, which stand in their jobs and are not kept there."""
+class _FinishedItemBodies:
+    """Moves the bodies of items with a result out of the job messages of a snapshot."""
 
     def __init__(self) -> None:
         self._encoded: dict[ItemKey, bytes] = {}
 
     def collect(self, message: JobSnapshot) -> None:
-        """Take the bodies out of ``message``."""
-        listed = {entry.item_id for entry in message.results}
+        """Remove the bodies of finished items from ``message`` and keep them here."""
+        finished_ids = {entry.item_id for entry in message.results}
         for item in message.items:
-            if item.encoded and item.item_id in listed:
+            if item.encoded and item.item_id in finished_ids:
                 self._encoded[ItemKey(message.terms.job_id, item.item_id)] = item.encoded
                 item.encoded = b""
 
     def take(self, key: ItemKey) -> bytes:
-        """A serialized item; empty where it has come without its body."""
+        """Remove and return a serialized item; empty if the snapshot did not hold its body."""
         return self._encoded.pop(key, b"")
--- a/cherrycove/tier/batch/leasing/__init__.py
+++ b/cherrycove/tier/batch/leasing/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about which proxy runs which item. Pure: no input, output or clock of its own."""
+"""Decides which proxy runs which item, without I/O or a clock of its own."""
--- a/cherrycove/tier/batch/leasing/grant_policy.py
+++ b/cherrycove/tier/batch/leasing/grant_policy.py
@@ -1,4 +1,4 @@
-"""How many waiting items a proxy gets at once, and in which order."""
+"""Decides how many waiting items a proxy is granted at once, and in which order."""
 
 from __future__ import annotations
 
@@ -10,25 +10,26 @@
 
 from cherrycove.tier.batch.jobs.model import ItemKey
 
-USABLE_FRACTION = 0.95  # of the brokers' slots, for live requests and leased items together
-LIVE_HEADROOM = 1.0  # slots kept for each live request that is open now
-MIN_BATCH_FRACTION = 0.1  # of the slots, which items may use however many live requests there are
-OVERDUE_INTERVAL = 4  # every so many grants, one goes to an item that will miss its target
+USABLE_FRACTION = 0.95  # fraction of the brokers' slots for live requests and leased items together
+LIVE_HEADROOM = 1.0  # slots reserved for each live request that is open now
+MIN_BATCH_FRACTION = 0.1  # fraction of the slots that items may use regardless of live requests
+OVERDUE_INTERVAL = 4  # one in this many grants goes to an item that will miss its completion target
 
 
 def fair_share(waiting: int, proxies: int) -> int:
-    """At most so many of the ``waiting`` items for one request, so that all ``proxies`` get work.
+    """Return how many of the ``waiting`` items one request may get, so that all ``proxies`` get work.
 
-    ``proxies`` counts those that have capacity; the share is rounded up.
+    ``proxies`` is the number of proxies that have capacity. The share is rounded up.
     """
     return -(-waiting // max(proxies, 1))
 
 
 def lease_limit(broker_slots: Sequence[int], live_requests: int) -> int | None:
-    """How many items may be leased at once, so that live requests find a free slot; None: unlimited.
+    """Return how many items may be leased at once without taking slots from live requests.
 
-    ``broker_slots`` are the slots of all brokers as each proxy reported them, 0 if it did not; their median
-    counts, since a proxy that was cut off knows too few. ``live_requests`` are those of all proxies together.
+    None means no limit. ``broker_slots`` are the total broker slots as each proxy reported them, 0 if it did
+    not report any. Their median is used, since a partitioned proxy sees only some of the brokers.
+    ``live_requests`` is the total over all proxies.
     """
     reported = [slots for slots in broker_slots if slots > 0]
     if not reported:
@@ -40,12 +41,12 @@
 
 @attrs.define
 class GrantOrder:
-    """Prefers items that can still meet their completion target, without starving those that cannot."""
+    """Prefers items that can still meet their completion target without starving those that cannot."""
 
     _grants: int = 0
 
     def next_item(self, in_time: Iterator[ItemKey], overdue: Iterator[ItemKey]) -> ItemKey | None:
-        """The item to be granted next; None if both are exhausted."""
+        """Return the item to grant next; None if both iterators are exhausted."""
         self._grants += 1
         first, second = (overdue, in_time) if self._grants % OVERDUE_INTERVAL == 0 else (in_time, overdue)
         return next(first, None) or next(second, None)
--- a/cherrycove/tier/batch/leasing/item_durations.py
+++ b/cherrycove/tier/batch/leasing/item_durations.py
@@ -1,15 +1,15 @@
-"""How long an item usually takes from its lease to its result."""
+"""Estimates how long an item takes from its lease to its result."""
 
 from __future__ import annotations
 
 import attrs
 
-NEWEST_WEIGHT = 0.05  # of the newest duration in the mean
+NEWEST_WEIGHT = 0.05  # weight of the newest duration in the mean
 
 
 @attrs.define
 class ItemDurations:
-    """An exponentially weighted mean of durations, in seconds; 0 until one is known."""
+    """Maintains an exponentially weighted mean of durations, in seconds; 0 until one was added."""
 
     mean_s: float = 0.0
 
--- a/cherrycove/tier/batch/leasing/job_queue.py
+++ b/cherrycove/tier/batch/leasing/job_queue.py
@@ -1,4 +1,4 @@
-"""The unfinished items of all jobs: which of them wait, and in which order jobs come."""
+"""Holds the unfinished items of all jobs: which of them wait, and the order in which jobs are served."""
 
 from __future__ import annotations
 
@@ -13,37 +13,37 @@
 
 @attrs.define
 class QueuedJob:
-    """One job with its unfinished items. Each of them either waits or is leased."""
+    """Holds one job with its unfinished items, each of which is either waiting or leased."""
 
     job: LeasableJob
     available_from_s: float
-    waiting: dict[str, None]  # item ids leased to nobody, in order
-    leased: dict[str, str] = attrs.field(factory=dict)  # item id -> incarnation
-    granted_at_s: dict[str, float] = attrs.field(factory=dict)  # of leased items granted in this epoch
+    waiting: dict[str, None]  # ids of items that are not leased, in order
+    leased: dict[str, str] = attrs.field(factory=dict)  # item id -> incarnation of the lease holder
+    granted_at_s: dict[str, float] = attrs.field(factory=dict)  # item id -> time of its grant in this epoch
 
     def unfinished(self) -> list[ItemKey]:
-        """All items that have no result."""
+        """Return all items without a result."""
         return [ItemKey(self.job.job_id, item_id) for item_id in (*self.waiting, *self.leased)]
 
 
 class JobQueue:
-    """Jobs by id, and those with waiting items by earliest completion target first."""
+    """Holds jobs by id, and orders those with waiting items by earliest completion target."""
 
     def __init__(self) -> None:
-        self.waiting_count = 0  # items leased to nobody
+        self.waiting_count = 0  # items that are not leased
         self._jobs: dict[str, QueuedJob] = {}
-        self._order: list[tuple[float, str]] = []  # (due, job id) of jobs with waiting items, sorted
+        self._order: list[tuple[float, str]] = []  # sorted (due time, job id) of jobs with waiting items
 
     def __getitem__(self, job_id: str) -> QueuedJob:
-        """The job; ``KeyError`` if it is unknown."""
+        """Return the job. Raises ``KeyError`` if it is unknown."""
         return self._jobs[job_id]
 
     def get(self, job_id: str) -> QueuedJob | None:
-        """The job, if it is known and unfinished."""
+        """Return the job; None if it is unknown or finished."""
         return self._jobs.get(job_id)
 
     def jobs(self) -> Iterable[QueuedJob]:
-        """All jobs, in the order of their arrival."""
+        """Return all jobs in the order of their arrival."""
         return self._jobs.values()
 
     def add(self, job: LeasableJob, available_from_s: float) -> None:
@@ -55,11 +55,11 @@
             insort(self._order, (job.due_at_s, job.job_id))
 
     def remove(self, job_id: str) -> None:
-        """Drop a job of which no item waits any more."""
+        """Drop a job that has no waiting items."""
         del self._jobs[job_id]
 
     def take(self, queued: QueuedJob, item_id: str) -> bool:
-        """Remove an item from those that wait; returns whether it was waiting."""
+        """Remove an item from the waiting ones. Returns whether it was waiting."""
         if item_id not in queued.waiting:
             return False
         del queued.waiting[item_id]
@@ -69,7 +69,7 @@
         return True
 
     def put_back(self, queued: QueuedJob, item_id: str) -> None:
-        """Let an item wait again, behind the other items of its job."""
+        """Return an item to the waiting ones, behind the other items of its job."""
         if not queued.waiting:
             insort(self._order, (queued.job.due_at_s, queued.job.job_id))
         queued.waiting[item_id] = None
@@ -78,9 +78,10 @@
     def offers(
         self, due_from_s: float, routes: frozenset[str], now: float
     ) -> tuple[Iterator[ItemKey], Iterator[ItemKey]]:
-        """Waiting items of ``routes`` in order: those due at ``due_from_s`` or later, and those due before.
+        """Return iterators over the waiting items of ``routes``, in order.
 
-        The order of the jobs is that at the time of the call; items may be taken while it is read.
+        The first covers items due at ``due_from_s`` or later, the second those due before. The order of the
+        jobs is fixed at the call; items may be taken while the iterators are read.
         """
         start = bisect_left(self._order, (due_from_s, ""))
         later = self._waiting_items(self._order[start:], routes, now)
--- a/cherrycove/tier/batch/leasing/lease_table.py
+++ b/cherrycove/tier/batch/leasing/lease_table.py
@@ -1,8 +1,8 @@
-"""Which unfinished item is leased to which proxy: soft state of the primary of the store group.
+"""Tracks which unfinished item is leased to which proxy, as soft state of the primary of the store group.
 
-A pure machine: time comes in as an argument (monotonic seconds) and decisions go out. It is built anew at
-each change of primary from the replicated jobs. What the proxies run at that time they announce again; until
-they had the time to do so, items of earlier epochs are not leased, since a proxy may still run them.
+The table is deterministic: callers pass the time (monotonic seconds), and it returns decisions. It is
+rebuilt from the replicated jobs at each change of primary. The proxies then announce the items that they
+run. Until they had time to do so, items of earlier epochs are not leased, since a proxy may still run them.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 
 
 class LeaseTable:
-    """All leases of one epoch of a primary."""
+    """Holds all leases of one epoch of a primary."""
 
     def __init__(self, epoch: int, now: float, times: LeaseTimes | None = None) -> None:
-        """Leases of ``epoch``, which begins ``now``."""
+        """Create the table of ``epoch``, which begins at ``now``."""
         self.epoch = epoch
         self._times = times or LeaseTimes()
         self._grace_ends_s = now + self._times.grace_s
@@ -42,18 +42,18 @@
 
     @property
     def lease_s(self) -> float:
-        """For how long a lease is valid without renewal."""
+        """Return how long a lease is valid without renewal."""
         return self._times.lease_s
 
     # Changes of the jobs
 
     def add_job(self, job: LeasableJob, *, from_earlier_epoch: bool) -> None:
-        """Offer the items of a job; those from an earlier epoch only once the grace time is over."""
+        """Offer the items of a job; if it is from an earlier epoch, only after the grace period."""
         if self._queue.get(job.job_id) is None:
             self._queue.add(job, self._grace_ends_s if from_earlier_epoch else float("-inf"))
 
     def resolve(self, key: ItemKey, now: float | None = None) -> None:
-        """An item has its result. ``now`` is given where the result tells how long items take."""
+        """Remove an item that needs no further run. Pass ``now`` if its duration should be measured."""
         queued = self._queue.get(key.job_id)
         if queued is None:
             return
@@ -65,7 +65,7 @@
         self._failed_attempts.pop(key, None)
 
     def remove_job(self, job_id: str) -> None:
-        """A job was ended or forgotten; its items are leased no more."""
+        """Remove a job that was ended or forgotten, with the leases of its items."""
         queued = self._queue.get(job_id)
         if queued is None:
             return
@@ -76,9 +76,9 @@
     # Requests of the proxies
 
     def exchange(self, call: LeaseCall, now: float) -> LeaseDecision:
-        """Renew what the caller runs, revoke what it must stop, and lease more up to its capacity.
+        """Renew the leases of what the caller runs, revoke what it must stop, and grant up to its capacity.
 
-        A request that a newer one has overtaken changes nothing.
+        A request that arrives after a newer one of the same process changes nothing.
         """
         self.expire(now)
         holder = self._renew_holder(call, now)
@@ -90,7 +90,7 @@
         return LeaseDecision(granted, revoked, self._queue.waiting_count)
 
     def release(self, incarnation: str, key: ItemKey, failed_attempts: int) -> None:
-        """The lease holder did not finish an item; counts of failed attempts never go down."""
+        """Free an item that its lease holder did not finish. The count of failed attempts never decreases."""
         queued = self._queue.get(key.job_id)
         if queued is None or key.item_id not in queued.job.item_ids:
             return
@@ -101,16 +101,19 @@
     # Maintenance
 
     def expire(self, now: float) -> None:
-        """Free everything that was not renewed in time."""
+        """Free all items whose lease was not renewed in time."""
         self._free_all(self._holders.expire(now))
 
     def past_retention(self, now: float) -> list[ItemKey]:
-        """Unfinished items that may be given up."""
+        """Return the unfinished items whose retention time is over, so that they may be dead-lettered."""
         jobs = [queued for queued in self._queue.jobs() if queued.job.retained_until_s <= now]
         return [key for queued in jobs for key in queued.unfinished()]
 
     def waiting_items(self, job_id: str, now: float) -> list[ItemKey]:
-        """Items of a job that nobody runs; none while proxies may still announce items of earlier epochs."""
+        """Return the items of a job that no proxy runs.
+
+        The list is empty while proxies may still announce items of earlier epochs.
+        """
         queued = self._queue.get(job_id)
         if queued is None or queued.available_from_s > now:
             return []
@@ -125,7 +128,7 @@
         return self._holders.renew(call, now)
 
     def _renew(self, incarnation: str, holder: LeaseHolder, key: ItemKey) -> bool:
-        """Whether the caller may keep running ``key``, which is leased to it or to nobody."""
+        """Return whether the caller may keep running ``key``; an item that is not leased is leased to it."""
         queued = self._queue.get(key.job_id)
         if queued is None:
             return False
@@ -141,7 +144,7 @@
         share = fair_share(self._queue.waiting_count, self._holders.count_with_capacity())
         in_time, overdue = self._queue.offers(now + self._durations.mean_s, call.routes, now)
         placement = self._placements.begin(call.usable_brokers)
-        for _ in range(min(call.capacity, share, self._room())):
+        for _ in range(min(call.capacity, share, self._remaining_lease_limit())):
             key = self._grant_order.next_item(in_time, overdue)
             if key is None:
                 return
@@ -154,8 +157,8 @@
             job = queued.job
             yield Grant(key, job.due_at_s, job.retained_until_s, self._failed_attempts[key], broker)
 
-    def _room(self) -> int:
-        """How many further items may be leased now, beside the live requests."""
+    def _remaining_lease_limit(self) -> int:
+        """Return how many further items may be leased now without taking slots from live requests."""
         limit = self._holders.lease_limit()
         return self._queue.waiting_count if limit is None else max(limit - self._holders.count_items(), 0)
 
@@ -171,7 +174,7 @@
             self._free(key)
 
     def _free(self, key: ItemKey) -> None:
-        """Let a leased item wait again."""
+        """Return a leased item to the waiting ones."""
         queued = self._queue[key.job_id]
         self._end_lease(queued, key)
         self._queue.put_back(queued, key.item_id)
--- a/cherrycove/tier/batch/leasing/lease_types.py
+++ b/cherrycove/tier/batch/leasing/lease_types.py
@@ -1,4 +1,4 @@
-"""What goes into the lease table and comes out of it. Points in time are monotonic seconds."""
+"""Defines the inputs and outputs of the lease table. Points in time are monotonic seconds."""
 
 from __future__ import annotations
 
@@ -8,60 +8,59 @@
 
 from cherrycove.tier.batch.jobs.model import ItemKey
 
-RENEWAL_INTERVAL_S = 0.25  # between two lease requests of a busy proxy
+RENEWAL_INTERVAL_S = 0.25  # interval between the lease requests of a busy proxy
 
 
 @attrs.frozen
 class LeaseTimes:
-    """Durations of leases, in seconds."""
+    """Holds the durations that apply to leases, in seconds."""
 
-    lease_s: float = 1.5  # without renewal an item is free again after this
-    grace_s: float = (
-        4 * RENEWAL_INTERVAL_S
-    )  # after a change of primary, for proxies to announce what they run
+    lease_s: float = 1.5  # an item is free again after this time without renewal
+    # Time that proxies have after a change of primary to announce what they run.
+    grace_s: float = 4 * RENEWAL_INTERVAL_S
 
 
 @attrs.frozen
 class LeasableJob:
-    """What leasing must know of one job."""
+    """Describes one job as far as leasing needs it."""
 
     job_id: str
     route: str
-    due_at_s: float  # completion target
-    retained_until_s: float  # items may be given up afterwards
-    item_ids: Sequence[str]  # unfinished, in order
+    due_at_s: float  # time at which its completion target is reached
+    retained_until_s: float  # time after which its items may be dead-lettered
+    item_ids: Sequence[str]  # unfinished items, in order
 
 
 @attrs.frozen
 class LeaseCall:
-    """One lease request of a proxy."""
+    """Holds one lease request of a proxy."""
 
     proxy: str
-    incarnation: str  # of its process; new at each start
-    sequence: int  # rises with each request of an incarnation
+    incarnation: str  # id of the proxy's process, new at each start
+    sequence: int  # increases with each request of an incarnation
     running: Sequence[ItemKey]
-    capacity: int  # how many further items the proxy could start now
-    routes: frozenset[str]  # batch routes in force at the proxy
-    broker_slots: int = 0  # of all brokers that the proxy could send items to; 0: not told
-    live_requests: int = 0  # pending and in flight at the proxy
-    usable_brokers: Mapping[str, int] = attrs.field(factory=dict)  # slots by id, of those with a connection
+    capacity: int  # number of further items that the proxy could start now
+    routes: frozenset[str]  # batch routes in the proxy's current configuration
+    broker_slots: int = 0  # total slots of all brokers that the proxy could use; 0 if not reported
+    live_requests: int = 0  # pending and in-flight requests at the proxy
+    usable_brokers: Mapping[str, int] = attrs.field(factory=dict)  # slots by id of the connected brokers
 
 
 @attrs.frozen
 class Grant:
-    """One item leased to the caller."""
+    """Describes one item that is leased to the caller."""
 
     key: ItemKey
     due_at_s: float
     retained_until_s: float
     failed_attempts: int
-    broker: str = ""  # instance id at which it should run; empty: the caller chooses
+    broker: str = ""  # instance id of the broker that should run it; if empty, the caller chooses
 
 
 @attrs.frozen
 class LeaseDecision:
-    """The answer to one lease request."""
+    """Holds the answer to one lease request."""
 
     granted: Sequence[Grant] = ()
-    revoked: Sequence[ItemKey] = ()  # of those that the caller runs: it must stop them
-    waiting: int = 0  # items leased to nobody
+    revoked: Sequence[ItemKey] = ()  # items that the caller runs and must stop
+    waiting: int = 0  # items that are not leased
--- a/cherrycove/tier/batch/leasing/placement.py
+++ b/cherrycove/tier/batch/leasing/placement.py
@@ -1,4 +1,4 @@
-"""Which broker each leased item should run at: spread evenly over the brokers by exact counts. Pure."""
+"""Chooses the broker for each leased item, spreading items evenly by exact counts. Has no I/O or clock."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class Placements:
-    """The broker of each leased item that was placed; owned by the ``LeaseTable``.
+    """Tracks the broker of each placed item; owned by the ``LeaseTable``.
 
-    Proxies do not know what others run at a broker until its next response to them; here it is known exactly,
-    but for items that a proxy had to run elsewhere, or that an earlier primary leased.
+    A proxy learns what other proxies run at a broker only from the broker's next response. Here the counts
+    are exact, except for items that a proxy had to run elsewhere or that an earlier primary leased.
     """
 
     def __init__(self) -> None:
@@ -22,20 +22,20 @@
         self._items_at: Counter[str] = Counter()
 
     def begin(self, usable_brokers: Mapping[str, int]) -> PlacementRound:
-        """Place items of one lease request at ``usable_brokers`` (slots by instance id)."""
+        """Start the placement of one lease request's items at ``usable_brokers`` (slots by instance id)."""
         return PlacementRound(self, dict(usable_brokers))
 
     def items_at(self, broker: str) -> int:
-        """How many leased items were placed there."""
+        """Return how many leased items are placed at ``broker``."""
         return self._items_at[broker]
 
     def add(self, key: ItemKey, broker: str) -> None:
-        """An item is leased, to be run at ``broker``."""
+        """Record that an item is leased and should run at ``broker``."""
         self._broker_of[key] = broker
         self._items_at[broker] += 1
 
     def remove(self, key: ItemKey) -> None:
-        """Its lease has ended."""
+        """Remove an item whose lease has ended."""
         broker = self._broker_of.pop(key, None)
         if broker is not None:
             self._items_at[broker] -= 1
@@ -45,19 +45,22 @@
 
 @attrs.define
 class PlacementRound:
-    """One lease request: each broker gets one item at most, as the caller may have one connection there."""
+    """Places the items of one lease request.
+
+    Each broker gets at most one item per request, as the caller may have only one connection to it.
+    """
 
     _placements: Placements
-    _available: dict[str, int]  # slots by instance id
+    _available: dict[str, int]  # slots by instance id of the brokers that have not been chosen yet
 
     def place(self, key: ItemKey) -> str:
-        """The broker with the smallest share of its slots taken by items; empty if none is left."""
+        """Return the broker whose items take the smallest fraction of its slots; empty if none is left."""
         if not self._available:
             return ""
-        broker = min(self._available, key=self._share_taken)
+        broker = min(self._available, key=self._slot_utilization)
         del self._available[broker]
         self._placements.add(key, broker)
         return broker
 
-    def _share_taken(self, broker: str) -> float:
+    def _slot_utilization(self, broker: str) -> float:
         return self._placements.items_at(broker) / max(self._available[broker], 1)
--- a/cherrycove/tier/batch/store/__init__.py
+++ b/cherrycove/tier/batch/store/__init__.py
@@ -1,1 +1,1 @@
-"""The service that a store runs for batch jobs."""
+"""Implements the service that a store runs for batch jobs."""
--- a/cherrycove/tier/batch/store/call_handlers.py
+++ b/cherrycove/tier/batch/store/call_handlers.py
@@ -1,7 +1,7 @@
-"""Answers the calls of the proxies about batch jobs.
+"""Answers the batch calls of the proxies.
 
 The primary answers from its state only while its lease is valid, and checks that again after every wait. A
-job, a result and an end are acknowledged once the group has committed them.
+submitted job, a result and the end of a job are acknowledged once the group has committed them.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from cherrycove.tier.batch.jobs.state import EndOutcome
 from cherrycove.tier.batch.leasing.lease_table import LeaseTable
 from cherrycove.tier.batch.leasing.lease_types import LeaseCall
+from cherrycove.tier.batch.store.capacity_forecast import seconds_until_capacity
 from cherrycove.tier.batch.store.context import StoreContext
 from cherrycove.tier.batch.store.job_capacity import demand_of
 from cherrycove.tier.batch.store.proposals import PROPOSE_TIMEOUT_S, SingleFlightProposals
 from cherrycove.tier.batch.store.replies import lease_reply, read_reply
 from cherrycove.tier.batch.store.result_waiters import ResultWaiters
-from cherrycove.tier.batch.store.room_forecast import seconds_until_room
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol import batch_methods
 from cherrycove.tier.protocol import batch_pb2 as pb
@@ -29,7 +29,7 @@
 
 
 class BatchCallHandlers:
-    """One handler for each batch call. Every failure but INVALID and NOT_FOUND may be retried."""
+    """Handles each batch call. Every failure except INVALID and NOT_FOUND may be retried."""
 
     def __init__(self, context: StoreContext, waiters: ResultWaiters) -> None:
         self._group = context.group
@@ -42,7 +42,7 @@
         self._submissions = SingleFlightProposals(context.group)
 
     def register_at(self, server: CallRegistry) -> None:
-        """Serve all batch calls at ``server``."""
+        """Register all batch calls at ``server``."""
         server.register(batch_methods.SUBMIT, self.submit)
         server.register(batch_methods.READ, self.read)
         server.register(batch_methods.BODY, self.body)
@@ -51,8 +51,8 @@
         server.register(batch_methods.REPORT, self.report)
 
     async def submit(self, request: pb.SubmitRequest) -> Result[pb.SubmitReply, Failure]:
-        """Accept a job, unless it was accepted before; OVERLOADED if the store has no capacity for it."""
-        # The table of this epoch must exist before the job comes, or its items would count as leased earlier.
+        """Accept a job unless it was accepted before. OVERLOADED if the store has no capacity for it."""
+        # Without this epoch's table the items of the new job would count as those of an earlier epoch.
         if self._leases.ensure_table() is None:
             return self._not_primary()
         if request.job_id in self._state.jobs:
@@ -61,7 +61,7 @@
             return Err(Failure(ErrorKind.INVALID, "two items have the same id"))
         excess_bytes = self._capacity.excess_bytes(demand_of(self._state, request))
         if excess_bytes:
-            return self._no_room(excess_bytes)
+            return self._over_capacity(excess_bytes)
         received_unix_ms = int(self._clocks.unix_s() * 1000)
         outcome = await self._submissions.propose(
             request.job_id, lambda: accept_command(request, received_unix_ms)
@@ -69,7 +69,7 @@
         return outcome if isinstance(outcome, Err) else Ok(pb.SubmitReply())
 
     async def read(self, request: pb.ReadRequest) -> Result[pb.ReadReply, Failure]:
-        """Results from the cursor on; waits for the next one as long as the request says."""
+        """Return results from the cursor on. Waits for the next one for as long as the request allows."""
         deadline = self._clocks.now() + min(request.wait_ms / 1000.0, MAX_READ_WAIT_S)
         while True:
             if not self._group.is_confirmed_primary():
@@ -83,7 +83,7 @@
             await self._waiters.wait(request.job_id, remaining_s)
 
     async def body(self, request: pb.BodyRequest) -> Result[pb.BodyReply, Failure]:
-        """Return an item's body; NOT_FOUND where the item is unknown or its body was dropped."""
+        """Return an item's body. NOT_FOUND if the item is unknown or its body was dropped."""
         if not self._group.is_confirmed_primary():
             return self._not_primary()
         body = self._state.body(ItemKey(request.job_id, request.item_id))
@@ -92,7 +92,7 @@
         return Ok(pb.BodyReply(body=body))
 
     async def end(self, request: pb.EndRequest) -> Result[pb.EndReply, Failure]:
-        """End a job; ending it again is acknowledged too."""
+        """End a job. The call is idempotent."""
         if not self._group.is_confirmed_primary():
             return self._not_primary()
         job = self._state.jobs.get(request.job_id)
@@ -106,7 +106,7 @@
         return _unknown_job() if outcome.ok_value is EndOutcome.UNKNOWN else Ok(pb.EndReply())
 
     async def lease(self, request: pb.LeaseRequest) -> Result[pb.LeaseReply, Failure]:
-        """Renew the leases of a proxy, and grant it further items."""
+        """Renew the leases of a proxy and grant it further items."""
         table = self._leases.ensure_table()
         if table is None:
             return self._not_primary()
@@ -126,7 +126,7 @@
         return Ok(lease_reply(decision, self._state, table.epoch, table.lease_s, now))
 
     async def report(self, request: pb.ReportRequest) -> Result[pb.ReportReply, Failure]:
-        """Record the outcome of an item, or its failed attempts so far."""
+        """Record the outcome of an item or its failed attempts so far."""
         table = self._leases.ensure_table()
         if table is None:
             return self._not_primary()
@@ -165,16 +165,16 @@
     async def _record_failures(
         self, key: ItemKey, item: StoredItem, failed_attempts: int
     ) -> Result[pb.ReportReply, Failure]:
-        """The count is replicated: the next lease holder or primary must not begin at zero."""
+        """Replicate the count, so that the next lease holder or primary does not start at zero."""
         if failed_attempts > item.failed_attempts:
             outcome = await self._group.propose(failures_command(key, failed_attempts), PROPOSE_TIMEOUT_S)
             if isinstance(outcome, Err):
                 return outcome
         return Ok(pb.ReportReply())
 
-    def _no_room(self, excess_bytes: float) -> Err[Failure]:
-        releases = self._leases.releases(self._clocks.now())
-        retry_after_s = seconds_until_room(excess_bytes, releases)
+    def _over_capacity(self, excess_bytes: float) -> Err[Failure]:
+        capacity_releases = self._leases.capacity_releases(self._clocks.now())
+        retry_after_s = seconds_until_capacity(excess_bytes, capacity_releases)
         return Err(
             Failure(ErrorKind.OVERLOADED, "no room for further jobs", advised_retry_after_s=retry_after_s)
         )
--- a/cherrycove/tier/batch/store/room_forecast.py
+++ b/cherrycove/tier/batch/store/capacity_forecast.py
@@ -1,4 +1,4 @@
-"""When a store that has no room for a job will have it."""
+"""Predicts when a store without capacity for a job will have enough."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 @attrs.frozen(order=True)
-class Release:
-    """Room that is given back: ``size_bytes`` in ``in_s`` seconds."""
+class CapacityRelease:
+    """Describes that ``size_bytes`` of capacity become free in ``in_s`` seconds."""
 
     in_s: float
     size_bytes: float
 
 
-def seconds_until_room(needed_bytes: float, releases: Iterable[Release]) -> float:
-    """In how many seconds ``needed_bytes`` will be given back, within the bounds of what is advised."""
+def seconds_until_capacity(needed_bytes: float, releases: Iterable[CapacityRelease]) -> float:
+    """Return after how many seconds ``needed_bytes`` will be free, clamped to the range of Retry-After."""
     for release in sorted(releases):
         needed_bytes -= release.size_bytes
         if needed_bytes <= 0:
--- a/cherrycove/tier/batch/store/context.py
+++ b/cherrycove/tier/batch/store/context.py
@@ -1,4 +1,4 @@
-"""What the calls and the periodic work of a store's batch service share."""
+"""Defines what the call handlers and the periodic work of a store's batch service share."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 @attrs.frozen(eq=False)
 class StoreContext:
-    """The parts of one batch service; ``BatchStoreService`` owns them."""
+    """Holds the components of one batch service, which ``BatchStoreService`` owns."""
 
     group: Group
-    state: JobsState  # changed by the group alone
+    state: JobsState  # changed only by the group
     leases: EpochLeases
     capacity: JobCapacity
     recorder: ResultRecorder
--- a/cherrycove/tier/batch/store/maintenance.py
+++ b/cherrycove/tier/batch/store/maintenance.py
@@ -1,4 +1,4 @@
-"""The periodic work of the primary: expired leases, items to be dead-lettered, and jobs to be forgotten."""
+"""Runs the primary's periodic work: expire leases, dead-letter items and forget old jobs."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 _log = logging.getLogger(__name__)
 
-EXPIRED = "expired"  # reason for which an item is dead-lettered
-MAX_DEAD_LETTERED = 64  # items in one run, for each reason
+EXPIRED = "expired"  # dead-letter reason of items past their retention time
+MAX_DEAD_LETTERED = 64  # limit of items per run, for each reason
 
 
 class BatchMaintenance:
-    """Owns the task of the periodic work. It does nothing while this store is not the confirmed primary."""
+    """Owns the task of the periodic work, which runs only while this store is the confirmed primary."""
 
     def __init__(self, context: StoreContext, cluster_view: ClusterView) -> None:
         self._group = context.group
@@ -37,11 +37,11 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begin the periodic work."""
+        """Start the periodic work."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """End it, whether it was started or not."""
+        """Stop the periodic work, if it was started."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -59,10 +59,10 @@
         await self.forget_old_jobs(now)
 
     async def forget_old_jobs(self, now: float) -> None:
-        """Forget old jobs that were ended, and when crowded also those that are complete."""
-        old = self._leases.jobs_past_status(now)
-        crowded = self._capacity.is_crowded(demand_of(self._state))
-        forgotten = [job.job_id for job in old if job.ended or (crowded and job.is_done)]
+        """Forget old jobs that were ended and, if the store is filling up, also those that are complete."""
+        old = self._leases.jobs_past_status_period(now)
+        forget_early = self._capacity.should_forget_early(demand_of(self._state))
+        forgotten = [job.job_id for job in old if job.ended or (forget_early and job.is_done)]
         if forgotten and self._group.is_confirmed_primary():
             await self._group.propose(forget_command(forgotten), PROPOSE_TIMEOUT_S)
 
--- a/cherrycove/tier/batch/store/proposals.py
+++ b/cherrycove/tier/batch/store/proposals.py
@@ -1,4 +1,4 @@
-"""Proposals that callers share: one of each job, and one of results that are reported close together."""
+"""Shares proposals between callers: one per submitted job, and one for results that arrive together."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from cherrycove.tier.replication.interface import Group
 
 PROPOSE_TIMEOUT_S = 2.0
-MAX_RESULTS = 256  # in one command
-MAX_TEXT_BYTES = 1024 * 1024  # of the texts in one command, unless a single one is longer
+MAX_RESULTS = 256  # limit per command
+MAX_TEXT_BYTES = 1024 * 1024  # total text per command; exceeded only by a single longer text
 
 
 class SingleFlightProposals:
-    """Proposes a command only once while it is pending, however often callers ask for it.
+    """Proposes a command only once while it is pending, however many callers request it.
 
     A client that got no answer in time submits the same job again; the replicated log must not hold it twice.
-    Each proposal runs in its own task, so a caller that is cancelled does not stop it for the others.
+    Each proposal runs in its own task, so cancelling one caller does not stop it for the others.
     """
 
     def __init__(self, group: Group) -> None:
@@ -30,7 +30,7 @@
         self._tasks: dict[str, asyncio.Task[Result[object, Failure]]] = {}
 
     async def propose(self, key: str, command: Callable[[], bytes]) -> Result[object, Failure]:
-        """The outcome of the pending proposal for ``key``, or of a new one of ``command()``."""
+        """Return the outcome of the pending proposal for ``key``, or of a new proposal of ``command()``."""
         task = self._tasks.get(key)
         if task is None:
             task = asyncio.create_task(self._group.propose(command(), PROPOSE_TIMEOUT_S))
@@ -46,9 +46,9 @@
 
 
 class ResultRecorder:
-    """Proposes results in batches: one command at a time, with all results that came during the one before.
+    """Proposes results in batches: one command at a time, with the results that arrived during the last one.
 
-    Owns one task, which ends when no result is pending.
+    It owns one task, which ends when no result is pending.
     """
 
     def __init__(self, group: Group) -> None:
@@ -57,7 +57,7 @@
         self._task: asyncio.Task[None] | None = None
 
     async def record(self, result: ItemResult) -> Result[None, Failure]:
-        """Ok once the result is committed, or an earlier one of the same item is."""
+        """Return Ok once this result or an earlier one of the same item is committed."""
         entry = _PendingResult(result, asyncio.get_running_loop().create_future())
         self._pending.append(entry)
         if self._task is None or self._task.done():
@@ -73,7 +73,7 @@
                     entry.recorded.set_result(outcome)
 
     def _take_batch(self) -> list[_PendingResult]:
-        """The oldest pending results, at least one, within the bounds of one command."""
+        """Remove and return the oldest pending results, at least one, within the limits of one command."""
         text_bytes = 0
         count = 0
         for entry in self._pending[:MAX_RESULTS]:
@@ -87,6 +87,6 @@
     async def _propose(self, results: list[ItemResult]) -> Result[None, Failure]:
         try:
             outcome = await self._group.propose(results_command(results), PROPOSE_TIMEOUT_S)
-        except Exception as error:  # noqa: BLE001 - every caller that waits must get an outcome
+        except Exception as error:  # noqa: BLE001 - every waiting caller must get an outcome
             return Err(Failure(ErrorKind.UNCERTAIN, f"{type(error).__name__}: {error}"))
         return Err(outcome.err_value) if isinstance(outcome, Err) else Ok(None)
--- a/cherrycove/tier/batch/store/removed_routes.py
+++ b/cherrycove/tier/batch/store/removed_routes.py
@@ -1,4 +1,4 @@
-"""Which jobs cannot be run any more, since their route was removed from the configuration."""
+"""Finds jobs that can no longer be run because their route was removed from the configuration."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 def jobs_of_removed_routes(jobs: Iterable[Job], configuration: Configuration | None) -> list[str]:
-    """Ids of unfinished jobs whose route is not in ``configuration``.
+    """Return the ids of unfinished jobs whose route is not in ``configuration``.
 
-    Jobs that were submitted under a newer configuration than this are left out, as are those for which the
-    version is not known: their route may have been added since.
+    Jobs that were submitted under a newer or an unknown configuration version are left out: their route may
+    have been added since.
     """
     if configuration is None:
         return []
--- a/cherrycove/tier/batch/store/replies.py
+++ b/cherrycove/tier/batch/store/replies.py
@@ -1,4 +1,4 @@
-"""Builds the replies of the store from the state of the jobs and the decisions about leases."""
+"""Builds the store's replies from the state of the jobs and the lease decisions."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from cherrycove.tier.batch.leasing.lease_types import Grant, LeaseDecision
 from cherrycove.tier.protocol import batch_pb2 as pb
 
-MAX_READ_BYTES = 768 * 1024  # of the texts in one read; the rest follows at the next cursor
-MAX_RETAINED_S = 1e6  # stands for "without end" in messages
+MAX_READ_BYTES = 768 * 1024  # total text in one read; the client gets the rest at the next cursor
+MAX_RETAINED_S = 1e6  # represents "unlimited" in messages
 
 
 def read_reply(job: Job, cursor: int) -> pb.ReadReply:
-    """Results from ``cursor`` on, as many as fit one read, and at least one if there is one."""
+    """Build a reply with as many results from ``cursor`` on as fit, but at least one if there is any."""
     reply = pb.ReadReply(total=job.total)
     text_bytes = 0
     results = job.results[cursor:] if cursor < job.result_count else []
@@ -27,7 +27,7 @@
 def lease_reply(
     decision: LeaseDecision, state: JobsState, epoch: int, lease_s: float, now: float
 ) -> pb.LeaseReply:
-    """The answer to a lease request, with the items themselves."""
+    """Build the reply to a lease request, including the granted items."""
     reply = pb.LeaseReply(epoch=epoch, lease_ms=int(lease_s * 1000), waiting=decision.waiting)
     for key in decision.revoked:
         reply.revoked.add(job_id=key.job_id, item_id=key.item_id)
--- a/cherrycove/tier/batch/store/service.py
+++ b/cherrycove/tier/batch/store/service.py
@@ -1,4 +1,4 @@
-"""Batch jobs at one store: assembles the calls, the leases and the periodic work."""
+"""Assembles a store's batch service: the call handlers, the leases and the periodic work."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class BatchStoreService:
-    """The batch service of one store. It answers calls only while the store is the confirmed primary.
+    """Runs the batch service of one store, which answers calls only while it is the confirmed primary.
 
-    The replicated ``JobsState`` belongs to the group, which alone changes it; the service observes it. At a
-    crash only soft state is lost: leases, ages of jobs and reads that wait.
+    The replicated ``JobsState`` is owned and changed by the group; the service observes it. A crash loses
+    only soft state: leases, ages of jobs and waiting reads.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         times: LeaseTimes | None = None,
         cluster_view: ClusterView | None = None,
     ) -> None:
-        """Registers the batch calls at ``server``. ``clock`` and ``wall_clock`` return seconds."""
+        """Register the batch calls at ``server``. ``clock`` and ``wall_clock`` return seconds."""
         clocks = Clocks(clock, wall_clock)
         context = StoreContext(
             group=group,
@@ -57,11 +57,11 @@
         self._maintenance = BatchMaintenance(context, cluster_view or ClusterView())
 
     async def start(self) -> None:
-        """Begin the periodic work."""
+        """Start the periodic work."""
         await self._maintenance.start()
 
     async def stop(self) -> None:
-        """End the periodic work."""
+        """Stop the periodic work."""
         await self._maintenance.stop()
 
     async def maintain_once(self) -> None:
--- a/cherrycove/tier/batch/store/traffic_estimate.py
+++ b/cherrycove/tier/batch/store/traffic_estimate.py
@@ -1,4 +1,4 @@
-"""What a steady traffic of batch jobs takes at a store, worked out beforehand."""
+"""Estimates the storage that a constant load of batch jobs takes at a store, for capacity planning."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 @attrs.frozen(kw_only=True)
 class BatchTraffic:
-    """A steady traffic. Sizes in bytes, of one item."""
+    """Describes a constant load of batch jobs. Sizes are in bytes per item."""
 
     jobs_per_s: float
-    items: float  # of one job
+    items: float  # items per job
     body_bytes: float
     result_bytes: float
-    run_s: float  # from the acceptance of a job to the last of its results
-    compressed: float  # size of results after compression, as a fraction of that before
+    run_s: float  # time from the acceptance of a job to its last result
+    compressed: float  # size of results after compression, as a fraction of the size before
 
     def demand(self, status_s: float) -> JobsDemand:
-        """What all jobs take that are kept at a time, ``status_s`` after each was sent."""
+        """Return the demand of the jobs stored at one time if clients may read each for ``status_s``."""
         kept_s = status_s + FORGET_MARGIN_S + MAINTENANCE_INTERVAL_S
         items_per_s = self.jobs_per_s * self.items
         finished_s = max(kept_s - self.run_s, 0.0)
@@ -35,7 +35,7 @@
 
 
 def bounds_in_use(capacity: JobCapacity, demand: JobsDemand) -> dict[str, float]:
-    """The fraction of each bound of ``capacity`` that ``demand`` takes, by the name of the bound."""
+    """Return the fraction of each limit of ``capacity`` that ``demand`` takes, by the name of the limit."""
     return {
         "disk": demand.disk_bytes / capacity.disk_bytes,
         "memory": demand.memory_bytes / capacity.memory_bytes,
--- a/cherrycove/tier/batch/worker/__init__.py
+++ b/cherrycove/tier/batch/worker/__init__.py
@@ -1,1 +1,1 @@
-"""The batch work of a proxy: leases items, runs them, reports their outcomes."""
+"""Implements the batch work of a proxy: it leases items, runs them and reports their outcomes."""
--- a/cherrycove/tier/batch/worker/batch_worker.py
+++ b/cherrycove/tier/batch/worker/batch_worker.py
@@ -1,4 +1,4 @@
-"""The batch work of a proxy: leases items from the stores and has them run."""
+"""Leases batch items from the stores and runs them in a proxy."""
 
 from __future__ import annotations
 
@@ -24,26 +24,26 @@
 _log = logging.getLogger(__name__)
 
 IDLE_INTERVAL_S = 2 * RENEWAL_INTERVAL_S
-MIN_INTERVAL_S = 0.1  # between two lease requests, however many items finish
+MIN_INTERVAL_S = 0.1  # shortest pause between two lease requests, however many items finish
 LEASE_BUDGET_S = 0.9
 SEND_FRACTION_OF_CANCEL = 0.5
-MAX_CAPACITY = 256  # items asked for at once
-MAX_UNREPORTED_BYTES = 16 * 1024 * 1024  # texts that wait for the stores; above it no more items are leased
+MAX_CAPACITY = 256  # most items requested at once
+MAX_UNREPORTED_BYTES = 16 * 1024 * 1024  # no items are leased while unreported texts exceed this size
 STOP_FRACTION_OF_GRACE = 0.5
 REPORT_FRACTION_OF_GRACE = 0.25
 
 
 @attrs.frozen
 class WorkerTimes:
-    """Durations of a worker, in seconds, which follow from the bounds of the deployment."""
+    """Holds the durations of a worker, in seconds, as derived from the bounds of the deployment."""
 
-    max_lease_age_s: float  # nothing is sent to a broker on a lease that was renewed longer ago
-    stop_s: float  # for which running items may finish at a graceful shutdown
-    report_s: float  # for which then the items that were given back may be reported
+    max_lease_age_s: float  # nothing is sent to a broker if the lease was renewed longer ago than this
+    stop_s: float  # time for running items to finish at a graceful shutdown
+    report_s: float  # time after that for reporting the items that are returned unfinished
 
     @classmethod
     def of(cls, bounds: Bounds) -> WorkerTimes:
-        """Fractions of cancelMs and of the grace period."""
+        """Derive the durations as fractions of cancelMs and of the grace period."""
         return cls(
             max_lease_age_s=bounds.cancel_ms * SEND_FRACTION_OF_CANCEL / 1000.0,
             stop_s=bounds.grace_period_s * STOP_FRACTION_OF_GRACE,
@@ -54,8 +54,8 @@
 class BatchWorker:
     """Leases and runs batch items in one proxy.
 
-    Owns the task of the lease loop, which exchanges leases several times a second. Without an answer from
-    the stores, items that run go on, but nothing more is sent to brokers once the leases are no longer fresh.
+    It owns the task of the lease loop, which exchanges leases several times a second. If the stores do not
+    answer, running items continue, but nothing more is sent to brokers once the leases are no longer fresh.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         *,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """``incarnation`` is that of the process; ``clock`` returns monotonic seconds."""
+        """``incarnation`` identifies this process; ``clock`` returns monotonic seconds."""
         self._proxy = settings.node_name
         self._client = client
         self._executor = executor
@@ -97,15 +97,15 @@
 
     @property
     def running(self) -> int:
-        """How many items are leased to this proxy, those with an unreported outcome included."""
+        """Return how many items are leased to this proxy, including those with an unreported outcome."""
         return len(self._runs.active())
 
     async def start(self) -> None:
-        """Begin to lease and run items."""
+        """Start to lease and run items."""
         self._loop_task = asyncio.create_task(self._lease_loop())
 
     async def stop(self) -> None:
-        """Lease nothing more, let items finish for a part of the grace period, and give the rest back."""
+        """Stop leasing, let items finish for a part of the grace period, and return the unfinished ones."""
         self._stopping = True
         self._wake.set()
         await self._runs.wait(self._times.stop_s)
@@ -128,7 +128,7 @@
             await self._pause()
 
     async def _pause(self) -> None:
-        """Until the next exchange is due, or further items can be leased."""
+        """Wait until the next exchange is due or further items can be leased."""
         busy = self._runs.active() or self._lease.waiting
         try:
             async with asyncio.timeout(RENEWAL_INTERVAL_S if busy else IDLE_INTERVAL_S):
--- a/cherrycove/tier/batch/worker/item_runs.py
+++ b/cherrycove/tier/batch/worker/item_runs.py
@@ -1,4 +1,4 @@
-"""The items that are leased to this proxy, each from its lease until its outcome was taken."""
+"""Runs the items that are leased to this proxy, each from its lease until its outcome was accepted."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 @attrs.define(eq=False)
 class ItemRun:
-    """One leased item. ``execution`` runs it; ``task`` waits for that and reports the outcome."""
+    """Holds one leased item. ``execution`` runs it; ``task`` awaits the execution and reports the outcome."""
 
     key: ItemKey
     item: LeasedItem
-    failed_attempts: int  # answers of 500 so far
+    failed_attempts: int  # responses of status 500 so far
     revoked: bool = False
     outcome: ItemOutcome | None = None
     execution: asyncio.Task[ItemOutcome] | None = None
@@ -32,17 +32,17 @@
 
     @property
     def unreported_bytes(self) -> int:
-        """Size of the text that waits to be reported."""
+        """Return the size of the text that is not reported yet."""
         return len(self.outcome.text) if self.outcome is not None else 0
 
     def cancel_execution(self) -> None:
-        """Stop running the item if it still runs; the outcome is then RETURNED."""
+        """Cancel the execution if the item still runs; the outcome is then RETURNED."""
         if self.outcome is None and self.execution is not None:
             self.execution.cancel()
 
 
 class ItemRuns:
-    """Runs leased items. Owns the two tasks of each."""
+    """Runs leased items and owns both tasks of each."""
 
     def __init__(
         self,
@@ -55,9 +55,9 @@
         max_lease_age_s: float,
         on_finished: Callable[[], None],
     ) -> None:
-        """Nothing is sent to a broker on a lease that was renewed more than ``max_lease_age_s`` ago.
+        """Nothing is sent to a broker under a lease that was renewed more than ``max_lease_age_s`` ago.
 
-        ``on_finished`` is called when an item got a result while further items wait.
+        ``on_finished`` is called when an item got a result while further items are waiting at the stores.
         """
         self._executor = executor
         self._reports = reports
@@ -69,15 +69,15 @@
         self._runs: dict[ItemKey, ItemRun] = {}
 
     def active(self) -> Sequence[ItemRun]:
-        """All items that are leased to this proxy, those with an unreported outcome included."""
+        """Return all items that are leased to this proxy, including those with an unreported outcome."""
         return list(self._runs.values())
 
     def unreported_bytes(self) -> int:
-        """Size of all texts that wait to be reported."""
+        """Return the total size of the texts that are not reported yet."""
         return sum(run.unreported_bytes for run in self._runs.values())
 
     def begin(self, item: LeasedItem) -> None:
-        """Run a leased item, unless it runs already."""
+        """Start to run a leased item, unless it already runs."""
         key = ItemKey(item.job_id, item.item.item_id)
         if key in self._runs:
             return
@@ -88,55 +88,55 @@
                 item, lambda: self._may_send(run), lambda failed: self._record_failures(run, failed)
             )
         )
-        run.task = asyncio.create_task(self._follow(run, run.execution))
+        run.task = asyncio.create_task(self._await_and_report(run, run.execution))
 
     def revoke(self, key: ItemKey) -> None:
-        """Stop an item whose lease has ended, or that has its result."""
+        """Stop an item whose lease has ended or that already has a result."""
         run = self._runs.get(key)
         if run is not None:
             run.revoked = True
             run.cancel_execution()
 
     async def wait(self, timeout_s: float) -> None:
-        """Wait until all present runs have ended, but not longer than ``timeout_s``."""
+        """Wait until all current runs have ended, but at most ``timeout_s`` seconds."""
         tasks = self.tasks()
         if tasks:
             await asyncio.wait(tasks, timeout=timeout_s)
 
     def cancel_executions(self) -> None:
-        """Give back all items that still run."""
+        """Cancel all items that still run, so that they are returned."""
         for run in self._runs.values():
             run.cancel_execution()
 
     def tasks(self) -> list[asyncio.Task[None]]:
-        """The tasks that report the outcomes, for their owner's end."""
+        """Return the tasks that report the outcomes, so that the caller can cancel them at shutdown."""
         return [run.task for run in self._runs.values() if run.task is not None]
 
     def _may_send(self, run: ItemRun) -> bool:
-        """Whether the item may still go to a broker: under a fresh lease, on a route in force."""
+        """Return whether the item may still be sent: its lease is fresh and its route is configured."""
         fresh = self._lease.is_fresh(self._clock(), self._max_lease_age_s)
-        return fresh and not run.revoked and self._is_route_in_force(run)
+        return fresh and not run.revoked and self._is_route_configured(run)
 
-    def _is_route_in_force(self, run: ItemRun) -> bool:
+    def _is_route_configured(self, run: ItemRun) -> bool:
         configuration = self._cluster_view.configuration
         route = configuration.route(run.item.route) if configuration is not None else None
         return route is not None and route.is_batch
 
-    async def _follow(self, run: ItemRun, execution: asyncio.Task[ItemOutcome]) -> None:
-        """Await the execution of an item, and report its outcome until it is taken."""
+    async def _await_and_report(self, run: ItemRun, execution: asyncio.Task[ItemOutcome]) -> None:
+        """Await the execution of an item, and report its outcome until it is accepted."""
         try:
             outcome = run.outcome = await self._await_outcome(run, execution)
             returned = outcome.state is ItemState.RETURNED
             if not returned and self._lease.waiting:
                 self._on_finished()
             if not (run.revoked and returned):
-                removed = self._cluster_view.configuration is not None and not self._is_route_in_force(run)
+                removed = self._cluster_view.configuration is not None and not self._is_route_configured(run)
                 await self._reports.send_outcome(run.key, outcome, route_removed=removed)
         finally:
             self._runs.pop(run.key, None)
 
     async def _await_outcome(self, run: ItemRun, execution: asyncio.Task[ItemOutcome]) -> ItemOutcome:
-        """The outcome of the execution; RETURNED if it was cancelled or failed unforeseen."""
+        """Return the outcome of the execution; RETURNED if it was cancelled or raised an exception."""
         await asyncio.wait((execution,))
         returned = ItemOutcome(ItemState.RETURNED, failed_attempts=run.failed_attempts)
         if execution.cancelled():
--- a/cherrycove/tier/batch/worker/reports.py
+++ b/cherrycove/tier/batch/worker/reports.py
@@ -1,4 +1,4 @@
-"""Reports to the primary of the store group how items end, until it has taken them."""
+"""Reports the outcomes of items to the primary of the store group until it has accepted them."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
 MIN_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 0.5
 
-# The job or the item is not known any more, or the report can never be taken: nothing is left to be done.
+# The job or the item is no longer known, or the report can never be accepted, so retrying is useless.
 FINAL_KINDS = (ErrorKind.NOT_FOUND, ErrorKind.INVALID)
 
 
 class ReportSender:
-    """Sends the reports of one process of a proxy. Each is repeated with backoff until its end is certain."""
+    """Sends the reports of one process of a proxy, retrying each with backoff until its outcome is final."""
 
     def __init__(self, client: BatchClient, proxy: str, incarnation: str, epoch: Callable[[], int]) -> None:
-        """``epoch`` returns that of the primary which granted or renewed leases last."""
+        """``epoch`` returns the epoch of the primary that last granted or renewed leases."""
         self._client = client
         self._proxy = proxy
         self._incarnation = incarnation
         self._epoch = epoch
 
     async def send_failures(self, key: ItemKey, failed_attempts: int) -> None:
-        """Report the failed attempts of an item that goes on; returns once the count is replicated."""
+        """Report the failed attempts of an item that continues; returns once the count is replicated."""
         request = self._request(key)
         request.failures_so_far = failed_attempts
         await self._send(request)
 
     async def send_outcome(self, key: ItemKey, outcome: ItemOutcome, *, route_removed: bool) -> None:
-        """Report the end of an execution. What is returned is dead-lettered if its route was removed."""
+        """Report the end of an execution. A returned item is dead-lettered if its route was removed."""
         request = self._request(key)
         if outcome.state is ItemState.COMPLETED:
             request.completed_text = outcome.text
--- a/tests/tier/batch_support.py
+++ b/tests/tier/batch_support.py
@@ -1,4 +1,4 @@
-"""Stores on loopback over a pretended group, an executor that tests drive, and clients of both."""
+"""Provides stores on loopback over a fake replication group, a scripted executor, and clients for both."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     max_attempts=2,
 )
 SHORT_TIMES = LeaseTimes(lease_s=1.5, grace_s=0.3)
-PATIENCE_S = 20.0
+TEST_TIMEOUT_S = 20.0
 
 
 def configuration(*routes: Route) -> Configuration:
@@ -67,7 +67,7 @@
 
 
 class Clock:
-    """Time that only the test moves."""
+    """Returns a time that only the test advances."""
 
     def __init__(self, now: float = 1000.0) -> None:
         self.now = now
@@ -76,17 +76,17 @@
         return self.now
 
 
-class PretendedGroup:
-    """One replica: commits in one step to all replicas of its cluster, while it leads."""
+class FakeGroup:
+    """Fakes one replica. While it is the primary, it commits to all replicas of its cluster in one step."""
 
     def __init__(self, cluster: Cluster, identity: MemberIdentity, state: JobsState) -> None:
         self.cluster = cluster
         self.identity = identity
         self.state = state
-        self.believes_to_lead = False
+        self.believes_to_be_primary = False
         self.callbacks: list[Callable[[], None]] = []
-        self.gate: asyncio.Event | None = None  # proposals wait for it
-        self.answer_lost = 0  # so many proposals are committed, but their outcome is unknown
+        self.gate: asyncio.Event | None = None  # if set, proposals wait for this event
+        self.lost_replies = 0  # number of next proposals that are committed but return an unknown outcome
         self.refusal: Failure | None = None
         self.proposals: list[bytes] = []
         self.arrived: asyncio.Queue[bytes] = asyncio.Queue()
@@ -122,9 +122,9 @@
         if self.refusal is not None:
             return Err(self.refusal)
         outcome = self.cluster.commit(self, command)
-        if self.answer_lost:
-            self.answer_lost -= 1
-            return Err(Failure(ErrorKind.UNCERTAIN, "the answer was lost"))
+        if self.lost_replies:
+            self.lost_replies -= 1
+            return Err(Failure(ErrorKind.UNCERTAIN, "committed, but the reply was lost"))
         return Ok(outcome)
 
     def offer_standbys(self, standbys: Sequence[MemberIdentity]) -> None:
@@ -138,25 +138,25 @@
 
 
 class Cluster:
-    """All replicas of one pretended group."""
+    """Holds all replicas of one fake group."""
 
     def __init__(self) -> None:
-        self.groups: list[PretendedGroup] = []
+        self.groups: list[FakeGroup] = []
         self.epoch = 1
         self.primary: MemberIdentity | None = None
         self.index = 0
 
-    def add(self, identity: MemberIdentity, state: JobsState) -> PretendedGroup:
-        group = PretendedGroup(self, identity, state)
+    def add(self, identity: MemberIdentity, state: JobsState) -> FakeGroup:
+        group = FakeGroup(self, identity, state)
         self.groups.append(group)
         return group
 
-    def commit(self, proposer: PretendedGroup, command: bytes) -> object:
+    def commit(self, proposer: FakeGroup, command: bytes) -> object:
         self.index += 1
         outcomes = {id(group): group.state.apply(self.index, command) for group in self.groups}
         return outcomes[id(proposer)]
 
-    def lead(self, identity: MemberIdentity | None) -> None:
+    def set_primary(self, identity: MemberIdentity | None) -> None:
         self.epoch += 1
         self.primary = identity
         for group in self.groups:
@@ -166,10 +166,10 @@
 
 @attrs.define
 class StoreNode:
-    """One store that serves on loopback."""
+    """Holds one store that serves on loopback."""
 
     ip: str
-    group: PretendedGroup
+    group: FakeGroup
     state: JobsState
     store: BatchStoreService
     server: RpcServer
@@ -189,20 +189,20 @@
 
 
 class Tier:
-    """Stores, one RPC client with views, and a batch client over them."""
+    """Runs stores on loopback, with one RPC client, a cluster view and a batch client for them."""
 
     def __init__(self, stores: int = 1, *, memory_mb: float = 300.0, clock: Clock | None = None) -> None:
         self.port = free_port(STORE_HOSTS)
         self.cluster = Cluster()
         self.nodes: list[StoreNode] = []
-        self.views = ClusterView(configuration=configuration(ROUTE))
+        self.cluster_view = ClusterView(configuration=configuration(ROUTE))
         for number in range(stores):
             self._add_store(f"127.0.0.{number + 1}", memory_mb, clock)
         self.rpc = RpcClient()
         self.settings = settings(self.port, "127.0.0.1")
-        self.client = BatchClient(self.rpc, self.views, self.settings)
+        self.client = BatchClient(self.rpc, self.cluster_view, self.settings)
         self.workers: list[BatchWorker] = []
-        self.cluster.lead(self.nodes[0].group.identity)
+        self.cluster.set_primary(self.nodes[0].group.identity)
         self.publish()
 
     def _add_store(self, ip: str, memory_mb: float, clock: Clock | None) -> None:
@@ -212,13 +212,13 @@
         group = self.cluster.add(identity, state)
         clocks = {"clock": clock, "wall_clock": clock} if clock is not None else {}
         store = BatchStoreService(
-            own, group, state, server, times=SHORT_TIMES, cluster_view=self.views, **clocks
+            own, group, state, server, times=SHORT_TIMES, cluster_view=self.cluster_view, **clocks
         )
         self.nodes.append(StoreNode(ip, group, state, store, server))
 
     def publish(self) -> None:
-        """Announce the stores; which of them leads is told truly."""
-        self.views.members = tuple(
+        """Announce the stores, with the actual primary."""
+        self.cluster_view.members = tuple(
             Announcement(
                 program="store",
                 ip=node.ip,
@@ -228,8 +228,8 @@
             for node in self.nodes
         )
 
-    def lead(self, number: int, *, publish: bool = False) -> None:
-        self.cluster.lead(self.nodes[number].group.identity)
+    def set_primary(self, number: int, *, publish: bool = False) -> None:
+        self.cluster.set_primary(self.nodes[number].group.identity)
         if publish:
             self.publish()
 
@@ -238,7 +238,9 @@
     ) -> BatchWorker:
         own = attrs.evolve(self.settings, node_name=name)
         clocks = {"clock": clock} if clock is not None else {}
-        worker = BatchWorker(own, self.client, executor, self.views, f"life of {name}", **clocks)
+        worker = BatchWorker(
+            own, self.client, executor, self.cluster_view, f"incarnation of {name}", **clocks
+        )
         self.workers.append(worker)
         return worker
 
@@ -258,10 +260,10 @@
 
 
 class ScriptedExecutor:
-    """Runs nothing: tests see what was started, and say how it ended."""
+    """Runs no item: tests observe which items were started, and set their outcomes."""
 
-    def __init__(self, places: int = 8) -> None:
-        self.places = places
+    def __init__(self, slots: int = 8) -> None:
+        self.slots = slots
         self.items: dict[ItemKey, asyncio.Future[ItemOutcome]] = {}
         self.leases: dict[ItemKey, pb.LeasedItem] = {}
         self.may_send: dict[ItemKey, Callable[[], bool]] = {}
@@ -270,7 +272,7 @@
         self.cancelled: asyncio.Queue[ItemKey] = asyncio.Queue()
 
     def free_slots(self) -> int:
-        return self.places - len(self.items)
+        return self.slots - len(self.items)
 
     def load(self) -> ExecutorLoad:
         return ExecutorLoad(broker_slots=0, live_requests=0)
@@ -292,29 +294,29 @@
             del self.items[key]
 
     async def next_started(self) -> ItemKey:
-        return await asyncio.wait_for(self.started.get(), PATIENCE_S)
+        return await asyncio.wait_for(self.started.get(), TEST_TIMEOUT_S)
 
     async def next_cancelled(self) -> ItemKey:
-        return await asyncio.wait_for(self.cancelled.get(), PATIENCE_S)
+        return await asyncio.wait_for(self.cancelled.get(), TEST_TIMEOUT_S)
 
     def finish(self, key: ItemKey, outcome: ItemOutcome) -> None:
         self.items[key].set_result(outcome)
 
 
 class Frontend:
-    """The batch interface of one proxy over HTTP on loopback; ``exchange`` gives a transcript."""
+    """Serves the batch interface of one proxy over HTTP on loopback; ``exchange`` returns a transcript."""
 
     def __init__(self, tier: Tier) -> None:
-        self.api = BatchApi(tier.client, tier.views)
-        self.views = tier.views
+        self.api = BatchApi(tier.client, tier.cluster_view)
+        self.cluster_view = tier.cluster_view
         self.port = free_port(STORE_HOSTS)
         self.runner: web.ServerRunner | None = None
         self.session: aiohttp.ClientSession | None = None
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         body = await request.read()
-        assert self.views.configuration is not None
-        route = self.views.configuration.match(request.headers["Host"], request.path)
+        assert self.cluster_view.configuration is not None
+        route = self.cluster_view.configuration.match(request.headers["Host"], request.path)
         return await self.api.handle(request, body, route)
 
     async def __aenter__(self) -> Frontend:
@@ -341,8 +343,10 @@
             return response.status, await response.read(), dict(response.headers)
 
     async def exchange(self, method: str, path: str, body: object = None, **headers: str) -> str:
-        """One line: the call, the status, the advised pause if any, and the body of a success."""
-        status, answer, answered = await self.call(method, path, body, **headers)
-        pause = f" Retry-After {answered['Retry-After']}" if "Retry-After" in answered else ""
+        """Return one line with the call, the status, Retry-After if present, and the body of a success."""
+        status, answer, response_headers = await self.call(method, path, body, **headers)
+        retry_after = (
+            f" Retry-After {response_headers['Retry-After']}" if "Retry-After" in response_headers else ""
+        )
         shown = f" {answer.decode()}" if status < 300 else ""
-        return f"{method} {path} -> {status}{pause}{shown}"
+        return f"{method} {path} -> {status}{retry_after}{shown}"
--- a/tests/tier/full_store.py
+++ b/tests/tier/full_store.py
@@ -1,6 +1,6 @@
-"""A store under the traffic of long days: jobs come, and their items get results.
+"""Simulates a store under sustained load: jobs are submitted, and their items get results.
 
-Time is virtual; the bytes are as large as those of the deployments in service.
+Time is virtual; sizes in bytes are those of production deployments.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from typing import Any
 
 import attrs
-from batch_support import HOST, ROUTE, Clock, Cluster, PretendedGroup
+from batch_support import HOST, ROUTE, Clock, Cluster, FakeGroup
 from result import Err, Ok, Result
 
 from cherrycove.tier.batch.jobs.commands import item_result, results_command
@@ -35,16 +35,16 @@
 from cherrycove.tier.storage.snapshots import Snapshot
 
 EPOCH = 3
-ITEMS = 29  # of one job, at the mean
+ITEMS = 29  # mean number of items per job
 BODY_BYTES = 1_400
-EVENTS = 30  # in the text of an item
+EVENTS = 30  # events in the text of an item
 EVENT_BYTES = 120
-RUN_S = 8.0  # from the acceptance of a job to the results of its items
+RUN_S = 8.0  # time from the acceptance of a job to the results of its items
 TO_LETTERS = bytes(ord("a") + value % 26 for value in range(256))
 
 
-class Calls:
-    """The calls that a store serves, without a network."""
+class CallTable:
+    """Registers the calls that a store serves, without a network."""
 
     def __init__(self) -> None:
         self.handlers: dict[Any, Callable[[Any], Awaitable[Result[Any, Failure]]]] = {}
@@ -54,7 +54,7 @@
 
 
 def text_of(random: Random, events: int = EVENTS) -> bytes:
-    """As model brokers send it: letters without a pattern."""
+    """Return text as model brokers send it: random letters, which do not compress well."""
     lines = [
         b"7.111.%d.%016x.%b"
         % (n, random.getrandbits(64), random.randbytes(EVENT_BYTES - 26).translate(TO_LETTERS))
@@ -84,20 +84,20 @@
 
 
 class RecordingCluster(Cluster):
-    """Hands each command to ``record`` once it is applied."""
+    """Passes each command to ``record`` after it was applied."""
 
     def __init__(self, record: Callable[[bytes], None]) -> None:
         super().__init__()
         self._record = record
 
-    def commit(self, proposer: PretendedGroup, command: bytes) -> object:
+    def commit(self, proposer: FakeGroup, command: bytes) -> object:
         outcome = super().commit(proposer, command)
         self._record(command)
         return outcome
 
 
 class ReplicaDisk:
-    """The disk of the replica: what its group writes there, without the group. A full disk fails the test."""
+    """Writes to disk what the replica's group would write, without the group. A full disk fails the test."""
 
     def __init__(self, directory: Path, disk_mb: float) -> None:
         directory.mkdir(exist_ok=True)
@@ -115,7 +115,7 @@
         return ReplicaStorage(self.directory, self.limit_bytes)
 
     def commit(self, state: JobsState, command: bytes) -> None:
-        """Write an entry that was applied to ``state``, and a snapshot if one is due."""
+        """Write an entry that was already applied to ``state``, and a snapshot if one is due."""
         self.index += 1
         entry = Entry(self.index, EPOCH, EntryKind.COMMAND, command)
         self.storage.append([entry])
@@ -125,7 +125,7 @@
         self.peak_bytes = max(self.peak_bytes, self.used_bytes)
 
     def save(self, state: JobsState) -> None:
-        """Take a snapshot. Before the files that it replaces are gone both are on the disk."""
+        """Take a snapshot. It is on disk together with the files that it replaces until these are deleted."""
         before_bytes = self.used_bytes
         snapshot = Snapshot(self.index, EPOCH, b"members", state.snapshot())
         plan = self.storage._packs.plan(snapshot.state)
@@ -136,11 +136,11 @@
 
     @property
     def used_bytes(self) -> int:
-        """What the files take."""
+        """Return the total size of the files."""
         return sum(path.stat().st_size for path in self.directory.iterdir())
 
     def lose_power(self) -> JobsState:
-        """Start again from what is on the disk; the state that the replica has then."""
+        """Restart from what is on disk, and return the recovered state."""
         self.storage.close()
         self.storage = self._open()
         recovered = self.storage.recover()
@@ -152,7 +152,7 @@
         return state
 
     def send_to(self, other: ReplicaDisk) -> JobsState:
-        """A new member gets the snapshot, chunk by chunk, and the entries behind it; its state then."""
+        """Send a new member the snapshot in chunks and the later entries, and return the member's state."""
         recovered = self.storage.recover()
         assert recovered.snapshot is not None
         header = SnapshotHeader.of(recovered.snapshot)
@@ -167,14 +167,14 @@
 
 
 @attrs.define(order=True)
-class _Finish:
+class _ScheduledResults:
     at_s: float
     job_id: str
     items: list[str] = attrs.field(order=False)
 
 
-class StoreDay:
-    """One store that leads, and the jobs that it is sent."""
+class StoreSimulation:
+    """Simulates one store that is the primary, and the jobs submitted to it."""
 
     def __init__(
         self,
@@ -190,8 +190,8 @@
         cluster = RecordingCluster(lambda command: disk.commit(self.state, command) if disk else None)
         identity = MemberIdentity("disk-1", "storage-1", "127.0.0.1:7701")
         self.group = cluster.add(identity, self.state)
-        cluster.lead(identity)
-        self._calls = Calls()
+        cluster.set_primary(identity)
+        self._calls = CallTable()
         settings = Settings(
             node_name="storage-1",
             machine_class="storage",
@@ -212,13 +212,13 @@
         )
         self.accepted: list[str] = []
         self.refused: list[Failure] = []
-        self._finishes: list[_Finish] = []
+        self._scheduled_results: list[_ScheduledResults] = []
 
     async def call(self, method: Any, request: Any) -> Result[Any, Failure]:
         return await self._calls.handlers[method](request)
 
     async def submit(self, items: int = ITEMS) -> bool:
-        """Send one job; whether it was accepted. Its items have their results after ``RUN_S``."""
+        """Submit one job and return whether it was accepted. Its items get their results after ``RUN_S``."""
         job_id = f"job-{len(self.accepted) + len(self.refused):05d}"
         request = submission(self.random, job_id, items)
         outcome = await self.call(batch_methods.SUBMIT, request)
@@ -228,14 +228,14 @@
             return False
         self.accepted.append(job_id)
         names = [item.item_id for item in request.items]
-        heapq.heappush(self._finishes, _Finish(self.clock.now + RUN_S, job_id, names))
+        heapq.heappush(self._scheduled_results, _ScheduledResults(self.clock.now + RUN_S, job_id, names))
         return True
 
     async def advance(self, seconds: float) -> None:
-        """Let time pass: items get their results, and the store does its periodic work."""
+        """Advance the time, record the results that are due, and do the store's periodic work."""
         end_s = self.clock.now + seconds
-        while self._finishes and self._finishes[0].at_s <= end_s:
-            finish = heapq.heappop(self._finishes)
+        while self._scheduled_results and self._scheduled_results[0].at_s <= end_s:
+            finish = heapq.heappop(self._scheduled_results)
             self.clock.now = max(self.clock.now, finish.at_s)
             self.finish(finish.job_id, finish.items)
         self.clock.now = end_s
@@ -247,7 +247,7 @@
         self.group.cluster.commit(self.group, results_command(results))
 
     async def read(self, job_id: str) -> list[tuple[str, bytes]]:
-        """All results of a job, in their order."""
+        """Return all results of a job in order."""
         found: list[tuple[str, bytes]] = []
         while True:
             outcome = await self.call(
--- a/tests/tier/test_batch_client.py
+++ b/tests/tier/test_batch_client.py
@@ -1,4 +1,4 @@
-"""How the primary of the stores is found, and what remains certain when it is not."""
+"""Tests how the client finds the primary store, and which failures are certain if it does not."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from batch_support import PATIENCE_S, Tier, job, settings
+from batch_support import TEST_TIMEOUT_S, Tier, job, settings
 from google.protobuf.message import Message
 from result import Err, Ok, Result
 
@@ -20,10 +20,10 @@
 from cherrycove.tier.protocol.rpc import RpcClient
 
 PORT = 7000
-ONE, TWO, THREE = (f"10.0.0.{number}:{PORT}" for number in (1, 2, 3))
+STORE_1, STORE_2, STORE_3 = (f"10.0.0.{number}:{PORT}" for number in (1, 2, 3))
 
 
-def stores(primary: int, epoch: int = 1) -> ClusterView:
+def announced_stores(primary: int, epoch: int = 1) -> ClusterView:
     return ClusterView(
         members=tuple(
             Announcement(
@@ -35,131 +35,137 @@
 
 
 class ScriptedRpc(RpcClient):
-    """Answers by address; tells which were asked."""
+    """Answers by address and records which addresses were called."""
 
     def __init__(self, answers: dict[str, Result[Message, Failure]]) -> None:
         super().__init__()
         self.answers = answers
-        self.asked: list[str] = []
+        self.called: list[str] = []
 
     async def send(self, call: OutgoingCall[Any, Any]) -> Result[Any, Failure]:
-        self.asked.append(call.address)
+        self.called.append(call.address)
         return self.answers[call.address]
 
 
-def fails(kind: ErrorKind, primary: str = "") -> Err[Failure]:
+def failure_result(kind: ErrorKind, primary: str = "") -> Err[Failure]:
     return Err(Failure(kind, primary=primary))
 
 
-def submit(rpc: ScriptedRpc, views: ClusterView, budget_s: float = 0.02) -> Result[pb.SubmitReply, Failure]:
-    client = BatchClient(rpc, views, settings(PORT, "10.0.0.9"))
+def submit(
+    rpc: ScriptedRpc, cluster_view: ClusterView, budget_s: float = 0.02
+) -> Result[pb.SubmitReply, Failure]:
+    client = BatchClient(rpc, cluster_view, settings(PORT, "10.0.0.9"))
     return asyncio.run(client.submit(job("j1", "a"), budget_s))
 
 
-def test_announced_primary_is_asked_first() -> None:
-    rpc = ScriptedRpc({TWO: Ok(pb.SubmitReply())})
-    assert isinstance(submit(rpc, stores(2)), Ok)
-    assert rpc.asked == [TWO]
+def test_announced_primary_is_called_first() -> None:
+    rpc = ScriptedRpc({STORE_2: Ok(pb.SubmitReply())})
+    assert isinstance(submit(rpc, announced_stores(2)), Ok)
+    assert rpc.called == [STORE_2]
 
 
 def test_hint_is_followed() -> None:
-    rpc = ScriptedRpc({ONE: fails(ErrorKind.NOT_PRIMARY, THREE), THREE: Ok(pb.SubmitReply())})
-    assert isinstance(submit(rpc, stores(1)), Ok)
-    assert rpc.asked == [ONE, THREE]
+    rpc = ScriptedRpc(
+        {STORE_1: failure_result(ErrorKind.NOT_PRIMARY, STORE_3), STORE_3: Ok(pb.SubmitReply())}
+    )
+    assert isinstance(submit(rpc, announced_stores(1)), Ok)
+    assert rpc.called == [STORE_1, STORE_3]
 
 
 def test_hint_to_a_store_that_did_not_answer_is_not_followed_first() -> None:
     rpc = ScriptedRpc(
         {
-            ONE: fails(ErrorKind.UNCERTAIN),
-            TWO: fails(ErrorKind.NOT_PRIMARY, ONE),
-            THREE: Ok(pb.SubmitReply()),
+            STORE_1: failure_result(ErrorKind.UNCERTAIN),
+            STORE_2: failure_result(ErrorKind.NOT_PRIMARY, STORE_1),
+            STORE_3: Ok(pb.SubmitReply()),
         }
     )
-    assert isinstance(submit(rpc, stores(1)), Ok)
-    assert rpc.asked == [ONE, TWO, THREE]
+    assert isinstance(submit(rpc, announced_stores(1)), Ok)
+    assert rpc.called == [STORE_1, STORE_2, STORE_3]
 
 
-def test_failure_is_certain_only_if_every_try_was() -> None:
+def test_failure_is_certain_only_if_every_attempt_was() -> None:
     certain = {
-        ONE: fails(ErrorKind.NOT_PRIMARY),
-        TWO: fails(ErrorKind.UNREACHABLE),
-        THREE: fails(ErrorKind.UNAVAILABLE),
+        STORE_1: failure_result(ErrorKind.NOT_PRIMARY),
+        STORE_2: failure_result(ErrorKind.UNREACHABLE),
+        STORE_3: failure_result(ErrorKind.UNAVAILABLE),
     }
-    assert submit(ScriptedRpc(certain), stores(1)).unwrap_err().kind is ErrorKind.UNAVAILABLE
-    one_unknown = certain | {TWO: fails(ErrorKind.UNCERTAIN)}
-    assert submit(ScriptedRpc(one_unknown), stores(1)).unwrap_err().kind is ErrorKind.UNCERTAIN
-
-
-def test_want_of_room_is_certain_only_without_an_earlier_try_of_unknown_outcome() -> None:
-    full = {ONE: fails(ErrorKind.OVERLOADED)}
-    assert submit(ScriptedRpc(full), stores(1)).unwrap_err().kind is ErrorKind.OVERLOADED
-    unknown = {ONE: fails(ErrorKind.UNCERTAIN), TWO: fails(ErrorKind.OVERLOADED)}
-    failure = submit(ScriptedRpc(unknown | {THREE: fails(ErrorKind.NOT_PRIMARY)}), stores(1)).unwrap_err()
+    assert submit(ScriptedRpc(certain), announced_stores(1)).unwrap_err().kind is ErrorKind.UNAVAILABLE
+    one_unknown = certain | {STORE_2: failure_result(ErrorKind.UNCERTAIN)}
+    assert submit(ScriptedRpc(one_unknown), announced_stores(1)).unwrap_err().kind is ErrorKind.UNCERTAIN
+
+
+def test_overload_is_certain_only_without_an_earlier_attempt_of_unknown_outcome() -> None:
+    full = {STORE_1: failure_result(ErrorKind.OVERLOADED)}
+    assert submit(ScriptedRpc(full), announced_stores(1)).unwrap_err().kind is ErrorKind.OVERLOADED
+    unknown = {STORE_1: failure_result(ErrorKind.UNCERTAIN), STORE_2: failure_result(ErrorKind.OVERLOADED)}
+    failure = submit(
+        ScriptedRpc(unknown | {STORE_3: failure_result(ErrorKind.NOT_PRIMARY)}), announced_stores(1)
+    ).unwrap_err()
     assert failure.kind is ErrorKind.UNCERTAIN
 
 
-def test_nothing_is_taken_while_no_store_is_known() -> None:
+def test_submit_is_unavailable_while_no_store_is_known() -> None:
     assert submit(ScriptedRpc({}), ClusterView()).unwrap_err().kind is ErrorKind.UNAVAILABLE
 
 
-def test_silent_stores_come_last_for_a_while() -> None:
-    finder = PrimaryFinder(stores(1), settings(PORT, "10.0.0.9"))
-    finder.mark_primary(ONE)
-    assert finder.candidates(0.0) == [ONE, TWO, THREE]
-    finder.mark_unresponsive(ONE, 0.0)
-    assert finder.candidates(0.1) == [TWO, THREE, ONE]
-    assert finder.candidates(UNRESPONSIVE_PERIOD_S) == [ONE, TWO, THREE]
-    finder.mark_unresponsive(ONE, 10.0)
-    finder.mark_primary(THREE)
-    assert finder.candidates(10.1) == [THREE, TWO, ONE]
-    finder.mark_primary(ONE)
-    assert finder.candidates(10.2) == [ONE, TWO, THREE]
+def test_unresponsive_stores_are_tried_last_for_a_period() -> None:
+    finder = PrimaryFinder(announced_stores(1), settings(PORT, "10.0.0.9"))
+    finder.mark_primary(STORE_1)
+    assert finder.candidates(0.0) == [STORE_1, STORE_2, STORE_3]
+    finder.mark_unresponsive(STORE_1, 0.0)
+    assert finder.candidates(0.1) == [STORE_2, STORE_3, STORE_1]
+    assert finder.candidates(UNRESPONSIVE_PERIOD_S) == [STORE_1, STORE_2, STORE_3]
+    finder.mark_unresponsive(STORE_1, 10.0)
+    finder.mark_primary(STORE_3)
+    assert finder.candidates(10.1) == [STORE_3, STORE_2, STORE_1]
+    finder.mark_primary(STORE_1)
+    assert finder.candidates(10.2) == [STORE_1, STORE_2, STORE_3]
 
 
-def test_newest_epoch_is_believed() -> None:
-    views = stores(1, epoch=4)
-    views.members[2].group_primary = True
-    views.members[2].group_epoch = 5
-    assert PrimaryFinder(views, settings(PORT, "10.0.0.9")).candidates(0.0)[0] == THREE
+def test_newest_epoch_determines_the_primary() -> None:
+    cluster_view = announced_stores(1, epoch=4)
+    cluster_view.members[2].group_primary = True
+    cluster_view.members[2].group_epoch = 5
+    assert PrimaryFinder(cluster_view, settings(PORT, "10.0.0.9")).candidates(0.0)[0] == STORE_3
 
 
-def play(scene: Callable[[Tier], Awaitable[None]], stores: int) -> None:
+def run_scenario(scenario: Callable[[Tier], Awaitable[None]], stores: int) -> None:
     async def run() -> None:
-        async with asyncio.timeout(PATIENCE_S), Tier(stores) as tier:
-            await scene(tier)
+        async with asyncio.timeout(TEST_TIMEOUT_S), Tier(stores) as tier:
+            await scenario(tier)
 
     asyncio.run(run())
 
 
-def test_next_primary_is_found_while_the_announcements_are_old() -> None:
-    async def scene(tier: Tier) -> None:
+def test_new_primary_is_found_despite_stale_announcements() -> None:
+    async def scenario(tier: Tier) -> None:
         assert isinstance(await tier.client.submit(job("j1", "a"), 5.0), Ok)
-        tier.lead(2)
+        tier.set_primary(2)
         assert isinstance(await tier.client.submit(job("j2", "a"), 5.0), Ok)
         assert isinstance(await tier.client.read(pb.ReadRequest(job_id="j1"), 5.0), Ok)
         await tier.nodes[2].server.stop()
-        tier.lead(1)
+        tier.set_primary(1)
         assert isinstance(await tier.client.read(pb.ReadRequest(job_id="j2"), 5.0), Ok)
 
-    play(scene, 3)
+    run_scenario(scenario, 3)
 
 
 def test_call_waits_for_an_election_within_its_budget() -> None:
-    async def scene(tier: Tier) -> None:
-        tier.cluster.lead(None)
-        asked = asyncio.Event()
-        ask = tier.rpc.call
+    async def scenario(tier: Tier) -> None:
+        tier.cluster.set_primary(None)
+        called = asyncio.Event()
+        original_call = tier.rpc.call
 
         async def observed(*arguments: Any) -> Any:
-            answer = await ask(*arguments)
-            asked.set()
+            answer = await original_call(*arguments)
+            called.set()
             return answer
 
         tier.rpc.call = observed  # type: ignore[method-assign]
         call = asyncio.create_task(tier.client.submit(job("j1", "a"), 5.0))
-        await asked.wait()
-        tier.lead(1)
+        await called.wait()
+        tier.set_primary(1)
         assert isinstance(await call, Ok)
 
-    play(scene, 2)
+    run_scenario(scenario, 2)
--- a/tests/tier/test_batch_http.py
+++ b/tests/tier/test_batch_http.py
@@ -1,4 +1,4 @@
-"""Transcripts of the batch interface over loopback: client, proxy, store."""
+"""Tests the batch interface over loopback, with transcripts of calls from a client to a proxy and a store."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import attrs
 import pytest
-from batch_support import PATIENCE_S, ROUTE, Frontend, Tier, configuration, job
+from batch_support import ROUTE, TEST_TIMEOUT_S, Frontend, Tier, configuration, job
 
 from cherrycove.tier.batch.frontend.result_page import MAX_PAGE_BYTES, render_page
 from cherrycove.tier.batch.jobs.commands import accept_command, item_result, results_command
@@ -34,11 +34,11 @@
     return {"requests": requests}
 
 
-def play(scene: Callable[[Tier, Frontend], Awaitable[None]], **options: object) -> None:
+def run_scenario(scenario: Callable[[Tier, Frontend], Awaitable[None]], **options: object) -> None:
     async def run() -> None:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             async with Tier(**options) as tier, Frontend(tier) as frontend:  # type: ignore[arg-type]
-                await scene(tier, frontend)
+                await scenario(tier, frontend)
 
     asyncio.run(run())
 
@@ -48,8 +48,8 @@
     tier.cluster.commit(tier.nodes[0].group, command)
 
 
-def test_life_of_a_job() -> None:
-    async def scene(tier: Tier, frontend: Frontend) -> None:
+def test_job_lifecycle() -> None:
+    async def scenario(tier: Tier, frontend: Frontend) -> None:
         transcript = [
             await frontend.exchange("POST", "/jobs/1", submission("a", "b", "c"), Request_Id="j1"),
             await frontend.exchange("POST", "/jobs/1", submission("a", "b", "c"), Request_Id="j1"),
@@ -83,21 +83,21 @@
             "DELETE /api/lots/other -> 404",
         ]
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_job_carries_the_version_of_the_configuration_it_came_under() -> None:
-    async def scene(tier: Tier, frontend: Frontend) -> None:
-        tier.views.configuration = attrs.evolve(configuration(ROUTE), version=7)
+def test_a_job_keeps_the_configuration_version_at_its_submission() -> None:
+    async def scenario(tier: Tier, frontend: Frontend) -> None:
+        tier.cluster_view.configuration = attrs.evolve(configuration(ROUTE), version=7)
         call = await frontend.exchange("POST", "/jobs/1", submission("a"), Request_Id="j1")
         assert call == "POST /jobs/1 -> 202 {}"
         assert tier.nodes[0].state.jobs["j1"].submission.configuration_version == 7
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_bodies_come_back_as_they_were_sent() -> None:
-    async def scene(tier: Tier, frontend: Frontend) -> None:
+def test_bodies_are_returned_unchanged() -> None:
+    async def scenario(tier: Tier, frontend: Frontend) -> None:
         await frontend.exchange("POST", "/jobs/1", submission("a", "b"), Request_Id="j1")
         record(tier, "j1", "b", b"text")
         status, body, _ = await frontend.call("GET", "/api/items/j1?instanceId=a")
@@ -108,11 +108,11 @@
         status, body, _ = await frontend.call("GET", "/api/items/j1?instanceId=a")
         assert (status, body) == (200, BODY)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_strangers_read_the_same_at_any_proxy_from_any_position() -> None:
-    async def scene(tier: Tier, first: Frontend) -> None:
+def test_all_proxies_return_the_same_results_from_any_position() -> None:
+    async def scenario(tier: Tier, first: Frontend) -> None:
         async with Frontend(tier) as second:
             job_call = ("POST", "/jobs/1", submission("a", "b", "c", "d"))
             assert (await first.exchange(*job_call, Request_Id="j1")).endswith("-> 202 {}")
@@ -123,9 +123,9 @@
             before = [(await first.call("GET", read))[:2] for read in reads]
             assert before[-1] == (200, BODY)
             pages = [json.loads(body)["results"] for _, body in before[:-1]]
-            whole = pages[1]
-            assert pages == [whole[3:], whole, whole[2:], whole[1:], whole, []]
-            tier.lead(1, publish=True)
+            all_results = pages[1]
+            assert pages == [all_results[3:], all_results, all_results[2:], all_results[1:], all_results, []]
+            tier.set_primary(1, publish=True)
             assert [(await second.call("GET", read))[:2] for read in reads] == before
             assert (await second.exchange(*job_call, Request_Id="j1")).endswith("-> 202 {}")
             for frontend in (second, first, second):
@@ -133,52 +133,52 @@
             assert (await first.exchange(*job_call, Request_Id="j1")).endswith("-> 202 {}")
             assert [(await first.call("GET", read))[:2] for read in reads] == before
 
-    play(scene, stores=2)
+    run_scenario(scenario, stores=2)
 
 
 def test_held_read_answers_as_soon_as_a_result_exists() -> None:
-    async def scene(tier: Tier, frontend: Frontend) -> None:
+    async def scenario(tier: Tier, frontend: Frontend) -> None:
         await frontend.exchange("POST", "/jobs/1", submission("a"), Request_Id="j1")
-        signals = tier.nodes[0].store._handlers._waiters
+        waiters = tier.nodes[0].store._handlers._waiters
         waiting = asyncio.Event()
-        original = signals.wait
+        original = waiters.wait
 
-        async def announced(job_id: str, timeout_s: float) -> None:
+        async def observed_wait(job_id: str, timeout_s: float) -> None:
             waiting.set()
             await original(job_id, timeout_s)
 
-        signals.wait = announced  # type: ignore[method-assign]
+        waiters.wait = observed_wait  # type: ignore[method-assign]
         read = asyncio.create_task(frontend.exchange("GET", "/api/lots/j1", Wait_Ms="1000"))
         await waiting.wait()
         record(tier, "j1", "a", b"text")
         assert '"message":"text"' in await read
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_held_read_is_not_answered_by_a_store_that_lost_its_lead() -> None:
-    async def scene(tier: Tier, frontend: Frontend) -> None:
+def test_held_read_is_not_answered_by_a_store_that_is_no_longer_primary() -> None:
+    async def scenario(tier: Tier, frontend: Frontend) -> None:
         await frontend.exchange("POST", "/jobs/1", submission("a"), Request_Id="j1")
-        signals = tier.nodes[0].store._handlers._waiters
-        original = signals.wait
+        waiters = tier.nodes[0].store._handlers._waiters
+        original = waiters.wait
 
-        async def deposed(job_id: str, timeout_s: float) -> None:
+        async def wait_and_lose_primary(job_id: str, timeout_s: float) -> None:
             waiting = asyncio.create_task(original(job_id, timeout_s))
             await asyncio.wait((waiting,), timeout=0)
-            tier.cluster.lead(None)
+            tier.cluster.set_primary(None)
             await waiting
 
-        signals.wait = deposed  # type: ignore[method-assign]
+        waiters.wait = wait_and_lose_primary  # type: ignore[method-assign]
         assert await frontend.exchange("GET", "/api/lots/j1", Wait_Ms="400") == (
             "GET /api/lots/j1 -> 503 Retry-After 0.2"
         )
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_unknown_job_without_a_primary_is_no_404() -> None:
-    async def scene(tier: Tier, frontend: Frontend) -> None:
-        tier.cluster.lead(None)
+def test_unknown_job_is_not_a_404_without_a_primary() -> None:
+    async def scenario(tier: Tier, frontend: Frontend) -> None:
+        tier.cluster.set_primary(None)
         assert [
             await frontend.exchange("GET", "/api/lots/j1"),
             await frontend.exchange("GET", "/api/items/j1?instanceId=a"),
@@ -192,51 +192,51 @@
         ]
         assert tier.nodes[0].state.jobs == {}
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_submit_of_unknown_outcome_makes_no_promise() -> None:
-    async def scene(tier: Tier, frontend: Frontend) -> None:
+def test_submit_of_unknown_outcome_is_answered_by_504() -> None:
+    async def scenario(tier: Tier, frontend: Frontend) -> None:
         group = tier.nodes[0].group
-        group.refusal = Failure(ErrorKind.UNCERTAIN, "no word from the backups")
-        hurried = {"Request_Id": "j1", "Deadline_Ms": "300"}
-        answer = await frontend.exchange("POST", "/jobs/1", submission("a"), **hurried)
+        group.refusal = Failure(ErrorKind.UNCERTAIN, "no reply from the backups")
+        short_deadline = {"Request_Id": "j1", "Deadline_Ms": "300"}
+        answer = await frontend.exchange("POST", "/jobs/1", submission("a"), **short_deadline)
         assert answer == "POST /jobs/1 -> 504"
         group.refusal = None
         assert await frontend.exchange("POST", "/jobs/1", submission("a"), Request_Id="j1") == (
             "POST /jobs/1 -> 202 {}"
         )
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_submit_and_end_whose_answer_was_lost_are_asked_again() -> None:
-    async def scene(tier: Tier, frontend: Frontend) -> None:
+def test_submit_and_end_are_retried_after_a_lost_reply() -> None:
+    async def scenario(tier: Tier, frontend: Frontend) -> None:
         group = tier.nodes[0].group
-        group.answer_lost = 1
+        group.lost_replies = 1
         assert await frontend.exchange("POST", "/jobs/1", submission("a"), Request_Id="j1") == (
             "POST /jobs/1 -> 202 {}"
         )
-        group.answer_lost = 1
+        group.lost_replies = 1
         assert await frontend.exchange("DELETE", "/api/lots/j1") == "DELETE /api/lots/j1 -> 200 {}"
         assert len(group.proposals) == 2
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_end_of_unknown_outcome_makes_no_promise() -> None:
-    async def scene(tier: Tier, frontend: Frontend) -> None:
+def test_end_of_unknown_outcome_is_answered_by_504() -> None:
+    async def scenario(tier: Tier, frontend: Frontend) -> None:
         tier.cluster.commit(tier.nodes[0].group, accept_command(job("j1", "a"), 0))
         tier.nodes[0].group.refusal = Failure(ErrorKind.UNCERTAIN)
         assert await frontend.exchange("DELETE", "/api/lots/j1", Deadline_Ms="300") == (
             "DELETE /api/lots/j1 -> 504"
         )
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_two_submits_of_one_job_at_once_are_taken_once() -> None:
-    async def scene(tier: Tier, frontend: Frontend) -> None:
+def test_concurrent_submits_of_one_job_are_accepted_once() -> None:
+    async def scenario(tier: Tier, frontend: Frontend) -> None:
         group = tier.nodes[0].group
         group.gate = asyncio.Event()
         calls = [
@@ -248,33 +248,33 @@
         assert await asyncio.gather(*calls) == ["POST /jobs/1 -> 202 {}"] * 2
         assert tier.nodes[0].state.jobs["j1"].total == 1
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_submit_that_is_still_under_way_is_not_proposed_again() -> None:
-    async def scene(tier: Tier, frontend: Frontend) -> None:
+def test_pending_submit_is_not_proposed_again() -> None:
+    async def scenario(tier: Tier, frontend: Frontend) -> None:
         group = tier.nodes[0].group
         group.gate = asyncio.Event()
         submit = asyncio.create_task(frontend.exchange("POST", "/jobs/1", submission("a"), Request_Id="j1"))
-        submissions, asked_again = tier.nodes[0].store._handlers._submissions, asyncio.Event()
+        submissions, retried = tier.nodes[0].store._handlers._submissions, asyncio.Event()
         propose = submissions.propose
 
         async def observed(key: str, command: Callable[[], bytes]) -> object:
             if group.proposals:
-                asked_again.set()
+                retried.set()
             return await propose(key, command)
 
         submissions.propose = observed  # type: ignore[method-assign, assignment]
-        await asked_again.wait()  # the first try took too long for the proxy
+        await retried.wait()  # the proxy retries because its first attempt timed out
         group.gate.set()
         assert await submit == "POST /jobs/1 -> 202 {}"
         assert len(group.proposals) == 1
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_jobs_beyond_the_room_are_refused_and_known_ones_acknowledged() -> None:
-    async def scene(tier: Tier, frontend: Frontend) -> None:
+def test_jobs_over_capacity_are_refused_and_known_ones_acknowledged() -> None:
+    async def scenario(tier: Tier, frontend: Frontend) -> None:
         known = submission("a")
         await frontend.exchange("POST", "/jobs/1", known, Request_Id="j1")
         large = submission("a")
@@ -284,11 +284,11 @@
             await frontend.exchange("POST", "/jobs/1", known, Request_Id="j1"),
         ] == ["POST /jobs/1 -> 503 Retry-After 120.0", "POST /jobs/1 -> 202 {}"]
 
-    play(scene, memory_mb=1.0)
+    run_scenario(scenario, memory_mb=1.0)
 
 
-def test_requests_that_are_not_proper() -> None:
-    async def scene(tier: Tier, frontend: Frontend) -> None:
+def test_invalid_requests() -> None:
+    async def scenario(tier: Tier, frontend: Frontend) -> None:
         assert [
             await frontend.exchange("POST", "/jobs/1", b"{", Request_Id="j1"),
             await frontend.exchange("POST", "/jobs/1", submission("a", "a"), Request_Id="j1"),
@@ -309,12 +309,12 @@
             "POST /none/1 -> 404",
         ]
 
-    play(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("text", ["x", "\n", "ü", '"'])
 def test_pages_stay_below_a_megabyte_and_lose_nothing(text: str) -> None:
-    async def scene(tier: Tier, frontend: Frontend) -> None:
+    async def scenario(tier: Tier, frontend: Frontend) -> None:
         sizes = (400_000, 300_000, 2_000_000, 10, 500_000)
         ids = [str(number) for number in range(len(sizes))]
         tier.cluster.commit(tier.nodes[0].group, accept_command(job("j1", *ids), 0))
@@ -330,10 +330,10 @@
             assert page["results"]
         assert seen == list(zip(ids, sizes, strict=True))
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_page_is_json_whatever_the_text_holds() -> None:
+def test_page_is_valid_json_for_any_text() -> None:
     texts = ['"\\\x00\x1f\u2028', "a\nb", "😀", ""]
     reply = pb.ReadReply(total=9)
     for number, text in enumerate(texts):
--- a/tests/tier/test_batch_jobs.py
+++ b/tests/tier/test_batch_jobs.py
@@ -1,4 +1,4 @@
-"""The replicated state of batch jobs, driven by commands."""
+"""Tests the replicated state of batch jobs by applying commands."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
     state.apply(0, results_command([item_result(ItemKey(job_id, item_id), text, completed=completed)]))
 
 
-def listed(state: JobsState, job_id: str) -> list[tuple[str, bool, bytes]]:
+def result_list(state: JobsState, job_id: str) -> list[tuple[str, bool, bytes]]:
     return [(result.item_id, result.completed, result.text) for result in state.jobs[job_id].results]
 
 
-def test_job_accepted_twice_is_taken_once() -> None:
+def test_job_submitted_twice_is_accepted_once() -> None:
     state = JobsState()
     assert state.apply(1, accept_command(job("j", "a", "b"), 5)) is AcceptOutcome.ACCEPTED
     record(state, "j", "a", b"text")
     assert state.apply(3, accept_command(job("j", "a", "b"), 9)) is AcceptOutcome.ALREADY_ACCEPTED
-    assert listed(state, "j") == [("a", True, b"text")]
+    assert result_list(state, "j") == [("a", True, b"text")]
     assert state.jobs["j"].received_unix_ms == 5
 
 
@@ -44,7 +44,7 @@
     record(state, "j", "a", b"late")
     record(state, "j", "unknown", b"x")
     record(state, "other", "a", b"x")
-    assert listed(state, "j") == [("b", True, b"first"), ("a", False, b"422")]
+    assert result_list(state, "j") == [("b", True, b"first"), ("a", False, b"422")]
     assert state.jobs["j"].unfinished_item_ids() == ["c"]
     assert not state.jobs["j"].is_done
     record(state, "j", "c", b"")
@@ -59,7 +59,7 @@
     assert state.apply(3, end_command("j")) is EndOutcome.ENDED
     assert state.apply(4, end_command("other")) is EndOutcome.UNKNOWN
     record(state, "j", "b", b"late")
-    assert listed(state, "j") == [("a", True, b"text")]
+    assert result_list(state, "j") == [("a", True, b"text")]
 
 
 def test_only_jobs_that_are_done_can_be_forgotten() -> None:
@@ -72,7 +72,7 @@
     assert list(state.jobs) == ["open"]
 
 
-def test_stored_bytes_come_back_to_nothing() -> None:
+def test_stored_bytes_return_to_zero() -> None:
     state = JobsState()
     state.apply(1, accept_command(job("j", "a", "b"), 0))
     record(state, "j", "a", b"text")
@@ -82,7 +82,7 @@
     assert state.stored_bytes == 0
 
 
-def test_body_of_an_item_without_result_is_kept_and_the_oldest_of_listed_ones_dropped(
+def test_bodies_of_unfinished_items_are_kept_and_the_oldest_of_finished_items_dropped(
     monkeypatch: MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(recent_bodies, "MAX_RECENT_COUNT", 2)
@@ -115,7 +115,7 @@
     assert copy.body(ItemKey("j", "a")) is None
 
 
-def test_counts_of_failures_never_go_down_and_outlive_a_snapshot() -> None:
+def test_failure_counts_never_decrease_and_survive_a_snapshot() -> None:
     state = JobsState()
     state.apply(1, accept_command(job("j", "a", "b"), 0))
     for count in (1, 2, 1):
@@ -128,7 +128,7 @@
     assert copy.jobs == state.jobs
 
 
-def test_replicas_that_apply_the_same_commands_are_alike() -> None:
+def test_replicas_that_apply_the_same_commands_have_equal_state() -> None:
     twice = [item_result(ItemKey("j", "b"), text, completed=True) for text in (b"1", b"2")]
     commands = [
         accept_command(job("j", "a", "b"), 1),
@@ -142,10 +142,10 @@
         for replica in replicas:
             replica.apply(index, command)
     assert replicas[0].snapshot() == replicas[1].snapshot()
-    assert listed(replicas[0], "j") == [("b", True, b"1")]
+    assert result_list(replicas[0], "j") == [("b", True, b"1")]
 
 
-def test_item_comes_back_as_it_was_sent() -> None:
+def test_stored_item_equals_the_submitted_item() -> None:
     state = JobsState()
     state.apply(1, accept_command(job("j", "a"), 0))
     copy = type(item("a")).FromString(state.jobs["j"].items["a"].encoded)
--- a/tests/tier/test_batch_jobs_snapshot.py
+++ b/tests/tier/test_batch_jobs_snapshot.py
@@ -1,4 +1,4 @@
-"""The snapshot of the jobs is read part by part, with all that it holds and little memory beside it."""
+"""Tests that a snapshot of the jobs is read completely, field by field, with little additional memory."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 ITEMS = 10
 
 
-def accept(job_number: int, body_bytes: int) -> bytes:
+def accept_command(job_number: int, body_bytes: int) -> bytes:
     command = BatchCommand()
     command.accept.job.job_id = f"job-{job_number}"
     for number in range(ITEMS):
@@ -26,7 +26,7 @@
     return command.SerializeToString()
 
 
-def listed(job_number: int) -> bytes:
+def result_command(job_number: int) -> bytes:
     command = BatchCommand()
     result = command.results.results.add(completed=True, text=b"text")
     result.reference.job_id, result.reference.item_id = f"job-{job_number}", f"item-{job_number}-0"
@@ -36,21 +36,23 @@
 def state_of(jobs: int, body_bytes: int) -> JobsState:
     state = JobsState()
     for number in range(1, jobs + 1):
-        state.apply(2 * number, accept(number, body_bytes))
-        state.apply(2 * number + 1, listed(number))
+        state.apply(2 * number, accept_command(number, body_bytes))
+        state.apply(2 * number + 1, result_command(number))
     return state
 
 
-def test_the_parts_are_those_of_the_whole_message() -> None:
+def test_fields_read_equal_those_of_the_whole_message() -> None:
     data = state_of(3, 300).snapshot()
     whole = BatchSnapshot.FromString(bytes(data))
-    parts = [field.message for field in read_snapshot(data)]
-    assert [part for part in parts if isinstance(part, JobSnapshot)] == list(whole.jobs)
-    assert [part for part in parts if isinstance(part, ItemReference)] == list(whole.recently_listed)
-    assert len(parts) == 6
+    messages = [field.message for field in read_snapshot(data)]
+    assert [message for message in messages if isinstance(message, JobSnapshot)] == list(whole.jobs)
+    assert [message for message in messages if isinstance(message, ItemReference)] == list(
+        whole.recently_listed
+    )
+    assert len(messages) == 6
 
 
-def test_a_snapshot_that_ends_early_is_refused() -> None:
+def test_a_truncated_snapshot_is_refused() -> None:
     data = state_of(1, 3).snapshot()
     first_part = BatchSnapshot(jobs=BatchSnapshot.FromString(bytes(data)).jobs).SerializeToString()
     for length in set(range(len(data))) - {0, len(first_part)}:
@@ -59,12 +61,12 @@
 
 
 @pytest.mark.parametrize("data", [b"\x08\x01", b"\x1a\x00", b"\x0a\x02\xff"])
-def test_what_is_no_snapshot_is_refused(data: bytes) -> None:
+def test_data_that_is_not_a_snapshot_is_refused(data: bytes) -> None:
     with pytest.raises(DecodeError):
         list(read_snapshot(data))
 
 
-def test_a_restore_takes_little_memory_beside_the_state_that_it_replaces() -> None:
+def test_a_restore_takes_little_memory_beyond_the_state_that_it_replaces() -> None:
     tracemalloc.start()
     try:
         state = state_of(JOBS, BODY_BYTES)
--- a/tests/tier/test_batch_unlisted.py
+++ b/tests/tier/test_batch_mass_restart.py
@@ -1,4 +1,4 @@
-"""No item of an open job stays unlisted in calm times, whatever struck those who ran it. In virtual time."""
+"""Tests in virtual time that items get their results soon after their proxies and stores were killed."""
 
 from __future__ import annotations
 
@@ -16,13 +16,14 @@
 CLIENTS = 6
 FORMATION_S = 4.0
 SUBMISSION_S = 4.0
-AWAY_S = 0.8
-LISTED_WITHIN_S = 10.0  # of the return of all: 5 calm seconds, and as many for the elections before
+DOWNTIME_S = 0.8
+# After the restart: 5 s for elections, then 5 s without faults.
+RESULTS_DEADLINE_S = 10.0
 STEP_S = 0.25
 
 
 class JobsWorld:
-    """A world with batch jobs, some of which run at any time."""
+    """Simulates a cluster with batch jobs, some of which are always running."""
 
     def __init__(self, seed: int) -> None:
         self.world = World(seed, Topology(faults=1, machines=4, proxies=3, stores=True))
@@ -34,38 +35,38 @@
         self.world.run_until(FORMATION_S + SUBMISSION_S)
 
     def open_jobs(self) -> list[Job]:
-        """Jobs of the stores' primary whose items are not all listed."""
+        """Return the jobs at the primary store that have items without a result."""
         for machine in self.world.cluster.machines:
             process = machine.running.get(STORE_PROGRAM)
             if isinstance(process, StoreProcess) and process.group.is_confirmed_primary():
                 return [job for job in process.state.jobs.values() if not job.is_done]
-        raise AssertionError("no store leads")
+        raise AssertionError("no running store is the confirmed primary")
 
-    def strike(self, *, proxies: bool, stores: bool) -> None:
-        """Kill all proxies, all machines of stores, or both at the same moment, and start them again."""
+    def kill_and_restart(self, *, proxies: bool, stores: bool) -> None:
+        """Kill all proxies, all store machines, or both at the same moment, and restart them."""
         cluster, environment = self.world.cluster, self.world.environment
-        struck = [*(cluster.proxies if proxies else []), *(cluster.machines if stores else [])]
-        names = {machine.name for machine in struck}
+        killed = [*(cluster.proxies if proxies else []), *(cluster.machines if stores else [])]
+        names = {machine.name for machine in killed}
         environment.fault_budget.fault_began(names)
-        for machine in struck:
+        for machine in killed:
             cluster.kill(machine)
-        self.world.run_until(self.world.now + AWAY_S)
-        for machine in struck:
+        self.world.run_until(self.world.now + DOWNTIME_S)
+        for machine in killed:
             cluster.power_up(machine)
         environment.fault_budget.fault_ended(names)
 
-    def wait_until_listed(self) -> None:
-        """Submit nothing more; fails if an item stays unlisted."""
+    def wait_for_all_results(self) -> None:
+        """Stop submitting, and fail if an item gets no result in time."""
         self.clients.active = False
-        until = self.world.now + LISTED_WITHIN_S
-        self.world.run_until(until - LISTED_WITHIN_S / 2)
+        until = self.world.now + RESULTS_DEADLINE_S
+        self.world.run_until(until - RESULTS_DEADLINE_S / 2)
         while self.open_jobs():
-            unlisted = {job.job_id: job.unfinished_item_ids() for job in self.open_jobs()}
-            assert self.world.now < until, unlisted
+            unfinished = {job.job_id: job.unfinished_item_ids() for job in self.open_jobs()}
+            assert self.world.now < until, unfinished
             self.world.run_until(self.world.now + STEP_S)
 
     def close(self) -> None:
-        """End all processes."""
+        """Stop all processes."""
         self.world.close(self.operators.incarnation, self.clients.incarnation)
 
 
@@ -73,13 +74,13 @@
 @pytest.mark.parametrize(
     ("proxies", "stores"), [(True, False), (False, True), (True, True)], ids=["proxies", "stores", "all"]
 )
-def test_items_of_those_who_were_killed_together_are_listed_soon(
+def test_items_get_results_soon_after_proxies_and_stores_are_killed_together(
     seed: int, proxies: bool, stores: bool
 ) -> None:
-    struck = JobsWorld(seed)
+    jobs_world = JobsWorld(seed)
     try:
-        assert struck.open_jobs()
-        struck.strike(proxies=proxies, stores=stores)
-        struck.wait_until_listed()
+        assert jobs_world.open_jobs()
+        jobs_world.kill_and_restart(proxies=proxies, stores=stores)
+        jobs_world.wait_for_all_results()
     finally:
-        struck.close()
+        jobs_world.close()
--- a/tests/tier/test_batch_replicated.py
+++ b/tests/tier/test_batch_replicated.py
@@ -1,4 +1,4 @@
-"""Batch jobs over stores with real replication and real disks: what was acknowledged outlives crashes."""
+"""Tests with real replication and real disks that acknowledged changes to batch jobs survive crashes."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from pathlib import Path
 
 from batch_support import (
-    PATIENCE_S,
     ROUTE,
     STORE_HOSTS,
+    TEST_TIMEOUT_S,
     ScriptedExecutor,
     configuration,
     job,
@@ -38,7 +38,7 @@
 
 
 class Node:
-    """One store on one disk."""
+    """Runs one store on one disk."""
 
     def __init__(self, host: str, port: int, folder: Path) -> None:
         own = settings(port, host)
@@ -73,7 +73,7 @@
         await self.client.stop()
 
     async def crash(self) -> None:
-        """End without a word to the others."""
+        """Stop without notifying the other stores."""
         await self.server.stop()
         await self.client.stop()
         await self.store.stop()
@@ -81,19 +81,21 @@
 
 
 class Stores:
-    """Three stores, a batch client and one worker."""
+    """Runs three stores, a batch client and one worker."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.port = free_port(STORE_HOSTS)
         self.nodes: list[Node] = []
         stores = tuple(Announcement(program="store", ip=host) for host in HOSTS)
-        self.views = ClusterView(configuration=configuration(ROUTE), members=stores)
+        self.cluster_view = ClusterView(configuration=configuration(ROUTE), members=stores)
         self.rpc = RpcClient()
         self.settings = settings(self.port, HOSTS[0])
-        self.client = BatchClient(self.rpc, self.views, self.settings)
+        self.client = BatchClient(self.rpc, self.cluster_view, self.settings)
         self.executor = ScriptedExecutor()
-        self.worker = BatchWorker(self.settings, self.client, self.executor, self.views, "life")
+        self.worker = BatchWorker(
+            self.settings, self.client, self.executor, self.cluster_view, "incarnation-1"
+        )
 
     async def start(self, *, first: bool) -> None:
         self.nodes = [Node(host, self.port, self.folder) for host in HOSTS]
@@ -128,29 +130,29 @@
             assert answer.err_value.kind in (ErrorKind.UNCERTAIN, ErrorKind.UNAVAILABLE)
 
     async def results(self, job_id: str, count: int) -> list[str]:
-        """Texts of the first ``count`` results, once there are so many."""
+        """Return the texts of the first ``count`` results once there are that many."""
         while True:
             request = pb.ReadRequest(job_id=job_id, cursor=count - 1, wait_ms=1000)
             answer = await self.client.read(request, BUDGET_S)
             if isinstance(answer, Ok) and answer.ok_value.results:
                 break
-        whole = (await self.client.read(pb.ReadRequest(job_id=job_id), BUDGET_S)).unwrap()
-        return [entry.text.decode() for entry in whole.results][:count]
+        reply = (await self.client.read(pb.ReadRequest(job_id=job_id), BUDGET_S)).unwrap()
+        return [entry.text.decode() for entry in reply.results][:count]
 
     def finish(self, key: ItemKey, text: str) -> None:
         self.executor.finish(key, ItemOutcome(ItemState.COMPLETED, text.encode()))
 
 
-def play(folder: Path, scene: Callable[[Stores], Awaitable[None]]) -> None:
+def run_scenario(folder: Path, scenario: Callable[[Stores], Awaitable[None]]) -> None:
     async def run() -> None:
-        async with asyncio.timeout(3 * PATIENCE_S), Stores(folder) as stores:
-            await scene(stores)
+        async with asyncio.timeout(3 * TEST_TIMEOUT_S), Stores(folder) as stores:
+            await scenario(stores)
 
     asyncio.run(run())
 
 
-def test_running_items_and_positions_outlive_the_primary(tmp_path: Path) -> None:
-    async def scene(stores: Stores) -> None:
+def test_running_items_and_positions_survive_a_primary_crash(tmp_path: Path) -> None:
+    async def scenario(stores: Stores) -> None:
         await stores.submit("j1", "a", "b", "c")
         keys = [await stores.executor.next_started() for _ in range(3)]
         stores.finish(keys[1], "first")
@@ -160,13 +162,13 @@
         assert await stores.results("j1", 2) == ["first", "second"]
         stores.finish(keys[0], "third")
         assert await stores.results("j1", 3) == ["first", "second", "third"]
-        assert stores.executor.started.empty()  # nothing was run twice
+        assert stores.executor.started.empty()  # no item was run twice
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_jobs_results_and_ends_outlive_a_crash_of_all_stores(tmp_path: Path) -> None:
-    async def scene(stores: Stores) -> None:
+def test_jobs_results_and_ends_survive_a_crash_of_all_stores(tmp_path: Path) -> None:
+    async def scenario(stores: Stores) -> None:
         await stores.submit("j1", "a", "b")
         await stores.submit("ended", "x")
         keys = {key.item_id: key for key in [await stores.executor.next_started() for _ in range(3)]}
@@ -185,4 +187,4 @@
             node.state.jobs["ended"].ended for node in stores.nodes if node.group.is_confirmed_primary()
         )
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
--- a/tests/tier/test_batch_submission.py
+++ b/tests/tier/test_batch_submission.py
@@ -1,4 +1,4 @@
-"""What is taken as a batch job, and what is not."""
+"""Tests which submissions are accepted as batch jobs."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 
 def entry(**changes: Any) -> dict[str, Any]:
-    whole = {
+    complete = {
         "instanceId": "e5b2",
         "path": "/jobs/1",
         "headers": {"Model": "m", "Prompt-Prefix": "9c2e41:300"},
         "body": "q83vEjRWeJA=",
         "tokens": 940,
     }
-    return {key: value for key, value in (whole | changes).items() if value is not ...}
+    return {key: value for key, value in (complete | changes).items() if value is not ...}
 
 
 def submission(*entries: Any) -> bytes:
     return json.dumps({"requests": list(entries)}).encode()
 
 
-def test_whole_job() -> None:
+def test_valid_job() -> None:
     parsed = parse_submission("job", ROUTE, submission(entry(), entry(instanceId="f0")))
     assert isinstance(parsed, Ok)
     request = parsed.ok_value
@@ -40,7 +40,7 @@
     assert dict(first.headers) == {"Model": "m", "Prompt-Prefix": "9c2e41:300"}
 
 
-def test_200_items_are_taken_and_201_are_not() -> None:
+def test_200_items_are_accepted_and_201_are_not() -> None:
     entries = [entry(instanceId=str(number)) for number in range(201)]
     assert isinstance(parse_submission("job", ROUTE, submission(*entries[:200])), Ok)
     assert isinstance(parse_submission("job", ROUTE, submission(*entries)), Err)
@@ -80,11 +80,11 @@
         submission(entry(tokens="9")),
     ],
 )
-def test_what_is_not_a_job(body: bytes) -> None:
+def test_invalid_submission(body: bytes) -> None:
     parsed = parse_submission("job", ROUTE, body)
     assert isinstance(parsed, Err)
     assert parsed.err_value.kind is ErrorKind.INVALID
 
 
-def test_job_without_id() -> None:
+def test_job_without_id_is_invalid() -> None:
     assert isinstance(parse_submission("", ROUTE, submission(entry())), Err)
--- a/tests/tier/test_batch_worker.py
+++ b/tests/tier/test_batch_worker.py
@@ -1,4 +1,4 @@
-"""Items from lease to result over loopback, with an executor that the test drives."""
+"""Tests items from lease to result over loopback, with an executor that the test controls."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 import attrs
 from batch_support import (
-    PATIENCE_S,
     ROUTE,
+    TEST_TIMEOUT_S,
     Clock,
     ScriptedExecutor,
     Tier,
@@ -35,10 +35,10 @@
     return ItemOutcome(ItemState.COMPLETED, text)
 
 
-def play(scene: Callable[[Tier], Awaitable[None]], **options: object) -> None:
+def run_scenario(scenario: Callable[[Tier], Awaitable[None]], **options: object) -> None:
     async def run() -> None:
-        async with asyncio.timeout(PATIENCE_S), Tier(**options) as tier:  # type: ignore[arg-type]
-            await scene(tier)
+        async with asyncio.timeout(TEST_TIMEOUT_S), Tier(**options) as tier:  # type: ignore[arg-type]
+            await scenario(tier)
 
     asyncio.run(run())
 
@@ -48,7 +48,7 @@
 
 
 async def results(tier: Tier, count: int, job_id: str = "j1") -> list[tuple[str, bool, bytes]]:
-    """The first ``count`` results, once there are so many."""
+    """Return the first ``count`` results once there are that many."""
     while True:
         request = pb.ReadRequest(job_id=job_id, cursor=count - 1, wait_ms=1000)
         answer = await tier.client.read(request, BUDGET_S)
@@ -66,9 +66,9 @@
     return worker
 
 
-def test_items_are_run_and_their_results_listed_in_order_of_their_end() -> None:
-    async def scene(tier: Tier) -> None:
-        executor = ScriptedExecutor(places=2)
+def test_items_are_run_and_their_results_are_in_order_of_completion() -> None:
+    async def scenario(tier: Tier) -> None:
+        executor = ScriptedExecutor(slots=2)
         await start(tier, executor)
         await submit(tier, "a", "b", "c")
         assert [await executor.next_started(), await executor.next_started()] == [A, B]
@@ -87,11 +87,11 @@
         executor.finish(A, completed(b""))
         assert (await results(tier, 3))[2] == ("a", True, b"")
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_ended_job_is_cancelled_and_sends_nothing_more() -> None:
-    async def scene(tier: Tier) -> None:
+    async def scenario(tier: Tier) -> None:
         executor = ScriptedExecutor()
         await start(tier, executor)
         await submit(tier, "a")
@@ -102,41 +102,41 @@
         assert await executor.next_cancelled() == A
         assert not may_send()
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_nothing_is_sent_on_a_lease_that_was_not_renewed() -> None:
-    async def scene(tier: Tier) -> None:
+    async def scenario(tier: Tier) -> None:
         clock = Clock()
         executor = ScriptedExecutor()
         await start(tier, executor, clock=clock)
         await submit(tier, "a")
         await executor.next_started()
-        tier.cluster.lead(None)
+        tier.cluster.set_primary(None)
         clock.now += 1.4
         assert executor.may_send[A]()
-        clock.now += 0.2  # cancelMs is 3000; half of it has passed since the last renewal
+        clock.now += 0.2  # more than half of cancelMs (3000) has now passed since the last renewal
         assert not executor.may_send[A]()
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_item_whose_route_left_the_configuration_is_dead_lettered() -> None:
-    async def scene(tier: Tier) -> None:
+def test_item_whose_route_was_removed_is_dead_lettered() -> None:
+    async def scenario(tier: Tier) -> None:
         executor = ScriptedExecutor()
         await start(tier, executor)
         await submit(tier, "a")
         await executor.next_started()
-        tier.views.configuration = configuration()
+        tier.cluster_view.configuration = configuration()
         assert not executor.may_send[A]()
         executor.finish(A, ItemOutcome(ItemState.RETURNED))
         assert await results(tier, 1) == [("a", False, b"route_removed")]
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_returned_item_is_run_again_with_its_count_of_failures() -> None:
-    async def scene(tier: Tier) -> None:
+def test_returned_item_is_run_again_with_its_failure_count() -> None:
+    async def scenario(tier: Tier) -> None:
         executor = ScriptedExecutor()
         await start(tier, executor)
         await submit(tier, "a")
@@ -145,35 +145,35 @@
         assert await executor.next_started() == A
         assert executor.leases[A].failed_attempts == 1
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_failures_outlive_the_proxy_that_met_them() -> None:
+def test_failure_count_survives_the_proxy_that_reported_it() -> None:
     clock = Clock()
 
-    async def scene(tier: Tier) -> None:
-        dead, alive = ScriptedExecutor(), ScriptedExecutor()
-        worker = await start(tier, dead, "p1")
+    async def scenario(tier: Tier) -> None:
+        crashed, surviving = ScriptedExecutor(), ScriptedExecutor()
+        worker = await start(tier, crashed, "p1")
         await submit(tier, "a")
-        await dead.next_started()
-        await dead.record_failures[A](1)
-        await dead.record_failures[A](1)  # told again: counted once
+        await crashed.next_started()
+        await crashed.record_failures[A](1)
+        await crashed.record_failures[A](1)  # a repeated report is counted once
         assert worker._loop_task is not None
         worker._loop_task.cancel()
         clock.now += 1.6
-        await start(tier, alive, "p2")
-        assert await alive.next_started() == A
-        assert alive.leases[A].failed_attempts == 1
-        alive.finish(A, completed(b"text"))
+        await start(tier, surviving, "p2")
+        assert await surviving.next_started() == A
+        assert surviving.leases[A].failed_attempts == 1
+        surviving.finish(A, completed(b"text"))
         await results(tier, 1)
 
-    play(scene, clock=clock)
+    run_scenario(scenario, clock=clock)
 
 
-def test_failures_outlive_the_primary_that_was_told_of_them() -> None:
+def test_failure_count_survives_a_change_of_primary() -> None:
     clock = Clock()
 
-    async def scene(tier: Tier) -> None:
+    async def scenario(tier: Tier) -> None:
         first, second = ScriptedExecutor(), ScriptedExecutor()
         worker = await start(tier, first, "p1")
         await submit(tier, "a")
@@ -183,20 +183,20 @@
         await first.record_failures[A](2)
         assert worker._loop_task is not None
         worker._loop_task.cancel()
-        tier.lead(1, publish=True)
+        tier.set_primary(1, publish=True)
         clock.now += 1.6
         await start(tier, second, "p2")
         await submit(tier, "b", job_id="j2")
-        clock.now += 1.6  # nobody announced the item to the new primary
+        clock.now += 1.6  # no proxy announced the item to the new primary
         while await second.next_started() != A:
             pass
         assert second.leases[A].failed_attempts == 2
 
-    play(scene, stores=2, clock=clock)
+    run_scenario(scenario, stores=2, clock=clock)
 
 
-def test_a_failure_that_the_stores_could_not_keep_is_told_again() -> None:
-    async def scene(tier: Tier) -> None:
+def test_a_failure_that_the_stores_could_not_record_is_reported_again() -> None:
+    async def scenario(tier: Tier) -> None:
         executor = ScriptedExecutor()
         await start(tier, executor, "p1")
         await submit(tier, "a")
@@ -204,32 +204,32 @@
         group = tier.nodes[0].group
         group.refusal = Failure(ErrorKind.UNAVAILABLE, "the disk is full")
         before = len(group.proposals)
-        telling = asyncio.ensure_future(executor.record_failures[A](1))
+        report = asyncio.ensure_future(executor.record_failures[A](1))
         while len(group.proposals) < before + 2:
             await group.arrived.get()
-        assert not telling.done()
+        assert not report.done()
         group.refusal = None
-        await telling
+        await report
         item = tier.nodes[0].state.item(A)
         assert item is not None and item.failed_attempts == 1
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_fault_of_the_executor_gives_the_item_back() -> None:
-    async def scene(tier: Tier) -> None:
+def test_exception_in_the_executor_returns_the_item() -> None:
+    async def scenario(tier: Tier) -> None:
         executor = ScriptedExecutor()
         await start(tier, executor)
         await submit(tier, "a")
         await executor.next_started()
-        executor.items[A].set_exception(ValueError("a fault of the program"))
+        executor.items[A].set_exception(ValueError("executor bug"))
         assert await executor.next_started() == A
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_stopped_worker_gives_back_what_it_could_not_finish() -> None:
-    async def scene(tier: Tier) -> None:
+def test_stopped_worker_returns_unfinished_items() -> None:
+    async def scenario(tier: Tier) -> None:
         first, second = ScriptedExecutor(), ScriptedExecutor()
         worker = await start(tier, first, "p1")
         await submit(tier, "a", "b")
@@ -243,48 +243,48 @@
         second.finish(B, completed(b"text"))
         assert {name for name, _, _ in await results(tier, 2)} == {"a", "b"}
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_items_of_a_dead_proxy_are_run_by_another() -> None:
+def test_items_of_a_crashed_proxy_are_run_by_another() -> None:
     clock = Clock()
 
-    async def scene(tier: Tier) -> None:
-        dead, alive = ScriptedExecutor(), ScriptedExecutor()
-        worker = await start(tier, dead, "p1")
+    async def scenario(tier: Tier) -> None:
+        crashed, surviving = ScriptedExecutor(), ScriptedExecutor()
+        worker = await start(tier, crashed, "p1")
         await submit(tier, "a")
-        await dead.next_started()
+        await crashed.next_started()
         assert worker._loop_task is not None
         worker._loop_task.cancel()
         clock.now += 1.6
-        await start(tier, alive, "p2")
-        assert await alive.next_started() == A
-        dead.finish(A, completed(b"of the dead"))
-        assert await results(tier, 1) == [("a", True, b"of the dead")]
-        assert await alive.next_cancelled() == A
+        await start(tier, surviving, "p2")
+        assert await surviving.next_started() == A
+        crashed.finish(A, completed(b"from the crashed proxy"))
+        assert await results(tier, 1) == [("a", True, b"from the crashed proxy")]
+        assert await surviving.next_cancelled() == A
 
-    play(scene, clock=clock)
+    run_scenario(scenario, clock=clock)
 
 
-def test_report_whose_answer_was_lost_is_taken_once() -> None:
-    async def scene(tier: Tier) -> None:
+def test_report_whose_reply_was_lost_is_recorded_once() -> None:
+    async def scenario(tier: Tier) -> None:
         executor = ScriptedExecutor()
         await start(tier, executor)
         await submit(tier, "a", "b")
         await executor.next_started()
         await executor.next_started()
-        tier.nodes[0].group.answer_lost = 1
+        tier.nodes[0].group.lost_replies = 1
         executor.finish(A, completed(b"text"))
         executor.finish(B, completed(b"text"))
         assert len(await results(tier, 2)) == 2
         assert tier.nodes[0].state.jobs["j1"].is_done
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_reports_that_come_close_together_share_one_command() -> None:
-    async def scene(tier: Tier) -> None:
-        executor = ScriptedExecutor(places=20)
+def test_reports_that_arrive_together_share_one_command() -> None:
+    async def scenario(tier: Tier) -> None:
+        executor = ScriptedExecutor(slots=20)
         await start(tier, executor)
         names = [f"i{number}" for number in range(20)]
         await submit(tier, *names)
@@ -292,29 +292,29 @@
         group = tier.nodes[0].group
         group.gate = asyncio.Event()
         recorder = tier.nodes[0].store._handlers._recorder
-        all_came = asyncio.Event()
+        all_arrived = asyncio.Event()
         record = recorder.record
-        came: list[object] = []
+        arrived: list[object] = []
 
         async def counted(result: object) -> object:
-            came.append(result)
-            if len(came) == len(names):
-                all_came.set()
+            arrived.append(result)
+            if len(arrived) == len(names):
+                all_arrived.set()
             return await record(result)  # type: ignore[arg-type]
 
         recorder.record = counted  # type: ignore[method-assign, assignment]
         for key in keys:
             executor.finish(key, completed(b"text"))
-        await all_came.wait()
+        await all_arrived.wait()
         group.gate.set()
         assert len(await results(tier, 20)) == 20
         assert len(group.proposals) == 3  # the job, the first result, all others
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_completed_text_survives_a_change_of_primary() -> None:
-    async def scene(tier: Tier) -> None:
+    async def scenario(tier: Tier) -> None:
         executor = ScriptedExecutor()
         await start(tier, executor)
         await submit(tier, "a", "b", "c")
@@ -322,37 +322,37 @@
             assert await executor.next_started() == key
         executor.finish(A, completed(b"before"))
         assert await results(tier, 1) == [("a", True, b"before")]
-        tier.cluster.lead(None)
+        tier.cluster.set_primary(None)
         executor.finish(B, completed(b"between"))
-        tier.lead(1)
+        tier.set_primary(1)
         assert await results(tier, 2) == [("a", True, b"before"), ("b", True, b"between")]
         executor.finish(C, completed(b"after"))
         assert (await results(tier, 3))[2] == ("c", True, b"after")
         assert executor.started.empty()
         assert tier.nodes[0].state.snapshot() == tier.nodes[1].state.snapshot()
 
-    play(scene, stores=2)
+    run_scenario(scenario, stores=2)
 
 
-def test_new_primary_leases_what_nobody_announces() -> None:
-    async def scene(tier: Tier) -> None:
-        dead, alive = ScriptedExecutor(places=1), ScriptedExecutor(places=1)
-        worker = await start(tier, dead, "p1")
+def test_new_primary_leases_items_that_no_proxy_announces() -> None:
+    async def scenario(tier: Tier) -> None:
+        crashed, surviving = ScriptedExecutor(slots=1), ScriptedExecutor(slots=1)
+        worker = await start(tier, crashed, "p1")
         await submit(tier, "a")
-        await dead.next_started()
+        await crashed.next_started()
         assert worker._loop_task is not None
         worker._loop_task.cancel()
-        tier.lead(1)
-        await start(tier, alive, "p2")
-        assert await alive.next_started() == A
-        alive.finish(A, completed(b"text"))
+        tier.set_primary(1)
+        await start(tier, surviving, "p2")
+        assert await surviving.next_started() == A
+        surviving.finish(A, completed(b"text"))
         assert await results(tier, 1) == [("a", True, b"text")]
 
-    play(scene, stores=2)
+    run_scenario(scenario, stores=2)
 
 
-def test_report_to_a_primary_that_is_deposed_meanwhile_reaches_the_next_one() -> None:
-    async def scene(tier: Tier) -> None:
+def test_report_pending_at_a_deposed_primary_reaches_the_next_one() -> None:
+    async def scenario(tier: Tier) -> None:
         executor = ScriptedExecutor()
         await start(tier, executor)
         await submit(tier, "a")
@@ -361,19 +361,19 @@
         first.gate = asyncio.Event()
         await first.arrived.get()
         executor.finish(A, completed(b"text"))
-        await first.arrived.get()  # the report waits in the group
-        tier.lead(1)
+        await first.arrived.get()  # the report is waiting in the group
+        tier.set_primary(1)
         first.gate.set()
         assert await results(tier, 1) == [("a", True, b"text")]
 
-    play(scene, stores=2)
+    run_scenario(scenario, stores=2)
 
 
-def test_items_past_retention_are_given_up_by_the_primary() -> None:
+def test_items_past_retention_are_dead_lettered_by_the_primary() -> None:
     clock = Clock()
 
-    async def scene(tier: Tier) -> None:
-        executor = ScriptedExecutor(places=1)
+    async def scenario(tier: Tier) -> None:
+        executor = ScriptedExecutor(slots=1)
         await start(tier, executor)
         await submit(tier, "a", "b")
         await executor.next_started()
@@ -388,41 +388,41 @@
         }
         assert await executor.next_cancelled() == A
 
-    play(scene, clock=clock)
+    run_scenario(scenario, clock=clock)
 
 
-def test_items_whose_route_left_the_configuration_are_given_up_unleased() -> None:
+def test_waiting_items_whose_route_was_removed_are_dead_lettered() -> None:
     clock = Clock()
 
-    async def scene(tier: Tier) -> None:
+    async def scenario(tier: Tier) -> None:
         node = tier.nodes[0]
-        executor = ScriptedExecutor(places=1)
+        executor = ScriptedExecutor(slots=1)
         await start(tier, executor, "p1")
-        versions = {"older": 3, "newer": 5, "untold": 0}
+        versions = {"older": 3, "newer": 5, "unknown": 0}
         for job_id, version in versions.items():
             request = job(job_id, "a", "b")
             request.configuration_version = version
             assert isinstance(await tier.client.submit(request, BUDGET_S), Ok)
         running = await executor.next_started()
         other = attrs.evolve(ROUTE, name="r-other")
-        tier.views.configuration = attrs.evolve(configuration(other), version=4)
+        tier.cluster_view.configuration = attrs.evolve(configuration(other), version=4)
         await node.store.maintain_once()
-        listed = {name: len(each.results) for name, each in node.state.jobs.items()}
+        result_counts = {name: len(each.results) for name, each in node.state.jobs.items()}
         expected = 1 if running.job_id == "older" else 2
-        assert listed == {"older": expected, "newer": 0, "untold": 0}
+        assert result_counts == {"older": expected, "newer": 0, "unknown": 0}
         (entry, *_) = node.state.jobs["older"].results
         assert (entry.completed, entry.text) == (False, b"route_removed")
-        tier.views.configuration = None
+        tier.cluster_view.configuration = None
         await node.store.maintain_once()
         executor.finish(running, completed(b"text"))
 
-    play(scene, clock=clock)
+    run_scenario(scenario, clock=clock)
 
 
-def test_old_jobs_are_forgotten_only_when_ended_or_in_the_way() -> None:
+def test_old_jobs_are_forgotten_only_if_ended_or_if_capacity_is_short() -> None:
     clock = Clock()
 
-    async def scene(tier: Tier) -> None:
+    async def scenario(tier: Tier) -> None:
         node = tier.nodes[0]
         for job_id in ("ended", "complete", "open"):
             await submit(tier, "a", job_id=job_id)
@@ -440,26 +440,26 @@
         await node.store._maintenance.forget_old_jobs(clock.now)
         assert set(node.state.jobs) == {"open"}
 
-    play(scene, clock=clock)
+    run_scenario(scenario, clock=clock)
 
 
-def test_worker_at_rest_stops_at_once() -> None:
-    async def scene(tier: Tier) -> None:
+def test_idle_worker_stops_at_once() -> None:
+    async def scenario(tier: Tier) -> None:
         for _ in range(5):
             worker = tier.worker(ScriptedExecutor())
             await worker.start()
-            resting = asyncio.Event()
+            idle = asyncio.Event()
             pause = worker._pause
 
             async def observed(
-                pause: Callable[[], Awaitable[None]] = pause, resting: asyncio.Event = resting
+                pause: Callable[[], Awaitable[None]] = pause, idle: asyncio.Event = idle
             ) -> None:
-                asyncio.get_running_loop().call_soon(resting.set)
+                asyncio.get_running_loop().call_soon(idle.set)
                 await pause()
 
             worker._pause = observed  # type: ignore[method-assign]
-            await resting.wait()
+            await idle.wait()
             await worker.stop()
             assert worker._loop_task is not None and worker._loop_task.cancelled()
 
-    play(scene)
+    run_scenario(scenario)
