--- a/cherrycove/tier/exploration/__init__.py
+++ b/cherrycove/tier/exploration/__init__.py
@@ -1,5 +1,5 @@
-"""Exhaustive exploration of the pure machines within small bounds.
+"""Explicit-state model checking of the deterministic state machines within small bounds.
 
-Every order of the allowed steps is explored, breadth first; states are compared by a hash. See the section
+Explores every order of the allowed steps, breadth first, and compares states by a hash. See the section
 "Exhaustive exploration" of ``docs/design/control-safety-tests.md``.
 """
--- a/cherrycove/tier/exploration/decision_group.py
+++ b/cherrycove/tier/exploration/decision_group.py
@@ -1,8 +1,8 @@
-"""A group of controllers as the control plane sees it: one log, of which a new primary keeps any prefix.
+"""Models the replicated group of the controllers as one shared log.
 
-It has the properties that the exploration of the group shows: one confirmed primary, which has applied all
-that is committed; of the entries that were not committed when another becomes primary, some first ones are
-kept in order, and the others are never committed.
+The model has the properties that the exploration of the group verifies. There is at most one confirmed
+primary, and it has applied all committed entries. When another controller becomes primary, any prefix of the
+uncommitted entries is kept in order; the others are never committed.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class LogEntry:
-    """An entry of the shared log; without a command it is a no-op."""
+    """Represents an entry of the shared log; an empty command makes it a no-op."""
 
     index: int
     epoch: int
@@ -31,16 +31,16 @@
 
 @attrs.define(eq=False)
 class SharedLog:
-    """The group's log and its primary."""
+    """Holds the log of the group, its primary and whether the lease of the primary is valid."""
 
     epoch: int = 1
-    primary: int = 0  # index of a controller; NO_PRIMARY after that one has restarted
-    lease: bool = True  # whether its lease is valid
+    primary: int = 0  # index of the controller; NO_PRIMARY once that controller has restarted
+    is_lease_valid: bool = True
     committed: list[LogEntry] = attrs.field(factory=list)
-    pending: list[LogEntry] = attrs.field(factory=list)  # proposed in this epoch and not committed
+    pending: list[LogEntry] = attrs.field(factory=list)  # proposed in this epoch and not committed yet
 
     def append(self, command: bytes) -> LogEntry:
-        """Append a proposal of the primary."""
+        """Append ``command`` as a proposal of the primary and return its entry."""
         entry = LogEntry(len(self.committed) + len(self.pending) + 1, self.epoch, command)
         self.pending.append(entry)
         return entry
@@ -50,17 +50,20 @@
         self.committed.append(self.pending.pop(0))
 
     def take_over(self, controller: int, kept: int) -> None:
-        """Make ``controller`` primary of a new epoch, which commits ``kept`` pending entries and a no-op."""
+        """Make ``controller`` the primary of a new epoch.
+
+        It commits the first ``kept`` pending entries and a no-op; the other pending entries are discarded.
+        """
         self.committed.extend(self.pending[:kept])
         self.epoch += 1
         self.committed.append(LogEntry(len(self.committed) + 1, self.epoch, b""))
         self.pending.clear()
         self.primary = controller
-        self.lease = True
+        self.is_lease_valid = True
 
 
 class ControllerGroup:
-    """One controller's member; implements ``Group`` as far as decisions on configurations need it."""
+    """Implements ``Group`` for one controller, as far as decisions on configurations need it."""
 
     def __init__(self, log: SharedLog, controller: int) -> None:
         self._log = log
@@ -71,38 +74,38 @@
 
     @property
     def identity(self) -> MemberIdentity:
-        """Identity of this member."""
+        """Return the identity of this member."""
         return _identity(self._controller_index)
 
     @property
     def epoch(self) -> int:
-        """Epoch of the log."""
+        """Return the current epoch of the log."""
         return self._log.epoch
 
     @property
     def primary(self) -> MemberIdentity | None:
-        """The primary, if there is one."""
+        """Return the primary; None if there is none."""
         return None if self._log.primary == NO_PRIMARY else _identity(self._log.primary)
 
     @property
     def members(self) -> tuple[MemberIdentity, ...]:
-        """The members, which are not modelled."""
+        """Return no members: they are not modelled."""
         return ()
 
     def is_confirmed_primary(self) -> bool:
-        """Whether this member leads under a valid lease."""
-        return self._log.lease and self._log.primary == self._controller_index
+        """Return whether this member leads under a valid lease."""
+        return self._log.is_lease_valid and self._log.primary == self._controller_index
 
     async def propose(self, command: bytes, timeout_s: float) -> Result[object, Failure]:
-        """Propose ``command``, and wait until it is committed or superseded, for ``timeout_s`` at most."""
+        """Propose ``command`` and wait up to ``timeout_s`` until it is committed or superseded."""
         if not self.is_confirmed_primary():
-            return Err(Failure(ErrorKind.NOT_PRIMARY, "does not lead"))
+            return Err(Failure(ErrorKind.NOT_PRIMARY, "this controller is not the confirmed primary"))
         entry = self._log.append(command)
         future = self.proposals.add(entry.index, entry.epoch)
         return await self.proposals.wait(future, timeout_s)
 
     def apply_committed(self) -> None:
-        """Apply what is committed, and resolve the proposals among it."""
+        """Apply the newly committed entries and resolve their proposals."""
         for entry in self._log.committed[self.applied :]:
             self.applied = entry.index
             outcome = self.state.apply(entry.index, entry.command) if entry.command else None
@@ -112,10 +115,10 @@
         """Do nothing: changes of members are not modelled."""
 
     def committed_members(self) -> None:
-        """Return nothing: members are not modelled."""
+        """Return None: members are not modelled."""
 
     def voting_member_ids(self) -> frozenset[str]:
-        """Member ids, which are not modelled."""
+        """Return no member ids: members are not modelled."""
         return frozenset()
 
     def set_retiring(self, names: frozenset[str]) -> None:
@@ -126,4 +129,4 @@
 
 
 def _identity(controller: int) -> MemberIdentity:
-    return MemberIdentity(f"keeper{controller}", f"node{controller}", f"node{controller}:1")
+    return MemberIdentity(f"controller{controller}", f"node{controller}", f"node{controller}:1")
--- a/cherrycove/tier/exploration/event_loop.py
+++ b/cherrycove/tier/exploration/event_loop.py
@@ -1,4 +1,4 @@
-"""An event loop without sockets or a clock: it runs what is ready, and time passes on demand only."""
+"""Event loop with virtual time and no I/O: it runs ready callbacks, and time advances only on request."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class _NoSelector:
-    """In place of the selector: there is nothing to wait for, so the loop ends when nothing is ready."""
+    """Replaces the I/O selector: stops the loop instead of waiting when no callback is ready."""
 
     def __init__(self, loop: asyncio.BaseEventLoop) -> None:
         self._loop = loop
@@ -19,7 +19,7 @@
 
 
 class ManualLoop(asyncio.BaseEventLoop):
-    """Runs coroutines up to the point where all of them wait."""
+    """Runs coroutines until all of them are suspended; the caller advances its virtual time."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -27,15 +27,15 @@
         self._now = 0.0
 
     def time(self) -> float:
-        """Return the time in seconds."""
+        """Return the virtual time in seconds."""
         return self._now
 
     def run_until_idle(self) -> None:
-        """Run until nothing is ready."""
+        """Run until no callback is ready."""
         self.run_forever()
 
     def pass_time(self, seconds: float) -> None:
-        """Let ``seconds`` pass, and run what is due then."""
+        """Advance the time by ``seconds`` and run the callbacks that are due then."""
         self._now += seconds
         self.run_until_idle()
 
--- a/cherrycove/tier/exploration/mutations.py
+++ b/cherrycove/tier/exploration/mutations.py
@@ -1,4 +1,4 @@
-"""Mutations for the explorations: each takes one guard out, which the invariants must notice."""
+"""Mutations for the explorations: each removes one guard, to check that the invariants detect it."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 
 
 def _vote_twice_in_an_epoch() -> Patches:
-    def vote(voter: Any, sender: MemberIdentity, request: VoteRequest, now: float) -> None:
+    def cast_vote(voter: Any, sender: MemberIdentity, request: VoteRequest, now: float) -> None:
         core = voter._core
         core.write_hard_state(
             HardState(core.hard_state.epoch, sender.member_id, core.hard_state.commit_index)
         )
         voter._pending_grant = PendingGrant(sender, request)
 
-    yield mock.patch.object(Voter, "_cast_vote", vote)
+    yield mock.patch.object(Voter, "_cast_vote", cast_vote)
 
 
 def _vote_for_itself_within_lease() -> Patches:
@@ -52,10 +52,10 @@
 
 
 def _excluded_disks_come_back() -> Patches:
-    def forgetful(view: GroupView) -> MembershipStep | None:
+    def ignoring_exclusions(view: GroupView) -> MembershipStep | None:
         return next_step(attrs.evolve(view, excluded=frozenset()))
 
-    yield mock.patch("cherrycove.tier.replication.learners.next_step", forgetful)
+    yield mock.patch("cherrycove.tier.replication.learners.next_step", ignoring_exclusions)
 
 
 def _emptied_keeps_identity() -> Patches:
@@ -78,16 +78,19 @@
 
 
 def _base_checked_once() -> Patches:
-    """The base is not checked again when a change is applied, so each of two with one base takes effect."""
+    """Skip the second check of the base version, which is made when a change is applied.
+
+    Two changes based on the same version then both take effect.
+    """
     accept = ConfigurationState.accept
 
-    def accept_any(state: Any, command: AcceptConfiguration) -> AcceptOutcome:
+    def accept_any_base(state: Any, command: AcceptConfiguration) -> AcceptOutcome:
         changed = AcceptConfiguration()
         changed.CopyFrom(command)
         changed.base_version = state.document.version
         return accept(state, changed)
 
-    yield mock.patch.object(ConfigurationState, "accept", accept_any)
+    yield mock.patch.object(ConfigurationState, "accept", accept_any_base)
 
 
 def _no_barrier_and_base_checked_once() -> Patches:
@@ -97,9 +100,9 @@
 
 def _acknowledge_before_commit() -> Patches:
     async def propose(proposer: Any, command: Command, timeout_s: float) -> Result[object, Failure]:
-        waiting = asyncio.ensure_future(proposer._group.propose(command.SerializeToString(), timeout_s))
+        proposal = asyncio.ensure_future(proposer._group.propose(command.SerializeToString(), timeout_s))
         await asyncio.sleep(0)
-        return waiting.result() if waiting.done() else Ok(AcceptOutcome.ACCEPTED)
+        return proposal.result() if proposal.done() else Ok(AcceptOutcome.ACCEPTED)
 
     yield mock.patch.object(BarrierProposer, "propose", propose)
 
@@ -110,11 +113,11 @@
 
 def _documents_unchecked() -> Patches:
     @attrs.frozen
-    class Unchecked:
+    class UncheckedDocument:
         version: int
 
-    def parse(body: bytes) -> Result[Unchecked, Failure]:
-        return Ok(Unchecked(json.loads(body)["version"]))
+    def parse(body: bytes) -> Result[UncheckedDocument, Failure]:
+        return Ok(UncheckedDocument(json.loads(body)["version"]))
 
     yield mock.patch("cherrycove.tier.exploration.decision_model._parse", parse)
 
@@ -138,7 +141,7 @@
 
 @contextmanager
 def apply_mutation(name: str) -> Iterator[None]:
-    """Apply the mutation ``name``, which takes one guard out, for a while; "" applies none."""
+    """Apply the mutation ``name`` within the context; "" applies none."""
     with ExitStack() as stack:
         for patch in MUTATIONS[name]() if name else ():
             stack.enter_context(patch)
--- a/cherrycove/tier/exploration/reactions.py
+++ b/cherrycove/tier/exploration/reactions.py
@@ -1,4 +1,4 @@
-"""Reactions of nodes to events, each computed once for a node, a time and an event."""
+"""Reactions of nodes to events, computed once per combination of node, time and event."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from cherrycove.tier.storage.snapshots import Snapshot
 
 QUANTUM_S = 0.5
-STATE_BYTES = 2  # of a snapshot
-# Times come in whole quanta, so each duration lies between two of them: a lease covers the quantum in which
-# it was renewed and the next one; a backup votes again two quanta after it heard its primary.
+STATE_BYTES = 2  # size of the state in a snapshot
+# Time advances in whole quanta, so most durations lie between two of them: a lease covers the quantum of its
+# renewal and the next one. A backup votes again two quanta after it last heard its primary.
 TIMING = Timing(
     heartbeat_s=QUANTUM_S,
     lease_s=1.5 * QUANTUM_S,
@@ -37,60 +37,60 @@
 
 @attrs.frozen(eq=False)
 class Envelope:
-    """A message in flight, with its sender and receiver; equal ones are one object."""
+    """Represents a message in flight; equal messages are one object."""
 
     number: int
     sender: MemberIdentity
     receiver: MemberIdentity
-    data: bytes  # an encoded Message; empty: ``sender`` reports that its disk was replaced
+    data: bytes  # an encoded Message; empty if ``sender`` reports that its disk was replaced
     label: str
 
 
 def _label(sender: MemberIdentity, receiver: MemberIdentity, data: bytes) -> str:
-    what = "stranger"
+    description = "disk replacement notice"
     if data:
         message = Message.FromString(data)
         body = str(message.WhichOneof("body"))
         preliminary = body.startswith("vote") and getattr(message, body).preliminary
-        what = f"{'preliminary ' if preliminary else ''}{body} of epoch {message.epoch}"
-    return f"{what} from {sender.member_id} to {receiver.member_id}"
+        description = f"{'preliminary ' if preliminary else ''}{body} of epoch {message.epoch}"
+    return f"{description} from {sender.member_id} to {receiver.member_id}"
 
 
 @attrs.frozen
 class Start:
-    """The process starts."""
+    """Represents the start of the process."""
 
 
 @attrs.frozen
 class Tick:
-    """Time has passed."""
+    """Represents the notification of a replica that time has passed."""
 
 
 @attrs.frozen
 class Sync:
-    """All writes in progress become durable."""
+    """Represents the sync that makes all unsynced writes durable."""
 
 
 @attrs.frozen
 class Propose:
-    """A client proposes ``command``."""
+    """Represents the proposal of ``command`` by a client."""
 
     command: bytes
 
 
 @attrs.frozen
 class TransferLeadership:
-    """The primary is asked to transfer its leadership."""
+    """Represents a request to the primary to transfer its leadership."""
 
 
 @attrs.frozen
 class SaveSnapshot:
-    """A snapshot of the state replaces the log."""
+    """Represents the replacement of the log up to the commit index by a snapshot of the state."""
 
 
 @attrs.frozen
 class UpdateMembership:
-    """The control plane names the replicas that are alive, and the machines that are to retire."""
+    """Represents a report of the control plane: the live replicas, and those that must leave the group."""
 
     standbys: tuple[MemberIdentity, ...]
     retiring: frozenset[str]
@@ -98,7 +98,7 @@
 
 @attrs.frozen
 class Bootstrap:
-    """The process is asked to begin a group of ``members``."""
+    """Represents a request to bootstrap a group of ``members``."""
 
     members: tuple[MemberIdentity, ...]
 
@@ -118,7 +118,7 @@
 
 @attrs.frozen
 class Reaction:
-    """A node after an event, with the messages it sends and the entries it applies."""
+    """Represents the result of an event: the node afterwards, its messages and the entries it applies."""
 
     node: Node
     envelopes: tuple[Envelope, ...] = ()
@@ -126,7 +126,7 @@
     restored: Snapshot | None = None
 
     def followed_by(self, other: Reaction) -> Reaction:
-        """Return this reaction and ``other``, which came next, as one."""
+        """Return this reaction and the subsequent reaction ``other`` combined into one."""
         return Reaction(
             other.node,
             self.envelopes + other.envelopes,
@@ -136,55 +136,61 @@
 
 
 class Reactions:
-    """Computes and caches all reactions; equal nodes are one object."""
+    """Computes and caches the reactions of all nodes; interns nodes and messages.
+
+    With ``single_entry_appends`` every append message carries one entry.
+    """
 
     def __init__(self, faults: int, *, single_entry_appends: bool) -> None:
         self._faults = faults
         self._append_bytes = 1 if single_entry_appends else replicator.MAX_APPEND_BYTES
         self._nodes: dict[bytes, Node] = {}
         self._envelopes: dict[tuple[MemberIdentity, MemberIdentity, bytes], Envelope] = {}
-        self._known: dict[tuple[Node, int, Event], Reaction] = {}
-        self._confirmed: dict[tuple[Node, int], bool] = {}
+        self._cache: dict[tuple[Node, int, Event], Reaction] = {}
+        self._confirmed_cache: dict[tuple[Node, int], bool] = {}
 
-    def unique(self, node: Node) -> Node:
-        """Return the one object that stands for ``node`` and its equals."""
+    def intern(self, node: Node) -> Node:
+        """Return the object that represents all nodes equal to ``node``."""
         content = node.content_digest()
-        known = self._nodes.get(content)
-        if known is None:
-            known = self._nodes[content] = node.numbered(len(self._nodes))
-        return known
+        cached = self._nodes.get(content)
+        if cached is None:
+            cached = self._nodes[content] = node.numbered(len(self._nodes))
+        return cached
 
     def envelope(self, sender: MemberIdentity, receiver: MemberIdentity, data: bytes) -> Envelope:
-        """Return the one object for this message."""
+        """Return the object that represents this message."""
         key = (sender, receiver, data)
-        known = self._envelopes.get(key)
-        if known is None:
-            known = Envelope(len(self._envelopes), sender, receiver, data, _label(sender, receiver, data))
-            self._envelopes[key] = known
-        return known
+        cached = self._envelopes.get(key)
+        if cached is None:
+            cached = Envelope(len(self._envelopes), sender, receiver, data, _label(sender, receiver, data))
+            self._envelopes[key] = cached
+        return cached
 
     def is_confirmed_primary(self, node: Node, now: int) -> bool:
-        """Whether the process leads under a valid lease."""
+        """Return whether the process leads under a valid lease; ``now`` is in quanta."""
         if not node.is_primary:
             return False
         key = (node, now)
-        known = self._confirmed.get(key)
-        if known is None:
-            known = node.process is not None and node.process.machine.is_confirmed_primary(now * QUANTUM_S)
-            self._confirmed[key] = known
-        return known
+        cached = self._confirmed_cache.get(key)
+        if cached is None:
+            cached = node.process is not None and node.process.machine.is_confirmed_primary(now * QUANTUM_S)
+            self._confirmed_cache[key] = cached
+        return cached
 
     def react(self, node: Node, now: int, event: Event) -> Reaction:
-        """Return the reaction to ``event`` at ``now``, in quanta; without a process only to ``Start``."""
+        """Return the reaction to ``event`` at the time ``now``, in quanta.
+
+        A node without a process reacts only to ``Start``.
+        """
         key = (node, now, event)
-        known = self._known.get(key)
-        if known is None:
+        cached = self._cache.get(key)
+        if cached is None:
             with mock.patch.object(replicator, "MAX_APPEND_BYTES", self._append_bytes):
-                known = self._known[key] = self._compute(node, now * QUANTUM_S, event)
-        return known
+                cached = self._cache[key] = self._compute(node, now * QUANTUM_S, event)
+        return cached
 
     def react_and_sync(self, node: Node, now: int, event: Event) -> Reaction:
-        """Return the same with all writes durable at once."""
+        """Return the reaction to ``event`` if all writes that it causes become durable at once."""
         reaction = self.react(node, now, event)
         while reaction.node.unsynced:
             reaction = reaction.followed_by(self.react(reaction.node, now, Sync()))
@@ -194,39 +200,39 @@
         if isinstance(event, Start):
             started = node.started(self._faults, TIMING, now)
         elif node.process is not None:
-            started = attrs.evolve(node, process=node.process.copied())
+            started = attrs.evolve(node, process=node.process.copy())
         else:
             return Reaction(node)
         process = started.process
         assert process is not None
         if isinstance(event, Sync):
-            started = _synced(started, now)
+            started = _sync(started, now)
         elif isinstance(event, UpdateMembership):
             process.membership_requests.standbys = event.standbys
             process.membership_requests.retiring = event.retiring
         else:
             _handle(process.machine, event, now)
-        return self._finished(started, process.machine.take_effects())
+        return self._collect_reaction(started, process.machine.take_effects())
 
-    def _finished(self, node: Node, effects: Effects) -> Reaction:
-        own = node.identity
-        without_node_name = MemberIdentity(own.member_id, "", own.address)
+    def _collect_reaction(self, node: Node, effects: Effects) -> Reaction:
+        identity = node.identity
+        without_node_name = MemberIdentity(identity.member_id, "", identity.address)
         envelopes = tuple(
             self.envelope(
                 without_node_name, outgoing.receiver, outgoing.message.SerializeToString(deterministic=True)
             )
             for outgoing in effects.messages
         )
-        after = attrs.evolve(node, unsynced=(*node.unsynced, *effects.writes))
-        return Reaction(self.unique(after), envelopes, tuple(effects.committed), effects.restore)
+        updated = attrs.evolve(node, unsynced=(*node.unsynced, *effects.writes))
+        return Reaction(self.intern(updated), envelopes, tuple(effects.committed), effects.restore)
 
 
-def _synced(node: Node, now: float) -> Node:
+def _sync(node: Node, now: float) -> Node:
     process = node.process
     assert process is not None
     disk = node.disk
     for write in node.unsynced:
-        disk = disk.after(write)
+        disk = disk.with_write(write)
         process.reader.disk = disk
         process.machine.complete_writes(write.ticket, now)
     return attrs.evolve(node, disk=disk, unsynced=())
--- a/cherrycove/tier/exploration/scenarios.py
+++ b/cherrycove/tier/exploration/scenarios.py
@@ -1,4 +1,4 @@
-"""All scenarios that are explored, by name."""
+"""All scenarios by name."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class Scenario(Protocol):
-    """Where an exploration begins, and its bounds."""
+    """Defines the initial state and the bounds of one exploration."""
 
     @property
     def budget(self) -> Any:
-        """How often each event may happen: an attrs class of counts."""
+        """Return the bounds: an attrs instance with one count per event."""
 
     def prepare(self) -> tuple[Model[Any], Any]:
-        """Return the model and the state to begin with."""
+        """Return the model and its initial state."""
 
 
 SCENARIOS: Mapping[str, Any] = {**group_scenarios.SCENARIOS, **decision_scenarios.SCENARIOS}
--- a/cherrycove/tier/exploration/search.py
+++ b/cherrycove/tier/exploration/search.py
@@ -1,4 +1,4 @@
-"""Breadth-first search over the states of a model, with a set of the states seen."""
+"""Breadth-first search over the states of a model; each distinct state is expanded once."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 import attrs
 
 State = TypeVar("State")
-GARBAGE_THRESHOLDS = (100_000, 50, 1_000)  # states live long and hold no cycles: few collections
-START = -1  # parent of the first state
+GC_THRESHOLDS = (100_000, 50, 1_000)  # rare collections: states are long-lived and hold no reference cycles
+NO_PARENT = -1  # parent of the initial state
 
 
 @attrs.frozen
 class Step(Generic[State]):
-    """One step: its name in traces, the state that it leads to, and the invariant that it breaks, if any."""
+    """Represents one step: its name in traces, the next state, and the violated invariant ("" if none)."""
 
     label: str
     state: State
-    broken: str = ""
+    broken_invariant: str = ""
 
 
 class Model(Protocol[State]):
-    """A state space: the steps that may follow, as a function of the state alone."""
+    """Interface of a state space; the steps must depend on the state alone."""
 
     def key(self, state: State) -> bytes:
         """Return a digest that is equal for states that behave alike."""
@@ -36,7 +36,7 @@
 
 @attrs.frozen(kw_only=True)
 class Limits:
-    """When a search ends although states are left."""
+    """Limits at which a search stops even if unexplored states remain."""
 
     depth: int = 1_000_000
     states: int = 5_000_000
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class Violation:
-    """A broken invariant, and the shortest list of steps to it."""
+    """Describes a violated invariant, with a shortest trace of steps that leads to it."""
 
     detail: str
     trace: tuple[str, ...]
@@ -53,18 +53,18 @@
 
 @attrs.frozen
 class Report:
-    """What a search came to; ``depth`` and ``exhausted`` say how much of the state space it covered."""
+    """Holds the result of a search; ``depth`` and ``exhausted`` tell how much of the space it covered."""
 
     states: int
     transitions: int
-    depth: int  # every state up to this many steps from the start was expanded
-    exhausted: bool  # no state was left
+    depth: int  # every state fewer than this many steps from the initial state was expanded
+    exhausted: bool  # no unexplored state is left
     seconds: float
     violation: Violation | None = None
 
 
 class Search(Generic[State]):
-    """One search. Only digests and parents are kept of the states that were expanded."""
+    """Runs one search; of expanded states it keeps only the digest, the parent and the label of the step."""
 
     def __init__(self, model: Model[State], limits: Limits | None = None) -> None:
         self._model = model
@@ -76,9 +76,9 @@
         self._started = time.monotonic()
 
     def run(self, start: State) -> Report:
-        """Expand ``start`` and its successors until a violation, a limit, or none is left."""
+        """Explore from ``start`` until an invariant is violated, a limit is reached or no state is left."""
         thresholds = gc.get_threshold()
-        gc.set_threshold(*GARBAGE_THRESHOLDS)
+        gc.set_threshold(*GC_THRESHOLDS)
         try:
             return self._run(start)
         finally:
@@ -86,28 +86,28 @@
 
     def _run(self, start: State) -> Report:
         self._seen.add(self._model.key(start))
-        self._add_state(START, "start")
+        self._add_state(NO_PARENT, "start")
         frontier = [(0, start)]
         depth = 0
         while frontier and depth < self._limits.depth:
-            following: list[tuple[int, State]] = []
+            next_frontier: list[tuple[int, State]] = []
             for number, state in frontier:
-                violation = self._expand(number, state, following)
+                violation = self._expand(number, state, next_frontier)
                 if violation is not None or self._has_reached_limit():
                     return self._report(depth, violation, exhausted=False)
-            frontier = following
+            frontier = next_frontier
             depth += 1
         return self._report(depth, None, exhausted=not frontier)
 
-    def _expand(self, number: int, state: State, following: list[tuple[int, State]]) -> Violation | None:
+    def _expand(self, number: int, state: State, next_frontier: list[tuple[int, State]]) -> Violation | None:
         for step in self._model.steps(state):
             self._transitions += 1
-            if step.broken:
-                return Violation(step.broken, (*self._trace(number), step.label))
+            if step.broken_invariant:
+                return Violation(step.broken_invariant, (*self._trace(number), step.label))
             key = self._model.key(step.state)
             if key not in self._seen:
                 self._seen.add(key)
-                following.append((self._add_state(number, step.label), step.state))
+                next_frontier.append((self._add_state(number, step.label), step.state))
         return None
 
     def _add_state(self, parent: int, label: str) -> int:
--- a/tests/tier/test_exploration_decisions.py
+++ b/tests/tier/test_exploration_decisions.py
@@ -1,4 +1,4 @@
-"""Exhaustive exploration of the decisions on configurations: no wrong answer, no guard without a use."""
+"""Exhaustive exploration of configuration changes: no wrong results, and each removed guard is detected."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from cherrycove.tier.exploration.mutations import apply_mutation
 from cherrycove.tier.exploration.search import Limits, Report, Search
 
-# Depth that is explored here; what is explored to its end by hand is told in docs/design/control-safety.md.
+# Depth explored here; docs/design/control-safety.md tells what is explored exhaustively by hand.
 DEPTHS = {
     "one-number": 4,
     "one-base": 6,
@@ -17,7 +17,7 @@
     "three-operators": 3,
     "invalid": 7,
 }
-# Guard that is taken out, and the scenario of the table above that notices it.
+# Mutation that removes a guard, and the scenario of the table above that detects it.
 GUARDS = {
     "digests-forgotten": "sent-again",
     "decide-without-lease": "sent-again",
@@ -34,22 +34,22 @@
 
 
 @pytest.mark.parametrize("scenario", DEPTHS)
-def test_no_answer_is_wrong(scenario: str) -> None:
+def test_no_invariant_is_violated(scenario: str) -> None:
     report = explore(scenario)
     assert report.violation is None
     assert report.exhausted or report.depth == DEPTHS[scenario]
 
 
 @pytest.mark.parametrize("guard", GUARDS)
-def test_a_missing_guard_is_noticed(guard: str) -> None:
+def test_removed_guard_is_detected(guard: str) -> None:
     with apply_mutation(guard):
         report = explore(GUARDS[guard])
     assert report.violation is not None
 
 
 @pytest.mark.parametrize("guard", ["no-barrier", "base-checked-once"])
-def test_the_barrier_and_the_second_check_of_the_base_stand_in_for_each_other(guard: str) -> None:
-    """Of two changes with one base, either guard alone keeps the second from taking effect."""
+def test_barrier_or_second_check_of_base_version_alone_suffices(guard: str) -> None:
+    """Of two changes with the same base version, either guard alone keeps the second from taking effect."""
     with apply_mutation(guard):
         report = explore("one-base")
     assert report.violation is None
--- a/tests/tier/test_exploration_group.py
+++ b/tests/tier/test_exploration_group.py
@@ -1,4 +1,4 @@
-"""Exhaustive exploration of a replicated group: nothing breaks, and a guard that is taken out is noticed."""
+"""Exhaustive exploration of a replicated group: no violations, and each removed guard is detected."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 import attrs
 import pytest
 
-from cherrycove.tier.exploration.copying import canonical, copy_graph
-from cherrycove.tier.exploration.group_model import Budget, GroupModel, World
+from cherrycove.tier.exploration.copying import canonical_form, copy_graph
+from cherrycove.tier.exploration.group_model import Budget, GroupModel, GroupState
 from cherrycove.tier.exploration.group_scenarios import SCENARIOS
 from cherrycove.tier.exploration.mutations import apply_mutation
 from cherrycove.tier.exploration.search import Limits, Report, Search
 from cherrycove.tier.replication.backup import IncomingSnapshot
 
-# Depth that is explored here; deeper bounds are run by hand (docs/design/control-safety.md).
+# Depth explored here; greater depths are explored by hand (docs/design/control-safety.md).
 DEPTHS = {
     "begin": 5,
     "rivals": 6,
@@ -34,7 +34,7 @@
     "disk-lost": 4,
     "behind-disk-lost": 6,
 }
-# Guard that is taken out, and the scenario of the table above that notices it.
+# Mutation that removes a guard, and the scenario of the table above that detects it.
 GUARDS = {
     "vote-before-sync": "rivals",
     "vote-twice-in-an-epoch": "rivals",
@@ -58,26 +58,26 @@
 
 
 @pytest.mark.parametrize("scenario", DEPTHS)
-def test_no_invariant_breaks(scenario: str) -> None:
+def test_no_invariant_is_violated(scenario: str) -> None:
     report = explore(scenario)
     assert report.violation is None
     assert report.exhausted or report.depth == DEPTHS[scenario]
 
 
 @pytest.mark.parametrize("guard", GUARDS)
-def test_a_missing_guard_is_noticed(guard: str) -> None:
+def test_removed_guard_is_detected(guard: str) -> None:
     with apply_mutation(guard):
         report = explore(GUARDS[guard])
     assert report.violation is not None
 
 
-def follow(model: GroupModel, state: World, label: str) -> World | None:
-    """The state after the step ``label``; None if it is not possible."""
+def follow(model: GroupModel, state: GroupState, label: str) -> GroupState | None:
+    """Return the state after the step ``label``; None if that step is not possible."""
     return next((step.state for step in model.steps(state) if step.label == label), None)
 
 
-def test_a_voter_that_restarts_does_not_elect_itself_while_its_lease_holds() -> None:
-    """The last member has lost the primary; the second one renewed the lease, and starts anew."""
+def test_restarted_voter_does_not_elect_itself_while_the_lease_it_renewed_is_valid() -> None:
+    """The last member no longer hears the primary; the second one renewed the lease and restarts."""
     model, state = SCENARIOS["restart-in-lease"].prepare()
     steps = [
         "b crashes, 0 of 0 writes durable",
@@ -87,33 +87,33 @@
         "preliminary vote_reply of epoch 1 from c to b arrives",
     ]
     for label in steps:
-        following = follow(model, state, label)
-        assert following is not None, label
-        state = following
+        next_state = follow(model, state, label)
+        assert next_state is not None, label
+        state = next_state
     assert [node.epoch for node in state.nodes] == [1, 1, 1]
     assert all("vote_request of epoch 2" not in envelope.label for envelope in state.envelopes)
 
 
-def test_states_are_told_apart_and_met_again() -> None:
+def test_equal_states_have_equal_keys_and_steps_change_the_key() -> None:
     scenario = attrs.evolve(SCENARIOS["lease"], budget=Budget(epochs=2))
     model, start = scenario.prepare()
-    again, same = scenario.prepare()
-    assert model.key(start) == again.key(same)
+    other_model, other_start = scenario.prepare()
+    assert model.key(start) == other_model.key(other_start)
     after = [model.key(step.state) for step in model.steps(start)]
     assert model.key(start) not in after
 
 
-def test_copies_of_a_node_share_nothing_that_changes() -> None:
-    """A snapshot half received is copied with what it holds, and told apart from one that holds more."""
-    half = IncomingSnapshot(3, 1)
-    half.data.write(b"a")
-    copied = copy_graph(half, {})
-    assert canonical(copied) == canonical(half)
+def test_copies_share_no_mutable_objects() -> None:
+    """A partially received snapshot is copied with its data and differs from one with more data."""
+    partial = IncomingSnapshot(3, 1)
+    partial.data.write(b"a")
+    copied = copy_graph(partial, {})
+    assert canonical_form(copied) == canonical_form(partial)
     copied.data.write(b"b")
-    assert (half.data.getvalue(), copied.data.getvalue()) == (b"a", b"ab")
-    assert canonical(copied) != canonical(half)
+    assert (partial.data.getvalue(), copied.data.getvalue()) == (b"a", b"ab")
+    assert canonical_form(copied) != canonical_form(partial)
 
 
-def test_an_object_that_cannot_be_copied_is_refused() -> None:
+def test_object_of_another_package_is_not_copied() -> None:
     with pytest.raises(TypeError):
         copy_graph(threading.Lock(), {})
