--- a/cherrycove/scheduling/settings_check.py
+++ b/cherrycove/scheduling/settings_check.py
@@ -1,13 +1,13 @@
-"""Checks an object of settings: values of the wrong kind, unknown names, and demands that are not met.
+"""Validates a settings object: values of the wrong type, unknown names, and unsupported requests.
 
-It knows the names of the wire page's table. Values are read for decisions by ``simulator_codec`` alone.
+The names are those of the table on the wire protocol page. Only ``simulator_codec`` reads the values for use.
 """
 
 from __future__ import annotations
 
 from typing import Any
 
-_READ = """
+_USED = """
 balancers classes discovery familyInfo feedback guarantees limits policies tickNs zones me
 classes[].aimNs classes[].deadlineNs classes[].gain classes[].group classes[].idempotency classes[].lateValue
 classes[].name classes[].serialByKey classes[].windowNs
@@ -23,8 +23,8 @@
 policies[].nominal policies[].parts policies[].valueFactor
 """
 
-# Known, and of no use to any decision here; docs/design/deployments.md says of each why.
-_LEFT = """
+# Known names that no decision uses; docs/design/deployments.md gives the reason for each.
+_IGNORED = """
 charges charges.connection charges.crossZone charges.discovery charges.fleet charges.handshake
 charges.lateFail charges.moves charges.origin charges.peer charges.probe charges.waste
 classes[].aimStretch classes[].stream clients clients.marksRetry feedback.how flavors
@@ -32,20 +32,20 @@
 scoringMix.whole scoringMix.worstClass scoringMix.worstTenant scoringMix.worstWindow tier tiers weights
 workload
 """
-READ, LEFT = frozenset(_READ.split()), frozenset(_LEFT.split())
+USED_NAMES, IGNORED_NAMES = frozenset(_USED.split()), frozenset(_IGNORED.split())
 
 
-# What kind each of those that are read is of; the others are numbers, none below 0.
-_KINDS: dict[type, str] = {
+# Types of the settings in use; all others are numbers that are not negative.
+_NAMES_BY_TYPE: dict[type, str] = {
     str: "discovery classes[].group classes[].idempotency classes[].name policies[].name",
     bool: "classes[].serialByKey familyInfo.countsOthers limits.cancel limits.mayTell limits.probing "
     "limits.retryAfter limits.secondCopies",
     list: "classes familyInfo.writes feedback.names policies zones",
     dict: "familyInfo feedback guarantees limits classes[] policies[]",
 }
-_KIND = {path: kind for kind, names in _KINDS.items() for path in names.split()}
-_WORDS = {str: "text", bool: "true or false", list: "a list", dict: "an object"}
-MOST = 1e100  # of any figure
+_TYPES = {path: kind for kind, names in _NAMES_BY_TYPE.items() for path in names.split()}
+_TYPE_TEXTS = {str: "text", bool: "true or false", list: "a list", dict: "an object"}
+MAX_VALUE = 1e100  # of any number
 _ABOVE_0 = frozenset(
     [
         "balancers",
@@ -61,37 +61,38 @@
 )
 
 
-def misfit(info: Any, path: str = "", place: str = "") -> str | None:
-    """Return what is of the wrong kind, by its place, and why; None: nothing that is read.
+def find_invalid_value(info: Any, path: str = "", place: str = "") -> str | None:
+    """Return a message on the first value in use of the wrong type or range; None if there is none.
 
-    ``path`` names ``info`` as the wire page does (``classes[].name``), ``place`` with its index.
+    ``path`` is the name of ``info`` on the wire protocol page (``classes[].name``), ``place`` its name with
+    indices (``classes[0].name``).
     """
-    wrong = _wrong_value(info, path, place)
+    wrong = _invalid_value(info, path, place)
     if wrong is not None:
         return wrong
     for inner_path, inner_place, value in _children(info, path, place):
-        wrong = misfit(value, inner_path, inner_place)
+        wrong = find_invalid_value(value, inner_path, inner_place)
         if wrong is not None:
             return wrong
     return None
 
 
-def _wrong_value(value: Any, path: str, place: str) -> str | None:
-    if path not in READ and path not in _KIND:
+def _invalid_value(value: Any, path: str, place: str) -> str | None:
+    if path not in USED_NAMES and path not in _TYPES:
         return None
-    kind = _KIND.get(path)
+    kind = _TYPES.get(path)
     if kind is not None and not isinstance(value, kind):
-        return f"{place} must be {_WORDS[kind]}, not {value!r:.80}"
-    if kind is None and (type(value) not in (int, float) or not 0 <= value <= MOST):
-        # A whole number beyond the largest float would raise in the first sum that it comes into.
-        return f"{place} must be a number from 0 up to {MOST:g}, not {str(value):.80}"
+        return f"{place} must be {_TYPE_TEXTS[kind]}, not {value!r:.80}"
+    if kind is None and (type(value) not in (int, float) or not 0 <= value <= MAX_VALUE):
+        # An integer above the largest float would raise ``OverflowError`` in the first calculation with it.
+        return f"{place} must be a number from 0 up to {MAX_VALUE:g}, not {str(value):.80}"
     if path in _ABOVE_0 and not value:
         return f"{place} must be above 0"
     return None
 
 
 def _children(info: Any, path: str, place: str) -> list[tuple[str, str, Any]]:
-    """Return path, place and value of each entry of an object or list."""
+    """Return path, place and value of each entry of an object or list; none for other values."""
     if isinstance(info, dict):
         return [
             (f"{path}.{name}".strip("."), f"{place}.{name}".strip("."), value) for name, value in info.items()
@@ -101,26 +102,26 @@
     return []
 
 
-def paths(info: Any, at: str = "") -> set[str]:
-    """Return every name in an object of settings, as the wire page writes it."""
+def setting_paths(info: Any, at: str = "") -> set[str]:
+    """Return all names in a settings object, as written on the wire protocol page."""
     found: set[str] = set()
     if isinstance(info, dict):
         for name, value in info.items():
             path = f"{at}.{name}" if at else str(name)
-            found |= {path} | paths(value, path)
+            found |= {path} | setting_paths(value, path)
     elif isinstance(info, list):
         for value in info:
-            found |= paths(value, f"{at}[]")
+            found |= setting_paths(value, f"{at}[]")
     return found
 
 
-def unknown(info: Any) -> list[str]:
-    """Return the names that this program does not know; they are disregarded, which is logged."""
-    return sorted(paths(info) - READ - LEFT)
+def unknown_names(info: Any) -> list[str]:
+    """Return the names that this program does not know; the caller logs and ignores them."""
+    return sorted(setting_paths(info) - USED_NAMES - IGNORED_NAMES)
 
 
-def unmet(info: Any) -> list[str]:
-    """Return what the settings ask for that this program does not do, in words."""
+def unsupported_requests(info: Any) -> list[str]:
+    """Return a message for each requested behavior that this program does not support."""
     found: list[str] = []
     for cls in info.get("classes", ()):
         if cls.get("aimStretch"):
--- a/cherrycove/tier/dataplane/admission/_admission_state.py
+++ b/cherrycove/tier/dataplane/admission/_admission_state.py
@@ -40,7 +40,7 @@
     def remove_unlisted(self) -> None:
         """Remove unlisted brokers that have no attempts in flight and no queued requests."""
         for broker in list(self.brokers.values()):
-            if not broker.is_listed and not broker.in_flight and not broker.queue.head():
+            if not broker.is_listed and not broker.in_flight and not broker.queue.has_waiting():
                 del self.brokers[broker.instance_id]
 
     def capable_brokers(self, request: AdmissionRequest) -> list[BrokerState]:
--- a/tests/test_module_limits.py
+++ b/tests/test_module_limits.py
@@ -1,4 +1,4 @@
-"""The decision module stays short, narrow and free of outside dependencies."""
+"""The scheduler's functions and lines stay short, and it has no dependencies outside the standard library."""
 
 import ast
 from pathlib import Path
@@ -13,7 +13,7 @@
     FOLDER / "object_placement.py",
     FOLDER / "concurrency_limit.py",
     FOLDER / "restart_state.py",
-    FOLDER / "agenda.py",
+    FOLDER / "timer_queue.py",
     FOLDER / "scheduler_state.py",
     FOLDER / "latency_estimate.py",
     FOLDER / "key_order.py",
@@ -39,7 +39,7 @@
     return [item for item in ast.walk(tree) if isinstance(item, ast.FunctionDef)]
 
 
-def test_functions_are_short_and_lines_narrow() -> None:
+def test_functions_and_lines_are_short() -> None:
     for path in PURE:
         assert max(map(len, path.read_text(encoding="utf-8").splitlines())) <= MAX_LINE_CHARACTERS
         for function in functions(path):
@@ -66,7 +66,7 @@
         "cherrycove.scheduling.object_placement",
         "cherrycove.scheduling.retry_safety",
         "cherrycove.scheduling.state",
-        "cherrycove.scheduling.agenda",
+        "cherrycove.scheduling.timer_queue",
         "cherrycove.scheduling.scheduler_state",
         "cherrycove.scheduling.latency_estimate",
         "cherrycove.scheduling.key_order",
--- a/tests/tier/test_admission.py
+++ b/tests/tier/test_admission.py
@@ -178,7 +178,7 @@
     proxy = Proxy([broker("a")], arrival_rates={"chat": 2.0, "report": 2.0})
     fill_brokers(proxy)
     for route_state in proxy.scheduler.state.routes.values():
-        route_state.credit_account.credits = route_state.credit_account.full
+        route_state.credit_account.credits = route_state.credit_account.refill_units
     requests = [proxy.submit("chat") for _ in range(3)] + [proxy.submit("report")]
     places = [request.queue_entry.place for request in requests if request.queue_entry]
     assert places == ["queue", "queue", "lane", "queue"]
