--- a/cherrycove/scheduling/credits.py
+++ b/cherrycove/scheduling/credits.py
@@ -18,8 +18,8 @@
 from cherrycove.scheduling.scheduler_state import SchedulerState
 from cherrycove.scheduling.state import REFILL_PERIOD_S, NodeQueue, Request, Volume
 
-METER_MEMORY_S = 4.0  # how long a meter report on a volume's use stays valid
-FORGET_AFTER_S = 10 * REFILL_PERIOD_S  # idle time after which a volume is removed
+METER_REPORT_VALID_S = 4.0  # how long a meter report on a volume's use stays valid
+VOLUME_IDLE_TIMEOUT_S = 10 * REFILL_PERIOD_S  # idle time after which a volume is removed
 
 
 class Credits:
@@ -67,7 +67,7 @@
         state = self._state
         for volume in list(state.volumes.values()):
             self._release(volume)
-            if volume.is_idle_since(state.now - FORGET_AFTER_S):
+            if volume.is_idle_since(state.now - VOLUME_IDLE_TIMEOUT_S):
                 # Bounds the memory for volume names made up by clients. A removed volume that is used
                 # again starts with a full refill, which is what it has now.
                 del state.volumes[volume.name]
@@ -129,7 +129,7 @@
         volume.use_reported_at = self._state.now
 
     def _is_report_recent(self, volume: Volume) -> bool:
-        return self._state.now - volume.use_reported_at < METER_MEMORY_S
+        return self._state.now - volume.use_reported_at < METER_REPORT_VALID_S
 
     def _release(self, volume: Volume) -> None:
         """Credit the refills since the last call, and spend the credits on requests in order of arrival."""
--- a/cherrycove/scheduling/limit_policy.py
+++ b/cherrycove/scheduling/limit_policy.py
@@ -13,7 +13,7 @@
 # The limit may let a node's latency grow up to a fraction of the shortest latency target:
 CROWDED_CEILING = 0.5  # with many schedulers, each of which has few requests at any node,
 MEAN_CEILING = 0.2  # and with few.
-BUSY_FRACTION = 0.67  # of the ceiling, above which a node is busy; 0.5 is close to lightly loaded nodes
+BUSY_FRACTION = 0.67  # of the ceiling, above which a node is busy; 0.5 is close to the level of quiet nodes
 MIN_ANSWERS = 4  # that an update requires; a window with fewer is extended
 
 
--- a/cherrycove/scheduling/restart_state.py
+++ b/cherrycove/scheduling/restart_state.py
@@ -13,8 +13,8 @@
 from cherrycove.scheduling.state import REFILL_PERIOD_S, NodeQueue, Volume
 
 THRESHOLD_HALF_LIFE_S = 10.0  # in which a restored threshold moves half of the way to the initial one
-FAILURE_MEMORY_S = 5.0  # after which restored failures of a node are ignored
-OVERLOAD_MEMORY_S = 2.0  # after which a restored overload is ignored
+FAILURE_VALID_S = 5.0  # after which restored failures of a node are ignored
+OVERLOAD_VALID_S = 2.0  # after which a restored overload is ignored
 SAME_START_TOLERANCE_S = 0.001  # difference allowed between two readings of one start time
 
 
@@ -73,13 +73,13 @@
             node.threshold,
             initial_threshold + (former.threshold - initial_threshold) * 0.5 ** (age / THRESHOLD_HALF_LIFE_S),
         )
-    node.overload = node.overload or (former.overload and age < OVERLOAD_MEMORY_S)
+    node.overload = node.overload or (former.overload and age < OVERLOAD_VALID_S)
 
 
 def _restore_failures(node: NodeQueue, former: NodeRestartState, now: float) -> None:
-    if former.failures and now < former.backoff_until + FAILURE_MEMORY_S:
+    if former.failures and now < former.backoff_until + FAILURE_VALID_S:
         node.failures = max(node.failures, former.failures)
-        node.backoff_until = max(node.backoff_until, min(former.backoff_until, now + FAILURE_MEMORY_S))
+        node.backoff_until = max(node.backoff_until, min(former.backoff_until, now + FAILURE_VALID_S))
 
 
 def _restore_slow_start(node: NodeQueue, former: NodeRestartState, now: float) -> None:
