--- a/cherrycove/tier/batch/client/primary_call.py
+++ b/cherrycove/tier/batch/client/primary_call.py
@@ -96,7 +96,7 @@
             self._finder.mark_unresponsive(address, _now())
         else:
             self._finder.mark_not_primary(address)
-        self._is_certain = self._is_certain and failure.is_certain
+        self._is_certain = self._is_certain and failure.had_no_effect
         self._last_failure = failure
 
     def _is_usable_hint(self, address: str) -> bool:
--- a/cherrycove/tier/batch/frontend/http_api.py
+++ b/cherrycove/tier/batch/frontend/http_api.py
@@ -114,15 +114,15 @@
 
 def _failure_of_change(failure: Failure) -> Failure:
     """A change that may have been made is answered by 504, which promises nothing."""
-    return failure if failure.is_certain else Failure(ErrorKind.DEADLINE, failure.detail)
+    return failure if failure.had_no_effect else Failure(ErrorKind.DEADLINE, failure.detail)
 
 
 def _failure_of_read(failure: Failure) -> Failure:
     """A read that failed may always be repeated, so it is answered by 503."""
-    return failure if failure.is_certain else Failure(ErrorKind.UNAVAILABLE, failure.detail)
+    return failure if failure.had_no_effect else Failure(ErrorKind.UNAVAILABLE, failure.detail)
 
 
 def _error_response(failure: Failure) -> web.Response:
-    answer = failure.answer
+    answer = failure.response
     headers = {} if answer.retry_after_s is None else {"Retry-After": str(answer.retry_after_s)}
     return web.Response(status=answer.status, text=failure.detail, headers=headers)
--- a/cherrycove/tier/checked_documents.py
+++ b/cherrycove/tier/checked_documents.py
@@ -50,12 +50,12 @@
     return value
 
 
-def describe_faults(error: BaseValidationError) -> str:
+def describe_validation_errors(error: BaseValidationError) -> str:
     """Everything that is wrong with a document, in the words of cattrs."""
     return "; ".join(cattrs.transform_error(error))
 
 
-def describe_faults_by_key(error: BaseValidationError) -> str:
+def describe_strict_validation_errors(error: BaseValidationError) -> str:
     """Everything that is wrong with a document, in the words of the strict scalars."""
     return "; ".join(cattrs.transform_error(error, format_exception=_reason))
 
--- a/cherrycove/tier/configuration.py
+++ b/cherrycove/tier/configuration.py
@@ -15,7 +15,7 @@
 
 from cherrycove.tier.checked_documents import (
     STRICT_SCALARS,
-    describe_faults_by_key,
+    describe_strict_validation_errors,
     document_converter,
     without_nulls,
 )
@@ -158,7 +158,7 @@
     try:
         configuration = _CONVERTER.structure(without_nulls(document), Configuration)
     except BaseValidationError as error:
-        return _invalid(source, describe_faults_by_key(error))
+        return _invalid(source, describe_strict_validation_errors(error))
     except (TypeError, ValueError, OverflowError) as error:
         return _invalid(source, str(error))
     faults = list(_faults(configuration))
--- a/cherrycove/tier/controlplane/barrier_proposer.py
+++ b/cherrycove/tier/controlplane/barrier_proposer.py
@@ -39,5 +39,5 @@
         """Replicate ``command`` and apply it; results and errors are those of ``Group.propose``."""
         self._open = True  # before the wait: if this call is cancelled, the outcome is open
         outcome = await self._group.propose(command.SerializeToString(), timeout_s)
-        self._open = isinstance(outcome, Err) and not outcome.err_value.is_certain
+        self._open = isinstance(outcome, Err) and not outcome.err_value.had_no_effect
         return outcome
--- a/cherrycove/tier/controlplane/configuration_service.py
+++ b/cherrycove/tier/controlplane/configuration_service.py
@@ -116,7 +116,7 @@
         """Return the answer to a change whose proposal failed; never a final refusal."""
         if failure.kind is ErrorKind.NOT_PRIMARY:
             return self._leadership.not_primary_failure()
-        if not failure.is_certain:
+        if not failure.had_no_effect:
             return Failure(ErrorKind.DEADLINE, failure.detail)
         return Failure(ErrorKind.UNAVAILABLE, failure.detail)
 
--- a/cherrycove/tier/controlplane/operator_answers.py
+++ b/cherrycove/tier/controlplane/operator_answers.py
@@ -58,6 +58,6 @@
         host = failure.primary.rpartition(":")[0]
         location = f"http://{host}:{port}{raw_path}"
         return web.json_response(body, status=307, headers={"Location": location})
-    answer = failure.answer
+    answer = failure.response
     headers = {} if answer.retry_after_s is None else {"Retry-After": f"{answer.retry_after_s:g}"}
     return web.json_response(body, status=answer.status, headers=headers)
--- a/cherrycove/tier/controlplane/retirement.py
+++ b/cherrycove/tier/controlplane/retirement.py
@@ -92,7 +92,7 @@
         failure = outcome.err_value
         if failure.kind is ErrorKind.NOT_PRIMARY:
             return Err(self._leadership.not_primary_failure())
-        kind = ErrorKind.UNAVAILABLE if failure.is_certain else ErrorKind.DEADLINE
+        kind = ErrorKind.UNAVAILABLE if failure.had_no_effect else ErrorKind.DEADLINE
         return Err(Failure(kind, failure.detail))
 
     def _check(self, node_name: str) -> Result[Retire | None, Failure]:
--- a/cherrycove/tier/errors.py
+++ b/cherrycove/tier/errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds of the serving tier, and the one table from a kind to an HTTP answer.
+"""The closed list of error kinds of the serving tier, and the one table from a kind to an HTTP response.
 
 Every fallible operation between the planes returns a ``result.Result`` whose error is a ``Failure``. A kind
 says whose fault it is, and whether the operation may have had an effect: only after UNCERTAIN and DEADLINE
@@ -58,27 +58,27 @@
 
 
 @attrs.frozen
-class Answer:
-    """The HTTP answer to one kind of error."""
+class ErrorResponse:
+    """The HTTP response to one kind of error."""
 
     status: int
     retry_after_s: float | None = None  # advised pause before a retry; only where nothing has run
 
 
-ANSWERS: dict[ErrorKind, Answer] = {
-    ErrorKind.INVALID: Answer(400),
-    ErrorKind.NO_ROUTE: Answer(404),
-    ErrorKind.NOT_FOUND: Answer(404),
-    ErrorKind.CONFLICT: Answer(409),
-    ErrorKind.VERSION_MISMATCH: Answer(412),
-    ErrorKind.TOO_LARGE: Answer(413),
-    ErrorKind.MISDIRECTED: Answer(503, 0.1),
-    ErrorKind.NOT_PRIMARY: Answer(503, 0.1),
-    ErrorKind.UNAVAILABLE: Answer(503, 0.2),
-    ErrorKind.OVERLOADED: Answer(503, 0.2),
-    ErrorKind.UNREACHABLE: Answer(503, 0.1),
-    ErrorKind.UNCERTAIN: Answer(502),
-    ErrorKind.DEADLINE: Answer(504),
+ERROR_RESPONSES: dict[ErrorKind, ErrorResponse] = {
+    ErrorKind.INVALID: ErrorResponse(400),
+    ErrorKind.NO_ROUTE: ErrorResponse(404),
+    ErrorKind.NOT_FOUND: ErrorResponse(404),
+    ErrorKind.CONFLICT: ErrorResponse(409),
+    ErrorKind.VERSION_MISMATCH: ErrorResponse(412),
+    ErrorKind.TOO_LARGE: ErrorResponse(413),
+    ErrorKind.MISDIRECTED: ErrorResponse(503, 0.1),
+    ErrorKind.NOT_PRIMARY: ErrorResponse(503, 0.1),
+    ErrorKind.UNAVAILABLE: ErrorResponse(503, 0.2),
+    ErrorKind.OVERLOADED: ErrorResponse(503, 0.2),
+    ErrorKind.UNREACHABLE: ErrorResponse(503, 0.1),
+    ErrorKind.UNCERTAIN: ErrorResponse(502),
+    ErrorKind.DEADLINE: ErrorResponse(504),
 }
 
 
@@ -89,17 +89,17 @@
     kind: ErrorKind
     detail: str = ""
     primary: str = ""  # with NOT_PRIMARY: RPC address (host:port) of the primary, "" while unknown
-    advised_retry_after_s: float | None = None  # in place of that of the answer, where it is known
+    advised_retry_after_s: float | None = None  # replaces the pause of the response, if known
 
     @property
-    def answer(self) -> Answer:
+    def response(self) -> ErrorResponse:
         """How the failure is answered over HTTP."""
-        answer = ANSWERS[self.kind]
-        if answer.retry_after_s is None or self.advised_retry_after_s is None:
-            return answer
-        return Answer(answer.status, self.advised_retry_after_s)
+        response = ERROR_RESPONSES[self.kind]
+        if response.retry_after_s is None or self.advised_retry_after_s is None:
+            return response
+        return ErrorResponse(response.status, self.advised_retry_after_s)
 
     @property
-    def is_certain(self) -> bool:
+    def had_no_effect(self) -> bool:
         """Whether the operation certainly had no effect."""
         return self.kind not in _OUTCOME_UNKNOWN
--- a/cherrycove/tier/exploration/mutations.py
+++ b/cherrycove/tier/exploration/mutations.py
@@ -105,7 +105,7 @@
 
 
 def _uncertain_taken_as_certain() -> Patches:
-    yield mock.patch.object(Failure, "is_certain", True)
+    yield mock.patch.object(Failure, "had_no_effect", True)
 
 
 def _documents_unchecked() -> Patches:
--- a/cherrycove/tier/programs/replica.py
+++ b/cherrycove/tier/programs/replica.py
@@ -25,7 +25,7 @@
     """The replica of a group on this machine's disk, not started yet."""
 
     group: ReplicatedGroup
-    fresh: bool  # whether the disk was empty, so that it got a new identity
+    disk_was_empty: bool  # whether the disk was empty, so that it got a new identity
 
 
 def open_group(
@@ -44,7 +44,9 @@
     if settings.data_directory is None:
         raise OSError(f"{program}: the settings name no dataDirectory")
     directory = Path(settings.data_directory) / program
-    member_id, fresh = open_identity(directory, first_start=settings.first_start, ip=settings.ip_address)
+    member_id, disk_was_empty = open_identity(
+        directory, first_start=settings.first_start, ip=settings.ip_address
+    )
     options = GroupOptions(
         name=program,
         identity=MemberIdentity(
@@ -58,7 +60,7 @@
         disk_limit_bytes=int(settings.limits.disk_mb * BYTES_PER_MB * disk_fraction),
         timing=Timing.for_catch_up(settings.bounds.catch_up_s),
     )
-    return OpenedGroup(create_group(options), fresh)
+    return OpenedGroup(create_group(options), disk_was_empty)
 
 
 def replica_announcement(
@@ -66,13 +68,13 @@
     settings: Settings,
     group: ReplicatedGroup,
     *,
-    fresh: bool,
+    disk_was_empty: bool,
     incarnation: str,
     leaving: bool,
 ) -> Announcement:
     """Describe a replica to the controllers.
 
-    ``fresh``: its disk was empty at this start. ``leaving``: a graceful shutdown has begun. Only the
+    ``disk_was_empty``: its disk was empty at this start. ``leaving``: a graceful shutdown has begun. Only the
     confirmed primary names the voting members.
     """
     primary = group.is_confirmed_primary()
@@ -84,7 +86,7 @@
         region=settings.region,
         incarnation=incarnation,
         member_id=group.identity.member_id,
-        first_start=settings.first_start and fresh,
+        first_start=settings.first_start and disk_was_empty,
         group_primary=primary,
         group_epoch=group.epoch,
         group_members=sorted(group.voting_member_ids()) if primary else [],
--- a/cherrycove/tier/programs/replica_program.py
+++ b/cherrycove/tier/programs/replica_program.py
@@ -51,9 +51,9 @@
         self._leaving = False
         opened = open_group(program, settings, state, self._server, self._client, disk_fraction)
         self._group = opened.group
-        self._fresh = opened.fresh
+        self._disk_was_empty = opened.disk_was_empty
         # Asked for at each call: a damaged disk gets another identity when the group starts.
-        self._server.identify(lambda: self._group.identity.member_id)
+        self._server.set_member_id_source(lambda: self._group.identity.member_id)
         self._cluster_view = ClusterView()
         self._puller = Puller(settings, self._client, self._cluster_view, self._announce)
         self._service = self._assemble_service()
@@ -93,7 +93,7 @@
             self._program,
             self._settings,
             self._group,
-            fresh=self._fresh,
+            disk_was_empty=self._disk_was_empty,
             incarnation=self._incarnation,
             leaving=self._leaving,
         )
--- a/cherrycove/tier/protocol/_rpc_server.py
+++ b/cherrycove/tier/protocol/_rpc_server.py
@@ -33,7 +33,7 @@
         self._member_id: Callable[[], str] = lambda: ""
         self._runner: web.ServerRunner | None = None
 
-    def identify(self, member_id: Callable[[], str]) -> None:
+    def set_member_id_source(self, member_id: Callable[[], str]) -> None:
         """Reject calls that are meant for another member from now on.
 
         ``member_id`` returns the id of this process and is asked at each call, since a disk that turns out
@@ -42,8 +42,8 @@
         self._member_id = member_id
 
     @property
-    def identity(self) -> str:
-        """Id of the member that this process is; empty before ``identify``."""
+    def member_id(self) -> str:
+        """Id of the member that this process is; empty before ``set_member_id_source``."""
         return self._member_id()
 
     async def start(self, address: str) -> None:
@@ -72,8 +72,8 @@
         if not self.is_registered(name):
             return failure_response(Failure(ErrorKind.UNAVAILABLE, f"no call {name!r}"))
         receiver = request.headers.get(RECEIVER_HEADER, "")
-        if receiver and self.identity and receiver != self.identity:
-            detail = f"meant for {receiver}, this is {self.identity}"
+        if receiver and self.member_id and receiver != self.member_id:
+            detail = f"meant for {receiver}, this is {self.member_id}"
             return failure_response(Failure(ErrorKind.MISDIRECTED, detail))
         try:
             body = await request.read()
--- a/cherrycove/tier/protocol/_rpc_wire.py
+++ b/cherrycove/tier/protocol/_rpc_wire.py
@@ -31,7 +31,7 @@
         headers[PRIMARY_HEADER] = failure.primary
     if failure.advised_retry_after_s is not None:
         headers[RETRY_AFTER_HEADER] = f"{failure.advised_retry_after_s:.3f}"
-    return web.Response(status=failure.answer.status, text=failure.detail, headers=headers)
+    return web.Response(status=failure.response.status, text=failure.detail, headers=headers)
 
 
 def parse_failure(headers: Mapping[str, str], body: bytes) -> Failure:
--- a/cherrycove/tier/protocol/calls.py
+++ b/cherrycove/tier/protocol/calls.py
@@ -58,7 +58,7 @@
 
         ``receiver`` is the member id that the call is meant for; whoever else is at the address rejects it
         as MISDIRECTED without running it. Empty: it is meant for whoever is there. A failure for which
-        ``is_certain`` is false may have run.
+        ``had_no_effect`` is false may have run.
         """
         return await self.send(OutgoingCall(address, method, request, timeout_s, receiver))
 
--- a/cherrycove/tier/replication/pending_writes.py
+++ b/cherrycove/tier/replication/pending_writes.py
@@ -24,7 +24,7 @@
     def of(snapshot: Snapshot) -> SnapshotHeader:
         """Return the header of ``snapshot``."""
         state = snapshot.state
-        encoded_bytes = sum(state.encoded_lengths) if state.is_divided else 0
+        encoded_bytes = sum(state.encoded_lengths) if state.uses_packs else 0
         return SnapshotHeader(snapshot.index, snapshot.epoch, snapshot.members, len(state), encoded_bytes)
 
 
--- a/cherrycove/tier/settings.py
+++ b/cherrycove/tier/settings.py
@@ -15,7 +15,7 @@
 import yaml
 from cattrs.errors import ClassValidationError
 
-from cherrycove.tier.checked_documents import describe_faults, document_converter
+from cherrycove.tier.checked_documents import describe_validation_errors, document_converter
 from cherrycove.tier.program_names import CONTROLLER_PROGRAM, PROXY_PROGRAM, STORE_PROGRAM
 
 SETTINGS_VARIABLE = "CHERRYCOVE_CONFIG"
@@ -149,7 +149,7 @@
     try:
         return _CONVERTER.structure(present, Settings)
     except ClassValidationError as error:
-        raise SettingsError(f"{source}: {describe_faults(error)}") from error
+        raise SettingsError(f"{source}: {describe_validation_errors(error)}") from error
 
 
 def load_settings(path: str | Path | None = None) -> Settings:
--- a/cherrycove/tier/simulation/control/batch_clients.py
+++ b/cherrycove/tier/simulation/control/batch_clients.py
@@ -142,7 +142,7 @@
             holders = self._invariants.holders_of_job(job_id)
             required = self._invariants.required_replicas()
             self._jobs.accepted(process.incarnation.name, job_id, self._environment.now, holders, required)
-        elif outcome.err_value.is_certain:
+        elif outcome.err_value.had_no_effect:
             self._jobs.rejected(job_id)
 
     def _was_read(self, process: ProxyProcess, request: Any, outcome: Any, sent_at: float) -> None:
--- a/cherrycove/tier/simulation/control/processes.py
+++ b/cherrycove/tier/simulation/control/processes.py
@@ -101,7 +101,7 @@
             self.program,
             self.settings,
             self.group,
-            fresh=self.is_fresh,
+            disk_was_empty=self.is_fresh,
             incarnation=self.incarnation.name,
             leaving=self.is_leaving,
         )
--- a/cherrycove/tier/storage/block_packs.py
+++ b/cherrycove/tier/storage/block_packs.py
@@ -163,7 +163,7 @@
 
 
 def _final_blocks(state: SnapshotState) -> list[StateBlock]:
-    return [block for block in state.blocks if block.is_final] if state.is_divided else []
+    return [block for block in state.blocks if block.is_final] if state.uses_packs else []
 
 
 def _pack_numbers(directory: Path) -> list[int]:
--- a/cherrycove/tier/storage/snapshot_state.py
+++ b/cherrycove/tier/storage/snapshot_state.py
@@ -18,7 +18,9 @@
 from cherrycove.tier.storage.errors import DamagedStorageError
 
 COMPRESSION_LEVEL = 1  # 3 ms for 100 KB of text on one core; level 6 takes half as long again for 3% less
-MIN_DIVIDED_BYTES = 1024 * 1024  # of a state; below it a second file costs more syncs than it saves bytes
+MIN_PACKED_STATE_BYTES = (
+    1024 * 1024
+)  # of a state; below it a second file costs more syncs than it saves bytes
 _BLOCK_HEADER = struct.Struct(
     "<BII"
 )  # whether it is final, length as stored, length of its part of the state
@@ -114,14 +116,14 @@
         return f"SnapshotState({len(self)} bytes in {len(self.blocks)} blocks)"
 
     @property
-    def is_divided(self) -> bool:
+    def uses_packs(self) -> bool:
         """Whether final blocks are stored and sent as they are. A small state is one run of bytes instead."""
-        return len(self) >= MIN_DIVIDED_BYTES and any(block.is_final for block in self.blocks)
+        return len(self) >= MIN_PACKED_STATE_BYTES and any(block.is_final for block in self.blocks)
 
     @property
     def rewritten_bytes(self) -> int:
         """Length of the parts that each snapshot writes again."""
-        if not self.is_divided:
+        if not self.uses_packs:
             return len(self)
         return sum(block.state_bytes for block in self.blocks if not block.is_final)
 
--- a/cherrycove/tier/storage/snapshots.py
+++ b/cherrycove/tier/storage/snapshots.py
@@ -54,7 +54,7 @@
     def size_bytes(self) -> int:
         """Size of the file; the packs with its final blocks are not counted."""
         table_bytes = 0
-        if self.state.is_divided:
+        if self.state.uses_packs:
             table_bytes = _ROW_COUNT.size + _ROW.size * len(self.state.blocks)
         return _HEADER.size + len(self.members) + table_bytes + self.state.rewritten_bytes
 
@@ -98,7 +98,7 @@
     """
     state = snapshot.state
     path = snapshot_path(directory, snapshot.index)
-    locations = _locations(state, location_of) if state.is_divided else []
+    locations = _locations(state, location_of) if state.uses_packs else []
     table = _encode_table(locations) if locations else b""
     contents = [block.data() for block in state.blocks if not (locations and block.is_final)]
     lengths = (len(snapshot.members), len(table) + state.rewritten_bytes)
--- a/tests/tier/golden_interfaces.py
+++ b/tests/tier/golden_interfaces.py
@@ -41,7 +41,7 @@
 from cherrycove.tier.dataplane.readiness import ReadinessServer
 from cherrycove.tier.dataplane.responses import proxy_response
 from cherrycove.tier.distribution.cluster_view import ClusterView
-from cherrycove.tier.errors import ANSWERS, ErrorKind, Failure
+from cherrycove.tier.errors import ERROR_RESPONSES, ErrorKind, Failure
 from cherrycove.tier.protocol.batch_methods import BODY
 from cherrycove.tier.protocol.batch_pb2 import BodyRequest
 from cherrycove.tier.protocol.calls import RpcMethod
@@ -143,7 +143,7 @@
 async def served_calls() -> list[list[str]]:
     """Calls as they come to a server, and its answers."""
     server, address = RpcServer(), free_address()
-    server.identify(lambda: "disk-a")
+    server.set_member_id_source(lambda: "disk-a")
     server.register(ECHO, _fail_as_told)
     await server.start(address)
     call = {"X-Call": "0123456789ab.7"}
@@ -203,7 +203,9 @@
 
 def error_kinds() -> list[list[Any]]:
     """Every kind of error with the status and the advised pause of its answer."""
-    return [[kind.value, ANSWERS[kind].status, ANSWERS[kind].retry_after_s] for kind in ErrorKind]
+    return [
+        [kind.value, ERROR_RESPONSES[kind].status, ERROR_RESPONSES[kind].retry_after_s] for kind in ErrorKind
+    ]
 
 
 # The interfaces of operators, clients and the platform
--- a/tests/tier/golden_stories.py
+++ b/tests/tier/golden_stories.py
@@ -377,7 +377,7 @@
         program,
         settings(),
         group,  # type: ignore[arg-type]  # it has what is read of a ReplicatedGroup
-        fresh=True,
+        disk_was_empty=True,
         incarnation=f"process-{number}",
         leaving=False,
     )
--- a/tests/tier/golden_support.py
+++ b/tests/tier/golden_support.py
@@ -363,7 +363,7 @@
         try:
             return {
                 "member_id": group.identity.member_id,
-                "fresh": opened.fresh,
+                "fresh": opened.disk_was_empty,
                 "epoch": group.epoch,
                 "members": [[one.member_id, one.node_name, one.address, one.zone] for one in group.members],
                 "state": describe(state),
--- a/tests/tier/linked_process.py
+++ b/tests/tier/linked_process.py
@@ -44,7 +44,7 @@
     if KILL_VARIABLE in os.environ:
         import snapshot_steps
 
-        snapshot_steps.kill_at(int(os.environ[KILL_VARIABLE]))
+        snapshot_steps.kill_process_at_step(int(os.environ[KILL_VARIABLE]))
     asyncio.set_event_loop_policy(LinkedPolicy())
     return run_tier()
 
--- a/tests/tier/snapshot_steps.py
+++ b/tests/tier/snapshot_steps.py
@@ -13,10 +13,10 @@
 from cherrycove.tier.storage.replica_storage import ReplicaStorage
 
 STEPS = ("open", "write", "fsync", "fdatasync", "rename", "unlink")  # functions of os that the storage uses
-SAVED = "snapshot_saved"  # in the log, once a snapshot is whole
+SNAPSHOT_SAVED_EVENT = "snapshot_saved"  # in the log, once a snapshot is whole
 
 
-def kill_at(step: int) -> None:
+def kill_process_at_step(step: int) -> None:
     """The ``step``-th of these calls within the first snapshot, counted from 1, is the process's end."""
     inside = threading.local()
     count = itertools.count(1)
@@ -26,7 +26,7 @@
         inside.first_snapshot = not hasattr(inside, "first_snapshot")
         save(*arguments)
         inside.first_snapshot = False
-        print(json.dumps({"event": SAVED}), flush=True)
+        print(json.dumps({"event": SNAPSHOT_SAVED_EVENT}), flush=True)
 
     def counted(function: Callable[..., Any]) -> Callable[..., Any]:
         def call(*arguments: Any, **named: Any) -> Any:
--- a/tests/tier/test_hostile_peers.py
+++ b/tests/tier/test_hostile_peers.py
@@ -14,7 +14,7 @@
 import attrs
 import pytest
 from dataplane_world import World
-from wire_support import Arrival, Line, LineServer, reset
+from wire_support import ReceivedRequest, ScriptedServer, ServerConnection, reset
 
 from cherrycove.tier.errors import ErrorKind
 from cherrycove.tier.protocol.batch_methods import BODY
@@ -33,7 +33,7 @@
 # Internal calls
 
 
-def reply_bytes(arrival: Arrival) -> bytes:
+def reply_bytes(arrival: ReceivedRequest) -> bytes:
     """The whole right reply to a call."""
     body = BodyReply(body=BodyRequest.FromString(arrival.body).job_id.encode()).SerializeToString()
     head = f"HTTP/1.1 200 OK\r\nX-Call: {arrival.headers['x-call']}\r\nContent-Length: {len(body)}\r\n\r\n"
@@ -48,7 +48,7 @@
     runs: Counter[str] = attrs.field(factory=Counter)
     former: list[bytes] = attrs.field(factory=list)
 
-    async def script(self, line: Line, arrival: Arrival) -> None:
+    async def script(self, line: ServerConnection, arrival: ReceivedRequest) -> None:
         job = BodyRequest.FromString(arrival.body).job_id
         right = reply_bytes(arrival)
         wrong = self.rng.choice(self.former) if self.former else b""
@@ -87,7 +87,7 @@
     async def story() -> None:
         client = RpcClient()
         await client.start()
-        async with LineServer(hostile.script) as server:
+        async with ScriptedServer(hostile.script) as server:
 
             async def call(job: str) -> None:
                 outcome = await client.call(server.address, BODY, BodyRequest(job_id=job), TIMEOUT_S)
@@ -97,7 +97,7 @@
                     return
                 failure = outcome.unwrap_err()
                 kinds[failure.kind.value] += 1
-                if failure.is_certain:
+                if failure.had_no_effect:
                     assert hostile.runs[job] == 0
 
             await many(call)
--- a/tests/tier/test_links_restart.py
+++ b/tests/tier/test_links_restart.py
@@ -7,7 +7,7 @@
 
 from linked_operator import READ, Operator, change
 from linked_tier import LinkedTier, configuration, until
-from snapshot_steps import SAVED
+from snapshot_steps import SNAPSHOT_SAVED_EVENT
 
 from examples.tier_processes import Daemon, Sizes
 
@@ -98,7 +98,7 @@
     """Whether ``keeper`` is killed within its next snapshot; False once that is whole."""
 
     async def over() -> bool:
-        return not keeper.running or bool(tier.events(keeper, SAVED))
+        return not keeper.running or bool(tier.events(keeper, SNAPSHOT_SAVED_EVENT))
 
     await until("a snapshot is taken, or broken off", over)
     return not keeper.running
--- a/tests/tier/test_replication_machine.py
+++ b/tests/tier/test_replication_machine.py
@@ -729,7 +729,7 @@
 @pytest.fixture
 def small_states(monkeypatch: pytest.MonkeyPatch) -> None:
     """The smallest state with final blocks is divided."""
-    monkeypatch.setattr(snapshot_state, "MIN_DIVIDED_BYTES", 0)
+    monkeypatch.setattr(snapshot_state, "MIN_PACKED_STATE_BYTES", 0)
 
 
 def divided_state() -> SnapshotState:
--- a/tests/tier/test_rpc.py
+++ b/tests/tier/test_rpc.py
@@ -10,7 +10,7 @@
 import pytest
 from loopback_ports import free_address
 from result import Err, Ok, Result
-from wire_support import Arrival, Line, LineServer, Script
+from wire_support import ReceivedRequest, Script, ScriptedServer, ServerConnection
 
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.programs.controller import ControllerProgram
@@ -80,7 +80,7 @@
     """One client and a server whose replies the test writes by hand."""
 
     def __init__(self, script: Script) -> None:
-        self.server = LineServer(script)
+        self.server = ScriptedServer(script)
         self.client = RpcClient()
 
     async def __aenter__(self) -> Calls:
@@ -97,11 +97,11 @@
         return await self.client.call(self.server.address, ECHO, request, TIMEOUT_S, receiver=receiver)
 
 
-def reply_to(arrival: Arrival) -> bytes:
+def reply_to(arrival: ReceivedRequest) -> bytes:
     return BodyReply(body=BodyRequest.FromString(arrival.body).job_id.encode()).SerializeToString()
 
 
-async def answered(line: Line, arrival: Arrival, **changed: str) -> None:
+async def answered(line: ServerConnection, arrival: ReceivedRequest, **changed: str) -> None:
     """The right reply, but for the fields in ``changed``."""
     fields = {"X_Call": arrival.headers["x-call"]}
     if "x-receiver" in arrival.headers:
@@ -123,7 +123,7 @@
 def test_the_reply_to_another_call_is_dropped_with_its_connection(
     other: Callable[[str], str], status: str
 ) -> None:
-    async def script(line: Line, arrival: Arrival) -> None:
+    async def script(line: ServerConnection, arrival: ReceivedRequest) -> None:
         if line.number == 1:
             wrong = other(arrival.headers["x-call"])
             return await line.answer(
@@ -135,13 +135,13 @@
         async with Calls(script) as calls, asyncio.timeout(TIMEOUT_S):
             assert (await calls.call("a")).unwrap_err().kind is ErrorKind.UNCERTAIN
             assert (await calls.call("b")).unwrap().body == b"b"
-            assert [arrival.connection for arrival in calls.server.arrivals] == [1, 2]
+            assert [arrival.connection for arrival in calls.server.requests] == [1, 2]
 
     asyncio.run(story())
 
 
 def test_a_reply_without_the_calls_number_or_with_another_receiver_is_dropped() -> None:
-    async def script(line: Line, arrival: Arrival) -> None:
+    async def script(line: ServerConnection, arrival: ReceivedRequest) -> None:
         if line.number == 1:
             return await line.answer(reply_to(arrival))
         await answered(line, arrival, X_Receiver="m-2")
@@ -156,9 +156,9 @@
 
 
 def test_a_second_reply_that_comes_after_the_next_call_is_not_its_reply() -> None:
-    earlier: list[Arrival] = []
+    earlier: list[ReceivedRequest] = []
 
-    async def script(line: Line, arrival: Arrival) -> None:
+    async def script(line: ServerConnection, arrival: ReceivedRequest) -> None:
         for each in earlier:
             await answered(line, each)
         earlier.append(arrival)
@@ -175,7 +175,7 @@
 def test_a_second_reply_behind_the_first_ends_the_connection_unused() -> None:
     written = asyncio.Event()
 
-    async def twice(line: Line, arrival: Arrival) -> None:
+    async def twice(line: ServerConnection, arrival: ReceivedRequest) -> None:
         await answered(line, arrival)
         if line.number == 1:
             await answered(line, arrival)
@@ -186,7 +186,7 @@
             assert (await calls.call("a")).unwrap().body == b"a"
             await written.wait()  # it lies in the client's socket, read or not
             assert (await calls.call("b")).unwrap().body == b"b"
-            assert [arrival.connection for arrival in calls.server.arrivals] == [1, 2]
+            assert [arrival.connection for arrival in calls.server.requests] == [1, 2]
 
     asyncio.run(story())
 
@@ -194,7 +194,7 @@
 def test_a_reply_that_comes_after_its_caller_gave_up_reaches_nobody() -> None:
     release = asyncio.Event()
 
-    async def late(line: Line, arrival: Arrival) -> None:
+    async def late(line: ServerConnection, arrival: ReceivedRequest) -> None:
         if line.number == 1:
             await release.wait()
         await answered(line, arrival)
@@ -202,12 +202,12 @@
     async def story() -> None:
         async with Calls(late) as calls, asyncio.timeout(TIMEOUT_S):
             given_up = asyncio.create_task(calls.call("a"))
-            await calls.server.wait_arrivals(1)
+            await calls.server.wait_for_requests(1)
             given_up.cancel()
             await asyncio.wait([given_up])
             release.set()
             assert (await calls.call("b")).unwrap().body == b"b"
-            assert [arrival.connection for arrival in calls.server.arrivals] == [1, 2]
+            assert [arrival.connection for arrival in calls.server.requests] == [1, 2]
 
     asyncio.run(story())
 
@@ -215,7 +215,7 @@
 def test_a_connection_that_was_closed_while_idle_costs_no_call() -> None:
     closed = asyncio.Event()
 
-    async def last(line: Line, arrival: Arrival) -> None:
+    async def last(line: ServerConnection, arrival: ReceivedRequest) -> None:
         await answered(line, arrival)
         await line.close()
         closed.set()
@@ -226,20 +226,20 @@
                 closed.clear()
                 assert (await calls.call(job)).unwrap().body == job.encode()
                 await closed.wait()
-            assert len(calls.server.arrivals) == 3
+            assert len(calls.server.requests) == 3
 
     asyncio.run(story())
 
 
 def test_a_redirection_is_no_reply_and_is_not_followed() -> None:
-    async def elsewhere(line: Line, arrival: Arrival) -> None:
+    async def elsewhere(line: ServerConnection, arrival: ReceivedRequest) -> None:
         target = f"http://{arrival.headers['host']}/x"
         await line.answer(status="307 Temporary Redirect", X_Call=arrival.headers["x-call"], Location=target)
 
     async def story() -> None:
         async with Calls(elsewhere) as calls, asyncio.timeout(TIMEOUT_S):
             assert (await calls.call("a")).unwrap_err().kind is ErrorKind.UNCERTAIN
-            assert len(calls.server.arrivals) == 1
+            assert len(calls.server.requests) == 1
 
     asyncio.run(story())
 
@@ -254,7 +254,7 @@
     async def story() -> None:
         server, client, address = RpcServer(), RpcClient(), free_address()
         server.register(ECHO, handler)
-        server.identify(lambda: "m-1")
+        server.set_member_id_source(lambda: "m-1")
         await server.start(address)
         await client.start()
         outcomes = [
@@ -264,7 +264,7 @@
         await client.stop()
         await server.stop()
         refused = outcomes[0].unwrap_err()
-        assert refused.kind is ErrorKind.MISDIRECTED and refused.is_certain
+        assert refused.kind is ErrorKind.MISDIRECTED and refused.had_no_effect
         assert [outcome.is_ok() for outcome in outcomes] == [False, True, True]
         assert ran == ["m-1", ""]
 
@@ -273,14 +273,14 @@
 
 def test_two_lives_of_a_caller_number_their_calls_apart() -> None:
     async def story() -> None:
-        async with LineServer(answered) as server, asyncio.timeout(TIMEOUT_S):
+        async with ScriptedServer(answered) as server, asyncio.timeout(TIMEOUT_S):
             for _ in range(2):
                 client = RpcClient()
                 await client.start()
                 for _ in range(2):
                     await client.call(server.address, ECHO, BodyRequest(), TIMEOUT_S)
                 await client.stop()
-            calls = [arrival.headers["x-call"] for arrival in server.arrivals]
+            calls = [arrival.headers["x-call"] for arrival in server.requests]
             assert len(set(calls)) == 4
             assert [call.partition(".")[2] for call in calls] == ["1", "2", "1", "2"]
 
@@ -296,7 +296,7 @@
         internal_port_range=[7000, 7010], data_directory=str(tmp_path),
     )  # fmt: skip
     made = program(settings)
-    assert made._server.identity == made._group.identity.member_id != ""
+    assert made._server.member_id == made._group.identity.member_id != ""
 
 
 @pytest.mark.parametrize("program", (ControllerProgram, StoreProgram))
@@ -314,11 +314,11 @@
         await first._group.start()
         await first._group.stop()
         made = program(settings)
-        before = made._server.identity
+        before = made._server.member_id
         promise = made._group._options.directory / HARD_STATE_FILE
         promise.write_bytes(b"damaged")
         await made._group.start()
-        assert made._server.identity == made._group.identity.member_id != before
+        assert made._server.member_id == made._group.identity.member_id != before
         await made._group.stop()
 
     asyncio.run(story())
--- a/tests/tier/test_sessions.py
+++ b/tests/tier/test_sessions.py
@@ -10,7 +10,7 @@
 import aiohttp
 import pytest
 from multidict import CIMultiDict
-from wire_support import Arrival, Line, LineServer, Script
+from wire_support import ReceivedRequest, Script, ScriptedServer, ServerConnection
 
 import cherrycove.tier
 from cherrycove.tier.cli.http_client import HttpRequest, send_once
@@ -29,23 +29,23 @@
 HELPER = TIER / "protocol" / "sessions.py"
 
 
-async def closes(line: Line) -> None:
+async def closes(line: ServerConnection) -> None:
     await line.close()
 
 
-async def resets(line: Line) -> None:
+async def resets(line: ServerConnection) -> None:
     line.reset()
 
 
 ENDS = (closes, resets)
-End = Callable[[Line], Awaitable[None]]
+End = Callable[[ServerConnection], Awaitable[None]]
 
 
 def ends_second(end: End) -> Script:
     """Answers the first request of a connection, and ends it when the second has come in whole."""
     seen: set[int] = set()
 
-    async def script(line: Line, arrival: Arrival) -> None:
+    async def script(line: ServerConnection, arrival: ReceivedRequest) -> None:
         if line.number in seen:
             return await end(line)
         seen.add(line.number)
@@ -59,10 +59,10 @@
     """``use(address, number)`` makes one call and tells whether it got a whole answer."""
 
     async def story() -> None:
-        async with LineServer(ends_second(end)) as server, asyncio.timeout(TIMEOUT_S):
+        async with ScriptedServer(ends_second(end)) as server, asyncio.timeout(TIMEOUT_S):
             assert await use(server.address, 1)
             assert not await use(server.address, 2)
-            assert [arrival.connection for arrival in server.arrivals] == [1, 1]
+            assert [arrival.connection for arrival in server.requests] == [1, 1]
 
     asyncio.run(story())
 
@@ -71,13 +71,13 @@
 @pytest.mark.parametrize("method", METHODS)
 def test_a_request_whose_kept_connection_ends_is_sent_once(method: str, end: End) -> None:
     async def story() -> None:
-        async with LineServer(ends_second(end)) as server, client_session() as session:
+        async with ScriptedServer(ends_second(end)) as server, client_session() as session:
             async with asyncio.timeout(TIMEOUT_S):
                 async with session.request(method, f"http://{server.address}/x") as response:
                     await response.read()
                 with pytest.raises((aiohttp.ClientError, OSError)):
                     await session.request(method, f"http://{server.address}/x")
-            assert [arrival.connection for arrival in server.arrivals] == [1, 1]
+            assert [arrival.connection for arrival in server.requests] == [1, 1]
 
     asyncio.run(story())
 
@@ -91,7 +91,7 @@
             await client.start()
         outcome = await client.call(address, BODY, BodyRequest(), TIMEOUT_S)
         if number == 2:
-            assert not outcome.unwrap_err().is_certain
+            assert not outcome.unwrap_err().had_no_effect
             await client.stop()
         return outcome.is_ok()
 
@@ -151,14 +151,14 @@
 
 
 def test_a_second_answer_of_the_platform_is_not_that_to_the_next_question() -> None:
-    async def twice(line: Line, arrival: Arrival) -> None:
-        page = b'{"instances":[{"instanceId":"i-%d","service":"s","address":"a"}]}' % len(server.arrivals)
+    async def twice(line: ServerConnection, arrival: ReceivedRequest) -> None:
+        page = b'{"instances":[{"instanceId":"i-%d","service":"s","address":"a"}]}' % len(server.requests)
         await line.answer(page)
         await taken.wait()
         await line.answer(page)
         written.set()
 
-    server, taken, written = LineServer(twice), asyncio.Event(), asyncio.Event()
+    server, taken, written = ScriptedServer(twice), asyncio.Event(), asyncio.Event()
 
     async def story() -> None:
         async with server, asyncio.timeout(TIMEOUT_S):
--- a/tests/tier/test_storage_blocks.py
+++ b/tests/tier/test_storage_blocks.py
@@ -13,7 +13,7 @@
 from cherrycove.tier.storage.errors import DamagedStorageError, DiskLimitError
 from cherrycove.tier.storage.hard_state import HardState
 from cherrycove.tier.storage.replica_storage import ReplicaStorage
-from cherrycove.tier.storage.snapshot_state import MIN_DIVIDED_BYTES, SnapshotState, StateBlock
+from cherrycove.tier.storage.snapshot_state import MIN_PACKED_STATE_BYTES, SnapshotState, StateBlock
 from cherrycove.tier.storage.snapshots import Snapshot
 
 BLOCK_BYTES = 40_000
@@ -39,7 +39,7 @@
 
 
 def state_of(final: list[StateBlock], plain: bytes = b"") -> SnapshotState:
-    filler = StateBlock.plain(plain or bytes(MIN_DIVIDED_BYTES))
+    filler = StateBlock.plain(plain or bytes(MIN_PACKED_STATE_BYTES))
     return SnapshotState([filler, *final, StateBlock.plain(b"end")])
 
 
@@ -56,7 +56,7 @@
     blocks = final_blocks(4)
     save(storage, 1, state_of(blocks[:2]))
     first = packs(tmp_path)
-    save(storage, 2, state_of(blocks[:3], b"x" * MIN_DIVIDED_BYTES))
+    save(storage, 2, state_of(blocks[:3], b"x" * MIN_PACKED_STATE_BYTES))
     second = packs(tmp_path)
     assert first.items() < second.items() and len(second) == 2
     assert sum(second.values()) == sum(len(block.content) for block in blocks[:3])
@@ -108,7 +108,7 @@
     else:
         data = pack.read_bytes()
         pack.write_bytes(data[:-1] + bytes([data[-1] ^ 1]) if damage == "flipped" else data[:-1])
-    start = MIN_DIVIDED_BYTES
+    start = MIN_PACKED_STATE_BYTES
     assert storage.read_state(1, 0, 100) == bytes(100)
     assert storage.read_state(1, start + 2 * BLOCK_BYTES, 100) == b""
     encoded_bytes = sum(state.encoded_lengths)
@@ -188,7 +188,7 @@
 def test_a_snapshot_that_does_not_fit_is_refused_before_anything_is_written(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(snapshot_state, "MIN_DIVIDED_BYTES", 0)
+    monkeypatch.setattr(snapshot_state, "MIN_PACKED_STATE_BYTES", 0)
     storage = new_storage(tmp_path, limit_bytes=64 * 1024 + 3 * BLOCK_BYTES)
     blocks = final_blocks(3)
     save(storage, 1, SnapshotState(blocks[:1]))
--- a/tests/tier/test_storage_lives.py
+++ b/tests/tier/test_storage_lives.py
@@ -157,7 +157,7 @@
 @pytest.fixture(autouse=True)
 def small_packs(monkeypatch: pytest.MonkeyPatch) -> None:
     """Final blocks of the smallest state go into packs, and garbage of any size is rewritten."""
-    monkeypatch.setattr(snapshot_state, "MIN_DIVIDED_BYTES", 0)
+    monkeypatch.setattr(snapshot_state, "MIN_PACKED_STATE_BYTES", 0)
     monkeypatch.setattr(block_packs, "GARBAGE_BYTES", 0)
     monkeypatch.setattr(block_packs, "MAX_PACKS", 3)
 
--- a/tests/tier/wire_support.py
+++ b/tests/tier/wire_support.py
@@ -13,7 +13,7 @@
 
 
 @attrs.frozen
-class Arrival:
+class ReceivedRequest:
     """One request that came in whole."""
 
     connection: int  # counted from 1
@@ -24,7 +24,7 @@
 
 
 @attrs.define(eq=False)
-class Line:
+class ServerConnection:
     """The server's end of one connection."""
 
     number: int  # counted from 1
@@ -59,21 +59,21 @@
     writer.transport.abort()
 
 
-Script = Callable[[Line, Arrival], Awaitable[None]]
+Script = Callable[[ServerConnection, ReceivedRequest], Awaitable[None]]
 
 
 @attrs.define(eq=False)
-class LineServer:
+class ScriptedServer:
     """Counts what arrives and answers each request by ``script``."""
 
     script: Script
-    arrivals: list[Arrival] = attrs.field(factory=list)
+    requests: list[ReceivedRequest] = attrs.field(factory=list)
     connections: int = 0
     address: str = ""
-    _arrived: asyncio.Condition = attrs.field(factory=asyncio.Condition)
+    _request_received: asyncio.Condition = attrs.field(factory=asyncio.Condition)
     _server: asyncio.Server | None = None
 
-    async def __aenter__(self) -> LineServer:
+    async def __aenter__(self) -> ScriptedServer:
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         host, port = self._server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
@@ -83,18 +83,18 @@
         assert self._server is not None
         self._server.close()
 
-    async def wait_arrivals(self, count: int) -> None:
-        async with self._arrived:
-            await self._arrived.wait_for(lambda: len(self.arrivals) >= count)
+    async def wait_for_requests(self, count: int) -> None:
+        async with self._request_received:
+            await self._request_received.wait_for(lambda: len(self.requests) >= count)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
-        line = Line(self.connections, reader, writer)
+        line = ServerConnection(self.connections, reader, writer)
         try:
             while (arrival := await _read(line)) is not None:
-                self.arrivals.append(arrival)
-                async with self._arrived:
-                    self._arrived.notify_all()
+                self.requests.append(arrival)
+                async with self._request_received:
+                    self._request_received.notify_all()
                 await self.script(line, arrival)
         except (ConnectionError, asyncio.IncompleteReadError):
             pass
@@ -102,7 +102,7 @@
             writer.close()
 
 
-async def _read(line: Line) -> Arrival | None:
+async def _read(line: ServerConnection) -> ReceivedRequest | None:
     try:
         head = await line.reader.readuntil(b"\r\n\r\n")
     except asyncio.IncompleteReadError:
@@ -111,4 +111,4 @@
     method, target, _ = first.split(" ")
     headers = {name.lower(): value.strip() for name, _, value in (each.partition(":") for each in lines)}
     body = await line.reader.readexactly(int(headers.get("content-length", "0")))
-    return Arrival(line.number, method, target, headers, body)
+    return ReceivedRequest(line.number, method, target, headers, body)
