--- a/cherrycove/tier/storage/block_packs.py
+++ b/cherrycove/tier/storage/block_packs.py
@@ -1,7 +1,8 @@
-"""Pack files: the final blocks of the states of one replica, each stored once.
+"""Pack files, which store each final block of a replica's snapshots once.
 
-A snapshot names the blocks that it consists of; those that are not on the disk yet are written into a new
-pack before it. Packs are never changed. One that the newest durable snapshot names no block of is removed.
+A snapshot refers to the blocks that it consists of; those that are not on disk yet are written to a new pack
+before the snapshot. Packs are immutable. A pack is removed once the newest durable snapshot refers to none of
+its blocks.
 """
 
 from __future__ import annotations
@@ -18,16 +19,17 @@
 from cherrycove.tier.storage.files import replace_file
 from cherrycove.tier.storage.snapshot_state import SnapshotState, StateBlock
 
-GARBAGE_FRACTION = 0.0625  # of the blocks in use that packs may hold beside them, before some are rewritten
-GARBAGE_BYTES = 256 * 1024  # that are never rewritten
-MAX_PACKS = 64  # beyond which small ones are joined: a start opens each
-MAX_REWRITTEN_BYTES = 4 * 1024 * 1024  # of blocks in use, with one snapshot
+# Unused blocks in packs are tolerated up to the larger of these limits; above it some packs are rewritten.
+GARBAGE_FRACTION = 0.0625  # fraction of the size of the blocks in use
+GARBAGE_BYTES = 256 * 1024
+MAX_PACKS = 64  # above this number small packs are merged, since recovery opens each pack
+MAX_REWRITTEN_BYTES = 4 * 1024 * 1024  # limit on the blocks in use that one snapshot rewrites
 _PACK_NAME = re.compile(r"blocks-(\d{16})")
 
 
 @attrs.frozen
 class BlockLocation:
-    """Where the content of a block is stored. ``pack`` 0 is the snapshot file itself."""
+    """Location of the stored content of a block. ``pack`` 0 stands for the snapshot file itself."""
 
     pack: int
     offset: int
@@ -37,19 +39,19 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether the block is final, and its content compressed."""
+        """Whether the block is final; the content of a final block is compressed."""
         return self.pack > 0
 
 
 @attrs.frozen
 class PackPlan:
-    """The blocks of a state that have to be written with its snapshot, in a new pack."""
+    """Blocks of a state that must be written to a new pack together with its snapshot."""
 
     blocks: Sequence[StateBlock]
 
     @property
     def size_bytes(self) -> int:
-        """Size of the pack."""
+        """Size of the new pack."""
         return sum(len(block.content) for block in self.blocks)
 
 
@@ -59,35 +61,35 @@
 
 
 def read_content(path: Path, location: BlockLocation) -> bytes:
-    """Read the content of a block. Raises ``DamagedStorageError`` where it is not what was stored."""
+    """Read the content of a block. Raises ``DamagedStorageError`` if its length or checksum is wrong."""
     with path.open("rb") as file:
         file.seek(location.offset)
         content = file.read(location.stored_bytes)
     if len(content) != location.stored_bytes or zlib.crc32(content) != location.checksum:
-        raise DamagedStorageError(f"{path}: wrong checksum of a block")
+        raise DamagedStorageError(f"{path}: wrong checksum of the block at byte {location.offset}")
     return content
 
 
 class BlockPacks:
-    """The packs of one replica, and where each block that it knows is stored.
+    """Manages the packs of one replica and the locations of the final blocks in them.
 
-    ``ReplicaStorage`` owns it. One thread at a time uses it, but for ``size_bytes``. A number is used once:
-    a write that failed may have left a file.
+    Owned by ``ReplicaStorage``. Only one thread at a time may use it, except for reading ``size_bytes``. A
+    pack number is never reused, since a failed write may have left a file.
     """
 
     def __init__(self, directory: Path) -> None:
         self._directory = directory
         self._locations: dict[StateBlock, BlockLocation] = {}
-        self._sizes: dict[int, int] = {}  # bytes of each pack that may be in use
+        self._sizes: dict[int, int] = {}  # size in bytes of each referenced pack, by its number
         self._last_number = 0
-        self.size_bytes = 0  # of all packs; other threads may read it
+        self.size_bytes = 0  # total size of the packs; may be read by other threads
 
     def location(self, block: StateBlock) -> BlockLocation:
-        """Where a final block is stored that was recovered or written."""
+        """Return where a final block that was recovered or written is stored."""
         return self._locations[block]
 
     def recover(self, blocks: Iterable[tuple[StateBlock, BlockLocation]]) -> None:
-        """Begin with the final blocks of the newest snapshot; all packs that it does not name are removed."""
+        """Register the final blocks of the newest snapshot, and remove packs that it does not refer to."""
         self._locations = dict(blocks)
         used = {location.pack for location in self._locations.values()}
         self._sizes = {number: pack_path(self._directory, number).stat().st_size for number in used}
@@ -96,7 +98,7 @@
         self._remove_unused(used)
 
     def plan(self, state: SnapshotState) -> PackPlan:
-        """Which blocks of ``state`` are to be written: new ones, and those of packs with much garbage."""
+        """Return the blocks of ``state`` to write: new ones, and those of packs that are to be rewritten."""
         final = _final_blocks(state)
         stored = [self._locations[block] for block in final if block in self._locations]
         rewritten = self._packs_to_rewrite(stored)
@@ -109,7 +111,7 @@
         )
 
     def write(self, plan: PackPlan) -> None:
-        """Store the blocks of ``plan`` durably. After an ``OSError`` none of them counts as stored."""
+        """Store the blocks of ``plan`` durably. If this raises ``OSError``, none of them counts as stored."""
         if not plan.blocks:
             return
         self._last_number += 1
@@ -125,8 +127,8 @@
         self._sizes[number] = offset
         self.size_bytes += offset
 
-    def keep_only(self, state: SnapshotState) -> None:
-        """Forget all blocks that are not in ``state``, whose snapshot is durable, and remove unused packs."""
+    def retain_only(self, state: SnapshotState) -> None:
+        """Drop all blocks that are not in ``state``, whose snapshot is durable, and remove unused packs."""
         self._locations = {block: self._locations[block] for block in _final_blocks(state)}
         used = {location.pack for location in self._locations.values()}
         self._sizes = {number: size for number, size in self._sizes.items() if number in used}
--- a/cherrycove/tier/storage/entries.py
+++ b/cherrycove/tier/storage/entries.py
@@ -12,23 +12,23 @@
 
 
 class EntryKind(IntEnum):
-    """What an entry is for. The numbers are stored on disk."""
+    """Type of an entry. The numbers are stored on disk."""
 
-    COMMAND = 0  # opaque to replication; applied by the state machine
-    NOOP = 1  # first entry of a primary's epoch
-    MEMBERS = 2  # the complete member list that is in force from this entry on
+    COMMAND = 0  # opaque to replication, applied by the state machine
+    NOOP = 1  # first entry that a primary appends in its epoch
+    MEMBERS = 2  # the complete member list, in force from this entry on
 
 
 @attrs.frozen(slots=True)
 class Entry:
-    """One position of the replicated log."""
+    """One entry of the replicated log."""
 
-    index: int  # from 1
-    epoch: int  # of the primary that appended it
+    index: int  # position in the log, from 1
+    epoch: int  # epoch of the primary that appended the entry
     kind: EntryKind
     payload: bytes = b""
 
     @property
     def size_bytes(self) -> int:
-        """Bytes that the entry takes in a segment."""
+        """Size of the encoded entry in a segment."""
         return ENTRY_OVERHEAD_BYTES + len(self.payload)
--- a/cherrycove/tier/storage/errors.py
+++ b/cherrycove/tier/storage/errors.py
@@ -1,7 +1,7 @@
 """Errors of the storage package.
 
-Errors of the operating system pass through as ``OSError``; a write that raised one does not count and is to
-be attempted again.
+Errors of the operating system are passed on as ``OSError``. A write that raised one is not durable and must
+be retried.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 
 
 class StorageError(Exception):
-    """Base of the errors that the storage package raises itself."""
+    """Base class of the errors that the storage package raises itself."""
 
 
 class DamagedStorageError(StorageError):
     """Synced data is missing or fails its checksum.
 
-    The disk must not take part under its identity any more: it may have lost a vote or an acknowledged entry.
+    The replica must no longer use this disk's identity: it may have lost a vote or an acknowledged entry.
     """
 
 
 class DiskLimitError(StorageError, OSError):
-    """A write would exceed the limit of the directory.
+    """A write would exceed the size limit of the directory.
 
-    It is an ``OSError`` with ``ENOSPC`` as well, since a caller treats it like a full disk.
+    Also an ``OSError`` with ``ENOSPC``, so that callers handle it like a full disk.
     """
 
     def __init__(self) -> None:
--- a/cherrycove/tier/storage/files.py
+++ b/cherrycove/tier/storage/files.py
@@ -1,6 +1,7 @@
-"""Operations on files and directories that must survive a loss of power.
+"""Operations on files and directories that must survive a power failure.
 
-An fsync of a file makes its contents durable, but not its name: that takes an fsync of the directory.
+An fsync of a file makes its contents durable, but not its directory entry: that requires an fsync of the
+directory.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 
 def sync_directory(directory: Path) -> None:
-    """Make the names that were created, renamed or removed in ``directory`` durable."""
+    """Make files that were created, renamed or removed in ``directory`` durable as directory entries."""
     descriptor = os.open(directory, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -20,7 +21,7 @@
 
 
 def sync_file(path: Path) -> None:
-    """Make the contents of ``path`` durable as they are read now, also what a killed process left."""
+    """Make the current contents of ``path`` durable, including unsynced writes of a killed process."""
     descriptor = os.open(path, os.O_WRONLY)
     try:
         os.fsync(descriptor)
@@ -31,8 +32,8 @@
 def make_directory(directory: Path) -> None:
     """Create ``directory`` and its missing parents, durably.
 
-    The parent is synced also where ``directory`` exists: the process that created it may have been killed
-    before it synced the name.
+    The parent is synced even if ``directory`` exists: the process that created it may have been killed
+    before it synced the directory entry.
     """
     if not directory.parent.is_dir():
         make_directory(directory.parent)
@@ -41,17 +42,17 @@
 
 
 def write_all(descriptor: int, data: bytes | memoryview) -> None:
-    """Write all bytes of ``data`` at the current position of the file."""
+    """Write all of ``data`` at the current position of the file."""
     view = memoryview(data)
     while view:
         view = view[os.write(descriptor, view) :]
 
 
 def replace_file(path: Path, *chunks: bytes) -> None:
-    """Replace the contents of ``path`` by ``chunks``, one after the other, atomically and durably.
+    """Replace the contents of ``path`` by the concatenated ``chunks``, atomically and durably.
 
-    After a loss of power the file has the former contents or the new ones. After an ``OSError`` the former
-    ones stand, unless the sync of the directory failed: then it is not known which of them last.
+    After a power failure the file has either the previous contents or the new ones. After an ``OSError`` it
+    keeps the previous ones, unless the sync of the directory failed: then either may survive.
     """
     temporary = path.with_name(path.name + ".tmp")
     try:
@@ -71,7 +72,7 @@
 
 
 def remove_files(directory: Path, kept: Path) -> None:
-    """Remove all files of ``directory`` but ``kept``, durably."""
+    """Durably remove all files of ``directory`` except ``kept``."""
     for path in directory.iterdir():
         if path.is_file() and path != kept:
             path.unlink()
--- a/cherrycove/tier/storage/frames.py
+++ b/cherrycove/tier/storage/frames.py
@@ -1,8 +1,8 @@
-"""Checksummed frames, which carry entries in a segment.
+"""Checksummed frames, in which entries are stored in a segment.
 
 A frame holds the entries of one write. The writer syncs a frame before it writes the next one, so after a
-loss of power only the last frame can be missing or torn; a valid frame behind an invalid one means a damaged
-disk.
+power failure only the last frame can be missing or torn; a valid frame after an invalid one means that the
+disk is corrupted.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
     """A valid frame of a segment."""
 
     entries: list[Entry]
-    end: int  # offset behind the frame, in bytes
+    end: int  # byte offset of the end of the frame
 
 
 def encode_frame(entries: Sequence[Entry], checksum_seed: int) -> bytes:
     """Return the bytes of one frame.
 
-    ``checksum_seed`` is the start value of the checksum. Each segment has its own, so that a frame of a
-    former file, still found in a block of the disk, is not valid in another segment.
+    ``checksum_seed`` is the initial value of the checksum. Each segment has its own, so that a frame of a
+    deleted file that is still present in a reused disk block is not valid in another segment.
     """
     chunks: list[bytes] = []
     for entry in entries:
@@ -43,7 +43,7 @@
 
 
 def decode_frame(data: bytes, offset: int, checksum_seed: int) -> DecodedFrame | None:
-    """Return the frame at ``offset`` of ``data``; None if no valid frame begins there."""
+    """Return the frame at ``offset`` in ``data``, or None if no valid frame starts there."""
     if offset + _HEADER.size > len(data):
         return None
     magic, length, checksum = _HEADER.unpack_from(data, offset)
@@ -58,7 +58,7 @@
 
 
 def has_valid_frame_after(data: bytes, offset: int, checksum_seed: int) -> bool:
-    """Return whether any valid frame begins behind ``offset`` of ``data``."""
+    """Return whether any valid frame starts after ``offset`` in ``data``."""
     position = data.find(_MAGIC, offset + 1)
     while position >= 0:
         if decode_frame(data, position, checksum_seed) is not None:
--- a/cherrycove/tier/storage/hard_state.py
+++ b/cherrycove/tier/storage/hard_state.py
@@ -1,9 +1,9 @@
 """The hard state of a replica: epoch, vote and commit index.
 
-The name is that of Raft's persistent state besides the log (Ongaro and Ousterhout, "In Search of an
-Understandable Consensus Algorithm", section 5.1). The file has two slots that are written in turn, so that a
-torn write damages only the slot being written while the other one holds the state before. Each slot is stored
-twice, so that damage to one copy of a synced state does not bring an older state back.
+"Hard state" is the usual name of Raft's persistent state other than the log (Ongaro and Ousterhout, "In
+Search of an Understandable Consensus Algorithm", section 5.1). The file has two slots that are written
+alternately, so that a torn write damages only the slot being written while the other one holds the previous
+state. Each slot is stored twice, so that damage to one copy of a synced state does not restore an older one.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 from cherrycove.tier.storage.errors import DamagedStorageError
 from cherrycove.tier.storage.files import replace_file, sync_file, write_all
 
-HARD_STATE_FILE = "promise"  # the name that existing disks have
+HARD_STATE_FILE = "promise"  # kept for compatibility with existing disks
 _SLOTS = 2
-_COPIES = 2  # of each slot; the second copies follow all first ones
+_COPIES = 2  # copies of each slot; the second copies of all slots follow the first ones
 _SLOT_BYTES = 4096
 _HEADER = struct.Struct("<IQQQH")  # CRC-32 of the rest, sequence, epoch, commit index, length of the vote
 _CHECKED_FROM = 4  # the checksum covers the slot from this byte to the end of the vote
@@ -28,41 +28,42 @@
 
 @attrs.frozen
 class HardState:
-    """What a replica must not forget: it accepts nothing of a lower epoch and votes once in an epoch."""
+    """State that a replica must persist: it rejects lower epochs and votes at most once in an epoch."""
 
     epoch: int = 0
-    voted_for: str = ""  # member id; "": no vote was given in this epoch
-    commit_index: int = 0  # the log on this disk is known to be committed up to here
+    voted_for: str = ""  # member id; "" if the replica has not voted in this epoch
+    commit_index: int = 0  # index up to which the log on this disk is known to be committed
 
 
 @attrs.frozen
 class _Slot:
-    sequence: int  # number of the write; the highest one counts
+    sequence: int  # number of the write; the slot with the highest number is current
     hard_state: HardState
 
 
 class HardStateFile:
-    """The hard state on disk. ``open`` comes first."""
+    """Reads and writes the hard state on disk. ``open`` must be called first."""
 
     def __init__(self, directory: Path) -> None:
         self._path = directory / HARD_STATE_FILE
         self._slot = _Slot(0, HardState())
         self._descriptor = -1
-        self.damaged_copies = 0  # of the newest slot, found by ``open`` and written again
+        self.damaged_copies = 0  # copies of the newest slot that ``open`` found damaged and rewrote
 
     def open(self, *, may_create: bool) -> HardState:
         """Read the newest state.
 
-        Raises ``DamagedStorageError`` if no slot is valid, or if the file is missing and not ``may_create``.
+        Creates the file if it is missing and ``may_create`` is set. Raises ``DamagedStorageError`` if it is
+        missing otherwise, or if no slot is valid.
         """
         if not self._path.exists():
             if not may_create:
-                raise DamagedStorageError(f"{self._path} is missing")
+                raise DamagedStorageError(f"{self._path}: hard state file is missing")
             replace_file(self._path, _encode(self._slot) * (_SLOTS * _COPIES))
         sync_file(self._path)
         valid = _valid_slots(self._path.read_bytes())
         if not valid:
-            raise DamagedStorageError(f"{self._path}: no valid slot")
+            raise DamagedStorageError(f"{self._path}: hard state file has no valid slot")
         self._slot = max(valid, key=lambda slot: slot.sequence)
         self._descriptor = os.open(self._path, os.O_WRONLY)
         self.damaged_copies = _COPIES - valid.count(self._slot)
@@ -71,13 +72,13 @@
         return self._slot.hard_state
 
     def write(self, hard_state: HardState) -> None:
-        """Store ``hard_state`` durably. After an ``OSError`` it is to be attempted again."""
+        """Store ``hard_state`` durably. If this raises ``OSError``, the caller must retry it."""
         slot = _Slot(self._slot.sequence + 1, hard_state)
         self._write_slot(slot)
         self._slot = slot
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the file; does nothing if it is not open."""
         if self._descriptor >= 0:
             os.close(self._descriptor)
             self._descriptor = -1
--- a/cherrycove/tier/storage/identity.py
+++ b/cherrycove/tier/storage/identity.py
@@ -1,7 +1,8 @@
 """The identity of a disk.
 
-A replica is a member of its group only as long as its disk keeps its votes and acknowledged entries. The
-member id therefore names the disk: one that was emptied or damaged gets another id, and is another member.
+A replica is a member of its group only as long as its disk retains its votes and acknowledged entries. The
+member id therefore identifies the disk: a disk that was emptied or damaged gets a new id and becomes a new
+member.
 """
 
 from __future__ import annotations
@@ -20,14 +21,14 @@
 
 
 class OpenedIdentity(NamedTuple):
-    """The identity of a disk as ``open_identity`` found or made it."""
+    """The identity of a disk that ``open_identity`` read or created."""
 
     member_id: str
-    is_new: bool  # made just now; the disk is empty
+    is_new: bool  # whether it was just created; the disk is then empty
 
 
 def first_member_id(ip: str) -> str:
-    """Return the member id of a replica at address ``ip`` that starts with the whole deployment."""
+    """Return the member id of the replica at ``ip`` at the first start of the deployment."""
     return FIRST_START_PREFIX + ip
 
 
@@ -35,9 +36,9 @@
     """Return the identity of the disk at ``directory``, which is created if it is missing. Blocks.
 
     An empty disk gets a random id, or ``first_member_id`` at the first start of the deployment, so that
-    members of the initial group can be named by their addresses alone. A disk without a valid identity is
-    emptied (``renew_identity``). The id is durable once ``ReplicaStorage.recover`` has returned: where
-    another process made it and was killed, only that syncs its name.
+    the members of the initial group can be derived from their addresses. A disk without a valid identity is
+    emptied (``renew_identity``). The id is durable once ``ReplicaStorage.recover`` has returned: if the
+    process that created the file was killed, only recovery syncs its directory entry.
     """
     make_directory(directory)
     path = directory / IDENTITY_FILE
@@ -53,10 +54,11 @@
 
 
 def renew_identity(directory: Path) -> str:
-    """Empty ``directory``, give it a random member id, and return that.
+    """Empty ``directory``, assign a random member id, and return the id.
 
-    The identity is made invalid first, and stays so until all else is gone. After a crash in between, no
-    start takes the leftovers for the disk of the former member, or an empty disk for one that was never used.
+    The identity is invalidated first and stays invalid until all other files are removed. After a crash in
+    between, no start mistakes the remaining files for the disk of the previous member, or the emptied disk
+    for one that was never used.
     """
     replace_file(directory / IDENTITY_FILE, b"")
     remove_files(directory, kept=directory / IDENTITY_FILE)
@@ -70,7 +72,7 @@
         raise DamagedStorageError(f"{path}: {error}") from error
     member_id, _, check = text.partition("\n")
     if not member_id or check != member_id:
-        raise DamagedStorageError(f"{path}: not an identity")
+        raise DamagedStorageError(f"{path}: identity file is empty or its two copies of the id differ")
     return member_id
 
 
--- a/cherrycove/tier/storage/replica_storage.py
+++ b/cherrycove/tier/storage/replica_storage.py
@@ -26,18 +26,19 @@
     write_snapshot,
 )
 
-RESERVED_BYTES = 64 * 1024  # of the directory's limit, for identity, hard state and the directory itself
+# Part of the directory's size limit that is set aside for identity, hard state and the directory itself.
+RESERVED_BYTES = 64 * 1024
 
 _log = logging.getLogger(__name__)
 
 
 @attrs.frozen
 class RecoveredState:
-    """What a replica finds on its disk when it starts."""
+    """Durable state that a replica recovered from its disk at its start."""
 
     hard_state: HardState
     snapshot: Snapshot | None
-    entries: list[Entry]  # behind the snapshot, without a gap
+    entries: list[Entry]  # entries after the snapshot, without a gap
 
     @property
     def last_index(self) -> int:
@@ -57,13 +58,13 @@
 class ReplicaStorage:
     """Reads and writes the directory of one replica.
 
-    All methods block, and one thread at a time uses them; ``recover`` comes first. A write is durable when
-    its method returns. One that raises ``OSError`` does not count and is to be attempted again; a start
-    before that may find it or not.
+    All methods block, and only one thread at a time may call them; ``recover`` must be called first. A write
+    is durable when its method returns. If it raises ``OSError``, the caller must retry it; recovery may or
+    may not find a write that failed.
     """
 
     def __init__(self, directory: Path, limit_bytes: int = 0, segment_bytes: int = SEGMENT_BYTES) -> None:
-        """``limit_bytes`` bounds the directory; 0 sets no bound."""
+        """``limit_bytes`` is the size limit of the directory; 0 means no limit."""
         self._directory = directory
         self._limit_bytes = limit_bytes - RESERVED_BYTES if limit_bytes else 0
         self._hard_state_file = HardStateFile(directory)
@@ -73,24 +74,25 @@
 
     @property
     def size_bytes(self) -> int:
-        """Size of log, snapshot and packs."""
+        """Total size of log, snapshot and packs."""
         snapshot_bytes = self._snapshot.size_bytes if self._snapshot is not None else 0
         return self._log.size_bytes + snapshot_bytes + self._packs.size_bytes
 
     @property
     def damaged_hard_state_copies(self) -> int:
-        """Copies of the newest hard state that ``recover`` found damaged, or torn, and wrote again."""
+        """Number of copies of the newest hard state that ``recover`` found damaged or torn and rewrote."""
         return self._hard_state_file.damaged_copies
 
     def recover(self) -> RecoveredState:
-        """Read the durable state, and remove what unfinished writes left.
+        """Read the durable state, and remove the remains of unfinished writes.
 
-        What is returned is durable, also where a killed process wrote it without a sync. Raises
-        ``DamagedStorageError`` if synced data is lost.
+        The returned state is durable, even if a killed process wrote it without a sync. Raises
+        ``DamagedStorageError`` if synced data is missing or corrupted.
         """
         for leftover in self._directory.glob("*.tmp"):
             leftover.unlink()
-        # A killed process may have renamed a file without syncing the name; what follows relies on the names.
+        # A killed process may have renamed a file without syncing the directory; the steps below rely on
+        # the file names.
         sync_directory(self._directory)
         snapshots = list_snapshots(self._directory)
         may_create = not snapshots and not list_segments(self._directory)
@@ -100,24 +102,25 @@
             self._packs.recover([])
         entries = self._log.recover(snapshot.index if snapshot else 0, first_segment_number)
         recovered = RecoveredState(hard_state, snapshot, entries)
-        _check_log_not_older(recovered)
+        _check_log_against_hard_state(recovered)
         return recovered
 
     def write_hard_state(self, hard_state: HardState) -> None:
-        """Replace epoch, vote and commit index."""
+        """Replace epoch, vote and commit index durably."""
         self._hard_state_file.write(hard_state)
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Append entries; one that is not above the last replaces that position and all behind it."""
+        """Append ``entries``; one whose index exists already replaces that entry and all after it."""
         self._check_limit(FRAME_OVERHEAD_BYTES + sum(entry.size_bytes for entry in entries))
         self._log.append(entries)
 
     def save_snapshot(self, snapshot: Snapshot, tail: Sequence[Entry]) -> None:
-        """Replace the log by ``snapshot`` and the entries behind it, ``tail``.
+        """Replace the log by ``snapshot`` and ``tail``, the entries after it.
 
-        The tail goes into a new segment before the snapshot gets its name. A crash before that leaves the
-        former snapshot and all segments, in which the tail stands twice; that is read as the same log.
-        Final blocks are durable before the snapshot that names them, and removed after the one that does not.
+        The tail is written to a new segment before the snapshot gets its final name. A crash before that
+        leaves the previous snapshot and all segments, which contain the tail twice; recovery reads the same
+        log from them. Final blocks are durable before the first snapshot that refers to them, and are removed
+        after the first one that does not.
         """
         plan = self._packs.plan(snapshot.state)
         tail_bytes = sum(entry.size_bytes for entry in tail)
@@ -128,16 +131,16 @@
             self._log.append(tail)
         self._packs.write(plan)
         self._snapshot = write_snapshot(self._directory, snapshot, first_segment_number, self._packs.location)
-        with contextlib.suppress(OSError):  # the next snapshot, or a start, removes what is left
+        with contextlib.suppress(OSError):  # the next snapshot or recovery removes the remaining files
             self._log.remove_segments_below(first_segment_number)
             remove_other_snapshots(self._snapshot.path)
-            self._packs.keep_only(snapshot.state)
+            self._packs.retain_only(snapshot.state)
 
     def read_state(self, index: int, offset: int, size: int, *, encoded: bool = False) -> bytes:
-        """Return ``size`` bytes of the state in the stored snapshot of entry ``index``, from ``offset`` on.
+        """Return up to ``size`` bytes at ``offset`` of the state in the stored snapshot of entry ``index``.
 
-        ``encoded``: of the state's encoded form. Returns nothing if the snapshot was replaced, or cannot be
-        read or is damaged, which is logged.
+        With ``encoded`` the range is one of the state's encoded form. Returns no bytes if the snapshot was
+        replaced, or if it cannot be read or is damaged; the latter two are logged.
         """
         snapshot = self._snapshot
         if snapshot is None or snapshot.index != index:
@@ -145,7 +148,7 @@
         try:
             return snapshot.read_encoded(offset, size) if encoded else snapshot.read(offset, size)
         except FileNotFoundError:
-            return b""  # the writer replaced it meanwhile
+            return b""  # replaced by a newer snapshot during the read
         except (OSError, DamagedStorageError) as error:
             _log.error("snapshot_unreadable", extra={"path": str(snapshot.path), "reason": str(error)})
             return b""
@@ -168,13 +171,20 @@
             raise DiskLimitError
 
 
-def _check_log_not_older(recovered: RecoveredState) -> None:
-    """Raise ``DamagedStorageError`` if the log is of a newer epoch or shorter than the hard state knows."""
+def _check_log_against_hard_state(recovered: RecoveredState) -> None:
+    """Raise ``DamagedStorageError`` if the log contradicts the hard state.
+
+    The log must not have an epoch above the hard state's, nor end before its commit index.
+    """
     hard_state = recovered.hard_state
     epoch = recovered.last_epoch
     if epoch > hard_state.epoch:
-        raise DamagedStorageError(f"log of epoch {epoch}, promise of epoch {hard_state.epoch}")
+        raise DamagedStorageError(
+            f"log has an entry of epoch {epoch}, above epoch {hard_state.epoch} of the hard state"
+        )
     last = recovered.last_index
     if last < hard_state.commit_index:
         known = hard_state.commit_index
-        raise DamagedStorageError(f"log up to entry {last}, of {known} known as committed")
+        raise DamagedStorageError(
+            f"log ends at entry {last}, but entries up to {known} are known to be committed"
+        )
--- a/cherrycove/tier/storage/segment_log.py
+++ b/cherrycove/tier/storage/segment_log.py
@@ -1,7 +1,7 @@
 """The log on disk: append-only segments of checksummed frames.
 
-Nothing is overwritten: an entry whose index is not above the last one replaces that position and all behind
-it when the log is read. A new segment is begun only after the one before it is synced.
+Nothing is overwritten: when the log is read, an entry whose index exists already replaces that entry and all
+after it. A new segment is started only after the previous one is synced.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 from cherrycove.tier.storage.frames import encode_frame
 from cherrycove.tier.storage.segments import SegmentName, list_segments, read_segment
 
-SEGMENT_BYTES = 4 * 1024 * 1024  # a segment of this size or more is followed by a new one
+SEGMENT_BYTES = 4 * 1024 * 1024  # a new segment is started once the open one reaches this size
 
 
 class SegmentLog:
-    """Reads the log, and appends frames to its newest segment. One thread at a time uses it.
+    """Reads the log, and appends frames to its newest segment. Only one thread at a time may use it.
 
-    ``recover`` comes first. After a start the first frame begins a new segment.
+    ``recover`` must be called first. The first frame after it starts a new segment.
     """
 
     def __init__(self, directory: Path, segment_bytes: int = SEGMENT_BYTES) -> None:
         self._directory = directory
         self._segment_bytes = segment_bytes
-        self._descriptor = -1  # of the open segment
-        self._checksum_seed = 0  # of the open segment
+        self._descriptor = -1  # file descriptor of the open segment; -1 if none is open
+        self._checksum_seed = 0  # checksum seed of the open segment
         self._length = 0  # synced bytes of the open segment
-        self._segment_number = 0  # of the open or last segment
-        self._has_failed_write = False  # bytes of it may stand behind the synced ones
-        self._closed_bytes = 0  # of the segments before the open one
+        self._segment_number = 0  # number of the open or last segment
+        self._has_failed_write = False  # unsynced bytes of it may follow the synced ones
+        self._closed_bytes = 0  # total size of the segments before the open one
 
     @property
     def size_bytes(self) -> int:
@@ -42,15 +42,15 @@
 
     @property
     def next_segment_number(self) -> int:
-        """Number of the segment that will be begun next."""
+        """Number of the segment that will be started next."""
         return self._segment_number + 1
 
     def recover(self, base_index: int, first_segment_number: int) -> list[Entry]:
-        """Return the entries behind ``base_index``, from the segments from ``first_segment_number`` on.
+        """Return the entries after ``base_index``, read from segment ``first_segment_number`` on.
 
         Older segments are removed, and a torn frame at the end is truncated. The entries are durable when
-        this returns: a killed process may have left its last frame unsynced. Raises ``DamagedStorageError``
-        for an invalid frame elsewhere and for a gap in the log.
+        this returns: the last segment is synced, since a killed process may have left its last frame
+        unsynced. Raises ``DamagedStorageError`` for an invalid frame elsewhere and for a gap in the log.
         """
         self.remove_segments_below(first_segment_number)
         names = list_segments(self._directory)
@@ -69,7 +69,7 @@
         return log
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Write ``entries`` as one frame and sync it. After an ``OSError`` none of them counts."""
+        """Write ``entries`` as one frame and sync it. If this raises ``OSError``, none is durable."""
         self._truncate_failed_write()
         if self._descriptor < 0 or self._length >= self._segment_bytes:
             self._open_segment(entries[0].index)
@@ -84,12 +84,12 @@
         self._length += len(frame)
 
     def roll(self) -> None:
-        """Let the next frame begin a new segment."""
+        """Close the open segment; the next frame starts a new one."""
         self._truncate_failed_write()
         self.close()
 
     def remove_segments_below(self, number: int) -> None:
-        """Remove the segments numbered below ``number``, not durably: a start removes what comes back."""
+        """Remove the segments below ``number``, without a sync: recovery removes any that reappear."""
         for name in list_segments(self._directory):
             if name.number < number:
                 path = self._directory / name.file_name
@@ -119,7 +119,7 @@
             os.close(descriptor)
 
     def _truncate_failed_write(self) -> None:
-        """Truncate what a failed write left, so that no later frame stands behind it."""
+        """Truncate the remains of a failed write, so that no later frame follows them."""
         if self._has_failed_write:
             os.ftruncate(self._descriptor, self._length)
             os.fsync(self._descriptor)
@@ -136,10 +136,10 @@
 
 
 def _replay(log: list[Entry], base_index: int, entries: Sequence[Entry]) -> None:
-    """Append ``entries`` to ``log``, which begins behind ``base_index``."""
+    """Apply ``entries`` to ``log``, whose first entry is the one after ``base_index``."""
     for entry in entries:
         if entry.index <= base_index:
-            continue  # in the snapshot, which is taken of committed entries only
+            continue  # covered by the snapshot, which contains committed entries only
         position = entry.index - base_index - 1
         if position > len(log):
             raise DamagedStorageError(f"entries {base_index + len(log) + 1} to {entry.index - 1} are missing")
--- a/cherrycove/tier/storage/segments.py
+++ b/cherrycove/tier/storage/segments.py
@@ -1,6 +1,6 @@
-"""Segment files: their names, and how one is read at the start.
+"""Names of segment files, and the reading of a segment during recovery.
 
-Segments are numbered; the name of a file is its number and the index of its first entry.
+Segments are numbered; a file name consists of the segment's number and the index of its first entry.
 """
 
 from __future__ import annotations
@@ -19,41 +19,41 @@
 
 @attrs.frozen(order=True)
 class SegmentName:
-    """The name of a segment. Names are in the order of their numbers."""
+    """The name of a segment. Names are ordered by their numbers."""
 
     number: int
-    first_index: int  # of the first entry
+    first_index: int  # index of the first entry
 
     @property
     def file_name(self) -> str:
-        """The name of the file, with leading zeros."""
+        """Name of the file, with numbers padded by zeros."""
         return f"{self.number:010d}-{self.first_index:016d}{SEGMENT_SUFFIX}"
 
     @property
     def checksum_seed(self) -> int:
-        """Start value of the checksums, so that a frame is valid only in its own segment."""
+        """Initial value of the checksums, which makes a frame valid only in its own segment."""
         return zlib.crc32(self.file_name.encode("ascii"))
 
 
 @attrs.frozen
 class SegmentContents:
-    """What was read from a segment."""
+    """Entries that were read from a segment, and how much of the file is valid."""
 
     entries: list[Entry]
-    valid_bytes: int  # up to the end of the last valid frame
-    is_torn: bool  # whether anything stands behind the last valid frame
+    valid_bytes: int  # offset of the end of the last valid frame
+    is_torn: bool  # whether any bytes follow the last valid frame
 
 
 def list_segments(directory: Path) -> list[SegmentName]:
-    """Return the segments of ``directory`` in order.
+    """Return the names of the segments in ``directory``, in order.
 
-    Raises ``DamagedStorageError`` for a file with the suffix of a segment and another form of name.
+    Raises ``DamagedStorageError`` for a file that has the suffix of a segment but an invalid name.
     """
     names: list[SegmentName] = []
     for path in directory.glob(f"*{SEGMENT_SUFFIX}"):
         number, _, first_index = path.stem.partition("-")
         if not (number.isdigit() and first_index.isdigit()):
-            raise DamagedStorageError(f"{path}: not a segment's name")
+            raise DamagedStorageError(f"{path}: invalid name of a log segment")
         names.append(SegmentName(int(number), int(first_index)))
     return sorted(names)
 
@@ -61,8 +61,8 @@
 def read_segment(directory: Path, name: SegmentName, *, is_last: bool) -> SegmentContents:
     """Read the segment ``name``.
 
-    Only the last segment may end in a torn frame, since a segment is begun after the one before is synced.
-    Raises ``DamagedStorageError`` for an invalid frame anywhere else.
+    Only the last segment may end in a torn frame, since the previous segment is synced before a new one is
+    started. Raises ``DamagedStorageError`` for an invalid frame anywhere else.
     """
     data = (directory / name.file_name).read_bytes()
     entries: list[Entry] = []
--- a/cherrycove/tier/storage/snapshot_state.py
+++ b/cherrycove/tier/storage/snapshot_state.py
@@ -1,8 +1,9 @@
-"""The state in a snapshot, as a sequence of blocks of which the final ones are stored once.
+"""The state in a snapshot, as a sequence of blocks; final blocks are stored only once.
 
-A state machine hands over the same ``StateBlock`` object in each snapshot for a part that does not change any
-more. Such a block is compressed when it is made, kept in that form in memory and on disk, and written for the
-first snapshot only (``block_packs``); so a snapshot costs what has changed since the one before.
+For a part that will not change any more, a state machine passes the same ``StateBlock`` object with each
+snapshot. Such a block is compressed when it is created, kept compressed in memory and on disk, and written
+with the first snapshot only (``block_packs``), so the cost of a snapshot depends on what has changed since
+the previous one.
 """
 
 from __future__ import annotations
@@ -17,56 +18,59 @@
 
 from cherrycove.tier.storage.errors import DamagedStorageError
 
-COMPRESSION_LEVEL = 1  # 3 ms for 100 KB of text on one core; level 6 takes half as long again for 3% less
-MIN_PACKED_STATE_BYTES = (
-    1024 * 1024
-)  # of a state; below it a second file costs more syncs than it saves bytes
-_BLOCK_HEADER = struct.Struct(
-    "<BII"
-)  # whether it is final, length as stored, length of its part of the state
+# zlib level 1 takes 3 ms for 100 KB of text on one core; level 6 takes 1.5 times as long and saves 3%.
+COMPRESSION_LEVEL = 1
+# Smaller states are stored in the snapshot file alone: a pack would cost more in syncs than it saves in
+# bytes.
+MIN_PACKED_STATE_BYTES = 1024 * 1024
+# Whether the block is final, its length as stored, and the length of its part of the state.
+_BLOCK_HEADER = struct.Struct("<BII")
 
 
 @attrs.frozen(eq=False)
 class StateBlock:
-    """One part of a state. Equal only to itself: storage knows by the object what it has stored already."""
+    """One part of a state.
 
-    content: bytes = attrs.field(repr=False)  # as stored; of a final block compressed (zlib)
-    state_bytes: int  # length of the part of the state that the block stands for
+    Blocks are compared by identity: storage recognizes blocks that it has already stored by the object.
+    """
+
+    content: bytes = attrs.field(repr=False)  # as stored: compressed (zlib) if the block is final
+    state_bytes: int  # uncompressed length
     is_final: bool
 
     @classmethod
     def plain(cls, data: bytes) -> StateBlock:
-        """A part that may be another one in the next snapshot."""
+        """Create a block for a part of the state that may change before the next snapshot."""
         return cls(data, len(data), is_final=False)
 
     @classmethod
     def final(cls, data: bytes) -> StateBlock:
-        """A part that no later snapshot changes."""
+        """Create a block for a part of the state that never changes again."""
         return cls(zlib.compress(data, COMPRESSION_LEVEL), len(data), is_final=True)
 
     def data(self) -> bytes:
-        """The part of the state. Raises ``DamagedStorageError`` where the content is not that of a block."""
+        """Return the uncompressed data. Raises ``DamagedStorageError`` if the content is invalid."""
         return decode_content(self.content, self.state_bytes, is_final=self.is_final)
 
 
 def decode_content(content: bytes, state_bytes: int, *, is_final: bool) -> bytes:
-    """The part of a state that ``content`` of a block stands for; ``DamagedStorageError`` if it is none."""
+    """Return the uncompressed data of a block. Raises ``DamagedStorageError`` if ``content`` is invalid."""
     if not is_final:
         return content
     try:
         data = zlib.decompress(content, bufsize=max(state_bytes, 1))
     except zlib.error as error:
-        raise DamagedStorageError(f"a block cannot be decompressed: {error}") from error
+        raise DamagedStorageError(f"block cannot be decompressed: {error}") from error
     if len(data) != state_bytes:
-        raise DamagedStorageError(f"a block has {len(data)} bytes, not {state_bytes}")
+        raise DamagedStorageError(f"block has {len(data)} bytes after decompression, expected {state_bytes}")
     return data
 
 
-def read_pieces(lengths: Sequence[int], read: Callable[[int], bytes], offset: int, size: int) -> bytes:
-    """Return ``size`` bytes from ``offset`` on of pieces that follow one another, fewer at their end.
+def read_range(lengths: Sequence[int], read: Callable[[int], bytes], offset: int, size: int) -> bytes:
+    """Return ``size`` bytes at ``offset`` of the concatenation of several blocks, fewer at its end.
 
-    ``lengths`` are those of the pieces; ``read`` returns the piece of a number, and is called for those
-    that are needed.
+    ``lengths`` are the lengths of the blocks; ``read`` returns the block with a given number, and is called
+    only for the blocks within the range.
     """
     ends = list(accumulate(lengths))
     number = bisect_right(ends, offset)
@@ -80,7 +84,7 @@
 
 
 class SnapshotState:
-    """A state as its blocks, in order. Compares, counts and slices like the bytes that they stand for."""
+    """A state as a sequence of blocks. Comparison, length and slicing are those of its uncompressed bytes."""
 
     def __init__(self, blocks: Iterable[StateBlock]) -> None:
         self.blocks = tuple(block for block in blocks if block.state_bytes)
@@ -88,7 +92,7 @@
 
     @classmethod
     def of(cls, state: bytes | SnapshotState) -> SnapshotState:
-        """``state`` itself, or as one plain block."""
+        """Return ``state`` itself, or bytes wrapped in one plain block."""
         return state if isinstance(state, SnapshotState) else cls([StateBlock.plain(state)])
 
     def __len__(self) -> int:
@@ -100,9 +104,9 @@
     def __getitem__(self, part: slice) -> bytes:
         start, stop, step = part.indices(len(self))
         if step != 1:
-            raise ValueError("a state is read from its start to its end")
+            raise ValueError("slices of a state must have step 1")
         lengths = [block.state_bytes for block in self.blocks]
-        return read_pieces(lengths, lambda number: self.blocks[number].data(), start, max(stop - start, 0))
+        return read_range(lengths, lambda number: self.blocks[number].data(), start, max(stop - start, 0))
 
     def __eq__(self, other: object) -> bool:
         if not isinstance(other, SnapshotState | bytes):
@@ -117,17 +121,17 @@
 
     @property
     def uses_packs(self) -> bool:
-        """Whether final blocks are stored and sent as they are. A small state is one run of bytes instead."""
+        """Whether final blocks are stored in packs and sent compressed; small states are plain bytes."""
         return len(self) >= MIN_PACKED_STATE_BYTES and any(block.is_final for block in self.blocks)
 
     @property
     def rewritten_bytes(self) -> int:
-        """Length of the parts that each snapshot writes again."""
+        """Uncompressed size of the parts that every snapshot writes anew."""
         if not self.uses_packs:
             return len(self)
         return sum(block.state_bytes for block in self.blocks if not block.is_final)
 
-    # The encoded form, in which a state with final blocks is sent to another replica.
+    # The encoded form keeps final blocks compressed; it is sent to other replicas.
 
     @property
     def encoded_lengths(self) -> list[int]:
@@ -135,10 +139,10 @@
         return [_BLOCK_HEADER.size + len(block.content) for block in self.blocks]
 
     def read(self, offset: int, size: int, *, encoded: bool = False) -> bytes:
-        """Return ``size`` bytes from ``offset`` on of the state, or of its encoded form; fewer at its end."""
+        """Return ``size`` bytes at ``offset`` of the state, or of its encoded form; fewer at the end."""
         if not encoded:
             return self[offset : offset + size]
-        return read_pieces(self.encoded_lengths, self._encoded_block, offset, size)
+        return read_range(self.encoded_lengths, self._encoded_block, offset, size)
 
     def _encoded_block(self, number: int) -> bytes:
         block = self.blocks[number]
@@ -146,27 +150,27 @@
 
     @classmethod
     def decode(cls, encoded: bytes) -> SnapshotState:
-        """The state of an encoded form; ``DamagedStorageError`` if it is none."""
+        """Decode the encoded form. Raises ``DamagedStorageError`` if it is truncated or invalid."""
         blocks: list[StateBlock] = []
         offset = 0
         while offset < len(encoded):
             if offset + _BLOCK_HEADER.size > len(encoded):
-                raise DamagedStorageError("an encoded state ends early")
+                raise DamagedStorageError(f"encoded state truncated in the block header at byte {offset}")
             is_final, length, state_bytes = _BLOCK_HEADER.unpack_from(encoded, offset)
             offset += _BLOCK_HEADER.size
             content = encoded[offset : offset + length]
             if len(content) < length or (not is_final and length != state_bytes):
-                raise DamagedStorageError("an encoded state ends early")
+                raise DamagedStorageError(f"encoded state truncated or invalid in the block at byte {offset}")
             blocks.append(StateBlock(content, state_bytes, is_final=bool(is_final)))
             offset += length
         return cls(blocks)
 
 
 def encode_block(content: bytes, state_bytes: int, *, is_final: bool) -> bytes:
-    """One block in the encoded form of a state."""
+    """Return one block in the encoded form of a state."""
     return _BLOCK_HEADER.pack(is_final, len(content), state_bytes) + content
 
 
 def encoded_length(content_bytes: int) -> int:
-    """Length of a block in the encoded form, with a content of ``content_bytes``."""
+    """Return the length of a block in the encoded form if its content has ``content_bytes``."""
     return _BLOCK_HEADER.size + content_bytes
--- a/cherrycove/tier/storage/snapshots.py
+++ b/cherrycove/tier/storage/snapshots.py
@@ -1,7 +1,8 @@
-"""Snapshot files: the state machine's state after one entry, with the members in force there.
+"""Snapshot files: the state machine's state after one entry, with the members in force at that entry.
 
-A state that is not divided is one run of bytes behind the members (``CvS1``). One that is, is a table of its
-blocks, behind which stands what is not final; the final ones are in packs (``CvS2``).
+In a file without packs (``CvS1``) the members are followed by the uncompressed state. In a file with packs
+(``CvS2``) they are followed by a table of all blocks and the content of the blocks that are not final; the
+final blocks are stored in packs.
 """
 
 from __future__ import annotations
@@ -22,19 +23,19 @@
     decode_content,
     encode_block,
     encoded_length,
-    read_pieces,
+    read_range,
 )
 
 SNAPSHOT_PREFIX = "snapshot-"
-BLOCK_BYTES = 1024 * 1024  # of a state that is not divided; read and checked together
+BLOCK_BYTES = 1024 * 1024  # unit in which a state without packs is read and verified
 _MAGIC = b"CvS1"
-_MAGIC_OF_BLOCKS = b"CvS2"
-_HEADER = struct.Struct("<4sIQQQIQ")  # magic, CRC-32, index, epoch, segment, length of members, of the rest
+_MAGIC_WITH_PACKS = b"CvS2"
+# Magic, CRC-32, index, epoch, number of the first segment, length of the members, length of the rest.
+_HEADER = struct.Struct("<4sIQQQIQ")
 _CHECKED_FROM = 8  # the checksum covers the file from this byte on
-_ROW_COUNT = struct.Struct("<I")  # of the table of blocks
-_ROW = struct.Struct(
-    "<QQIII"
-)  # a ``BlockLocation``; the offset of a block in this file counts from the table's end
+_ROW_COUNT = struct.Struct("<I")  # number of rows in the table of blocks
+# A ``BlockLocation``; for a block in the snapshot file, the offset is relative to the end of the table.
+_ROW = struct.Struct("<QQIII")
 
 
 def _as_state(state: bytes | SnapshotState) -> SnapshotState:
@@ -43,16 +44,16 @@
 
 @attrs.frozen
 class Snapshot:
-    """The state after the entry ``index`` of ``epoch``."""
+    """The state after the entry with ``index``, which has ``epoch``."""
 
     index: int
     epoch: int
-    members: bytes  # encoded by replication, opaque here
+    members: bytes  # encoded by the replication package, opaque here
     state: SnapshotState = attrs.field(repr=False, converter=_as_state)  # opaque here
 
     @property
     def size_bytes(self) -> int:
-        """Size of the file; the packs with its final blocks are not counted."""
+        """Size of the snapshot file, without the packs that hold its final blocks."""
         table_bytes = 0
         if self.state.uses_packs:
             table_bytes = _ROW_COUNT.size + _ROW.size * len(self.state.blocks)
@@ -61,14 +62,14 @@
 
 @attrs.frozen
 class SnapshotFile:
-    """What a snapshot file holds."""
+    """Contents of a snapshot file."""
 
     snapshot: Snapshot
-    first_segment_number: int  # segments numbered below are not needed beside the snapshot
-    locations: Sequence[BlockLocation]  # of the blocks of the state; empty if it is not divided
+    first_segment_number: int  # segments with lower numbers are covered by the snapshot
+    locations: Sequence[BlockLocation]  # location of each block of the state; empty without packs
 
     def final_blocks(self) -> Iterator[tuple[StateBlock, BlockLocation]]:
-        """The blocks that are in packs."""
+        """Yield the blocks that are stored in packs, with their locations."""
         if self.locations:
             for block, location in zip(self.snapshot.state.blocks, self.locations, strict=True):
                 if block.is_final:
@@ -81,7 +82,7 @@
 
 
 def list_snapshots(directory: Path) -> list[Path]:
-    """Return the snapshot files of ``directory``, the newest one last."""
+    """Return the snapshot files in ``directory``, the newest one last."""
     return sorted(directory.glob(f"{SNAPSHOT_PREFIX}*"))
 
 
@@ -93,16 +94,16 @@
 ) -> StoredSnapshot:
     """Store ``snapshot`` durably.
 
-    Segments numbered below ``first_segment_number`` are no longer needed beside it. ``location_of`` tells
-    where a final block is stored durably.
+    Segments numbered below ``first_segment_number`` are covered by the snapshot. ``location_of`` returns the
+    durable location of a final block.
     """
     state = snapshot.state
     path = snapshot_path(directory, snapshot.index)
-    locations = _locations(state, location_of) if state.uses_packs else []
+    locations = _block_locations(state, location_of) if state.uses_packs else []
     table = _encode_table(locations) if locations else b""
     contents = [block.data() for block in state.blocks if not (locations and block.is_final)]
     lengths = (len(snapshot.members), len(table) + state.rewritten_bytes)
-    magic = _MAGIC_OF_BLOCKS if locations else _MAGIC
+    magic = _MAGIC_WITH_PACKS if locations else _MAGIC
     header = _HEADER.pack(magic, 0, snapshot.index, snapshot.epoch, first_segment_number, *lengths)
     checksum = _checksum(header, snapshot.members, table, *contents)
     header = header[: len(magic)] + checksum.to_bytes(4, "little") + header[_CHECKED_FROM:]
@@ -111,19 +112,20 @@
 
 
 def read_snapshot(path: Path) -> SnapshotFile:
-    """Read the snapshot file ``path``. Raises ``DamagedStorageError`` if it is not complete and valid."""
-    with path.open("rb") as file:  # one field after the other: the state may take much of the memory
+    """Read the snapshot file ``path``. Raises ``DamagedStorageError`` if it is truncated or invalid."""
+    # The fields are read one by one to avoid a second copy of a large state in memory.
+    with path.open("rb") as file:
         header = file.read(_HEADER.size)
         if len(header) < _HEADER.size:
-            raise DamagedStorageError(f"{path}: too short")
+            raise DamagedStorageError(f"{path}: snapshot file is shorter than its header")
         magic, checksum, index, epoch, segment, members_length, length = _HEADER.unpack(header)
         is_complete = _HEADER.size + members_length + length == path.stat().st_size
-        if magic not in (_MAGIC, _MAGIC_OF_BLOCKS) or not is_complete:
-            raise DamagedStorageError(f"{path}: not a whole snapshot")
+        if magic not in (_MAGIC, _MAGIC_WITH_PACKS) or not is_complete:
+            raise DamagedStorageError(f"{path}: snapshot file is truncated or has an unknown format")
         members = file.read(members_length)
         content = file.read(length)
     if _checksum(header, members, content) != checksum:
-        raise DamagedStorageError(f"{path}: wrong checksum")
+        raise DamagedStorageError(f"{path}: wrong checksum of the snapshot")
     if magic == _MAGIC:
         return SnapshotFile(Snapshot(index, epoch, members, content), segment, [])
     locations, table_bytes = _decode_table(content)
@@ -132,7 +134,7 @@
 
 
 def remove_other_snapshots(kept: Path) -> None:
-    """Remove the snapshots beside ``kept``, whose name must be durable already."""
+    """Remove all snapshots except ``kept``, whose directory entry must already be durable."""
     for path in list_snapshots(kept.parent):
         if path != kept:
             path.unlink(missing_ok=True)
@@ -140,58 +142,59 @@
 
 @attrs.frozen
 class StoredSnapshot:
-    """A snapshot on the disk of this replica, with the checksums that its blocks had in memory.
+    """A snapshot on the disk of this replica, with the in-memory checksum of each of its blocks.
 
-    The checksum in the file covers all of it, so it cannot be checked when a part is read. Those of blocks
-    can, and a block that was damaged on the disk is not sent to another replica.
+    The checksum in the file covers the whole file, so it cannot be verified when a part is read. The
+    checksums of the blocks can, and a block that is damaged on disk is not sent to another replica.
     """
 
     path: Path
     index: int
-    size_bytes: int  # of the file
-    _pieces: Sequence[BlockLocation]  # with offsets from the start of the file that has them
+    size_bytes: int  # size of the snapshot file
+    _locations: Sequence[BlockLocation]  # with offsets from the start of the file that holds the block
 
     @classmethod
     def of(cls, path: Path, snapshot: Snapshot, locations: Sequence[BlockLocation]) -> StoredSnapshot:
-        """Describe ``snapshot``, stored at ``path``; ``locations`` are those of its file's table, if any."""
+        """Describe ``snapshot``, stored at ``path``; ``locations`` is its table, empty without packs."""
         start = _HEADER.size + len(snapshot.members)
         if not locations:
-            return cls(path, snapshot.index, snapshot.size_bytes, _plain_pieces(bytes(snapshot.state), start))
+            return cls(
+                path, snapshot.index, snapshot.size_bytes, _plain_locations(bytes(snapshot.state), start)
+            )
         start += _ROW_COUNT.size + _ROW.size * len(locations)
-        pieces = [
+        absolute_locations = [
             location if location.is_final else attrs.evolve(location, offset=start + location.offset)
             for location in locations
         ]
-        return cls(path, snapshot.index, snapshot.size_bytes, pieces)
+        return cls(path, snapshot.index, snapshot.size_bytes, absolute_locations)
 
     def read(self, offset: int, size: int) -> bytes:
-        """Return ``size`` bytes of the state from ``offset`` on, fewer at its end.
+        """Return ``size`` bytes of the state at ``offset``, fewer at its end.
 
-        Raises ``DamagedStorageError`` if the disk no longer holds what was stored, ``OSError`` if it cannot
-        be read.
+        Raises ``DamagedStorageError`` if a block is corrupted on disk, and ``OSError`` if it cannot be read.
         """
-        lengths = [piece.state_bytes for piece in self._pieces]
-        return read_pieces(lengths, self._read_data, offset, size)
+        lengths = [location.state_bytes for location in self._locations]
+        return read_range(lengths, self._read_data, offset, size)
 
     def read_encoded(self, offset: int, size: int) -> bytes:
-        """Return ``size`` bytes of the state's encoded form; fails like ``read``."""
-        lengths = [encoded_length(piece.stored_bytes) for piece in self._pieces]
-        return read_pieces(lengths, self._read_encoded, offset, size)
+        """Return ``size`` bytes of the state's encoded form; raises the same errors as ``read``."""
+        lengths = [encoded_length(location.stored_bytes) for location in self._locations]
+        return read_range(lengths, self._read_encoded, offset, size)
 
-    def _read_content(self, piece: BlockLocation) -> bytes:
-        path = pack_path(self.path.parent, piece.pack) if piece.is_final else self.path
-        return read_content(path, piece)
+    def _read_content(self, location: BlockLocation) -> bytes:
+        path = pack_path(self.path.parent, location.pack) if location.is_final else self.path
+        return read_content(path, location)
 
     def _read_data(self, number: int) -> bytes:
-        piece = self._pieces[number]
-        return decode_content(self._read_content(piece), piece.state_bytes, is_final=piece.is_final)
+        location = self._locations[number]
+        return decode_content(self._read_content(location), location.state_bytes, is_final=location.is_final)
 
     def _read_encoded(self, number: int) -> bytes:
-        piece = self._pieces[number]
-        return encode_block(self._read_content(piece), piece.state_bytes, is_final=piece.is_final)
+        location = self._locations[number]
+        return encode_block(self._read_content(location), location.state_bytes, is_final=location.is_final)
 
 
-def _locations(
+def _block_locations(
     state: SnapshotState, location_of: Callable[[StateBlock], BlockLocation]
 ) -> list[BlockLocation]:
     locations: list[BlockLocation] = []
@@ -213,7 +216,7 @@
 
 
 def _decode_table(content: bytes) -> tuple[list[BlockLocation], int]:
-    """The table at the start of ``content``, whose checksum is right, and its length."""
+    """Return the table at the start of ``content`` and its length; the checksum was verified before."""
     (count,) = _ROW_COUNT.unpack_from(content)
     table_bytes = _ROW_COUNT.size + count * _ROW.size
     rows = _ROW.iter_unpack(content[_ROW_COUNT.size : table_bytes])
@@ -228,17 +231,17 @@
     try:
         stored = read_content(pack, location)
     except FileNotFoundError as error:
-        raise DamagedStorageError(f"{pack}: missing") from error
+        raise DamagedStorageError(f"{pack}: pack file is missing") from error
     return StateBlock(stored, location.state_bytes, is_final=True)
 
 
-def _plain_pieces(state: bytes, file_offset: int) -> list[BlockLocation]:
+def _plain_locations(state: bytes, file_offset: int) -> list[BlockLocation]:
     view = memoryview(state)
-    pieces: list[BlockLocation] = []
+    locations: list[BlockLocation] = []
     for start in range(0, len(state), BLOCK_BYTES):
-        piece = view[start : start + BLOCK_BYTES]
-        pieces.append(BlockLocation(0, file_offset + start, len(piece), len(piece), zlib.crc32(piece)))
-    return pieces
+        block = view[start : start + BLOCK_BYTES]
+        locations.append(BlockLocation(0, file_offset + start, len(block), len(block), zlib.crc32(block)))
+    return locations
 
 
 def _checksum(header: bytes, *parts: bytes) -> int:
--- a/tests/tier/disk_model.py
+++ b/tests/tier/disk_model.py
@@ -1,10 +1,10 @@
-"""A model of a disk that loses what is not synced, recorded from the calls that storage makes.
+"""A model of a disk that loses unsynced changes, recorded from the system calls of the storage package.
 
-The calls run on real files below a root folder, but for the syncs. Beside them the model keeps what a loss
-of power may leave, as the platform's page states it: a file holds what its last sync covered, and each later
-write is present, missing or torn; each name made, renamed or removed is kept or lost on its own until its
-folder is synced. (The page lets a new file last through its own sync. The model grants less: only the
-folder's sync makes its name last.)
+The calls, except for syncs, run on real files below a root directory. The model also tracks what may remain
+after a power failure, following the platform's documentation: a file has the contents of its last sync, and
+each later write is present, missing or torn; each directory entry that was created, renamed or removed is
+kept or lost independently until its directory is synced. (According to the documentation, the sync of a new
+file also makes its directory entry durable. The model is stricter: only a sync of the directory does.)
 """
 
 from __future__ import annotations
@@ -28,9 +28,9 @@
 _os_ftruncate, _os_rename, _os_unlink, _os_mkdir = os.ftruncate, os.rename, os.unlink, os.mkdir
 
 SYNC_HELPERS = ("sync_directory", "sync_file")
-FOLDER = -1  # id of a folder in place of a file's
+DIRECTORY = -1  # stands for a directory in place of a file id
 
-Contents = tuple[tuple[str, bytes | None], ...]  # sorted names below the root; None for a folder
+DiskContents = tuple[tuple[str, bytes | None], ...]  # sorted names below the root; None for a directory
 
 
 @attrs.frozen
@@ -40,16 +40,16 @@
 
 
 @attrs.frozen
-class FileLength:
+class FileTruncation:
     length: int
 
 
-FileChange = FileWrite | FileLength
+FileChange = FileWrite | FileTruncation
 
 
 @attrs.frozen
 class NameChange:
-    """``added`` now stands for ``file``, and ``removed`` for nothing."""
+    """Directory entry ``added`` now refers to ``file``, and ``removed`` no longer exists."""
 
     added: str
     removed: str
@@ -63,22 +63,23 @@
 
     def sync(self) -> None:
         for change in self.unsynced:
-            self.durable = changed(self.durable, change)
+            self.durable = apply_change(self.durable, change)
         self.unsynced.clear()
 
 
-def changed(data: bytes, change: FileChange) -> bytes:
-    if isinstance(change, FileLength):
+def apply_change(data: bytes, change: FileChange) -> bytes:
+    if isinstance(change, FileTruncation):
         return data[: change.length].ljust(change.length, b"\0")
     padded = data.ljust(change.offset, b"\0")
     return padded[: change.offset] + change.data + padded[change.offset + len(change.data) :]
 
 
-def outcomes(change: FileChange) -> list[FileChange | None]:
-    """What may have become of an unsynced change: present, missing, or torn at either end.
+def possible_results(change: FileChange) -> list[FileChange | None]:
+    """Return the possible results of an unsynced change: present, missing, or torn with one half kept.
 
-    It is torn in the middle of what stands before its padding, so that neither end is all that matters."""
-    if isinstance(change, FileLength):
+    The data is torn in the middle of what precedes its zero padding, so that both halves have content.
+    """
+    if isinstance(change, FileTruncation):
         return [change, None]
     middle = len(change.data.rstrip(b"\0")) // 2
     if middle == 0:
@@ -89,51 +90,51 @@
 
 
 @attrs.define
-class DiskState:
-    """What lasts, and what only a running machine still knows."""
+class ModelDisk:
+    """Durable contents of a disk, and changes that are lost if the machine fails."""
 
     files: dict[int, ModelFile] = attrs.field(factory=dict)
-    names: dict[str, int] = attrs.field(factory=dict)  # durable ones
+    names: dict[str, int] = attrs.field(factory=dict)  # durable directory entries
     unsynced_names: list[NameChange] = attrs.field(factory=list)
 
     @staticmethod
-    def of(contents: Contents) -> DiskState:
-        """A disk on which ``contents`` are durable."""
-        state = DiskState()
+    def of(contents: DiskContents) -> ModelDisk:
+        """Create a disk on which ``contents`` are durable."""
+        state = ModelDisk()
         for number, (name, data) in enumerate(contents):
-            state.names[name] = FOLDER if data is None else number
+            state.names[name] = DIRECTORY if data is None else number
             if data is not None:
                 state.files[number] = ModelFile(data)
         return state
 
-    def copy(self) -> DiskState:
+    def copy(self) -> ModelDisk:
         files = {number: ModelFile(file.durable, list(file.unsynced)) for number, file in self.files.items()}
-        return DiskState(files, dict(self.names), list(self.unsynced_names))
+        return ModelDisk(files, dict(self.names), list(self.unsynced_names))
 
-    def after_kill(self) -> Contents:
-        """What the next process finds when only this one dies."""
+    def after_kill(self) -> DiskContents:
+        """Return what the next process finds after this process is killed."""
         names = self._names_after(self.unsynced_names)
         data = {number: self._replayed(file, file.unsynced) for number, file in self.files.items()}
-        return contents_of(names, data)
+        return disk_contents(names, data)
 
-    def after_power_loss(self) -> set[Contents]:
-        """Everything that the machine may find when power returns."""
+    def after_power_loss(self) -> set[DiskContents]:
+        """Return all contents that the machine may find after a power failure."""
         variants = {number: self._variants(file) for number, file in self.files.items()}
-        found: set[Contents] = set()
+        found: set[DiskContents] = set()
         for names in self._possible_names():
-            numbers = sorted(set(names.values()) - {FOLDER})
+            numbers = sorted(set(names.values()) - {DIRECTORY})
             for chosen in itertools.product(*(variants[number] for number in numbers)):
-                found.add(contents_of(names, dict(zip(numbers, chosen, strict=True))))
+                found.add(disk_contents(names, dict(zip(numbers, chosen, strict=True))))
         return found
 
-    def after_some_power_loss(self, random: Random) -> Contents:
-        """One of ``after_power_loss``, which may be very many."""
+    def random_power_loss(self, random: Random) -> DiskContents:
+        """Return a random one of the results of ``after_power_loss``, of which there may be very many."""
         names = self._names_after([change for change in self.unsynced_names if random.random() < 0.5])
         data: dict[int, bytes] = {}
         for number, file in self.files.items():
-            chosen = [random.choice(outcomes(change)) for change in file.unsynced]
+            chosen = [random.choice(possible_results(change)) for change in file.unsynced]
             data[number] = self._replayed(file, [change for change in chosen if change is not None])
-        return contents_of(names, data)
+        return disk_contents(names, data)
 
     def _possible_names(self) -> list[dict[str, int]]:
         found: list[dict[str, int]] = []
@@ -146,7 +147,7 @@
     def _variants(self, file: ModelFile) -> list[bytes]:
         variants = {
             self._replayed(file, [change for change in chosen if change is not None])
-            for chosen in itertools.product(*(outcomes(change) for change in file.unsynced))
+            for chosen in itertools.product(*(possible_results(change) for change in file.unsynced))
         }
         return sorted(variants)
 
@@ -154,11 +155,11 @@
     def _replayed(file: ModelFile, changes: list[FileChange]) -> bytes:
         data = file.durable
         for change in changes:
-            data = changed(data, change)
+            data = apply_change(data, change)
         return data
 
     def _names_after(self, changes: list[NameChange]) -> dict[str, int]:
-        """Names that can be reached, if of the unsynced ones just ``changes`` are kept."""
+        """Return the reachable names if only ``changes`` of the unsynced ones are kept."""
         names = dict(self.names)
         for change in changes:
             names.pop(change.removed, None)
@@ -168,23 +169,23 @@
 
 
 @cache
-def folders_above(name: str) -> list[str]:
-    """Folders on the way to ``name``, without the root."""
+def parent_directories(name: str) -> list[str]:
+    """Return the directories above ``name``, without the root."""
     return [str(parent) for parent in PurePath(name).parents][:-1]
 
 
 def reachable(name: str, names: dict[str, int]) -> bool:
-    """Whether all folders above ``name`` are there."""
-    return all(folder in names for folder in folders_above(name))
+    """Return whether all directories above ``name`` exist."""
+    return all(directory in names for directory in parent_directories(name))
 
 
-def contents_of(names: dict[str, int], data: dict[int, bytes]) -> Contents:
-    found = [(name, None if file == FOLDER else data[file]) for name, file in names.items()]
+def disk_contents(names: dict[str, int], data: dict[int, bytes]) -> DiskContents:
+    found = [(name, None if file == DIRECTORY else data[file]) for name, file in names.items()]
     return tuple(sorted(found, key=lambda item: item[0]))
 
 
-def sync_place(frame: FrameType) -> str:
-    """The function that syncs, and behind a helper its caller."""
+def sync_location(frame: FrameType) -> str:
+    """Return the name of the function that syncs, preceded by its caller if it is a sync helper."""
     name = frame.f_code.co_name
     caller = frame.f_back
     if name in SYNC_HELPERS and caller is not None:
@@ -200,16 +201,16 @@
 
 
 class RecordedDisk:
-    """Runs calls on real files below ``root`` and keeps the state of the model after each of them."""
+    """Runs system calls on real files below ``root`` and records the model disk after each of them."""
 
-    def __init__(self, root: Path, state: DiskState) -> None:
+    def __init__(self, root: Path, state: ModelDisk) -> None:
         self.root = root
         self.state = state
-        self.states: list[DiskState] = []  # after each call that changes anything
-        self.failing_call = 0  # number of the first call that finds the disk full; 0: none
-        self.failures = 1  # how many calls in a row do
-        self.ignored_sync = ""  # place of a sync that is left out
-        self.sync_places: set[str] = set()
+        self.states: list[ModelDisk] = []  # after each call that changes the disk
+        self.first_failing_call = 0  # number of the first call that fails with a full disk; 0: none
+        self.failing_calls = 1  # number of consecutive calls that fail
+        self.skipped_sync = ""  # location of a sync that is skipped
+        self.sync_locations: set[str] = set()
         self._open: dict[int, OpenFile] = {}
         self._visible = dict(state.names)
         self._calls = 0
@@ -218,7 +219,7 @@
             self._show(change)
         self._fill(state.after_kill())
 
-    def _fill(self, contents: Contents) -> None:
+    def _fill(self, contents: DiskContents) -> None:
         self.root.mkdir(parents=True, exist_ok=True)
         for name, data in contents:
             if data is None:
@@ -228,12 +229,12 @@
 
     @property
     def calls(self) -> int:
-        """How many calls were made that change something."""
+        """Number of calls that change the disk."""
         return self._calls
 
     @contextmanager
     def recording(self) -> Iterator[None]:
-        """Storage's calls come here."""
+        """Redirect the system calls of the storage package to this disk."""
         with mock.patch.multiple(
             os,
             open=self._open_file,
@@ -245,7 +246,7 @@
             fdatasync=self._sync,
             rename=self._rename,
             unlink=self._unlink,
-            mkdir=self._make_folder,
+            mkdir=self._make_directory,
         ):
             yield
 
@@ -254,7 +255,7 @@
 
     def _begin(self) -> None:
         self._calls += 1
-        if 0 < self.failing_call <= self._calls < self.failing_call + self.failures:
+        if 0 < self.first_failing_call <= self._calls < self.first_failing_call + self.failing_calls:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
     def _end(self) -> None:
@@ -284,9 +285,9 @@
             self._change_name(name, "", file)
         elif flags & os.O_TRUNC:
             self._begin()
-            self._change_file(self._visible[name], FileLength(0))
+            self._change_file(self._visible[name], FileTruncation(0))
         descriptor = _os_open(path, flags, mode)
-        self._open[descriptor] = OpenFile(name, self._visible.get(name, FOLDER))
+        self._open[descriptor] = OpenFile(name, self._visible.get(name, DIRECTORY))
         return descriptor
 
     def _close(self, descriptor: int) -> None:
@@ -299,14 +300,14 @@
         return _os_lseek(descriptor, position, whence)
 
     def _write(self, descriptor: int, data: Any) -> int:
-        """A disk that is full takes the first half."""
-        whole = bytes(data)
+        """Write ``data``; on a full disk only the first half is written."""
+        content = bytes(data)
         try:
             self._begin()
         except OSError:
-            self._write_part(descriptor, whole[: len(whole) // 2])
+            self._write_part(descriptor, content[: len(content) // 2])
             raise
-        return self._write_part(descriptor, whole)
+        return self._write_part(descriptor, content)
 
     def _write_part(self, descriptor: int, data: bytes) -> int:
         target = self._open[descriptor]
@@ -318,27 +319,27 @@
     def _truncate(self, descriptor: int, length: int) -> None:
         self._begin()
         _os_ftruncate(descriptor, length)
-        self._change_file(self._open[descriptor].file, FileLength(length))
+        self._change_file(self._open[descriptor].file, FileTruncation(length))
 
     def _sync(self, descriptor: int) -> None:
-        place = sync_place(sys._getframe(1))
-        self.sync_places.add(place)
+        location = sync_location(sys._getframe(1))
+        self.sync_locations.add(location)
         self._begin()
         target = self._open[descriptor]
-        if place == self.ignored_sync:
+        if location == self.skipped_sync:
             pass
-        elif target.file == FOLDER:
+        elif target.file == DIRECTORY:
             self._sync_names(PurePath(target.name))
         else:
             self.state.files[target.file].sync()
         self._end()
 
-    def _sync_names(self, folder: PurePath) -> None:
-        waiting = self.state.unsynced_names
+    def _sync_names(self, directory: PurePath) -> None:
+        unsynced = self.state.unsynced_names
         for change in [
-            change for change in waiting if PurePath(change.added or change.removed).parent == folder
+            change for change in unsynced if PurePath(change.added or change.removed).parent == directory
         ]:
-            waiting.remove(change)
+            unsynced.remove(change)
             self.state.names.pop(change.removed, None)
             if change.added:
                 self.state.names[change.added] = change.file
@@ -351,9 +352,9 @@
     def _unlink(self, path: Any, dir_fd: int | None = None) -> None:
         self._begin()
         _os_unlink(path, dir_fd=dir_fd)
-        self._change_name("", self._name(path), FOLDER)
+        self._change_name("", self._name(path), DIRECTORY)
 
-    def _make_folder(self, path: Any, mode: int = 0o777) -> None:
+    def _make_directory(self, path: Any, mode: int = 0o777) -> None:
         self._begin()
         _os_mkdir(path, mode)
-        self._change_name(self._name(path), "", FOLDER)
+        self._change_name(self._name(path), "", DIRECTORY)
--- a/tests/tier/test_storage_blocks.py
+++ b/tests/tier/test_storage_blocks.py
@@ -1,4 +1,4 @@
-"""Snapshots whose final blocks are in packs: what is written, kept, removed, checked and sent."""
+"""Snapshots whose final blocks are in packs: writing, retention, removal, verification and sending."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @pytest.fixture(autouse=True)
 def no_syncs(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A sync shows only after a loss of power (``test_storage_crashes.py``); here it only takes time."""
+    """Disable syncs, which matter only after a power failure (``test_storage_crashes.py``) and cost time."""
     monkeypatch.setattr(os, "fsync", lambda descriptor: None)
 
 
@@ -68,7 +68,7 @@
     storage.close()
 
 
-def test_a_start_finds_the_blocks_and_knows_that_they_are_stored(tmp_path: Path) -> None:
+def test_recovery_finds_the_blocks_and_does_not_write_them_again(tmp_path: Path) -> None:
     storage = new_storage(tmp_path)
     state = state_of(final_blocks(3))
     save(storage, 1, state)
@@ -81,11 +81,11 @@
     assert "blocks-0000000000000077" not in before
     save(again, 2, SnapshotState([*found.state.blocks, *final_blocks(1, seed=2)]))
     assert before.items() < packs(tmp_path).items()
-    assert "blocks-0000000000000077" not in packs(tmp_path), "a number is used once"
+    assert "blocks-0000000000000077" not in packs(tmp_path), "a pack number was reused"
     again.close()
 
 
-def test_a_small_state_is_one_run_of_bytes(tmp_path: Path) -> None:
+def test_a_small_state_is_stored_without_packs(tmp_path: Path) -> None:
     storage = new_storage(tmp_path)
     state = SnapshotState(final_blocks(2, size=1000))
     save(storage, 1, state)
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("damage", ["flipped", "short", "missing"])
-def test_a_damaged_pack_is_damage_and_is_not_sent(damage: str, tmp_path: Path) -> None:
+def test_a_damaged_pack_raises_an_error_and_is_not_sent(damage: str, tmp_path: Path) -> None:
     storage = new_storage(tmp_path)
     blocks = final_blocks(3)
     state = state_of(blocks)
@@ -144,7 +144,7 @@
     storage.close()
 
 
-def test_an_encoded_state_that_ends_early_is_refused() -> None:
+def test_a_truncated_encoded_state_is_rejected() -> None:
     state = SnapshotState([StateBlock.plain(b"plain"), *final_blocks(2, size=20)])
     encoded = state.read(0, 1 << 20, encoded=True)
     ends = {0}
@@ -164,8 +164,8 @@
         longer.data()
 
 
-def test_garbage_in_packs_is_bounded_and_so_is_what_one_snapshot_rewrites(tmp_path: Path) -> None:
-    """The oldest blocks go first, as jobs do, with some that stay much longer."""
+def test_unused_blocks_in_packs_and_the_bytes_rewritten_by_one_snapshot_are_bounded(tmp_path: Path) -> None:
+    """Blocks are dropped oldest first, like those of jobs, except for some that stay much longer."""
     storage = new_storage(tmp_path)
     random = Random(5)
     blocks: list[StateBlock] = []
@@ -185,7 +185,7 @@
     storage.close()
 
 
-def test_a_snapshot_that_does_not_fit_is_refused_before_anything_is_written(
+def test_a_snapshot_that_exceeds_the_limit_is_rejected_before_anything_is_written(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(snapshot_state, "MIN_PACKED_STATE_BYTES", 0)
--- a/tests/tier/test_storage_crashes.py
+++ b/tests/tier/test_storage_crashes.py
@@ -1,6 +1,6 @@
-"""Losses of power and kills at every call of short histories, and second ones during the start behind.
+"""Power failures and kills at every system call of short histories, and again during the following start.
 
-What was reported as done is there, and nothing else is; each sync is needed for that.
+Exactly the writes that were reported as done must survive; the tests also show that each sync is required.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 from pathlib import Path
 
 import pytest
-from disk_model import SYNC_HELPERS, DiskState, RecordedDisk
+from disk_model import SYNC_HELPERS, ModelDisk, RecordedDisk
 from storage_crashes import (
     HISTORIES,
     IP,
     REPLICA,
-    Run,
+    RecordedRun,
     check_failures,
     check_history,
 )
@@ -25,7 +25,7 @@
 from cherrycove.tier.storage.errors import DamagedStorageError
 from cherrycove.tier.storage.identity import open_identity, renew_identity
 
-FAILING = [
+HISTORIES_ON_A_FULL_DISK = [
     "replaced entries",
     "snapshots in a row",
     "snapshot from the primary",
@@ -35,48 +35,48 @@
 
 @pytest.fixture(autouse=True)
 def small_packs(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Final blocks of the smallest state go into packs, and garbage of any size is rewritten."""
+    """Use packs for states of any size, and rewrite packs for unused blocks of any size."""
     monkeypatch.setattr(snapshot_state, "MIN_PACKED_STATE_BYTES", 0)
     monkeypatch.setattr(block_packs, "GARBAGE_BYTES", 0)
     monkeypatch.setattr(block_packs, "MAX_PACKS", 2)
 
 
 @pytest.mark.parametrize("name", HISTORIES)
-def test_any_crash_leaves_what_was_reported(name: str, tmp_path: Path) -> None:
+def test_any_crash_preserves_reported_writes(name: str, tmp_path: Path) -> None:
     check_history(name, tmp_path)
 
 
-@pytest.mark.parametrize("name", FAILING)
-def test_any_crash_after_a_full_disk_leaves_what_was_reported(name: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("name", HISTORIES_ON_A_FULL_DISK)
+def test_any_crash_after_a_full_disk_preserves_reported_writes(name: str, tmp_path: Path) -> None:
     check_failures(name, tmp_path)
 
 
-def given_up_disk(folder: Path) -> DiskState:
-    """The disk of a member that lost its promise, and so must begin anew."""
-    run = Run(folder)
-    run.moments(HISTORIES["append"])
-    state = DiskState.of(run.disk.state.after_kill())
+def disk_without_hard_state(directory: Path) -> ModelDisk:
+    """The disk of a member that lost its hard state, and must therefore get a new identity."""
+    run = RecordedRun(directory)
+    run.crash_points(HISTORIES["append"])
+    state = ModelDisk.of(run.disk.state.after_kill())
     del state.names[f"{REPLICA}/promise"]
     return state
 
 
-def check_new_identity(folder: Path, ignored_sync: str = "") -> None:
-    """After a crash while a disk gets a new identity, it is the former one as it was, or an empty one."""
-    before = given_up_disk(folder / "before")
-    disk = RecordedDisk(folder / "disk", before.copy())
-    disk.ignored_sync = ignored_sync
+def check_new_identity(directory: Path, skipped_sync: str = "") -> None:
+    """A crash during the renewal of an identity leaves the disk unchanged, or empty with a new identity."""
+    before = disk_without_hard_state(directory / "before")
+    disk = RecordedDisk(directory / "disk", before.copy())
+    disk.skipped_sync = skipped_sync
     with disk.recording():
         renew_identity(disk.root / REPLICA)
     found = {
         contents for state in disk.states for contents in (state.after_kill(), *state.after_power_loss())
     }
     for number, contents in enumerate(sorted(found, key=repr)):
-        root = RecordedDisk(folder / str(number), DiskState.of(contents)).root
-        member_id, fresh = open_identity(root / REPLICA, first_start=True, ip=IP)
+        root = RecordedDisk(directory / str(number), ModelDisk.of(contents)).root
+        member_id, is_new = open_identity(root / REPLICA, first_start=True, ip=IP)
         if member_id == f"first-{IP}":
-            assert not fresh, "an address begins as an initial member a second time"
+            assert not is_new, "an initial member was created a second time at the same address"
             kept = tuple(item for item in contents if not item[0].endswith(".tmp"))
-            assert kept == before.after_kill(), "a member forgot what it held"
+            assert kept == before.after_kill(), "a member lost data"
         else:
             assert [path.name for path in (root / REPLICA).iterdir()] == ["identity"]
 
@@ -85,16 +85,16 @@
     check_new_identity(tmp_path)
 
 
-# Each sync by the function that does it, and the check that fails when it is left out.
+# Maps each sync, named by the function that makes it, to a check that fails if the sync is skipped.
 Check = Callable[[Path, str], object]
 
 
 def history(name: str) -> Check:
-    return lambda folder, ignored_sync: check_history(name, folder, ignored_sync)
+    return lambda directory, skipped_sync: check_history(name, directory, skipped_sync)
 
 
-def failures(name: str) -> Check:
-    return lambda folder, ignored_sync: check_failures(name, folder, ignored_sync)
+def full_disk(name: str) -> Check:
+    return lambda directory, skipped_sync: check_failures(name, directory, skipped_sync)
 
 
 NEEDED_SYNCS: dict[str, Check] = {
@@ -106,7 +106,7 @@
     "_write_slot": history("append"),
     "append": history("append"),
     "append > sync_directory": history("append"),
-    "_truncate_failed_write": failures("snapshots in a row"),
+    "_truncate_failed_write": full_disk("snapshots in a row"),
     "_truncate_torn_tail": history("append"),
     "_truncate_torn_tail > sync_directory": history("append"),
     "recover > sync_directory": history("append"),
@@ -115,10 +115,10 @@
 SYNCING_CALLS = ("fsync", "fdatasync")
 
 
-@pytest.mark.parametrize("place", NEEDED_SYNCS)
-def test_without_this_sync_a_crash_is_noticed(place: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("location", NEEDED_SYNCS)
+def test_skipping_a_sync_fails_a_crash_check(location: str, tmp_path: Path) -> None:
     with pytest.raises((AssertionError, DamagedStorageError)):
-        NEEDED_SYNCS[place](tmp_path, place)
+        NEEDED_SYNCS[location](tmp_path, location)
 
 
 def called_name(call: ast.Call) -> str:
@@ -128,17 +128,17 @@
 
 
 def syncs_in_the_source() -> set[str]:
-    """Places of all syncs of the storage package, as ``disk_model.sync_place`` names them."""
-    places = set()
+    """Locations of all syncs in the storage package, in the format of ``disk_model.sync_location``."""
+    locations = set()
     for path in Path(storage.__path__[0]).glob("*.py"):
         for function in ast.walk(ast.parse(path.read_text())):
             if not isinstance(function, ast.FunctionDef) or function.name in SYNC_HELPERS:
                 continue
             names = [called_name(node) for node in ast.walk(function) if isinstance(node, ast.Call)]
-            places |= {f"{function.name} > {name}" for name in names if name in SYNC_HELPERS}
-            places |= {function.name for name in names if name in SYNCING_CALLS}
-    return places
+            locations |= {f"{function.name} > {name}" for name in names if name in SYNC_HELPERS}
+            locations |= {function.name for name in names if name in SYNCING_CALLS}
+    return locations
 
 
-def test_each_sync_of_the_source_is_among_those_left_out() -> None:
+def test_every_sync_in_the_source_has_a_skip_test() -> None:
     assert syncs_in_the_source() == set(NEEDED_SYNCS)
--- a/tests/tier/test_storage_damage.py
+++ b/tests/tier/test_storage_damage.py
@@ -1,4 +1,6 @@
-"""Flipped bits anywhere on a replica's disk: found by checksum, never served; told by ``storage verify``."""
+"""Corruption anywhere on a replica's disk is detected by checksum, never served, and reported by
+``storage verify``.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +29,7 @@
 
 @pytest.fixture(autouse=True)
 def no_syncs(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A sync shows only after a loss of power (``test_storage_crashes.py``); here it only takes time."""
+    """Disable syncs, which matter only after a power failure (``test_storage_crashes.py``) and cost time."""
     monkeypatch.setattr(os, "fsync", lambda descriptor: None)
     monkeypatch.setattr(os, "fdatasync", lambda descriptor: None)
 
@@ -38,7 +40,7 @@
 
 @pytest.fixture
 def disk(tmp_path: Path) -> Path:
-    """A replica's folder with a snapshot and two frames of the log behind it."""
+    """Directory of a replica that has a snapshot and two log frames after it."""
     directory = tmp_path / "disk"
     open_identity(directory, first_start=True, ip=IP)
     storage = ReplicaStorage(directory)
@@ -60,14 +62,14 @@
         storage.close()
 
 
-def with_flipped_bits(path: Path, places: Iterable[int] = ()) -> Iterator[int]:
-    """The file with a bit flipped at each of its bytes, or of ``places``, in turn."""
+def with_flipped_bits(path: Path, offsets: Iterable[int] = ()) -> Iterator[int]:
+    """Rewrite the file with one bit flipped, in each of its bytes or of those at ``offsets`` in turn."""
     data = path.read_bytes()
-    for place in places or range(len(data)):
+    for offset in offsets or range(len(data)):
         flipped = bytearray(data)
-        flipped[place] ^= 1 << place % 8
+        flipped[offset] ^= 1 << offset % 8
         path.write_bytes(flipped)
-        yield place
+        yield offset
 
 
 def only(directory: Path, pattern: str) -> Path:
@@ -75,56 +77,56 @@
     return path
 
 
-def test_an_identity_with_a_flipped_bit_is_not_taken(disk: Path) -> None:
+def test_an_identity_with_a_flipped_bit_is_rejected(disk: Path) -> None:
     path = disk / IDENTITY_FILE
     for _ in with_flipped_bits(path):
         flipped = path.read_bytes()
         copy = disk.parent / "copy"
         copy.mkdir()
         (copy / IDENTITY_FILE).write_bytes(flipped)
-        member_id, fresh = open_identity(copy, first_start=True, ip=IP)
-        assert fresh
+        member_id, is_new = open_identity(copy, first_start=True, ip=IP)
+        assert is_new
         assert member_id != MEMBER
         shutil.rmtree(copy)
 
 
-def test_a_flipped_bit_of_a_promise_never_brings_an_older_one_back(disk: Path) -> None:
+def test_a_flipped_bit_in_the_hard_state_never_restores_an_older_one(disk: Path) -> None:
     path = disk / HARD_STATE_FILE
     written = path.read_bytes()
-    used = {place for place in range(len(written)) if written[place]}
-    behind = {place + 1 for place in used if place + 1 < len(written)}
-    for _ in with_flipped_bits(path, sorted(used | behind)):
+    used = {offset for offset in range(len(written)) if written[offset]}
+    following = {offset + 1 for offset in used if offset + 1 < len(written)}
+    for _ in with_flipped_bits(path, sorted(used | following)):
         assert recover(disk).hard_state == NEWEST
 
 
-def test_a_damaged_copy_of_a_promise_is_written_again(disk: Path) -> None:
+def test_a_damaged_copy_of_the_hard_state_is_rewritten(disk: Path) -> None:
     path = disk / HARD_STATE_FILE
     written = path.read_bytes()
-    place = written.index(MEMBER.encode())
-    path.write_bytes(written[:place] + b"x" + written[place + 1 :])
+    offset = written.index(MEMBER.encode())
+    path.write_bytes(written[:offset] + b"x" + written[offset + 1 :])
     assert recover(disk).hard_state == NEWEST
     assert path.read_bytes() == written
 
 
-def test_a_snapshot_with_a_flipped_bit_is_damage(disk: Path) -> None:
+def test_a_snapshot_with_a_flipped_bit_raises_an_error(disk: Path) -> None:
     for _ in with_flipped_bits(only(disk, "snapshot-*")):
         with pytest.raises(DamagedStorageError):
             recover(disk)
 
 
-def test_a_log_with_a_flipped_bit_is_damage_or_loses_its_last_frame_only(disk: Path) -> None:
+def test_a_log_with_a_flipped_bit_raises_an_error_or_loses_only_its_last_frame(disk: Path) -> None:
     path = only(disk, "*.log")
     whole = path.read_bytes()
     last_frame = whole.rindex(b"CvF1")
-    for place in with_flipped_bits(path):
-        if place < last_frame:
+    for offset in with_flipped_bits(path):
+        if offset < last_frame:
             with pytest.raises(DamagedStorageError):
                 recover(disk)
         else:
             assert recover(disk) == RecoveredState(NEWEST, SNAPSHOT, entries(4, 4))
 
 
-def test_a_log_that_lost_what_was_known_as_committed_is_damage(disk: Path) -> None:
+def test_a_log_that_lost_committed_entries_raises_an_error(disk: Path) -> None:
     storage = ReplicaStorage(disk)
     storage.recover()
     storage.write_hard_state(HardState(5, MEMBER, commit_index=6))
@@ -132,20 +134,24 @@
     path = only(disk, "*.log")
     whole = path.read_bytes()
     path.write_bytes(whole[:-1] + bytes([whole[-1] ^ 1]))
-    with pytest.raises(DamagedStorageError, match="log up to entry 4, of 6 known as committed"):
+    with pytest.raises(
+        DamagedStorageError, match="log ends at entry 4, but entries up to 6 are known to be committed"
+    ):
         recover(disk)
     path.unlink()
-    with pytest.raises(DamagedStorageError, match="log up to entry 3, of 6 known as committed"):
+    with pytest.raises(
+        DamagedStorageError, match="log ends at entry 3, but entries up to 6 are known to be committed"
+    ):
         recover(disk)
 
 
-def test_a_log_beside_an_older_or_removed_snapshot_is_damage(disk: Path) -> None:
+def test_a_log_with_a_missing_snapshot_raises_an_error(disk: Path) -> None:
     only(disk, "snapshot-*").unlink()
     with pytest.raises(DamagedStorageError, match="entries 1 to 3 are missing"):
         recover(disk)
 
 
-def test_of_two_snapshots_the_newer_one_counts_and_a_damaged_one_is_not_passed_over(disk: Path) -> None:
+def test_the_newer_of_two_snapshots_is_used_and_a_damaged_one_is_not_skipped(disk: Path) -> None:
     older = only(disk, "snapshot-*").read_bytes()
     storage = ReplicaStorage(disk)
     storage.recover()
@@ -163,7 +169,7 @@
         recover(disk)
 
 
-def test_state_that_was_damaged_after_the_start_is_not_sent_to_another_replica(disk: Path) -> None:
+def test_state_that_is_corrupted_after_the_start_is_not_sent_to_another_replica(disk: Path) -> None:
     state = bytes(range(256)) * (BLOCK_BYTES // 256) + b"the last block"
     storage = ReplicaStorage(disk)
     storage.recover()
@@ -181,7 +187,7 @@
     storage.close()
 
 
-def test_a_snapshot_counts_though_what_it_replaces_can_not_be_removed(
+def test_a_snapshot_is_valid_even_if_the_files_it_replaces_cannot_be_removed(
     disk: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def refuse(path: Path, missing_ok: bool = False) -> None:
@@ -202,12 +208,12 @@
     assert recover(disk) == RecoveredState(NEWEST, newest, [])
 
 
-# storage verify
+# The command ``storage verify``.
 
 
-def flip(path: Path, place: int) -> None:
+def flip(path: Path, offset: int) -> None:
     data = bytearray(path.read_bytes())
-    data[place] ^= 1
+    data[offset] ^= 1
     path.write_bytes(data)
 
 
@@ -219,11 +225,11 @@
     (disk / IDENTITY_FILE).write_bytes(b"")
 
 
-def damage_all_promises(disk: Path) -> None:
+def damage_all_slots(disk: Path) -> None:
     (disk / HARD_STATE_FILE).write_bytes(b"\1" * 16384)
 
 
-def remove_promise(disk: Path) -> None:
+def remove_hard_state(disk: Path) -> None:
     (disk / HARD_STATE_FILE).unlink()
 
 
@@ -231,7 +237,7 @@
     flip(only(disk, "snapshot-*"), -1)
 
 
-def cut_snapshot(disk: Path) -> None:
+def truncate_snapshot(disk: Path) -> None:
     path = only(disk, "snapshot-*")
     path.write_bytes(path.read_bytes()[:-1])
 
@@ -244,38 +250,38 @@
     only(disk, "snapshot-*").unlink()
 
 
-def older_promises(disk: Path) -> None:
+def replace_by_older_hard_state(disk: Path) -> None:
     (disk / HARD_STATE_FILE).unlink()
-    fresh = disk.parent / "fresh"
-    fresh.mkdir()
-    recover(fresh)
-    shutil.copy(fresh / HARD_STATE_FILE, disk / HARD_STATE_FILE)
+    new_disk = disk.parent / "fresh"
+    new_disk.mkdir()
+    recover(new_disk)
+    shutil.copy(new_disk / HARD_STATE_FILE, disk / HARD_STATE_FILE)
 
 
 @pytest.mark.parametrize(
-    ("damage", "told"),
+    ("damage", "message"),
     [
         (damage_identity, "identity: not an identity"),
         (empty_identity, "identity: not an identity"),
-        (damage_all_promises, "promise: no valid slot"),
-        (remove_promise, "promise is missing"),
-        (damage_snapshot, "snapshot-0000000000000003: wrong checksum"),
-        (cut_snapshot, "snapshot-0000000000000003: not a whole snapshot"),
+        (damage_all_slots, "promise: hard state file has no valid slot"),
+        (remove_hard_state, "promise: hard state file is missing"),
+        (damage_snapshot, "snapshot-0000000000000003: wrong checksum of the snapshot"),
+        (truncate_snapshot, "snapshot-0000000000000003: snapshot file is truncated or has an unknown format"),
         (damage_log, "0000000002-0000000000000004.log: invalid frame at byte 0"),
         (remove_snapshot, "entries 1 to 3 are missing"),
-        (older_promises, "log of epoch 4, promise of epoch 0"),
+        (replace_by_older_hard_state, "log has an entry of epoch 4, above epoch 0 of the hard state"),
     ],
 )
-def test_verify_tells_each_damage(disk: Path, damage: Callable[[Path], None], told: str) -> None:
+def test_verify_reports_each_kind_of_damage(disk: Path, damage: Callable[[Path], None], message: str) -> None:
     damage(disk)
     before = {path.name: path.read_bytes() for path in disk.iterdir()}
     tester = CommandTester(create_application().find("storage verify"))
     assert tester.execute(str(disk)) == 1
-    assert told in tester.io.fetch_error()
+    assert message in tester.io.fetch_error()
     assert {path.name: path.read_bytes() for path in disk.iterdir()} == before
 
 
-def test_verify_tells_of_a_damaged_copy_of_the_promise(disk: Path) -> None:
+def test_verify_reports_a_damaged_copy_of_the_hard_state(disk: Path) -> None:
     path = disk / HARD_STATE_FILE
     flip(path, path.read_bytes().index(MEMBER.encode()))
     tester = CommandTester(create_application().find("storage verify"))
@@ -283,7 +289,7 @@
     assert "one of two copies of the promise is damaged" in tester.io.fetch_output()
 
 
-def test_verify_counts_what_a_torn_write_left(disk: Path) -> None:
+def test_verify_counts_the_bytes_of_a_torn_write(disk: Path) -> None:
     path = only(disk, "*.log")
     path.write_bytes(path.read_bytes() + b"CvF1 torn")
     tester = CommandTester(create_application().find("storage verify"))
