--- a/tests/tier/storage_crashes.py
+++ b/tests/tier/storage_crashes.py
@@ -214,7 +214,7 @@
 
     def __init__(self, recoveries: RecoveryRunner, repeated_crashes: bool = True) -> None:
         self._recoveries = recoveries
-        self._second_ones = repeated_crashes
+        self._checks_repeated = repeated_crashes
         self._checked: set[tuple[DiskContents, str]] = set()
 
     def check(self, crash_point: CrashPoint) -> None:
@@ -227,7 +227,7 @@
 
     def _check_start(self, started: RecordedRecovery, allowed: list[RecoveredState]) -> None:
         assert started.result.state in allowed
-        if self._second_ones:
+        if self._checks_repeated:
             self._check_repeated_crashes(started, allowed)
 
     def _check_repeated_crashes(self, started: RecordedRecovery, allowed: list[RecoveredState]) -> None:
