--- a/cherrycove/tier/batch/frontend/http_api.py
+++ b/cherrycove/tier/batch/frontend/http_api.py
@@ -117,15 +117,15 @@
 
 def _write_failure(failure: Failure) -> Failure:
     """Map an uncertain failure of a write to status 504, which leaves open whether the write took effect."""
-    return failure if failure.is_certain else Failure(ErrorKind.DEADLINE, failure.detail)
+    return failure if failure.had_no_effect else Failure(ErrorKind.DEADLINE, failure.detail)
 
 
 def _read_failure(failure: Failure) -> Failure:
     """Map an uncertain failure of a read to status 503, because a read can always be retried."""
-    return failure if failure.is_certain else Failure(ErrorKind.UNAVAILABLE, failure.detail)
+    return failure if failure.had_no_effect else Failure(ErrorKind.UNAVAILABLE, failure.detail)
 
 
 def _error_response(failure: Failure) -> web.Response:
-    answer = failure.answer
+    answer = failure.response
     headers = {} if answer.retry_after_s is None else {"Retry-After": str(answer.retry_after_s)}
     return web.Response(status=answer.status, text=failure.detail, headers=headers)
--- a/cherrycove/tier/controlplane/barrier_proposer.py
+++ b/cherrycove/tier/controlplane/barrier_proposer.py
@@ -40,5 +40,5 @@
         """Replicate ``command`` and apply it; results and errors are those of ``Group.propose``."""
         self._outcome_unknown = True  # Set before the wait, since a cancelled call has an unknown outcome.
         outcome = await self._group.propose(command.SerializeToString(), timeout_s)
-        self._outcome_unknown = isinstance(outcome, Err) and not outcome.err_value.is_certain
+        self._outcome_unknown = isinstance(outcome, Err) and not outcome.err_value.had_no_effect
         return outcome
--- a/cherrycove/tier/controlplane/configuration_service.py
+++ b/cherrycove/tier/controlplane/configuration_service.py
@@ -117,7 +117,7 @@
         """Return the error for a change whose proposal failed; it is never a final one."""
         if failure.kind is ErrorKind.NOT_PRIMARY:
             return self._leadership.not_primary_failure()
-        if not failure.is_certain:
+        if not failure.had_no_effect:
             return Failure(ErrorKind.DEADLINE, failure.detail)
         return Failure(ErrorKind.UNAVAILABLE, failure.detail)
 
--- a/cherrycove/tier/programs/replica.py
+++ b/cherrycove/tier/programs/replica.py
@@ -1,4 +1,4 @@
-"""The replica that a controller or a store runs: its group on this machine's disk, and its announcement."""
+"""Opens the replica that a controller or a store runs, and describes it to the controllers."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from cherrycove.tier.settings import Settings
 from cherrycove.tier.storage.identity import open_identity
 
-DISK_FRACTION = 0.8  # of the disk that a group may use, unless its program says otherwise
+DISK_FRACTION = 0.8  # default fraction of the disk that a group may use
 BYTES_PER_MB = 1_000_000
 
 
 @attrs.frozen
 class OpenedGroup:
-    """The replica of a group on this machine's disk, not started yet."""
+    """A replica whose data directory is open and which is not started yet."""
 
     group: ReplicatedGroup
-    fresh: bool  # whether the disk was empty, so that it got a new identity
+    disk_was_empty: bool  # whether the disk had no valid identity and got a new one
 
 
 def open_group(
@@ -39,12 +39,15 @@
     """Open the group of ``program`` (a name of ``program_names``) in the data directory of ``settings``.
 
     The group's calls are registered at ``server`` and made with ``client``; committed commands are applied to
-    ``machine``. Blocks on the disk. Raises ``OSError`` without a data directory, or where it cannot be used.
+    ``machine``. Blocks on disk operations. Raises ``OSError`` if ``settings`` has no data directory or if it
+    cannot be used.
     """
     if settings.data_directory is None:
-        raise OSError(f"{program}: the settings name no dataDirectory")
+        raise OSError(f"{program}: dataDirectory is missing in the settings")
     directory = Path(settings.data_directory) / program
-    member_id, fresh = open_identity(directory, first_start=settings.first_start, ip=settings.ip_address)
+    member_id, disk_was_empty = open_identity(
+        directory, first_start=settings.first_start, ip=settings.ip_address
+    )
     options = GroupOptions(
         name=program,
         identity=MemberIdentity(
@@ -58,7 +61,7 @@
         disk_limit_bytes=int(settings.limits.disk_mb * BYTES_PER_MB * disk_fraction),
         timing=Timing.for_catch_up(settings.bounds.catch_up_s),
     )
-    return OpenedGroup(create_group(options), fresh)
+    return OpenedGroup(create_group(options), disk_was_empty)
 
 
 def replica_announcement(
@@ -66,13 +69,13 @@
     settings: Settings,
     group: ReplicatedGroup,
     *,
-    fresh: bool,
+    disk_was_empty: bool,
     incarnation: str,
     leaving: bool,
 ) -> Announcement:
     """Describe a replica to the controllers.
 
-    ``fresh``: its disk was empty at this start. ``leaving``: a graceful shutdown has begun. Only the
+    ``disk_was_empty``: its disk was empty at this start. ``leaving``: a graceful shutdown has begun. Only the
     confirmed primary names the voting members.
     """
     primary = group.is_confirmed_primary()
@@ -84,7 +87,7 @@
         region=settings.region,
         incarnation=incarnation,
         member_id=group.identity.member_id,
-        first_start=settings.first_start and fresh,
+        first_start=settings.first_start and disk_was_empty,
         group_primary=primary,
         group_epoch=group.epoch,
         group_members=sorted(group.voting_member_ids()) if primary else [],
