--- a/cherrycove/tier/membership/anti_entropy.py
+++ b/cherrycove/tier/membership/anti_entropy.py
@@ -1,7 +1,8 @@
 """Anti-entropy: two processes compare digests of their tables, then send only the members that differ.
 
-Gossip alone may miss a member for good, since an update is sent a bounded number of times. The exchange is
-the push-pull anti-entropy of Demers et al. ("Epidemic Algorithms for Replicated Database Maintenance", 1987).
+With gossip alone a member may miss an update for good, since each is sent a bounded number of times. The
+exchange is the push-pull anti-entropy of Demers et al. ("Epidemic Algorithms for Replicated Database
+Maintenance", 1987).
 Every interval is multiplied by 0.75 to 1.25 at random, so that the members' exchanges do not coincide.
 """
 
@@ -26,30 +27,30 @@
 
 
 class AntiEntropySchedule:
-    """The time of the next exchange: soon while tables differ, with an exponential backoff while they agree.
+    """Schedules exchanges: soon while tables differ, with exponential backoff while they agree.
 
     Owned by the ``SwimMachine``.
     """
 
     def __init__(self, parameters: SwimParameters, rng: random.Random, now: float) -> None:
-        self._shortest_s = parameters.exchange_periods * parameters.period_s
-        self._longest_s = parameters.quiet_exchange_periods * parameters.period_s
-        self._interval_s = self._shortest_s
+        self._min_interval_s = parameters.min_exchange_periods * parameters.period_s
+        self._max_interval_s = parameters.max_exchange_periods * parameters.period_s
+        self._interval_s = self._min_interval_s
         self._rng = rng
-        self.due_at = now + self._shortest_s
+        self.due_at = now + self._min_interval_s
 
     def back_off(self, now: float) -> None:
-        """Schedule the exchange after the one that starts now, later than that one."""
+        """Schedule the exchange after the one that starts now, and double the interval up to its maximum."""
         self.due_at = now + self._jittered_interval_s()
-        self._interval_s = min(BACKOFF_FACTOR * self._interval_s, self._longest_s)
+        self._interval_s = min(BACKOFF_FACTOR * self._interval_s, self._max_interval_s)
 
-    def hasten(self, now: float) -> None:
-        """Schedule an exchange soon, since two tables were found to differ."""
-        self._interval_s = self._shortest_s
+    def reset_backoff(self, now: float) -> None:
+        """Schedule an exchange at the minimum interval, since two tables were found to differ."""
+        self._interval_s = self._min_interval_s
         self.due_at = min(self.due_at, now + self._jittered_interval_s())
 
     def postpone(self, delay_s: float) -> None:
-        """Move the timer after a stall of the local process."""
+        """Postpone the timer after a stall of the local process."""
         self.due_at += delay_s
 
     def _jittered_interval_s(self) -> float:
@@ -57,11 +58,11 @@
 
 
 class AntiEntropyExchange:
-    """The messages of both sides of an exchange; the runtime makes the calls.
+    """Builds and handles the messages of both sides of an exchange; the runtime makes the calls.
 
     Owned by the ``SwimMachine``. The caller sends ``compare_request`` and passes the reply to
-    ``handle_compare_reply``, which returns the second request if there is one. An exchange that breaks off
-    after any message leaves both tables valid. Every handler raises InvalidMessageError for a message that
+    ``handle_compare_reply``, which returns the second request, if any. An exchange that is aborted after any
+    message leaves both tables valid. Every handler raises InvalidMessageError for a message that
     no correct process sends.
     """
 
@@ -71,11 +72,11 @@
         self._contested: list[MemberStatus] = []
 
     def compare_request(self) -> CompareRequest:
-        """Return the first request of an exchange that starts here."""
+        """Return the first request of an exchange that the local process starts."""
         return CompareRequest(sender=self._local_record(), digests=self._members.table.digests())
 
     def handle_compare(self, request: CompareRequest, now: float) -> CompareReply:
-        """Answer the first request with the buckets that differ and their members."""
+        """Answer the first request with the buckets that differ and the updates of their members."""
         self._merge_sender(request.sender, now)
         differing = self._members.table.differing_buckets(request.digests)
         known = self._members.table.in_buckets(differing)
@@ -83,7 +84,7 @@
         return CompareReply(sender=self._local_record(), differing=differing, updates=updates)
 
     def handle_compare_reply(self, reply: CompareReply, now: float) -> MergeRequest | None:
-        """Merge the reply; returns the second request, None where the callee has all that is known here."""
+        """Merge the reply; return the second request, None if the callee already has every update."""
         self._merge_sender(reply.sender, now)
         remote = [MemberStatus.from_update(update) for update in reply.updates]
         remote_precedence = {status.member.key: status.precedence for status in remote}
@@ -96,13 +97,13 @@
         return MergeRequest(sender=self._local_record(), updates=updates) if updates else None
 
     def handle_merge(self, request: MergeRequest, now: float) -> MergeReply:
-        """Answer the second request."""
+        """Merge and answer the second request."""
         self._merge_sender(request.sender, now)
         self._merge_table([MemberStatus.from_update(update) for update in request.updates], now)
         return MergeReply()
 
     def take_result(self) -> MergeResult:
-        """Return what all exchanges have brought since the last call."""
+        """Return the combined result of all exchanges since the last call, and clear it."""
         result = MergeResult(self._changed, tuple(self._contested))
         self._changed = 0
         self._contested = []
--- a/cherrycove/tier/membership/discovery.py
+++ b/cherrycove/tier/membership/discovery.py
@@ -1,4 +1,4 @@
-"""Finds processes that the membership list does not have as running: seeds, and members declared dead."""
+"""Finds processes that the membership list does not have as running: seeds and members declared dead."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class MemberDiscovery:
-    """Pings absent processes, so that a process joins and the sides of a healed partition find each other.
+    """Pings absent processes, so that processes can join and the sides of a healed partition reconnect.
 
     Owned by the ``SwimMachine``. While the local process knows no other member it pings every seed; later a
-    few members per period ping one absent process each. An ack leads to an anti-entropy exchange; a ping
-    without one is forgotten after a period.
+    few members per period ping one absent process each. An ack leads to an anti-entropy exchange; an
+    unanswered ping is forgotten after a period.
     """
 
     def __init__(
@@ -27,33 +27,33 @@
         seeds: frozenset[str],
         now: float,
     ) -> None:
-        """Look for ``seeds`` (host:port, without that of the local process) from ``now`` on."""
+        """Ping ``seeds`` (host:port, without the local process) from ``now`` on."""
         self._members = members
         self._outbox = outbox
         self._parameters = parameters
         self._rng = rng
         self._seeds = tuple(sorted(seeds))
-        self._seed_contact_at = now
-        self._expected_acks: dict[int, float] = {}  # sequence number of a ping, and when it expires
+        self._next_seed_ping_at = now
+        self._expected_acks: dict[int, float] = {}  # by sequence number of the ping: when it expires
 
     def ping_seeds_if_isolated(self, now: float) -> None:
         """Ping every seed while no other member is known."""
-        if self._members.table.running_count > 1 or now < self._seed_contact_at:
+        if self._members.table.running_count > 1 or now < self._next_seed_ping_at:
             return
         period_s = self._parameters.period_s
-        self._seed_contact_at = now + self._parameters.seed_contact_periods * period_s
+        self._next_seed_ping_at = now + self._parameters.seed_ping_periods * period_s
         for seed in self._seeds:
             self._outbox.ping_address(seed, self._expect_ack(now))
 
     def ping_absent_process(self, now: float) -> None:
-        """Ping one seed at which no member runs, or one member that was declared dead.
+        """Ping one seed without a running member, or one member that was declared dead.
 
-        Called once per period. Each member decides at random, so that the group sends about
-        ``contacts_per_period`` of these pings per period however large it is.
+        Called once per period. Each member decides at random whether to ping, so that the group sends about
+        ``discovery_pings_per_period`` of these pings per period, whatever its size.
         """
         self._expire_acks(now)
         draw = self._rng.random() * self._members.table.running_count
-        if draw >= self._parameters.contacts_per_period:
+        if draw >= self._parameters.discovery_pings_per_period:
             return
         absent = self._absent_processes()
         if not absent:
@@ -67,23 +67,23 @@
             self._outbox.ping(status, sequence)
 
     def ping_contested(self, status: MemberStatus, now: float) -> None:
-        """Send a member the status that another process has of it, which it may refute."""
+        """Send a member the status in which another process has it, so that the member can refute it."""
         self._outbox.ping(status, self._expect_ack(now))
 
     def handle_ack(self, sequence: int) -> bool:
-        """Return whether an ack answers a ping of this object; it is not expected any more."""
+        """Return whether an ack answers a ping of this object, and stop expecting that ack."""
         return self._expected_acks.pop(sequence, None) is not None
 
     def next_deadline(self) -> float:
-        """Return when ``ping_seeds_if_isolated`` has something to do next."""
-        return self._seed_contact_at if self._members.table.running_count == 1 else NEVER
+        """Return when the seeds are pinged next; NEVER while another member is known."""
+        return self._next_seed_ping_at if self._members.table.running_count == 1 else NEVER
 
     def postpone(self, delay_s: float) -> None:
-        """Move the timer after a stall of the local process."""
-        self._seed_contact_at += delay_s
+        """Postpone the timer after a stall of the local process."""
+        self._next_seed_ping_at += delay_s
 
     def _absent_processes(self) -> dict[str, MemberStatus | None]:
-        """Return the addresses without a running member, with the dead member known there."""
+        """Return the addresses without a running member, each with the dead member known there, if any."""
         table = self._members.table
         absent: dict[str, MemberStatus | None] = dict.fromkeys(self._seeds)
         absent |= {self._outbox.address_of(status.member): status for status in table.dead()}
--- a/cherrycove/tier/membership/dissemination.py
+++ b/cherrycove/tier/membership/dissemination.py
@@ -10,8 +10,8 @@
 from cherrycove.tier.membership.members import MemberKey, MemberStatus
 from cherrycove.tier.protocol.membership_pb2 import Update
 
-UPDATE_OVERHEAD_BYTES = 3  # tag and length of one entry of a datagram
-CANDIDATES_PER_DATAGRAM = 24  # more than fit into one datagram
+UPDATE_OVERHEAD_BYTES = 3  # tag and length prefix of one update in a datagram
+CANDIDATES_PER_DATAGRAM = 24  # more updates than fit into one datagram
 
 
 @attrs.define
@@ -22,17 +22,17 @@
 
 
 class DisseminationQueue:
-    """The newest update of each member, until it has been sent often enough.
+    """Holds the newest update of each member until it has been sent the maximum number of times.
 
-    Owned by the ``MembershipList``. An update that is lost with all its datagrams reaches the other members
-    by an anti-entropy exchange.
+    Owned by the ``MembershipList``. An update whose datagrams are all lost reaches the other members by an
+    anti-entropy exchange.
     """
 
     def __init__(self) -> None:
         self._pending: dict[MemberKey, _PendingUpdate] = {}
 
     def add(self, status: MemberStatus) -> None:
-        """Spread ``status``; it replaces an older update of the same member."""
+        """Queue ``status`` for dissemination; it replaces an older update of the same member."""
         update = status.to_update()
         size_bytes = update.ByteSize() + UPDATE_OVERHEAD_BYTES
         self._pending[status.member.key] = _PendingUpdate(update, size_bytes)
@@ -40,8 +40,8 @@
     def take(self, available_bytes: int, max_transmissions: int) -> list[Update]:
         """Return updates for one datagram, those sent least often first (SWIM, section 4.1).
 
-        They fit into ``available_bytes``. An update leaves the queue with its ``max_transmissions``-th
-        transmission.
+        They fit into ``available_bytes``. An update is removed from the queue with its
+        ``max_transmissions``-th transmission.
         """
         if not self._pending:
             return []
@@ -60,7 +60,7 @@
         return taken
 
     def discard(self, keys: Iterable[MemberKey]) -> None:
-        """Stop spreading the updates of these members."""
+        """Remove the updates of these members from the queue."""
         for key in keys:
             self._pending.pop(key, None)
 
--- a/cherrycove/tier/membership/effects.py
+++ b/cherrycove/tier/membership/effects.py
@@ -1,4 +1,4 @@
-"""Effects of the membership machine: what its runtime sends, starts and reports."""
+"""Effects that the membership state machine returns and its runtime carries out."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 class StartExchange:
     """Run one anti-entropy exchange with the process at ``address``."""
 
-    address: str  # host:port of its internal calls
+    address: str  # host:port at which it serves internal calls
 
 
 @attrs.frozen
 class MemberChanged:
     """The status of another member has changed in the local membership list."""
 
-    previous: MemberStatus | None  # None: it was not in the list
+    previous: MemberStatus | None  # None if the member was not in the list
     current: MemberStatus
 
     @property
     def is_join(self) -> bool:
-        """Whether a member runs now that did not run before, as far as known here."""
+        """Whether the local list now has the member as running and did not before."""
         return self.current.state.is_running and (self.previous is None or not self.previous.state.is_running)
 
     @property
-    def is_visible(self) -> bool:
-        """Whether the set of running processes differs: a suspected member still counts as running."""
+    def alters_running_processes(self) -> bool:
+        """Whether the set of running processes changes; a suspected member counts as running."""
         if self.previous is None or self.previous.state.is_running != self.current.state.is_running:
             return True
         return (
--- a/cherrycove/tier/membership/errors.py
+++ b/cherrycove/tier/membership/errors.py
@@ -2,8 +2,8 @@
 
 
 class MembershipError(Exception):
-    """Base of all errors that this package raises."""
+    """Base class of all errors that this package raises."""
 
 
 class InvalidMessageError(MembershipError, ValueError):
-    """The sender's fault: no correct process of the tier sends such a datagram, request or reply."""
+    """Raised for a datagram, request or reply that no correct process of the tier sends."""
--- a/cherrycove/tier/membership/failure_detector.py
+++ b/cherrycove/tier/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""The failure detector of SWIM: direct and indirect probes, and pings of suspected members."""
+"""The failure detector of SWIM, which probes members directly and indirectly and pings suspected ones."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 class FailureDetector:
     """Probes one member per period, and relays the probes of others (SWIM, section 3.1).
 
-    Owned by the ``SwimMachine``. A probe goes from direct pings to pings through other members, and ends with
-    an ack or with the suspicion of its target. One probe is in flight at most.
+    Owned by the ``SwimMachine``. A probe starts with a direct ping, continues with pings through other
+    members and ends with an ack or the suspicion of its target. At most one probe is in flight.
     """
 
     def __init__(
@@ -26,16 +26,16 @@
         self._outbox = outbox
         self._parameters = parameters
         self._rng = rng
-        self._order = ProbeOrder(rng)
+        self._probe_order = ProbeOrder(rng)
         self._probe: Probe | None = None
         self._relayed: dict[int, RelayedPing] = {}  # by the sequence number of the ping
 
     # Own probes
 
     def start_probe(self, now: float) -> None:
-        """Ping the next member of the order; the previous probe has ended or is dropped."""
+        """Ping the next member in probe order; a previous probe that has not ended is dropped."""
         keys = [status.member.key for status in self._members.table.peers()]
-        key = self._order.next(keys)
+        key = self._probe_order.next(keys)
         status = self._members.table.get(key) if key is not None else None
         if status is None:
             return
@@ -47,7 +47,7 @@
         self._outbox.ping(status, sequence)
 
     def check_probe(self, now: float) -> None:
-        """Probe a member that does not answer through others; suspect it once the probe expires."""
+        """Probe an unresponsive target through other members; suspect it once the probe expires."""
         probe = self._probe
         if probe is None:
             return
@@ -66,11 +66,11 @@
         if probe.indirect_sequence is None:
             probe.indirect_sequence = self._outbox.next_sequence()
         others = [peer for peer in self._members.table.peers() if peer.member.key != probe.target.key]
-        for helper in sample(self._rng, others, self._parameters.indirect_members):
-            self._outbox.indirect_ping(helper, status.member, probe.indirect_sequence)
+        for relay in sample(self._rng, others, self._parameters.indirect_members):
+            self._outbox.indirect_ping(relay, status.member, probe.indirect_sequence)
 
     def check_suspicions(self, now: float) -> None:
-        """Declare expired suspects dead, and ping the others, whose refutation may have been lost."""
+        """Declare expired suspects dead; ping the others, whose refutations may have been lost."""
         self._members.expire_suspicions(now)
         for key, suspicion in self._members.suspicions.items():
             status = self._members.table.get(key)
@@ -80,19 +80,19 @@
             self._outbox.ping(status, self._outbox.next_sequence())
 
     def add_member(self, key: MemberKey) -> None:
-        """Add a member that has joined to the order of the probes."""
-        self._order.insert(key)
+        """Insert a member that has joined into the probe order."""
+        self._probe_order.insert(key)
 
     def probe_next(self, key: MemberKey) -> None:
         """Probe this member in the next period."""
-        self._order.insert_next(key)
+        self._probe_order.insert_next(key)
 
     # Probes of other members
 
     def relay_ping(self, requester: str, request: IndirectPing, now: float) -> None:
         """Ping the target of an indirect ping that came from ``requester`` (host:port).
 
-        Raises InvalidMessageError for a target that no process could be.
+        Raises InvalidMessageError if the target is not a valid member.
         """
         target = MemberStatus(Member.from_record(request.target), MemberState.ALIVE)
         sequence = self._outbox.next_sequence()
@@ -107,7 +107,7 @@
     # Acks and timers
 
     def handle_ack(self, sender: MemberKey, sequence: int) -> bool:
-        """Take an ack of a probe or of a relayed ping; returns False for any other one."""
+        """Handle an ack of a probe or of a relayed ping; return False for any other ack."""
         relayed = self._relayed.get(sequence)
         if self._probe is not None and self._probe.is_answered_by(sender, sequence):
             self._probe = None
@@ -119,12 +119,12 @@
         return False
 
     def next_deadline(self) -> float:
-        """Return when ``check_probe`` or ``check_suspicions`` has something to do next."""
+        """Return when ``check_probe`` or ``check_suspicions`` is due next; NEVER if neither is."""
         probe_at = NEVER if self._probe is None else min(self._probe.retry_at, self._probe.expires_at)
         return min(probe_at, self._members.next_suspicion_deadline())
 
     def postpone(self, delay_s: float) -> None:
-        """Move the timers of the probe and the suspicions after a stall of the local process."""
+        """Postpone the timers of the probe and the suspicions after a stall of the local process."""
         if self._probe is not None:
             self._probe.postpone(delay_s)
         for suspicion in self._members.suspicions.values():
--- a/cherrycove/tier/membership/gossip.py
+++ b/cherrycove/tier/membership/gossip.py
@@ -1,6 +1,6 @@
-"""Datagrams that only carry updates, sent while there are any.
+"""Sends datagrams that carry only updates, while there are updates to disseminate.
 
-SWIM piggybacks updates on probes alone (section 4.1); datagrams of their own spread them faster, as in
+SWIM piggybacks updates on probes alone (section 4.1); dedicated datagrams spread them faster, as in
 memberlist, the implementation that Lifeguard extends.
 """
 
@@ -28,21 +28,21 @@
         self._outbox = outbox
         self._parameters = parameters
         self._rng = rng
-        self._gossip_at = now
+        self._next_gossip_at = now
 
     def send_if_due(self, now: float) -> None:
-        """Send one round of gossip if its time has come and there are updates to spread."""
-        if now < self._gossip_at or not self._members.queue:
+        """Send one round of gossip if it is due and there are updates to disseminate."""
+        if now < self._next_gossip_at or not self._members.queue:
             return
-        self._gossip_at = now + self._parameters.gossip_periods * self._parameters.period_s
+        self._next_gossip_at = now + self._parameters.gossip_periods * self._parameters.period_s
         for status in sample(self._rng, self._members.table.peers(), self._parameters.gossip_members):
             if self._members.queue:
                 self._outbox.gossip(status)
 
     def next_deadline(self) -> float:
-        """Return when ``send_if_due`` has something to do next."""
-        return self._gossip_at if self._members.queue else NEVER
+        """Return when the next round is due; NEVER while there are no updates."""
+        return self._next_gossip_at if self._members.queue else NEVER
 
     def postpone(self, delay_s: float) -> None:
-        """Move the timer after a stall of the local process."""
-        self._gossip_at += delay_s
+        """Postpone the timer after a stall of the local process."""
+        self._next_gossip_at += delay_s
--- a/cherrycove/tier/membership/machine.py
+++ b/cherrycove/tier/membership/machine.py
@@ -1,9 +1,9 @@
-"""The SWIM protocol of one process as a machine without input or output: time and messages in, effects out.
+"""The SWIM protocol of one process as a state machine without I/O: time and messages in, effects out.
 
 Each period one member is probed, first directly and then through others (SWIM, section 3.1). A member that
 does not answer is suspected, and declared dead unless it refutes in time (section 4.2). Updates are
-piggybacked on the datagrams (section 4.1). Absent seeds and dead members are pinged now and then, and
-anti-entropy repairs what gossip has missed.
+piggybacked on the datagrams (section 4.1). Absent seeds and dead members are pinged occasionally, and
+anti-entropy delivers the updates that gossip has missed.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 from cherrycove.tier.membership.stall import StallDetector
 from cherrycove.tier.protocol.membership_pb2 import Datagram
 
-PERIOD_JITTER = 0.05  # part of the period by which its length varies
+PERIOD_JITTER = 0.05  # fraction of the period by which its length varies in either direction
 
 
 class SwimMachine:
-    """Failure detection, dissemination and discovery of one process.
+    """Runs failure detection, dissemination and discovery for one process.
 
     Owned by the ``MembershipService``, which carries out the effects that each method returns and calls
     ``tick`` at ``next_wakeup``. ``now`` is in seconds of one monotonic clock. The local member is alive from
-    the start and has left after ``leave``; a new start of the process needs a new machine.
+    the start and has left after ``leave``; a restarted process needs a new instance.
     """
 
     def __init__(
@@ -43,9 +43,10 @@
         rng: random.Random,
         now: float,
     ) -> None:
-        """Start the protocol of ``local``; it joins by ``seeds`` (host:port), its own address may be one.
+        """Start the protocol of ``local``, which joins through ``seeds`` (host:port).
 
-        ``address_of`` returns where a member listens (host:port).
+        ``seeds`` may include the address of ``local``. ``address_of`` returns the address at which a member
+        listens (host:port).
         """
         self._parameters = parameters
         self._rng = rng
@@ -59,22 +60,22 @@
         self._anti_entropy = AntiEntropyExchange(self._members)
         self._stall = StallDetector(parameters)
         self._exchanges: list[StartExchange] = []
-        self._period_at = now + rng.random() * parameters.period_s
+        self._next_period_at = now + rng.random() * parameters.period_s
         self._due_at = now
 
     # State
 
     @property
     def local_member(self) -> Member:
-        """The local process, with its present incarnation."""
+        """The local process with its current incarnation."""
         return self._members.local.member
 
     def running_members(self) -> tuple[Member, ...]:
-        """Return the members that run as far as known here, the local one included."""
+        """Return the members that the local list has as running, including the local one."""
         return tuple(status.member for status in self._members.table.running())
 
     def statuses(self) -> tuple[MemberStatus, ...]:
-        """Return every remembered member, also those that left or were declared dead."""
+        """Return every remembered member, including those that left or were declared dead."""
         return self._members.table.statuses()
 
     # Time
@@ -84,13 +85,13 @@
         return self._due_at
 
     def tick(self, now: float) -> list[Effect]:
-        """Do everything that is due."""
+        """Run every timer that is due, or postpone all timers if the local process stalled."""
         if not self._postpone_after_stall(now):
-            self._run_due(now)
+            self._run_due_timers(now)
         return self._take_effects(now)
 
     def leave(self, now: float) -> list[Effect]:
-        """Notify some members that the local process shuts down; they spread it."""
+        """Notify some members that the local process shuts down; they disseminate it."""
         self._members.leave(now)
         peers = self._members.table.peers()
         for status in sample(self._rng, peers, self._parameters.leave_notified_members):
@@ -102,8 +103,8 @@
     def receive(self, now: float, source: str, datagram: Datagram) -> list[Effect]:
         """Handle one datagram that came from ``source`` (host:port).
 
-        Raises InvalidMessageError if no correct process sends it; what preceded the error in it may have
-        been merged.
+        Raises InvalidMessageError if no correct process sends it; the parts of it before the invalid one may
+        have been merged by then.
         """
         self._postpone_after_stall(now)
         sender = MemberStatus(Member.from_record(datagram.sender), MemberState.ALIVE)
@@ -120,24 +121,25 @@
 
     @property
     def anti_entropy(self) -> AntiEntropyExchange:
-        """The messages of an anti-entropy exchange; ``finish_exchange`` acts on what they have brought."""
+        """The messages of an anti-entropy exchange; ``finish_exchange`` acts on their result."""
         return self._anti_entropy
 
     def finish_exchange(self, now: float) -> list[Effect]:
-        """Act on what anti-entropy exchanges have brought since the last call."""
+        """Act on the results of the anti-entropy exchanges since the last call."""
         result = self._anti_entropy.take_result()
         if result.changed or result.contested:
-            self._schedule.hasten(now)
-        for status in sample(self._rng, result.contested, self._parameters.verifications_per_batch):
+            self._schedule.reset_backoff(now)
+        for status in sample(self._rng, result.contested, self._parameters.contested_pings_per_exchange):
             self._discovery.ping_contested(status, now)
             self._detector.probe_next(status.member.key)
         return self._take_effects(now)
 
     def _is_outdated(self, sender: MemberStatus) -> bool:
-        """Return whether a newer update says that the sender does not run any more.
+        """Return whether a newer update says that the sender no longer runs.
 
-        What it sends may be as old: it stood still, or another process of its name has started since. If
-        it runs after all, the receiver view of the next datagram to it makes it refute.
+        The contents of its datagram may then be outdated as well: the sender stalled, or another process of
+        its name has started since. If the sender does run, the receiver view in the next datagram to it makes
+        it refute.
         """
         known = self._members.table.get(sender.member.key)
         return known is not None and not known.state.is_running and known.precedence > sender.precedence
@@ -155,16 +157,16 @@
         if self._detector.handle_ack(sender.key, sequence):
             return
         if self._discovery.handle_ack(sequence):
-            self._schedule.hasten(now)
+            self._schedule.reset_backoff(now)
             self._exchanges.append(StartExchange(source))
 
     # Timers
 
-    def _run_due(self, now: float) -> None:
+    def _run_due_timers(self, now: float) -> None:
         self._detector.check_probe(now)
         self._detector.check_suspicions(now)
         self._discovery.ping_seeds_if_isolated(now)
-        if now >= self._period_at:
+        if now >= self._next_period_at:
             self._start_period(now)
         if now >= self._schedule.due_at:
             self._start_exchange(now)
@@ -172,8 +174,8 @@
 
     def _start_period(self, now: float) -> None:
         period_s = self._parameters.period_s
-        self._period_at = now + period_s * (1.0 + PERIOD_JITTER * (2.0 * self._rng.random() - 1.0))
-        self._members.table.remove_ended(now - self._parameters.tombstone_periods * period_s)
+        self._next_period_at = now + period_s * (1.0 + PERIOD_JITTER * (2.0 * self._rng.random() - 1.0))
+        self._members.table.remove_tombstones(now - self._parameters.tombstone_periods * period_s)
         self._detector.expire_relayed_pings(now)
         self._detector.start_probe(now)
         self._discovery.ping_absent_process(now)
@@ -184,11 +186,11 @@
             self._exchanges.append(StartExchange(self._outbox.address_of(status.member)))
 
     def _postpone_after_stall(self, now: float) -> bool:
-        """Postpone every timer if the local process stalled; returns whether it did."""
+        """Postpone every timer if the local process stalled; return whether it stalled."""
         delay_s = self._stall.delay_s(now, self._due_at)
         if delay_s == 0.0:
             return False
-        self._period_at += delay_s
+        self._next_period_at += delay_s
         self._detector.postpone(delay_s)
         self._gossip.postpone(delay_s)
         self._discovery.postpone(delay_s)
@@ -197,7 +199,7 @@
 
     def _next_deadline(self) -> float:
         return min(
-            self._period_at,
+            self._next_period_at,
             self._schedule.due_at,
             self._detector.next_deadline(),
             self._gossip.next_deadline(),
--- a/cherrycove/tier/membership/member_table.py
+++ b/cherrycove/tier/membership/member_table.py
@@ -1,4 +1,4 @@
-"""The known members, with digests by which two processes compare their tables."""
+"""The table of known members, with digests by which two processes compare their tables."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 def bucket_of(key: MemberKey) -> int:
-    """Return the bucket of a member (0 to ``DIGEST_BUCKETS`` - 1); it is the same in every process."""
+    """Return the bucket of a member (0 to ``DIGEST_BUCKETS`` - 1), which is the same in every process."""
     return zlib.crc32(f"{key.node_name}/{key.program}".encode()) % DIGEST_BUCKETS
 
 
 def _digest_of(status: MemberStatus) -> int:
-    """Return a hash of what two converged tables have in common; members that do not run add nothing."""
+    """Return a hash of the parts that converged tables have in common; 0 for a member that does not run."""
     if not status.state.is_running:
         return 0
     member = status.member
@@ -27,11 +27,11 @@
 
 
 class MemberTable:
-    """Every known member, the local one included.
+    """Holds the status of every known member, including the local one.
 
-    Owned by the ``MembershipList``. Members that do not run any more stay as tombstones until they are
-    removed, so that an old update does not bring them back. The digest of a bucket is the XOR of its
-    members' digests, which makes a change cheap.
+    Owned by the ``MembershipList``. Members that no longer run stay as tombstones until they are removed, so
+    that an old update does not add them again. The digest of a bucket is the XOR of its members' digests, so
+    that a change of one member updates it without hashing the others.
     """
 
     def __init__(self, local: MemberStatus) -> None:
@@ -39,15 +39,15 @@
         self._statuses: dict[MemberKey, MemberStatus] = {}
         self._buckets: list[set[MemberKey]] = [set() for _ in range(DIGEST_BUCKETS)]
         self._digests = [0] * DIGEST_BUCKETS
-        self._ended_at: dict[MemberKey, float] = {}  # tombstones: when the member was found not to run
+        self._tombstoned_at: dict[MemberKey, float] = {}  # when the member was recorded as not running
         self.put(local, 0.0)
 
     def get(self, key: MemberKey) -> MemberStatus | None:
-        """Return the status of a member, None where it is not known."""
+        """Return the status of a member, None if it is not known."""
         return self._statuses.get(key)
 
     def put(self, status: MemberStatus, now: float) -> None:
-        """Replace the status of one member."""
+        """Add or replace the status of one member."""
         key = status.member.key
         bucket = bucket_of(key)
         previous = self._statuses.get(key)
@@ -57,42 +57,42 @@
         self._buckets[bucket].add(key)
         self._statuses[key] = status
         if status.state.is_running:
-            self._ended_at.pop(key, None)
+            self._tombstoned_at.pop(key, None)
         else:
-            self._ended_at[key] = now
+            self._tombstoned_at[key] = now
 
-    def remove_ended(self, before: float) -> None:
-        """Remove the tombstones that are older than ``before``."""
-        removed = [key for key, ended_at in self._ended_at.items() if ended_at < before]
+    def remove_tombstones(self, before: float) -> None:
+        """Remove the tombstones recorded earlier than ``before``."""
+        removed = [key for key, tombstoned_at in self._tombstoned_at.items() if tombstoned_at < before]
         for key in removed:
-            del self._ended_at[key]
+            del self._tombstoned_at[key]
             del self._statuses[key]
             self._buckets[bucket_of(key)].discard(key)
 
     @property
     def running_count(self) -> int:
-        """The number of running members, the local one included."""
-        return len(self._statuses) - len(self._ended_at)
+        """The number of running members, including the local one."""
+        return len(self._statuses) - len(self._tombstoned_at)
 
     def running(self) -> Iterator[MemberStatus]:
-        """Return the running members, the local one included."""
+        """Return the running members, including the local one."""
         return (status for status in self._statuses.values() if status.state.is_running)
 
     def peers(self) -> list[MemberStatus]:
-        """Return the running members without the local one."""
+        """Return the running members except the local one."""
         return [status for status in self.running() if status.member.key != self._local_key]
 
     def dead(self) -> list[MemberStatus]:
         """Return the members that were declared dead and are still remembered."""
-        ended = (self._statuses[key] for key in self._ended_at)
-        return [status for status in ended if status.state is MemberState.DEAD]
+        tombstones = (self._statuses[key] for key in self._tombstoned_at)
+        return [status for status in tombstones if status.state is MemberState.DEAD]
 
     def statuses(self) -> tuple[MemberStatus, ...]:
-        """Return every known member, also the tombstones."""
+        """Return every known member, including the tombstones."""
         return tuple(self._statuses.values())
 
     def digests(self) -> tuple[int, ...]:
-        """Return one hash per bucket; equal where two tables agree on the running members."""
+        """Return one digest per bucket; equal in two tables that agree on the running members."""
         return tuple(self._digests)
 
     def differing_buckets(self, digests: Sequence[int]) -> list[int]:
@@ -102,6 +102,6 @@
         return [bucket for bucket in range(DIGEST_BUCKETS) if digests[bucket] != self._digests[bucket]]
 
     def in_buckets(self, buckets: Sequence[int]) -> list[MemberStatus]:
-        """Return every known member of these buckets; numbers of no bucket are ignored."""
+        """Return every known member of these buckets; bucket numbers out of range are ignored."""
         known = [bucket for bucket in buckets if bucket < DIGEST_BUCKETS]
         return [self._statuses[key] for bucket in known for key in self._buckets[bucket]]
--- a/cherrycove/tier/membership/members.py
+++ b/cherrycove/tier/membership/members.py
@@ -12,7 +12,7 @@
 from cherrycove.tier.protocol.membership_pb2 import MemberRecord, ReceiverView, Update
 from cherrycove.tier.settings import PORT_OFFSETS
 
-INCARNATION_LIMIT = 1 << 62  # far above any real counter, so that a member can always raise its own
+INCARNATION_LIMIT = 1 << 62  # far above any real incarnation, so that a member can always raise its own
 
 
 class MemberState(IntEnum):
@@ -23,8 +23,8 @@
 
     ALIVE = 0
     SUSPECT = 1
-    DEAD = 2  # SWIM's "faulty", spread by "confirm"
-    LEFT = 3  # it notified others that it shuts down
+    DEAD = 2  # SWIM's "faulty", disseminated by its "confirm" messages
+    LEFT = 3  # the member notified others that it shuts down
 
     @property
     def is_running(self) -> bool:
@@ -41,7 +41,7 @@
 
 
 class MemberKey(NamedTuple):
-    """The name of a member, which stays the same when its process restarts."""
+    """Identifies a member by its name, which stays the same when its process restarts."""
 
     node_name: str
     program: str
@@ -49,7 +49,7 @@
 
 @attrs.frozen(kw_only=True)
 class Member:
-    """One process of the tier, as it describes itself."""
+    """Describes one process of the tier, with the values that the process itself announces."""
 
     node_name: str
     program: str
@@ -66,14 +66,14 @@
 
     @property
     def precedence(self) -> tuple[int, str]:
-        """The order of two descriptions of one member: a higher value is newer.
+        """The sort key of descriptions of one member: the one with the higher value is newer.
 
-        The process id only decides between two starts that have the same incarnation.
+        The process id only decides between two processes that have the same incarnation.
         """
         return self.incarnation, self.process_id
 
     def to_record(self) -> MemberRecord:
-        """Return this member as it is sent."""
+        """Return the record in which this member is sent."""
         return MemberRecord(
             node_name=self.node_name,
             program=self.program,
@@ -86,9 +86,9 @@
 
     @staticmethod
     def from_record(record: MemberRecord) -> Member:
-        """Return the member in a message.
+        """Return the member that a record of a message describes.
 
-        Raises InvalidMessageError if no process of the tier describes itself so.
+        Raises InvalidMessageError if no process of the tier sends such a record.
         """
         if not (record.node_name and record.process_id and record.program in PORT_OFFSETS):
             raise InvalidMessageError("a member needs a name, a process id and a known program")
@@ -106,7 +106,7 @@
 
 
 def check_incarnation(incarnation: int) -> None:
-    """Raise InvalidMessageError for an incarnation that no correct member reaches."""
+    """Raise InvalidMessageError for an incarnation that no correct member can reach."""
     if incarnation >= INCARNATION_LIMIT:
         raise InvalidMessageError(f"incarnation {incarnation} is too high")
 
@@ -120,27 +120,27 @@
 
 @attrs.frozen
 class MemberStatus:
-    """A member and the state that it is taken to be in."""
+    """Combines a member with the state in which some process has recorded it."""
 
     member: Member
     state: MemberState
 
     @property
     def precedence(self) -> tuple[int, str, int]:
-        """The order of two statuses of one member: a higher value overrides a lower one."""
+        """The sort key of statuses of one member: a higher value overrides a lower one."""
         return *self.member.precedence, self.state
 
     def to_update(self) -> Update:
-        """Return this status as an update that is piggybacked on datagrams."""
+        """Return this status as an update to piggyback on datagrams."""
         return Update(member=self.member.to_record(), state=self.state.name)
 
     @staticmethod
     def from_update(update: Update) -> MemberStatus:
-        """Return the status in an update; raises InvalidMessageError where it is invalid."""
+        """Return the status in an update; raises InvalidMessageError for an invalid one."""
         return MemberStatus(Member.from_record(update.member), MemberState.from_wire(update.state))
 
     def to_receiver_view(self) -> ReceiverView:
-        """Return this status as a datagram to the member itself carries it."""
+        """Return this status in the form that datagrams to the member itself carry."""
         return ReceiverView(
             process_id=self.member.process_id,
             incarnation=self.member.incarnation,
--- a/cherrycove/tier/membership/outbox.py
+++ b/cherrycove/tier/membership/outbox.py
@@ -13,15 +13,15 @@
 
 
 def sample(rng: random.Random, statuses: Sequence[MemberStatus], count: int) -> list[MemberStatus]:
-    """Return ``count`` different members at random, or all where there are fewer."""
+    """Return ``count`` different members at random, or all of them if there are fewer."""
     return rng.sample(statuses, min(count, len(statuses)))
 
 
 class Outbox:
-    """The datagrams to be sent, in order, and the numbers by which acks are matched to pings.
+    """Collects the datagrams to send and numbers the pings, so that acks can be matched to them.
 
     Owned by the ``SwimMachine``, which empties it after each event. Every datagram to a known
-    member but a relayed ack carries the state in which the sender has it.
+    member, except a relayed ack, carries the state in which the sender has that member.
     """
 
     def __init__(
@@ -34,13 +34,13 @@
         self._pending: list[SendDatagram] = []
 
     def take(self) -> list[SendDatagram]:
-        """Return the datagrams since the last call."""
+        """Return the datagrams built since the last call, in order, and clear them."""
         pending = self._pending
         self._pending = []
         return pending
 
     def address_of(self, member: Member) -> str:
-        """Return where a member listens (host:port), for datagrams as for internal calls."""
+        """Return the address (host:port) at which a member takes both datagrams and internal calls."""
         return self._address_of(member)
 
     def next_sequence(self) -> int:
@@ -64,17 +64,17 @@
         self._send(address, Datagram(receiver=view, ack=Ack(sequence=sequence)))
 
     def relayed_ack(self, address: str, sequence: int) -> None:
-        """Answer an indirect ping: its target has answered this process (SWIM, section 3.1)."""
+        """Answer an indirect ping whose target has answered this process (SWIM, section 3.1)."""
         self._send(address, Datagram(ack=Ack(sequence=sequence)))
 
-    def indirect_ping(self, helper: MemberStatus, target: Member, sequence: int) -> None:
-        """Ask ``helper`` to ping ``target``: SWIM's ping-req (section 3.1)."""
+    def indirect_ping(self, relay: MemberStatus, target: Member, sequence: int) -> None:
+        """Ask ``relay`` to ping ``target``; this is SWIM's ping-req (section 3.1)."""
         request = IndirectPing(sequence=sequence, target=target.to_record())
-        datagram = Datagram(receiver=helper.to_receiver_view(), indirect_ping=request)
-        self._send(self.address_of(helper.member), datagram)
+        datagram = Datagram(receiver=relay.to_receiver_view(), indirect_ping=request)
+        self._send(self.address_of(relay.member), datagram)
 
     def gossip(self, receiver: MemberStatus) -> None:
-        """Send a datagram that only carries updates."""
+        """Send a datagram that carries only updates."""
         self._send(self.address_of(receiver.member), Datagram(receiver=receiver.to_receiver_view()))
 
     def _send(self, address: str, datagram: Datagram) -> None:
--- a/cherrycove/tier/membership/probing.py
+++ b/cherrycove/tier/membership/probing.py
@@ -11,13 +11,13 @@
 
 @attrs.define
 class Probe:
-    """The probe of the current period; times are seconds of the machine's clock."""
+    """Holds the probe of the current period; times are seconds of the clock that callers pass as ``now``."""
 
     target: Member
     sequence: int
-    retry_at: float  # when it is pinged again, directly and through other members
-    expires_at: float  # when it is suspected
-    indirect_sequence: int | None = None  # of the acks that other members relay
+    retry_at: float  # when the target is pinged again, directly and through other members
+    expires_at: float  # when the target is suspected
+    indirect_sequence: int | None = None  # sequence number of the acks that other members relay
 
     def is_answered_by(self, sender: MemberKey, sequence: int) -> bool:
         """Return whether an ack proves that the target runs.
@@ -29,14 +29,14 @@
         return sequence == self.indirect_sequence
 
     def postpone(self, delay_s: float) -> None:
-        """Move both timers after a stall of the local process."""
+        """Postpone both timers after a stall of the local process."""
         self.retry_at += delay_s
         self.expires_at += delay_s
 
 
 @attrs.frozen
 class RelayedPing:
-    """A ping sent on behalf of another member, which gets a relayed ack."""
+    """Describes a ping that is sent for another member, to which the ack is relayed."""
 
     requester: str  # host:port
     requester_sequence: int
@@ -45,14 +45,14 @@
 
 
 class ProbeOrder:
-    """Round robin over all members in an order that is shuffled after each traversal (SWIM, section 4.3).
+    """Iterates round robin over all members, in an order shuffled after each traversal (SWIM, section 4.3).
 
     It bounds the time within which every member is probed. Owned by the ``FailureDetector``.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._order: list[MemberKey] = []  # the next member to probe is the last one
+        self._order: list[MemberKey] = []  # reversed: the last entry is probed next
 
     def insert(self, key: MemberKey) -> None:
         """Add a new member at a random position of the current traversal."""
@@ -63,7 +63,7 @@
         self._order.append(key)
 
     def next(self, running: list[MemberKey]) -> MemberKey | None:
-        """Return the member to probe now, one of ``running``; None where there is none."""
+        """Return the member of ``running`` to probe now; None if ``running`` is empty."""
         eligible = set(running)
         while self._order:
             key = self._order.pop()
--- a/cherrycove/tier/membership/service.py
+++ b/cherrycove/tier/membership/service.py
@@ -1,4 +1,4 @@
-"""Runs the membership machine of one process: datagrams, timers, and the calls of anti-entropy."""
+"""Runs the membership state machine of one process: datagrams, timers and anti-entropy calls."""
 
 from __future__ import annotations
 
@@ -38,11 +38,11 @@
 
 
 class MembershipService:
-    """Membership of one process of the tier.
+    """Maintains the membership list of one process of the tier.
 
     Owned by the process, which starts and stops it; it owns the socket, the timer and the tasks of its
     exchanges. Before ``start`` and after ``stop`` the only member is the local one, and calls of peers are
-    answered as unavailable. Lost datagrams and failed calls are not reported: the protocol repeats them.
+    answered as unavailable. Lost datagrams and failed calls are not reported: the protocol sends again.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         client: Caller,
         rng: random.Random,
     ) -> None:
-        """Register the calls of anti-entropy at ``server``; ``process_id`` is new at each start."""
+        """Register the anti-entropy calls at ``server``; ``process_id`` must be new at each start."""
         self._settings = settings
         self._client = client
         self._rng = rng
@@ -65,7 +65,7 @@
             zone=settings.zone,
             region=settings.region,
             process_id=process_id,
-            incarnation=time.time_ns() // 1_000_000,  # above that of the previous process of this name
+            incarnation=time.time_ns() // 1_000_000,  # ms since the epoch: above that of the previous process
         )
         self._machine: SwimMachine | None = None
         self._transport: asyncio.DatagramTransport | None = None
@@ -76,7 +76,7 @@
         server.register(MERGE, self._handle_merge)
 
     async def start(self) -> None:
-        """Listen for datagrams and begin to join; raises OSError where the address cannot be bound."""
+        """Listen for datagrams and begin to join; raises OSError if the address cannot be bound."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: _DatagramReceiver(self._receive),
@@ -88,7 +88,7 @@
         self._arm_timer()
 
     async def stop(self, *, leave: bool) -> None:
-        """Stop; with ``leave``, some members are notified that this process shuts down."""
+        """Stop; with ``leave``, notify some members that this process shuts down."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -104,15 +104,15 @@
             self._transport = None
 
     def members(self) -> tuple[Member, ...]:
-        """Return the processes that run as far as known here, the local one included."""
+        """Return the processes that the local list has as running, including the local one."""
         return self._machine.running_members() if self._machine is not None else (self._local,)
 
     def statuses(self) -> tuple[MemberStatus, ...]:
-        """Return every remembered process with its state; empty while the service is stopped."""
+        """Return every remembered process with its state; empty while the service is not running."""
         return self._machine.statuses() if self._machine is not None else ()
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call ``listener`` after each change of ``members``."""
+        """Register ``listener``, which is called after each change of ``members``."""
         self._listeners.append(listener)
 
     # Datagrams
@@ -132,7 +132,7 @@
     # Timer and effects
 
     def _arm_timer(self) -> None:
-        """Wake up when the machine is due; an earlier timer stays, since an early tick does nothing."""
+        """Schedule the next tick; an earlier timer is kept, since an early tick does nothing."""
         if self._machine is None:
             return
         due_at = self._machine.next_wakeup()
@@ -148,17 +148,17 @@
             self._carry_out(self._machine.tick(asyncio.get_running_loop().time()))
 
     def _carry_out(self, effects: list[Effect]) -> None:
-        visible_changes = []
+        membership_changes = []
         for effect in effects:
             if isinstance(effect, SendDatagram):
                 self._send(effect)
             elif isinstance(effect, StartExchange):
                 self._start_exchange(effect.address)
-            elif effect.is_visible:
-                visible_changes.append(effect)
+            elif effect.alters_running_processes:
+                membership_changes.append(effect)
                 _log_change(effect)
         self._arm_timer()
-        if visible_changes:
+        if membership_changes:
             self._notify_listeners()
 
     def _send(self, effect: SendDatagram) -> None:
@@ -227,7 +227,7 @@
         self._receive(data, f"{addr[0]}:{addr[1]}")
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore that nobody listens at an address; the probe's time-out shows the same."""
+        """Ignore that no process listens at an address; the time-out of the probe detects it too."""
 
 
 def _socket_address(address: str) -> tuple[str, int]:
@@ -243,11 +243,11 @@
         "ip": member.ip,
         "incarnation": member.process_id,
     }
-    _log.info(_event_of(change), extra=details)
+    _log.info(_event_name(change), extra=details)
 
 
-def _event_of(change: MemberChanged) -> str:
-    """Return the log event of a visible change."""
+def _event_name(change: MemberChanged) -> str:
+    """Return the log event of a change to the set of running processes."""
     if change.is_join:
         return "member_joined"
     if change.current.state is MemberState.LEFT:
--- a/cherrycove/tier/membership/stall.py
+++ b/cherrycove/tier/membership/stall.py
@@ -1,4 +1,4 @@
-"""Detects that the local process itself stood still, as Lifeguard's local health awareness does."""
+"""Detects stalls of the local process, as Lifeguard's local health awareness does."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class StallDetector:
-    """Tells from the lateness of the timers whether the local process stalled.
+    """Infers from the lateness of the timers whether the local process stalled.
 
     Owned by the ``SwimMachine``. After a stall, acks and refutations may lie unread in the socket, so no
     deadline that passed meanwhile counts against another member.
@@ -15,13 +15,15 @@
     def __init__(self, parameters: SwimParameters) -> None:
         self._period_s = parameters.period_s
         self._limit_s = parameters.stall_periods * parameters.period_s
-        self._has_stalled = False  # at the last timer
+        self._has_stalled = False  # whether the previous timer showed a stall
 
     def delay_s(self, now: float, due_at: float) -> float:
-        """Return by how much to postpone all timers, of which the first was due at ``due_at``; 0: no stall.
+        """Return by how many seconds to postpone all timers; 0 if there was no stall.
 
-        After one stall only a timer that is late by a whole period counts as another one: a process that
-        is merely slow would otherwise postpone its timers for ever.
+        The first of the timers was due at ``due_at``.
+
+        Directly after a stall only a timer that is late by more than a whole period counts as another stall:
+        a process that is merely slow would otherwise postpone its timers for ever.
         """
         lateness_s = now - due_at
         limit_s = self._period_s if self._has_stalled else self._limit_s
--- a/tests/tier/test_membership_service.py
+++ b/tests/tier/test_membership_service.py
@@ -1,4 +1,4 @@
-"""Membership with real datagrams and calls on loopback."""
+"""Tests MembershipService with real datagrams and calls on loopback."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
     client: RpcClient
     changed: asyncio.Event = attrs.field(factory=asyncio.Event)
 
-    async def until(self, condition: Callable[[], bool]) -> None:
-        """Wait for the change of members after which ``condition`` holds."""
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
+        """Wait until ``condition`` holds; it is checked after each change of members."""
         async with asyncio.timeout(WAIT_S):
             while not condition():
                 self.changed.clear()
                 await self.changed.wait()
 
-    async def until_known(self, *processes: tuple[str, str]) -> None:
-        """Wait until exactly these processes (name, process id) are known to run."""
-        await self.until(lambda: self.known() == set(processes))
+    async def wait_until_members(self, *processes: tuple[str, str]) -> None:
+        """Wait until exactly these processes (name, process id) are members."""
+        await self.wait_until(lambda: self.member_ids() == set(processes))
 
-    def known(self) -> set[tuple[str, str]]:
+    def member_ids(self) -> set[tuple[str, str]]:
         return {(member.node_name, member.process_id) for member in self.service.members()}
 
     async def stop(self, leave: bool) -> None:
@@ -68,44 +68,44 @@
     return running
 
 
-def test_processes_join_leave_die_and_return() -> None:
-    async def exchange() -> None:
+def test_processes_join_leave_die_and_rejoin() -> None:
+    async def scenario() -> None:
         port = free_port(("0.0.0.0",))
         first = await start_service("a", SEED_IP, port, "a1")
         second = await start_service("b", "127.0.0.2", port, "b1")
         third = await start_service("c", "127.0.0.3", port, "c1")
         for process in (first, second, third):
-            await process.until_known(("a", "a1"), ("b", "b1"), ("c", "c1"))
+            await process.wait_until_members(("a", "a1"), ("b", "b1"), ("c", "c1"))
 
         await third.stop(leave=True)
-        await first.until_known(("a", "a1"), ("b", "b1"))
-        await second.until_known(("a", "a1"), ("b", "b1"))
+        await first.wait_until_members(("a", "a1"), ("b", "b1"))
+        await second.wait_until_members(("a", "a1"), ("b", "b1"))
         states = {status.member.node_name: status.state.name for status in first.service.statuses()}
         assert states == {"a": "ALIVE", "b": "ALIVE", "c": "LEFT"}
 
         await second.stop(leave=False)
-        await first.until_known(("a", "a1"))
+        await first.wait_until_members(("a", "a1"))
 
-        returned = await start_service("b", "127.0.0.2", port, "b2")
-        await first.until_known(("a", "a1"), ("b", "b2"))
-        await returned.until_known(("a", "a1"), ("b", "b2"))
-        await returned.stop(leave=True)
+        restarted = await start_service("b", "127.0.0.2", port, "b2")
+        await first.wait_until_members(("a", "a1"), ("b", "b2"))
+        await restarted.wait_until_members(("a", "a1"), ("b", "b2"))
+        await restarted.stop(leave=True)
         await first.stop(leave=True)
 
-    asyncio.run(exchange())
+    asyncio.run(scenario())
 
 
-def test_garbled_datagrams_are_ignored() -> None:
-    async def exchange() -> None:
+def test_invalid_datagrams_are_ignored() -> None:
+    async def scenario() -> None:
         port = free_port(("0.0.0.0",))
         first = await start_service("a", SEED_IP, port, "a1")
-        with socket.socket(type=socket.SOCK_DGRAM) as stranger:
-            for garbled in (b"", b"\xff" * 50, b"\x0a\x03abc", random.Random(1).randbytes(1100)):
-                stranger.sendto(garbled, (SEED_IP, port))
+        with socket.socket(type=socket.SOCK_DGRAM) as client:
+            for invalid in (b"", b"\xff" * 50, b"\x0a\x03abc", random.Random(1).randbytes(1100)):
+                client.sendto(invalid, (SEED_IP, port))
         second = await start_service("b", "127.0.0.2", port, "b1")
-        await first.until_known(("a", "a1"), ("b", "b1"))
-        await second.until_known(("a", "a1"), ("b", "b1"))
+        await first.wait_until_members(("a", "a1"), ("b", "b1"))
+        await second.wait_until_members(("a", "a1"), ("b", "b1"))
         await second.stop(leave=False)
         await first.stop(leave=False)
 
-    asyncio.run(exchange())
+    asyncio.run(scenario())
