--- a/cherrycove/tier/cli/batch.py
+++ b/cherrycove/tier/cli/batch.py
@@ -1,4 +1,4 @@
-"""``batch status``: the progress of a batch job."""
+"""The command ``batch status``, which shows the progress of a batch job."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from cherrycove.tier.cli.documents import to_json_object
 from cherrycove.tier.cli.http_client import HttpRequest, send
 from cherrycove.tier.cli.network_command import TIMEOUT_OPTION, NetworkCommand
-from cherrycove.tier.cli.operator_command import parse_object, rejection
+from cherrycove.tier.cli.operator_command import parse_object, rejection_error
 
 COMPLETED = "completed"
 DEAD_LETTERED = "dead_lettered"
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class JobProgress:
-    """The results of a job, counted by state."""
+    """Counts the results of a job by state."""
 
     job: str
     total: int
@@ -32,10 +32,10 @@
 
 
 class BatchStatusCommand(NetworkCommand):
-    """Counts the results of a batch job, over all pages that a proxy gives."""
+    """Counts the results of a batch job over all pages that a proxy returns."""
 
     name = "batch status"
-    description = "Counts the results of a batch job; 0 once every item has one."
+    description = "Counts the results of a batch job; exits with 0 once every item has one."
     arguments = [argument("job", "Id of the batch job.")]
     options = [
         option("proxy", None, "HOST:PORT of a proxy's frontend.", flag=False),
@@ -45,14 +45,14 @@
     ]
 
     def perform(self) -> Outcome:
-        """Return the progress; FAILED while the job has open items."""
+        """Return the progress; the exit code is FAILED while the job has open items."""
         progress = self._count(self.argument("job"))
         counts = [f"{name} {value}" for name, value in to_json_object(progress).items() if name != "job"]
         exit_code = ExitCode.FAILED if progress.open else ExitCode.DONE
         return Outcome(progress, [f"{progress.job}: {', '.join(counts)}"], exit_code)
 
     def _count(self, job: str) -> JobProgress:
-        """Read all pages; the last one has no results."""
+        """Return the progress after reading all pages, up to the first one without results."""
         states: Counter[str] = Counter()
         cursor = 0
         while True:
@@ -78,5 +78,5 @@
         timeout_s = self.timeout_s()
         response = send([self.required_option("proxy")], request, timeout_s)
         if response.status != HTTPStatus.OK:
-            raise rejection(response)
+            raise rejection_error(response)
         return parse_object(response.body, response.address)
--- a/cherrycove/tier/cli/room.py
+++ b/cherrycove/tier/cli/batch_capacity.py
@@ -1,4 +1,4 @@
-"""``check room``: whether a store of these settings has room for a traffic of batch jobs."""
+"""The command ``check room``, which checks whether a store has the capacity for a rate of batch jobs."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     "body-bytes": 2000.0,
     "result-bytes": 4000.0,
     "run-s": 10.0,
-    "compressed": 0.7,  # of letters without a pattern; prose has about 0.4
+    "compressed": 0.7,  # compressed size of random letters as a fraction; about 0.4 for prose
 }
 
 
 @attrs.frozen
-class RoomDocument:
-    """What ``check room`` prints: the fraction of each bound that the traffic takes, 1 being full."""
+class BatchCapacityDocument:
+    """The document that ``check room`` prints, with the used fraction of each bound, of which 1 is full."""
 
     file: str
     fits: bool
@@ -33,44 +33,54 @@
     jobs_per_s_at_most: float
 
 
-class CheckRoomCommand(TierCommand):
-    """Works out the room that batch jobs take at a store, before the store serves them."""
+class CheckBatchCapacityCommand(TierCommand):
+    """Estimates the capacity that batch jobs use at a store, before the store serves them."""
 
     name = "check room"
-    description = "Tells whether a store has room for a steady traffic of batch jobs."
+    description = "Checks whether a store has the capacity for a steady rate of batch jobs."
     arguments = [argument("file", "The settings file of a store (YAML).")]
     options = [
         *TierCommand.options,
-        option("jobs-per-s", None, f"Jobs a second [{DEFAULTS['jobs-per-s']:g}].", flag=False),
-        option("items", None, f"Items of one job [{DEFAULTS['items']:g}].", flag=False),
-        option("body-bytes", None, f"Bytes of an item's body [{DEFAULTS['body-bytes']:g}].", flag=False),
-        option("result-bytes", None, f"Bytes of its result [{DEFAULTS['result-bytes']:g}].", flag=False),
-        option("run-s", None, f"Seconds until all results are there [{DEFAULTS['run-s']:g}].", flag=False),
+        option("jobs-per-s", None, f"Jobs per second [{DEFAULTS['jobs-per-s']:g}].", flag=False),
+        option("items", None, f"Items per job [{DEFAULTS['items']:g}].", flag=False),
+        option("body-bytes", None, f"Bytes of the body of an item [{DEFAULTS['body-bytes']:g}].", flag=False),
+        option(
+            "result-bytes",
+            None,
+            f"Bytes of the result of an item [{DEFAULTS['result-bytes']:g}].",
+            flag=False,
+        ),
+        option(
+            "run-s", None, f"Seconds until a job has all its results [{DEFAULTS['run-s']:g}].", flag=False
+        ),
         option(
             "compressed",
             None,
-            f"Results after compression, as a fraction [{DEFAULTS['compressed']:g}].",
+            f"Size of compressed results as a fraction of the original size [{DEFAULTS['compressed']:g}].",
             flag=False,
         ),
     ]
 
     def perform(self) -> Outcome:
-        """Return the room; exit code 1 where the traffic does not fit. CommandError for invalid input."""
+        """Return the used capacity; the exit code is FAILED if the traffic does not fit.
+
+        Raises CommandError for invalid input.
+        """
         path = self.argument("file")
         settings = read_settings(path)
         traffic = BatchTraffic(
-            jobs_per_s=self._number("jobs-per-s"),
-            items=self._number("items"),
-            body_bytes=self._number("body-bytes"),
-            result_bytes=self._number("result-bytes"),
-            run_s=self._number("run-s"),
-            compressed=self._number("compressed"),
+            jobs_per_s=self._positive_number("jobs-per-s"),
+            items=self._positive_number("items"),
+            body_bytes=self._positive_number("body-bytes"),
+            result_bytes=self._positive_number("result-bytes"),
+            run_s=self._positive_number("run-s"),
+            compressed=self._positive_number("compressed"),
         )
-        document = room_for(settings, traffic, path)
+        document = capacity_use(settings, traffic, path)
         exit_code = ExitCode.DONE if document.fits else ExitCode.FAILED
         return Outcome(document, [_describe(document)], exit_code)
 
-    def _number(self, name: str) -> float:
+    def _positive_number(self, name: str) -> float:
         text = self.option(name)
         if text is None:
             return DEFAULTS[name]
@@ -83,22 +93,22 @@
         return number
 
 
-def room_for(settings: Settings, traffic: BatchTraffic, file: str) -> RoomDocument:
-    """How much of the capacity of a store with ``settings`` the ``traffic`` takes."""
+def capacity_use(settings: Settings, traffic: BatchTraffic, file: str) -> BatchCapacityDocument:
+    """Return how much of the capacity of a store with ``settings`` the ``traffic`` uses."""
     capacity = JobCapacity.of(settings.limits, settings.bounds.catch_up_s)
     in_use = bounds_in_use(capacity, traffic.demand(settings.bounds.status_s))
-    return RoomDocument(
+    return BatchCapacityDocument(
         file=file,
         fits=max(in_use.values()) <= 1.0,
         disk=round(in_use["disk"], 3),
         memory=round(in_use["memory"], 3),
         link=round(in_use["link"], 3),
-        jobs_per_s_at_most=round(_most_jobs_per_s(capacity, traffic, settings.bounds.status_s), 2),
+        jobs_per_s_at_most=round(_max_jobs_per_s(capacity, traffic, settings.bounds.status_s), 2),
     )
 
 
-def _most_jobs_per_s(capacity: JobCapacity, traffic: BatchTraffic, status_s: float) -> float:
-    """The highest rate that fits, found by halving; the demand only rises with the rate."""
+def _max_jobs_per_s(capacity: JobCapacity, traffic: BatchTraffic, status_s: float) -> float:
+    """Return the highest rate that fits, by bisection, since the demand only rises with the rate."""
     low, high = 0.0, 1.0
     while _fits(capacity, traffic, high, status_s):
         low, high = high, 2 * high
@@ -116,9 +126,9 @@
     return capacity.excess_bytes(demand) == 0
 
 
-def _describe(document: RoomDocument) -> str:
+def _describe(document: BatchCapacityDocument) -> str:
     verdict = "fits" if document.fits else "does not fit"
     return (
         f"{document.file}: {verdict}; disk {document.disk:.2f}, memory {document.memory:.2f}, "
-        f"link {document.link:.2f} of the room; at most {document.jobs_per_s_at_most:g} jobs a second"
+        f"link {document.link:.2f} of the capacity; at most {document.jobs_per_s_at_most:g} jobs/s"
     )
--- a/cherrycove/tier/cli/check.py
+++ b/cherrycove/tier/cli/check.py
@@ -1,4 +1,4 @@
-"""``check``: whether a settings file or a configuration is valid."""
+"""The commands ``check settings`` and ``check configuration``, which validate a file."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from cherrycove.tier.configuration import Configuration, parse_configuration
 from cherrycove.tier.settings import Settings, SettingsError, load_settings
 
-KEY_SEPARATOR = " @ $"  # between reason and key in the reports of cattrs
+KEY_SEPARATOR = " @ $"  # separates reason and key in the reports of cattrs
 PROBLEM_SEPARATOR = "; "
 
 
 @attrs.frozen
 class SettingsDocument:
-    """What ``check settings`` prints about a valid file."""
+    """The document that ``check settings`` prints for a valid file."""
 
     file: str
     valid: bool
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class ConfigurationDocument:
-    """What ``check configuration`` prints about a valid file."""
+    """The document that ``check configuration`` prints for a valid file."""
 
     file: str
     valid: bool
@@ -42,7 +42,7 @@
     """Checks a settings file as a daemon does at its start."""
 
     name = "check settings"
-    description = "Tells whether a settings file can be used."
+    description = "Checks whether a settings file is valid."
     arguments = [argument("file", "The settings file of one process (YAML).")]
 
     def perform(self) -> Outcome:
@@ -60,10 +60,10 @@
 
 
 class CheckConfigurationCommand(TierCommand):
-    """Checks a configuration as a controller does before it takes one."""
+    """Checks a configuration as a controller does before it accepts one."""
 
     name = "check configuration"
-    description = "Tells whether a configuration can be used."
+    description = "Checks whether a configuration is valid."
     arguments = [argument("file", "The configuration (JSON).")]
 
     def perform(self) -> Outcome:
@@ -82,7 +82,7 @@
 
 
 def read_file(path: str) -> bytes:
-    """Return the contents of ``path``; raises CommandError where it cannot be read."""
+    """Return the contents of ``path``; raises CommandError if it cannot be read."""
     try:
         return Path(path).read_bytes()
     except OSError as error:
@@ -98,7 +98,7 @@
 
 
 def check_configuration(body: bytes, source: str) -> Configuration:
-    """Return the configuration in ``body``; raises CommandError with each problem where it is invalid."""
+    """Return the configuration in ``body``; raises CommandError with each problem if it is invalid."""
     parsed = parse_configuration(body, source)
     if isinstance(parsed, Err):
         raise CommandError(ExitCode.INVALID, *parse_problems(parsed.err_value.detail, source))
@@ -106,7 +106,7 @@
 
 
 def parse_problems(report: str, source: str) -> list[Problem]:
-    """Return the problems of a report that lists them in one line, after the name of the ``source``."""
+    """Return the problems that a one-line report lists after the name of the ``source``."""
     parts = report.removeprefix(f"{source}: ").split(PROBLEM_SEPARATOR)
     return [_parse_problem(part, source) for part in parts]
 
--- a/cherrycove/tier/cli/command.py
+++ b/cherrycove/tier/cli/command.py
@@ -1,4 +1,4 @@
-"""Base of all commands: exit codes, outcomes, errors, and their output as text or as JSON."""
+"""Base class of all commands, with exit codes, outcomes, errors and their output as text or JSON."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 class ExitCode(IntEnum):
-    """How a command ended."""
+    """The exit code with which a command ends."""
 
-    DONE = 0  # done, or yes
-    FAILED = 1  # not done, or no
-    INVALID = 2  # wrong usage, or invalid input
+    DONE = 0  # the command succeeded, or what it checks holds
+    FAILED = 1  # the command failed, or what it checks does not hold
+    INVALID = 2  # usage error or invalid input
     UNANSWERED = 3  # no process answered in time
 
 
 @attrs.frozen
 class Problem:
-    """One thing that is wrong, and where."""
+    """Describes one fault and where it is."""
 
     reason: str
     source: str = ""  # file or address
@@ -47,14 +47,14 @@
 
 @attrs.frozen
 class ErrorsDocument:
-    """What a failed command prints with ``--json``."""
+    """The document that a failed command prints with ``--json``."""
 
     errors: list[Problem]
 
 
 @attrs.frozen
 class Outcome:
-    """The result of a command: a document for programs and lines of text for people."""
+    """Holds the result of a command as a document for ``--json`` and as lines of text."""
 
     document: Document
     lines: list[str]
@@ -62,7 +62,7 @@
 
 
 class TierCommand(Command):
-    """A command that prints one outcome, with ``--json`` as one JSON object.
+    """Base class of all commands, which print one outcome; with ``--json``, as one JSON object.
 
     Outcomes go to standard output, problems to standard error; with ``--json`` the problems go to both.
     """
@@ -70,7 +70,7 @@
     options = [JSON_OPTION]
 
     def perform(self) -> Outcome:
-        """Do the work of the command; raises CommandError where it fails."""
+        """Do the work of the command; raises CommandError if it fails."""
         raise NotImplementedError
 
     def handle(self) -> int:
@@ -88,7 +88,7 @@
         return int(outcome.exit_code)
 
     def integer_option(self, name: str) -> int | None:
-        """Return the value of the option ``name``, None where it is not given.
+        """Return the value of the option ``name``, None if it is not given.
 
         Raises CommandError for anything but decimal digits.
         """
@@ -100,7 +100,7 @@
         return int(text)
 
     def required_option(self, name: str) -> str:
-        """Return the value of the option ``name``; raises CommandError where it is missing or empty."""
+        """Return the value of the option ``name``; raises CommandError if it is missing or empty."""
         value = self.option(name)
         if not value:
             raise CommandError(ExitCode.INVALID, Problem("is required", key=f"--{name}"))
--- a/cherrycove/tier/cli/command_line.py
+++ b/cherrycove/tier/cli/command_line.py
@@ -1,4 +1,4 @@
-"""The cleo application: commands end with the exit codes of ``ExitCode``, also after wrong usage."""
+"""The cleo application, whose commands end with the codes of ``ExitCode``, also after usage errors."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     def __init__(self) -> None:
         super().__init__(NAME)
         self.auto_exits(False)
-        self._is_wrong_usage = False
+        self._is_usage_error = False
 
     def run(
         self,
@@ -29,16 +29,16 @@
     ) -> int:
         """Run the command that ``input`` names, by default that of the process's arguments.
 
-        Returns its exit code, INVALID after wrong usage.
+        Returns its exit code, which is INVALID after a usage error.
         """
-        self._is_wrong_usage = False
+        self._is_usage_error = False
         exit_code = super().run(input, output, error_output)
-        return int(ExitCode.INVALID) if self._is_wrong_usage else exit_code
+        return int(ExitCode.INVALID) if self._is_usage_error else exit_code
 
     def render_error(self, error: Exception, io: IO) -> None:
-        """Print wrong usage in one line, any other error with its trace; called by cleo."""
+        """Print a usage error in one line, any other error with its traceback; called by cleo."""
         if not isinstance(error, CleoError):
             super().render_error(error, io)
             return
-        self._is_wrong_usage = True
+        self._is_usage_error = True
         io.write_error_line(f"{NAME}: {error}", type=Type.RAW)
--- a/cherrycove/tier/cli/configuration.py
+++ b/cherrycove/tier/cli/configuration.py
@@ -1,4 +1,4 @@
-"""``config``: read, replace and compare the operator's configuration of a running tier."""
+"""The ``config`` commands, which read, replace and compare the configuration of a running tier."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
     CONTROLLER_OPTION,
     OperatorCommand,
     parse_object,
-    rejection,
+    rejection_error,
 )
 
 CONFIGURATION_PATH = "/api/configuration"
 FILE_ARGUMENT = argument("file", "The configuration (JSON).")
-IN_FORCE = "the configuration in force"  # as the source of a problem
+IN_FORCE = "the configuration in force"  # names the source of a problem
 
 
 @attrs.frozen
 class PutDocument:
-    """What ``config put`` prints about an acknowledged configuration."""
+    """The document that ``config put`` prints for an acknowledged configuration."""
 
     version: int
     base_version: int
@@ -35,24 +35,24 @@
 
 @attrs.frozen
 class DifferencesDocument:
-    """What ``config diff`` prints."""
+    """The document that ``config diff`` prints."""
 
     differences: list[Difference]
 
 
 class ConfigurationCommand(OperatorCommand):
-    """A command about the configuration in force."""
+    """Base class of the commands that read or replace the configuration in force."""
 
     def fetch(self) -> bytes | None:
-        """Return the configuration in force, None while there is none.
+        """Return the configuration in force, None if there is none yet.
 
-        Raises CommandError where no controller answers, or it rejects the request.
+        Raises CommandError if no controller answers or one rejects the request.
         """
         response = self.call_controller(HttpRequest("GET", CONFIGURATION_PATH))
         if response.status == HTTPStatus.NOT_FOUND:
             return None
         if response.status != HTTPStatus.OK:
-            raise rejection(response)
+            raise rejection_error(response)
         return response.body
 
 
@@ -64,23 +64,23 @@
     options = [CONTROLLER_OPTION, TIMEOUT_OPTION, JSON_OPTION]
 
     def perform(self) -> Outcome:
-        """Return the configuration; raises CommandError while there is none."""
+        """Return the configuration; raises CommandError if there is none yet."""
         body = self.fetch()
         if body is None:
-            raise CommandError(ExitCode.FAILED, Problem("no configuration was taken yet"))
+            raise CommandError(ExitCode.FAILED, Problem("no configuration has been accepted yet"))
         return Outcome(parse_object(body, "keeper"), [body.decode("utf-8", "replace")])
 
 
 class ConfigPutCommand(ConfigurationCommand):
-    """Sends a configuration, with the version that it builds on as a precondition."""
+    """Sends a configuration with the version that it is based on as a precondition."""
 
     name = "config put"
-    description = "Sends a configuration, and waits until it is acknowledged or refused."
+    description = "Sends a configuration and waits until it is acknowledged or rejected."
     arguments = [FILE_ARGUMENT]
     options = [
         CONTROLLER_OPTION,
         TIMEOUT_OPTION,
-        option("if-match", None, "Version it builds on; by default the one in force.", flag=False),
+        option("if-match", None, "Version that it is based on; by default the one in force.", flag=False),
         JSON_OPTION,
     ]
 
@@ -88,7 +88,7 @@
         """Return once the configuration is acknowledged; raises CommandError otherwise.
 
         The file is checked before anything is sent. An attempt whose response was lost is repeated with the
-        same body and precondition, which the controllers acknowledge again.
+        same body and precondition; the controllers acknowledge such a repetition as well.
         """
         path = self.argument("file")
         body = read_file(path)
@@ -97,12 +97,12 @@
         headers = {"If-Match": str(base_version), "Content-Type": "application/json"}
         response = self.call_controller(HttpRequest("PUT", CONFIGURATION_PATH, headers, body))
         if response.status != HTTPStatus.OK:
-            raise rejection(response)
+            raise rejection_error(response)
         document = PutDocument(version=version, base_version=base_version, acknowledged=True)
         return Outcome(document, [f"version {version} is in force, on top of version {base_version}"])
 
     def _base_version(self) -> int:
-        """Return the version given by the operator, or else that of the configuration in force."""
+        """Return the version that the operator gave, by default that of the configuration in force."""
         given = self.integer_option("if-match")
         if given is not None:
             return given
@@ -111,20 +111,20 @@
 
 
 class ConfigDiffCommand(ConfigurationCommand):
-    """Compares a file with the configuration in force, key by key."""
+    """Compares a file with the configuration in force by key."""
 
     name = "config diff"
-    description = "Compares a file with the configuration in force; 0 if both say the same."
+    description = "Compares a file with the configuration in force; exits with 0 if they are equal."
     arguments = [FILE_ARGUMENT]
     options = [CONTROLLER_OPTION, TIMEOUT_OPTION, JSON_OPTION]
 
     def perform(self) -> Outcome:
-        """Return the differences; FAILED if there are any."""
+        """Return the differences; the exit code is FAILED if there are any."""
         path = self.argument("file")
-        offered = parse_object(read_file(path), path)
+        proposed = parse_object(read_file(path), path)
         body = self.fetch()
         in_force = {} if body is None else parse_object(body, IN_FORCE)
-        differences = find_differences(in_force, offered)
+        differences = find_differences(in_force, proposed)
         lines = [str(difference) for difference in differences]
         exit_code = ExitCode.FAILED if differences else ExitCode.DONE
         return Outcome(DifferencesDocument(differences), lines, exit_code)
--- a/cherrycove/tier/cli/differences.py
+++ b/cherrycove/tier/cli/differences.py
@@ -1,4 +1,4 @@
-"""Differences between two JSON documents, by key."""
+"""Finds the differences between two JSON documents by key."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 import attrs
 
-ABSENT = None  # a key with the value null counts as one that is not there
+ABSENT = None  # a key with the value null counts as absent
 
 
 @attrs.frozen
 class Difference:
-    """A key, as a path with dots, whose value differs; ABSENT stands for no value."""
+    """Describes a key, as a dotted path, whose values differ; ABSENT stands for no value."""
 
     key: str
     before: Any
@@ -30,7 +30,7 @@
 def find_differences(before: Any, after: Any) -> list[Difference]:
     """Return every key in which two JSON values differ.
 
-    Lists of objects with different names are compared by name, not by position.
+    Lists of objects with distinct names are compared by name, not by position.
     """
     return list(_compare("", before, after))
 
@@ -51,7 +51,7 @@
 
 
 def _by_name(value: Any) -> Any:
-    """Return a list of objects with different names as one object, anything else unchanged."""
+    """Return a list of objects with distinct names as one object by name, anything else unchanged."""
     if not isinstance(value, list) or not all(isinstance(item, dict) for item in value):
         return value
     names = [item.get("name") for item in value]
--- a/cherrycove/tier/cli/documents.py
+++ b/cherrycove/tier/cli/documents.py
@@ -1,4 +1,4 @@
-"""JSON documents of the command line: typed objects in snake case, rendered with keys in camel case."""
+"""JSON documents of the command line: attrs objects, rendered with their attributes as camel-case keys."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 import attrs
 
-Document = attrs.AttrsInstance | dict[str, Any]  # a dict is printed with its own keys
+Document = attrs.AttrsInstance | dict[str, Any]  # a dict is printed with its keys unchanged
 
 
 def to_json_object(document: Document) -> dict[str, Any]:
-    """Return ``document`` as an object for ``json.dumps``; documents inside of it are rendered likewise."""
+    """Return ``document`` as an object for ``json.dumps``; nested documents are rendered likewise."""
     if isinstance(document, dict):
         return document
     return {
--- a/cherrycove/tier/cli/http_client.py
+++ b/cherrycove/tier/cli/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP requests to a tier: addresses are tried in turn, redirects followed, overload and outages retried."""
+"""Sends HTTP requests to a tier; tries addresses in turn, follows redirects, retries overload and outages."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 CONNECT_TIMEOUT_S = 1.0
 INITIAL_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 1.0
-RETRYABLE_STATUSES = (HTTPStatus.REQUEST_TIMEOUT, HTTPStatus.TOO_MANY_REQUESTS)  # besides all from 500 on
+RETRYABLE_STATUSES = (HTTPStatus.REQUEST_TIMEOUT, HTTPStatus.TOO_MANY_REQUESTS)  # and all from 500 on
 
 
 @attrs.frozen
 class HttpResponse:
-    """A response, and which process gave it."""
+    """Holds a response and the address of the process that sent it."""
 
     status: int
     body: bytes
@@ -34,7 +34,7 @@
 
 @attrs.frozen
 class HttpRequest:
-    """One idempotent request; every attempt sends it unchanged."""
+    """Holds one idempotent request, which every attempt sends unchanged."""
 
     method: str
     path: str
@@ -43,10 +43,10 @@
 
 
 def send(addresses: Sequence[str], request: HttpRequest, timeout_s: float) -> HttpResponse:
-    """Return the first definite response from ``addresses`` (host:port), also if it is a rejection.
+    """Return the first definite response from ``addresses`` (host:port), which may be a rejection.
 
-    Raises CommandError for an address that is not valid, and where no definite response comes within
-    ``timeout_s``.
+    A response is definite unless its status calls for a retry. Raises CommandError for an invalid address,
+    and if no definite response arrives within ``timeout_s``.
     """
     return asyncio.run(_send(addresses, request, timeout_s))
 
@@ -54,7 +54,7 @@
 async def send_once(
     session: aiohttp.ClientSession, address: str, request: HttpRequest
 ) -> HttpResponse | Problem:
-    """Return a definite response of one attempt, or why there is none."""
+    """Make one attempt; return its definite response, or the problem if there is none."""
     url = f"http://{address}{request.path}"
     try:
         for _ in range(MAX_REDIRECTS + 1):
@@ -65,12 +65,12 @@
                     continue
                 return _classify(HttpResponse(response.status, body, urlsplit(url).netloc))
     except (aiohttp.ClientError, TimeoutError, OSError) as error:
-        return Problem(str(error) or "no answer in time", urlsplit(url).netloc)
-    return Problem("too many redirects", address)
+        return Problem(str(error) or "request timed out", urlsplit(url).netloc)
+    return Problem(f"more than {MAX_REDIRECTS} redirects", address)
 
 
 def failure_reason(response: HttpResponse) -> str:
-    """Return the sentence that came with a failure; the whole body where it is no JSON object."""
+    """Return the explanation in a failed response; the whole body if that is not a JSON object."""
     text = response.body.decode("utf-8", "replace").strip()
     if not text.startswith("{"):
         return text
@@ -84,7 +84,7 @@
 async def _send(addresses: Sequence[str], request: HttpRequest, timeout_s: float) -> HttpResponse:
     for address in addresses:
         _check_address(address)
-    last_problem = Problem("no answer", ", ".join(addresses))
+    last_problem = Problem("no address answered", ", ".join(addresses))
     try:
         async with asyncio.timeout(timeout_s), client_session() as session:
             backoff_s = INITIAL_BACKOFF_S
@@ -114,12 +114,12 @@
 
 
 def _is_redirect(response: aiohttp.ClientResponse) -> bool:
-    """Return whether a backup refers to the primary."""
+    """Return whether the response of a backup redirects to the primary."""
     return response.status == HTTPStatus.TEMPORARY_REDIRECT and "Location" in response.headers
 
 
 def _classify(response: HttpResponse) -> HttpResponse | Problem:
-    """Return a definite response as it is, and a problem for one that calls for a retry."""
+    """Return a definite response unchanged, and a problem for a response that calls for a retry."""
     if response.status < HTTPStatus.INTERNAL_SERVER_ERROR and response.status not in RETRYABLE_STATUSES:
         return response
     return Problem(f"status {response.status} {failure_reason(response)}".rstrip(), response.address)
--- a/cherrycove/tier/cli/inspection.py
+++ b/cherrycove/tier/cli/inspection.py
@@ -1,4 +1,4 @@
-"""Inspects the directory of a replica by a recovery of a copy; the directory itself is never changed."""
+"""Inspects a replica's directory by recovering a copy of it; the directory itself is never changed."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class Segment:
-    """One file of the log, as it was before the recovery."""
+    """Describes one file of the log as it was before the recovery."""
 
     file: str
     bytes: int
@@ -24,20 +24,20 @@
 
 @attrs.frozen
 class Inspection:
-    """A directory as its replica would find it at its next start."""
+    """Describes a directory as its replica would find it at its next start."""
 
     member_id: str
     state: RecoveredState
     segments: list[Segment]
     torn_bytes: int  # at the end of the log, from a write that was never acknowledged
-    damaged_hard_state_copies: int  # another copy is valid
+    damaged_hard_state_copies: int  # number of damaged copies; another one is valid
 
 
 def inspect_replica(directory: Path) -> Inspection:
-    """Recover a copy of ``directory``, just as its replica would.
+    """Recover a copy of ``directory`` as its replica would, and return what was found.
 
-    Raises DamagedStorageError where the replica would find its storage damaged, OSError where a file cannot
-    be read or copied.
+    Raises DamagedStorageError if the replica would find its storage damaged, and OSError if a file cannot be
+    read or copied.
     """
     with tempfile.TemporaryDirectory(prefix="cherrycove-") as scratch:
         copy = Path(scratch) / "copy"
@@ -66,7 +66,7 @@
 
 
 def _torn_bytes(directory: Path, segments: list[Segment]) -> int:
-    """Return how much the recovery has truncated the last of the ``segments``."""
+    """Return by how many bytes the recovery truncated the last of the ``segments``."""
     if not segments:
         return 0
     last = segments[-1]
--- a/cherrycove/tier/cli/losses.py
+++ b/cherrycove/tier/cli/losses.py
@@ -1,4 +1,4 @@
-"""``losses``: why proxies did not answer requests in time."""
+"""The command ``losses``, which counts by cause the requests that proxies did not answer in time."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from cherrycove.tier.cli.command import JSON_OPTION, CommandError, ExitCode, Outcome, Problem
 from cherrycove.tier.cli.http_client import HttpRequest, HttpResponse, send
 from cherrycove.tier.cli.network_command import TIMEOUT_OPTION, NetworkCommand
-from cherrycove.tier.cli.operator_command import parse_object, rejection
+from cherrycove.tier.cli.operator_command import parse_object, rejection_error
 
 LOSSES_PATH = "/api/losses"
 
 
 @attrs.frozen
 class RouteLosses:
-    """Requests of one route that were not answered in time, by cause, the most frequent first."""
+    """Counts by cause the requests of one route that were not answered in time, the most frequent first."""
 
     route: str
     causes: dict[str, int]
@@ -26,20 +26,22 @@
 
 @attrs.frozen
 class LossesDocument:
-    """The losses of all proxies that were asked, since each of them started."""
+    """Describes the losses of all proxies that were asked, since each of them started."""
 
     proxies: list[str]
     routes: list[RouteLosses]
 
     def lines(self) -> list[str]:
-        """One line for each route and cause."""
+        """Return one line for each route and cause."""
         return [
-            f"{each.route}: {cause} {count}" for each in self.routes for cause, count in each.causes.items()
+            f"{losses.route}: {cause} {count}"
+            for losses in self.routes
+            for cause, count in losses.causes.items()
         ]
 
 
 class LossesCommand(NetworkCommand):
-    """Adds up the losses that proxies counted; each is asked at its readiness address."""
+    """Adds up the losses that proxies have counted; each is asked at its readiness address."""
 
     name = "losses"
     description = "Counts requests that were not answered in time, by route and cause."
@@ -47,7 +49,7 @@
     options = [TIMEOUT_OPTION, JSON_OPTION]
 
     def perform(self) -> Outcome:
-        """Return the sums; raises CommandError where a proxy does not answer, or not with losses."""
+        """Return the sums; raises CommandError if a proxy does not answer or its answer is invalid."""
         proxies: list[str] = self.argument("proxy")
         counts: dict[str, Counter[str]] = {}
         for proxy in proxies:
@@ -60,7 +62,7 @@
     def _fetch(self, proxy: str) -> dict[str, dict[str, int]]:
         response = send([proxy], HttpRequest("GET", LOSSES_PATH), self.timeout_s())
         if response.status != HTTPStatus.OK:
-            raise rejection(response)
+            raise rejection_error(response)
         return _parse(response)
 
 
@@ -68,7 +70,8 @@
     losses = parse_object(response.body, response.address).get("losses")
     if not isinstance(losses, dict) or not all(_is_counts(causes) for causes in losses.values()):
         raise CommandError(
-            ExitCode.INVALID, Problem("is not counts by route and cause", response.address, "losses")
+            ExitCode.INVALID,
+            Problem("is not an object of counts by route and cause", response.address, "losses"),
         )
     return losses
 
--- a/cherrycove/tier/cli/network_command.py
+++ b/cherrycove/tier/cli/network_command.py
@@ -1,4 +1,4 @@
-"""Base of the commands that ask running processes: their addresses and the time for an answer."""
+"""Base class of the commands that call running processes, with their addresses and time-out."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 DEFAULT_TIMEOUT_S = 10
 
-TIMEOUT_OPTION = option(
-    "timeout", None, "Seconds until giving up.", flag=False, default=str(DEFAULT_TIMEOUT_S)
-)
+TIMEOUT_OPTION = option("timeout", None, "Time-out in seconds.", flag=False, default=str(DEFAULT_TIMEOUT_S))
 
 
 class NetworkCommand(TierCommand):
-    """A command with the option ``--timeout``, and often ``--keeper``."""
+    """Base class of the commands with the option ``--timeout``; most of them also have ``--keeper``."""
 
     def timeout_s(self) -> int:
-        """Return the time for the whole command; 0 means the default, as no option does."""
+        """Return the time-out in seconds; 0 stands for the default, as does an absent option."""
         return self.integer_option("timeout") or DEFAULT_TIMEOUT_S
 
     def controllers(self) -> list[str]:
-        """Return the addresses of controllers (host:port); raises CommandError where there are none."""
+        """Return the addresses of controllers (host:port); raises CommandError if none is given."""
         addresses: list[str] = self.option("keeper")
         if not addresses:
-            raise CommandError(ExitCode.INVALID, Problem("name at least one keeper", key="--keeper"))
+            raise CommandError(
+                ExitCode.INVALID, Problem("at least one keeper address is required", key="--keeper")
+            )
         return addresses
--- a/cherrycove/tier/cli/operator_command.py
+++ b/cherrycove/tier/cli/operator_command.py
@@ -1,4 +1,4 @@
-"""Base of the commands that call the controllers' operator API, and the reading of its responses."""
+"""Base class of the commands that call the controllers' operator API, and parsers of its responses."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 CONTROLLER_OPTION = option(
     "keeper", None, "HOST:PORT of a keeper's operator API; may be repeated.", flag=False, multiple=True
 )
-INVALID_REQUEST_STATUSES = (400, 413, 422)  # of the rejections; all others end with FAILED
+INVALID_REQUEST_STATUSES = (400, 413, 422)  # end with INVALID; all other rejections with FAILED
 
 
 class OperatorCommand(NetworkCommand):
-    """A command that calls the operator API."""
+    """Base class of the commands that call the operator API."""
 
     def call_controller(self, request: HttpRequest) -> HttpResponse:
-        """Return the first definite response of a controller, also a rejection.
+        """Return the first definite response of a controller, which may be a rejection.
 
-        Raises CommandError if no controller gives one in time.
+        Raises CommandError if no controller sends one in time.
         """
         controllers = self.controllers()
         return send(controllers, request, self.timeout_s())
 
 
-def rejection(response: HttpResponse) -> CommandError:
-    """Return the error with which a command ends that was rejected by ``response``."""
+def rejection_error(response: HttpResponse) -> CommandError:
+    """Return the error that ends a command whose request ``response`` rejects."""
     is_invalid = response.status in INVALID_REQUEST_STATUSES
     problem = Problem(f"status {response.status} {failure_reason(response)}".rstrip(), response.address)
     return CommandError(ExitCode.INVALID if is_invalid else ExitCode.FAILED, problem)
@@ -43,5 +43,5 @@
     except ValueError as error:
         raise CommandError(ExitCode.INVALID, Problem(f"not JSON: {error}", source)) from error
     if not isinstance(document, dict):
-        raise CommandError(ExitCode.INVALID, Problem("must be an object", source))
+        raise CommandError(ExitCode.INVALID, Problem("must be a JSON object", source))
     return document
--- a/cherrycove/tier/cli/retire.py
+++ b/cherrycove/tier/cli/retire.py
@@ -1,4 +1,4 @@
-"""``retire``: order that a storage machine is retired, or show how far that is."""
+"""The command ``retire``, which orders the retirement of a storage machine or shows its state."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     CONTROLLER_OPTION,
     OperatorCommand,
     parse_object,
-    rejection,
+    rejection_error,
 )
 
 DEFAULT_DURATION_S = 60
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class OrderDocument:
-    """What ``retire`` prints about an acknowledged order."""
+    """The document that ``retire`` prints for an acknowledged order."""
 
     node: str
     ordered: bool
@@ -33,28 +33,34 @@
 
 @attrs.frozen
 class StateDocument:
-    """What ``retire --status`` prints."""
+    """The document that ``retire --status`` prints."""
 
     node: str
     state: str
 
 
 class RetireCommand(OperatorCommand):
-    """Orders that a storage machine is retired; with ``--status`` it only reads the state of the order."""
+    """Orders the retirement of a storage machine; with ``--status`` it only reads the state of the order."""
 
     name = "retire"
-    description = "Has a storage machine emptied; with --status, 0 once that is completed."
-    arguments = [argument("node", "Name of the machine.")]
+    description = "Retires a storage machine; with --status, exits with 0 once that is completed."
+    arguments = [argument("node", "Node name of the machine.")]
     options = [
         CONTROLLER_OPTION,
         TIMEOUT_OPTION,
-        option("status", None, "Only ask how far it is."),
-        option("duration", None, "Seconds that it may take.", flag=False, default=str(DEFAULT_DURATION_S)),
+        option("status", None, "Only show the state of the retirement."),
+        option(
+            "duration",
+            None,
+            "Time that the retirement may take, in seconds.",
+            flag=False,
+            default=str(DEFAULT_DURATION_S),
+        ),
         JSON_OPTION,
     ]
 
     def perform(self) -> Outcome:
-        """Give the order, or return its state; raises CommandError where the controllers reject that."""
+        """Send the order or return its state; raises CommandError if the controllers reject the request."""
         node = self.argument("node")
         path = f"/api/retire/{quote(node, safe='')}"
         return self._show_state(node, path) if self.option("status") else self._order(node, path)
@@ -62,7 +68,7 @@
     def _order(self, node: str, path: str) -> Outcome:
         body = json.dumps({"durationS": self.integer_option("duration")}).encode()
         self._call(HttpRequest("POST", path, {"Content-Type": "application/json"}, body))
-        return Outcome(OrderDocument(node, ordered=True), [f"{node}: is being emptied"])
+        return Outcome(OrderDocument(node, ordered=True), [f"{node}: retirement ordered"])
 
     def _show_state(self, node: str, path: str) -> Outcome:
         response = self._call(HttpRequest("GET", path))
@@ -73,5 +79,5 @@
     def _call(self, request: HttpRequest) -> HttpResponse:
         response = self.call_controller(request)
         if response.status != HTTPStatus.OK:
-            raise rejection(response)
+            raise rejection_error(response)
         return response
--- a/cherrycove/tier/cli/status.py
+++ b/cherrycove/tier/cli/status.py
@@ -1,4 +1,4 @@
-"""``status``: what the controllers know of the whole tier."""
+"""The command ``status``, which shows the state of the tier that the controllers have recorded."""
 
 from __future__ import annotations
 
@@ -21,10 +21,12 @@
 
 
 class StatusCommand(NetworkCommand):
-    """Shows the primary's status of the tier, or that of another controller where no primary answers."""
+    """Shows the status from the primary controller, or from another one if no primary answers."""
 
     name = "status"
-    description = "Shows members, epoch, primary, configuration and brokers; 0 if a primary answers."
+    description = (
+        "Shows members, epoch, primary, configuration and brokers; exits with 0 if a primary answers."
+    )
     options = [
         option(
             "keeper",
@@ -38,9 +40,9 @@
     ]
 
     def perform(self) -> Outcome:
-        """Return the status; FAILED if it is not that of a confirmed primary.
+        """Return the status; the exit code is FAILED if it is not that of a confirmed primary.
 
-        Raises CommandError where no controller answers.
+        Raises CommandError if no controller answers.
         """
         controllers = self.controllers()
         reply = asyncio.run(_fetch_status(controllers, self.timeout_s()))
@@ -50,32 +52,34 @@
 
 
 async def request_status(client: Caller, address: str) -> Result[StatusReply, Failure]:
-    """Call the controller at ``address`` (host:port) for its status."""
+    """Request the status of the controller at ``address`` (host:port)."""
     return await client.call(address, STATUS, StatusRequest(), CALL_TIMEOUT_S)
 
 
 async def _fetch_status(controllers: Sequence[str], timeout_s: float) -> StatusReply:
-    """Return the status of the primary; if it does not answer, that of any controller."""
+    """Return the status of the primary, or that of any controller if the primary does not answer."""
     client = RpcClient()
     await client.start()
     try:
         async with asyncio.timeout(timeout_s):
-            return await _request_first_status(client, controllers)
+            return await _request_confirmed_status(client, controllers)
     except TimeoutError:
         sources = ", ".join(controllers)
-        raise CommandError(ExitCode.UNANSWERED, Problem("no answer in time", sources)) from None
+        raise CommandError(
+            ExitCode.UNANSWERED, Problem(f"no answer within {timeout_s:g} s", sources)
+        ) from None
     finally:
         await client.stop()
 
 
-async def _request_first_status(client: Caller, controllers: Sequence[str]) -> StatusReply:
-    """Return the first confirmed status, or else the last one; raises CommandError where none comes."""
+async def _request_confirmed_status(client: Caller, controllers: Sequence[str]) -> StatusReply:
+    """Return the first confirmed status, or else the last one; raises CommandError if there is none."""
     problems = []
     found: StatusReply | None = None
     for controller in controllers:
         outcome = await request_status(client, controller)
         if isinstance(outcome, Err):
-            problems.append(Problem(_explain(outcome.err_value), controller))
+            problems.append(Problem(_failure_text(outcome.err_value), controller))
             continue
         found = outcome.ok_value
         if not found.confirmed:
@@ -97,7 +101,7 @@
     return reply
 
 
-def _explain(failure: Failure) -> str:
+def _failure_text(failure: Failure) -> str:
     if failure.kind is ErrorKind.NOT_FOUND:
-        return "no keeper's internal calls are served there"
+        return "this address does not serve a keeper's internal calls"
     return failure.detail or failure.kind.value
--- a/cherrycove/tier/cli/status_document.py
+++ b/cherrycove/tier/cli/status_document.py
@@ -1,4 +1,4 @@
-"""The document of ``status``, made of a controller's reply, and its text."""
+"""The document that ``status`` prints, built from a controller's reply, and its form as text."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class ReplicaDocument:
-    """A member of a replicated group."""
+    """Describes a member of a replicated group."""
 
     node: str
     member_id: str
@@ -35,10 +35,10 @@
 
 @attrs.frozen
 class StoreGroupDocument:
-    """The store group as the controllers have recorded it."""
+    """Describes the store group as the controllers have recorded it."""
 
-    initial: list[ReplicaDocument]  # the members that the group starts with; empty: not formed yet
-    retiring: list[str]  # node names, also of machines whose retirement is completed
+    initial: list[ReplicaDocument]  # the first members of the group; empty until it is formed
+    retiring: list[str]  # node names, including those whose retirement is completed
 
     @staticmethod
     def of(group: StoreGroup) -> StoreGroupDocument:
@@ -51,7 +51,7 @@
 
 @attrs.frozen
 class RetireOrderDocument:
-    """An order of the operator to retire a storage machine."""
+    """Describes an operator's order to retire a storage machine."""
 
     node: str
     state: str  # "active" or "completed"
@@ -64,7 +64,7 @@
 
 @attrs.frozen
 class ProcessDocument:
-    """A running process, as it announced itself."""
+    """Describes a running process as it announced itself."""
 
     node: str
     program: str
@@ -96,7 +96,7 @@
 
 @attrs.frozen
 class BrokerDocument:
-    """A model broker from the platform's list."""
+    """Describes a model broker from the platform's list."""
 
     instance_id: str
     service: str
@@ -120,10 +120,10 @@
 
 @attrs.frozen
 class StatusDocument:
-    """What one controller knows of the tier."""
+    """Describes the state of the tier that one controller has recorded."""
 
     answered_by: str
-    confirmed: bool  # it is the primary, under a valid lease
+    confirmed: bool  # whether the controller is the primary and holds a valid lease
     epoch: int
     primary: str
     keepers: list[ReplicaDocument]
@@ -151,20 +151,21 @@
         )
 
     def lines(self) -> list[str]:
-        """Return the text for people."""
-        standing = "confirmed" if self.confirmed else "not confirmed"
+        """Return the document as lines of text."""
+        confirmation = "confirmed" if self.confirmed else "not confirmed"
         return [
-            f"epoch {self.epoch}, primary {self.primary or 'unknown'} ({standing}), asked {self.answered_by}",
+            f"epoch {self.epoch}, primary {self.primary or 'unknown'} ({confirmation}), "
+            f"answered by {self.answered_by}",
             f"configuration version {self.configuration_version}",
-            f"keepers: {_names(self.keepers)}",
-            f"stores at first: {_names(self.store_group.initial)}",
+            f"keepers: {_node_names(self.keepers)}",
+            f"initial stores: {_node_names(self.store_group.initial)}",
             *(f"retire {order.node}: {order.state}" for order in self.retire_orders),
             *(_process_line(process) for process in self.processes),
             *_broker_lines(self.brokers),
         ]
 
 
-def _names(replicas: Sequence[ReplicaDocument]) -> str:
+def _node_names(replicas: Sequence[ReplicaDocument]) -> str:
     return ", ".join(replica.node or replica.address for replica in replicas) or "none"
 
 
--- a/cherrycove/tier/cli/storage.py
+++ b/cherrycove/tier/cli/storage.py
@@ -1,4 +1,4 @@
-"""``storage``: what a replica's directory holds, and whether the replica could start from it."""
+"""The ``storage`` commands, which show the contents of a replica's directory and verify it."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from cherrycove.tier.storage.errors import DamagedStorageError
 from cherrycove.tier.storage.identity import IDENTITY_FILE
 
-DIRECTORY_ARGUMENT = argument("directory", "Folder of one replica (dataDirectory/keeper or .../store).")
+DIRECTORY_ARGUMENT = argument("directory", "Directory of one replica (dataDirectory/keeper or .../store).")
 
 
 @attrs.frozen
 class InspectionDocument:
-    """What ``storage inspect`` prints."""
+    """The document that ``storage inspect`` prints."""
 
     member_id: str
     epoch: int
     voted_for: str
     committed: int  # commit index
-    snapshot_index: int  # 0: no snapshot
+    snapshot_index: int  # 0 without a snapshot
     snapshot_bytes: int
-    entries: int  # after the snapshot
+    entries: int  # number of log entries after the snapshot
     last_index: int
     torn_bytes: int
     segments: list[Segment]
@@ -52,7 +52,7 @@
 
 @attrs.frozen
 class VerificationDocument:
-    """What ``storage verify`` prints about a directory from which the replica could start."""
+    """The document that ``storage verify`` prints for a directory from which the replica could start."""
 
     directory: str
     whole: bool
@@ -61,21 +61,27 @@
 
 @attrs.frozen
 class DamagedCopyDocument(VerificationDocument):
-    """The same where one copy of the hard state is damaged; the next start writes it again."""
+    """The document that ``storage verify`` prints if one copy of the hard state is damaged.
+
+    The replica could start; its next start rewrites the copy.
+    """
 
     damaged_promise_copies: int
 
 
 class StorageCommand(TierCommand):
-    """A command about one replica's directory."""
+    """Base class of the commands that read one replica's directory."""
 
     arguments = [DIRECTORY_ARGUMENT]
 
     def inspect_directory(self) -> Inspection:
-        """Return what the directory holds; raises CommandError where it is damaged or holds no replica."""
+        """Return the contents of the directory; raises CommandError if it is damaged or not a replica's."""
         path = Path(self.argument("directory"))
         if not (path / IDENTITY_FILE).is_file():
-            raise CommandError(ExitCode.INVALID, Problem("holds no replica", str(path), IDENTITY_FILE))
+            raise CommandError(
+                ExitCode.INVALID,
+                Problem("not found; this is not a replica directory", str(path), IDENTITY_FILE),
+            )
         try:
             return inspect_replica(path)
         except (DamagedStorageError, OSError) as error:
@@ -86,10 +92,10 @@
     """Shows the hard state, the snapshot and the log of a replica."""
 
     name = "storage inspect"
-    description = "Shows what a replica's folder holds."
+    description = "Shows the hard state, the snapshot and the log in a replica's directory."
 
     def perform(self) -> Outcome:
-        """Return what the directory holds; raises CommandError where it is damaged."""
+        """Return the contents of the directory; raises CommandError if it is damaged."""
         document = InspectionDocument.of(self.inspect_directory())
         values = to_json_object(document)
         lines = [f"{name}: {value}" for name, value in values.items() if name != "segments"]
@@ -101,18 +107,18 @@
     """Checks every byte that a replica reads at its start."""
 
     name = "storage verify"
-    description = "Tells whether a replica could start from its folder; 0 if so."
+    description = "Checks whether a replica could start from its directory; exits with 0 if so."
 
     def perform(self) -> Outcome:
-        """Return what a start would repair; raises CommandError where the replica could not start."""
+        """Return what a start would repair; raises CommandError if the replica could not start."""
         inspection = self.inspect_directory()
         path = self.argument("directory")
         torn_bytes = inspection.torn_bytes
-        lines = [f"{path}: whole; {torn_bytes} bytes of an unfinished write"]
+        lines = [f"{path}: intact; {torn_bytes} bytes of a torn write at the end of the log"]
         damaged_copies = inspection.damaged_hard_state_copies
         if not damaged_copies:
             return Outcome(VerificationDocument(path, whole=True, torn_bytes=torn_bytes), lines)
-        lines.append(f"{path}: one of two copies of the promise is damaged; a start writes it again")
+        lines.append(f"{path}: one of two copies of the hard state is damaged; the next start rewrites it")
         document = DamagedCopyDocument(
             path, whole=True, torn_bytes=torn_bytes, damaged_promise_copies=damaged_copies
         )
--- a/tests/tier/test_losses.py
+++ b/tests/tier/test_losses.py
@@ -188,4 +188,4 @@
     address = proxy(b'{"losses": {"a": {"broker_queue": "2"}}}')
     outcome = run("losses", address)
     assert outcome.exit_code == INVALID
-    assert outcome.errors == f"{address}: losses: is not counts by route and cause\n"
+    assert outcome.errors == f"{address}: losses: is not an object of counts by route and cause\n"
--- a/tests/tier/test_storage_damage.py
+++ b/tests/tier/test_storage_damage.py
@@ -280,7 +280,7 @@
     flip(path, path.read_bytes().index(MEMBER.encode()))
     tester = CommandTester(create_application().find("storage verify"))
     assert tester.execute(str(disk)) == 0
-    assert "one of two copies of the promise is damaged" in tester.io.fetch_output()
+    assert "one of two copies of the hard state is damaged" in tester.io.fetch_output()
 
 
 def test_verify_counts_what_a_torn_write_left(disk: Path) -> None:
--- a/tests/tier/test_tier_cli.py
+++ b/tests/tier/test_tier_cli.py
@@ -384,10 +384,10 @@
     outcome = run("status", f"--keeper {other}")
     assert outcome == Run(
         DONE,
-        "epoch 4, primary core-1 (confirmed), asked core-1\n"
+        "epoch 4, primary core-1 (confirmed), answered by core-1\n"
         "configuration version 9\n"
         "keepers: core-1\n"
-        "stores at first: none\n"
+        "initial stores: none\n"
         "retire storage-1: completed\n"
         "keeper core-1 10.0.0.1 z1: primary of epoch 4\n"
         "proxy web-1 10.0.0.5 z1: configuration 9\n"
