--- a/tests/tier/cli_support.py
+++ b/tests/tier/cli_support.py
@@ -1,4 +1,4 @@
-"""Runs operators' commands through cleo, and HTTP stand-ins on loopback for what they call."""
+"""Helpers that run operators' commands through cleo, and stub HTTP servers on loopback for them to call."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 @attrs.frozen
-class Run:
+class CommandResult:
     exit_code: int
     output: str
     errors: str
@@ -51,17 +51,17 @@
         return json.loads(self.output)
 
 
-def run(command: str, arguments: str = "") -> Run:
+def run(command: str, arguments: str = "") -> CommandResult:
     tester = CommandTester(create_application().find(command))
     exit_code = tester.execute(arguments)
-    return Run(exit_code, tester.io.fetch_output(), tester.io.fetch_error())
+    return CommandResult(exit_code, tester.io.fetch_output(), tester.io.fetch_error())
 
 
-# Stand-ins
+# Stub servers
 
 
 @attrs.frozen
-class Received:
+class ReceivedRequest:
     method: str
     path: str
     headers: dict[str, str]
@@ -69,14 +69,14 @@
 
 
 @attrs.frozen
-class Scripted:
+class StubResponse:
     status: int
     body: bytes = b"{}"
     headers: dict[str, str] = attrs.field(factory=dict)
 
 
-class Loop:
-    """An event loop in a thread, for servers beside commands that block."""
+class EventLoopThread:
+    """Runs an event loop in a thread, for servers that commands call while they block."""
 
     def __init__(self) -> None:
         self._loop = asyncio.new_event_loop()
@@ -95,12 +95,12 @@
         self._loop.close()
 
 
-class StandIn:
-    """Answers HTTP calls one after another as scripted; the last answer stays."""
+class StubServer:
+    """Sends the given responses to HTTP requests in order, and the last one to all further requests."""
 
-    def __init__(self, *answers: Scripted) -> None:
-        self.answers = list(answers)
-        self.received: list[Received] = []
+    def __init__(self, *responses: StubResponse) -> None:
+        self.responses = list(responses)
+        self.received: list[ReceivedRequest] = []
         self.address = ""
         self._runner: web.ServerRunner | None = None
 
@@ -117,6 +117,6 @@
 
     async def _handle(self, request: web.BaseRequest) -> web.Response:
         body = await request.read()
-        self.received.append(Received(request.method, request.path_qs, dict(request.headers), body))
-        answer = self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
-        return web.Response(status=answer.status, body=answer.body, headers=answer.headers)
+        self.received.append(ReceivedRequest(request.method, request.path_qs, dict(request.headers), body))
+        response = self.responses.pop(0) if len(self.responses) > 1 else self.responses[0]
+        return web.Response(status=response.status, body=response.body, headers=response.headers)
--- a/tests/tier/test_losses.py
+++ b/tests/tier/test_losses.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterator
 
 import pytest
-from cli_support import DONE, INVALID, Loop, Scripted, StandIn, run
+from cli_support import DONE, INVALID, EventLoopThread, StubResponse, StubServer, run
 from dataplane_world import World
 
 from cherrycove.tier.dataplane.admission import (
@@ -153,19 +153,19 @@
 
 
 @pytest.fixture
-def loop() -> Iterator[Loop]:
-    loop = Loop()
+def loop() -> Iterator[EventLoopThread]:
+    loop = EventLoopThread()
     yield loop
     loop.close()
 
 
 @pytest.fixture
-def proxy(loop: Loop) -> Iterator[Callable[[bytes], str]]:
-    """Starts a stand-in of a proxy with this document of losses, and returns its address."""
-    started: list[StandIn] = []
+def proxy(loop: EventLoopThread) -> Iterator[Callable[[bytes], str]]:
+    """Start a stub proxy that serves the given document of losses, and return its address."""
+    started: list[StubServer] = []
 
     def start(document: bytes) -> str:
-        started.append(StandIn(Scripted(200, document)))
+        started.append(StubServer(StubResponse(200, document)))
         loop.run(started[-1].start())
         return started[-1].address
 
