--- a/cherrycove/tier/membership/parameters.py
+++ b/cherrycove/tier/membership/parameters.py
@@ -20,7 +20,7 @@
     retry_periods: float = 0.1  # interval between further pings of a probe, direct and indirect
     probe_timeout_periods: float = 0.5  # time without an ack until a member is suspected
     suspicion_timeout_periods: float = 1.0  # multiplied by log10 of the number of members
-    reported_death_timeout_periods: float = 1.0  # suspicion of a member that another one declared dead
+    reported_death_timeout_periods: float = 1.0  # for members that another member declared dead
     verification_periods: float = 0.25  # interval between the pings of a suspected member
     stall_periods: float = 0.25  # lateness of a timer from which on the local process counts as stalled
     seed_ping_periods: float = 0.2  # interval between pings of the seeds while no other member is known
--- a/cherrycove/tier/membership/service.py
+++ b/cherrycove/tier/membership/service.py
@@ -65,7 +65,7 @@
             zone=settings.zone,
             region=settings.region,
             process_id=process_id,
-            incarnation=time.time_ns() // 1_000_000,  # ms since the epoch: above that of the previous process
+            incarnation=time.time_ns() // 1_000_000,  # ms; above that of the previous process of this name
         )
         self._machine: SwimMachine | None = None
         self._transport: asyncio.DatagramTransport | None = None
