--- a/tests/tier/test_losses.py
+++ b/tests/tier/test_losses.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterator
 
 import pytest
-from cli_support import DONE, INVALID, Loop, Scripted, StandIn, run
+from cli_support import DONE, INVALID, EventLoopThread, StubResponse, StubServer, run
 from dataplane_harness import DataPlaneHarness
 
 from cherrycove.tier.dataplane.admission import (
@@ -153,19 +153,19 @@
 
 
 @pytest.fixture
-def loop() -> Iterator[Loop]:
-    loop = Loop()
+def loop() -> Iterator[EventLoopThread]:
+    loop = EventLoopThread()
     yield loop
     loop.close()
 
 
 @pytest.fixture
-def proxy(loop: Loop) -> Iterator[Callable[[bytes], str]]:
-    """Starts a fake proxy that serves the given document of losses; returns its address."""
-    started: list[StandIn] = []
+def proxy(loop: EventLoopThread) -> Iterator[Callable[[bytes], str]]:
+    """Start a stub proxy that serves the given document of losses, and return its address."""
+    started: list[StubServer] = []
 
     def start(document: bytes) -> str:
-        started.append(StandIn(Scripted(200, document)))
+        started.append(StubServer(StubResponse(200, document)))
         loop.run(started[-1].start())
         return started[-1].address
 
@@ -188,4 +188,4 @@
     address = proxy(b'{"losses": {"a": {"broker_queue": "2"}}}')
     outcome = run("losses", address)
     assert outcome.exit_code == INVALID
-    assert outcome.errors == f"{address}: losses: is not counts by route and cause\n"
+    assert outcome.errors == f"{address}: losses: is not an object of counts by route and cause\n"
--- a/tests/tier/test_storage_damage.py
+++ b/tests/tier/test_storage_damage.py
@@ -286,7 +286,7 @@
     flip(path, path.read_bytes().index(MEMBER.encode()))
     tester = CommandTester(create_application().find("storage verify"))
     assert tester.execute(str(disk)) == 0
-    assert "one of two copies of the promise is damaged" in tester.io.fetch_output()
+    assert "one of two copies of the hard state is damaged" in tester.io.fetch_output()
 
 
 def test_verify_counts_the_bytes_of_a_torn_write(disk: Path) -> None:
