--- a/bench/tier_worlds.py
+++ b/bench/tier_worlds.py
@@ -18,7 +18,7 @@
 from cherrycove.tier.replication.candidate import Candidate
 from cherrycove.tier.simulation.fault_injector import FaultInjector
 from cherrycove.tier.simulation.network import NetworkConditions
-from cherrycove.tier.simulation.scenario import FAULTY_S, run_seed
+from cherrycove.tier.simulation.scenario import FAULT_PERIOD_S, run_seed
 from cherrycove.tier.simulation.world import World
 
 MINUTE_S = 60.0
@@ -47,7 +47,7 @@
         world.start(replica)
     while world.confirmed_primary() is None:
         world.run_until(world.now + STEP_S)
-    faults = FaultInjector(world, Random(seed), emptied_keeps_identity=False)
+    faults = FaultInjector(world, Random(seed), wiped_disk_keeps_identity=False)
     for replica in world.replicas:
         faults.kill(replica, RESTART_S)
     world.run_until(world.now + RESTART_S)
@@ -72,7 +72,7 @@
 def main() -> int:
     parser = argparse.ArgumentParser(prog="python -m bench.tier_worlds", description=__doc__)
     parser.add_argument("--worlds", type=int, default=60)
-    parser.add_argument("--seconds", type=float, default=FAULTY_S)
+    parser.add_argument("--seconds", type=float, default=FAULT_PERIOD_S)
     parser.add_argument("--groups", type=int, default=200)
     options = parser.parse_args()
     print(measure_speed(options.worlds, options.seconds))
--- a/cherrycove/tier/simulation/__main__.py
+++ b/cherrycove/tier/simulation/__main__.py
@@ -16,18 +16,18 @@
 from cherrycove.tier.simulation.control import mutations as control_mutations
 from cherrycove.tier.simulation.control import scenarios
 from cherrycove.tier.simulation.invariants import InvariantBrokenError
-from cherrycove.tier.simulation.mutations import EMPTIED_KEEPS_IDENTITY, NAMES, apply_mutation
-from cherrycove.tier.simulation.scenario import FAULTY_S, run_seed
+from cherrycove.tier.simulation.mutations import NAMES, WIPED_DISK_KEEPS_IDENTITY, apply_mutation
+from cherrycove.tier.simulation.scenario import FAULT_PERIOD_S, run_seed
 
 NO_COMMIT = "-"  # detail of a run that broke nothing, as nothing was acknowledged
 
 
-def _run_seed(mutation: str, faulty_s: float, seed: int) -> tuple[int, str]:
+def _run_seed(mutation: str, fault_period_s: float, seed: int) -> tuple[int, str]:
     """Return the seed, and the violated invariant or "" or NO_COMMIT."""
-    keeps_identity = mutation == EMPTIED_KEEPS_IDENTITY
+    keeps_identity = mutation == WIPED_DISK_KEEPS_IDENTITY
     try:
         with apply_mutation(mutation):
-            outcome = run_seed(seed, faulty_s, emptied_keeps_identity=keeps_identity)
+            outcome = run_seed(seed, fault_period_s, wiped_disk_keeps_identity=keeps_identity)
     except InvariantBrokenError as error:
         return seed, str(error)
     return seed, "" if outcome.acknowledged else NO_COMMIT
@@ -66,7 +66,7 @@
     parser.add_argument("--without", default="", help="take one guard out")
     parser.add_argument("--scenario", choices=scenarios.NAMES, default="", help="of the whole control side")
     parser.add_argument("--trace", type=int, default=None, help="print what happens in this world of it")
-    parser.add_argument("--seconds", type=float, default=FAULTY_S, help="simulated time with faults")
+    parser.add_argument("--seconds", type=float, default=FAULT_PERIOD_S, help="simulated time with faults")
     return parser
 
 
--- a/cherrycove/tier/simulation/control/batch_clients.py
+++ b/cherrycove/tier/simulation/control/batch_clients.py
@@ -12,7 +12,7 @@
 from cherrycove.tier.errors import ErrorKind, Failure
 from cherrycove.tier.protocol import batch_pb2 as pb
 from cherrycove.tier.simulation.control.batch_execution import MAX_ATTEMPTS
-from cherrycove.tier.simulation.control.deployment import BATCH_ROUTE, CLIENT_HOST, FRONT_PORT
+from cherrycove.tier.simulation.control.deployment import BATCH_ROUTE, CLIENT_HOST, PROXY_PORT
 from cherrycove.tier.simulation.control.loop import Incarnation
 from cherrycove.tier.simulation.control.network import Endpoint
 from cherrycove.tier.simulation.control.processes import ProxyProcess
@@ -126,7 +126,7 @@
             check(process, request, outcome, sent_at)
             return outcome
 
-        address = f"{proxy.host}:{FRONT_PORT}"
+        address = f"{proxy.host}:{PROXY_PORT}"
         outcome = await self._environment.network.exchange(
             CLIENT_HOST, self.incarnation, address, serve, CALL_TIMEOUT_S
         )
--- a/cherrycove/tier/simulation/control/cluster.py
+++ b/cherrycove/tier/simulation/control/cluster.py
@@ -41,7 +41,7 @@
         self.proxies: list[Machine] = []
         self.retiring: set[str] = set()  # names of machines that are ordered to retire and still there
         self._addresses = 0  # given out so far
-        self._placed = 0  # machines so far
+        self._machines_created = 0  # machines so far
         self._freed_addresses: dict[int, float] = {}  # number of the address, and when it became free
         self._past_hosts: list[tuple[float, list[str]]] = []  # time, and the hosts of the machines then
         self._fixed_seeds: tuple[str, ...] = ()  # of all starts from now on; empty: drawn for each
@@ -52,10 +52,10 @@
         """Place the machines of the topology; all start within START_S with the same seeds."""
         environment, topology = self._environment, self._environment.topology
         programs = (CONTROLLER_PROGRAM, STORE_PROGRAM) if topology.stores else (CONTROLLER_PROGRAM,)
-        self.machines = [self.place("storage", programs) for _ in range(topology.machines)]
-        self.proxies = [self.place("frontend", (PROXY_PROGRAM,)) for _ in range(topology.proxies)]
+        self.machines = [self.create_machine("storage", programs) for _ in range(topology.machines)]
+        self.proxies = [self.create_machine("frontend", (PROXY_PROGRAM,)) for _ in range(topology.proxies)]
         seeds = tuple(machine.host for machine in self.machines[: max(SEEDS, 2 * topology.faults + 1)])
-        if topology.dealt_seeds:
+        if topology.one_seed_per_zone:
             seeds = first_of_each_zone([machine.host for machine in self.machines])
         for machine in (*self.machines, *self.proxies):
             machine.seeds = seeds
@@ -63,11 +63,11 @@
             delay_s = environment.random.uniform(0.0, START_S)
             environment.after(delay_s, partial(self.power_up, machine))
 
-    def place(self, kind: str, programs: tuple[str, ...]) -> Machine:
+    def create_machine(self, kind: str, programs: tuple[str, ...]) -> Machine:
         """Return a new machine that has not started yet, at an address that no other machine has."""
         number = self._free_address()
-        self._placed += 1
-        return Machine(f"{kind}-{self._placed}", f"10.0.0.{number}", zone_of(number), programs)
+        self._machines_created += 1
+        return Machine(f"{kind}-{self._machines_created}", f"10.0.0.{number}", zone_of(number), programs)
 
     def _free_address(self) -> int:
         now, random = self._environment.now, self._environment.random
@@ -93,7 +93,7 @@
         if self._fixed_seeds:
             return self._fixed_seeds
         hosts = self._past_hosts[0][1]
-        if self._environment.topology.dealt_seeds:
+        if self._environment.topology.one_seed_per_zone:
             return first_of_each_zone(hosts)
         return tuple(self._environment.random.sample(hosts, min(SEEDS, len(hosts))))
 
--- a/cherrycove/tier/simulation/control/deployment.py
+++ b/cherrycove/tier/simulation/control/deployment.py
@@ -6,7 +6,7 @@
 
 INTERNAL_PORT_RANGE = [7720, 7735]
 CONTROL_PORT = 8166  # of the operators' interface of a controller
-FRONT_PORT = 8161  # of the clients' interface of a proxy
+PROXY_PORT = 8161  # of the clients' interface of a proxy
 OPERATOR_HOST = "operator"
 CLIENT_HOST = "client"
 BATCH_ROUTE = "b"
@@ -21,12 +21,12 @@
 class Topology:
     """Size of a deployment; ``faults`` of its ``machines``, which run controllers, may be lost at once.
 
-    ``dealt_seeds``: all processes that start at a time get the same seeds, the first machine of each zone, as
-    the platform deals them. Otherwise each start draws its own among all machines.
+    With ``one_seed_per_zone`` all processes that start at the same time get the same seeds, the first machine
+    of each zone, as the platform assigns them. Otherwise each start draws its own seeds from all machines.
     """
 
     faults: int = 1
     machines: int = 3
     proxies: int = 2
     stores: bool = False
-    dealt_seeds: bool = False
+    one_seed_per_zone: bool = False
--- a/cherrycove/tier/simulation/control/fault_injector.py
+++ b/cherrycove/tier/simulation/control/fault_injector.py
@@ -19,7 +19,7 @@
 RUNNING_SHARE = (0.1, 0.5)  # of BURST_S
 FROZEN_SHARE = (0.5, 0.9)  # of BURST_S
 SECOND_PARTITION_S = (0.8, 1.6)  # after the first step of a partition in steps
-STORM = {"loss": 0.1, "resets": 0.1, "strays": 0.1}
+DEGRADED_NETWORK = {"loss": 0.1, "resets": 0.1, "misdelivered": 0.1}
 
 
 class _ActiveFault:
@@ -95,7 +95,7 @@
         if random.random() < 0.2:
             links |= {(OPERATOR_HOST, machine.host), (machine.host, OPERATOR_HOST)}
         self._network.cut(links)
-        self._begin("cut", machine, duration_s, lambda: self._network.join(links))
+        self._begin("cut", machine, duration_s, lambda: self._network.heal(links))
 
     def partition_in_steps(self, machine: Machine, duration_s: float) -> None:
         """Cut a machine off from one other, which then campaigns, and soon after from the rest.
@@ -117,13 +117,13 @@
         def undo() -> None:
             nonlocal has_ended
             has_ended = True
-            self._network.join(cut_links)
+            self._network.heal(cut_links)
 
         self._network.cut(first)
         self._environment.after(self._random.uniform(*SECOND_PARTITION_S), cut_rest)
         self._begin("cut in steps", machine, duration_s, undo)
 
-    def cut_in_halves(self, duration_s: float) -> None:
+    def partition_into_halves(self, duration_s: float) -> None:
         """Cut the links between two halves of the machines; proxies and operators reach both."""
         hosts = [machine.host for machine in self._cluster.machines]
         self._random.shuffle(hosts)
@@ -140,16 +140,16 @@
         self._cluster.update_contacts()
 
         def end() -> None:
-            self._network.join(links)
+            self._network.heal(links)
             environment.fault_budget.fault_ended(names)
             self._cluster.update_contacts()
 
         self._end_later(duration_s, end)
 
-    def storm(self, duration_s: float) -> None:
+    def degrade_network(self, duration_s: float) -> None:
         """Lose packets and reset connections on all links; no machine counts as lost by it."""
         environment = self._environment
-        conditions = NetworkConditions(**STORM)
+        conditions = NetworkConditions(**DEGRADED_NETWORK)
         self._network.conditions = conditions
         environment.history.note(f"storm for {duration_s:.2f} s")
         self.count("storm")
@@ -222,7 +222,7 @@
 
     # Disks
 
-    def disturb_disk(self, machine: Machine, duration_s: float) -> None:
+    def degrade_disk(self, machine: Machine, duration_s: float) -> None:
         """Make the disk slow or full, or let it complete nothing."""
         disks = list(machine.disks.values())
         kind = self._random.choice(["slow", "full", "standing"])
@@ -248,7 +248,7 @@
     def replace(self, machine: Machine, duration_s: float) -> None:
         """Replace the machine by another one, empty and at another address."""
         cluster = self._cluster
-        successor = cluster.place("storage", machine.programs)
+        successor = cluster.create_machine("storage", machine.programs)
         successor.name = machine.name
         cluster.remove(machine)
         cluster.machines.append(successor)
@@ -258,17 +258,17 @@
     def add(self) -> None:
         """Add a machine; it counts from its start, and as lost until it had time to catch up."""
         cluster = self._cluster
-        machine = cluster.place("storage", cluster.machines[0].programs)
+        machine = cluster.create_machine("storage", cluster.machines[0].programs)
         cluster.machines.append(machine)
         cluster.power_up(machine)
         self._begin("add", machine, 0.0, lambda: None)
 
-    def lose_most(self, holders: list[Machine]) -> None:
+    def wipe_within_budget(self, holders: list[Machine]) -> None:
         """Wipe as many of ``holders`` as the budget allows, in their order; cut the power of all others."""
         budget = self._environment.fault_budget
-        victims = [machine for machine in holders if budget.allows({machine.name})]
+        targets = [machine for machine in holders if budget.allows({machine.name})]
         remaining = self._environment.faults - len(budget.lost())
-        wiped = victims[: max(remaining, 0)]
+        wiped = targets[: max(remaining, 0)]
         for machine in list(self._cluster.machines):
             restart_s = self._random.uniform(*RESTART_S)
             if machine in wiped:
--- a/cherrycove/tier/simulation/control/fault_schedule.py
+++ b/cherrycove/tier/simulation/control/fault_schedule.py
@@ -19,11 +19,14 @@
 UNKNOWN_RECOVERY_PAUSE_S = 1.0  # before the next fault, if it is unknown when the budget allows more
 AFTER_RETIREMENT_SHARE = 0.7  # of the retired machines, which a loss follows at once
 PARTITION_S = (1.0, 25.0)
-BLINK_S = (1.2, 2.2)  # partitions after which another leads, while orders wait at the one that was cut off
-HALVES_S = (1.0, 8.0)
-STEPS_S = (2.0, 6.0)
+SHORT_PARTITION_S = (
+    1.2,
+    2.2,
+)  # partitions after which another leads, while orders wait at the one that was cut off
+HALF_PARTITION_S = (1.0, 8.0)
+STEPWISE_PARTITION_S = (2.0, 6.0)
 SLOW_S = (1.0, 8.0)
-STORM_S = (1.0, 5.0)
+DEGRADED_NETWORK_S = (1.0, 5.0)
 FREEZE_S = (0.4, 1.0, 2.5, 6.0, 15.0)
 KILL_S = (0.2, 0.6, 2.0, 6.0, 20.0)
 DISK_S = (0.5, 2.0, 6.0)
@@ -58,7 +61,7 @@
         """Schedule the first fault, and watch acknowledgements and retirements."""
         self._invariants.on_acknowledged = self._follow_acknowledgement
         self._invariants.on_retired = self._follow_retirement
-        self._environment.after(FIRST_FAULT_S, self._strike)
+        self._environment.after(FIRST_FAULT_S, self._inject_random_fault)
 
     def stop(self) -> None:
         """Schedule no more faults, and end those in force."""
@@ -67,7 +70,7 @@
 
     # Faults by chance
 
-    def _strike(self) -> None:
+    def _inject_random_fault(self) -> None:
         if not self._is_active:
             return
         weights = self._scenario.weights
@@ -84,23 +87,23 @@
                 if recovery is UNKNOWN
                 else recovery - self._environment.now + MIN_PAUSE_S
             )
-        self._environment.after(max(pause_s, MIN_PAUSE_S), self._strike)
+        self._environment.after(max(pause_s, MIN_PAUSE_S), self._inject_random_fault)
 
     def _inject(self, kind: str) -> None:
         if kind == "storm":
-            self._injector.storm(self._random.uniform(*STORM_S))
+            self._injector.degrade_network(self._random.uniform(*DEGRADED_NETWORK_S))
         elif kind == "all":
             self._injector.kill_all()
         elif kind == "halves":
-            self._injector.cut_in_halves(self._random.uniform(*HALVES_S))
+            self._injector.partition_into_halves(self._random.uniform(*HALF_PARTITION_S))
         elif kind == "add":
             self._add()
         elif kind == "retire":
             self._retire()
         else:
-            self._strike_victim(lambda: kind)
+            self._inject_into_target(lambda: kind)
 
-    def _choose_victim(self) -> Machine | None:
+    def _choose_target(self) -> Machine | None:
         """Return a machine that the budget allows to be lost, or None if the one drawn may not."""
         primary = self._cluster.primary()
         if primary is not None and self._random.random() < self._scenario.primary_share:
@@ -109,22 +112,22 @@
             machine = self._random.choice(self._cluster.machines)
         return machine if self._budget.allows({machine.name}) else None
 
-    def _strike_victim(self, choose_kind: Callable[[], str]) -> None:
-        machine = self._choose_victim()
+    def _inject_into_target(self, choose_kind: Callable[[], str]) -> None:
+        machine = self._choose_target()
         if machine is not None:
-            self._strike_machine(choose_kind(), machine)
+            self._inject_into_machine(choose_kind(), machine)
 
-    def _strike_machine(self, kind: str, machine: Machine) -> None:
+    def _inject_into_machine(self, kind: str, machine: Machine) -> None:
         injector, random = self._injector, self._random
         faults: dict[str, Callable[[], None]] = {
             "cut": lambda: injector.partition(machine, random.uniform(*PARTITION_S)),
-            "blink": lambda: injector.partition(machine, random.uniform(*BLINK_S)),
-            "steps": lambda: injector.partition_in_steps(machine, random.uniform(*STEPS_S)),
+            "blink": lambda: injector.partition(machine, random.uniform(*SHORT_PARTITION_S)),
+            "steps": lambda: injector.partition_in_steps(machine, random.uniform(*STEPWISE_PARTITION_S)),
             "freeze": lambda: injector.freeze(machine, random.choice(FREEZE_S)),
             "slow": lambda: injector.slow_down(machine, random.uniform(*SLOW_S)),
             "kill": lambda: injector.kill(machine, random.choice(KILL_S)),
             "stop": lambda: injector.restart_gracefully(machine),
-            "disk": lambda: injector.disturb_disk(machine, random.choice(DISK_S)),
+            "disk": lambda: injector.degrade_disk(machine, random.choice(DISK_S)),
             "wipe": lambda: injector.wipe(machine, random.choice(WIPE_S)),
             "replace": lambda: injector.replace(machine, random.choice(REPLACE_S)),
         }
@@ -163,7 +166,7 @@
             self._environment.after(self._random.choice(DELAYS_AFTER_RETIREMENT_S), self._lose_another)
 
     def _lose_another(self) -> None:
-        self._strike_victim(lambda: self._random.choice(["wipe", "kill", "replace"]))
+        self._inject_into_target(lambda: self._random.choice(["wipe", "kill", "replace"]))
 
     def _follow_acknowledgement(self, process: Process, change: Change) -> None:
         if not self._is_active or self._has_fault_after_acknowledgement:
@@ -172,9 +175,9 @@
             return
         self._has_fault_after_acknowledgement = True
         delay_s = self._random.choice(DELAYS_AFTER_ACKNOWLEDGEMENT_S)
-        self._environment.after(delay_s, lambda: self._strike_acknowledged(process.machine, change))
+        self._environment.after(delay_s, lambda: self._fault_after_acknowledgement(process.machine, change))
 
-    def _strike_acknowledged(self, machine: Machine, change: Change) -> None:
+    def _fault_after_acknowledgement(self, machine: Machine, change: Change) -> None:
         """Strike the machine that acknowledged ``change``, or all of them at once."""
         self._has_fault_after_acknowledgement = False
         if self._budget.lost():
@@ -185,13 +188,13 @@
         elif kind == "worst":
             self.lose_holders(change)
         elif machine in self._cluster.machines:
-            self._strike_machine(kind, machine)
+            self._inject_into_machine(kind, machine)
 
     def lose_holders(self, change: Change) -> None:
         """Lose as many of the disks with ``change`` as the budget allows, and the power of all others."""
         holders = self._cluster.present(self._invariants.holders(change))
         self._random.shuffle(holders)
-        self._injector.lose_most(holders)
+        self._injector.wipe_within_budget(holders)
 
     def lose_proxies(self) -> None:
         """Cut the power of all proxies; they are back within a second."""
--- a/cherrycove/tier/simulation/control/history.py
+++ b/cherrycove/tier/simulation/control/history.py
@@ -112,49 +112,64 @@
 
     # Configurations
 
-    def check_authority(self, who: str, action: str, isolated_s: float) -> None:
-        """Check that ``who`` may have a lease for ``action``, ``isolated_s`` after contact to a quorum."""
-        self.require(isolated_s <= LEASE_BOUND_S, f"{who} {action}, {isolated_s:.2f} s without a quorum")
+    def check_authority(self, process_name: str, action: str, isolated_s: float) -> None:
+        """Check that a process may still hold a lease.
 
-    def accepted(self, who: str, index: int, change: Change) -> None:
-        """Check that ``who`` accepts ``change`` at log index ``index``, as all others do."""
+        ``action`` is what it did as primary, ``isolated_s`` the seconds since it last reached a quorum.
+        """
+        self.require(
+            isolated_s <= LEASE_BOUND_S, f"{process_name} {action}, {isolated_s:.2f} s without a quorum"
+        )
+
+    def accepted(self, process_name: str, index: int, change: Change) -> None:
+        """Check that ``process_name`` accepts ``change`` at log index ``index``, as all others do."""
         known = self._by_index.setdefault(index, change)
         if known != change:
-            self.fail(f"{who} applied {change} at {index}, others {known}")
+            self.fail(f"{process_name} applied {change} at {index}, others {known}")
         self._accepted.setdefault(change, index)
         rejected = self._rejected.get(change)
         if rejected is not None:
             self.fail(f"{change} is in force, though {rejected}")
 
-    def acknowledge(self, who: str, change: Change, holders: Iterable[str], required: int) -> None:
-        """Check a 200 for ``change`` that leaves ``who``; ``holders`` are the machines that synced it."""
+    def acknowledge(self, process_name: str, change: Change, holders: Iterable[str], required: int) -> None:
+        """Check a 200 response to ``change`` as ``process_name`` sends it.
+
+        ``holders`` are the machines that have synced the change; at least ``required`` must have.
+        """
         names = sorted(holders)
-        self.note(f"{who} 200 version {change.version} on {names}")
+        self.note(f"{process_name} 200 version {change.version} on {names}")
         known = self._acknowledged.setdefault(change.version, change)
         self.require(known == change, f"two contents confirmed under {change.version}")
         rival = self._by_base.setdefault(change.base, change)
         if rival != change:
             self.fail(f"{rival} and {change} were both confirmed")
         if change not in self._accepted:
-            self.fail(f"{who} confirmed {change}, which nobody applied")
+            self.fail(f"{process_name} confirmed {change}, which nobody applied")
         if len(names) < required:
-            self.fail(f"{who} confirmed {change} on {names}, not {required}")
+            self.fail(f"{process_name} confirmed {change} on {names}, not {required}")
         self.acknowledgements.append((self._clock(), change.version))
         if self.newest is None or change.version > self.newest.version:
             self.newest = change
 
-    def reject(self, who: str, change: Change, status: int) -> None:
-        """Check a final 4xx for ``change`` that leaves ``who``."""
-        self._rejected.setdefault(change, f"{who} rejected it with {status} at {self._clock():.4f}")
+    def reject(self, process_name: str, change: Change, status: int) -> None:
+        """Check a final 4xx for ``change`` that leaves ``process_name``."""
+        self._rejected.setdefault(change, f"{process_name} rejected it with {status} at {self._clock():.4f}")
         if change in self._accepted:
-            self.fail(f"{who} answered {status} to {change}, which was accepted")
-
-    def read(self, who: str, version: int, digest: bytes | None, floor: int) -> None:
-        """Check ``version`` as it was read; ``floor`` was the newest acknowledged when the read was sent."""
-        self.require(version >= floor, f"{who} returned version {version}, after {floor} was confirmed")
+            self.fail(f"{process_name} answered {status} to {change}, which was accepted")
+
+    def read(self, process_name: str, version: int, digest: bytes | None, min_version: int) -> None:
+        """Check the ``version`` that ``process_name`` returns to a read.
+
+        ``min_version`` is the newest version that was acknowledged when the read was sent; ``digest`` is None
+        if only the version is known.
+        """
+        self.require(
+            version >= min_version,
+            f"{process_name} returned version {version}, after {min_version} was confirmed",
+        )
         if digest is not None and version in self._acknowledged:
             same = self._acknowledged[version].digest == digest
-            self.require(same, f"{who} returned another content of version {version}")
+            self.require(same, f"{process_name} returned another content of version {version}")
 
     def acknowledged_change(self, moment: float) -> Change | None:
         """Return the newest change that was acknowledged at the time ``moment``."""
--- a/cherrycove/tier/simulation/control/job_history.py
+++ b/cherrycove/tier/simulation/control/job_history.py
@@ -76,15 +76,20 @@
 
     # Answers, as they leave a proxy
 
-    def accepted(self, who: str, job_id: str, now: float, holders: Iterable[str], required: int) -> None:
-        """Check an acknowledgement that leaves ``who``; ``holders`` are the machines that synced it."""
+    def accepted(
+        self, process_name: str, job_id: str, now: float, holders: Iterable[str], required: int
+    ) -> None:
+        """Check the acknowledgement of a job as ``process_name`` sends it.
+
+        ``holders`` are the machines that have synced the job; at least ``required`` must have.
+        """
         names = sorted(holders)
         job = self.jobs[job_id]
         if job.acknowledged_at is None:
             job.acknowledged_at = now
-            self._history.note(f"{who} 202 {job_id} on {names}")
+            self._history.note(f"{process_name} 202 {job_id} on {names}")
         if len(names) < required:
-            self._history.fail(f"{who} accepted {job_id} on {names}, not {required}")
+            self._history.fail(f"{process_name} accepted {job_id} on {names}, not {required}")
 
     def rejected(self, job_id: str) -> None:
         """Check a submission that certainly had no effect."""
@@ -92,42 +97,46 @@
         job.rejections += 1
         self._check_rejections(job_id, job)
 
-    def unknown(self, who: str, job_id: str, what: str, sent_at: float) -> None:
-        """Check a 404 that leaves ``who`` for a call sent at ``sent_at``."""
+    def unknown(self, process_name: str, job_id: str, what: str, sent_at: float) -> None:
+        """Check a 404 that leaves ``process_name`` for a call sent at ``sent_at``."""
         acknowledged_at = self.jobs[job_id].acknowledged_at
         if acknowledged_at is not None and acknowledged_at < sent_at:
-            self._history.fail(f"{who} does not know {job_id} at a call to {what}")
+            self._history.fail(f"{process_name} does not know {job_id} at a call to {what}")
 
     def ended(self, job_id: str, now: float) -> None:
         """Record the acknowledged end of a job."""
         job = self.jobs[job_id]
         job.ended_at = now if job.ended_at is None else job.ended_at
 
-    def read(self, who: str, job_id: str, cursor: int, reply: ReadReply) -> None:
-        """Check results from position ``cursor`` on, as they leave ``who``."""
+    def read(self, process_name: str, job_id: str, cursor: int, reply: ReadReply) -> None:
+        """Check results from position ``cursor`` on, as they leave ``process_name``."""
         job = self.jobs[job_id]
         if reply.total != len(job.request.items):
-            self._history.fail(f"{who} counts {reply.total} items of {job_id}")
+            self._history.fail(f"{process_name} counts {reply.total} items of {job_id}")
         for position, entry in enumerate(reply.results, cursor):
             seen = SeenResult(entry.item_id, entry.completed, entry.text)
             known = job.results.setdefault(position, seen)
             if known != seen:
-                self._history.fail(f"{who} has {seen} at {position} of {job_id}, it was {known}")
+                self._history.fail(f"{process_name} has {seen} at {position} of {job_id}, it was {known}")
             if seen.completed and seen.text not in job.texts:
-                self._history.fail(f"{who} has a text at {position} of {job_id} that was never computed")
+                self._history.fail(
+                    f"{process_name} has a text at {position} of {job_id} that was never computed"
+                )
         names = [seen.item_id for seen in job.results.values()]
         if len(set(names)) != len(names):
             self._history.fail(f"an item of {job_id} is at two positions")
 
     # Runs, as they reach a model server
 
-    def started(self, who: str, job_id: str, now: float) -> None:
-        """Check the start of an item of a job at ``who``."""
+    def started(self, process_name: str, job_id: str, now: float) -> None:
+        """Check the start of an item of a job at ``process_name``."""
         job = self.jobs[job_id]
         job.started = True
         self._check_rejections(job_id, job)
         if job.ended_at is not None and now - job.ended_at > CANCEL_S:
-            self._history.fail(f"{who} starts an item of {job_id}, {now - job.ended_at:.2f} s after its end")
+            self._history.fail(
+                f"{process_name} starts an item of {job_id}, {now - job.ended_at:.2f} s after its end"
+            )
 
     def _check_rejections(self, job_id: str, job: JobRecord) -> None:
         if job.started and job.submissions == job.rejections:
--- a/cherrycove/tier/simulation/control/loop.py
+++ b/cherrycove/tier/simulation/control/loop.py
@@ -19,7 +19,7 @@
 import attrs
 
 TIMER_LATENESS_S = 0.001  # timers fire up to so late
-SPAWNED_KEPT = 64  # coroutines of an incarnation that are looked through for those that have not begun
+SPAWNED_PRUNE_SIZE = 64  # coroutines of an incarnation that are looked through for those that have not begun
 MAX_CALLBACKS_AT_ONCE = 1_000_000  # without time passing: then something spins
 
 
@@ -37,7 +37,7 @@
 CURRENT_INCARNATION: ContextVar[Incarnation | None] = ContextVar("incarnation", default=None)
 
 
-class SpinningError(RuntimeError):
+class LivelockError(RuntimeError):
     """Callbacks were scheduled without end at one moment."""
 
 
@@ -89,7 +89,7 @@
             self.callbacks += 1
             left -= 1
             if left == 0:
-                raise SpinningError(f"at {self._now}: {handle!r}")
+                raise LivelockError(f"at {self._now}: {handle!r}")
             handle._run()  # noqa: SLF001 - as asyncio's own loops do
 
     # Incarnations
@@ -100,7 +100,7 @@
         """Run ``coroutine`` as a task of ``incarnation``."""
         context = copy_context()
         context.run(CURRENT_INCARNATION.set, incarnation)
-        if len(incarnation.spawned) >= SPAWNED_KEPT:
+        if len(incarnation.spawned) >= SPAWNED_PRUNE_SIZE:
             incarnation.spawned = [
                 one for one in incarnation.spawned if getcoroutinestate(one) == CORO_CREATED
             ]
--- a/cherrycove/tier/simulation/control/mutations.py
+++ b/cherrycove/tier/simulation/control/mutations.py
@@ -23,7 +23,7 @@
 from cherrycove.tier.replication.pending_proposals import PendingProposals
 from cherrycove.tier.replication.primary import Primary
 from cherrycove.tier.replication.replicator import PeerReplicator
-from cherrycove.tier.simulation import mutations as group_mutations
+from cherrycove.tier.simulation import mutations as replication_mutations
 from cherrycove.tier.simulation.control import network
 from cherrycove.tier.simulation.control.network import Client
 from cherrycove.tier.simulation.control.runtime import SimulatedRuntime
@@ -42,7 +42,7 @@
 # 1. A machine cut off
 
 
-def _lease_without_end() -> Patches:
+def _lease_never_expires() -> Patches:
     def is_confirmed_primary(primary: Any, now: float) -> bool:
         return bool(primary._core.log.commit_index >= primary._noop_index)
 
@@ -60,7 +60,7 @@
     yield mock.patch.object(Leadership, "wait_until_confirmed", wait_until_confirmed)
 
 
-def _refusals_without_lease() -> Patches:
+def _rejections_without_lease() -> Patches:
     check = ConfigurationService._check
 
     def unconfirmed(decisions: Any, body: bytes, base_version: int) -> Any:
@@ -74,7 +74,7 @@
 # 2. Two operators, orders sent again
 
 
-def _decisions_at_the_same_time() -> Patches:
+def _concurrent_decisions() -> Patches:
     class Turn:
         async def __aenter__(self) -> bool:
             return True
@@ -83,10 +83,10 @@
             return None
 
     yield mock.patch.object(ConfigurationService, "_exclusive_access", lambda decisions, timeout_s: Turn())
-    yield from _base_not_checked_when_applied()
+    yield from _skip_base_check_when_applied()
 
 
-def _base_not_checked_when_applied() -> Patches:
+def _skip_base_check_when_applied() -> Patches:
     original = ConfigurationState.accept
 
     def unchecked(state: Any, command: Any) -> Any:
@@ -100,25 +100,25 @@
     yield mock.patch.object(ConfigurationState, "accept", unchecked)
 
 
-def _no_barrier_after_an_uncertain_change() -> Patches:
+def _skip_barrier_after_uncertain_change() -> Patches:
     async def resolve(proposer: Any, timeout_s: float) -> Any:
         return Ok(None)
 
     yield mock.patch.object(BarrierProposer, "resolve", resolve)
 
 
-def _uncertain_is_refused() -> Patches:
+def _report_uncertain_as_rejected() -> Patches:
     def uncommitted(decisions: Any, failure: Any) -> Any:
         return _mismatch(0, decisions._state.configuration.version)
 
     yield mock.patch.object(ConfigurationService, "_uncommitted", uncommitted)
 
 
-def _accepted_digests_forgotten() -> Patches:
+def _forget_accepted_digests() -> Patches:
     yield mock.patch.object(ConfigurationState, "was_accepted", lambda state, digest, version: False)
 
 
-def _decides_before_its_first_entry() -> Patches:
+def _decide_before_first_commit() -> Patches:
     def is_confirmed_primary(primary: Any, now: float) -> bool:
         return bool(now - primary._lease_start(now) < primary._core.timing.lease_s)
 
@@ -128,7 +128,7 @@
 # 3. A second loss
 
 
-def _emptied_keeps_identity() -> Patches:
+def _wiped_disk_keeps_identity() -> Patches:
     identity = SimulatedRuntime.identity
     kept: dict[tuple[str, str], str] = {}
 
@@ -141,14 +141,14 @@
     yield mock.patch.object(SimulatedRuntime, "identity", same)
 
 
-def _taken_in_before_it_caught_up() -> Patches:
+def _promote_before_catch_up() -> Patches:
     yield mock.patch.object(PeerReplicator, "is_caught_up", lambda peer, within: True)
 
 
 # 4. A restarted member
 
 
-def _snapshot_without_digests() -> Patches:
+def _drop_digests_from_snapshots() -> Patches:
     def restore(state: Any, data: bytes) -> None:
         original(state, data)
         state._configuration._accepted = {}
@@ -160,7 +160,7 @@
 # 5. Answers for another
 
 
-def _batches_for_another_disk_are_taken() -> Patches:
+def _accept_batches_for_another_disk() -> Patches:
     async def handle_call(messenger: Any, batch: Any) -> Any:
         if messenger._replica is not None:
             batch.receiver_id = messenger._replica.identity.member_id
@@ -175,7 +175,7 @@
     yield mock.patch.object(network, "_serve", serve)
 
 
-def _outcomes_by_place_alone() -> Patches:
+def _resolve_by_index_alone() -> Patches:
     def resolve(proposals: Any, index: int, epoch: int, outcome: object) -> None:
         waiting = proposals._pending.get(index)
         original(proposals, index, epoch if waiting is None else waiting.epoch, outcome)
@@ -184,7 +184,7 @@
     yield mock.patch.object(PendingProposals, "resolve", resolve)
 
 
-def _replies_of_older_epochs_count() -> Patches:
+def _count_replies_of_older_epochs() -> Patches:
     def receive(dispatcher: Any, sender: Any, message: Any, now: float) -> None:
         message.epoch = max(message.epoch, dispatcher._core.epoch) if message.epoch else message.epoch
         original(dispatcher, sender, message, now)
@@ -193,49 +193,51 @@
     yield mock.patch.object(MessageDispatcher, "_receive_from_backup", receive)
 
 
-def _replies_by_place() -> Patches:
+def _accept_misdelivered_replies() -> Patches:
     def take(client: Any, body: bytes, reply_type: Any) -> Any:
         try:
             return Ok(reply_type.FromString(body))
         except DecodeError:
             return Err(Failure(ErrorKind.UNCERTAIN, "unreadable"))
 
-    yield mock.patch.object(Client, "take_stray", take)
+    yield mock.patch.object(Client, "receive_misdelivered", take)
 
 
-def _of_group(name: str) -> Callable[[], Patches]:
-    return group_mutations.MUTATIONS[name]
+def _replication_mutation(name: str) -> Callable[[], Patches]:
+    return replication_mutations.MUTATIONS[name]
 
 
 MUTATIONS: dict[str, Mutation] = {
-    "lease-without-end": Mutation("cut-off", _lease_without_end),
+    "lease-without-end": Mutation("cut-off", _lease_never_expires),
     "pulls-answered-without-lease": Mutation("cut-off", _pulls_answered_without_lease),
     "reads-without-lease": Mutation("cut-off", _reads_without_lease),
-    "refusals-without-lease": Mutation("cut-off", _refusals_without_lease),
-    "vote-within-lease": Mutation("cut-off", _of_group("vote-within-lease")),
-    "decisions-at-the-same-time": Mutation("races", _decisions_at_the_same_time),
-    "base-not-checked-when-applied": Mutation("races", _base_not_checked_when_applied),
-    "no-barrier-after-an-uncertain-change": Mutation("races", _no_barrier_after_an_uncertain_change),
-    "uncertain-is-refused": Mutation("races", _uncertain_is_refused),
-    "accepted-digests-forgotten": Mutation("races", _accepted_digests_forgotten),
-    "decides-before-its-first-entry": Mutation("restart", _decides_before_its_first_entry),
-    "one-copy-fewer": Mutation("second-loss", _of_group("one-copy-fewer")),
-    "new-list-alone": Mutation("second-loss", _of_group("new-list-alone")),
-    "emptied-keeps-identity": Mutation("second-loss", _emptied_keeps_identity),
-    "taken-in-before-it-caught-up": Mutation("second-loss", _taken_in_before_it_caught_up),
-    "acknowledge-before-sync": Mutation("restart", _of_group("acknowledge-before-sync")),
-    "commit-before-own-sync": Mutation("restart", _of_group("commit-before-own-sync")),
-    "vote-before-sync": Mutation("restart", _of_group("vote-before-sync")),
-    "vote-without-log-check": Mutation("restart", _of_group("vote-without-log-check")),
-    "count-copies-of-older-epochs": Mutation("restart", _of_group("count-copies-of-older-epochs")),
+    "refusals-without-lease": Mutation("cut-off", _rejections_without_lease),
+    "vote-within-lease": Mutation("cut-off", _replication_mutation("vote-within-lease")),
+    "decisions-at-the-same-time": Mutation("races", _concurrent_decisions),
+    "base-not-checked-when-applied": Mutation("races", _skip_base_check_when_applied),
+    "no-barrier-after-an-uncertain-change": Mutation("races", _skip_barrier_after_uncertain_change),
+    "uncertain-is-refused": Mutation("races", _report_uncertain_as_rejected),
+    "accepted-digests-forgotten": Mutation("races", _forget_accepted_digests),
+    "decides-before-its-first-entry": Mutation("restart", _decide_before_first_commit),
+    "one-copy-fewer": Mutation("second-loss", _replication_mutation("one-copy-fewer")),
+    "new-list-alone": Mutation("second-loss", _replication_mutation("new-list-alone")),
+    "emptied-keeps-identity": Mutation("second-loss", _wiped_disk_keeps_identity),
+    "taken-in-before-it-caught-up": Mutation("second-loss", _promote_before_catch_up),
+    "acknowledge-before-sync": Mutation("restart", _replication_mutation("acknowledge-before-sync")),
+    "commit-before-own-sync": Mutation("restart", _replication_mutation("commit-before-own-sync")),
+    "vote-before-sync": Mutation("restart", _replication_mutation("vote-before-sync")),
+    "vote-without-log-check": Mutation("restart", _replication_mutation("vote-without-log-check")),
+    "count-copies-of-older-epochs": Mutation(
+        "restart", _replication_mutation("count-copies-of-older-epochs")
+    ),
     "restarted-quorum-needs-no-lease-to-end": Mutation(
-        "restart", _of_group("restarted-quorum-needs-no-lease-to-end")
+        "restart", _replication_mutation("restarted-quorum-needs-no-lease-to-end")
     ),
-    "snapshot-without-digests": Mutation("restart", _snapshot_without_digests),
-    "batches-for-another-disk-are-taken": Mutation("misdelivery", _batches_for_another_disk_are_taken),
-    "replies-by-place": Mutation("misdelivery", _replies_by_place),
-    "outcomes-by-place-alone": Mutation("misdelivery", _outcomes_by_place_alone),
-    "replies-of-older-epochs-count": Mutation("misdelivery", _replies_of_older_epochs_count),
+    "snapshot-without-digests": Mutation("restart", _drop_digests_from_snapshots),
+    "batches-for-another-disk-are-taken": Mutation("misdelivery", _accept_batches_for_another_disk),
+    "replies-by-place": Mutation("misdelivery", _accept_misdelivered_replies),
+    "outcomes-by-place-alone": Mutation("misdelivery", _resolve_by_index_alone),
+    "replies-of-older-epochs-count": Mutation("misdelivery", _count_replies_of_older_epochs),
 }
 NAMES = tuple(MUTATIONS)
 
--- a/cherrycove/tier/simulation/control/network.py
+++ b/cherrycove/tier/simulation/control/network.py
@@ -31,7 +31,7 @@
 
     loss: float = 0.0  # share of messages that are sent again after a while
     resets: float = 0.0  # share of calls whose connection is reset on the way
-    strays: float = 0.0  # share of calls at whose place another call's reply comes
+    misdelivered: float = 0.0  # share of calls at whose place another call's reply comes
 
 
 @attrs.define(eq=False)
@@ -63,7 +63,7 @@
         for link in links:
             self._cuts[link] = self._cuts.get(link, 0) + 1
 
-    def join(self, links: set[tuple[str, str]]) -> None:
+    def heal(self, links: set[tuple[str, str]]) -> None:
         """End one cut of each link; what waited there arrives soon after the last one."""
         for link in sorted(links):
             left = self._cuts.get(link, 0) - 1
@@ -78,9 +78,9 @@
         """Whether the link from ``source`` to ``target`` is cut."""
         return (source, target) in self._cuts
 
-    def draw_stray(self) -> bool:
+    def draw_misdelivery(self) -> bool:
         """Whether another call's reply comes in place of the next one."""
-        return self.conditions.strays > 0 and self._random.random() < self.conditions.strays
+        return self.conditions.misdelivered > 0 and self._random.random() < self.conditions.misdelivered
 
     def open(self, endpoint: Endpoint, address: str) -> None:
         """Serve ``address`` by ``endpoint``, in place of an earlier one."""
@@ -213,7 +213,9 @@
         self._network = network
         self._host = host
         self._incarnation = incarnation
-        self._earlier: dict[str, bytes] = {}  # an earlier reply from each address, which may come again
+        self._earlier_replies: dict[
+            str, bytes
+        ] = {}  # an earlier reply from each address, which may come again
 
     async def send(self, call: OutgoingCall[RequestT, ReplyT]) -> Result[ReplyT, Failure]:
         """Send ``call`` once, as ``Caller`` describes."""
@@ -230,13 +232,13 @@
         answer: Result[bytes, Failure] = outcome.ok_value
         if isinstance(answer, Err):
             return answer
-        stray = self._earlier.get(call.address)
-        if stray is not None and self._network.draw_stray():
-            return self.take_stray(stray, call.method.reply_type)
-        self._earlier[call.address] = answer.ok_value
+        misdelivered = self._earlier_replies.get(call.address)
+        if misdelivered is not None and self._network.draw_misdelivery():
+            return self.receive_misdelivered(misdelivered, call.method.reply_type)
+        self._earlier_replies[call.address] = answer.ok_value
         return Ok(call.method.reply_type.FromString(answer.ok_value))
 
-    def take_stray(self, _body: bytes, _reply_type: type[ReplyT]) -> Result[ReplyT, Failure]:
+    def receive_misdelivered(self, _body: bytes, _reply_type: type[ReplyT]) -> Result[ReplyT, Failure]:
         """Drop the reply to another call with its connection, as ``protocol.rpc`` does by its number."""
         return Err(Failure(ErrorKind.UNCERTAIN, "the reply to another call"))
 
--- a/cherrycove/tier/simulation/control/operators.py
+++ b/cherrycove/tier/simulation/control/operators.py
@@ -193,19 +193,21 @@
         process = endpoint.process
         if not isinstance(process, ControllerProcess):
             return None
-        floor = self._history.newest_version
+        min_version = self._history.newest_version
         response = await process.controller.operator_api.answer(order.request)  # type: ignore[arg-type]
         body = response.body if isinstance(response.body, bytes) else b""
         reply = Reply(response.status, response.headers.get("Location", ""), body)
         if reply.status == 200 or reply.status in FINAL_REJECTIONS:
             self._definite_answers[order] = self._definite_answers.get(order, 0) + 1
         if reply.status == 200:
-            self._check_success(process, order, reply, floor)
+            self._check_success(process, order, reply, min_version)
         elif reply.status in FINAL_REJECTIONS:
-            self._check_rejection(process, order, reply.status, floor)
+            self._check_rejection(process, order, reply.status, min_version)
         return reply
 
-    def _check_success(self, process: ControllerProcess, order: Order, reply: Reply, floor: int) -> None:
+    def _check_success(
+        self, process: ControllerProcess, order: Order, reply: Reply, min_version: int
+    ) -> None:
         name = process.incarnation.name
         if order.kind is OrderKind.CHANGE and order.change is not None:
             self._history.require(order.is_valid, f"{name} confirmed an invalid configuration")
@@ -214,11 +216,13 @@
         self._invariants.check_authority(process, "answered a read")
         if order.kind is OrderKind.READ:
             version = int(json.loads(reply.body)["version"])
-            self._history.read(name, version, configuration_digest(reply.body), floor)
+            self._history.read(name, version, configuration_digest(reply.body), min_version)
         elif order.kind is OrderKind.RETIRE_STATE and json.loads(reply.body)["state"] == "completed":
             self._invariants.retired(process, order.request.match_info["node"])
 
-    def _check_rejection(self, process: ControllerProcess, order: Order, status: int, floor: int) -> None:
+    def _check_rejection(
+        self, process: ControllerProcess, order: Order, status: int, min_version: int
+    ) -> None:
         name = process.incarnation.name
         self._invariants.check_authority(process, f"answered {status}")
         if order.kind is OrderKind.CHANGE:
@@ -227,4 +231,6 @@
         elif order.kind is OrderKind.RETIRE:
             self._invariants.retirement_rejected(process, order.request.match_info["node"], status)
         elif order.kind is OrderKind.READ and status == 404:
-            self._history.require(floor == 0, f"{name} knows no configuration, after {floor} was confirmed")
+            self._history.require(
+                min_version == 0, f"{name} knows no configuration, after {min_version} was confirmed"
+            )
--- a/cherrycove/tier/simulation/control/processes.py
+++ b/cherrycove/tier/simulation/control/processes.py
@@ -30,7 +30,7 @@
 from cherrycove.tier.replication.interface import MemberIdentity
 from cherrycove.tier.replication.options import GroupOptions
 from cherrycove.tier.simulation.control.batch_execution import SimulatedExecutor
-from cherrycove.tier.simulation.control.deployment import CONTROL_PORT, FRONT_PORT
+from cherrycove.tier.simulation.control.deployment import CONTROL_PORT, PROXY_PORT
 from cherrycove.tier.simulation.control.environment import Environment
 from cherrycove.tier.simulation.control.history import change_in
 from cherrycove.tier.simulation.control.loop import Incarnation
@@ -160,12 +160,12 @@
         history = self.environment.history
 
         async def checked(request: PullRequest) -> Result[PullReply, Failure]:
-            floor = history.newest_version
+            min_version = history.newest_version
             outcome = await pull(request)
             if isinstance(outcome, Ok):
                 known = VersionVector(request.versions).get(CONFIGURATION).sequence
                 newer = [update.configuration.version for update in outcome.ok_value.updates]
-                history.read(self.incarnation.name, max([known, *newer]), None, floor)
+                history.read(self.incarnation.name, max([known, *newer]), None, min_version)
                 isolated_s = self.machine.isolated_for_s(self.environment.now)
                 history.check_authority(self.incarnation.name, "answered a pull", isolated_s)
             return outcome
@@ -259,7 +259,7 @@
         if self.environment.topology.stores:
             await self.worker.start()
             self.endpoint.process = self
-            self.environment.network.open(self.endpoint, f"{self.machine.host}:{FRONT_PORT}")
+            self.environment.network.open(self.endpoint, f"{self.machine.host}:{PROXY_PORT}")
 
     async def stop(self) -> None:
         """Shut down gracefully."""
--- a/cherrycove/tier/simulation/control/scenarios.py
+++ b/cherrycove/tier/simulation/control/scenarios.py
@@ -13,9 +13,9 @@
 WITH_STORES = Topology(faults=1, machines=4, proxies=1, stores=True)
 MANY_WITH_STORES = Topology(faults=1, machines=5, proxies=1, stores=True)
 # Sizes of deployments in service: a group of five among ten machines and more; the platform deals the seeds.
-TEN_MACHINES = Topology(faults=2, machines=10, proxies=5, stores=True, dealt_seeds=True)
-TWELVE_MACHINES = Topology(faults=2, machines=12, proxies=6, stores=True, dealt_seeds=True)
-FOURTEEN_MACHINES = Topology(faults=2, machines=14, proxies=8, stores=True, dealt_seeds=True)
+TEN_MACHINES = Topology(faults=2, machines=10, proxies=5, stores=True, one_seed_per_zone=True)
+TWELVE_MACHINES = Topology(faults=2, machines=12, proxies=6, stores=True, one_seed_per_zone=True)
+FOURTEEN_MACHINES = Topology(faults=2, machines=14, proxies=8, stores=True, one_seed_per_zone=True)
 
 
 @attrs.frozen(kw_only=True)
--- a/cherrycove/tier/simulation/effects_runner.py
+++ b/cherrycove/tier/simulation/effects_runner.py
@@ -66,13 +66,13 @@
         if effects.restore is not None:
             replica.state = State.decode(bytes(effects.restore.state))
             replica.entries_since_snapshot = 0
-            self._invariants.applied(replica)
+            self._invariants.check_applied(replica)
         for entry in effects.committed:
-            self._invariants.committed(replica, entry, self._disks, self._events.now)
+            self._invariants.check_committed(replica, entry, self._disks, self._events.now)
             replica.state = replica.state.applied(entry)
             self._acknowledge(replica, entry)
         if effects.committed:
-            self._invariants.applied(replica)
+            self._invariants.check_applied(replica)
             replica.entries_since_snapshot += len(effects.committed)
 
     def _acknowledge(self, replica: Replica, entry: Entry) -> None:
--- a/cherrycove/tier/simulation/fault_budget.py
+++ b/cherrycove/tier/simulation/fault_budget.py
@@ -55,7 +55,7 @@
         self._lost_until[machine] = NEVER
         self._restart_catch_up_if_exceeded(now)
 
-    def succeeded(self, machine: str, successor: str, now: float) -> None:
+    def replaced(self, machine: str, successor: str, now: float) -> None:
         """Record the start of ``successor``, which counts in place of the removed ``machine`` from now on."""
         self._lost_until.pop(machine, None)
         self.started(successor, now)
--- a/cherrycove/tier/simulation/fault_injector.py
+++ b/cherrycove/tier/simulation/fault_injector.py
@@ -11,7 +11,7 @@
 
 Links = set[tuple[str, str]]  # directed, addresses of a sender and a receiver
 
-STORM = NetworkConditions(loss=0.3, duplicated=0.2, slow_share=0.4, slow_s=1.0)
+DEGRADED_NETWORK = NetworkConditions(loss=0.3, duplicated=0.2, slow_share=0.4, slow_s=1.0)
 ADDRESS_REUSE_S = 2.0  # an address is given to another machine only after this time
 
 
@@ -21,11 +21,11 @@
     ``on_end`` is called at the end of each fault of a machine.
     """
 
-    def __init__(self, world: World, random: Random, *, emptied_keeps_identity: bool) -> None:
-        """``emptied_keeps_identity`` breaks the rule that an emptied disk is a new member."""
+    def __init__(self, world: World, random: Random, *, wiped_disk_keeps_identity: bool) -> None:
+        """``wiped_disk_keeps_identity`` breaks the rule that an emptied disk is a new member."""
         self._world = world
         self._random = random
-        self._emptied_keeps_identity = emptied_keeps_identity
+        self._wiped_disk_keeps_identity = wiped_disk_keeps_identity
         self.on_end: Callable[[], None] = lambda: None
 
     def _begin(self, machine: str, duration_s: float, undo: Callable[[], None]) -> None:
@@ -72,9 +72,9 @@
         """Cut ``links``; the machines of these names count as cut off."""
         self._world.network.cuts |= links
         for machine in sorted(machines):
-            self._begin(machine, duration_s, lambda: self._join(links))
+            self._begin(machine, duration_s, lambda: self._heal(links))
 
-    def _join(self, links: Links) -> None:
+    def _heal(self, links: Links) -> None:
         self._world.network.cuts -= links
 
     def isolate(self, replica: Replica, duration_s: float) -> None:
@@ -93,13 +93,13 @@
             links = {(receiver, sender) for sender, receiver in links}
         self.cut(links, duration_s, {replica.name})
 
-    def storm(self, duration_s: float) -> None:
+    def degrade_network(self, duration_s: float) -> None:
         """Lose, duplicate and delay many messages on all links."""
-        self._world.network.conditions = STORM
+        self._world.network.conditions = DEGRADED_NETWORK
         for replica in self._world.replicas:
-            self._begin(replica.name, duration_s, self._end_storm)
+            self._begin(replica.name, duration_s, self._restore_network)
 
-    def _end_storm(self) -> None:
+    def _restore_network(self) -> None:
         self._world.network.conditions = NetworkConditions()
 
     # Disks
@@ -113,7 +113,7 @@
         """Kill the process, and start it again with an empty disk."""
         member_id = replica.disk.member_id
         self._world.wipe(replica)
-        if self._emptied_keeps_identity:
+        if self._wiped_disk_keeps_identity:
             replica.disk.member_id = member_id
             replica.replace_disk(replica.disk)
         incarnation = replica.incarnation
@@ -131,7 +131,7 @@
 
         def start_successor() -> None:
             successor = world.add(address)
-            world.fault_budget.succeeded(replica.name, successor.name, world.now)
+            world.fault_budget.replaced(replica.name, successor.name, world.now)
             self.on_end()
 
         world.after(start_s, start_successor)
--- a/cherrycove/tier/simulation/fault_schedule.py
+++ b/cherrycove/tier/simulation/fault_schedule.py
@@ -16,7 +16,7 @@
 NEXT_LOSS_SHARE = 0.7  # of the faults after which another machine is lost as early as the budget allows
 PRIMARY_SHARE = 0.3  # of the faults that strike a primary on purpose
 WITHIN_BUDGET_SHARE = 0.6  # of the worlds in which faults of single machines keep to the fault budget
-STRIKE_ALL_SHARE = 0.2  # in these worlds, of the faults that may strike all machines
+COMMON_FAULT_SHARE = 0.2  # in these worlds, of the faults that may strike all machines
 EXHAUSTED_SHARE = 0.15  # in these worlds, of the faults that come though no further machine may be lost
 AFTER_RETIREMENT_SHARE = 0.5  # of the retired machines, which another loss follows at once
 SAME_ADDRESS_SHARE = 0.5  # of the replaced machines
@@ -25,7 +25,7 @@
 WIPE_S = (0.1, 0.6, 3.0)
 REPLACE_S = (0.0, 0.5, 3.0)
 RESTART_ALL_S = (0.1, 1.0)
-STORM_S = (0.5, 2.0)
+DEGRADED_NETWORK_S = (0.5, 2.0)
 
 ReplicaFault = Callable[[Replica], None]
 
@@ -50,29 +50,29 @@
 
     def start(self) -> None:
         """Schedule the first fault."""
-        self._world.after(FIRST_FAULT_S, self._strike)
+        self._world.after(FIRST_FAULT_S, self._inject_fault)
 
     def stop(self) -> None:
         """Schedule no more faults."""
         self._is_active = False
         self._targeted.disarm()
 
-    def _strike(self) -> None:
+    def _inject_fault(self) -> None:
         if not self._is_active:
             return
-        if self._world.replicas and not self._pauses():
+        if self._world.replicas and not self._should_pause():
             self._world.check_fault_tolerance()
-            self._random.choice(self._kinds())(self._choose_victim())
-        self._world.after(self._random.uniform(0, 2 * FAULT_PAUSE_S), self._strike)
+            self._random.choice(self._possible_faults())(self._choose_target())
+        self._world.after(self._random.uniform(0, 2 * FAULT_PAUSE_S), self._inject_fault)
 
-    def _pauses(self) -> bool:
+    def _should_pause(self) -> bool:
         """Whether the lost machines are left alone until the budget allows another loss; mostly so."""
         lost = len(self._world.fault_budget.lost(self._world.now))
         return (
             self._keeps_to_budget and lost >= self._world.faults and self._random.random() > EXHAUSTED_SHARE
         )
 
-    def _choose_victim(self) -> Replica:
+    def _choose_target(self) -> Replica:
         """Return a replica to be struck, one that the budget allows to be lost if there is any."""
         candidates = list(self._world.replicas)
         primaries = self._world.primaries()
@@ -81,12 +81,12 @@
         allowed = [replica for replica in candidates if self._injector.may_lose(replica)]
         return self._random.choice(allowed or candidates)
 
-    def _kinds(self) -> list[ReplicaFault]:
+    def _possible_faults(self) -> list[ReplicaFault]:
         """Return the faults to choose from.
 
         A world within the budget strikes all machines only now and then, or all would be lost always.
         """
-        if self._keeps_to_budget and self._random.random() > STRIKE_ALL_SHARE:
+        if self._keeps_to_budget and self._random.random() > COMMON_FAULT_SHARE:
             return self._single_faults()
         return [*self._single_faults(), *self._common_faults()]
 
@@ -111,7 +111,7 @@
             lambda _: self._targeted.arm(),
             lambda _: self._targeted.arm(),
             lambda _: self._kill_all(),
-            lambda _: self._injector.storm(self._random.uniform(*STORM_S)),
+            lambda _: self._injector.degrade_network(self._random.uniform(*DEGRADED_NETWORK_S)),
         ]
 
     def _draw_duration_s(self) -> float:
@@ -120,11 +120,11 @@
     def _if_allowed(self, fault: ReplicaFault) -> ReplicaFault:
         """In a world within the budget ``fault`` strikes only where the budget allows it."""
 
-        def strike(replica: Replica) -> None:
+        def inject(replica: Replica) -> None:
             if not self._keeps_to_budget or self._injector.may_lose(replica):
                 fault(replica)
 
-        return strike
+        return inject
 
     def _kill_all(self) -> None:
         for replica in self._world.replicas:
@@ -177,16 +177,16 @@
         """Lose a machine if the budget allows it, and have all others lose power at times."""
         if not self._is_active or not self._world.replicas:
             return
-        victim = self._choose_victim()
-        if not self._injector.may_lose(victim):
+        target = self._choose_target()
+        if not self._injector.may_lose(target):
             return
         self._world.check_fault_tolerance()
         kind = self._random.randrange(4)
         if kind == 0:
-            self._replace(victim)
+            self._replace(target)
         elif kind == 1:
-            self._injector.freeze(victim, self._draw_duration_s())
+            self._injector.freeze(target, self._draw_duration_s())
         else:
-            self._injector.wipe(victim)
+            self._injector.wipe(target)
         if kind == 3:
             self._kill_all()
--- a/cherrycove/tier/simulation/invariants.py
+++ b/cherrycove/tier/simulation/invariants.py
@@ -44,17 +44,17 @@
 
     # Entries
 
-    def committed(
+    def check_committed(
         self, replica: Replica, entry: Entry, disks: Callable[[], Iterable[SimulatedDisk]], now: float
     ) -> None:
         """Check that ``replica`` takes ``entry`` as committed; ``disks`` returns those that count now."""
         known = self._committed.get(entry.index)
         if known is None:
-            self._first_committed(replica, entry, disks, now)
+            self._check_first_commit(replica, entry, disks, now)
         else:
             self.require(known == entry, f"{replica.name} committed another entry at {entry.index}")
 
-    def _first_committed(
+    def _check_first_commit(
         self, replica: Replica, entry: Entry, disks: Callable[[], Iterable[SimulatedDisk]], now: float
     ) -> None:
         self.require(entry.index == self.last_index + 1, f"{entry.index} committed before its predecessor")
@@ -67,7 +67,7 @@
         self._states[entry.index] = self._states[entry.index - 1].applied(entry)
         self.last_index = entry.index
         if entry.kind is EntryKind.MEMBERS:
-            self._members_committed(entry)
+            self._record_members(entry)
         if entry.epoch != INITIAL_EPOCH:
             machine = replica.machine
             leads = machine is not None and machine.role is Role.PRIMARY
@@ -75,7 +75,7 @@
             holders = sum(disk.holds(entry.index, entry.epoch) for disk in disks())
             self.require(holders > self._faults, f"{entry.index} committed on {holders} disks")
 
-    def _members_committed(self, entry: Entry) -> None:
+    def _record_members(self, entry: Entry) -> None:
         message = MemberList.FromString(entry.payload)
         self._members = frozenset(member.member_id for member in message.members)
         excluded = frozenset(message.excluded)
@@ -83,18 +83,18 @@
         self.require(not excluded & self._members, f"{entry.index} adds an excluded disk")
         self._excluded = excluded
 
-    def applied(self, replica: Replica) -> None:
+    def check_applied(self, replica: Replica) -> None:
         """Check that the state of ``replica`` is that of all commands up to its index."""
         expected = self._states.get(replica.state.index)
         self.require(expected == replica.state, f"{replica.name} holds a wrong state")
 
     # Primaries
 
-    def stepped_as_primary(self, replica: Replica, machine: ReplicaMachine, now: float) -> None:
+    def check_primary(self, replica: Replica, machine: ReplicaMachine, now: float) -> None:
         """Check ``replica``, which has handled an event and leads, at ``now`` in seconds."""
         member = replica.identity.member_id
         if machine.epoch not in self._primaries:
-            self._holds_committed(replica, machine)
+            self._check_holds_committed(replica, machine)
             self._primaries[machine.epoch] = member
         self.require(self._primaries[machine.epoch] == member, f"two primaries in epoch {machine.epoch}")
         if replica.state.index < self.last_index:
@@ -103,7 +103,7 @@
                 f"{replica.name} is confirmed at {replica.state.index}, not {self.last_index}",
             )
 
-    def _holds_committed(self, replica: Replica, machine: ReplicaMachine) -> None:
+    def _check_holds_committed(self, replica: Replica, machine: ReplicaMachine) -> None:
         """A new primary holds all that was committed in epochs before its own, and its snapshot is of that.
 
         That is all that was committed, unless a primary of a newer epoch has led already. Then the votes for
@@ -136,22 +136,22 @@
             for replica in replicas
             if replica.name not in lost and replica.identity.member_id in self._members
         ]
-        self._survives(safe, further)
-        self._elects(safe, further)
+        self._check_survives_losses(safe, further)
+        self._check_can_elect(safe, further)
         if not lost:
-            self._caught_up(safe, now)
+            self._check_caught_up(safe, now)
 
     def _has_synced(self, replica: Replica, index: int) -> bool:
         return replica.disk.holds(index, self._committed[index].epoch)
 
-    def _survives(self, safe: Sequence[Replica], further: int) -> None:
+    def _check_survives_losses(self, safe: Sequence[Replica], further: int) -> None:
         holders = sum(self._has_synced(replica, self.last_index) for replica in safe)
         self.require(
             holders > further,
             f"entry {self.last_index} is on {holders} disks where {further} may be lost",
         )
 
-    def _elects(self, safe: Sequence[Replica], further: int) -> None:
+    def _check_can_elect(self, safe: Sequence[Replica], further: int) -> None:
         """The remaining members can elect: a majority, and all but as many as may lack an entry."""
         size = len(self._members)
         required = max(size // 2 + 1, size - self._faults)
@@ -160,7 +160,7 @@
             f"of {size} members {len(safe)} are there; {further} may be lost, and {required} must elect",
         )
 
-    def _caught_up(self, safe: Sequence[Replica], now: float) -> None:
+    def _check_caught_up(self, safe: Sequence[Replica], now: float) -> None:
         index = self.last_index
         while index > 0 and self._committed_at[index] > now - MAX_LAG_S:
             index -= 1
--- a/cherrycove/tier/simulation/mutations.py
+++ b/cherrycove/tier/simulation/mutations.py
@@ -43,7 +43,7 @@
     yield mock.patch.object(Voter, "_is_log_up_to_date", lambda voter, request: True)
 
 
-def _one_copy_fewer() -> Patches:
+def _shrink_write_quorum() -> Patches:
     election_quorum = quorums.election_quorum
 
     def unchanged(members: int, faults: int) -> int:
@@ -62,7 +62,7 @@
     yield mock.patch.object(Voter, "_must_honor_lease", lambda *arguments, **options: False)
 
 
-def _count_copies_of_older_epochs() -> Patches:
+def _commit_entries_of_older_epochs() -> Patches:
     init = Primary.__init__
 
     def from_the_start(primary: Any, *arguments: Any) -> None:
@@ -72,14 +72,14 @@
     yield mock.patch.object(Primary, "__init__", from_the_start)
 
 
-def _new_list_alone() -> Patches:
+def _use_new_members_alone() -> Patches:
     def joint_configuration(membership: Any) -> JointConfiguration:
         return JointConfiguration(membership._faults, membership.members)
 
     yield mock.patch.object(GroupMembership, "joint_configuration", joint_configuration)
 
 
-def _restarted_quorum_needs_no_lease_to_end() -> Patches:
+def _ignore_leases_of_voters_not_restarted() -> Patches:
     def is_group_unbound(candidate: Any, campaign: Any, now: float) -> bool:
         core = candidate._core
         voters = {*campaign.incarnations, core.identity.member_id}
@@ -88,7 +88,7 @@
     yield mock.patch.object(Candidate, "_is_group_without_primary", is_group_unbound)
 
 
-def _life_not_compared() -> Patches:
+def _ignore_incarnation_in_votes() -> Patches:
     def is_bound(voter: Any, request: Any, now: float, *, is_confirmed_primary: bool) -> bool:
         contact = voter._contact
         if request.life:
@@ -102,11 +102,11 @@
     yield mock.patch.object(GroupMembership, "is_voter", True)
 
 
-def _silent_members_stay() -> Patches:
+def _keep_unreachable_members() -> Patches:
     yield mock.patch.object(membership_policy, "_replace_unreachable_member", lambda view, standbys: None)
 
 
-def _retiring_while_others_are_silent() -> Patches:
+def _retire_while_others_are_unresponsive() -> Patches:
     view = LearnerPromotion._view
 
     def unaware(recruiting: Any, *arguments: Any) -> Any:
@@ -119,19 +119,19 @@
     "acknowledge-before-sync": _acknowledge_before_sync,
     "commit-before-own-sync": _commit_before_own_sync,
     "vote-without-log-check": _vote_without_log_check,
-    "one-copy-fewer": _one_copy_fewer,
+    "one-copy-fewer": _shrink_write_quorum,
     "vote-before-sync": _vote_before_sync,
     "vote-within-lease": _vote_within_lease,
-    "count-copies-of-older-epochs": _count_copies_of_older_epochs,
-    "new-list-alone": _new_list_alone,
-    "restarted-quorum-needs-no-lease-to-end": _restarted_quorum_needs_no_lease_to_end,
-    "life-not-compared": _life_not_compared,
+    "count-copies-of-older-epochs": _commit_entries_of_older_epochs,
+    "new-list-alone": _use_new_members_alone,
+    "restarted-quorum-needs-no-lease-to-end": _ignore_leases_of_voters_not_restarted,
+    "life-not-compared": _ignore_incarnation_in_votes,
     "removed-primary-stays-confirmed": _removed_primary_stays_confirmed,
-    "silent-members-stay": _silent_members_stay,
-    "retiring-while-others-are-silent": _retiring_while_others_are_silent,
+    "silent-members-stay": _keep_unreachable_members,
+    "retiring-while-others-are-silent": _retire_while_others_are_unresponsive,
 }
-EMPTIED_KEEPS_IDENTITY = "emptied-keeps-identity"  # a mutation of the simulated world, not of the protocol
-NAMES = (*MUTATIONS, EMPTIED_KEEPS_IDENTITY)
+WIPED_DISK_KEEPS_IDENTITY = "emptied-keeps-identity"  # a mutation of the simulated world, not of the protocol
+NAMES = (*MUTATIONS, WIPED_DISK_KEEPS_IDENTITY)
 
 
 @contextmanager
--- a/cherrycove/tier/simulation/network.py
+++ b/cherrycove/tier/simulation/network.py
@@ -52,7 +52,7 @@
         self.conditions = NetworkConditions()
         self.cuts: set[tuple[str, str]] = set()
 
-    def forget_address(self, address: str) -> None:
+    def heal_address(self, address: str) -> None:
         """Join all links of ``address``."""
         self.cuts = {link for link in self.cuts if address not in link}
 
--- a/cherrycove/tier/simulation/scenario.py
+++ b/cherrycove/tier/simulation/scenario.py
@@ -15,7 +15,7 @@
 from cherrycove.tier.simulation.targeted_faults import TargetedFaults
 from cherrycove.tier.simulation.world import CATCH_UP_S, World
 
-FAULTY_S = 12.0  # time with faults
+FAULT_PERIOD_S = 12.0  # time with faults
 RECOVERY_S = 9.0  # after the last fault, entries must commit within this time
 STEP_S = 0.5
 START_S = 0.3  # the replicas start within this time of each other
@@ -63,16 +63,18 @@
     """Drives one world from one seed."""
 
     def __init__(
-        self, seed: int, faulty_s: float = FAULTY_S, *, emptied_keeps_identity: bool = False
+        self, seed: int, fault_period_s: float = FAULT_PERIOD_S, *, wiped_disk_keeps_identity: bool = False
     ) -> None:
-        """``emptied_keeps_identity`` breaks the rule that an emptied disk is a new member."""
+        """``wiped_disk_keeps_identity`` breaks the rule that an emptied disk is a new member."""
         self._seed = seed
-        self._faulty_s = faulty_s
+        self._fault_period_s = fault_period_s
         self._random = Random(seed)
         topology = self._random.choice(TOPOLOGIES)
         world_random = Random(self._random.random())
         self.world = World(world_random, topology.faults, topology.initial, topology.standbys)
-        injector = FaultInjector(self.world, self._random, emptied_keeps_identity=emptied_keeps_identity)
+        injector = FaultInjector(
+            self.world, self._random, wiped_disk_keeps_identity=wiped_disk_keeps_identity
+        )
         self._targeted = TargetedFaults(self.world, self._random, injector)
         self._schedule = FaultSchedule(self.world, self._random, injector, self._targeted)
         self._proposals = 0
@@ -87,7 +89,7 @@
         self._update_group()
         self._check()
         self._schedule.start()
-        world.run_until(self._faulty_s)
+        world.run_until(self._fault_period_s)
         self._end_faults()
         self._require_recovery()
         return Outcome(self._seed, world.effects.acknowledged, world.invariants.last_index, world.now)
@@ -125,17 +127,19 @@
         """A confirmed primary, which so has all acknowledged entries, commits further ones in time."""
         world = self.world
         acknowledged = world.effects.acknowledged
-        while world.now < self._faulty_s + RECOVERY_S:
+        while world.now < self._fault_period_s + RECOVERY_S:
             world.run_until(world.now + STEP_S)
             if world.confirmed_primary() is not None and world.effects.acknowledged > acknowledged:
                 return
         world.invariants.require(False, "nothing commits after the last fault")
 
 
-def run_seed(seed: int, faulty_s: float = FAULTY_S, *, emptied_keeps_identity: bool = False) -> Outcome:
+def run_seed(
+    seed: int, fault_period_s: float = FAULT_PERIOD_S, *, wiped_disk_keeps_identity: bool = False
+) -> Outcome:
     """Run the world of ``seed``; raises ``InvariantBrokenError`` at the first violation."""
     with _without_garbage_collection():
-        return Scenario(seed, faulty_s, emptied_keeps_identity=emptied_keeps_identity).run()
+        return Scenario(seed, fault_period_s, wiped_disk_keeps_identity=wiped_disk_keeps_identity).run()
 
 
 @contextmanager
--- a/cherrycove/tier/simulation/world.py
+++ b/cherrycove/tier/simulation/world.py
@@ -53,8 +53,10 @@
         self.effects = EffectsRunner(
             random, self._events, self.network, self.invariants, self.handle_event, self._counting_disks
         )
-        self._placed = initial + standbys  # machines so far
-        self.replicas = [_place(number, is_initial=number < initial) for number in range(self._placed)]
+        self._machines_created = initial + standbys  # machines so far
+        self.replicas = [
+            _create_replica(number, is_initial=number < initial) for number in range(self._machines_created)
+        ]
         self.initial_members = tuple(replica.identity for replica in self.replicas[:initial])
         self.retiring: frozenset[str] = frozenset()
         self._lost_disks: list[LostDisk] = []
@@ -89,7 +91,7 @@
         action(machine)
         self.effects.run(replica, machine)
         if machine.role is Role.PRIMARY:
-            self.invariants.stepped_as_primary(replica, machine, self.now)
+            self.invariants.check_primary(replica, machine, self.now)
 
     # Processes
 
@@ -139,13 +141,13 @@
         replica.end(self.random)
         self._lost_disks.append(LostDisk(self.now, replica.disk))
         self.replicas.remove(replica)
-        self.network.forget_address(replica.address)
+        self.network.heal_address(replica.address)
 
     def add(self, address: str = "") -> Replica:
         """Start a new machine with an empty disk, at ``address`` or at one that no machine had."""
-        name = f"n{self._placed}"
-        self._placed += 1
-        replica = Replica(name, address or name, f"z{self._placed % ZONES}", self._new_disk())
+        name = f"n{self._machines_created}"
+        self._machines_created += 1
+        replica = Replica(name, address or name, f"z{self._machines_created % ZONES}", self._new_disk())
         self.replicas.append(replica)
         self.start(replica)
         return replica
@@ -216,7 +218,7 @@
         return replica.disk.member_id in committed.excluded
 
 
-def _place(number: int, *, is_initial: bool) -> Replica:
+def _create_replica(number: int, *, is_initial: bool) -> Replica:
     address = f"n{number}"
     member_id = f"first-{address}" if is_initial else f"new-{address}"
     return Replica(address, address, f"z{number % ZONES}", BufferedDisk(member_id))
--- a/tests/tier/test_control_read_back.py
+++ b/tests/tier/test_control_read_back.py
@@ -70,7 +70,7 @@
         else:
             primary = read_back.world.cluster.primary()
             machines = sorted(read_back.world.cluster.machines, key=lambda machine: machine is not primary)
-            read_back.injector.lose_most(machines)
+            read_back.injector.wipe_within_budget(machines)
         read_back.read_everywhere(CONTACT_S + ACKNOWLEDGE_S)
     finally:
         read_back.close()
--- a/tests/tier/test_control_simulation.py
+++ b/tests/tier/test_control_simulation.py
@@ -161,7 +161,7 @@
         pair.call()
     pair.loop.run_until(3.0)
     assert pair.served == 1
-    pair.network.join(link)
+    pair.network.heal(link)
     pair.loop.run_until(5.0)
     assert pair.served > 1
 
@@ -238,7 +238,7 @@
     world.build()
     injector = FaultInjector(world, Random(5))
     world.run_until(3.0)
-    injector.cut_in_halves(2.0)
+    injector.partition_into_halves(2.0)
     network = world.environment.network
     hosts = [machine.host for machine in world.cluster.machines]
     alone = {host for host in hosts[1:] if network.is_cut(hosts[0], host) and network.is_cut(host, hosts[0])}
--- a/tests/tier/test_replication_machine.py
+++ b/tests/tier/test_replication_machine.py
@@ -499,7 +499,7 @@
 
 
 def restart(world: World, replicas: list[Replica], after_s: float) -> None:
-    faults = FaultInjector(world, Random(1), emptied_keeps_identity=False)
+    faults = FaultInjector(world, Random(1), wiped_disk_keeps_identity=False)
     for replica in replicas:
         faults.kill(replica, after_s)
 
--- a/tests/tier/test_replication_simulation.py
+++ b/tests/tier/test_replication_simulation.py
@@ -5,7 +5,7 @@
 import pytest
 
 from cherrycove.tier.simulation.invariants import InvariantBrokenError
-from cherrycove.tier.simulation.mutations import EMPTIED_KEEPS_IDENTITY, apply_mutation
+from cherrycove.tier.simulation.mutations import WIPED_DISK_KEEPS_IDENTITY, apply_mutation
 from cherrycove.tier.simulation.scenario import run_seed
 
 SEEDS = 120
@@ -21,7 +21,7 @@
     "vote-within-lease": 70,
     "count-copies-of-older-epochs": 0,
     "new-list-alone": 90,
-    EMPTIED_KEEPS_IDENTITY: 160,
+    WIPED_DISK_KEEPS_IDENTITY: 160,
 }
 
 
@@ -37,7 +37,7 @@
     first = FIRST_SEED[name]
     with apply_mutation(name), pytest.raises(InvariantBrokenError):
         for seed in range(first, first + MUTATION_SEEDS):
-            run_seed(seed, emptied_keeps_identity=name == EMPTIED_KEEPS_IDENTITY)
+            run_seed(seed, wiped_disk_keeps_identity=name == WIPED_DISK_KEEPS_IDENTITY)
 
 
 def test_a_seed_gives_the_same_run_again() -> None:
--- a/tests/tier/test_simulation_terms.py
+++ b/tests/tier/test_simulation_terms.py
@@ -42,7 +42,7 @@
     budget = settled()
     budget.removed("a", 1.0)
     assert budget.lost(100.0) == {"a"}
-    budget.succeeded("a", "d", 100.0)
+    budget.replaced("a", "d", 100.0)
     assert budget.lost(103.9) == {"d"}
     assert budget.lost(104.0) == set()
 
@@ -52,7 +52,7 @@
     budget.retired("a")
     assert budget.lost(1.0) == set()
     budget.removed("b", 2.0)
-    budget.succeeded("b", "d", 3.0)
+    budget.replaced("b", "d", 3.0)
     budget.retired("d")
     assert budget.lost(6.9) == {"d"}
     assert budget.lost(7.0) == set()
