--- a/cherrycove/tier/simulation/__init__.py
+++ b/cherrycove/tier/simulation/__init__.py
@@ -1,4 +1,5 @@
-"""A seeded simulation of a replicated group: machines, disks, a network, faults, and checks.
+"""Deterministic simulation of a replicated group with its machines, disks, network and faults.
 
-``python -m cherrycove.tier.simulation --seeds N`` runs N worlds and names the seeds that broke an invariant.
+``python -m cherrycove.tier.simulation --seeds N`` runs N simulated worlds, each from one seed,
+and prints the seeds that violated an invariant.
 """
--- a/cherrycove/tier/simulation/__main__.py
+++ b/cherrycove/tier/simulation/__main__.py
@@ -1,6 +1,6 @@
-"""Runs many seeds of one replicated group, or of one scenario of the control side.
+"""Runs simulated worlds of one replicated group, or of one scenario of the control plane.
 
-``--seeds 2000`` runs worlds of one group, ``--scenario cut-off --seeds 100`` worlds of the control side, and
+``--seeds 2000`` runs worlds of one group, ``--scenario cut-off --seeds 100`` worlds of the control plane, and
 ``--scenario cut-off --trace 17`` prints the events of one of them.
 """
 
@@ -19,11 +19,11 @@
 from cherrycove.tier.simulation.mutations import NAMES, WIPED_DISK_KEEPS_IDENTITY, apply_mutation
 from cherrycove.tier.simulation.scenario import FAULT_PERIOD_S, run_seed
 
-NO_COMMIT = "-"  # detail of a run that broke nothing, as nothing was acknowledged
+NO_COMMIT = "-"  # detail of a run without a violation in which no proposal was acknowledged
 
 
 def _run_seed(mutation: str, fault_period_s: float, seed: int) -> tuple[int, str]:
-    """Return the seed, and the violated invariant or "" or NO_COMMIT."""
+    """Return the seed, and the violated invariant, "" if there is none, or NO_COMMIT."""
     keeps_identity = mutation == WIPED_DISK_KEEPS_IDENTITY
     try:
         with apply_mutation(mutation):
@@ -63,15 +63,17 @@
     parser.add_argument("--seeds", type=int, default=200)
     parser.add_argument("--first", type=int, default=0)
     parser.add_argument("--processes", type=int, default=2)
-    parser.add_argument("--without", default="", help="take one guard out")
-    parser.add_argument("--scenario", choices=scenarios.NAMES, default="", help="of the whole control side")
-    parser.add_argument("--trace", type=int, default=None, help="print what happens in this world of it")
-    parser.add_argument("--seconds", type=float, default=FAULT_PERIOD_S, help="simulated time with faults")
+    parser.add_argument("--without", default="", help="disable one safety check of the protocol")
+    parser.add_argument("--scenario", choices=scenarios.NAMES, default="", help="simulate the control plane")
+    parser.add_argument(
+        "--trace", type=int, default=None, help="print the events of the scenario's world with this seed"
+    )
+    parser.add_argument("--seconds", type=float, default=FAULT_PERIOD_S, help="simulated seconds with faults")
     return parser
 
 
 def main() -> int:
-    """Run what the command line asks for; 1 if an invariant broke."""
+    """Run what the command line asks for; return 1 if an invariant was violated."""
     parser = _parser()
     options = parser.parse_args()
     known = control_mutations.NAMES if options.scenario else NAMES
--- a/cherrycove/tier/simulation/control/__init__.py
+++ b/cherrycove/tier/simulation/control/__init__.py
@@ -1,5 +1,6 @@
-"""A seeded simulation of the control side: the asyncio code of the tier on virtual time.
+"""Deterministic simulation of the control plane, which runs the tier's asyncio code on virtual time.
 
-Processes, machines, disks and links are simulated; controllers, stores, pullers and their groups are
-the real ones. ``python -m cherrycove.tier.simulation --scenario NAME`` runs one scenario of ``scenarios.py``.
+Processes, machines, disks and links are simulated; controllers, stores, pullers and their replicated groups
+are the production code. ``python -m cherrycove.tier.simulation --scenario NAME`` runs a scenario of
+``scenarios.py``.
 """
--- a/cherrycove/tier/simulation/control/batch_clients.py
+++ b/cherrycove/tier/simulation/control/batch_clients.py
@@ -1,4 +1,4 @@
-"""Clients that submit batch jobs, read their results and end some of them."""
+"""Simulates clients that submit batch jobs, read their results and end some of them."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 MAX_SUBMISSIONS = 20  # attempts to submit or to end a job
 CALL_TIMEOUT_S = 3.0
-PROXY_TIMEOUT_S = 2.5  # that a proxy has for a call to the stores
+PROXY_TIMEOUT_S = 2.5  # of a proxy's call to the stores
 READ_WAIT_MS = 500
 PAUSE_S = 0.3
-ENDING_SHARE = 0.02  # of the reads, after which the client ends its job
-RESUBMISSION_SHARE = 0.1  # of the submissions, which are made again after their acknowledgement
-REREAD_SHARE = 0.2  # of the reads, which begin before the cursor
+ENDING_SHARE = 0.02  # of the reads, after which the client ends the job
+RESUBMISSION_SHARE = 0.1  # of the submissions, which are repeated after their acknowledgement
+REREAD_SHARE = 0.2  # of the reads, which start before the cursor
 
 
 class BatchClients:
-    """The batch clients of one world; they retry failed calls, and submit jobs while ``active`` is true."""
+    """Runs the batch clients of one world, which retry failed calls and submit jobs while ``active``."""
 
     def __init__(self, world: World) -> None:
         self._invariants = world.invariants
@@ -42,7 +42,7 @@
         self._submitted_jobs = 0
 
     def start(self, clients: int) -> None:
-        """Start ``clients`` tasks, each of which submits one job after the other."""
+        """Start ``clients`` tasks, each of which runs one job at a time."""
         for _ in range(clients):
             self._environment.loop.spawn(self.incarnation, self._run_client())
 
@@ -84,7 +84,7 @@
         return request
 
     async def _submit(self, request: pb.SubmitRequest) -> bool:
-        """Submit the job until it is accepted; at times once more after that."""
+        """Submit the job until it is accepted, possibly once more after that; return whether it was."""
         for _ in range(MAX_SUBMISSIONS):
             if await self._call("submit", request, self._submitted) is not None:
                 if self._random.random() < RESUBMISSION_SHARE:
@@ -94,7 +94,7 @@
         return False
 
     async def read(self, job_id: str, cursor: int) -> pb.ReadReply | None:
-        """Read the results of a job from position ``cursor`` on; None if the call fails."""
+        """Read the results of a job from position ``cursor`` on; return None if the call fails."""
         request = pb.ReadRequest(job_id=job_id, cursor=cursor, wait_ms=READ_WAIT_MS)
         reply: pb.ReadReply | None = await self._call("read", request, self._was_read)
         return reply
@@ -134,7 +134,7 @@
             return None
         return outcome.ok_value.ok_value
 
-    # Checks of the answers, as they leave the proxy
+    # Checks of replies as the proxy sends them
 
     def _submitted(self, process: ProxyProcess, request: Any, outcome: Any, _sent_at: float) -> None:
         job_id = request.job_id
--- a/cherrycove/tier/simulation/control/batch_execution.py
+++ b/cherrycove/tier/simulation/control/batch_execution.py
@@ -1,4 +1,4 @@
-"""The model behind a simulated proxy that runs the items of batch jobs."""
+"""Simulates the execution of batch items by a proxy, in place of a model server."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 SLOTS = 6  # items that one proxy runs at once
 RUN_S = (0.05, 1.2)
-FAILURE_SHARE = 0.1  # of the runs, which end with a 500
+FAILURE_SHARE = 0.1  # of the runs, which fail with status 500
 MAX_ATTEMPTS = 3
 
 
 class SimulatedExecutor:
-    """Runs items for one proxy; implements ``ItemExecutor``."""
+    """Runs batch items for one proxy; implements ``ItemExecutor``."""
 
     def __init__(self, environment: Environment, proxy_name: str, random: Random) -> None:
         self._environment = environment
@@ -30,13 +30,13 @@
         return SLOTS - self._running
 
     def load(self) -> ExecutorLoad:
-        """Return that nothing is known of brokers: these items run without one."""
+        """Return an empty load, as these items run without a broker."""
         return ExecutorLoad(broker_slots=0, live_requests=0)
 
     async def run_item(
         self, item: pb.LeasedItem, may_send: Callable[[], bool], record_failures: RecordFailures
     ) -> ItemOutcome:
-        """Run ``item`` until it succeeds, has failed MAX_ATTEMPTS times, or ``may_send`` forbids a retry."""
+        """Run ``item`` until it succeeds, has failed MAX_ATTEMPTS times, or ``may_send`` returns False."""
         self._running += 1
         try:
             return await self._run(item, may_send, record_failures)
--- a/cherrycove/tier/simulation/control/cluster.py
+++ b/cherrycove/tier/simulation/control/cluster.py
@@ -1,4 +1,4 @@
-"""The machines of a simulated deployment: built, started, killed, frozen, emptied, replaced and removed."""
+"""Manages the machines of a simulated deployment and the processes on them."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 START_S = 0.3  # the machines of a new deployment start within this time of each other
 SEEDS = 3
 ZONES = 3
-SEED_LAG_S = 3.0  # age of the list of machines that the seeds of a start are drawn from
-STALE_SEEDS_SHARE = 0.1  # of the starts, which have the seeds of the start before
+SEED_LAG_S = 3.0  # age of the machine list from which the seeds of a start are drawn
+STALE_SEEDS_SHARE = 0.1  # of the starts, which keep the seeds of the previous start
 ADDRESS_REUSE_S = 2.0  # an address is given to another machine only after this time
 ADDRESS_REUSE_SHARE = 0.5
 
 
 def zone_of(address_number: int) -> str:
-    """The zone of the machine at an address."""
+    """Return the zone of the machine at the address with this number."""
     return f"zone-{address_number % ZONES}"
 
 
 def first_of_each_zone(hosts: Iterable[str]) -> tuple[str, ...]:
-    """The first host of each zone, in the order of ``hosts``."""
+    """Return the first host of each zone, in the order of ``hosts``."""
     first: dict[str, str] = {}
     for host in hosts:
         first.setdefault(zone_of(int(host.rpartition(".")[2])), host)
@@ -39,17 +39,17 @@
         self._environment = environment
         self.machines: list[Machine] = []
         self.proxies: list[Machine] = []
-        self.retiring: set[str] = set()  # names of machines that are ordered to retire and still there
-        self._addresses = 0  # given out so far
-        self._machines_created = 0  # machines so far
-        self._freed_addresses: dict[int, float] = {}  # number of the address, and when it became free
-        self._past_hosts: list[tuple[float, list[str]]] = []  # time, and the hosts of the machines then
-        self._fixed_seeds: tuple[str, ...] = ()  # of all starts from now on; empty: drawn for each
+        self.retiring: set[str] = set()  # names of machines with a retire order that are not yet removed
+        self._addresses = 0  # number of addresses assigned so far
+        self._machines_created = 0
+        self._freed_addresses: dict[int, float] = {}  # time when each address number became free
+        self._past_hosts: list[tuple[float, list[str]]] = []  # (time, hosts of all machines at that time)
+        self._fixed_seeds: tuple[str, ...] = ()  # of all future starts; empty if each start draws its own
 
     # Building
 
     def build(self) -> None:
-        """Place the machines of the topology; all start within START_S with the same seeds."""
+        """Create the machines of the topology, and start all within START_S with the same seeds."""
         environment, topology = self._environment, self._environment.topology
         programs = (CONTROLLER_PROGRAM, STORE_PROGRAM) if topology.stores else (CONTROLLER_PROGRAM,)
         self.machines = [self.create_machine("storage", programs) for _ in range(topology.machines)]
@@ -64,7 +64,7 @@
             environment.after(delay_s, partial(self.power_up, machine))
 
     def create_machine(self, kind: str, programs: tuple[str, ...]) -> Machine:
-        """Return a new machine that has not started yet, at an address that no other machine has."""
+        """Return a new machine that has not been started, at an address that no other machine uses."""
         number = self._free_address()
         self._machines_created += 1
         return Machine(f"{kind}-{self._machines_created}", f"10.0.0.{number}", zone_of(number), programs)
@@ -79,14 +79,14 @@
         return self._addresses
 
     def record_hosts(self) -> None:
-        """Record which machines there are, for the seeds of starts SEED_LAG_S later."""
+        """Record the present machines, as seeds of starts SEED_LAG_S later."""
         now = self._environment.now
         self._past_hosts.append((now, [machine.host for machine in self.machines]))
         while len(self._past_hosts) > 1 and self._past_hosts[1][0] <= now - SEED_LAG_S:
             self._past_hosts.pop(0)
 
     def start_with_seeds(self, hosts: tuple[str, ...]) -> None:
-        """Give every start from now on ``hosts`` as its seeds."""
+        """Use ``hosts`` as the seeds of all future starts."""
         self._fixed_seeds = hosts
 
     def _draw_seeds(self) -> tuple[str, ...]:
@@ -98,7 +98,7 @@
         return tuple(self._environment.random.sample(hosts, min(SEEDS, len(hosts))))
 
     def _keeps_seeds(self) -> bool:
-        """Whether the next start has the seeds of the start before."""
+        """Return whether the next start keeps the seeds of the previous one."""
         if self._fixed_seeds:
             return False
         return self._environment.random.random() < STALE_SEEDS_SHARE
@@ -106,7 +106,7 @@
     # Power and processes
 
     def power_up(self, machine: Machine) -> None:
-        """Give ``machine`` power and start its processes; nothing if it runs or was removed."""
+        """Power ``machine`` up and start its processes; do nothing if it is running or was removed."""
         if machine.removed or machine.running:
             return
         self._environment.network.powered.add(machine.host)
@@ -122,9 +122,9 @@
         self.update_contacts()
 
     def kill(self, machine: Machine, *, power: bool = False) -> None:
-        """Kill the processes of ``machine``; with ``power`` it is also switched off.
+        """Kill the processes of ``machine``; with ``power`` the machine also loses power.
 
-        Of the writes in progress some may have reached the disks.
+        Some of the writes in progress may have reached the disks.
         """
         machine.first_start = False
         for process in machine.running.values():
@@ -137,13 +137,13 @@
         self.update_contacts()
 
     def lose_disks(self, machine: Machine) -> None:
-        """Kill the processes of ``machine``, and lose what they stored."""
+        """Kill the processes of ``machine``, and discard its disks."""
         self.kill(machine)
         machine.disks = {}
         machine.first_start = False
 
     def remove(self, machine: Machine) -> None:
-        """Switch ``machine`` off and take it away for good, with its disks."""
+        """Power ``machine`` off and remove it permanently, with its disks."""
         self.kill(machine, power=True)
         machine.removed = True
         machine.disks = {}
@@ -153,13 +153,13 @@
             self.machines.remove(machine)
 
     def freeze(self, machine: Machine) -> None:
-        """Stop the processes of ``machine`` where they are, as SIGSTOP does."""
+        """Suspend the processes of ``machine``, as SIGSTOP does."""
         for process in machine.running.values():
             process.incarnation.frozen = True
         self.update_contacts()
 
     def thaw(self, machine: Machine) -> None:
-        """Let the frozen processes of ``machine`` go on."""
+        """Resume the frozen processes of ``machine``."""
         for process in machine.running.values():
             if process.incarnation.frozen:
                 self._environment.loop.thaw(process.incarnation)
@@ -168,12 +168,12 @@
     # Look-ups
 
     def controller(self, machine: Machine) -> ControllerProcess | None:
-        """Return the running controller of ``machine``, None if there is none."""
+        """Return the running controller of ``machine``; None if there is none."""
         process = machine.running.get(CONTROLLER_PROGRAM)
         return process if isinstance(process, ControllerProcess) else None
 
     def primary(self) -> Machine | None:
-        """Return the machine whose controller leads; for faults that strike it on purpose."""
+        """Return the machine with the confirmed primary, for faults that target it; None if there is none."""
         for machine in self.machines:
             process = self.controller(machine)
             if process is not None and process.group.is_confirmed_primary():
@@ -181,16 +181,16 @@
         return None
 
     def present(self, names: Iterable[str]) -> list[Machine]:
-        """Return the machines of ``names`` that are there, running or not."""
+        """Return the machines of ``names`` that have not been removed, running or not."""
         wanted = set(names)
         return [machine for machine in self.machines if machine.name in wanted]
 
-    # Contacts
+    # Contact to a quorum
 
     def update_contacts(self) -> None:
-        """Record since when each machine is without contact to as many others as a quorum needs.
+        """Record for each machine since when it can't reach as many others as a quorum needs.
 
-        To be called after each change of processes or links.
+        Must be called after each change of processes or links.
         """
         for machine in self.machines:
             reachable = sum(self._is_in_contact(machine, other) for other in self.machines)
--- a/cherrycove/tier/simulation/control/command.py
+++ b/cherrycove/tier/simulation/control/command.py
@@ -1,4 +1,4 @@
-"""Runs many worlds of one scenario and names the seeds that broke an invariant."""
+"""Runs worlds of one scenario, and prints the seeds that violated an invariant."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def run_many(scenario: str, seeds: Iterable[int], processes: int, mutation: str = "") -> int:
-    """Print each broken seed and a summary; the number of broken worlds."""
+    """Print each seed that violated an invariant and a summary; return the number of these seeds."""
     broken = worlds = 0
     processor_s = 0.0
     with Pool(processes) as pool:
@@ -39,7 +39,7 @@
 
 
 def print_trace(scenario: str, seed: int) -> None:
-    """The events of one world, and how it ended."""
+    """Run one world, and print its outcome or violation and the trace of its events."""
     run = Run(scenario, seed)
     try:
         print(run.run())
--- a/cherrycove/tier/simulation/control/environment.py
+++ b/cherrycove/tier/simulation/control/environment.py
@@ -1,4 +1,4 @@
-"""What everything in one simulated world shares: virtual time, the network, randomness and the histories."""
+"""Provides the shared parts of one simulated world: time, network, random numbers and histories."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from cherrycove.tier.simulation.control.network import Network
 from cherrycove.tier.simulation.control.runtime import SimulatedRuntime
 
-RUN_STEP_S = 0.5  # a run stops at the first violation, which is looked for so often
+RUN_STEP_S = 0.5  # a run checks for violations and errors at this interval, and stops at the first
 
 
 class Environment:
-    """Built once for a world, from its seed; all random numbers of the world come from this seed."""
+    """Holds the shared parts of one world; all random numbers of the world derive from its seed."""
 
     def __init__(self, seed: int, topology: Topology) -> None:
         self.random = Random(seed)
@@ -35,16 +35,16 @@
 
     @property
     def now(self) -> float:
-        """Virtual time in seconds since the world began."""
+        """Return the virtual time in seconds since the start of the world."""
         return self.loop.time()
 
     @property
     def faults(self) -> int:
-        """How many machines may be lost at once."""
+        """Return how many machines may be lost at once."""
         return self.topology.faults
 
     def after(self, delay_s: float, action: Callable[[], Any]) -> None:
-        """Run ``action`` after ``delay_s`` seconds, as no process's part; ``run_until`` raises its error."""
+        """Run ``action`` after ``delay_s`` seconds, outside all processes; ``run_until`` raises its error."""
         self.loop.call_in(None, delay_s, self._run_action, action)
 
     def _run_action(self, action: Callable[[], Any]) -> None:
@@ -54,7 +54,10 @@
             self._error = self._error or error
 
     def run_until(self, end: float) -> None:
-        """Run up to virtual time ``end``; raises ``InvariantBrokenError`` or an action's error soon after."""
+        """Run until virtual time ``end``.
+
+        Raises ``InvariantBrokenError`` or the error of an action at most RUN_STEP_S after it occurred.
+        """
         while self.now < end:
             self.loop.run_until(min(self.now + RUN_STEP_S, end))
             if self.history.broken is not None:
--- a/cherrycove/tier/simulation/control/fault_injector.py
+++ b/cherrycove/tier/simulation/control/fault_injector.py
@@ -1,4 +1,4 @@
-"""Injects faults into a world. Each strikes machines or links, and ends after a while."""
+"""Injects faults into a world. Each affects machines or links, and ends after a given time."""
 
 from __future__ import annotations
 
@@ -11,33 +11,36 @@
 from cherrycove.tier.simulation.control.network import NetworkConditions
 from cherrycove.tier.simulation.control.world import World
 
-Links = set[tuple[str, str]]  # directed, from host to host
+Links = set[tuple[str, str]]  # directed: hosts of sender and receiver
 
 RESTART_S = (0.2, 0.9)
 GRACEFUL_RESTART_S = (1.5, 3.0)
-BURST_S = 0.1  # a slowed machine runs for a part of each such time
-RUNNING_SHARE = (0.1, 0.5)  # of BURST_S
-FROZEN_SHARE = (0.5, 0.9)  # of BURST_S
-SECOND_PARTITION_S = (0.8, 1.6)  # after the first step of a partition in steps
+BURST_S = 0.1  # unit of the running and frozen times of a slowed machine
+RUNNING_SHARE = (0.1, 0.5)  # of BURST_S, at least and at most
+FROZEN_SHARE = (0.5, 0.9)  # of BURST_S, at least and at most
+SECOND_PARTITION_S = (0.8, 1.6)  # after the first step of a stepwise partition
 DEGRADED_NETWORK = {"loss": 0.1, "resets": 0.1, "misdelivered": 0.1}
 
 
 class _ActiveFault:
-    """A fault in force. It ends once, at its time or before, when all faults are ended."""
+    """An active fault, which ends once: at its time, or earlier when all faults are ended."""
 
     def __init__(self, on_end: Callable[[], None]) -> None:
         self._on_end = on_end
         self.has_ended = False
 
     def end(self) -> None:
-        """Undo the fault, unless that is done."""
+        """Undo the fault, unless it has ended already."""
         if not self.has_ended:
             self.has_ended = True
             self._on_end()
 
 
 class FaultInjector:
-    """Strikes on demand, and reports to the fault budget what is lost. ``counts`` has the faults by kind."""
+    """Injects faults on request, and reports lost machines to the fault budget.
+
+    ``counts`` contains the number of faults by kind.
+    """
 
     def __init__(self, world: World, random: Random) -> None:
         self._environment = world.environment
@@ -48,13 +51,13 @@
         self._active: list[_ActiveFault] = []
 
     def count(self, kind: str) -> None:
-        """Count one fault, or an order that is scheduled like one."""
+        """Count one fault, or one retire order, which is scheduled like a fault."""
         self.counts[kind] = self.counts.get(kind, 0) + 1
 
     def _begin(
         self, kind: str, machine: Machine, duration_s: float, undo: Callable[[], None], *, disk: bool = False
     ) -> None:
-        """Record a fault of one machine, and undo it after ``duration_s``; ``disk``: its disk is lost."""
+        """Record a fault of one machine, and undo it after ``duration_s``; with ``disk`` its disk is lost."""
         environment = self._environment
         self.count(kind)
         environment.history.note(f"{kind} {machine.name} for {duration_s:.2f} s")
@@ -75,7 +78,7 @@
         self._environment.after(duration_s, fault.end)
 
     def end_all(self) -> None:
-        """End every fault in force now."""
+        """End every active fault now."""
         for fault in self._active:
             fault.end()
         self._active.clear()
@@ -84,7 +87,7 @@
     # Links
 
     def partition(self, machine: Machine, duration_s: float) -> None:
-        """Cut a machine off: from all others or some, both ways or one way, at times from operators too."""
+        """Cut a machine off from all or some others and possibly operators, in one or both directions."""
         cluster, random = self._cluster, self._random
         others = [other.host for other in (*cluster.machines, *cluster.proxies) if other is not machine]
         if random.random() < 0.3:
@@ -98,9 +101,9 @@
         self._begin("cut", machine, duration_s, lambda: self._network.heal(links))
 
     def partition_in_steps(self, machine: Machine, duration_s: float) -> None:
-        """Cut a machine off from one other, which then campaigns, and soon after from the rest.
+        """Cut a machine off from one other machine, which then campaigns, and soon after from the rest.
 
-        Proxies and operators still reach it.
+        Proxies and operators can still reach it.
         """
         others = [other.host for other in self._cluster.machines if other is not machine]
         self._random.shuffle(others)
@@ -124,7 +127,7 @@
         self._begin("cut in steps", machine, duration_s, undo)
 
     def partition_into_halves(self, duration_s: float) -> None:
-        """Cut the links between two halves of the machines; proxies and operators reach both."""
+        """Cut the links between two halves of the machines; proxies and operators can reach both."""
         hosts = [machine.host for machine in self._cluster.machines]
         self._random.shuffle(hosts)
         first, second = hosts[: len(hosts) // 2], hosts[len(hosts) // 2 :]
@@ -147,7 +150,7 @@
         self._end_later(duration_s, end)
 
     def degrade_network(self, duration_s: float) -> None:
-        """Lose packets and reset connections on all links; no machine counts as lost by it."""
+        """Lose packets, reset connections and misdeliver replies on all links; no machine counts as lost."""
         environment = self._environment
         conditions = NetworkConditions(**DEGRADED_NETWORK)
         self._network.conditions = conditions
@@ -165,12 +168,12 @@
     # Processes
 
     def freeze(self, machine: Machine, duration_s: float) -> None:
-        """Stop the processes where they are, and let them go on later."""
+        """Suspend the processes, and resume them after ``duration_s``."""
         self._cluster.freeze(machine)
         self._begin("freeze", machine, duration_s, partial(self._cluster.thaw, machine))
 
     def slow_down(self, machine: Machine, duration_s: float) -> None:
-        """Let the processes run for short bursts only."""
+        """Let the processes run in short bursts only."""
         environment, cluster, random = self._environment, self._cluster, self._random
         ends_at = environment.now + duration_s
         has_ended = False
@@ -194,14 +197,14 @@
         pause()
 
     def kill(self, machine: Machine, duration_s: float) -> None:
-        """Kill the processes, or cut the machine's power; the disk stays."""
+        """Kill the processes or cut the machine's power; the disk is kept."""
         power = self._random.random() < 0.5
         self._cluster.kill(machine, power=power)
         kind = "power" if power else "kill"
         self._begin(kind, machine, duration_s, partial(self._cluster.power_up, machine))
 
     def restart_gracefully(self, machine: Machine) -> None:
-        """Send SIGTERM to the processes, and start them again a little later."""
+        """Shut the processes down as on SIGTERM, and restart them within GRACEFUL_RESTART_S."""
         duration_s = self._random.uniform(*GRACEFUL_RESTART_S)
         for process in machine.running.values():
             self._environment.loop.spawn(process.incarnation, process.stop())
@@ -213,7 +216,7 @@
         self._begin("stop", machine, duration_s, start_again)
 
     def kill_all(self) -> None:
-        """Kill all processes, or cut the power of all machines; they are back within a second."""
+        """Kill all processes or cut the power of all machines, and restart them within RESTART_S."""
         power = self._random.random() < 0.5
         for machine in list(self._cluster.machines):
             self._cluster.kill(machine, power=power)
@@ -223,7 +226,7 @@
     # Disks
 
     def degrade_disk(self, machine: Machine, duration_s: float) -> None:
-        """Make the disk slow or full, or let it complete nothing."""
+        """Make the disks slow or full, or stall them so that no write completes."""
         disks = list(machine.disks.values())
         kind = self._random.choice(["slow", "full", "standing"])
         for disk in disks:
@@ -239,14 +242,14 @@
         self._begin(f"disk {kind}", machine, duration_s, undo)
 
     def wipe(self, machine: Machine, duration_s: float) -> None:
-        """Bring the machine back at its address with an empty disk."""
+        """Restart the machine at its address with empty disks."""
         self._cluster.lose_disks(machine)
         self._begin("wipe", machine, duration_s, partial(self._cluster.power_up, machine), disk=True)
 
     # Machines
 
     def replace(self, machine: Machine, duration_s: float) -> None:
-        """Replace the machine by another one, empty and at another address."""
+        """Replace the machine by one with empty disks at another address."""
         cluster = self._cluster
         successor = cluster.create_machine("storage", machine.programs)
         successor.name = machine.name
@@ -256,7 +259,7 @@
         self._begin("replace", successor, duration_s, partial(cluster.power_up, successor), disk=True)
 
     def add(self) -> None:
-        """Add a machine; it counts from its start, and as lost until it had time to catch up."""
+        """Add a machine, which counts as lost until it has caught up."""
         cluster = self._cluster
         machine = cluster.create_machine("storage", cluster.machines[0].programs)
         cluster.machines.append(machine)
@@ -264,7 +267,7 @@
         self._begin("add", machine, 0.0, lambda: None)
 
     def wipe_within_budget(self, holders: list[Machine]) -> None:
-        """Wipe as many of ``holders`` as the budget allows, in their order; cut the power of all others."""
+        """Wipe the first of ``holders``, as many as the budget allows, and cut the power of all others."""
         budget = self._environment.fault_budget
         targets = [machine for machine in holders if budget.allows({machine.name})]
         remaining = self._environment.faults - len(budget.lost())
@@ -278,7 +281,7 @@
                 self._begin("power", machine, restart_s, partial(self._cluster.power_up, machine))
 
     def lose_proxies(self) -> None:
-        """Cut the power of all proxies; they are back within a second."""
+        """Cut the power of all proxies, and restart them within RESTART_S."""
         for proxy in self._cluster.proxies:
             self._cluster.kill(proxy, power=True)
             restart_s = self._random.uniform(*RESTART_S)
--- a/cherrycove/tier/simulation/control/fault_schedule.py
+++ b/cherrycove/tier/simulation/control/fault_schedule.py
@@ -1,4 +1,4 @@
-"""Decides which fault strikes which machine, and when; everything it draws is of its random numbers."""
+"""Decides which fault is injected into which machine, and when, from a random generator of its own."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 FIRST_FAULT_S = 4.0
 MIN_PAUSE_S = 0.05
-UNKNOWN_RECOVERY_PAUSE_S = 1.0  # before the next fault, if it is unknown when the budget allows more
-AFTER_RETIREMENT_SHARE = 0.7  # of the retired machines, which a loss follows at once
+UNKNOWN_RECOVERY_PAUSE_S = 1.0  # before the next fault, if the time of the next recovery is unknown
+AFTER_RETIREMENT_SHARE = 0.7  # of the retirements, followed by a loss immediately
 PARTITION_S = (1.0, 25.0)
 SHORT_PARTITION_S = (
     1.2,
     2.2,
-)  # partitions after which another leads, while orders wait at the one that was cut off
+)  # long enough to elect another primary while orders wait at the one that was cut off
 HALF_PARTITION_S = (1.0, 8.0)
 STEPWISE_PARTITION_S = (2.0, 6.0)
 SLOW_S = (1.0, 8.0)
@@ -37,10 +37,10 @@
 
 
 class FaultSchedule:
-    """The faults of one run of ``scenario``, from ``start`` until ``stop``.
+    """Injects the faults of one run of ``scenario``, from ``start`` until ``stop``.
 
-    Faults come by chance, and besides right after an acknowledgement or a retirement, when what was just
-    promised is easiest to lose.
+    Faults are injected at random times, and also right after an acknowledgement or a retirement, when the
+    data just acknowledged is most likely to be lost.
     """
 
     def __init__(
@@ -55,20 +55,20 @@
         self._operators = operators
         self._random = random
         self._is_active = True
-        self._has_fault_after_acknowledgement = False  # one that waits for its moment
+        self._has_fault_after_acknowledgement = False  # a scheduled one
 
     def start(self) -> None:
-        """Schedule the first fault, and watch acknowledgements and retirements."""
+        """Schedule the first fault, and observe acknowledgements and retirements."""
         self._invariants.on_acknowledged = self._follow_acknowledgement
         self._invariants.on_retired = self._follow_retirement
         self._environment.after(FIRST_FAULT_S, self._inject_random_fault)
 
     def stop(self) -> None:
-        """Schedule no more faults, and end those in force."""
+        """Schedule no more faults, and end the active ones."""
         self._is_active = False
         self._injector.end_all()
 
-    # Faults by chance
+    # Faults at random times
 
     def _inject_random_fault(self) -> None:
         if not self._is_active:
@@ -104,7 +104,7 @@
             self._inject_into_target(lambda: kind)
 
     def _choose_target(self) -> Machine | None:
-        """Return a machine that the budget allows to be lost, or None if the one drawn may not."""
+        """Return a random machine; None if the budget doesn't allow its loss."""
         primary = self._cluster.primary()
         if primary is not None and self._random.random() < self._scenario.primary_share:
             machine = primary
@@ -141,7 +141,7 @@
             self._injector.add()
 
     def _retire(self) -> None:
-        """Order one machine to retire, if enough others remain; at times the primary's."""
+        """Order one machine to retire if enough others remain; a share of the orders is for the primary's."""
         cluster, environment = self._cluster, self._environment
         staying = [machine for machine in cluster.machines if machine.name not in cluster.retiring]
         if len(staying) <= 2 * environment.faults + 1 or not environment.topology.stores:
@@ -178,7 +178,7 @@
         self._environment.after(delay_s, lambda: self._fault_after_acknowledgement(process.machine, change))
 
     def _fault_after_acknowledgement(self, machine: Machine, change: Change) -> None:
-        """Strike the machine that acknowledged ``change``, or all of them at once."""
+        """Inject a fault into the machine that acknowledged ``change``, or into all machines at once."""
         self._has_fault_after_acknowledgement = False
         if self._budget.lost():
             return
@@ -191,11 +191,11 @@
             self._inject_into_machine(kind, machine)
 
     def lose_holders(self, change: Change) -> None:
-        """Lose as many of the disks with ``change`` as the budget allows, and the power of all others."""
+        """Wipe as many machines with ``change`` as the budget allows, and cut the power of all others."""
         holders = self._cluster.present(self._invariants.holders(change))
         self._random.shuffle(holders)
         self._injector.wipe_within_budget(holders)
 
     def lose_proxies(self) -> None:
-        """Cut the power of all proxies; they are back within a second."""
+        """Cut the power of all proxies, which restart within a second."""
         self._injector.lose_proxies()
--- a/cherrycove/tier/simulation/control/invariants.py
+++ b/cherrycove/tier/simulation/control/invariants.py
@@ -1,6 +1,6 @@
-"""What must hold of the answers that leave the controllers, and of the replicas on the simulated disks.
+"""Checks the replies of the controllers, and the replicas on the simulated disks.
 
-Replicas are counted on the disks; no process is asked how many it wants or has.
+Replicas are counted on the disks; the checks don't rely on the counts that processes compute.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from cherrycove.tier.simulation.control.processes import Process, ProxyProcess
 
 CHECK_INTERVAL_S = 0.25
-REPLICATION_S = 1.0  # without faults a change has reached every member so long after its acknowledgement
+REPLICATION_S = 1.0  # without faults a change reaches every member within this time after its acknowledgement
 
 
 class Invariants:
-    """Checks one world; a violation is raised as ``InvariantBrokenError`` and ends the run.
+    """Checks one world; raises ``InvariantBrokenError`` on a violation, which ends the run.
 
     ``on_acknowledged`` and ``on_retired`` are called after the checks of these events.
     """
@@ -36,7 +36,7 @@
     # Replicas on disks
 
     def holders(self, change: Change) -> list[str]:
-        """Return the names of the machines on whose disk ``change`` is synced."""
+        """Return the names of the machines that have ``change`` synced on their disk."""
         return [
             machine.name
             for machine in self._cluster.machines
@@ -44,7 +44,7 @@
         ]
 
     def holders_of_job(self, job_id: str) -> list[str]:
-        """Return the names of the machines on whose disk the job is synced."""
+        """Return the names of the machines that have the job synced on their disk."""
         return [
             machine.name
             for machine in self._cluster.machines
@@ -52,18 +52,18 @@
         ]
 
     def required_replicas(self) -> int:
-        """Return f + 1, less the disks whose loss was allowed and that had no time to be made up for."""
+        """Return how many replicas must exist: faults + 1, minus the lost disks not yet recovered."""
         return max(1, self._environment.faults + 1 - self._environment.fault_budget.lost_disks())
 
-    # Answers of controllers
+    # Replies of controllers
 
     def check_authority(self, process: Process, action: str) -> None:
-        """Check that ``process``, which did ``action`` in the group's name, may have a quorum behind it."""
+        """Check that ``process``, which did ``action`` as primary, may still hold a lease."""
         isolated_s = process.machine.isolated_for_s(self._environment.now)
         self._history.check_authority(process.incarnation.name, action, isolated_s)
 
     def acknowledged(self, process: Process, change: Change) -> None:
-        """Check the 200 for ``change`` that leaves ``process``."""
+        """Check the 200 response to ``change`` that ``process`` sends."""
         self.check_authority(process, "confirmed")
         self._history.acknowledge(
             process.incarnation.name, change, self.holders(change), self.required_replicas()
@@ -71,9 +71,9 @@
         self.on_acknowledged(process, change)
 
     def retired(self, process: Process, name: str) -> None:
-        """Check the answer that the machine ``name`` has retired, and remove the machine at once.
+        """Check the reply that the machine ``name`` has retired, and remove the machine immediately.
 
-        That is no loss in the fault budget: enough replicas must be left without it.
+        The removal is no loss in the fault budget, so enough replicas must remain without the machine.
         """
         if name in self._history.retired:
             return
@@ -82,7 +82,7 @@
         newest = self._history.newest
         if newest is not None:
             left = [holder for holder in self.holders(newest) if holder != name]
-            detail = f"{name} may go, and {newest} is left on {left} only"
+            detail = f"{name} was reported as retired, but without it {newest} is on {left} only"
             self._history.require(len(left) >= self.required_replicas(), detail)
         for job in self._environment.jobs.acknowledged():
             self._check_job_without(job, name)
@@ -91,27 +91,32 @@
         self.on_retired(name)
 
     def _check_job_without(self, job: JobRecord, name: str) -> None:
-        """Enough replicas of ``job`` are left without the machine ``name``."""
+        """Check that enough replicas of ``job`` remain without the machine ``name``."""
         left = [holder for holder in self.holders_of_job(job.request.job_id) if holder != name]
         if len(left) < self.required_replicas():
-            self._history.fail(f"{name} may go, and {job.request.job_id} is left on {left} only")
+            self._history.fail(
+                f"{name} was reported as retired, but without it {job.request.job_id} is on {left} only"
+            )
 
     def retirement_rejected(self, process: Process, name: str, status: int) -> None:
-        """Check a final refusal to retire ``name``: it is known, and too few machines would remain."""
+        """Check a final rejection of a retire order: ``name`` is known, and too few machines would remain."""
         cluster, environment = self._cluster, self._environment
         if not cluster.present([name]) or environment.fault_budget.faultless_s() < CATCH_UP_S:
             return
-        self._history.require(status != 404, f"{process.incarnation.name} does not know {name}")
+        self._history.require(
+            status != 404,
+            f"{process.incarnation.name} answered 404 to the retire order of {name}, which is present",
+        )
         remaining = len(cluster.machines) - len(cluster.retiring | {name})
         detail = (
-            f"{process.incarnation.name} answered {status} to the order to retire {name}, {remaining} stay"
+            f"{process.incarnation.name} answered {status} to the retire order of {name}, {remaining} remain"
         )
         self._history.require(remaining < 2 * environment.faults + 1, detail)
 
     # Periodic checks
 
     def check_periodically(self) -> None:
-        """Check what must hold after some time without faults; again each CHECK_INTERVAL_S."""
+        """Check views and replicas after some time without faults; repeat every CHECK_INTERVAL_S."""
         environment = self._environment
         environment.fault_budget.forget_recovered()
         self._cluster.record_hosts()
@@ -121,23 +126,26 @@
         environment.after(CHECK_INTERVAL_S, self.check_periodically)
 
     def _check_views(self) -> None:
-        """Every proxy has applied what was acknowledged CONFIG_APPLY_S ago."""
+        """Check that every proxy has applied what was acknowledged CONFIG_APPLY_S ago."""
         due = self._history.acknowledged_before(self._environment.now - CONFIG_APPLY_S)
         for machine in self._cluster.proxies:
             process = machine.running.get(PROXY_PROGRAM)
             if isinstance(process, ProxyProcess):
-                detail = f"{process.incarnation.name} in touch has version {process.version}, not {due}"
+                detail = f"{process.incarnation.name} has version {process.version} without faults, not {due}"
                 self._history.require(process.version >= due, detail)
 
     def _check_replicas(self) -> None:
-        """Every acknowledged change has reached as many machines as the group ought to have members."""
+        """Check that what was acknowledged REPLICATION_S ago is on all members.
+
+        Their expected number follows from the number of machines and of faults to tolerate.
+        """
         due = self._history.acknowledged_change(self._environment.now - REPLICATION_S)
         if due is None:
             return
         holders = self.holders(due)
         members = min(2 * self._environment.faults + 1, len(self._cluster.machines))
         if len(holders) < members:
-            self._history.fail(f"{due} only on {holders} without faults")
+            self._history.fail(f"{due} is on {holders} only, {REPLICATION_S} s after it was acknowledged")
         self._check_replicas_of_jobs(members)
 
     def _check_replicas_of_jobs(self, members: int) -> None:
@@ -147,4 +155,6 @@
                 continue
             holders = self.holders_of_job(job.request.job_id)
             if len(holders) < members:
-                self._history.fail(f"{job.request.job_id} only on {holders} without faults")
+                self._history.fail(
+                    f"{job.request.job_id} is on {holders} only, {REPLICATION_S} s after it was acknowledged"
+                )
--- a/cherrycove/tier/simulation/control/job_history.py
+++ b/cherrycove/tier/simulation/control/job_history.py
@@ -1,4 +1,4 @@
-"""The history of batch jobs as clients and model servers saw it, and what must hold of it."""
+"""Records the history of batch jobs as clients and model servers saw it, and checks its invariants."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from cherrycove.tier.simulation.control.machine_disk import MachineDisk
 from cherrycove.tier.storage.entries import EntryKind
 
-CANCEL_S = 3.0  # after its end was acknowledged, no item of a job is started later than this
+CANCEL_S = 3.0  # no item of a job starts later than this after the end of the job was acknowledged
 
 
 @lru_cache(maxsize=4096)
 def _job_in(payload: bytes) -> str:
-    """Return the job that a command of the stores' log accepts; "" if it accepts none."""
+    """Return the id of the job that a command of the stores' log accepts; "" if it accepts none."""
     command = BatchCommand.FromString(payload)
     return command.accept.job.job_id if command.WhichOneof("command") == "accept" else ""
 
@@ -29,7 +29,7 @@
 
 
 def holds_job(disk: MachineDisk, job_id: str) -> bool:
-    """Whether the job is synced on ``disk``."""
+    """Return whether the job is synced on ``disk``, in the log or in the snapshot."""
     if disk.snapshot is not None and job_id in _jobs_in(bytes(disk.snapshot.state)):
         return True
     entries = reversed(disk.entries)
@@ -38,7 +38,7 @@
 
 @attrs.frozen
 class SeenResult:
-    """A result as a reader got it."""
+    """Holds the result of an item as a client read it."""
 
     item_id: str
     completed: bool
@@ -47,20 +47,20 @@
 
 @attrs.define
 class JobRecord:
-    """One job from its first submission on."""
+    """Records one job from its first submission on."""
 
     request: SubmitRequest
-    submissions: int = 0  # attempts
+    submissions: int = 0  # number of attempts
     rejections: int = 0
     acknowledged_at: float | None = None
     ended_at: float | None = None
     started: bool = False
-    results: dict[int, SeenResult] = attrs.field(factory=dict)
-    texts: set[bytes] = attrs.field(factory=set)  # results that were computed for its items
+    results: dict[int, SeenResult] = attrs.field(factory=dict)  # by position
+    texts: set[bytes] = attrs.field(factory=set)  # all results computed for its items
 
 
 class JobHistory:
-    """All jobs of one world, by id. A violation is raised as ``InvariantBrokenError``."""
+    """Records and checks all jobs of one world, by id; raises ``InvariantBrokenError`` on a violation."""
 
     def __init__(self, history: History) -> None:
         self._history = history
@@ -74,7 +74,7 @@
         """Return the jobs whose submission was acknowledged."""
         return [job for job in self.jobs.values() if job.acknowledged_at is not None]
 
-    # Answers, as they leave a proxy
+    # Replies as a proxy sends them
 
     def accepted(
         self, process_name: str, job_id: str, now: float, holders: Iterable[str], required: int
@@ -89,19 +89,21 @@
             job.acknowledged_at = now
             self._history.note(f"{process_name} 202 {job_id} on {names}")
         if len(names) < required:
-            self._history.fail(f"{process_name} accepted {job_id} on {names}, not {required}")
+            self._history.fail(f"{process_name} accepted {job_id} synced on {names}, needs {required} disks")
 
     def rejected(self, job_id: str) -> None:
-        """Check a submission that certainly had no effect."""
+        """Check a rejected submission, which must have had no effect."""
         job = self.jobs[job_id]
         job.rejections += 1
         self._check_rejections(job_id, job)
 
     def unknown(self, process_name: str, job_id: str, what: str, sent_at: float) -> None:
-        """Check a 404 that leaves ``process_name`` for a call sent at ``sent_at``."""
+        """Check a 404 response of ``process_name`` to the call ``what`` sent at ``sent_at``."""
         acknowledged_at = self.jobs[job_id].acknowledged_at
         if acknowledged_at is not None and acknowledged_at < sent_at:
-            self._history.fail(f"{process_name} does not know {job_id} at a call to {what}")
+            self._history.fail(
+                f"{process_name} answered a call to {what} with 404 for the acknowledged {job_id}"
+            )
 
     def ended(self, job_id: str, now: float) -> None:
         """Record the acknowledged end of a job."""
@@ -109,27 +111,29 @@
         job.ended_at = now if job.ended_at is None else job.ended_at
 
     def read(self, process_name: str, job_id: str, cursor: int, reply: ReadReply) -> None:
-        """Check results from position ``cursor`` on, as they leave ``process_name``."""
+        """Check the results from position ``cursor`` on as ``process_name`` sends them."""
         job = self.jobs[job_id]
         if reply.total != len(job.request.items):
-            self._history.fail(f"{process_name} counts {reply.total} items of {job_id}")
+            self._history.fail(f"{process_name} returned a total of {reply.total} items for {job_id}")
         for position, entry in enumerate(reply.results, cursor):
             seen = SeenResult(entry.item_id, entry.completed, entry.text)
             known = job.results.setdefault(position, seen)
             if known != seen:
-                self._history.fail(f"{process_name} has {seen} at {position} of {job_id}, it was {known}")
+                self._history.fail(
+                    f"{process_name} returned {seen} at position {position} of {job_id}, before: {known}"
+                )
             if seen.completed and seen.text not in job.texts:
                 self._history.fail(
-                    f"{process_name} has a text at {position} of {job_id} that was never computed"
+                    f"{process_name} returned a text at {position} of {job_id} that was never computed"
                 )
         names = [seen.item_id for seen in job.results.values()]
         if len(set(names)) != len(names):
-            self._history.fail(f"an item of {job_id} is at two positions")
+            self._history.fail(f"an item of {job_id} has two positions in the results")
 
-    # Runs, as they reach a model server
+    # Runs as they reach a model server
 
     def started(self, process_name: str, job_id: str, now: float) -> None:
-        """Check the start of an item of a job at ``process_name``."""
+        """Check that ``process_name`` may start an item of a job."""
         job = self.jobs[job_id]
         job.started = True
         self._check_rejections(job_id, job)
@@ -140,4 +144,4 @@
 
     def _check_rejections(self, job_id: str, job: JobRecord) -> None:
         if job.started and job.submissions == job.rejections:
-            self._history.fail(f"{job_id} runs, though every submission was rejected")
+            self._history.fail(f"{job_id} is running, though every submission was rejected")
--- a/cherrycove/tier/simulation/control/loop.py
+++ b/cherrycove/tier/simulation/control/loop.py
@@ -1,7 +1,7 @@
-"""A deterministic asyncio event loop on virtual time, shared by many simulated processes.
+"""Provides a deterministic asyncio event loop on virtual time, shared by many simulated processes.
 
-Every callback belongs to one incarnation of a process, which its context names. A callback of an incarnation
-that has ended is dropped; that of a frozen one waits until it is thawed.
+Every callback belongs to one incarnation of a process, which is stored in its context. Callbacks of an
+incarnation that has ended are dropped; those of a frozen one are deferred until it is thawed.
 """
 
 from __future__ import annotations
@@ -18,31 +18,33 @@
 
 import attrs
 
-TIMER_LATENESS_S = 0.001  # timers fire up to so late
-SPAWNED_PRUNE_SIZE = 64  # coroutines of an incarnation that are looked through for those that have not begun
-MAX_CALLBACKS_AT_ONCE = 1_000_000  # without time passing: then something spins
+TIMER_LATENESS_S = 0.001  # maximum lateness of timers
+SPAWNED_PRUNE_SIZE = 64  # number of recorded coroutines at which those that have begun are dropped
+MAX_CALLBACKS_AT_ONCE = 1_000_000  # at one virtual time; more are taken as a livelock
 
 
 @attrs.define(eq=False)
 class Incarnation:
-    """One start of a process. ``deferred`` callbacks wait while it is frozen."""
+    """One incarnation of a process, from its start to its end; callbacks are deferred while it is frozen."""
 
     name: str
     ended: bool = False
     frozen: bool = False
     deferred: list[Handle] = attrs.field(factory=list)
-    spawned: list[Coroutine[Any, Any, Any]] = attrs.field(factory=list)  # some may not have begun yet
+    spawned: list[Coroutine[Any, Any, Any]] = attrs.field(
+        factory=list
+    )  # kept to close those that never begin
 
 
 CURRENT_INCARNATION: ContextVar[Incarnation | None] = ContextVar("incarnation", default=None)
 
 
 class LivelockError(RuntimeError):
-    """Callbacks were scheduled without end at one moment."""
+    """Raised when callbacks keep scheduling others without virtual time passing."""
 
 
 class VirtualLoop(asyncio.AbstractEventLoop):
-    """Runs callbacks in the order of their time; ``time`` jumps from one to the next."""
+    """Runs callbacks in the order of their times; ``time`` advances from one timer to the next."""
 
     def __init__(self, random: Random) -> None:
         self._random = random
@@ -50,8 +52,8 @@
         self._ready: deque[Handle] = deque()
         self._timers: list[tuple[float, int, TimerHandle]] = []
         self._scheduled = 0
-        self.callbacks = 0  # run so far
-        self.errors: list[str] = []  # of tasks and callbacks, for a world that wants none
+        self.callbacks = 0  # number run so far
+        self.errors: list[str] = []  # unhandled errors of tasks and callbacks
 
     # Running
 
@@ -110,19 +112,19 @@
     def call_in(
         self, incarnation: Incarnation | None, delay: float, callback: Callable[..., Any], *args: Any
     ) -> None:
-        """Call back after ``delay`` seconds as a part of ``incarnation``; None: as a part of the world."""
+        """Call back after ``delay`` seconds in ``incarnation``, or outside all processes if it is None."""
         context = copy_context()
         context.run(CURRENT_INCARNATION.set, incarnation)
         self._schedule(self._now + delay, callback, args, context)
 
     def thaw(self, incarnation: Incarnation) -> None:
-        """Let a frozen process go on with what waited, in order."""
+        """Resume a frozen process; its deferred callbacks run in order."""
         incarnation.frozen = False
         self._ready.extend(incarnation.deferred)
         incarnation.deferred.clear()
 
     def end(self, incarnation: Incarnation) -> None:
-        """The process is gone; none of its callbacks runs any more."""
+        """End the process: none of its callbacks runs from now on."""
         incarnation.ended = True
         incarnation.deferred.clear()
         for coroutine in incarnation.spawned:
@@ -147,7 +149,7 @@
     def call_soon_threadsafe(  # type: ignore[override]
         self, callback: Callable[..., Any], *args: Any, context: Context | None = None
     ) -> Handle:
-        """Run ``callback`` after those that are ready; there is one thread only."""
+        """Run ``callback`` after those that are ready; there is only one thread."""
         return self.call_soon(callback, *args, context=context)
 
     def call_later(  # type: ignore[override]
@@ -172,7 +174,7 @@
         return handle
 
     def _timer_handle_cancelled(self, handle: TimerHandle) -> None:
-        """A cancelled timer is dropped when its time comes."""
+        """Do nothing: a cancelled timer is dropped when it is due."""
 
     def create_future(self) -> asyncio.Future[Any]:
         """Return a future of this loop."""
@@ -181,23 +183,26 @@
     def create_task(
         self, coro: Any, *, name: str | None = None, context: Context | None = None
     ) -> asyncio.Task[Any]:
-        """Return a task of this loop, of the incarnation that calls."""
+        """Return a task of this loop that belongs to the calling incarnation."""
         return asyncio.Task(coro, loop=self, name=name, context=context)
 
     def get_debug(self) -> bool:
-        """Whether the loop is in debug mode: never."""
+        """Return False: the loop has no debug mode."""
         return False
 
     def is_running(self) -> bool:
-        """Whether the loop runs: whoever asks is run by it."""
+        """Return True: every caller runs on this loop."""
         return True
 
     def is_closed(self) -> bool:
-        """Whether the loop is closed: never."""
+        """Return False: the loop is never closed."""
         return False
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        """Record errors. That a task of an ended incarnation is destroyed while pending is none."""
+        """Record an exception.
+
+        Reports without one are ignored, such as that of a pending task destroyed with its incarnation.
+        """
         error = context.get("exception")
         if error is not None:
             self.errors.append(f"{self._now:.3f} {context.get('message', '')}: {error!r}")
--- a/cherrycove/tier/simulation/control/machine_disk.py
+++ b/cherrycove/tier/simulation/control/machine_disk.py
@@ -1,4 +1,4 @@
-"""The disk of a simulated machine, with its faults, and the writer that performs writes on virtual time."""
+"""Simulates the disk of a machine with its faults, and the writer that writes to it on virtual time."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 from cherrycove.tier.storage.snapshots import Snapshot
 
 SYNC_S = (0.001, 0.006)
-LATE_SYNC_SHARE = 0.04  # of the syncs, which take longer, also on a disk without a fault
+LATE_SYNC_SHARE = 0.04  # of the syncs on a disk without faults, which take LATE_SYNC_S
 LATE_SYNC_S = (0.03, 0.2)
 SLOW_SYNC_S = (0.1, 0.5)
-RETRY_S = 0.25  # after which the writes that a full disk rejected are attempted again
-STALLED_POLL_S = 0.05  # a stalled disk is looked at again so often
+RETRY_S = 0.25  # delay until writes that a full disk rejected are retried
+STALLED_POLL_S = 0.05  # interval at which a stalled disk is checked
 
 
 @attrs.define(eq=False)
 class MachineDisk(SimulatedDisk):
-    """The disk of one program on one machine; a fault makes it slow, full, or lets it complete nothing."""
+    """The disk of one program on one machine, which a fault can make slow, full or stalled."""
 
     slow: bool = False
     full: bool = False
@@ -35,9 +35,9 @@
 
 
 class SimulatedStorage:
-    """The storage of one incarnation of a process; implements ``replication.disk_interface.Storage``.
+    """Storage of one incarnation of a process; implements ``replication.disk_interface.Storage``.
 
-    Writes go through ``SimulatedWriter``, so that the methods that write are never called.
+    Writes go through ``SimulatedWriter``, so the methods that write are never called.
     """
 
     def __init__(self, disk: MachineDisk) -> None:
@@ -45,7 +45,7 @@
 
     @property
     def size_bytes(self) -> int:
-        """Size of log and snapshot."""
+        """Return the size of log and snapshot in bytes."""
         return self.disk.size_bytes
 
     def recover(self) -> RecoveredState:
@@ -53,23 +53,23 @@
         return self.disk.recovered()
 
     def write_hard_state(self, _hard_state: HardState) -> None:
-        """Not in use."""
+        """Raise ``NotImplementedError``: never called."""
         raise NotImplementedError("the simulated writer performs the writes")
 
     def append(self, _entries: Sequence[Entry]) -> None:
-        """Not in use."""
+        """Raise ``NotImplementedError``: never called."""
         raise NotImplementedError("the simulated writer performs the writes")
 
     def save_snapshot(self, _snapshot: Snapshot, _tail: Sequence[Entry]) -> None:
-        """Not in use."""
+        """Raise ``NotImplementedError``: never called."""
         raise NotImplementedError("the simulated writer performs the writes")
 
     def read_state(self, index: int, offset: int, size: int, *, encoded: bool = False) -> bytes:
-        """Read ``size`` bytes of the state in the snapshot of entry ``index``; empty if it is not there."""
+        """Read ``size`` bytes of the snapshot at entry ``index``; empty if the disk has no such snapshot."""
         return self.disk.read_state(index, offset, size, encoded=encoded)
 
     def close(self) -> None:
-        """Do nothing: the disk stays as it is."""
+        """Do nothing, as the disk outlives the process."""
 
 
 class SimulatedWriter:
@@ -96,16 +96,16 @@
         self._is_stopped = False
 
     def start(self) -> None:
-        """Begin to work, as a part of the process that calls."""
+        """Start the writer in the incarnation of the caller."""
         self._incarnation = CURRENT_INCARNATION.get()
 
     def submit(self, writes: list[Write]) -> None:
-        """Perform ``writes`` after all that were submitted before."""
+        """Perform ``writes`` after all that were submitted earlier."""
         self._waiting.extend(writes)
         self._begin()
 
     async def stop(self) -> None:
-        """Stop at once; some of the writes in progress have reached the disk."""
+        """Stop immediately; some of the writes in progress may have reached the disk."""
         self._is_stopped = True
         self._disk.crash(self._random)
 
@@ -142,7 +142,11 @@
         self._begin()
 
     def _reject_writes(self) -> bool:
-        """Skip the snapshots that may be skipped, as the disk is full; False if the rest needs no space."""
+        """Reject writes because the disk is full.
+
+        Snapshots that may be skipped are skipped, and the rest is retried after RETRY_S. Returns False if the
+        rest needs no space and can be performed.
+        """
         error = OSError(errno.ENOSPC, "no space")
         skipped = [write for write in self._disk.in_progress if _may_be_skipped(write)]
         kept = [write for write in self._disk.in_progress if write not in skipped]
--- a/cherrycove/tier/simulation/control/machines.py
+++ b/cherrycove/tier/simulation/control/machines.py
@@ -1,4 +1,4 @@
-"""A simulated machine of the tier: an address with disks and the processes of its programs."""
+"""Defines a simulated machine: an address with disks and the processes of its programs."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class RunningProcess(Protocol):
-    """What a machine knows of its processes."""
+    """Interface of a process as its machine uses it."""
 
     incarnation: Incarnation
 
@@ -33,10 +33,10 @@
 
 @attrs.define(eq=False)
 class Machine:
-    """One machine, owned by its cluster. Processes and disks come and go; the address stays.
+    """One machine, owned by its cluster. Its processes and disks may be replaced; the address is fixed.
 
-    ``seeds`` are the hosts that its processes ask first; ``isolated_since`` is the time since which it is
-    without contact to as many others as a quorum needs, None while it has that contact.
+    ``seeds`` are the hosts that its processes contact first; ``isolated_since`` is the time since which it
+    can't reach as many others as a quorum needs, None while it can.
     """
 
     name: str
@@ -52,11 +52,11 @@
     isolated_since: float | None = None
 
     def isolated_for_s(self, now: float) -> float:
-        """Seconds without contact to a quorum; 0 with it."""
+        """Return the seconds without contact to a quorum; 0.0 while there is contact."""
         return 0.0 if self.isolated_since is None else now - self.isolated_since
 
     def settings(self, faults: int) -> Settings:
-        """The settings of its processes, in a deployment that bears the loss of ``faults`` machines."""
+        """Return the settings of its processes, in a deployment that tolerates ``faults`` lost machines."""
         return Settings(
             node_name=self.name,
             machine_class="storage" if "store" in self.programs else "frontend",
--- a/cherrycove/tier/simulation/control/mutations.py
+++ b/cherrycove/tier/simulation/control/mutations.py
@@ -1,4 +1,7 @@
-"""Mutations of the control side: each takes one guard out, which the worlds of its scenario must notice."""
+"""Mutations of the control plane: each disables one safety check.
+
+The worlds of its scenario must then violate an invariant.
+"""
 
 from __future__ import annotations
 
@@ -33,13 +36,13 @@
 
 @attrs.frozen
 class Mutation:
-    """A guard, taken out by ``patches``; worlds of ``scenario`` must break an invariant without it."""
+    """Disables a safety check by ``patches``; worlds of ``scenario`` must then violate an invariant."""
 
     scenario: str
     patches: Callable[[], Patches]
 
 
-# 1. A machine cut off
+# 1. A partitioned machine
 
 
 def _lease_never_expires() -> Patches:
@@ -71,7 +74,7 @@
     yield mock.patch.object(ConfigurationService, "_check", unconfirmed)
 
 
-# 2. Two operators, orders sent again
+# 2. Concurrent operators and repeated orders
 
 
 def _concurrent_decisions() -> Patches:
@@ -157,7 +160,7 @@
     yield mock.patch.object(ControlState, "restore", restore)
 
 
-# 5. Answers for another
+# 5. Misdelivered messages and replies
 
 
 def _accept_batches_for_another_disk() -> Patches:
@@ -244,7 +247,7 @@
 
 @contextmanager
 def apply_mutation(name: str) -> Iterator[None]:
-    """Apply the mutation ``name``, which takes one guard out, for a while; "" applies none."""
+    """Apply the mutation ``name`` within the context; "" applies none."""
     with ExitStack() as stack:
         for patch in MUTATIONS[name].patches() if name else ():
             stack.enter_context(patch)
--- a/cherrycove/tier/simulation/control/network.py
+++ b/cherrycove/tier/simulation/control/network.py
@@ -1,7 +1,8 @@
-"""A simulated network: links with delays, losses and cuts, and calls over them.
+"""Simulates a network: links with delays, losses and cuts, and calls over them.
 
-A call travels as its bytes. What is on a link that is cut waits for the cut to end, as TCP does, unless its
-connection is closed before; a process that has ended resets, a machine without power does not answer.
+Calls are serialized to bytes. Messages on a cut link are delivered after the cut ends, as with TCP, unless
+the connection is closed earlier. A process that has ended resets connections; a machine without power does
+not answer.
 """
 
 from __future__ import annotations
@@ -20,51 +21,51 @@
 
 CONNECT_TIMEOUT_S = 0.5
 DELAY_S = (0.0003, 0.004)  # one way
-RETRANSMIT_S = 0.25  # a packet that was lost comes so much later, doubled for each further loss
+RETRANSMIT_S = 0.25  # added delay of a lost packet, doubled for each further loss
 MAX_RETRANSMITS = 3
-LATE_SHARE = 0.5  # of the requests that timed out during a cut, which arrive after it all the same
+LATE_SHARE = 0.5  # of the requests that timed out during a cut, which are still delivered after it
 
 
 @attrs.define
 class NetworkConditions:
-    """How links behave at present; shares are between 0 and 1."""
+    """Describes how all links behave at present; shares are between 0 and 1."""
 
-    loss: float = 0.0  # share of messages that are sent again after a while
-    resets: float = 0.0  # share of calls whose connection is reset on the way
-    misdelivered: float = 0.0  # share of calls at whose place another call's reply comes
+    loss: float = 0.0  # share of messages that are lost and retransmitted
+    resets: float = 0.0  # share of calls whose connection is reset in transit
+    misdelivered: float = 0.0  # share of calls that receive the reply to another call
 
 
 @attrs.define(eq=False)
 class Endpoint(HandlerTable):
-    """The server of one process. ``identity`` is its member id, "" if calls to any member are served."""
+    """The server of one process. ``identity`` is its member id, "" if it serves calls for any member."""
 
     incarnation: Incarnation
     identity: str = ""
-    process: Any = None  # whose interface for operators or clients this is
+    process: Any = None  # set if the endpoint is its interface for operators or clients
 
 
 class Network:
-    """Links between hosts, and endpoints by address (host:port); ``powered`` has the hosts that are up."""
+    """Connects hosts by links, with endpoints by address (host:port); ``powered`` hosts have power."""
 
     def __init__(self, loop: VirtualLoop, random: Random) -> None:
         self.loop = loop
         self._random = random
         self.conditions = NetworkConditions()
-        self.powered: set[str] = set()  # hosts that are up
+        self.powered: set[str] = set()
         self._endpoints: dict[str, Endpoint] = {}
-        self._cuts: dict[tuple[str, str], int] = {}  # directed links, and how many cuts each has
+        self._cuts: dict[tuple[str, str], int] = {}  # number of cuts by directed link
         self._delayed: dict[tuple[str, str], list[Callable[[], None]]] = {}
-        self._connected: set[tuple[Incarnation, str]] = set()  # caller and address
+        self._connected: set[tuple[Incarnation, str]] = set()  # open connections: caller and address
 
     # Links
 
     def cut(self, links: set[tuple[str, str]]) -> None:
-        """Cut directed links, each from a host to a host; each cut is to be joined once."""
+        """Cut directed links, each from host to host; each cut must be healed once."""
         for link in links:
             self._cuts[link] = self._cuts.get(link, 0) + 1
 
     def heal(self, links: set[tuple[str, str]]) -> None:
-        """End one cut of each link; what waited there arrives soon after the last one."""
+        """End one cut of each link; delayed messages are delivered soon after the last one."""
         for link in sorted(links):
             left = self._cuts.get(link, 0) - 1
             if left > 0:
@@ -75,15 +76,15 @@
                 self.loop.call_in(None, self._random.uniform(0.01, 0.6), deliver)
 
     def is_cut(self, source: str, target: str) -> bool:
-        """Whether the link from ``source`` to ``target`` is cut."""
+        """Return whether the link from ``source`` to ``target`` is cut."""
         return (source, target) in self._cuts
 
     def draw_misdelivery(self) -> bool:
-        """Whether another call's reply comes in place of the next one."""
+        """Return whether the next reply is replaced by the reply to another call."""
         return self.conditions.misdelivered > 0 and self._random.random() < self.conditions.misdelivered
 
     def open(self, endpoint: Endpoint, address: str) -> None:
-        """Serve ``address`` by ``endpoint``, in place of an earlier one."""
+        """Serve ``address`` by ``endpoint``, which replaces an earlier one."""
         self._endpoints[address] = endpoint
 
     def endpoint(self, address: str) -> Endpoint | None:
@@ -102,7 +103,7 @@
         return delay
 
     def carry(self, source: str, target: str, deliver: Callable[[], None]) -> None:
-        """Call ``deliver`` when a message has come over the link; while it is cut, the message waits."""
+        """Call ``deliver`` when a message has crossed the link, after the cut if the link is cut."""
 
         def arrive() -> None:
             if self.is_cut(source, target):
@@ -125,9 +126,10 @@
         serve: Callable[[Endpoint], Awaitable[Any]],
         timeout_s: float,
     ) -> Result[Any, Failure]:
-        """Exchange a request of ``incarnation`` at host ``source`` with the process that serves ``address``.
+        """Send a request of ``incarnation`` at host ``source`` to the process that serves ``address``.
 
-        ``serve`` runs there. UNREACHABLE: nothing was sent; UNCERTAIN: the request may have run.
+        ``serve`` runs in that process, and its result is returned. Fails with UNREACHABLE if nothing was sent
+        or the connection was refused, and with UNCERTAIN if the request may have run.
         """
         target = address.rpartition(":")[0]
         connection = (incarnation, address)
@@ -150,7 +152,10 @@
         return result
 
     def _is_connectable(self, source: str, target: str, connection: tuple[Incarnation, str]) -> bool:
-        """Whether a request can be sent: the target has power, and links are needed both ways to connect."""
+        """Return whether a request can be sent.
+
+        The target needs power, and a new connection needs the links in both directions.
+        """
         if target not in self.powered:
             return False
         is_blocked = self.is_cut(source, target) or self.is_cut(target, source)
@@ -162,7 +167,7 @@
 
 
 class _Call:
-    """One exchange in flight."""
+    """One request in flight and its reply."""
 
     def __init__(
         self,
@@ -207,15 +212,13 @@
 
 
 class Client(Caller):
-    """The internal calls of one process."""
+    """Sends the internal calls of one process."""
 
     def __init__(self, network: Network, host: str, incarnation: Incarnation) -> None:
         self._network = network
         self._host = host
         self._incarnation = incarnation
-        self._earlier_replies: dict[
-            str, bytes
-        ] = {}  # an earlier reply from each address, which may come again
+        self._earlier_replies: dict[str, bytes] = {}  # by address; may be delivered again
 
     async def send(self, call: OutgoingCall[RequestT, ReplyT]) -> Result[ReplyT, Failure]:
         """Send ``call`` once, as ``Caller`` describes."""
@@ -239,8 +242,8 @@
         return Ok(call.method.reply_type.FromString(answer.ok_value))
 
     def receive_misdelivered(self, _body: bytes, _reply_type: type[ReplyT]) -> Result[ReplyT, Failure]:
-        """Drop the reply to another call with its connection, as ``protocol.rpc`` does by its number."""
-        return Err(Failure(ErrorKind.UNCERTAIN, "the reply to another call"))
+        """Reject the reply to another call with its connection, as ``protocol.rpc`` does by call number."""
+        return Err(Failure(ErrorKind.UNCERTAIN, "received the reply to another call"))
 
 
 async def _serve(endpoint: Endpoint, name: str, body: bytes, receiver: str) -> Result[bytes, Failure]:
--- a/cherrycove/tier/simulation/control/operator_orders.py
+++ b/cherrycove/tier/simulation/control/operator_orders.py
@@ -1,4 +1,4 @@
-"""Orders of operators: the requests, the documents in them, and how many of what kind a workload sends."""
+"""Defines the orders of operators, their requests and documents, and the mix of orders in a workload."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Request:
-    """As much of an HTTP request as the operators' interface reads."""
+    """Stands in for an HTTP request, with the attributes that the operators' interface reads."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         headers: Mapping[str, str] | None = None,
         node: str = "",
     ) -> None:
-        """``node`` is the machine that the path names."""
+        """Create a request; ``node`` is the machine named in the path."""
         self.method = method
         self.path = self.raw_path = path
         self.headers = CIMultiDict(headers or {})
@@ -57,7 +57,7 @@
 
 @attrs.frozen
 class Reply:
-    """As much of an HTTP response as an operator reads; ``location`` is "" without that header."""
+    """Holds the parts of an HTTP response that an operator reads; ``location`` is "" without that header."""
 
     status: int
     location: str
@@ -65,7 +65,7 @@
 
 
 class OrderKind(Enum):
-    """What an order asks for."""
+    """Enumerates what an order asks for."""
 
     CHANGE = "change"
     READ = "read"
@@ -75,7 +75,7 @@
 
 @attrs.frozen(eq=False)
 class Order:
-    """One call of an operator, sent until it has a definite answer."""
+    """One request of an operator, sent repeatedly until it has a definite reply."""
 
     kind: OrderKind
     request: Request
@@ -85,27 +85,27 @@
 
 @attrs.frozen(kw_only=True)
 class Workload:
-    """What the operators of a world send. Shares are of all orders, if not said otherwise."""
+    """Describes what the operators of a world send. Shares are of all orders unless stated otherwise."""
 
     operators: int = 3
     pause_s: float = 0.25  # between the orders of one operator, on average
     document_bytes: tuple[int, int] = (4_000, 64_000)
-    lost_answers_share: float = 0.05  # of the answers
-    resent_share: float = 0.15  # orders that were sent before
-    duplicated_share: float = 0.1  # orders sent to two controllers at once
+    lost_answers_share: float = 0.05  # of the replies
+    resent_share: float = 0.15  # of orders sent again
+    duplicated_share: float = 0.1  # of orders sent twice at the same time
     invalid_share: float = 0.08  # of the changes
     reads_share: float = 0.2
     stale_share: float = 0.1  # of the changes, which are based on an old version
 
 
 def document(version: int, random: Random, size: int) -> dict[str, Any]:
-    """Return a valid configuration of about ``size`` bytes; no two are equal."""
+    """Return a valid and unique configuration of about ``size`` bytes."""
     note = random.randbytes(max(8, size // 2)).hex()
     return {"version": version, "routes": [_ROUTE, _BATCH_ROUTE], "services": [{"name": "s"}], "note": note}
 
 
 def invalidate(body: dict[str, Any], random: Random) -> bytes:
-    """Return an invalid configuration made of a valid one."""
+    """Return an invalid configuration derived from the valid one in ``body``."""
     route: dict[str, Any] = dict(_ROUTE)
     fault = random.randrange(5)
     if fault == 0:
@@ -131,5 +131,5 @@
 
 
 def retire_state_order(node: str) -> Order:
-    """Return a question for the state of the retirement of ``node``."""
+    """Return an order to read the state of the retirement of ``node``."""
     return Order(OrderKind.RETIRE_STATE, Request("GET", f"/api/retire/{node}", node=node))
--- a/cherrycove/tier/simulation/control/operators.py
+++ b/cherrycove/tier/simulation/control/operators.py
@@ -1,6 +1,6 @@
-"""Operators: several orders in flight at once, answers that get lost, orders that are sent again.
+"""Simulates operators, with concurrent orders, lost replies and repeated orders.
 
-An answer is checked as it leaves the controller, whether it reaches the operator or not.
+A reply is checked as the controller sends it, whether it reaches the operator or not.
 """
 
 from __future__ import annotations
@@ -35,20 +35,20 @@
 from cherrycove.tier.simulation.control.processes import ControllerProcess
 from cherrycove.tier.simulation.control.world import World
 
-REQUEST_TIMEOUT_S = 1.0  # without an answer for so long, the next controller is asked
+REQUEST_TIMEOUT_S = 1.0  # after which the order is sent to another controller
 ORDER_TIMEOUT_S = 20.0
 MAX_REDIRECTS = 2
 BACKOFF_S = (0.05, 0.1, 0.2, 0.4, 0.8)
 MAX_IN_FLIGHT = 8
-RESENDABLE_ORDERS = 64  # the newest ones, which may be sent again
+RESENDABLE_ORDERS = 64  # number of the newest orders that may be sent again
 RETIRE_POLL_S = 0.3
-RETRIED_STATUSES = (408, 429)  # besides all of 500 and above
+RETRIED_STATUSES = (408, 429)  # in addition to all from 500 on
 
 
 class Operators:
-    """All operators of one world. No order is begun while ``active`` is false.
+    """Runs all operators of one world, which start no order while ``active`` is false.
 
-    ``answered`` counts the orders that got a definite answer.
+    ``answered`` counts the orders that got a definite reply.
     """
 
     def __init__(self, world: World, workload: Workload) -> None:
@@ -61,8 +61,8 @@
         self.incarnation = Incarnation("operators")
         self._sent: list[Order] = []
         self._in_flight = 0
-        self._newest_version = 0  # that an operator has seen
-        self._definite_answers: dict[Order, int] = {}  # that left controllers, also those lost on the way
+        self._newest_version = 0  # newest one that an operator has seen
+        self._definite_answers: dict[Order, int] = {}  # number sent by controllers, including lost ones
         self.active = True
         self.answered = 0
 
@@ -107,7 +107,7 @@
         return Order(OrderKind.CHANGE, request, change, is_valid)
 
     async def retire(self, node: str) -> None:
-        """Order the machine ``node`` to retire, and ask until it has."""
+        """Order the machine ``node`` to retire, and poll the state until it has retired."""
         reply = await self.send(retire_order(node))
         if reply is None or reply.status != 200:
             return
@@ -118,7 +118,7 @@
     # Sending
 
     async def send(self, order: Order, timeout_s: float = ORDER_TIMEOUT_S) -> Reply | None:
-        """Send ``order`` until it has a definite answer; None if it has none in time."""
+        """Send ``order`` until it has a definite reply; return None if there is none within ``timeout_s``."""
         self._in_flight += 1
         try:
             reply = await self._send_repeatedly(order, timeout_s)
@@ -144,14 +144,14 @@
         return None
 
     def _check_delay(self, began: float) -> None:
-        """An order is answered within ACKNOWLEDGE_S of a time without faults."""
+        """Check that an order is answered within ACKNOWLEDGE_S without faults."""
         waited_s = self._environment.now - began
         faultless_s = min(self._environment.fault_budget.faultless_s() - CONTACT_S, waited_s)
-        detail = f"an order has no answer after {faultless_s:.2f} s without faults"
+        detail = f"an order got no definite reply in {faultless_s:.2f} s without faults"
         self._history.require(faultless_s <= ACKNOWLEDGE_S, detail)
 
     async def _attempt(self, order: Order) -> Reply | None:
-        """Ask one controller, and those that it redirects to."""
+        """Send ``order`` to a random controller and follow redirects; return None if it must be retried."""
         hosts = [machine.host for machine in self._cluster.machines]
         host = self._random.choice(hosts)
         for _ in range(MAX_REDIRECTS + 1):
@@ -186,10 +186,10 @@
         reply: Reply | None = outcome.ok_value
         return reply
 
-    # At the controller
+    # In the controller's process
 
     async def _serve(self, endpoint: Endpoint, order: Order) -> Reply | None:
-        """Run ``order`` at the controller, and check the reply that leaves it."""
+        """Run ``order`` at the controller, and check the reply as it is sent."""
         process = endpoint.process
         if not isinstance(process, ControllerProcess):
             return None
@@ -232,5 +232,5 @@
             self._invariants.retirement_rejected(process, order.request.match_info["node"], status)
         elif order.kind is OrderKind.READ and status == 404:
             self._history.require(
-                min_version == 0, f"{name} knows no configuration, after {min_version} was confirmed"
+                min_version == 0, f"{name} answered 404 to a read after version {min_version} was confirmed"
             )
--- a/cherrycove/tier/simulation/control/processes.py
+++ b/cherrycove/tier/simulation/control/processes.py
@@ -1,4 +1,4 @@
-"""Simulated processes: the real controllers, stores and proxies, as in ``programs``, without sockets."""
+"""Simulates processes by the production controllers, stores and proxies of ``programs``, without sockets."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class Process:
-    """One incarnation of one program on one machine, which it ends with."""
+    """One incarnation of one program on one machine; it ends with the incarnation."""
 
     program = ""
 
@@ -59,7 +59,7 @@
         self.environment.loop.spawn(self.incarnation, self.start(), name=self.incarnation.name)
 
     async def start(self) -> None:
-        """Start what the program consists of."""
+        """Start the components of the program."""
         raise NotImplementedError
 
     async def stop(self) -> None:
@@ -68,7 +68,7 @@
 
 
 class ReplicaProcess(Process):
-    """What controllers and stores share: a member of a replicated group."""
+    """A process with a member of a replicated group: the common part of controllers and stores."""
 
     group: ReplicatedGroup
     is_fresh: bool  # whether the disk was empty
@@ -96,7 +96,7 @@
         self.group = create_group(options)
 
     def announce(self) -> Announcement:
-        """Return what the process announces with its pulls."""
+        """Return the announcement that the process sends with its pulls."""
         return replica_announcement(
             self.program,
             self.settings,
@@ -108,7 +108,7 @@
 
 
 class ObservedState(ControlState):
-    """Records every change that is accepted in the world's history."""
+    """Records every accepted change in the world's history."""
 
     def __init__(self, process: Process) -> None:
         super().__init__()
@@ -146,7 +146,7 @@
         )
 
     async def start(self) -> None:
-        """Start what the program consists of, in its order."""
+        """Start the components of the program in the production order."""
         self._check_pulls()
         await self.group.start(self._initial_members())
         await self.controller.start()
@@ -155,7 +155,7 @@
         await self.puller.start()
 
     def _check_pulls(self) -> None:
-        """Check each answer to a pull as it leaves."""
+        """Wrap the handler of pulls, and check each reply as it is sent."""
         pull = self.endpoint.handler(PULL)
         history = self.environment.history
 
@@ -212,7 +212,7 @@
         self._membership = StoreMembership(self.settings, self.group, self.views, self.endpoint)
 
     async def start(self) -> None:
-        """Start what the program consists of, in its order."""
+        """Start the components of the program in the production order."""
         await self.group.start()
         await self.store.start()
         await self.puller.start()
@@ -227,7 +227,7 @@
 
 
 class ProxyProcess(Process):
-    """The part of a proxy that follows the controllers and runs batch items."""
+    """The part of a proxy that pulls from the controllers and runs batch items."""
 
     program = PROXY_PROGRAM
 
@@ -250,11 +250,11 @@
 
     @property
     def version(self) -> int:
-        """Version of the configuration in use; 0 without one."""
+        """Return the version of the configuration in use; 0 without one."""
         return 0 if self.views.configuration is None else self.views.configuration.version
 
     async def start(self) -> None:
-        """Start what the program consists of, in its order."""
+        """Start the components of the program in the production order."""
         await self.puller.start()
         if self.environment.topology.stores:
             await self.worker.start()
@@ -268,7 +268,7 @@
         await self.puller.stop()
 
     def announce(self) -> Announcement:
-        """Return what the process announces with its pulls."""
+        """Return the announcement that the process sends with its pulls."""
         return Announcement(
             node_name=self.settings.node_name,
             program=PROXY_PROGRAM,
@@ -281,7 +281,7 @@
     def _check_version(self) -> None:
         self.environment.history.require(
             self.version >= self._newest_version,
-            f"{self.incarnation.name} went back from {self._newest_version} to {self.version}",
+            f"{self.incarnation.name} went back from version {self._newest_version} to {self.version}",
         )
         self._newest_version = self.version
 
--- a/cherrycove/tier/simulation/control/run.py
+++ b/cherrycove/tier/simulation/control/run.py
@@ -1,4 +1,4 @@
-"""Runs one world of a scenario: a time with faults, a time without, then reads what was acknowledged."""
+"""Runs one world of a scenario: a period with faults, one without, then reads of what was acknowledged."""
 
 from __future__ import annotations
 
@@ -19,18 +19,19 @@
 from cherrycove.tier.simulation.control.world import World
 
 BATCH_CLIENTS = 4
-RECOVERY_S = 6.5  # without faults, after the last of the schedule
-FINAL_RECOVERY_S = 6.5  # after the final loss, before all is read back
-LAST_ORDERS_S = 1.0  # for the orders in flight at the end
+RECOVERY_S = 6.5  # without faults, after the last scheduled fault
+FINAL_RECOVERY_S = 6.5  # after the final loss, before everything is read back
+LAST_ORDERS_S = 1.0  # time for the orders in flight at the end to finish
 READ_STEP_S = 0.25
 READ_JOBS_S = 8.0
 
 
 @attrs.frozen
 class Outcome:
-    """What a run came to.
+    """Holds the result of a run.
 
-    Counts: changes acknowledged, orders answered, jobs acknowledged, callbacks run, faults by kind.
+    It contains the numbers of changes acknowledged, orders answered, jobs acknowledged, callbacks run, and
+    faults by kind.
     """
 
     seed: int
@@ -42,10 +43,10 @@
 
 
 class Run:
-    """One world of one scenario, from its seed. ``close`` ends it."""
+    """Runs one world of one scenario from a seed. The caller must call ``close``."""
 
     def __init__(self, name: str, seed: int, duration_s: float = 0.0) -> None:
-        """``duration_s`` replaces the time with faults that the scenario asks for, if it is not 0."""
+        """Create the world; a ``duration_s`` other than 0 replaces the scenario's period with faults."""
         self._scenario = SCENARIOS[name]
         self._duration_s = duration_s
         self._seed = seed
@@ -96,10 +97,10 @@
         self.world.close(self.operators.incarnation, self._clients.incarnation)
 
     def _read_configuration(self) -> None:
-        """The configuration can be read within the time that is promised without faults."""
+        """Require that the configuration can be read within ACKNOWLEDGE_S, the bound without faults."""
         world, environment, operators = self.world, self.world.environment, self.operators
         history = environment.history
-        history.require(history.acknowledged > 0, "no change was ever acknowledged")
+        history.require(history.acknowledged > 0, "no change was acknowledged in the whole run")
         answered = operators.answered
         operators.active = False
         world.run_until(world.now + LAST_ORDERS_S)
@@ -107,10 +108,12 @@
         deadline = world.now + ACKNOWLEDGE_S
         while operators.answered == answered and world.now < deadline:
             world.run_until(world.now + READ_STEP_S)
-        history.require(operators.answered > answered, "the configuration can't be read back")
+        history.require(
+            operators.answered > answered, f"the configuration could not be read within {ACKNOWLEDGE_S} s"
+        )
 
     def _read_jobs(self) -> None:
-        """Every acknowledged job can be read, with the results that were read before."""
+        """Require that every acknowledged job can be read, with the same results as earlier reads."""
         world, environment = self.world, self.world.environment
         self._clients.active = False
         unread = {job.request.job_id for job in environment.jobs.acknowledged()}
@@ -125,13 +128,15 @@
         deadline = world.now + READ_JOBS_S
         while unread and world.now < deadline:
             world.run_until(world.now + READ_STEP_S)
-        environment.history.require(not unread, f"{sorted(unread)} can't be read")
+        environment.history.require(
+            not unread, f"jobs {sorted(unread)} could not be read within {READ_JOBS_S} s"
+        )
 
 
 def run_world(name: str, seed: int, duration_s: float = 0.0) -> Outcome:
-    """Run one world without logs; raises ``InvariantBrokenError`` at the first violation.
+    """Run one world with logging disabled; raises ``InvariantBrokenError`` at the first violation.
 
-    Garbage is collected after the run only: a world makes many objects and few cycles.
+    Garbage is collected only after the run, as a world creates many objects and few cycles.
     """
     disabled_before = logging.root.manager.disable
     logging.disable(logging.CRITICAL)
--- a/cherrycove/tier/simulation/control/runtime.py
+++ b/cherrycove/tier/simulation/control/runtime.py
@@ -1,4 +1,4 @@
-"""What simulated processes get in place of sockets, files and threads."""
+"""Replaces sockets, files and threads for simulated processes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class EmptyPlatform:
-    """A platform whose list of brokers is empty; implements ``BrokerReader``."""
+    """A cloud platform without brokers; implements ``BrokerReader``."""
 
     def __init__(self) -> None:
         self.calls = 1
@@ -31,12 +31,12 @@
         """Do nothing: there is no connection."""
 
     async def read(self) -> Result[BrokerList, Failure]:
-        """Return no brokers."""
+        """Return an empty list of brokers."""
         return Ok(BrokerList())
 
 
 class SimulatedRuntime:
-    """Gives the processes of one world their clients, endpoints, member identities and storage."""
+    """Provides the processes of one world with clients, endpoints, member identities and storage."""
 
     def __init__(self, loop: VirtualLoop, network: Network, random: Random, faults: int) -> None:
         self._loop = loop
@@ -67,7 +67,7 @@
         return f"{self._random.getrandbits(64):016x}"
 
     def replication_runtime(self, disk: MachineDisk) -> Runtime:
-        """Return what a replicated group with its data on ``disk`` needs of its surroundings."""
+        """Return the runtime of a replicated group that stores its data on ``disk``."""
 
         async def run_at_once(function: Any, *arguments: Any) -> Any:
             return function(*arguments)
--- a/cherrycove/tier/simulation/control/scenarios.py
+++ b/cherrycove/tier/simulation/control/scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios by name: which faults are injected, at what intervals, and what operators do meanwhile."""
+"""Defines the scenarios by name: faults, their intervals, and the workload of operators."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 LARGE = Topology(faults=2, machines=5, proxies=1)
 WITH_STORES = Topology(faults=1, machines=4, proxies=1, stores=True)
 MANY_WITH_STORES = Topology(faults=1, machines=5, proxies=1, stores=True)
-# Sizes of deployments in service: a group of five among ten machines and more; the platform deals the seeds.
+# Sizes of production deployments: a group of five among ten or more machines; the platform assigns the seeds.
 TEN_MACHINES = Topology(faults=2, machines=10, proxies=5, stores=True, one_seed_per_zone=True)
 TWELVE_MACHINES = Topology(faults=2, machines=12, proxies=6, stores=True, one_seed_per_zone=True)
 FOURTEEN_MACHINES = Topology(faults=2, machines=14, proxies=8, stores=True, one_seed_per_zone=True)
@@ -20,14 +20,14 @@
 
 @attrs.frozen(kw_only=True)
 class Scenario:
-    """One scenario; each seed of it is one world.
+    """Describes one scenario; each of its seeds gives one world.
 
-    ``weights`` are those of the faults, by the names of ``fault_schedule``. ``duration_s`` is the time with
-    faults, at least and at most. A fault comes as early as the fault budget allows with the probability
-    ``immediate_share``, or else after ``pause_s`` at most; it strikes the primary on purpose with
-    ``primary_share``. An acknowledgement is followed by a fault at once with ``after_acknowledgement_share``.
-    ``final_loss_share`` of the worlds end with the loss of as many disks as allowed. With
-    ``final_loss_of_proxies`` the proxies lose their power then as well.
+    ``weights`` are the relative frequencies of faults, by the kinds of ``fault_schedule``. ``duration_s`` is
+    the minimum and maximum of the period with faults. A fault is injected as early as the fault budget allows
+    with the probability ``immediate_share``, otherwise after ``pause_s`` at most; it targets the primary with
+    the probability ``primary_share``. An acknowledgement is followed by a fault immediately with the
+    probability ``after_acknowledgement_share``. ``final_loss_share`` of the worlds end with the loss of as
+    many disks as the budget allows; with ``final_loss_of_proxies`` the proxies then lose power as well.
     """
 
     weights: dict[str, int]
--- a/cherrycove/tier/simulation/control/world.py
+++ b/cherrycove/tier/simulation/control/world.py
@@ -1,4 +1,4 @@
-"""One simulated deployment with its checks."""
+"""Defines one simulated deployment with its invariants."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class World:
-    """Puts together the environment, the machines and the invariants of one seed."""
+    """Combines the environment, the cluster and the invariants of one seed."""
 
     def __init__(self, seed: int, topology: Topology) -> None:
         self.environment = Environment(seed, topology)
@@ -19,20 +19,20 @@
 
     @property
     def now(self) -> float:
-        """Virtual time in seconds since the world began."""
+        """Return the virtual time in seconds since the start of the world."""
         return self.environment.now
 
     def build(self) -> None:
-        """Place the machines, which start soon, and begin with the periodic checks."""
+        """Create the machines, which start soon, and start the periodic checks."""
         self.cluster.build()
         self.invariants.check_periodically()
 
     def run_until(self, end: float) -> None:
-        """Run up to virtual time ``end``; raises ``InvariantBrokenError`` if an invariant does not hold."""
+        """Run until virtual time ``end``; raises ``InvariantBrokenError`` if an invariant is violated."""
         self.environment.run_until(end)
 
     def close(self, *others: Incarnation) -> None:
-        """End all processes, and ``others``, so that no task of them is left pending."""
+        """End all processes and ``others``, so that none of their tasks is left pending."""
         loop = self.environment.loop
         for machine in (*self.cluster.machines, *self.cluster.proxies):
             for process in machine.running.values():
--- a/cherrycove/tier/simulation/disk.py
+++ b/cherrycove/tier/simulation/disk.py
@@ -1,7 +1,7 @@
-"""A simulated disk of one replica: what is synced, and what of the writes in progress a crash may lose.
+"""Simulates the disk of one replica: synced data, and writes in progress that a crash may lose.
 
-A write that was synced is never lost or changed. Of the writes in progress at a crash the first few, none, or
-all have reached the disk, in their order.
+A write that was synced is never lost or changed. A crash keeps a prefix of the writes in progress: none of
+them, the first few, or all.
 """
 
 from __future__ import annotations
@@ -19,38 +19,38 @@
 
 @attrs.define(eq=False)
 class SimulatedDisk:
-    """The durable state of one replica, and the writes that are on their way to it."""
+    """Holds the durable state of one replica and the writes in progress."""
 
-    member_id: str = ""  # "": the disk is empty, and nobody has given it an identity
+    member_id: str = ""  # "" while the disk is empty and has no identity
     hard_state: HardState = HardState()
     snapshot: Snapshot | None = None
-    entries: list[Entry] = attrs.field(factory=list)  # behind the snapshot
+    entries: list[Entry] = attrs.field(factory=list)  # after the snapshot
     in_progress: list[Write] = attrs.field(factory=list)
 
     @property
     def base_index(self) -> int:
-        """Index of the last entry in the snapshot; 0 without one."""
+        """Return the index of the last entry that the snapshot covers; 0 without a snapshot."""
         return self.snapshot.index if self.snapshot is not None else 0
 
     @property
     def size_bytes(self) -> int:
-        """Size of the synced log and snapshot."""
+        """Return the size of the synced log and snapshot."""
         snapshot_bytes = self.snapshot.size_bytes if self.snapshot is not None else 0
         return snapshot_bytes + sum(entry.size_bytes for entry in self.entries)
 
     def recovered(self) -> RecoveredState:
-        """Return what a start finds."""
+        """Return the durable state, as a starting process reads it."""
         return RecoveredState(self.hard_state, self.snapshot, list(self.entries))
 
     def holds(self, index: int, epoch: int) -> bool:
-        """Whether the entry of ``epoch`` at ``index`` is synced, as itself or in a snapshot."""
+        """Return whether the entry of ``epoch`` at ``index`` is synced, in the log or in the snapshot."""
         position = index - self.base_index - 1
         if position < 0:
             return True
         return position < len(self.entries) and self.entries[position].epoch == epoch
 
     def read_state(self, index: int, offset: int, size: int, *, encoded: bool = False) -> bytes:
-        """Read ``size`` bytes of the state in the snapshot of entry ``index``; empty if it is not there."""
+        """Read ``size`` bytes of the snapshot at entry ``index``; empty if the disk has no such snapshot."""
         snapshot = self.snapshot
         if snapshot is None or snapshot.index != index:
             return b""
@@ -74,7 +74,7 @@
                 self.entries.append(entry)
 
     def crash(self, random: Random) -> None:
-        """The process ends or power is lost: some of the writes in progress may have reached the disk."""
+        """Simulate the end of the process or a power loss: keep a random prefix of the writes in progress."""
         for write in self.in_progress[: random.randint(0, len(self.in_progress))]:
             self.perform(write)
         self.in_progress = []
@@ -82,16 +82,16 @@
 
 @attrs.define(eq=False)
 class BufferedDisk(SimulatedDisk):
-    """A disk whose writes wait in order, and are synced all at once when ``finish`` is called."""
+    """A disk that queues writes in order and syncs them as one batch when ``finish`` is called."""
 
     _waiting: list[Write] = attrs.field(factory=list, init=False)
 
     def submit(self, writes: list[Write]) -> None:
-        """Add ``writes`` to those that wait."""
+        """Append ``writes`` to the queue."""
         self._waiting.extend(writes)
 
     def begin(self) -> bool:
-        """Start to sync all that waits; False if a sync is running or nothing waits."""
+        """Start to sync all queued writes; return False if a sync is running or the queue is empty."""
         if self.in_progress or not self._waiting:
             return False
         self.in_progress, self._waiting = self._waiting, []
@@ -106,6 +106,6 @@
         return ticket
 
     def crash(self, random: Random) -> None:
-        """Lose what waits, and some of the writes in progress."""
+        """Drop the queued writes, and keep a random prefix of the writes in progress."""
         super().crash(random)
         self._waiting = []
--- a/cherrycove/tier/simulation/effects_runner.py
+++ b/cherrycove/tier/simulation/effects_runner.py
@@ -1,4 +1,4 @@
-"""Performs what a replica's machine asks for: writes, messages, commands to apply and snapshots."""
+"""Performs the effects of a replica machine: writes, messages, commands to apply and snapshots."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from cherrycove.tier.storage.entries import Entry
 
 SYNC_S = (0.0005, 0.012)
-SNAPSHOT_ENTRIES = 12  # committed since the last snapshot, after which another is taken
+SNAPSHOT_ENTRIES = 12  # a snapshot is taken after this many committed entries
 
 
 class EffectsRunner:
-    """Does for a simulated replica what ``replication.group`` does in a process.
+    """Performs effects for a simulated replica, as ``replication.group`` does in a process.
 
-    ``acknowledged`` counts the proposals that were applied where they were made.
+    ``acknowledged`` counts the proposals that were applied by the replica that made them.
     """
 
     def __init__(
@@ -33,23 +33,23 @@
         handle: Callable[[Replica, int, MachineAction], None],
         disks: Callable[[], list[SimulatedDisk]],
     ) -> None:
-        """``disks`` returns those whose replicas count for a commit now."""
+        """Create the runner; ``disks`` returns the disks whose copies count for a commit now."""
         self._random = random
         self._events = events
         self._network = network
         self._invariants = invariants
         self._handle = handle
         self._disks = disks
-        self._proposals: set[tuple[str, int, int]] = set()  # member id, index and epoch of those pending
+        self._proposals: set[tuple[str, int, int]] = set()  # pending ones by member id, index and epoch
         self.acknowledged = 0
         self.on_effects: Callable[[Replica, Effects], None] = lambda _replica, _effects: None
 
     def add_proposal(self, replica: Replica, index: int, epoch: int) -> None:
-        """Record a proposal of ``replica``, which counts as acknowledged when it applies it."""
+        """Record a proposal, which counts as acknowledged once ``replica`` applies it."""
         self._proposals.add((replica.disk.member_id, index, epoch))
 
     def run(self, replica: Replica, machine: ReplicaMachine) -> None:
-        """Perform the effects of the event that ``machine`` has handled."""
+        """Perform the effects of the event that ``machine`` has just handled."""
         effects = machine.take_effects()
         self.on_effects(replica, effects)
         replica.disk.submit(effects.writes)
--- a/cherrycove/tier/simulation/events.py
+++ b/cherrycove/tier/simulation/events.py
@@ -1,4 +1,4 @@
-"""Virtual time: a queue of events, run in the order of their times."""
+"""Provides virtual time: a queue of events that run in the order of their times."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class EventQueue:
-    """Events of one world. Those of the same time run in the order in which they were scheduled."""
+    """The event queue of one world; events of the same time run in the order they were scheduled."""
 
     def __init__(self) -> None:
         self.now = 0.0  # s
@@ -20,7 +20,7 @@
         heapq.heappush(self._events, (self.now + delay_s, self._scheduled, action))
 
     def run_until(self, end: float) -> None:
-        """Run all events up to the time ``end``, which is the time then."""
+        """Run all events up to the time ``end``, and set the virtual time to it."""
         while self._events and self._events[0][0] <= end:
             self.now, _, action = heapq.heappop(self._events)
             action()
--- a/cherrycove/tier/simulation/fault_injector.py
+++ b/cherrycove/tier/simulation/fault_injector.py
@@ -1,4 +1,4 @@
-"""Injects faults into a world. Each strikes replicas or links, and ends after a while."""
+"""Injects faults into a world. Each affects replicas or links, and ends after a given time."""
 
 from __future__ import annotations
 
@@ -9,20 +9,23 @@
 from cherrycove.tier.simulation.replica import Replica
 from cherrycove.tier.simulation.world import World
 
-Links = set[tuple[str, str]]  # directed, addresses of a sender and a receiver
+Links = set[tuple[str, str]]  # directed: addresses of sender and receiver
 
 DEGRADED_NETWORK = NetworkConditions(loss=0.3, duplicated=0.2, slow_share=0.4, slow_s=1.0)
 ADDRESS_REUSE_S = 2.0  # an address is given to another machine only after this time
 
 
 class FaultInjector:
-    """Strikes on demand, and reports each fault of a machine to the world's fault budget.
+    """Injects faults on request, and reports each fault of a machine to the world's fault budget.
 
-    ``on_end`` is called at the end of each fault of a machine.
+    ``on_end`` is called when a fault of a machine ends.
     """
 
     def __init__(self, world: World, random: Random, *, wiped_disk_keeps_identity: bool) -> None:
-        """``wiped_disk_keeps_identity`` breaks the rule that an emptied disk is a new member."""
+        """Create an injector.
+
+        ``wiped_disk_keeps_identity`` violates the rule that a machine with a wiped disk is a new member.
+        """
         self._world = world
         self._random = random
         self._wiped_disk_keeps_identity = wiped_disk_keeps_identity
@@ -42,7 +45,7 @@
     # Processes
 
     def kill(self, replica: Replica, restart_s: float) -> None:
-        """Kill the process, or cut its power: what was not synced may be lost."""
+        """Kill the process or cut its power; writes that were not synced may be lost."""
         if replica.machine is None:
             return
         replica.end(self._random)
@@ -55,7 +58,7 @@
             self._world.start(replica)
 
     def freeze(self, replica: Replica, duration_s: float) -> None:
-        """Stop the process where it is, and let it go on later."""
+        """Suspend the process, and resume it after ``duration_s``."""
         if not replica.is_running:
             return
         replica.is_frozen = True
@@ -69,7 +72,7 @@
     # Links
 
     def cut(self, links: Links, duration_s: float, machines: set[str]) -> None:
-        """Cut ``links``; the machines of these names count as cut off."""
+        """Cut ``links``; ``machines`` are the names of the machines that count as partitioned."""
         self._world.network.cuts |= links
         for machine in sorted(machines):
             self._begin(machine, duration_s, lambda: self._heal(links))
@@ -78,14 +81,14 @@
         self._world.network.cuts -= links
 
     def isolate(self, replica: Replica, duration_s: float) -> None:
-        """Cut all links of ``replica``, both ways."""
+        """Cut all links of ``replica`` in both directions."""
         others = {other.address for other in self._world.replicas}
         outward = {(replica.address, other) for other in others}
         inward = {(other, replica.address) for other in others}
         self.cut(outward | inward, duration_s, {replica.name})
 
     def cut_one_way(self, replica: Replica, duration_s: float) -> None:
-        """Cut the links between ``replica`` and some of the others, in one direction."""
+        """Cut the links between ``replica`` and some of the others in one direction."""
         others = [other.address for other in self._world.replicas if other is not replica]
         chosen = self._random.sample(others, self._random.randint(min(1, len(others)), len(others)))
         links = {(replica.address, other) for other in chosen}
@@ -105,12 +108,12 @@
     # Disks
 
     def stall(self, replica: Replica, duration_s: float) -> None:
-        """Let the disk complete nothing for a while."""
+        """Stall the disk, so that no write completes for ``duration_s``."""
         replica.stalled_until = self._world.now + duration_s
         self._begin(replica.name, duration_s, lambda: None)
 
     def wipe(self, replica: Replica, restart_s: float = 0.1) -> None:
-        """Kill the process, and start it again with an empty disk."""
+        """Kill the process, and restart it with an empty disk after ``restart_s``."""
         member_id = replica.disk.member_id
         self._world.wipe(replica)
         if self._wiped_disk_keeps_identity:
@@ -122,7 +125,10 @@
     # Machines
 
     def replace(self, replica: Replica, pause_s: float, *, same_address: bool) -> None:
-        """Remove the machine for good, and start another one after ``pause_s``, perhaps at its address."""
+        """Remove the machine permanently, and start its successor after ``pause_s`` or later.
+
+        With ``same_address`` the successor gets the address of the machine, not before ADDRESS_REUSE_S.
+        """
         world = self._world
         world.remove(replica)
         world.fault_budget.removed(replica.name, world.now)
@@ -137,10 +143,10 @@
         world.after(start_s, start_successor)
 
     def switch_off(self, replica: Replica) -> None:
-        """Remove the machine after its order to retire was completed; that is no loss."""
+        """Remove the machine after its retire order completed, which is no loss."""
         self._world.remove(replica)
         self._world.fault_budget.retired(replica.name)
 
     def may_lose(self, replica: Replica) -> bool:
-        """Whether the fault budget allows the loss of this machine now, with its disk."""
+        """Return whether the fault budget allows this machine to be lost now with its disk."""
         return self._world.fault_budget.allows({replica.name}, self._world.now)
--- a/cherrycove/tier/simulation/fault_schedule.py
+++ b/cherrycove/tier/simulation/fault_schedule.py
@@ -1,4 +1,4 @@
-"""Decides which fault strikes which replica, and when."""
+"""Decides which fault is injected into which replica, and when."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 FIRST_FAULT_S = 1.0
 FAULT_PAUSE_S = 0.5  # between two faults, on average
-NEXT_LOSS_DELAY_S = 0.005  # after the fault budget allows another loss
-NEXT_LOSS_SHARE = 0.7  # of the faults after which another machine is lost as early as the budget allows
-PRIMARY_SHARE = 0.3  # of the faults that strike a primary on purpose
-WITHIN_BUDGET_SHARE = 0.6  # of the worlds in which faults of single machines keep to the fault budget
-COMMON_FAULT_SHARE = 0.2  # in these worlds, of the faults that may strike all machines
-EXHAUSTED_SHARE = 0.15  # in these worlds, of the faults that come though no further machine may be lost
-AFTER_RETIREMENT_SHARE = 0.5  # of the retired machines, which another loss follows at once
-SAME_ADDRESS_SHARE = 0.5  # of the replaced machines
+NEXT_LOSS_DELAY_S = 0.005  # from the time when the fault budget allows another loss
+NEXT_LOSS_SHARE = 0.7  # of the faults, followed by another loss as early as the budget allows
+PRIMARY_SHARE = 0.3  # of the faults, which target a primary deliberately
+WITHIN_BUDGET_SHARE = 0.6  # of the worlds, in which faults of single machines stay within the fault budget
+COMMON_FAULT_SHARE = 0.2  # of the faults in these worlds, which may affect all machines
+EXHAUSTED_SHARE = 0.15  # of the faults in these worlds, injected though the budget allows no further loss
+AFTER_RETIREMENT_SHARE = 0.5  # of the retirements, followed by a loss immediately
+SAME_ADDRESS_SHARE = 0.5  # of the replaced machines, whose successor gets the same address
 SHORT_S = (0.3, 0.8, 1.5, 3.0)
 LONG_S = (0.3, 0.8, 1.5, 3.0, 8.0, 25.0)
 WIPE_S = (0.1, 0.6, 3.0)
@@ -31,7 +31,7 @@
 
 
 class FaultSchedule:
-    """The faults of one run, from ``start`` until ``stop``."""
+    """Injects the faults of one run, from ``start`` until ``stop``."""
 
     def __init__(
         self,
@@ -66,14 +66,14 @@
         self._world.after(self._random.uniform(0, 2 * FAULT_PAUSE_S), self._inject_fault)
 
     def _should_pause(self) -> bool:
-        """Whether the lost machines are left alone until the budget allows another loss; mostly so."""
+        """Return whether to skip this fault; true for most calls while the budget allows no further loss."""
         lost = len(self._world.fault_budget.lost(self._world.now))
         return (
             self._keeps_to_budget and lost >= self._world.faults and self._random.random() > EXHAUSTED_SHARE
         )
 
     def _choose_target(self) -> Replica:
-        """Return a replica to be struck, one that the budget allows to be lost if there is any."""
+        """Return a random replica for a fault, if possible one that the budget allows to be lost."""
         candidates = list(self._world.replicas)
         primaries = self._world.primaries()
         if primaries and self._random.random() < PRIMARY_SHARE:
@@ -84,7 +84,7 @@
     def _possible_faults(self) -> list[ReplicaFault]:
         """Return the faults to choose from.
 
-        A world within the budget strikes all machines only now and then, or all would be lost always.
+        A world within the budget seldom has faults of all machines, or all would be lost at all times.
         """
         if self._keeps_to_budget and self._random.random() > COMMON_FAULT_SHARE:
             return self._single_faults()
@@ -118,7 +118,7 @@
         return self._random.choice(LONG_S if self._keeps_to_budget else SHORT_S)
 
     def _if_allowed(self, fault: ReplicaFault) -> ReplicaFault:
-        """In a world within the budget ``fault`` strikes only where the budget allows it."""
+        """Return ``fault``, restricted in a world within the budget to replicas that may be lost."""
 
         def inject(replica: Replica) -> None:
             if not self._keeps_to_budget or self._injector.may_lose(replica):
@@ -141,22 +141,28 @@
             self._injector.replace(replica, pause_s, same_address=same_address)
 
     def _transfer_leadership(self) -> None:
-        """As a primary does whose disk stalls or that shuts down; counts as a fault of its machine."""
+        """Make each primary hand over leadership, as on a stalled disk or a shutdown.
+
+        It counts as a fault of its machine.
+        """
         for primary in self._world.primaries():
             self._world.transfer_leadership(primary)
             self._injector.stall(primary, 0.0)
 
-    # Orders to retire
+    # Retire orders
 
     def _retire(self, replica: Replica) -> None:
-        """Order a machine to retire, if enough others remain. An order is never taken back."""
+        """Order a machine to retire if enough others remain. An order is never revoked."""
         world = self._world
         staying = [other for other in world.replicas if other.name not in world.retiring]
         if len(staying) > 2 * world.faults + 1:
             world.retiring |= {replica.name}
 
     def switch_off_retired(self) -> None:
-        """Switch a machine off whose order to retire is completed, at times while others are lost."""
+        """Switch off a machine whose retire order has completed, possibly while others are lost.
+
+        A share of the retirements is followed by another loss at once.
+        """
         if not self._is_active:
             return
         world = self._world
@@ -167,14 +173,14 @@
                     self._lose_another()
                 return
 
-    # The next loss, as early as possible
+    # Further losses as early as the budget allows
 
     def _lose_next(self) -> None:
         if self._is_active and self._random.random() < NEXT_LOSS_SHARE:
             self._world.after(CATCH_UP_S + NEXT_LOSS_DELAY_S, self._lose_another)
 
     def _lose_another(self) -> None:
-        """Lose a machine if the budget allows it, and have all others lose power at times."""
+        """Lose a machine if the budget allows it; in a quarter of the cases all others lose power too."""
         if not self._is_active or not self._world.replicas:
             return
         target = self._choose_target()
--- a/cherrycove/tier/simulation/mutations.py
+++ b/cherrycove/tier/simulation/mutations.py
@@ -1,4 +1,4 @@
-"""Mutations of the replication protocol: each takes one guard out, which the invariants must notice."""
+"""Mutations of the replication protocol: each disables one safety check, which must violate an invariant."""
 
 from __future__ import annotations
 
@@ -130,13 +130,13 @@
     "silent-members-stay": _keep_unreachable_members,
     "retiring-while-others-are-silent": _retire_while_others_are_unresponsive,
 }
-WIPED_DISK_KEEPS_IDENTITY = "emptied-keeps-identity"  # a mutation of the simulated world, not of the protocol
+WIPED_DISK_KEEPS_IDENTITY = "emptied-keeps-identity"  # a mutation of the simulated disks, not of the protocol
 NAMES = (*MUTATIONS, WIPED_DISK_KEEPS_IDENTITY)
 
 
 @contextmanager
 def apply_mutation(name: str) -> Iterator[None]:
-    """Apply the mutation ``name``, which takes one guard out, for a while; "" applies none."""
+    """Apply the mutation ``name`` within the context; any other name, such as "", applies none."""
     with ExitStack() as stack:
         for patch in MUTATIONS[name]() if name in MUTATIONS else ():
             stack.enter_context(patch)
--- a/cherrycove/tier/simulation/network.py
+++ b/cherrycove/tier/simulation/network.py
@@ -1,4 +1,4 @@
-"""A simulated network between replicas, which loses, duplicates, delays and reorders messages."""
+"""Simulates a network between replicas that loses, duplicates, delays and reorders messages."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 
 @attrs.define
 class NetworkConditions:
-    """How links behave at present; shares are of all messages."""
+    """Describes how all links behave at present; shares are of all messages."""
 
-    delay_s: float = 0.003  # at most, of a message that is not slow
+    delay_s: float = 0.003  # maximum for a message that is not slow
     slow_share: float = 0.05  # of messages that take up to slow_s
     slow_s: float = 0.4
     loss: float = 0.03
@@ -32,9 +32,9 @@
 
 
 class SimulatedNetwork:
-    """Carries messages between the replicas of one world. A message that meets a cut link is lost.
+    """Delivers messages between the replicas of one world. A message that arrives over a cut link is lost.
 
-    ``cuts`` has directed links, as addresses of a sender and a receiver.
+    ``cuts`` contains the directed links that are cut, as addresses of sender and receiver.
     """
 
     def __init__(
@@ -44,7 +44,10 @@
         find_replica: Callable[[str], Replica | None],
         handle: Callable[[Replica, int, MachineAction], None],
     ) -> None:
-        """``find_replica`` is by address; ``handle`` runs an action on an incarnation of a replica."""
+        """Create the network.
+
+        ``find_replica`` finds a replica by address; ``handle`` runs an action on an incarnation of a replica.
+        """
         self._random = random
         self._events = events
         self._find_replica = find_replica
@@ -53,11 +56,11 @@
         self.cuts: set[tuple[str, str]] = set()
 
     def heal_address(self, address: str) -> None:
-        """Join all links of ``address``."""
+        """Heal all links of ``address``."""
         self.cuts = {link for link in self.cuts if address not in link}
 
     def send(self, sender: MemberIdentity, outgoing: OutgoingMessage) -> None:
-        """Send a message: it is lost, or arrives once or twice, soon or late."""
+        """Send a message, which is lost or arrives once or twice after a random delay."""
         conditions, random = self.conditions, self._random
         transmissions = 2 if random.random() < conditions.duplicated else 1
         for _ in range(transmissions):
@@ -85,7 +88,7 @@
         machine.receive(without_node_name, message, self._events.now)
 
     def _reject_misdirected(self, sender: MemberIdentity, member_id: str) -> None:
-        """Notify ``sender`` that the disk at the address of ``member_id`` is another one."""
+        """Notify ``sender`` that the address of ``member_id`` now has another disk."""
         replica = self._find_replica(sender.address)
         if replica is not None and replica.identity.member_id == sender.member_id:
             self._handle(
--- a/cherrycove/tier/simulation/replica.py
+++ b/cherrycove/tier/simulation/replica.py
@@ -1,4 +1,4 @@
-"""One simulated replica: a replica machine, its disk, and a state machine that is a checksum of commands."""
+"""Simulates one replica: a replica machine, its disk, and a state machine that checksums commands."""
 
 from __future__ import annotations
 
@@ -17,46 +17,47 @@
 
 _STATE = struct.Struct("<QI")  # last index, checksum of the commands so far
 _CHECKSUM = struct.Struct("<I")
-FILLER_BYTES = 12 * 1024  # a state has up to so many bytes beside the two numbers
-CHUNK_BYTES = 5000  # of a snapshot in one message: most states need several
+FILLER_BYTES = 12 * 1024  # upper bound of the filler that follows the two numbers in an encoded state
+CHUNK_BYTES = 5000  # of a snapshot in one message, so that most states take several chunks
 RETAINED_ENTRIES = 2
 
 
 @attrs.frozen
 class State:
-    """State of the simulated state machine: the last index, and a checksum of the commands up to it."""
+    """Holds the state of the simulated state machine: last index, and checksum of the commands up to it."""
 
     index: int = 0
     checksum: int = 0
 
     def applied(self, entry: Entry) -> State:
-        """Return the state after ``entry``."""
+        """Return the state after applying ``entry``."""
         if entry.kind is not EntryKind.COMMAND:
             return State(entry.index, self.checksum)
         return State(entry.index, zlib.crc32(entry.payload, self.checksum))
 
     def encode(self) -> bytes:
-        """Return the state in a snapshot."""
+        """Return the state as the bytes of a snapshot."""
         return _STATE.pack(self.index, self.checksum) + self._filler()
 
     def _filler(self) -> bytes:
-        """Return bytes that depend on the state, so that chunks of two snapshots don't pass for one."""
+        """Return bytes that depend on the state, so that mixed chunks of two snapshots are detected."""
         return _CHECKSUM.pack(self.checksum) * (self.checksum % FILLER_BYTES // _CHECKSUM.size)
 
     @staticmethod
     def decode(data: bytes) -> State:
-        """Read the state from a snapshot; raises ``ValueError`` if chunks of several were mixed."""
+        """Decode the state from a snapshot; raises ``ValueError`` if it mixes chunks of several snapshots."""
         state = State(*_STATE.unpack_from(data))
         if data[_STATE.size :] != state._filler():
-            raise ValueError("a snapshot has chunks of several snapshots")
+            raise ValueError("snapshot mixes chunks of several snapshots")
         return state
 
 
 @attrs.define(eq=False)
 class Replica:
-    """A machine of the world, with the process on it; process and disk come and go.
+    """A simulated host with its process and disk; process and disk may be replaced.
 
-    ``machine`` is None while the process is not running; ``deferred`` events wait while it is frozen.
+    ``machine`` is the replica machine, None while the process is not running. Events that arrive while the
+    process is frozen are kept in ``deferred``.
     """
 
     name: str
@@ -68,8 +69,8 @@
     membership_requests: MembershipRequests = attrs.field(factory=MembershipRequests)
     incarnation: int = 0  # counts starts and ends of the process
     is_frozen: bool = False
-    deferred: list[Callable[[], None]] = attrs.field(factory=list)  # events that came while it is frozen
-    stalled_until: float = 0.0  # no sync ends before
+    deferred: list[Callable[[], None]] = attrs.field(factory=list)
+    stalled_until: float = 0.0  # no sync completes earlier
     snapshot_ticket: int = 0
     entries_since_snapshot: int = 0
     identity: MemberIdentity = attrs.field(init=False)
@@ -78,17 +79,17 @@
         self.replace_disk(self.disk)
 
     def replace_disk(self, disk: BufferedDisk) -> None:
-        """Give the machine ``disk``, and so another identity."""
+        """Replace the disk by ``disk``, whose member id becomes part of the identity."""
         self.disk = disk
         self.identity = MemberIdentity(disk.member_id, self.name, self.address, self.zone)
 
     @property
     def is_running(self) -> bool:
-        """Whether the process is there and not frozen."""
+        """Return whether the process is running and not frozen."""
         return self.machine is not None and not self.is_frozen
 
     def start(self, faults: int, random: Random, now: float) -> ReplicaMachine:
-        """Start the process on what the disk has."""
+        """Start the process from the durable state on the disk."""
         self.incarnation += 1
         self.state = State()
         self.snapshot_ticket = 0
--- a/cherrycove/tier/simulation/scenario.py
+++ b/cherrycove/tier/simulation/scenario.py
@@ -1,4 +1,4 @@
-"""One run from a seed: clients propose, faults strike, and after the last one the group must commit again."""
+"""Runs one world from a seed: clients propose under faults, and the group must recover after the last one."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from cherrycove.tier.simulation.targeted_faults import TargetedFaults
 from cherrycove.tier.simulation.world import CATCH_UP_S, World
 
-FAULT_PERIOD_S = 12.0  # time with faults
-RECOVERY_S = 9.0  # after the last fault, entries must commit within this time
+FAULT_PERIOD_S = 12.0  # duration of the period with faults
+RECOVERY_S = 9.0  # entries must commit within this time after the last fault
 STEP_S = 0.5
 START_S = 0.3  # the replicas start within this time of each other
-BOOTSTRAP_S = 2.5  # after which a new group has caught up; the budget would give it CATCH_UP_S
+BOOTSTRAP_S = 2.5  # a new group has caught up after this time instead of the CATCH_UP_S of the budget
 CLIENT_PAUSE_S = 0.06  # between two proposals, on average
 CONTROL_INTERVAL_S = 0.4
 CHECK_INTERVAL_S = 0.25
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class Topology:
-    """Sizes of a group: ``faults`` to be borne, ``initial`` members, and ``standbys`` outside it."""
+    """Describes a group: ``faults`` to tolerate, ``initial`` members, and ``standbys`` outside the group."""
 
     faults: int
     initial: int
@@ -51,7 +51,7 @@
 
 @attrs.frozen
 class Outcome:
-    """What a run came to: proposals acknowledged, entries committed, and the time that passed."""
+    """Holds the result of a run: proposals acknowledged, entries committed, and the simulated time."""
 
     seed: int
     acknowledged: int
@@ -60,12 +60,15 @@
 
 
 class Scenario:
-    """Drives one world from one seed."""
+    """Runs one world, with clients, faults and checks, from one seed."""
 
     def __init__(
         self, seed: int, fault_period_s: float = FAULT_PERIOD_S, *, wiped_disk_keeps_identity: bool = False
     ) -> None:
-        """``wiped_disk_keeps_identity`` breaks the rule that an emptied disk is a new member."""
+        """Create the world.
+
+        ``wiped_disk_keeps_identity`` violates the rule that a machine with a wiped disk is a new member.
+        """
         self._seed = seed
         self._fault_period_s = fault_period_s
         self._random = Random(seed)
@@ -95,7 +98,7 @@
         return Outcome(self._seed, world.effects.acknowledged, world.invariants.last_index, world.now)
 
     def _propose(self) -> None:
-        """Propose at any replica that leads, as clients that may know an earlier primary."""
+        """Propose at any replica that acts as primary, as clients do that may know a deposed one."""
         world = self.world
         self._proposals += 1
         primaries = world.primaries()
@@ -104,7 +107,7 @@
         world.after(self._random.uniform(0, 2 * CLIENT_PAUSE_S), self._propose)
 
     def _update_group(self) -> None:
-        """What the control plane does from time to time."""
+        """Perform the periodic work of the control plane."""
         self.world.update_membership_requests()
         self._schedule.switch_off_retired()
         self.world.after(CONTROL_INTERVAL_S, self._update_group)
@@ -124,14 +127,19 @@
                 self.world.thaw(replica)
 
     def _require_recovery(self) -> None:
-        """A confirmed primary, which so has all acknowledged entries, commits further ones in time."""
+        """Require that a confirmed primary commits further entries within RECOVERY_S.
+
+        A confirmed primary has all acknowledged entries.
+        """
         world = self.world
         acknowledged = world.effects.acknowledged
         while world.now < self._fault_period_s + RECOVERY_S:
             world.run_until(world.now + STEP_S)
             if world.confirmed_primary() is not None and world.effects.acknowledged > acknowledged:
                 return
-        world.invariants.require(False, "nothing commits after the last fault")
+        world.invariants.require(
+            False, f"no proposal was acknowledged within {RECOVERY_S} s after the last fault"
+        )
 
 
 def run_seed(
@@ -144,7 +152,7 @@
 
 @contextmanager
 def _without_garbage_collection() -> Iterator[None]:
-    """A world makes many small objects and hardly any cycles."""
+    """Disable garbage collection: a world creates many small objects and hardly any cycles."""
     enabled = gc.isenabled()
     gc.disable()
     try:
--- a/cherrycove/tier/simulation/targeted_faults.py
+++ b/cherrycove/tier/simulation/targeted_faults.py
@@ -1,4 +1,4 @@
-"""Faults that wait for an event of the protocol: right after a vote, a commit, or a change of members."""
+"""Injects faults at events of the protocol: right after a vote, a commit or a membership change."""
 
 from __future__ import annotations
 
@@ -13,21 +13,22 @@
 from cherrycove.tier.storage.entries import EntryKind
 
 NEVER = float("inf")
-VOTING_S = 0.01  # votes for one candidate come within about this time
+VOTING_S = 0.01  # the votes for one candidate are cast within about this time
 LINK_CUT_S = 3.0
 PRIMARY_CUT_S = 0.8
 VOTER_RESTART_S = 0.05
-LOST_PRIMARY_SHARE = 0.5  # of the losses of disks, in which the primary's is the first
-POWER_LOSS_SHARE = 0.7  # of the losses of disks, at which all others lose power
+LOST_PRIMARY_SHARE = 0.5  # of the disk losses, in which the primary's disk is lost first
+POWER_LOSS_SHARE = 0.7  # of the disk losses, at which all other machines lose power
 POWER_LOSS_S = (0.1, 1.0)
 
-Trigger = Callable[[Replica, Effects], bool]  # injects the fault and returns True at its event
+Trigger = Callable[[Replica, Effects], bool]  # injects a fault at its event; returns True once it is done
 
 
 class TargetedFaults:
-    """At most one trigger is armed at a time, and it fires at most once.
+    """Injects a fault when an armed trigger sees its event.
 
-    Clients are to be idle until ``clients_idle_until``.
+    At most one trigger is armed at a time, and it fires at most once. Clients must not propose before
+    ``clients_idle_until``.
     """
 
     def __init__(self, world: World, random: Random, injector: FaultInjector) -> None:
@@ -40,7 +41,7 @@
         world.effects.on_effects = self._observe
 
     def arm(self) -> None:
-        """Wait for one of the events, chosen by chance."""
+        """Arm a trigger for a randomly chosen event."""
         self._voting_until = NEVER
         self._trigger = self._random.choice(
             [self._after_votes, self._within_lease, self._after_commit, self._after_change]
@@ -49,13 +50,13 @@
             self._cut_backup_from_primary()
 
     def disarm(self) -> None:
-        """Wait no longer."""
+        """Disarm the trigger."""
         self._trigger = None
 
     def _cut_backup_from_primary(self) -> None:
-        """Cut a replica off from the primary, both ways, so that it campaigns.
+        """Cut a replica off from the primary in both directions, so that it campaigns.
 
-        Clients are idle meanwhile, or its log would be too old for it to be elected.
+        Clients are idle meanwhile, as otherwise its log would be too old for it to be elected.
         """
         world = self._world
         self.clients_idle_until = world.now + LINK_CUT_S
@@ -68,7 +69,7 @@
             self._trigger = None
 
     def _after_votes(self, replica: Replica, effects: Effects) -> bool:
-        """Kill all that vote now, and isolate their candidate."""
+        """Kill all replicas that cast a vote within VOTING_S, then isolate their candidate."""
         candidate = _granted_candidate(effects)
         if not candidate:
             return False
@@ -85,7 +86,7 @@
                 self._injector.isolate(replica, duration_s=LINK_CUT_S)
 
     def _within_lease(self, _replica: Replica, effects: Effects) -> bool:
-        """Cut the links to the primary when another replica is elected."""
+        """Cut the links to the primary when a replica grants a vote to another candidate."""
         primaries = self._world.primaries()
         if not _granted_candidate(effects) or not primaries:
             return False
@@ -96,7 +97,7 @@
         return True
 
     def _after_commit(self, replica: Replica, effects: Effects) -> bool:
-        """Lose as many disks as may be lost, at times the primary's; the others lose power."""
+        """When the primary commits, lose as many disks as the budget allows; the others may lose power."""
         machine = replica.machine
         if not effects.committed or machine is None or machine.role is not Role.PRIMARY:
             return False
@@ -116,7 +117,7 @@
                 self._injector.kill(replica, restart_s=self._random.uniform(*POWER_LOSS_S))
 
     def _after_change(self, replica: Replica, effects: Effects) -> bool:
-        """Cut the primary and its new members off from the rest, when it writes a change of members."""
+        """Cut the primary and its new members off from the rest when it writes a membership change."""
         machine = replica.machine
         if machine is None or machine.role is not Role.PRIMARY or not _writes_members(effects):
             return False
@@ -128,7 +129,7 @@
         return True
 
     def _new_member_addresses(self, replica: Replica) -> set[str]:
-        """Return the addresses of members that ``replica`` knows, and that don't know of their membership."""
+        """Return the addresses of members that ``replica`` knows and that don't know they are members."""
         machine = replica.machine
         members = machine.members if machine is not None else ()
         by_address = {other.address: other for other in self._world.replicas}
@@ -142,7 +143,7 @@
 
 
 def _granted_candidate(effects: Effects) -> str:
-    """Return the address of the candidate that a vote goes to; "" if none does."""
+    """Return the address of the candidate that a vote is granted to; "" if there is no granted vote."""
     for outgoing in effects.messages:
         reply = outgoing.message.vote_reply
         if reply.granted and not reply.preliminary:
@@ -151,7 +152,7 @@
 
 
 def _writes_members(effects: Effects) -> bool:
-    """Whether a change of members is written, other than the initial members."""
+    """Return whether a membership change is written; the initial members don't count."""
     return any(
         isinstance(write, WriteEntries)
         and write.entries[0].kind is EntryKind.MEMBERS
--- a/cherrycove/tier/simulation/world.py
+++ b/cherrycove/tier/simulation/world.py
@@ -1,4 +1,4 @@
-"""A simulated world: the replicas of one group, the network between them, their disks and their clients."""
+"""Simulates one replicated group: its replicas, their disks, the network between them, and their clients."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from cherrycove.tier.simulation.replica import Replica
 
 CATCH_UP_S = 4.8
-MAX_DELIVERY_S = 1.0  # no message takes longer
+MAX_DELIVERY_S = 1.0  # maximum time that a message is in transit
 TICK_S = 0.05
 TICK_JITTER = (0.9, 1.1)
 BOOTSTRAP_DELAYS_S = (0.0, 0.0, 0.0, 1.5)
@@ -27,23 +27,23 @@
 
 @attrs.frozen
 class LostDisk:
-    """A disk that is gone, and since when."""
+    """Records a disk that was lost, and when."""
 
     lost_at: float
     disk: SimulatedDisk
 
 
 class World:
-    """Replicas of one group on virtual time. Everything random comes from ``random``.
+    """Runs the replicas of one group on virtual time. All random numbers come from ``random``.
 
-    The replicas are those that there are, running or not; ``retiring`` has the names of the machines that are
-    ordered to retire.
+    ``replicas`` are all machines that have not been removed, running or not; ``retiring`` contains the names
+    of the machines with a retire order.
     """
 
     def __init__(
         self, random: Random, faults: int, initial: int, standbys: int, catch_up_s: float = CATCH_UP_S
     ) -> None:
-        """A group of ``initial`` members that bears ``faults`` losses, and ``standbys`` outside it."""
+        """Create a group of ``initial`` members that tolerates ``faults`` losses, and ``standbys``."""
         self.random = random
         self.faults = faults
         self._events = EventQueue()
@@ -53,7 +53,7 @@
         self.effects = EffectsRunner(
             random, self._events, self.network, self.invariants, self.handle_event, self._counting_disks
         )
-        self._machines_created = initial + standbys  # machines so far
+        self._machines_created = initial + standbys  # number so far
         self.replicas = [
             _create_replica(number, is_initial=number < initial) for number in range(self._machines_created)
         ]
@@ -66,7 +66,7 @@
 
     @property
     def now(self) -> float:
-        """Virtual time in seconds."""
+        """Return the virtual time in seconds."""
         return self._events.now
 
     def after(self, delay_s: float, action: Callable[[], None]) -> None:
@@ -74,13 +74,13 @@
         self._events.after(delay_s, action)
 
     def run_until(self, end: float) -> None:
-        """Run up to the time ``end``; raises ``InvariantBrokenError`` at the first violation."""
+        """Run until the time ``end``; raises ``InvariantBrokenError`` at the first violation."""
         self._events.run_until(end)
 
     def handle_event(self, replica: Replica, incarnation: int, action: MachineAction) -> None:
-        """Let the machine of ``replica`` handle an event, and check it.
+        """Let the machine of ``replica`` handle an event, and check the invariants of a primary.
 
-        The event is dropped if that incarnation of the process has ended, and waits if it is frozen.
+        The event is dropped if that incarnation of the process has ended, and deferred if it is frozen.
         """
         machine = replica.machine
         if replica.incarnation != incarnation or machine is None:
@@ -116,7 +116,7 @@
         self.after(delay_s, lambda: self._tick(replica, incarnation))
 
     def thaw(self, replica: Replica) -> None:
-        """Let a frozen process go on with the events that wait."""
+        """Resume a frozen process, which first handles the deferred events."""
         replica.is_frozen = False
         deferred = list(replica.deferred)
         replica.deferred.clear()
@@ -126,7 +126,7 @@
     # Machines and disks
 
     def wipe(self, replica: Replica) -> None:
-        """End the process of ``replica``, and replace its disk by an empty one."""
+        """Kill the process of ``replica``, and replace its disk by an empty one."""
         replica.end(self.random)
         self.fault_budget.started(replica.name, self.now)
         self._lost_disks.append(LostDisk(self.now, replica.disk))
@@ -137,14 +137,14 @@
         return BufferedDisk(f"disk{self._new_disks}")
 
     def remove(self, replica: Replica) -> None:
-        """Switch the machine off for good, with its disk."""
+        """Remove the machine permanently, with its disk."""
         replica.end(self.random)
         self._lost_disks.append(LostDisk(self.now, replica.disk))
         self.replicas.remove(replica)
         self.network.heal_address(replica.address)
 
     def add(self, address: str = "") -> Replica:
-        """Start a new machine with an empty disk, at ``address`` or at one that no machine had."""
+        """Start a new machine with an empty disk, at ``address`` or, if that is "", at an unused one."""
         name = f"n{self._machines_created}"
         self._machines_created += 1
         replica = Replica(name, address or name, f"z{self._machines_created % ZONES}", self._new_disk())
@@ -156,19 +156,19 @@
         return next((replica for replica in self.replicas if replica.address == address), None)
 
     def _counting_disks(self) -> list[SimulatedDisk]:
-        """All disks, and those lost while what they acknowledged may have been on its way."""
+        """Return all disks, and lost ones whose last acknowledgements may still have been in transit."""
         since = self.now - MAX_DELIVERY_S
         lost = [lost_disk.disk for lost_disk in self._lost_disks if lost_disk.lost_at >= since]
         return [*(replica.disk for replica in self.replicas), *lost]
 
     def check_fault_tolerance(self) -> None:
-        """Check that the group bears as many further losses as the fault budget allows now."""
+        """Check that the group survives as many further losses as the fault budget allows now."""
         self.invariants.check_fault_tolerance(self.replicas, self.fault_budget.lost(self.now), self.now)
 
     # Clients and the control plane
 
     def propose(self, replica: Replica, command: bytes) -> None:
-        """Propose ``command`` at ``replica``, as a client's request."""
+        """Propose ``command`` at ``replica`` on behalf of a client."""
 
         def handle(machine: ReplicaMachine) -> None:
             index = machine.propose(command, self.now)
@@ -178,7 +178,7 @@
         self.handle_event(replica, replica.incarnation, handle)
 
     def transfer_leadership(self, replica: Replica) -> None:
-        """Ask ``replica`` to hand leadership over."""
+        """Ask ``replica`` to hand over leadership."""
 
         def handle(machine: ReplicaMachine) -> None:
             machine.transfer_leadership(self.now)
@@ -186,14 +186,14 @@
         self.handle_event(replica, replica.incarnation, handle)
 
     def update_membership_requests(self) -> None:
-        """Give every replica the standbys that are alive, and the machines that are to retire."""
+        """Report the running machines as standbys, and the retiring machines, to every replica."""
         alive = tuple(replica.identity for replica in self.replicas if replica.is_running)
         for replica in self.replicas:
             replica.membership_requests.standbys = alive
             replica.membership_requests.retiring = self.retiring
 
     def confirmed_primary(self) -> Replica | None:
-        """Return the replica that leads under a valid lease, None if there is none."""
+        """Return the primary that holds a valid lease; None if there is none."""
         for replica in self.replicas:
             machine = replica.machine
             if machine is not None and not replica.is_frozen and machine.is_confirmed_primary(self.now):
@@ -201,7 +201,7 @@
         return None
 
     def primaries(self) -> Sequence[Replica]:
-        """Return the running replicas that lead, confirmed or not."""
+        """Return the running replicas in the role of primary, with or without a valid lease."""
         return [
             replica
             for replica in self.replicas
@@ -209,7 +209,7 @@
         ]
 
     def has_retired(self, replica: Replica) -> bool:
-        """Whether the committed membership of the group has excluded the disk of ``replica`` for good."""
+        """Return whether the committed membership has permanently excluded the disk of ``replica``."""
         primary = self.confirmed_primary()
         machine = primary.machine if primary is not None else None
         committed = machine.committed_members(self.now) if machine is not None else None
--- a/tests/tier/control_worlds.py
+++ b/tests/tier/control_worlds.py
@@ -1,4 +1,4 @@
-"""What tests of simulated worlds share: one change of the configuration, until it is acknowledged."""
+"""Helpers for tests of simulated worlds: sends a configuration change until it is acknowledged."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def acknowledge_change(world: World, operators: Operators, version: int, random: Random) -> bytes:
-    """Send ``version``, built on the one below it; run until it is acknowledged; return its body."""
+    """Send a change to ``version`` based on the version before; return its body once it is acknowledged."""
     body = json.dumps(document(version, random, DOCUMENT_BYTES)).encode()
     request = Request("PUT", "/api/configuration", body, {"If-Match": f'"{version - 1}"'})
     change = Change(version, version - 1, configuration_digest(body) or b"")
--- a/tests/tier/test_control_simulation.py
+++ b/tests/tier/test_control_simulation.py
@@ -1,4 +1,4 @@
-"""The simulated control side: its parts, worlds from fixed seeds, and worlds with a guard taken out."""
+"""Tests the simulated control plane: its parts, worlds from fixed seeds, and worlds with mutations."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 from cherrycove.tier.simulation.invariants import InvariantBrokenError
 from cherrycove.tier.storage.entries import Entry, EntryKind
 
-SHORT_S = 7.0  # of troubles in a world of these tests
+FAULT_PERIOD_S = 7.0  # in a world of these tests
 
 # Loop
 
@@ -39,7 +39,7 @@
     return VirtualLoop(Random(1))  # type: ignore[abstract]
 
 
-def test_time_jumps_and_a_frozen_process_goes_on_where_it_stood() -> None:
+def test_time_advances_to_timers_and_a_thawed_process_resumes() -> None:
     virtual = loop()
     incarnation = Incarnation("p")
     seen: list[float] = []
@@ -59,7 +59,7 @@
     assert [round(at, 1) for at in seen] == [10.0, 100.0, 110.0]
 
 
-def test_nothing_of_a_process_that_ended_runs() -> None:
+def test_callbacks_of_an_ended_process_do_not_run() -> None:
     virtual = loop()
     incarnation, other = Incarnation("p"), Incarnation("q")
     seen: list[str] = []
@@ -80,7 +80,7 @@
 
 
 class Pair:
-    """A caller at 10.0.0.1 and a server at 10.0.0.2."""
+    """Connects a caller at 10.0.0.1 to a server at 10.0.0.2."""
 
     def __init__(self) -> None:
         self.loop = loop()
@@ -109,7 +109,7 @@
         self.loop.spawn(self.caller, once())
 
     def end(self) -> None:
-        """End both processes, and with them what has not begun to run there."""
+        """End both processes and their coroutines that have not begun."""
         for incarnation in (self.caller, self.server):
             self.loop.end(incarnation)
 
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize(
-    ("trouble", "answer", "served"),
+    ("fault", "answer", "served"),
     [
         ("none", "n2", 1),
         ("other receiver", ErrorKind.MISDIRECTED.value, 0),
@@ -133,26 +133,26 @@
         ("replies cut on an open connection", ErrorKind.UNCERTAIN.value, 2),
     ],
 )
-def test_calls_in_trouble(pair: Pair, trouble: str, answer: str, served: int) -> None:
-    forth, back = ("10.0.0.1", "10.0.0.2"), ("10.0.0.2", "10.0.0.1")
-    if trouble == "dead":
+def test_outcomes_of_calls_under_faults(pair: Pair, fault: str, answer: str, served: int) -> None:
+    forward, backward = ("10.0.0.1", "10.0.0.2"), ("10.0.0.2", "10.0.0.1")
+    if fault == "dead":
         pair.loop.end(pair.server)
-    elif trouble == "no power":
+    elif fault == "no power":
         pair.network.powered.discard("10.0.0.2")
-    elif trouble == "frozen":
+    elif fault == "frozen":
         pair.server.frozen = True
-    elif trouble == "cut":
-        pair.network.cut({forth})
-    elif trouble == "replies cut on an open connection":
+    elif fault == "cut":
+        pair.network.cut({forward})
+    elif fault == "replies cut on an open connection":
         pair.call()
         pair.loop.run_until(0.5)
-        pair.network.cut({back})
-    pair.call("m1" if trouble == "other receiver" else "m2")
+        pair.network.cut({backward})
+    pair.call("m1" if fault == "other receiver" else "m2")
     pair.loop.run_until(2.0)
     assert (pair.answers[-1], pair.served) == (answer, served)
 
 
-def test_a_request_held_up_by_a_cut_may_come_through_after_it(pair: Pair) -> None:
+def test_a_request_delayed_by_a_cut_may_be_delivered_after_it(pair: Pair) -> None:
     link = {("10.0.0.1", "10.0.0.2")}
     pair.call()
     pair.loop.run_until(0.5)
@@ -169,7 +169,7 @@
 # Disks and the fault budget
 
 
-def test_a_loss_of_power_keeps_what_was_synced_and_a_part_of_the_rest() -> None:
+def test_a_power_loss_keeps_synced_writes_and_a_prefix_of_the_rest() -> None:
     disk = MachineDisk("m1")
     entries = [Entry(index, 1, EntryKind.COMMAND, b"%d" % index) for index in range(1, 5)]
     disk.perform(WriteEntries(1, entries[:2]))
@@ -183,7 +183,7 @@
     assert kept == {2, 3, 4}
 
 
-def test_a_machine_counts_as_lost_until_it_had_the_time_to_catch_up() -> None:
+def test_a_machine_counts_as_lost_until_it_has_caught_up() -> None:
     now = 0.0
     budget = FaultBudget(1, lambda: now)
     budget.fault_began({"a"}, disk=True)
@@ -200,7 +200,7 @@
 # Worlds
 
 
-WITH_STORES = {  # seeds whose worlds have batch jobs
+WITH_STORES = {  # scenarios with stores, and seeds whose worlds run batch jobs
     "second-loss": 2,
     "misdelivery": 2,
     "mix": 1,
@@ -211,14 +211,14 @@
 
 @pytest.mark.parametrize("name", NAMES)
 def test_worlds_from_fixed_seeds(name: str) -> None:
-    outcome = run_world(name, WITH_STORES.get(name, 0), SHORT_S)
+    outcome = run_world(name, WITH_STORES.get(name, 0), FAULT_PERIOD_S)
     assert outcome.acknowledged > 10
     assert (outcome.jobs > 5) == (name in WITH_STORES)
 
 
 @pytest.mark.parametrize("name", ["in-service", "long-life"])
-def test_worlds_as_large_as_what_is_in_service(name: str) -> None:
-    """Ten machines and more with stores, a group of five, standbys, and the same seeds for all that start."""
+def test_worlds_of_production_size(name: str) -> None:
+    """Ten or more machines with stores, a group of five, standbys, and one seed per zone for all starts."""
     for topology in SCENARIOS[name].topologies:
         assert topology.machines >= 10 and topology.proxies >= 5 and topology.faults == 2 and topology.stores
     run = Run(name, 4)
@@ -233,7 +233,7 @@
         run.close()
 
 
-def test_halves_are_cut_from_one_another_and_reached_by_all_others() -> None:
+def test_partitioned_halves_are_reachable_by_all_others() -> None:
     world = World(5, Topology(faults=1, machines=4, proxies=1))
     world.build()
     injector = FaultInjector(world, Random(5))
@@ -241,8 +241,10 @@
     injector.partition_into_halves(2.0)
     network = world.environment.network
     hosts = [machine.host for machine in world.cluster.machines]
-    alone = {host for host in hosts[1:] if network.is_cut(hosts[0], host) and network.is_cut(host, hosts[0])}
-    assert len(alone) == 2
+    cut_off = {
+        host for host in hosts[1:] if network.is_cut(hosts[0], host) and network.is_cut(host, hosts[0])
+    }
+    assert len(cut_off) == 2
     proxy = world.cluster.proxies[0].host
     assert not any(network.is_cut(proxy, host) or network.is_cut(host, proxy) for host in hosts)
     world.run_until(5.5)
@@ -250,7 +252,7 @@
     world.close()
 
 
-def test_a_world_is_a_function_of_its_seed() -> None:
+def test_a_seed_determines_its_world() -> None:
     counts = []
     for _ in range(2):
         run = Run("races", 5)
@@ -260,7 +262,7 @@
     assert counts[0] == counts[1]
 
 
-FOUND_AT = {
+DETECTING_SEEDS = {  # by mutation
     "lease-without-end": 4,
     "pulls-answered-without-lease": 0,
     "reads-without-lease": 0,
@@ -270,20 +272,20 @@
 }
 
 
-@pytest.mark.parametrize(("name", "seed"), FOUND_AT.items())
-def test_a_guard_that_is_taken_out_is_missed(name: str, seed: int) -> None:
+@pytest.mark.parametrize(("name", "seed"), DETECTING_SEEDS.items())
+def test_a_disabled_safety_check_is_detected(name: str, seed: int) -> None:
     with apply_mutation(name), pytest.raises(InvariantBrokenError):
-        run_world(MUTATIONS[name].scenario, seed, SHORT_S)
+        run_world(MUTATIONS[name].scenario, seed, FAULT_PERIOD_S)
 
 
-def test_a_world_leaves_logging_as_it_was() -> None:
-    """Tests of the log failed behind it, in the same process."""
+def test_a_world_restores_logging() -> None:
+    """Otherwise later tests of log lines in the same process fail."""
     run_world(NAMES[0], 0, 1.0)
     assert logging.root.manager.disable == logging.NOTSET
 
 
-def test_a_keeper_outside_the_group_points_to_the_primary() -> None:
-    """It knows the primary from its own pulls; holding an order and answering 503 costs its sender time."""
+def test_a_controller_outside_the_group_redirects_to_the_primary() -> None:
+    """It knows the primary from its own pulls; holding the order and answering 503 would delay the sender."""
     world = World(3, Topology(faults=1, machines=4, proxies=0))
     world.build()
     operators = Operators(world, Workload(lost_answers_share=0.0))
@@ -294,24 +296,26 @@
     assert ask_for_configuration(world, operators, outside) == (307, primary.host)
 
 
-def test_a_keeper_that_was_replaced_while_it_was_away_points_to_the_primary() -> None:
-    """Its own list still names it, and nobody tells it otherwise: it is a member that hears no primary."""
+def test_a_controller_replaced_while_it_was_down_redirects_to_the_primary() -> None:
+    """Its own member list still contains it, so it is a member that hears from no primary."""
     world = World(4, Topology(faults=1, machines=4, proxies=0))
     world.build()
     operators = Operators(world, Workload(lost_answers_share=0.0))
     world.run_until(4.0)
-    away = next(machine for machine in world.cluster.machines[:3] if machine is not world.cluster.primary())
-    world.cluster.kill(away, power=True)
+    replaced = next(
+        machine for machine in world.cluster.machines[:3] if machine is not world.cluster.primary()
+    )
+    world.cluster.kill(replaced, power=True)
     world.run_until(14.0)
-    world.cluster.power_up(away)
+    world.cluster.power_up(replaced)
     world.run_until(17.0)
     primary = world.cluster.primary()
     assert primary is not None
-    assert ask_for_configuration(world, operators, away) == (307, primary.host)
+    assert ask_for_configuration(world, operators, replaced) == (307, primary.host)
 
 
 def ask_for_configuration(world: World, operators: Operators, machine: Machine) -> tuple[int, str]:
-    """The answer of one keeper: its status, and the host that it points to."""
+    """Return the reply of one controller: its status, and the host that it redirects to."""
     statuses: list[tuple[int, str]] = []
 
     async def ask() -> None:
--- a/tests/tier/test_replication_simulation.py
+++ b/tests/tier/test_replication_simulation.py
@@ -1,4 +1,4 @@
-"""Seeded worlds of replicas under faults: nothing breaks, and the checks notice a guard that is taken out."""
+"""Tests simulated groups under faults: no invariant is violated, and a disabled safety check is detected."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from cherrycove.tier.simulation.scenario import run_seed
 
 SEEDS = 120
-SEEDS_A_TEST = 10
+SEEDS_PER_TEST = 10
 MUTATION_SEEDS = 400
-# Where the search begins, so that it is short; any range of so many seeds should do.
+# The first seed of the search, chosen so that it is short; any range of MUTATION_SEEDS seeds should do.
 FIRST_SEED = {
     "acknowledge-before-sync": 0,
     "commit-before-own-sync": 0,
@@ -25,20 +25,20 @@
 }
 
 
-@pytest.mark.parametrize("first", range(0, SEEDS, SEEDS_A_TEST))
-def test_no_invariant_breaks(first: int) -> None:
-    for seed in range(first, first + SEEDS_A_TEST):
+@pytest.mark.parametrize("first", range(0, SEEDS, SEEDS_PER_TEST))
+def test_no_invariant_is_violated(first: int) -> None:
+    for seed in range(first, first + SEEDS_PER_TEST):
         outcome = run_seed(seed)
         assert outcome.acknowledged > 0, f"seed {seed} acknowledged nothing"
 
 
 @pytest.mark.parametrize("name", FIRST_SEED)
-def test_a_missing_guard_is_noticed(name: str) -> None:
+def test_a_disabled_safety_check_is_detected(name: str) -> None:
     first = FIRST_SEED[name]
     with apply_mutation(name), pytest.raises(InvariantBrokenError):
         for seed in range(first, first + MUTATION_SEEDS):
             run_seed(seed, wiped_disk_keeps_identity=name == WIPED_DISK_KEEPS_IDENTITY)
 
 
-def test_a_seed_gives_the_same_run_again() -> None:
+def test_a_seed_reproduces_its_run() -> None:
     assert run_seed(7) == run_seed(7)
--- a/tests/tier/test_simulation_terms.py
+++ b/tests/tier/test_simulation_terms.py
@@ -1,4 +1,4 @@
-"""The fault budget: which machines count as lost, and how many more may be."""
+"""Tests the fault budget: which machines count as lost, and how many more may be lost."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 CATCH_UP_S = 4.0
 
 
-def settled(faults: int = 1) -> FaultBudget:
-    """Three machines that started long ago."""
+def caught_up_budget(faults: int = 1) -> FaultBudget:
+    """Return the budget of three machines that have caught up."""
     budget = FaultBudget(faults, CATCH_UP_S)
     for machine in ("a", "b", "c"):
         budget.started(machine, -CATCH_UP_S)
     return budget
 
 
-def test_a_machine_is_lost_until_it_had_time_to_catch_up() -> None:
-    budget = settled()
+def test_a_machine_is_lost_until_its_catch_up_time_is_over() -> None:
+    budget = caught_up_budget()
     assert budget.allows({"a"}, 0.0)
     assert not budget.allows({"a", "b"}, 0.0)
     budget.fault_began("a", 1.0)
@@ -28,7 +28,7 @@
 
 
 def test_faults_of_one_machine_may_overlap() -> None:
-    budget = settled()
+    budget = caught_up_budget()
     budget.fault_began("a", 1.0)
     budget.fault_began("a", 2.0)
     budget.fault_ended("a", 3.0)
@@ -38,8 +38,8 @@
     assert budget.lost(15.0) == set()
 
 
-def test_a_removed_machine_counts_until_its_successor_had_time() -> None:
-    budget = settled()
+def test_a_removed_machine_is_lost_until_its_successor_has_caught_up() -> None:
+    budget = caught_up_budget()
     budget.removed("a", 1.0)
     assert budget.lost(100.0) == {"a"}
     budget.replaced("a", "d", 100.0)
@@ -48,7 +48,7 @@
 
 
 def test_a_retired_machine_is_no_loss_but_a_successor_that_retires_early_is() -> None:
-    budget = settled()
+    budget = caught_up_budget()
     budget.retired("a")
     assert budget.lost(1.0) == set()
     budget.removed("b", 2.0)
@@ -58,8 +58,8 @@
     assert budget.lost(7.0) == set()
 
 
-def test_losses_beyond_the_budget_give_everyone_time_anew() -> None:
-    budget = settled()
+def test_losses_beyond_the_budget_restart_the_catch_up_time_of_all() -> None:
+    budget = caught_up_budget()
     budget.fault_began("a", 0.0)
     budget.fault_ended("a", 1.0)
     budget.fault_began("b", 4.0)
