--- a/cherrycove/tier/simulation/control/fault_schedule.py
+++ b/cherrycove/tier/simulation/control/fault_schedule.py
@@ -19,10 +19,8 @@
 UNKNOWN_RECOVERY_PAUSE_S = 1.0  # before the next fault, if the time of the next recovery is unknown
 AFTER_RETIREMENT_SHARE = 0.7  # of the retirements, followed by a loss immediately
 PARTITION_S = (1.0, 25.0)
-SHORT_PARTITION_S = (
-    1.2,
-    2.2,
-)  # long enough to elect another primary while orders wait at the one that was cut off
+# Long enough to elect another primary while orders wait at the one that was cut off.
+SHORT_PARTITION_S = (1.2, 2.2)
 HALF_PARTITION_S = (1.0, 8.0)
 STEPWISE_PARTITION_S = (2.0, 6.0)
 SLOW_S = (1.0, 8.0)
--- a/cherrycove/tier/simulation/control/history.py
+++ b/cherrycove/tier/simulation/control/history.py
@@ -141,9 +141,9 @@
         self.note(f"{process_name} 200 version {change.version} on {names}")
         known = self._acknowledged.setdefault(change.version, change)
         self.require(known == change, f"two different documents were confirmed as version {change.version}")
-        rival = self._by_base.setdefault(change.base, change)
-        if rival != change:
-            self.fail(f"{rival} and {change} have the same base and were both confirmed")
+        conflicting = self._by_base.setdefault(change.base, change)
+        if conflicting != change:
+            self.fail(f"{conflicting} and {change} have the same base and were both confirmed")
         if change not in self._accepted:
             self.fail(f"{process_name} confirmed {change}, which no controller has applied")
         if len(names) < required:
--- a/cherrycove/tier/simulation/control/network.py
+++ b/cherrycove/tier/simulation/control/network.py
@@ -102,7 +102,7 @@
             retransmit_s *= 2
         return delay
 
-    def carry(self, source: str, target: str, deliver: Callable[[], None]) -> None:
+    def transmit(self, source: str, target: str, deliver: Callable[[], None]) -> None:
         """Call ``deliver`` when a message has crossed the link, after the cut if the link is cut."""
 
         def arrive() -> None:
@@ -140,7 +140,7 @@
         self._connected.add(connection)
         answer: asyncio.Future[Result[Any, Failure]] = self.loop.create_future()
         call = _Call(self, source, target, address, serve, answer)
-        self.carry(source, target, call.arrive)
+        self.transmit(source, target, call.arrive)
         if self._random.random() < self.conditions.resets:
             self.loop.call_in(incarnation, self._random.uniform(0.0, 0.02), call.reset)
         done, _ = await asyncio.wait([answer], timeout=timeout_s)
@@ -201,7 +201,7 @@
         self._reply(Ok(outcome))
 
     def _reply(self, result: Result[Any, Failure]) -> None:
-        self._network.carry(self._target, self._source, lambda: self._finish(result))
+        self._network.transmit(self._target, self._source, lambda: self._finish(result))
 
     def _finish(self, result: Result[Any, Failure]) -> None:
         if not self._answer.done():
--- a/cherrycove/tier/simulation/invariants.py
+++ b/cherrycove/tier/simulation/invariants.py
@@ -121,11 +121,11 @@
     def _check_holds_committed(self, replica: Replica, machine: ReplicaMachine) -> None:
         """Check that a new primary has all entries committed in epochs before its own.
 
-        Its snapshot must consist of committed entries too. These are all committed entries, unless a primary
-        of a newer epoch has led already. In that case the votes for this one were in transit for longer than
-        the other election took, which no protocol without a common clock can rule out. What the newer primary
-        commits is on disks that have voted in its epoch, so this one is never confirmed and commits nothing,
-        which is checked at each of its steps.
+        Its snapshot must consist of committed entries too. It may lack only entries committed by a primary of
+        a newer epoch that has led already. In that case the votes for this one were in transit for longer
+        than the other election took, which no protocol without a common clock can rule out. What the newer
+        primary commits is on disks that have voted in its epoch, so this one is never confirmed and commits
+        nothing, which is checked at each of its steps.
         """
         base = self._committed.get(machine.base_index)
         known = machine.base_index == 0 or base is not None
