--- a/cherrycove/broker/consul.py
+++ b/cherrycove/broker/consul.py
@@ -1,8 +1,8 @@
-"""Consul: the health API as the source of the node list, and the broker's own entry in the catalogue.
+"""Consul: node discovery by the health API, and the registration of the broker itself.
 
-It owns the blocking queries, the mapping of a service's health to a node's state, the registration and its
-TTL check. It must never forward a list that it could not read, ask in a tight loop, or keep the broker from
-serving: without Consul the last list is kept.
+The module owns the blocking queries, the mapping of an instance's health checks to a node's state, the
+registration and its TTL check. It must never pass on a list that it could not parse, query in a tight loop,
+or keep the broker from serving: while Consul is unreachable, the last list stays in use.
 
 Source: Consul's HTTP API, pages "Health", "Blocking Queries", "Agent Service" and "Agent Check".
 """
@@ -25,23 +25,23 @@
 
 log = Log("cherrycove.consul")
 
-_QUERY_SLACK_S = 1.0  # past a blocking query's wait
-_WAIT_JITTER = 17 / 16  # Consul adds up to a sixteenth to the wait of a blocking query
-_MIN_BACKOFF_S, _MAX_BACKOFF_S = 0.1, 10.0  # between queries after failures, doubling
+_QUERY_SLACK_S = 1.0  # added to a blocking query's wait; also the time-out for connecting
+_WAIT_JITTER = 17 / 16  # Consul adds up to 1/16 to the wait of a blocking query
+_MIN_BACKOFF_S, _MAX_BACKOFF_S = 0.1, 10.0  # delay after failed queries, doubled by each failure
 _REGISTRATION_RETRY_S = 1.0
 _RENEWALS_PER_TTL = 3
-CALL_TIMEOUT = aiohttp.ClientTimeout(total=2.0)  # of a call to the agent that does not block
+CALL_TIMEOUT = aiohttp.ClientTimeout(total=2.0)  # for non-blocking calls to the agent
 _DEREGISTER_CRITICAL_AFTER = "10m"
 
 _CHECK_STATES = ("passing", "warning", "critical", "maintenance")
 _UNHEALTHY_STATES = ("critical", "maintenance")
-_MAINTENANCE_CHECKS = ("_node_maintenance", "_service_maintenance")  # prefixes of their ids
+_MAINTENANCE_CHECKS = ("_node_maintenance", "_service_maintenance")  # prefixes of the check ids
 _MAX_INDEX_DIGITS = 19
 _MAX_SINCE_MS, _MAX_WEIGHT = 1e18, 1e9
 
 
 class HealthError(ValueError):
-    """The agent's response is not one of the health API, or rejects a call; the message says why."""
+    """The agent's response is not valid for the health API, or it rejected a call; the message says why."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,8 +52,8 @@
         agent: host and port of the agent's HTTP API.
         service: name of the disk nodes' service.
         wait_s: longest time that a blocking query waits for a change.
-        register: name of the broker's own service; empty: it is not registered.
-        ttl_s: of the broker's check.
+        register: name of the broker's own service; if empty, the broker is not registered.
+        ttl_s: time-to-live of the broker's check.
     """
 
     agent: tuple[str, int]
@@ -64,22 +64,22 @@
 
 
 def parse_health(
-    text: bytes | str, zones: Mapping[str, int], before: Mapping[str, Member], version: int
+    text: bytes | str, zones: Mapping[str, int], known_members: Mapping[str, Member], version: int
 ) -> NodeList:
-    """The service's instances as a full node list with this version.
+    """Return the service's instances as a full node list with this version.
 
-    An instance that is registered wrongly must not hide the others: it is left out, or, if it is among the
-    members ``before`` (by name), set to draining, so that it gets no new work.
+    An instance with an invalid registration must not hide the others: it is left out, or, if it is among
+    ``known_members`` (by name), set to draining, so that it gets no new work.
 
     Raises:
-        HealthError: if the response as a whole cannot be read.
+        HealthError: if the response is not a JSON list.
     """
     try:
         instances = json.loads(text)
     except (ValueError, RecursionError) as error:
-        raise HealthError("not JSON") from error
+        raise HealthError("health response is not valid JSON") from error
     if not isinstance(instances, list):
-        raise HealthError("not a list of instances")
+        raise HealthError("health response is not a list of instances")
     members: dict[str, Member] = {}
     for instance in instances:
         try:
@@ -87,8 +87,8 @@
         except HealthError as error:
             name = _instance_id(instance)
             log.warning("consul.instance_unusable", instance=name, why=error)
-            if isinstance(name, str) and name in before:
-                members[name] = replace(before[name], state=NodeState.DRAINING)
+            if isinstance(name, str) and name in known_members:
+                members[name] = replace(known_members[name], state=NodeState.DRAINING)
         else:
             members[member.name] = member
     return NodeList(version, True, tuple(members.values()))
@@ -104,11 +104,11 @@
         zone = meta.get("zone", "")
         weight = float((service.get("Weights") or {}).get("Passing", 1))
     except (KeyError, TypeError, AttributeError, ValueError, OverflowError) as error:
-        raise HealthError(f"it lacks or misstates {error}") from error
+        raise HealthError(f"missing or invalid field in the registration: {error}") from error
     has_name_and_address = isinstance(name, str) and name and _is_address(host, port)
     is_in_range = shard >= 0 and 0 <= since_ms < _MAX_SINCE_MS and 0 <= weight < _MAX_WEIGHT
     if not has_name_and_address or not is_in_range:
-        raise HealthError("a value is out of range")
+        raise HealthError("invalid name or address, or a value out of range, in the registration")
     return Member(
         name=name,
         address=f"{host}:{port}",
@@ -116,7 +116,7 @@
         zone=zones.get(zone, 0) if isinstance(zone, str) else 0,
         weight=weight,
         since_ms=since_ms,
-        state=_state_of(raw.get("Checks")),
+        state=_node_state(raw.get("Checks")),
     )
 
 
@@ -125,17 +125,17 @@
 
 
 def _instance_id(raw: Any) -> Any:
-    """What stands where an instance's id belongs; None if there is no such place."""
+    """Return the unchecked value of an instance's id field; None if there is no such field."""
     service = raw.get("Service") if isinstance(raw, dict) else None
     return service.get("ID") if isinstance(service, dict) else None
 
 
-def _state_of(checks: Any) -> NodeState:
-    """Up if all checks pass, be it with a warning; draining if one is critical or for maintenance."""
+def _node_state(checks: Any) -> NodeState:
+    """Return UP if every check is passing or warning, DRAINING if one is critical or for maintenance."""
     if not isinstance(checks, list) or not all(
         isinstance(check, dict) and check.get("Status") in _CHECK_STATES for check in checks
     ):
-        raise HealthError("its checks are malformed")
+        raise HealthError("malformed checks in the registration")
     return NodeState.DRAINING if any(map(_is_unhealthy, checks)) else NodeState.UP
 
 
@@ -146,9 +146,10 @@
 
 
 def next_index(last: int, text: str | None) -> int:
-    """The index for the next blocking query, from the header ``X-Consul-Index``.
+    """Return the index for the next blocking query, from the header ``X-Consul-Index``.
 
-    0, which does not block, if the header is no index or the index has fallen (page "Blocking Queries").
+    Returns 0, with which a query does not block, if the header is not an index or the index has decreased
+    (page "Blocking Queries").
     """
     is_index = text and text.isascii() and text.isdigit() and len(text) <= _MAX_INDEX_DIGITS
     index = int(text) if text and is_index else 0
@@ -156,8 +157,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _HealthAnswer:
-    """A service's health: the nodes, whether they differ from the core's, and the next query's index."""
+class _HealthResult:
+    """A parsed health response: the nodes, whether they differ from the core's, the next query's index."""
 
     nodes: NodeList
     is_changed: bool
@@ -165,10 +166,10 @@
 
 
 class ConsulClient:
-    """Follows a service's health at one agent and keeps the broker registered there.
+    """Watches a service's health through one agent and keeps the broker registered there.
 
     The broker owns it, runs ``watch`` and ``keep_registered`` as tasks, and calls ``close`` after it has
-    cancelled both. An unreachable agent is retried for ever.
+    cancelled both. An unreachable agent is retried without limit.
     """
 
     def __init__(
@@ -179,7 +180,7 @@
         name: str,
         listen: tuple[str, int],
     ) -> None:
-        """``name`` and ``listen`` are the broker's, as it is registered; nothing is sent yet."""
+        """Create a client that has sent nothing yet; the broker registers as ``name`` at ``listen``."""
         self._core = core
         self._config = config
         self._zones = zones
@@ -187,8 +188,8 @@
         self._listen = listen
         host, port = config.agent
         self._base_url = f"http://{host}:{port}/v1"
-        self._is_leaving = False
-        self._registration_lock = asyncio.Lock()  # held while a call changes the broker's own entry
+        self._is_deregistering = False
+        self._registration_lock = asyncio.Lock()  # held during calls that change the broker's registration
         self._session = aiohttp.ClientSession(
             cookie_jar=aiohttp.DummyCookieJar(),
             timeout=aiohttp.ClientTimeout(
@@ -201,12 +202,12 @@
         await self._session.close()
 
     async def watch(self) -> None:
-        """Follow the service's health until cancelled; each change goes to the core as a full list."""
+        """Watch the service's health until cancelled; pass each change to the core as a full list."""
         index, backoff_s, version = 0, _MIN_BACKOFF_S, self._core.version or 0
         while True:
             url = self._health_url(index)
             try:
-                answer = await self._query_health(url, index, version + 1)
+                result = await self._query_health(url, index, version + 1)
             except (HealthError, aiohttp.ClientError, OSError, ValueError) as error:
                 log.warning("consul.silent", why=str(error) or type(error).__name__)
                 self._core.list_unavailable()
@@ -214,29 +215,29 @@
                 await asyncio.sleep(backoff_s * random.uniform(0.5, 1.0))
                 backoff_s = min(2 * backoff_s, _MAX_BACKOFF_S)
                 continue
-            if answer.is_changed or self._core.version is None:
+            if result.is_changed or self._core.version is None:
                 version += 1
-                self._update_core(answer.nodes)
+                self._update_core(result.nodes)
             self._core.silent = False
-            if not answer.next_index:
-                await asyncio.sleep(_MIN_BACKOFF_S)  # no index to block on: never a tight loop
-            index, backoff_s = answer.next_index, _MIN_BACKOFF_S
+            if not result.next_index:
+                await asyncio.sleep(_MIN_BACKOFF_S)  # the next query does not block: avoid a tight loop
+            index, backoff_s = result.next_index, _MIN_BACKOFF_S
 
     def _health_url(self, index: int) -> URL:
-        """Of a query that blocks until the index has passed, or does not block if it is 0."""
+        """Return the URL of a query that blocks until the index has increased, or not at all for index 0."""
         query = f"?index={index}&wait={self._config.wait_s:g}s" if index else ""
         return URL(f"{self._base_url}/health/service/{self._config.service}{query}", encoded=True)
 
-    async def _query_health(self, url: URL, index: int, version: int) -> _HealthAnswer:
-        """One query, whose list gets this version; ``index`` is the one in the URL."""
+    async def _query_health(self, url: URL, index: int, version: int) -> _HealthResult:
+        """Run one query; its node list gets this version, and ``index`` is the index in the URL."""
         async with self._session.get(url, allow_redirects=False) as response:
             if response.status != 200:
-                raise HealthError(f"status {response.status}")
-            before = {member.name: member for member in self._core.members}
-            nodes = parse_health(await response.read(), self._zones, before, version)
-            return _HealthAnswer(
+                raise HealthError(f"agent responded with status {response.status} to the health query")
+            known_members = {member.name: member for member in self._core.members}
+            nodes = parse_health(await response.read(), self._zones, known_members, version)
+            return _HealthResult(
                 nodes=nodes,
-                is_changed=set(nodes.members) != set(before.values()),
+                is_changed=set(nodes.members) != set(known_members.values()),
                 next_index=next_index(index, response.headers.get("X-Consul-Index")),
             )
 
@@ -246,15 +247,15 @@
         self._core.update(nodes)
 
     async def keep_registered(self) -> None:
-        """Register this broker and renew its TTL check until it is deregistered or the task cancelled."""
+        """Register this broker and renew its TTL check until it is deregistered or the task is cancelled."""
         is_registered = False
         while True:
             status = "passing" if self._core.ready else "critical"
             try:
                 async with self._registration_lock:
-                    # A renewal after the deregistration would be rejected, and the broker then registered
-                    # anew, as passing, by a process that ends.
-                    if self._is_leaving:
+                    # A renewal after the deregistration would be rejected, and this process, which is
+                    # shutting down, would then register again as passing.
+                    if self._is_deregistering:
                         return
                     if not is_registered:
                         await self._put("/agent/service/register", self._service_definition())
@@ -263,7 +264,7 @@
                 await asyncio.sleep(self._config.ttl_s / _RENEWALS_PER_TTL)
             except (HealthError, aiohttp.ClientError, OSError) as error:
                 log.warning("consul.not_registered", why=str(error) or type(error).__name__)
-                is_registered = False  # an agent that has restarted does not know this broker
+                is_registered = False  # a restarted agent has lost the registration
                 await asyncio.sleep(min(self._config.ttl_s / _RENEWALS_PER_TTL, _REGISTRATION_RETRY_S))
 
     @property
@@ -285,8 +286,8 @@
         }
 
     async def deregister(self) -> None:
-        """Remove the broker's entry, after a renewal in flight; it is not renewed from now on."""
-        self._is_leaving = True
+        """Stop the renewals and remove the broker's registration, after any renewal in flight."""
+        self._is_deregistering = True
         try:
             async with self._registration_lock:
                 await self._put(f"/agent/service/deregister/{self._name}", None)
@@ -297,4 +298,4 @@
         url = URL(self._base_url + path, encoded=True)
         async with self._session.put(url, json=body, timeout=CALL_TIMEOUT) as response:
             if response.status != 200:
-                raise HealthError(f"status {response.status} to {path}")
+                raise HealthError(f"agent responded with status {response.status} to {path}")
--- a/cherrycove/broker/nbd/__init__.py
+++ b/cherrycove/broker/nbd/__init__.py
@@ -1,14 +1,14 @@
 """NBD, the network block device protocol: the codec, the server for clients and the client of storage nodes.
 
-``_constants`` holds the protocol's numbers, ``_codec`` its messages, ``config`` what an operator sets,
-``_validation`` the check of a command against its export, ``_flush_tracking`` which writes a flush covers,
+``_constants`` holds the protocol's numbers, ``_codec`` its messages, ``config`` the operator's settings,
+``_validation`` the check of a command against its export, ``_flush_tracking`` the record of unflushed writes,
 ``client`` the connections to storage nodes, ``_handshake`` and ``_session`` the two phases of a client's
-connection and ``server`` the listener that owns those connections. Imports run from the last of these to the
-first, and other packages import this public face alone.
+connection, and ``server`` the listener that owns those connections. Each of these modules imports only
+modules named before it; other packages import only the names that this package exports.
 
-The package must never send a command to a node without an attempt from the core, use a connection again on
-which a reply is still to come, answer a command twice, buffer a payload over the advertised maximum, or
-advertise what it does not do.
+The package must never send a command to a node without an attempt from the core, reuse a connection on which
+a reply is outstanding, reply to a command twice, buffer a payload over the advertised maximum, or advertise
+a feature that it does not implement.
 
 Source: https://github.com/NetworkBlockDevice/nbd/blob/master/doc/proto.md; sections are named from it.
 """
--- a/cherrycove/broker/nbd/_constants.py
+++ b/cherrycove/broker/nbd/_constants.py
@@ -12,12 +12,12 @@
 SIMPLE_REPLY_MAGIC: Final = 0x67446698
 STRUCTURED_REPLY_MAGIC: Final = 0x668E33EF
 
-OPTION_ERROR_BIT: Final = 1 << 31  # set in each type of an option's reply that is an error
-MIN_BLOCK_BYTES: Final = 512  # what a client assumes that asks for no block sizes
+OPTION_ERROR_BIT: Final = 1 << 31  # set in the type of each option reply that reports an error
+MIN_BLOCK_BYTES: Final = 512  # assumed by clients that do not request block sizes
 PREFERRED_BLOCK_BYTES: Final = 4096
 MAX_PAYLOAD_BYTES: Final = 64 * 1024
-MAX_OPTION_BYTES: Final = 8 * 1024  # of an option's data; an export's name holds at most 4,096
-MAX_OPTIONS: Final = 64  # of one handshake
+MAX_OPTION_BYTES: Final = 8 * 1024  # limit of an option's data; an export name has at most 4,096 bytes
+MAX_OPTIONS: Final = 64  # limit for one handshake
 
 
 class HandshakeFlag(IntFlag):
@@ -28,7 +28,7 @@
 
 
 class TransmissionFlag(IntFlag):
-    """What an export can do (section "Transmission flags")."""
+    """Properties and features of an export (section "Transmission flags")."""
 
     HAS_FLAGS = 1
     READ_ONLY = 2
@@ -51,7 +51,7 @@
 
 
 class Option(IntEnum):
-    """What a client may negotiate in the handshake (section "Option types")."""
+    """Options that a client may send in the handshake (section "Option types")."""
 
     EXPORT_NAME = 1
     ABORT = 2
@@ -74,7 +74,7 @@
 
 
 class InfoType(IntEnum):
-    """Kinds of information about an export (``NBD_REP_INFO`` in section "Option reply types")."""
+    """Types of information about an export (``NBD_REP_INFO`` in section "Option reply types")."""
 
     EXPORT = 0
     DESCRIPTION = 2
--- a/cherrycove/broker/nbd/_handshake.py
+++ b/cherrycove/broker/nbd/_handshake.py
@@ -1,4 +1,4 @@
-"""The handshake phase as a server (proto.md, sections "Fixed newstyle negotiation" and "Option types")."""
+"""The server's handshake phase (proto.md, sections "Fixed newstyle negotiation" and "Option types")."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
 from cherrycove.broker.nbd.config import Export
 
 _KNOWN_CLIENT_FLAGS = int(HandshakeFlag.FIXED_NEWSTYLE | HandshakeFlag.NO_ZEROES)
-_EXPORT_NAME_ZEROES = 124  # bytes behind the reply to EXPORT_NAME, unless both sides agreed on none
+_EXPORT_NAME_ZEROES = 124  # padding after the reply to EXPORT_NAME, unless NO_ZEROES was negotiated
 
 
 class NegotiatedExport(NamedTuple):
-    """What a handshake ended in: the export, and whether replies to its commands are structured."""
+    """The outcome of a handshake: the export, and whether replies to its commands are structured."""
 
     export: Export
     structured: bool
 
 
 class Handshake:
-    """One client's handshake. The server owns it and bounds its time."""
+    """One client's handshake. The server owns it and limits its duration."""
 
     def __init__(
         self,
@@ -48,7 +48,11 @@
         export_names: Iterable[str],
         find_export: Callable[[str], Export | None],
     ) -> None:
-        """``export_names`` are listed to clients; ``find_export`` gives those that may be mounted now."""
+        """Create a handshake.
+
+        ``export_names`` are listed to clients; ``find_export`` returns an export by its name, or None if it
+        cannot be mounted now.
+        """
         self._reader = reader
         self._writer = writer
         self._export_names = list(export_names)
@@ -56,16 +60,16 @@
         self._structured = False
 
     async def run(self) -> NegotiatedExport | None:
-        """Negotiate; None if the client aborted.
+        """Negotiate with the client; return None if it aborted.
 
         Raises:
-            ProtocolError: if the client violates the protocol or names no export in EXPORT_NAME.
+            ProtocolError: if the client violates the protocol or its EXPORT_NAME names no available export.
             OSError, EOFError: if the client disconnects.
         """
         self._writer.write(pack_greeting())
         (flags,) = await read_fields(self._reader, ">I")
         if flags & ~_KNOWN_CLIENT_FLAGS or not flags & HandshakeFlag.FIXED_NEWSTYLE:
-            raise ProtocolError("unknown client flags, or no fixed newstyle")
+            raise ProtocolError(f"unsupported client flags {flags:#x}: unknown, or without fixed newstyle")
         for _ in range(MAX_OPTIONS):
             await self._writer.drain()
             number, data = await read_option(self._reader)
@@ -75,10 +79,10 @@
             export = self._handle_option(number, data, omit_zeroes=bool(flags & HandshakeFlag.NO_ZEROES))
             if export is not None:
                 return NegotiatedExport(export, self._structured)
-        raise ProtocolError("too many options")
+        raise ProtocolError(f"more than {MAX_OPTIONS} options in one handshake")
 
     def _handle_option(self, number: int, data: bytes, *, omit_zeroes: bool) -> Export | None:
-        """Reply to an option; the export if that ends the handshake."""
+        """Reply to an option; return the export if the option ends the handshake."""
         if number == Option.EXPORT_NAME:
             return self._select_by_name(data, omit_zeroes=omit_zeroes)
         if number == Option.GO:
@@ -97,7 +101,7 @@
     def _select_by_name(self, data: bytes, *, omit_zeroes: bool) -> Export:
         export = self._find_export(data.decode(errors="replace"))
         if export is None:
-            raise ProtocolError("EXPORT_NAME names no export")  # the option has no error reply
+            raise ProtocolError("EXPORT_NAME names no available export")  # the option has no error reply
         header = struct.pack(">QH", export.size, export.transmission_flags(structured=self._structured))
         self._writer.write(header + (b"" if omit_zeroes else bytes(_EXPORT_NAME_ZEROES)))
         return export
@@ -112,9 +116,9 @@
         self._reply(Option.LIST, OptionReplyType.ACK)
 
     def _reply_with_info(self, number: int, data: bytes) -> Export | None:
-        """Reply to INFO or GO; None if that was an error."""
+        """Reply to INFO or GO; return the export, or None after an error reply."""
         try:
-            name, wanted = parse_go_data(data)
+            name, info_types = parse_go_data(data)
         except ProtocolError as error:
             self._reply(number, OptionReplyType.ERR_INVALID, str(error).encode())
             return None
@@ -123,7 +127,7 @@
             is_listed = name in self._export_names
             self._reply(number, OptionReplyType.ERR_SHUTDOWN if is_listed else OptionReplyType.ERR_UNKNOWN)
             return None
-        infos = _export_infos(export, wanted, structured=self._structured)
+        infos = _export_infos(export, info_types, structured=self._structured)
         replies = b"".join(pack_option_reply(number, OptionReplyType.INFO, info) for info in infos)
         self._writer.write(replies + pack_option_reply(number, OptionReplyType.ACK))
         return export
@@ -132,13 +136,13 @@
         self._writer.write(pack_option_reply(number, kind, data))
 
 
-def _export_infos(export: Export, wanted: list[int], *, structured: bool) -> list[bytes]:
-    """What the client must know of an export, and the description if it wants that."""
+def _export_infos(export: Export, info_types: list[int], *, structured: bool) -> list[bytes]:
+    """Return the required information replies, and the description if it was requested."""
     flags = export.transmission_flags(structured=structured)
     infos = [
         struct.pack(">HQH", InfoType.EXPORT, export.size, flags),
         struct.pack(">HIII", InfoType.BLOCK_SIZE, MIN_BLOCK_BYTES, PREFERRED_BLOCK_BYTES, MAX_PAYLOAD_BYTES),
     ]
-    if InfoType.DESCRIPTION in wanted:
+    if InfoType.DESCRIPTION in info_types:
         infos.append(struct.pack(">H", InfoType.DESCRIPTION) + export.description.encode())
     return infos
--- a/cherrycove/broker/nbd/_session.py
+++ b/cherrycove/broker/nbd/_session.py
@@ -1,4 +1,4 @@
-"""The transmission phase of one client (proto.md, section "Transmission phase")."""
+"""The transmission phase of one client connection (proto.md, section "Transmission phase")."""
 
 from __future__ import annotations
 
@@ -31,19 +31,19 @@
 from cherrycove.broker.nbd.config import NbdConfig
 from cherrycove.broker.sockets import POLL_INTERVAL_S, is_closed_by_peer
 
-_FRONT = "nbd"  # of requests, as the core's records name where they came from
-_MAX_SKIPPED_BYTES = 32 * 1024 * 1024  # of an oversized payload that are read and discarded
-_SEND_TIMEOUT_S = 30.0  # in which a client must take a reply
+_FRONTEND = "nbd"  # names the protocol a request came from in the core's records
+_MAX_DISCARDED_BYTES = 32 * 1024 * 1024  # limit up to which an oversized payload is read and discarded
+_SEND_TIMEOUT_S = 30.0  # for a client to read a reply
 _MAX_EXPORT_NAME_IN_ID = 64
-# Errors of a node that its client may see: they blame the command, not the node.
+# Node errors that are forwarded to the client: they are caused by the command, not by the node.
 _FORWARDED_ERRORS = (Errno.EPERM, Errno.EINVAL, Errno.ENOSPC, Errno.EOVERFLOW, Errno.ENOTSUP)
 
-_session_numbers = count(1)  # of this process
+_session_numbers = count(1)  # unique within this process
 
 
 @dataclass(frozen=True, slots=True)
 class _Result:
-    """What a command is answered with; without an error ``data`` is what a READ returns."""
+    """The result of a command; ``data`` is the payload of a successful READ."""
 
     errno: Errno | None = None
     message: str = ""
@@ -51,11 +51,11 @@
 
 
 class TransmissionSession:
-    """Reads one client's commands and answers each once, several at a time.
+    """Reads one client's commands, runs several at a time and sends one reply to each.
 
-    The server owns it and runs it in the connection's task; it owns a task for each command. It ends with
-    the client's DISC or the task's cancellation, then after the replies to all commands it has read, or
-    with a failure of the connection, which cancels those commands.
+    The server owns it and runs it in the connection's task; it owns a task for each command. It ends on the
+    client's DISC or on cancellation of its task, in both cases after it has replied to all commands read so
+    far, or on a failure of the connection, which cancels those commands.
     """
 
     def __init__(
@@ -85,7 +85,7 @@
         Raises:
             ProtocolError: if the client violates the protocol.
             OSError, EOFError: if the connection fails or ends without DISC.
-            asyncio.CancelledError: if the task was cancelled; the commands read so far are answered.
+            asyncio.CancelledError: if the task was cancelled; all commands read so far have been replied to.
         """
         try:
             await self._read_commands()
@@ -111,10 +111,10 @@
             task.add_done_callback(self._on_command_done)
 
     async def _acquire_slot(self) -> None:
-        """Wait until fewer commands are in flight than allowed, or the client has disconnected.
+        """Wait until a command may start within the pipeline limit, or until the client has disconnected.
 
-        While nothing is read, unread commands hide the end of the stream from the loop, and the commands in
-        flight would go on for nobody; so the socket itself is polled.
+        While the session reads nothing, unread commands hide the end of the stream from the event loop, and
+        the commands in flight would continue without a client; therefore the socket itself is polled.
         """
         while not self._is_disconnected:
             with contextlib.suppress(TimeoutError):
@@ -125,13 +125,16 @@
                 self.on_disconnected()
 
     def on_disconnected(self) -> None:
-        """The client has closed its end. Acts only while no slot is free: otherwise reading notices it."""
+        """Cancel the commands of a disconnected client.
+
+        Acts only while no slot is free; otherwise the read loop detects the disconnection.
+        """
         if self._slots.locked():
             self._is_disconnected = True
             self._cancel_commands()
 
     def _cancel_commands(self) -> None:
-        # At once: the core must learn that nobody waits, or it goes on sending attempts.
+        # Without delay: until it learns that the client is gone, the core continues to send attempts.
         for task in self._tasks:
             task.cancel()
 
@@ -143,13 +146,15 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _read_payload(self, request: CommandRequest) -> bytes | None:
-        """A WRITE's data; None if it was oversized and has been discarded."""
+        """Read a WRITE's data; return None if it was oversized and has been discarded."""
         if request.command != Command.WRITE:
             return b""
         if request.length <= MAX_PAYLOAD_BYTES:
             return await self._reader.readexactly(request.length)
-        if request.length > _MAX_SKIPPED_BYTES:
-            raise ProtocolError("a payload far over the maximum")
+        if request.length > _MAX_DISCARDED_BYTES:
+            raise ProtocolError(
+                f"payload of {request.length} bytes; at most {_MAX_DISCARDED_BYTES} are discarded"
+            )
         remaining = request.length
         while remaining:
             chunk = await self._reader.read(min(remaining, MAX_PAYLOAD_BYTES))
@@ -173,7 +178,7 @@
                 own=Own.BAD_COMMAND,
                 id=self._request_id(request),
                 volume=self._export.volume,
-                front=_FRONT,
+                front=_FRONTEND,
             )
         return _Result(errno, "not a command that this export takes")
 
@@ -195,11 +200,11 @@
             deadline=asyncio.get_running_loop().time() + settings.classes[cls].deadline,
             key=f"{export.volume}/{request.offset // MAX_PAYLOAD_BYTES}",
             id=self._request_id(request),
-            front=_FRONT,
+            front=_FRONTEND,
         )
 
     def _request_id(self, request: CommandRequest) -> str:
-        """Identifies a command in records: clients have no id for one, and cookies are unique per session."""
+        """Return an id for records: NBD commands carry none, and cookies are unique only within a session."""
         return f"nbd:{self._export.name[:_MAX_EXPORT_NAME_IN_ID]}:{self._number}:{request.cookie:x}"
 
     def _pack_reply(self, request: CommandRequest, result: _Result) -> bytes:
@@ -212,7 +217,7 @@
         return ReplyChunk(ReplyFlag.DONE, ChunkType.NONE, request.cookie, b"").pack()
 
     async def _write(self, reply: bytes) -> None:
-        # One call: replies to other commands are written by other tasks while this one waits.
+        # A single call, because other tasks write their replies while this one waits for the drain.
         self._writer.write(reply)
         try:
             async with asyncio.timeout(_SEND_TIMEOUT_S):
@@ -222,7 +227,7 @@
 
 
 def _result_of(answer: Answer, node_errno: int) -> _Result:
-    """The core's final answer as an error number and its message."""
+    """Convert the core's final answer to a command result; the messages are sent to the client."""
     if answer.verdict is Verdict.SERVED:
         return _Result(data=answer.reply.body if answer.reply is not None else b"")
     if answer.verdict is Verdict.REFUSED:
--- a/cherrycove/broker/nbd/_validation.py
+++ b/cherrycove/broker/nbd/_validation.py
@@ -1,4 +1,4 @@
-"""Whether a command may run on its export (proto.md, "Request types" and "Block size constraints")."""
+"""Validates commands against their export (proto.md, "Request types" and "Block size constraints")."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def validate_command(request: CommandRequest, export: Export, *, structured: bool) -> Errno | None:
-    """The error with which a command is rejected before anything is done about it; None if it is valid."""
+    """Return the error with which a command is rejected before it is executed; None if it is valid."""
     if request.command not in _COMMANDS or _has_unknown_flags(request, structured=structured):
         return Errno.EINVAL
     if request.command == Command.FLUSH:
--- a/cherrycove/broker/nbd/client.py
+++ b/cherrycove/broker/nbd/client.py
@@ -1,4 +1,4 @@
-"""Connections to storage nodes over NBD, and one client's command as it is sent to them."""
+"""NBD connections to storage nodes, and the backend that sends a client's command over them."""
 
 from __future__ import annotations
 
@@ -42,13 +42,13 @@
 log = Log("cherrycove.nbd")
 
 _MAX_IDLE_S = 10.0
-_MAX_IDLE_CONNECTIONS = 8  # for each node and export
+_MAX_IDLE_CONNECTIONS = 8  # per node and export
 _REQUIRED_FOR_WRITES = int(TransmissionFlag.SEND_FLUSH | TransmissionFlag.CAN_MULTI_CONN)
 _CLIENT_FLAGS = int(HandshakeFlag.FIXED_NEWSTYLE | HandshakeFlag.NO_ZEROES)
 
 
 class ExportUnavailableError(NbdError):
-    """The node speaks NBD but does not offer the export in the way that is needed."""
+    """The node speaks NBD but does not offer the export with the required features."""
 
 
 class _Endpoint(NamedTuple):
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Connection:
-    """A negotiated connection to one export of one node; ``last_used_s`` is on the loop's clock."""
+    """A negotiated connection to one export of one node; ``last_used_s`` is event loop time."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -68,24 +68,28 @@
     last_cookie: int = 0
 
     def abort(self) -> None:
-        """Close at once; nothing that is buffered is sent."""
+        """Close at once; buffered data is discarded."""
         self.writer.transport.abort()
 
     def is_reusable(self, now_s: float) -> bool:
-        """Whether it was idle only briefly and neither side has closed it."""
-        is_fresh = now_s - self.last_used_s < _MAX_IDLE_S
-        return is_fresh and not self.reader.at_eof() and not self.writer.is_closing()
+        """Return whether it has been idle for less than ``_MAX_IDLE_S`` and is open on both sides."""
+        is_recent = now_s - self.last_used_s < _MAX_IDLE_S
+        return is_recent and not self.reader.at_eof() and not self.writer.is_closing()
 
 
 class ConnectionPool:
-    """Connections to the exports of nodes. Each carries one command at a time.
+    """A pool of connections to exports of nodes. Each carries one command at a time.
 
-    The broker owns the pool and closes it once the server has ended. A connection on which anything fails,
-    or whose user is cancelled, is closed and not reused.
+    The broker owns the pool and closes it after the server. A connection is closed and not reused after any
+    failure on it and after the cancellation of the task that uses it.
     """
 
     def __init__(self, config: NbdConfig, dial_timeout: float, most: int) -> None:
-        """An empty pool. ``dial_timeout``: s for connecting and negotiating; ``most``: connections in use."""
+        """Create an empty pool.
+
+        ``dial_timeout`` limits connecting and negotiating, in seconds; ``most`` is the maximum number of
+        connections in use at the same time.
+        """
         self._config = config
         self._dial_timeout_s = dial_timeout
         self._idle: dict[_Endpoint, deque[_Connection]] = {}
@@ -93,12 +97,12 @@
         self._unflushed: dict[str, UnflushedWrites] = {}  # by export
 
     def unflushed_writes(self, export: str) -> UnflushedWrites:
-        """What tracks the writes of this export, whichever client they came from."""
+        """Return the tracker for the writes of all clients to this export."""
         return self._unflushed.setdefault(export, UnflushedWrites())
 
     @asynccontextmanager
     async def connection(self, attempt: Attempt, export: str) -> AsyncIterator[_Connection]:
-        """A connection with no command in flight; it is reused only if the block ends without an exception.
+        """Lend a connection with no command in flight; it is reused only if the block raises no exception.
 
         Raises:
             ExportUnavailableError: if the node does not offer the export as needed.
@@ -159,11 +163,11 @@
 
 
 async def _negotiate(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, export: str) -> bool:
-    """Handshake as a client (section "Fixed newstyle negotiation"); whether replies are structured."""
+    """Handshake as a client (section "Fixed newstyle negotiation"); return whether replies are structured."""
     magic, style, flags = await read_fields(reader, ">QQH")
     is_newstyle = magic == GREETING_MAGIC and style == OPTION_MAGIC
     if not is_newstyle or not flags & HandshakeFlag.FIXED_NEWSTYLE:
-        raise ProtocolError("no fixed newstyle greeting")
+        raise ProtocolError("greeting without fixed newstyle negotiation")
     writer.write(struct.pack(">I", flags & _CLIENT_FLAGS) + pack_option(Option.STRUCTURED_REPLY))
     kind, _ = await read_option_reply(reader, Option.STRUCTURED_REPLY)
     structured = kind == OptionReplyType.ACK
@@ -173,52 +177,54 @@
 
 
 async def _read_transmission_flags(reader: asyncio.StreamReader) -> int:
-    """The export's flags out of the replies to GO, up to the one that acknowledges it."""
-    offered = 0
+    """Read the replies to GO up to its acknowledgement; return the export's transmission flags."""
+    transmission_flags = 0
     for _ in range(MAX_OPTIONS):
         kind, data = await read_option_reply(reader, Option.GO)
         if kind == OptionReplyType.ACK:
-            return offered
+            return transmission_flags
         if kind & OPTION_ERROR_BIT:
-            raise ExportUnavailableError(f"it refuses the export: {kind:#x}")
+            raise ExportUnavailableError(f"node rejected the export with reply type {kind:#x}")
         if _is_export_info(kind, data):
-            (offered,) = struct.unpack_from(">H", data, 10)
-    raise ProtocolError("GO without an end")
+            (transmission_flags,) = struct.unpack_from(">H", data, 10)
+    raise ProtocolError(f"GO not acknowledged within {MAX_OPTIONS} replies")
 
 
 def _is_export_info(kind: int, data: bytes) -> bool:
     return kind == OptionReplyType.INFO and len(data) == 12 and data[:2] == struct.pack(">H", InfoType.EXPORT)
 
 
-def _check_is_usable(offered: int) -> None:
-    """ExportUnavailableError if writes are allowed but a flush covers one connection only."""
-    if offered & TransmissionFlag.READ_ONLY:
+def _check_is_usable(transmission_flags: int) -> None:
+    """Raise ExportUnavailableError for a writable export whose flush covers only one connection."""
+    if transmission_flags & TransmissionFlag.READ_ONLY:
         return
-    if offered & _REQUIRED_FOR_WRITES != _REQUIRED_FOR_WRITES:
-        raise ExportUnavailableError("its flush does not cover what other connections wrote")
+    if transmission_flags & _REQUIRED_FOR_WRITES != _REQUIRED_FOR_WRITES:
+        raise ExportUnavailableError("flush on the node does not cover writes of other connections")
 
 
 class CommandBackend:
-    """Sends one client's command to the node of each attempt; the core's ``Backend``.
+    """Sends one client's command to the node of each attempt; implements the core's ``Backend``.
 
-    ``errno`` is the error of the latest reply of a node, 0 for none.
+    ``errno`` is the error in the latest reply of a node, 0 for none.
     """
 
     def __init__(self, pool: ConnectionPool, export: Export, request: CommandRequest, payload: bytes) -> None:
-        """``payload`` is a WRITE's data, otherwise empty."""
+        """Create a backend for one command; ``payload`` is a WRITE's data, otherwise empty."""
         self.errno = 0
-        self._lost_writes = False  # a flush cannot cover all that it should, however often it is sent
+        self._lost_writes = False  # the flush cannot cover all acknowledged writes, even if retried
         self._pool = pool
         self._export = export
         self._request = request
         self._payload = payload
 
     async def attempt(self, attempt: Attempt) -> Reply:
-        """Send the command once and say how that ended; only cancellation is raised."""
+        """Send the command once; return how the attempt ended. Raises nothing but cancellation."""
         unflushed = self._pool.unflushed_writes(self._export.name)
         is_flush = self._request.command == Command.FLUSH
-        sequence = unflushed.last_sequence  # before the flush is sent: later writes are not covered
-        self._lost_writes = self._lost_writes or (is_flush and unflushed.forget_others(attempt.life))
+        sequence = unflushed.last_sequence  # read before the flush is sent: later writes are not covered
+        self._lost_writes = self._lost_writes or (
+            is_flush and unflushed.discard_other_incarnations(attempt.life)
+        )
         if self._lost_writes:
             self.errno = Errno.EIO
             return Reply(Ending.NODE_ERROR)
@@ -241,7 +247,7 @@
         return Reply(Ending.SERVED, bytes(reply.data))
 
     async def _exchange(self, attempt: Attempt) -> CommandReply | None:
-        """The node's reply; None if the connection closed before anything was sent."""
+        """Return the node's reply, or None if the connection closed before anything was sent."""
         async with self._pool.connection(attempt, self._export.name) as connection:
             connection.last_cookie += 1
             request = CommandRequest(
@@ -253,7 +259,7 @@
             )
             if connection.writer.is_closing():
                 return None
-            attempt.wrote()  # from here on nobody can tell how much has been sent
+            attempt.wrote()  # from here on, how much has been sent is unknown
             connection.writer.write(request.pack() + self._payload)
             return await read_reply(connection.reader, request, structured=connection.structured)
 
--- a/cherrycove/broker/nbd/config.py
+++ b/cherrycove/broker/nbd/config.py
@@ -1,4 +1,4 @@
-"""What the operator sets for NBD: the listening address, the exports and where their nodes are reached."""
+"""The operator's NBD settings: the listening address, the exports and the addresses of their nodes."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 class Export:
     """A block device that clients may mount.
 
-    ``size`` is bytes, ``plan`` an index into ``Settings.plans``, ``hosts`` the number of brokers that the
-    volume's clients use.
+    ``size`` is in bytes, ``plan`` is an index into ``Settings.plans`` and ``hosts`` the number of brokers
+    that the volume's clients use.
     """
 
     name: str
@@ -28,7 +28,7 @@
     description: str = ""
 
     def transmission_flags(self, *, structured: bool) -> int:
-        """What the handshake advertises; DF only where structured replies were negotiated."""
+        """Return the flags that the handshake advertises; DF only if structured replies were negotiated."""
         flags = TransmissionFlag.HAS_FLAGS
         if self.read_only:
             flags |= TransmissionFlag.READ_ONLY
@@ -45,13 +45,13 @@
 
     Attributes:
         listen: host and port for clients.
-        exports: by name.
+        exports: the exports by name.
         classes: index into ``Settings.classes`` of each command.
-        unit_bytes: payload that costs one unit.
-        node_port: port at which nodes serve NBD.
-        nodes: host and port by node, where they differ from the listed host and ``node_port``.
-        connections: clients served at the same time.
-        pipeline: commands in flight for one client.
+        unit_bytes: payload bytes that cost one unit.
+        node_port: port on which nodes serve NBD.
+        nodes: host and port by node name, for nodes not reached at their listed host and ``node_port``.
+        connections: maximum number of clients served at the same time.
+        pipeline: maximum number of commands in flight per client.
     """
 
     listen: tuple[str, int]
@@ -64,5 +64,5 @@
     pipeline: int = 16
 
     def command_units(self, request: CommandRequest, max_units: float) -> float:
-        """The cost of a command in units, from 1 to ``max_units``."""
+        """Return the cost of a command in units, from 1 to ``max_units``."""
         return min(max(ceil(request.length / self.unit_bytes), 1), max_units)
--- a/cherrycove/broker/nbd/server.py
+++ b/cherrycove/broker/nbd/server.py
@@ -1,4 +1,4 @@
-"""The NBD server: accepts clients, hands their connections from handshake to session, and ends them."""
+"""The NBD server: accepts clients and runs handshake and session on each connection."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 
 class Server:
-    """The connections of NBD clients.
+    """Serves NBD clients.
 
-    The broker owns it: it listens, may hand its listener to another process, drains (no new mounts, mounted
-    exports go on) and closes. It owns a task for each connection; a client that violates the protocol
-    loses its own connection alone.
+    The broker owns it: it listens, may hand its listener to another process, drains (it rejects new mounts
+    and serves mounted exports) and closes. It owns a task for each connection; a protocol violation by a
+    client closes only that client's connection.
     """
 
-    listener: socket.socket  #: the listening socket, once ``listen`` has returned
+    listener: socket.socket  #: the listening socket; set by ``listen``
 
     def __init__(self, core: Core, pool: ConnectionPool, config: NbdConfig) -> None:
-        """A server that does not listen yet; the caller closes ``pool``."""
+        """Create a server that does not listen yet; the caller closes ``pool``."""
         self._core = core
         self._pool = pool
         self._config = config
@@ -41,53 +41,56 @@
         self._is_draining = False
         self._closed_exports: set[str] = set()
         self._server: asyncio.Server | None = None
-        self._further_servers: list[asyncio.Server] = []  # on sockets of a process that answered late
+        self._additional_servers: list[asyncio.Server] = []  # on sockets of a process that responded late
 
-    async def listen(self, given: socket.socket | None = None) -> int:
-        """Start to accept, on a socket opened by another process if ``given``; the port."""
-        self.listener = given or bind_listening_socket(*self._config.listen)
+    async def listen(self, inherited: socket.socket | None = None) -> int:
+        """Start to accept clients; return the port.
+
+        ``inherited`` is a listening socket opened by another process; None to open one.
+        """
+        self.listener = inherited or bind_listening_socket(*self._config.listen)
         self._server = await asyncio.get_running_loop().create_server(
             lambda: ClientProtocol(self._serve_client), sock=self.listener
         )
         port: int = self.listener.getsockname()[1]
         return port
 
-    async def accept_also(self, given: socket.socket) -> None:
-        """Accept from a further socket until this process hands over or closes."""
-        self._further_servers.append(
+    async def accept_also(self, inherited: socket.socket) -> None:
+        """Accept clients also from this socket until this process hands over or closes."""
+        self._additional_servers.append(
             await asyncio.get_running_loop().create_server(
-                lambda: ClientProtocol(self._serve_client), sock=given
+                lambda: ClientProtocol(self._serve_client), sock=inherited
             )
         )
 
     def hand_over(self) -> socket.socket:
-        """Stop accepting in favour of another process; a duplicate of the socket, to accept from again."""
+        """Stop accepting; return a duplicate of the listening socket, from which ``listen`` can resume."""
         duplicate = self.listener.dup()
-        self._close_further_servers()
+        self._close_additional_servers()
         if self._server is not None:
             self._server.close()
         return duplicate
 
     def drain(self) -> None:
-        """Offer no export any more; mounted ones are served until ``close``."""
+        """Reject all further mounts; mounted exports are served until ``close``."""
         self._is_draining = True
 
     def close_export(self, name: str) -> None:
-        """Reject mounts of an export; clients that have mounted it keep it."""
+        """Reject mounts of an export; clients that have mounted it are still served."""
         self._closed_exports.add(name)
 
     def reopen_export(self, name: str) -> None:
         """Allow mounts of an export again."""
         self._closed_exports.discard(name)
 
-    def _close_further_servers(self) -> None:
-        for further in self._further_servers:
-            further.close()
-        self._further_servers.clear()
+    def _close_additional_servers(self) -> None:
+        for server in self._additional_servers:
+            server.close()
+        self._additional_servers.clear()
 
     async def close(self) -> None:
-        """Read no more commands, answer those in flight, then close all connections."""
-        self._close_further_servers()
+        """Stop reading commands, reply to those in flight, then close all connections."""
+        self._close_additional_servers()
         if self._server is not None:
             self._server.close()
         for task in self._tasks:
@@ -111,7 +114,7 @@
         except ProtocolError as error:
             log.warning("nbd.client_cut_off", why=error)
         except asyncio.CancelledError:
-            pass  # by close; the session has answered the commands it had read
+            pass  # cancelled by close; the session has replied to the commands it had read
         except (OSError, EOFError):
             pass  # the client has disconnected
         finally:
@@ -141,20 +144,20 @@
     def __init__(
         self, serve_client: Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
     ) -> None:
-        """``serve_client`` runs as the task of the connection."""
+        """Create a protocol that runs ``serve_client`` as the task of the connection."""
         self.on_disconnected: Callable[[], None] | None = None
         super().__init__(asyncio.StreamReader(limit=_READ_BUFFER_BYTES), serve_client)
 
     def eof_received(self) -> bool | None:
-        """The client sends no more."""
-        self._notify()
+        """Handle the end of the client's stream."""
+        self._notify_disconnected()
         return super().eof_received()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is closed, by either side."""
-        self._notify()
+        """Handle a connection closed by either side."""
+        self._notify_disconnected()
         super().connection_lost(exc)
 
-    def _notify(self) -> None:
+    def _notify_disconnected(self) -> None:
         if self.on_disconnected is not None:
             self.on_disconnected()
