--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -1,4 +1,4 @@
-"""Consul against a stand-in agent: health as a node list, index resets, registration."""
+"""The Consul client against a test agent: health as a node list, index resets, registration."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
     }
 
 
-def test_health_becomes_node_states() -> None:
-    known = {"bad": Member("bad", "127.0.0.1:1", 0)}
+def test_health_checks_map_to_node_states() -> None:
+    known_members = {"bad": Member("bad", "127.0.0.1:1", 0)}
     text = json.dumps(
         [
             instance("up"),
@@ -45,8 +45,8 @@
             instance("new-bad", shard="-3"),
         ]
     )
-    news = consul.parse_health(text, PLATFORM.zones, known, 9)
-    states = {member.name: member.state for member in news.members}
+    nodes = consul.parse_health(text, PLATFORM.zones, known_members, 9)
+    states = {member.name: member.state for member in nodes.members}
     up, draining = NodeState.UP, NodeState.DRAINING
     assert states == {
         "up": up,
@@ -56,11 +56,11 @@
         "off": draining,
         "bad": draining,
     }
-    assert news.full and news.version == 9
-    assert news.members[0] == Member("up", "127.0.0.9:5000", 1, 1, 2.0, 7000.0)
+    assert nodes.full and nodes.version == 9
+    assert nodes.members[0] == Member("up", "127.0.0.9:5000", 1, 1, 2.0, 7000.0)
 
 
-def test_an_index_that_falls_or_is_none_starts_over() -> None:
+def test_a_decreased_or_invalid_index_restarts_the_queries() -> None:
     assert [
         consul.next_index(last, text)
         for last, text in [(0, "5"), (5, "5"), (5, "4"), (5, "0"), (5, None), (5, "x")]
@@ -81,14 +81,14 @@
 
 
 class Agent:
-    """A stand-in agent: answers health from a script, then holds the query; keeps what is put."""
+    """A test agent: answers health queries from a script, then never; records them and all PUT requests."""
 
     def __init__(self, *script: tuple[int, str | None, Any]) -> None:
-        self.script, self.asked, self.put = list(script), [], []  # type: ignore[var-annotated]
-        self.held, self.forgets = asyncio.Event(), 0
+        self.script, self.query_indexes, self.puts = list(script), [], []  # type: ignore[var-annotated]
+        self.script_ended, self.updates_to_reject = asyncio.Event(), 0
         self.updated = asyncio.Event()
-        self.hold: asyncio.Event | None = None  # until when nothing that is put is answered
-        self.holds = asyncio.Event()  # something waits so
+        self.put_gate: asyncio.Event | None = None  # if set, PUT requests wait for it
+        self.put_waiting = asyncio.Event()  # set once a PUT request waits for ``put_gate``
 
     async def start(self) -> tuple[str, int]:
         self.runner = web.ServerRunner(web.Server(self._handle), shutdown_timeout=0.1)
@@ -99,27 +99,27 @@
 
     async def _handle(self, request: web.BaseRequest) -> web.Response:
         if request.method == "PUT":
-            self.put.append((request.path, await request.json() if request.body_exists else None))
-            if self.hold is not None:
-                self.holds.set()
-                await self.hold.wait()
+            self.puts.append((request.path, await request.json() if request.body_exists else None))
+            if self.put_gate is not None:
+                self.put_waiting.set()
+                await self.put_gate.wait()
             if request.path.startswith("/v1/agent/check/update/"):
-                self.forgets -= 1
-                if self.forgets >= 0:
-                    return web.Response(status=404)  # the agent has started anew and knows no such check
+                self.updates_to_reject -= 1
+                if self.updates_to_reject >= 0:
+                    return web.Response(status=404)  # as a restarted agent, which has lost the check
                 self.updated.set()
             return web.Response()
-        self.asked.append(request.rel_url.query.get("index"))
+        self.query_indexes.append(request.rel_url.query.get("index"))
         if not self.script:
-            self.held.set()
+            self.script_ended.set()
             await asyncio.Event().wait()
         status, index, body = self.script.pop(0)
         text = body if isinstance(body, bytes) else json.dumps(body).encode()
         return web.Response(status=status, body=text, headers={"X-Consul-Index": index} if index else {})
 
 
-def test_the_watch_follows_and_survives_errors_and_a_reset() -> None:
-    async def story() -> None:
+def test_the_watch_survives_errors_and_an_index_reset() -> None:
+    async def scenario() -> None:
         agent = Agent(
             (200, "10", [instance("a")]),
             (500, None, b""),
@@ -132,21 +132,21 @@
             setup = consul.ConsulConfig(await agent.start(), "disk-node")
             client = consul.ConsulClient(world.core, setup, PLATFORM.zones, "n0", ("127.0.0.1", 1))
             task = asyncio.create_task(client.watch())
-            await agent.held.wait()
-            assert agent.asked == [None, "10", None, None, "12", None, "4"]
+            await agent.script_ended.wait()
+            assert agent.query_indexes == [None, "10", None, None, "12", None, "4"]
             assert [m.name for m in world.core.members] == ["b"] and world.core.ready
-            assert world.core.version == 4  # of lists that changed
+            assert world.core.version == 4  # four lists differed from the one before
             task.cancel()
             await client.close()
         await agent.runner.cleanup()
 
-    run(story())
+    run(scenario())
 
 
-def test_registration_is_renewed_when_the_agent_forgets_and_ends_with_the_broker() -> None:
-    async def story() -> None:
+def test_registration_is_repeated_after_an_agent_restart_and_removed_on_deregistration() -> None:
+    async def scenario() -> None:
         agent = Agent()
-        agent.forgets = 1
+        agent.updates_to_reject = 1
         async with World() as world:
             setup = consul.ConsulConfig(await agent.start(), "disk-node", register="broker", ttl_s=1.0)
             client = consul.ConsulClient(world.core, setup, PLATFORM.zones, "n0", ("127.0.0.1", 5000))
@@ -155,80 +155,84 @@
             task.cancel()
             await client.deregister()
             await client.close()
-        paths = [path.removeprefix("/v1/agent/") for path, _ in agent.put]
+        paths = [path.removeprefix("/v1/agent/") for path, _ in agent.puts]
         assert paths == ["service/register", "check/update/service:n0"] * 2 + ["service/deregister/n0"]
-        assert agent.put[0][1]["Port"] == 5000 and agent.put[0][1]["Check"]["TTL"] == "1s"
-        assert agent.put[1][1] == {"Status": "critical"}  # it has no node to send to
+        assert agent.puts[0][1]["Port"] == 5000 and agent.puts[0][1]["Check"]["TTL"] == "1s"
+        assert agent.puts[1][1] == {"Status": "critical"}  # the broker has no node to send to
         await agent.runner.cleanup()
 
-    run(story())
+    run(scenario())
 
 
-def test_the_own_entry_is_not_made_again_behind_its_end() -> None:
-    """An agent that was asked to forget the broker knows no check of it; told so, it registered again."""
+def test_the_broker_does_not_register_again_after_deregistration() -> None:
+    """Guards against registering again when a renewal arrives after the deregistration.
 
-    async def story() -> None:
+    The agent rejects such a renewal, because it no longer knows the check; the broker took that for a restart
+    of the agent and registered again.
+    """
+
+    async def scenario() -> None:
         agent = Agent()
         async with World() as world:
             setup = consul.ConsulConfig(await agent.start(), "disk-node", register="broker", ttl_s=1.0)
             client = consul.ConsulClient(world.core, setup, PLATFORM.zones, "n0", ("127.0.0.1", 5000))
-            keeping = asyncio.create_task(client.keep_registered())
+            renewing = asyncio.create_task(client.keep_registered())
             await agent.updated.wait()
-            agent.hold, agent.forgets = asyncio.Event(), 1
-            await agent.holds.wait()  # the next update is at the agent
-            leaving = asyncio.create_task(client.deregister())
+            agent.put_gate, agent.updates_to_reject = asyncio.Event(), 1
+            await agent.put_waiting.wait()  # the next renewal has reached the agent
+            deregistering = asyncio.create_task(client.deregister())
             await asyncio.sleep(0)
-            agent.hold.set()  # which now knows no such check
-            await asyncio.wait([keeping, leaving])
+            agent.put_gate.set()  # the agent now rejects that renewal
+            await asyncio.wait([renewing, deregistering])
             await client.close()
-        paths = [path.removeprefix("/v1/agent/") for path, _ in agent.put]
+        paths = [path.removeprefix("/v1/agent/") for path, _ in agent.puts]
         assert paths == ["service/register", *["check/update/service:n0"] * 2, "service/deregister/n0"]
         await agent.runner.cleanup()
 
-    run(story())
+    run(scenario())
 
 
-def test_a_silent_agent_does_not_hold_up_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What the broker does at an end begins while the agent is still asked to forget it."""
+def test_an_unresponsive_agent_does_not_delay_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The shutdown proceeds while the deregistration still waits for the agent's response."""
     monkeypatch.setattr(consul, "CALL_TIMEOUT", ClientTimeout(total=None))
 
-    async def story() -> None:
+    async def scenario() -> None:
         agent = Agent()
-        agent.hold = asyncio.Event()
+        agent.put_gate = asyncio.Event()
         setup = consul.ConsulConfig(await agent.start(), "disk-node", register="broker")
         broker = Broker(
             config.parse_platform_config(raw() | {"listen": "127.0.0.1:0"}, {}),
             config.OperatorConfig(consul=setup),
         )
         broker._consul = consul.ConsulClient(broker.core, setup, {}, "n0", ("127.0.0.1", 1))
-        lingers, go = asyncio.Event(), asyncio.Event()
-        told, put = [], broker._consul._put  # type: list[str], Any
+        lingering, proceed = asyncio.Event(), asyncio.Event()
+        answered_paths, put = [], broker._consul._put  # type: list[str], Any
 
-        async def tell(path: str, body: Any) -> None:
+        async def record_put(path: str, body: Any) -> None:
             await put(path, body)
-            told.append(path)
+            answered_paths.append(path)
 
-        monkeypatch.setattr(broker._consul, "_put", tell)
+        monkeypatch.setattr(broker._consul, "_put", record_put)
 
         async def linger(*_: object, **__: object) -> None:
-            lingers.set()
-            await go.wait()
+            lingering.set()
+            await proceed.wait()
 
         monkeypatch.setattr(broker.front, "linger", linger)
         ending = asyncio.create_task(broker.end())
-        await lingers.wait()
-        await agent.holds.wait()
-        closes = asyncio.Event()
+        await lingering.wait()
+        await agent.put_waiting.wait()
+        closing = asyncio.Event()
 
         async def close() -> None:
-            closes.set()
+            closing.set()
 
         monkeypatch.setattr(broker.front, "close", close)
-        go.set()
-        await closes.wait()
-        agent.hold.set()  # it answers behind all others, and is waited for
+        proceed.set()
+        await closing.wait()
+        agent.put_gate.set()  # the shutdown waits for this last response
         await ending
-        assert told == ["/agent/service/deregister/n0"]
+        assert answered_paths == ["/agent/service/deregister/n0"]
         await agent.runner.cleanup()
 
-    run(story())
+    run(scenario())
--- a/tests/test_nbd.py
+++ b/tests/test_nbd.py
@@ -1,4 +1,4 @@
-"""NBD: the codec on cuts and garbage, and whole paths between clients and nodes of our own on loopback."""
+"""NBD: the codec on split and corrupted input, and commands from test clients to test nodes on loopback."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     | nbd.TransmissionFlag.CAN_MULTI_CONN
 )
 BLOCK = bytes(range(256)) * 4
-GREETING = 18
+GREETING_BYTES = 18
 
 
-def setup(*nodes: BlockNode, **more: Any) -> nbd.NbdConfig:
-    """As the operator's file would say it; shard i is held by the i-th node."""
+def setup(*nodes: BlockNode, **overrides: Any) -> nbd.NbdConfig:
+    """Return the settings as parsed from an operator's file; node ``d<i>`` is the i-th of ``nodes``."""
     table = {
         "enabled": True,
         "listen": "127.0.0.1:0",
@@ -42,20 +42,20 @@
             "claims": {"volume": VOLUME, "shard": 0, "plan": "basic", "size": 1 << 20},
             "scans": {"volume": VOLUME, "shard": 0, "plan": "basic", "size": 1 << 20, "read_only": True},
         },
-        **more,
+        **overrides,
     }
-    found = config.parse_operator_config({"nbd": table}, PLATFORM.settings).nbd
-    assert found is not None
-    return found
+    nbd_config = config.parse_operator_config({"nbd": table}, PLATFORM.settings).nbd
+    assert nbd_config is not None
+    return nbd_config
 
 
 class BlockNode:
-    """A stand-in storage node: notes each whole command, then does what its script says."""
+    """A test storage node: records each complete command, then executes the next step of its script."""
 
     def __init__(self, *script: str, flags: int = NODE_FLAGS) -> None:
         self.script, self.flags, self.disk = list(script), flags, bytearray(1 << 20)
         self.seen: list[tuple[Command, bytes]] = []
-        self.arrived, self.hung_up, self.port = asyncio.Condition(), asyncio.Event(), 0
+        self.arrived, self.disconnected, self.port = asyncio.Condition(), asyncio.Event(), 0
 
     async def start(self) -> BlockNode:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -75,13 +75,13 @@
                 + nbd.pack_option_reply(number, nbd.OptionReplyType.ACK)
             )
             while True:
-                call = await nbd.read_command_request(reader)
-                payload = await reader.readexactly(call.length if call.command == Command.WRITE else 0)
+                request = await nbd.read_command_request(reader)
+                payload = await reader.readexactly(request.length if request.command == Command.WRITE else 0)
                 async with self.arrived:
-                    self.seen.append((Command(call.command), payload))
+                    self.seen.append((Command(request.command), payload))
                     self.arrived.notify_all()
                 if not await self._step(
-                    self.script.pop(0) if self.script else "ok", call, payload, reader, writer
+                    self.script.pop(0) if self.script else "ok", request, payload, reader, writer
                 ):
                     return
         except (EOFError, OSError):
@@ -92,7 +92,7 @@
     async def _step(
         self,
         step: str,
-        call: CommandRequest,
+        request: CommandRequest,
         payload: bytes,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -100,37 +100,39 @@
         if step == "drop":
             return False
         if step.isdigit():
-            writer.write(nbd.make_error_chunk(call.cookie, int(step), "no").pack())
+            writer.write(nbd.make_error_chunk(request.cookie, int(step), "no").pack())
             return True
-        end = call.offset + call.length
-        if call.command == Command.WRITE:
-            self.disk[call.offset : end] = payload
-        if call.command != Command.READ:
-            done = nbd.pack_simple_reply(call.cookie)
-            writer.write(done[:7] if step == "stall" else done)
+        end = request.offset + request.length
+        if request.command == Command.WRITE:
+            self.disk[request.offset : end] = payload
+        if request.command != Command.READ:
+            reply = nbd.pack_simple_reply(request.cookie)
+            writer.write(reply[:7] if step == "stall" else reply)
         else:
-            middle, data = call.offset + call.length // 2, self.disk
-            writer.write(nbd.make_data_chunk(call.cookie, middle, bytes(data[middle:end]), 0).pack())
+            middle, data = request.offset + request.length // 2, self.disk
+            writer.write(nbd.make_data_chunk(request.cookie, middle, bytes(data[middle:end]), 0).pack())
             if step != "stall":
                 writer.write(
-                    nbd.make_data_chunk(call.cookie, call.offset, bytes(data[call.offset : middle])).pack()
+                    nbd.make_data_chunk(
+                        request.cookie, request.offset, bytes(data[request.offset : middle])
+                    ).pack()
                 )
         if step == "stall":
             await reader.read(1)
-            self.hung_up.set()
+            self.disconnected.set()
         return step != "stall"
 
 
 class Client:
-    """An NBD client that checks each reply's frame and that each command gets one final reply."""
+    """A test client that validates each reply and that it belongs to the expected command."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer, self.structured, self.calls = reader, writer, False, {}  # type: ignore
+        self.reader, self.writer, self.structured, self.requests = reader, writer, False, {}  # type: ignore
 
     @classmethod
     async def connect(cls, port: int) -> Client:
         client = cls(*await asyncio.open_connection("127.0.0.1", port))
-        assert await client.reader.readexactly(GREETING) == nbd.pack_greeting()
+        assert await client.reader.readexactly(GREETING_BYTES) == nbd.pack_greeting()
         client.writer.write(struct.pack(">I", 3))
         return client
 
@@ -153,13 +155,15 @@
     def send(
         self, command: int, offset: int = 0, length: int = 0, payload: bytes = b"", flags: int = 0
     ) -> int:
-        cookie = len(self.calls) + 1
-        self.calls[cookie] = call = CommandRequest(command, flags, cookie, offset, length or len(payload))
-        self.writer.write(call.pack() + payload)
+        cookie = len(self.requests) + 1
+        self.requests[cookie] = request = CommandRequest(
+            command, flags, cookie, offset, length or len(payload)
+        )
+        self.writer.write(request.pack() + payload)
         return cookie
 
     async def reply(self, cookie: int) -> CommandReply:
-        return await nbd.read_reply(self.reader, self.calls[cookie], structured=self.structured)
+        return await nbd.read_reply(self.reader, self.requests[cookie], structured=self.structured)
 
     async def do(
         self, command: int, offset: int = 0, length: int = 0, payload: bytes = b"", flags: int = 0
@@ -168,10 +172,10 @@
         return reply.errno, bytes(reply.data)
 
 
-def test_the_handshake_offers_what_works_and_no_more() -> None:
-    async def story() -> None:
+def test_handshake_advertises_only_supported_features() -> None:
+    async def scenario() -> None:
         async with World() as world:
-            front, port = await world.nbd(setup())
+            server, port = await world.nbd(setup())
             client = await Client.connect(port)
             assert await client.option(77, b"what") == [(nbd.OptionReplyType.ERR_UNSUP, b"")]
             assert [
@@ -192,41 +196,41 @@
             )
             assert plain[1][1] == struct.pack(">HIII", 3, 512, 4096, 65536)
             await client.option(Option.STRUCTURED_REPLY)
-            fixed = await client.option(Option.INFO, nbd.pack_go_data("scans"))
-            assert fixed[0][1][-2:] == struct.pack(
+            read_only = await client.option(Option.INFO, nbd.pack_go_data("scans"))
+            assert read_only[0][1][-2:] == struct.pack(
                 ">H", 1 | nbd.TransmissionFlag.READ_ONLY | nbd.TransmissionFlag.SEND_DF
             )
             assert (
                 await client.option(Option.ABORT) == [(nbd.OptionReplyType.ACK, b"")]
                 and not await client.reader.read()
             )
-            old = await Client.connect(port)
-            old.writer.write(nbd.pack_option(Option.EXPORT_NAME, b"scans"))
-            assert await old.reader.readexactly(10) == struct.pack(
+            export_name_client = await Client.connect(port)
+            export_name_client.writer.write(nbd.pack_option(Option.EXPORT_NAME, b"scans"))
+            assert await export_name_client.reader.readexactly(10) == struct.pack(
                 ">QH", 1 << 20, 1 | nbd.TransmissionFlag.READ_ONLY
             )
-            front.drain()
+            server.drain()
             late = await Client.connect(port)
             assert (await late.option(Option.GO, nbd.pack_go_data("claims")))[0][
                 0
             ] == nbd.OptionReplyType.ERR_SHUTDOWN
-            await front.close()
+            await server.close()
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize("structured", [True, False])
-def test_commands_reach_the_node_and_come_back_whole(structured: bool) -> None:
-    async def story() -> None:
+def test_commands_reach_the_node_and_replies_are_complete(structured: bool) -> None:
+    async def scenario() -> None:
         node = await BlockNode().start()
         async with World(Node()) as world:
-            front, port = await world.nbd(setup(node))
+            server, port = await world.nbd(setup(node))
             client = await Client.mounted(port, structured=structured)
             assert await client.do(Command.WRITE, 4096, payload=BLOCK) == (0, b"")
             assert await client.do(Command.READ, 4096, len(BLOCK)) == (0, BLOCK)
             assert await client.do(Command.FLUSH) == (0, b"")
             assert await client.do(Command.TRIM, 0, 1 << 20) == (0, b"")
-            order = [client.send(Command.READ, 512 * i, 512) for i in range(20)]  # past the pipelining bound
+            order = [client.send(Command.READ, 512 * i, 512) for i in range(20)]  # over the pipeline limit
             magics = [
                 await nbd.read_fields(client.reader, ">I")
                 and await client.reader.readexactly(12 + 512 if not structured else 16 + 8 + 512)
@@ -236,15 +240,15 @@
             client.send(Command.DISC)
             assert not await client.reader.read()
             assert world.core.counts == {"taken": 24, "served": 24} and len(node.seen) == 24
-            await front.close()
+            await server.close()
 
-    run(story())
+    run(scenario())
 
 
-def test_a_command_that_cannot_be_is_answered_and_never_sent() -> None:
-    async def story() -> None:
+def test_an_invalid_command_is_rejected_and_never_sent() -> None:
+    async def scenario() -> None:
         async with World(Node()) as world:
-            front, port = await world.nbd(setup())
+            server, port = await world.nbd(setup())
             client, reader = await Client.mounted(port), await Client.mounted(port, "scans")
             big = 1 << 20
             for errno, args in [
@@ -262,107 +266,109 @@
                 assert (await client.do(*args))[0] == errno, args
             assert (await reader.do(Command.WRITE, 0, 0, BLOCK))[0] == Errno.EPERM
             assert not world.core.counts
-            client.writer.write(b"\0" * 28)  # no magic: nothing that follows can be trusted
+            client.writer.write(b"\0" * 28)  # wrong magic: the rest of the stream cannot be parsed
             assert not await client.reader.read()
-            await front.close()
+            await server.close()
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
     ("script", "flags", "errno", "sends"),
     [
-        ("drop", NODE_FLAGS, Errno.EIO, 1),  # it may have run: never again
+        ("drop", NODE_FLAGS, Errno.EIO, 1),  # it may have been executed: not retried
         ("stall", NODE_FLAGS, Errno.EIO, 1),
-        ("28", NODE_FLAGS, Errno.ENOSPC, 1),  # the node's own word
+        ("28", NODE_FLAGS, Errno.ENOSPC, 1),  # the node's error is forwarded
         (
             "ok",
             NODE_FLAGS & ~nbd.TransmissionFlag.CAN_MULTI_CONN,
             Errno.ENOMEM,
             0,
-        ),  # no flush could cover it: refused, harmless
+        ),  # no flush could cover the write: rejected, a retry is safe
     ],
 )
-def test_a_write_has_one_final_reply_and_one_run(script: str, flags: int, errno: int, sends: int) -> None:
-    async def story() -> None:
+def test_a_write_is_sent_at_most_once_and_gets_one_reply(
+    script: str, flags: int, errno: int, sends: int
+) -> None:
+    async def scenario() -> None:
         node = await BlockNode(script, flags=flags).start()
         async with World(Node(), platform=config.parse_platform_config(raw(1), {})) as world:
-            front, port = await world.nbd(setup(node))
+            server, port = await world.nbd(setup(node))
             client = await Client.mounted(port)
             reply = await client.reply(client.send(Command.WRITE, 0, payload=BLOCK))
             assert (reply.errno, len(node.seen)) == (errno, sends)
             assert ("retry after" in reply.message) == (errno == Errno.ENOMEM)
             client.send(Command.DISC)
-            assert not await client.reader.read()  # and nothing came behind the final reply
-            await front.close()
+            assert not await client.reader.read()  # nothing followed the final reply
+            await server.close()
 
-    run(story())
+    run(scenario())
 
 
-def test_a_read_cut_short_by_a_stall_ends_in_one_answer() -> None:
-    async def story() -> None:
+def test_a_read_that_stalls_during_its_reply_gets_one_reply() -> None:
+    async def scenario() -> None:
         node = await BlockNode("stall").start()
         async with World(Node(), platform=config.parse_platform_config(raw(1), {})) as world:
-            front, port = await world.nbd(setup(node))
+            server, port = await world.nbd(setup(node))
             client = await Client.mounted(port)
-            assert (await client.do(Command.READ, 0, 4096))[0] == Errno.ENOMEM  # a read may be repeated
-            await node.hung_up.wait()  # the connection with the rest of the reply is never used again
+            assert (await client.do(Command.READ, 0, 4096))[0] == Errno.ENOMEM  # a read may be retried
+            await node.disconnected.wait()  # the connection with the incomplete reply was closed, not reused
             client.send(Command.DISC)
             assert not await client.reader.read()
             assert world.core.endings == {Ending.TIMED_OUT: 1}
-            await front.close()
+            await server.close()
 
-    run(story())
+    run(scenario())
 
 
-def test_a_flush_fails_once_where_another_life_holds_the_writes() -> None:
-    async def story() -> None:
+def test_a_flush_fails_once_after_a_node_restart() -> None:
+    async def scenario() -> None:
         node = await BlockNode().start()
         async with World(Node()) as world:
-            front, port = await world.nbd(setup(node))
+            server, port = await world.nbd(setup(node))
             client = await Client.mounted(port)
             assert (await client.do(Command.WRITE, 0, payload=BLOCK))[0] == 0
             world.core.update(NodeList(2, True, (Member("d0", "127.0.0.1:1", 0, since_ms=1e6),)))
             assert [(await client.do(Command.FLUSH))[0] for _ in range(2)] == [Errno.EIO, 0]
-            await front.close()
+            await server.close()
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize("pipeline", [1, 4])
-def test_clients_that_leave_are_told_and_their_writes_run_once(pipeline: int) -> None:
-    async def story() -> None:
+def test_disconnection_cancels_a_write_that_was_sent_once(pipeline: int) -> None:
+    async def scenario() -> None:
         node = await BlockNode("stall").start()
         async with World(Node()) as world:
-            front, port = await world.nbd(setup(node, pipeline=pipeline))
+            server, port = await world.nbd(setup(node, pipeline=pipeline))
             client = await Client.mounted(port)
             client.send(Command.WRITE, 0, payload=BLOCK)
             async with node.arrived:
                 await node.arrived.wait_for(lambda: node.seen)
             client.writer.transport.abort()
-            await node.hung_up.wait()
+            await node.disconnected.wait()
             await world.core.idle()
             assert len(node.seen) == 1 and world.core.counts == {"taken": 1, "client gone": 1}
-            await front.close()
+            await server.close()
 
-    run(story())
+    run(scenario())
 
 
-def test_both_wires_through_one_core_keep_the_same_accounts() -> None:
-    """Clients of both kinds, nodes that stall, drop and err: one answer each, no write twice."""
+def test_http_and_nbd_requests_through_one_core_are_counted_consistently() -> None:
+    """With nodes that stall, disconnect and fail, each request gets one answer and no write is sent twice."""
 
-    async def story() -> None:
-        dice = random.Random(7)
-        steps = ["ok", "stall", "drop", "ok", "5"] + dice.choices(["ok"] * 7 + ["drop", "5"], k=60)
+    async def scenario() -> None:
+        rng = random.Random(7)
+        steps = ["ok", "stall", "drop", "ok", "5"] + rng.choices(["ok"] * 7 + ["drop", "5"], k=60)
         blocks, files = (
             await BlockNode(*steps).start(),
             await Node(*[{"stall": "hang", "5": "500"}.get(step, step) for step in steps]).start(),
         )
         async with World(
-            blocks_place := Node(), files, platform=config.parse_platform_config(raw(3), {})
+            nbd_node := Node(), files, platform=config.parse_platform_config(raw(3), {})
         ) as world:
-            assert blocks_place.port == 0  # shard 0 is reached by NBD alone
-            front, port = await world.nbd(
+            assert nbd_node.port == 0  # shard 0 is reached only over NBD
+            server, port = await world.nbd(
                 setup(
                     blocks,
                     exports={"claims": {"volume": VOLUME, "shard": 0, "plan": "priority", "size": 1 << 20}},
@@ -370,7 +376,7 @@
             )
             verdicts: list[str] = []
 
-            async def mount(number: int) -> None:
+            async def send_nbd_writes(number: int) -> None:
                 client = await Client.mounted(port)
                 for turn in range(5):
                     text = struct.pack(">II", number, turn) * 64
@@ -378,9 +384,9 @@
                     verdicts.append({0: "served", Errno.ENOMEM: "refused"}.get(errno, "failed"))
                 client.send(Command.WRITE, 512 * number, payload=struct.pack(">II", number, 99) * 64)
                 await client.writer.drain()
-                client.writer.transport.abort()  # mid-reply, or before it
+                client.writer.transport.abort()  # during the reply, or before it
 
-            async def browse(number: int) -> None:
+            async def send_http_writes(number: int) -> None:
                 for turn in range(5):
                     status, _, _ = await world.ask(
                         cls="claim-write",
@@ -393,15 +399,16 @@
                     )
                     verdicts.append({200: "served", 503: "refused"}.get(status, "failed"))
 
-            await asyncio.gather(*map(mount, range(4)), *map(browse, range(4)))
-            await front.close()
+            await asyncio.gather(*map(send_nbd_writes, range(4)), *map(send_http_writes, range(4)))
+            await server.close()
             await world.core.idle()
         writes = [payload for _, payload in blocks.seen] + [seen["x-request-id"] for seen in files.seen]
         assert len(writes) == len(set(writes)) and writes
         assert world.core.endings[Ending.TIMED_OUT] and world.core.endings[Ending.BROKEN]
         counts, gone = world.core.counts, world.core.counts["client gone"]
         assert len(verdicts) == 40 and 0 <= counts["taken"] - 40 <= 4
-        served_unread = counts["served"] + counts["refused"] + counts["failed"] - 40  # left before the reply
+        # Answered, but the client disconnected before the reply.
+        served_unread = counts["served"] + counts["refused"] + counts["failed"] - 40
         assert counts["taken"] == 40 + gone + served_unread and gone + served_unread <= 4
         assert {v: verdicts.count(v) for v in set(verdicts)}.keys() <= {"served", "refused", "failed"}
         for verdict in ("served", "refused", "failed"):
@@ -420,7 +427,7 @@
         )
         assert len(writes) <= sum(world.core.endings.values()) <= len(writes) + never_sent + gone
 
-    run(story())
+    run(scenario())
 
 
 CALL = CommandRequest(Command.READ, 0, 5, 4096, 1024)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store: convergence under loss and partition, restarts, and what a datagram may say."""
+"""The shared map: convergence under loss, partition and restart, and the permitted effects of datagrams."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from support import Node, World, fuzz, run, spoiled
 
-from cherrycove.broker import shared_map as store
+from cherrycove.broker import shared_map
 from cherrycove.broker.core import Member, NodeList
 from cherrycove.broker.shared_map import Entry, EntryError, SharedMap
 from cherrycove.scheduling.interface import NodeState
@@ -22,22 +22,25 @@
 
 def rounds(
     brokers: list[SharedMap],
-    dice: random.Random,
+    rng: random.Random,
     count: int,
     loss: float = 0.0,
     apart: tuple[SharedMap, ...] = (),
 ) -> None:
-    """Anti-entropy over a network that loses datagrams, and all between ``apart`` and the others."""
+    """Run ``count`` rounds of anti-entropy over a network that loses datagrams.
 
-    def carry(data: bytes, source: SharedMap, target: SharedMap) -> None:
+    A datagram is lost with probability ``loss``, and always between a broker in ``apart`` and one outside.
+    """
+
+    def deliver(data: bytes, source: SharedMap, target: SharedMap) -> None:
         assert len(data) <= 256
-        if dice.random() >= loss and (source in apart) == (target in apart):
+        if rng.random() >= loss and (source in apart) == (target in apart):
             for reply in target.receive(data):
-                carry(reply, target, source)
+                deliver(reply, target, source)
 
     for _ in range(count):
         for broker in brokers:
-            carry(broker.digest(), broker, dice.choice([each for each in brokers if each is not broker]))
+            deliver(broker.digest(), broker, rng.choice([each for each in brokers if each is not broker]))
 
 
 @fuzz
@@ -63,18 +66,18 @@
     assert first.get("k") == "old"
     second.put("k", "other", 3)
     rounds([first, second], random.Random(1), 3)
-    assert first.get("k") == second.get("k") == "other"  # the same counter: the greater name
+    assert first.get("k") == second.get("k") == "other"  # the counters are equal: the greater name wins
     second.put("k", None)
     rounds([first, second], random.Random(1), 3)
-    first.receive(Entry("k", 3, "b", "other").pack())  # an old copy comes by
+    first.receive(Entry("k", 3, "b", "other").pack())  # an outdated copy arrives
     assert first.get("k") is None and not first.items()
 
 
-def test_a_map_of_any_size_is_caught_up_by_bounded_answers() -> None:
+def test_a_large_map_is_replicated_in_bounded_replies() -> None:
     full, empty = SharedMap("a"), SharedMap("b")
     for i in range(300):
         full.put(f"config/{i}", "x" * 200)
-    assert len(full.receive(empty.digest())) <= store.MAX_ENTRIES_PER_REPLY + 1
+    assert len(full.receive(empty.digest())) <= shared_map.MAX_ENTRIES_PER_REPLY + 1
     rounds([full, empty], random.Random(1), 200)
     assert len(empty.items()) == 300
     with pytest.raises(EntryError):
@@ -96,53 +99,57 @@
         assert not broker.items()
 
 
-def test_peers_may_take_away_but_never_permit() -> None:
-    async def story() -> None:
+def test_peer_entries_may_drain_a_node_but_never_restore_it() -> None:
+    async def scenario() -> None:
         async with World(await Node().start()) as world:
             core, member = world.core, replace(world.members[0], since_ms=5.0)
             core.update(NodeList(4, True, (member,)))
 
-            def heard(version: int, state: NodeState, since: float = 5.0, name: str = "d0") -> NodeState:
+            def apply_entry(
+                version: int, state: NodeState, since: float = 5.0, name: str = "d0"
+            ) -> NodeState:
                 value = json.dumps([state.value, member.address, 0, since])
-                store.apply_peer_drain(core, Entry(f"node/{name}", version, "n9", value))
+                shared_map.apply_peer_drain(core, Entry(f"node/{name}", version, "n9", value))
                 return core.members[0].state
 
             draining = NodeState.DRAINING
-            assert heard(5, draining) is NodeState.UP  # discovery speaks: it is the one to tell
+            assert apply_entry(5, draining) is NodeState.UP  # discovery is reachable and takes precedence
             core.list_unavailable()
-            assert heard(4, draining) is NodeState.UP and heard(5, draining, 9.0) is NodeState.UP
-            assert heard(5, NodeState.UP, name="d9") is NodeState.UP and len(core.members) == 1
-            store.apply_peer_drain(core, Entry("node/d0", 5, "n9", "[]"))
-            assert heard(5, draining) is draining and (await world.ask(ms=500))[0] == 503
-            assert heard(6, NodeState.UP) is draining and not core.ready
-            core.update(NodeList(6, True, (member,)))  # its own list's word
+            assert apply_entry(4, draining) is NodeState.UP and apply_entry(5, draining, 9.0) is NodeState.UP
+            assert apply_entry(5, NodeState.UP, name="d9") is NodeState.UP and len(core.members) == 1
+            shared_map.apply_peer_drain(core, Entry("node/d0", 5, "n9", "[]"))
+            assert apply_entry(5, draining) is draining and (await world.ask(ms=500))[0] == 503
+            assert apply_entry(6, NodeState.UP) is draining and not core.ready
+            core.update(NodeList(6, True, (member,)))  # the broker's own list restores the node
             assert core.ready
 
-    run(story())
+    run(scenario())
 
 
-def test_gossip_on_sockets_tells_lists_and_hears_no_strangers() -> None:
-    async def story() -> None:
-        heard = asyncio.Event()
-        left, right = SharedMap("a"), SharedMap("b", lambda entry: heard.set())
-        first = store.GossipProtocol(left, store.SharedMapConfig(("127.0.0.1", 0), (), 0.01))
+def test_gossip_replicates_node_lists_and_drops_datagrams_of_unknown_senders() -> None:
+    async def scenario() -> None:
+        changed = asyncio.Event()
+        left, right = SharedMap("a"), SharedMap("b", lambda entry: changed.set())
+        first = shared_map.GossipProtocol(left, shared_map.SharedMapConfig(("127.0.0.1", 0), (), 0.01))
         port = await first.start()
-        second = store.GossipProtocol(
-            right, store.SharedMapConfig(("127.0.0.1", 0), (("127.0.0.1", port),), 0.01)
+        second = shared_map.GossipProtocol(
+            right, shared_map.SharedMapConfig(("127.0.0.1", 0), (("127.0.0.1", port),), 0.01)
         )
         await second.start()
         while not left.counts["strangers"]:
             await asyncio.sleep(0.01)
         peer = second._transport.get_extra_info("sockname")  # type: ignore[union-attr]
-        first._config = store.SharedMapConfig(("127.0.0.1", 0), (peer,), 0.01)
-        first.broadcast(store.record_node_list(left, NodeList(3, True, (Member("d0", "127.0.0.1:1", 0),))))
-        await heard.wait()
+        first._config = shared_map.SharedMapConfig(("127.0.0.1", 0), (peer,), 0.01)
+        first.broadcast(
+            shared_map.record_node_list(left, NodeList(3, True, (Member("d0", "127.0.0.1:1", 0),)))
+        )
+        await changed.wait()
         while right.digest() != left.digest():
             await asyncio.sleep(0.01)
-        store.record_node_list(left, NodeList(4, True, ()))
+        shared_map.record_node_list(left, NodeList(4, True, ()))
         while right.items():
             await asyncio.sleep(0.01)
         first.close()
         second.close()
 
-    run(story())
+    run(scenario())
