--- a/cherrycove/broker/nbd/client.py
+++ b/cherrycove/broker/nbd/client.py
@@ -84,16 +84,15 @@
     failure on it and after the cancellation of the task that uses it.
     """
 
-    def __init__(self, config: NbdConfig, dial_timeout: float, most: int) -> None:
-        """Create an empty pool.
+    def __init__(self, config: NbdConfig, dial_timeout_s: float, max_connections: int) -> None:
+        """Create an empty pool of at most ``max_connections`` connections in use at the same time.
 
-        ``dial_timeout`` limits connecting and negotiating, in seconds; ``most`` is the maximum number of
-        connections in use at the same time.
+        ``dial_timeout_s`` limits the time for connecting and negotiating.
         """
         self._config = config
-        self._dial_timeout_s = dial_timeout
+        self._dial_timeout_s = dial_timeout_s
         self._idle: dict[_Endpoint, deque[_Connection]] = {}
-        self._slots = asyncio.Semaphore(most)
+        self._slots = asyncio.Semaphore(max_connections)
         self._unflushed: dict[str, UnflushedWrites] = {}  # by export
 
     def unflushed_writes(self, export: str) -> UnflushedWrites:
--- a/cherrycove/broker/process.py
+++ b/cherrycove/broker/process.py
@@ -187,7 +187,7 @@
         given: list[socket.socket] | None,
     ) -> None:
         self._nbd_pool = nbd.ConnectionPool(
-            setup, self.platform.dial_timeout_s, most=self.platform.sockets // NBD_POOL_DIVISOR
+            setup, self.platform.dial_timeout_s, max_connections=self.platform.sockets // NBD_POOL_DIVISOR
         )
         self._nbd = nbd.Server(self.core, self._nbd_pool, setup)
         for entry in entries.items("config/").values() if entries is not None else ():
