--- a/bench/admission/__init__.py
+++ b/bench/admission/__init__.py
@@ -1,6 +1,6 @@
-"""Experiments with admission: many proxies and brokers in virtual time, with the figures of a site file.
+"""Admission experiments: simulates many proxies and brokers in virtual time, as a site file describes them.
 
-``python -m bench.admission --help``. The proxies run the tier's own ``AdmissionScheduler``, the batch items
-are leased by its own ``LeaseTable``; brokers, clients and the network are models. The program reads nothing
-of this package.
+``python -m bench.admission --help`` lists the options. The proxies run the tier's own ``AdmissionScheduler``,
+and batch items are leased from its own ``LeaseTable``; brokers, clients and the network are models. The
+program does not use this package.
 """
--- a/bench/admission/batch.py
+++ b/bench/admission/batch.py
@@ -1,4 +1,4 @@
-"""Batch jobs of an experiment: the tier's own lease table, asked by a worker for each proxy."""
+"""Batch jobs of an experiment: one worker for each proxy requests leases from the tier's own lease table."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from cherrycove.tier.batch.worker.batch_worker import IDLE_INTERVAL_S, MIN_INTERVAL_S
 from cherrycove.tier.dataplane.prompt import Prompt
 
-CALL_S = 0.004  # of a lease request and its answer, besides the ways
+LEASE_CALL_S = 0.004  # duration of a lease request or of reporting a result, in addition to network delays
 RETAINED_S = 1000.0
 
 
 @attrs.define(eq=False)
 class Item:
-    """One item, and what was drawn for it."""
+    """A batch item with the prompt and the number of events that were drawn for it."""
 
     outcome: Outcome
     prompt: Prompt
@@ -35,17 +35,17 @@
 
 @attrs.define(eq=False)
 class Worker:
-    """The worker of one proxy."""
+    """The state of the batch worker of one proxy. ``incarnation`` counts the restarts of the proxy."""
 
     proxy: Proxy
     incarnation: int = 0
     sequence: int = 0
     running: dict[ItemKey, Exchange] = attrs.field(factory=dict)
-    finished_since: bool = False
+    has_finished_items: bool = False
 
 
 class BatchJobs:
-    """All jobs of a day, their leases, and the workers of the proxies."""
+    """Owns the batch jobs of a day, the lease table and the batch workers of the proxies."""
 
     def __init__(
         self, clock: Clock, site: Site, proxies: list[Proxy], prompts: PromptMaker, rng: random.Random
@@ -60,10 +60,10 @@
         self._jobs = 0
         self._workers = [Worker(proxy) for proxy in proxies]
         for worker in self._workers:
-            clock.at(rng.random() * IDLE_INTERVAL_S, self._exchange, worker)
+            clock.at(rng.random() * IDLE_INTERVAL_S, self._request_leases, worker)
 
     def submit(self, zone: ZoneTraffic, kind: RequestKind, now: float) -> None:
-        """A client hands in a job."""
+        """Add a job that a client submits; draws its items and their prompts."""
         self._jobs += 1
         job_id = f"job-{self._jobs}"
         due_at = now + kind.target_s
@@ -78,35 +78,35 @@
         self._table.add_job(job, from_earlier_epoch=False)
 
     def proxy_killed(self, proxy: Proxy) -> None:
-        """Its leases run out; its next process is another one."""
+        """Let the leases of a killed proxy expire; its next process is a new incarnation."""
         worker = self._workers[proxy.number]
         worker.incarnation += 1
         worker.running.clear()
 
-    def _exchange(self, worker: Worker) -> None:
+    def _request_leases(self, worker: Worker) -> None:
         if not worker.proxy.is_up:
-            self._clock.after(IDLE_INTERVAL_S, self._exchange, worker)
+            self._clock.after(IDLE_INTERVAL_S, self._request_leases, worker)
             return
         worker.sequence += 1
         decision = self._table.exchange(self._call(worker), self._clock.now)
         for grant in decision.granted:
-            self._clock.after(CALL_S, self._begin, worker, grant, worker.incarnation)
+            self._clock.after(LEASE_CALL_S, self._start_item, worker, grant, worker.incarnation)
         is_busy = bool(worker.running or decision.granted or decision.waiting)
         self._schedule(worker, RENEWAL_INTERVAL_S if is_busy else IDLE_INTERVAL_S)
 
     def _schedule(self, worker: Worker, pause_s: float) -> None:
-        worker.finished_since = False
+        worker.has_finished_items = False
         token = worker.sequence
-        self._clock.after(MIN_INTERVAL_S, self._exchange_if_finished, worker, token)
-        self._clock.after(MIN_INTERVAL_S + pause_s, self._exchange_if_due, worker, token)
+        self._clock.after(MIN_INTERVAL_S, self._request_leases_if_finished, worker, token)
+        self._clock.after(MIN_INTERVAL_S + pause_s, self._request_leases_if_due, worker, token)
 
-    def _exchange_if_finished(self, worker: Worker, token: int) -> None:
-        if token == worker.sequence and worker.finished_since:
-            self._exchange(worker)
+    def _request_leases_if_finished(self, worker: Worker, token: int) -> None:
+        if token == worker.sequence and worker.has_finished_items:
+            self._request_leases(worker)
 
-    def _exchange_if_due(self, worker: Worker, token: int) -> None:
+    def _request_leases_if_due(self, worker: Worker, token: int) -> None:
         if token == worker.sequence:
-            self._exchange(worker)
+            self._request_leases(worker)
 
     def _call(self, worker: Worker) -> LeaseCall:
         proxy = worker.proxy
@@ -122,7 +122,7 @@
             usable_brokers=proxy.scheduler.brokers_for_items({SERVICE}, self._clock.now),
         )
 
-    def _begin(self, worker: Worker, grant: Grant, incarnation: int) -> None:
+    def _start_item(self, worker: Worker, grant: Grant, incarnation: int) -> None:
         if incarnation != worker.incarnation or not worker.proxy.is_up:
             return
         key = grant.key
@@ -132,9 +132,9 @@
 
         def done() -> None:
             worker.running.pop(key, None)
-            worker.finished_since = True
-            self._clock.after(CALL_S, self._resolve, key)
-            self._clock.after(CALL_S, self._exchange_if_spare, worker)
+            worker.has_finished_items = True
+            self._clock.after(LEASE_CALL_S, self._resolve, key)
+            self._clock.after(LEASE_CALL_S, self._request_leases_soon, worker)
 
         exchange = Exchange(
             outcome=item.outcome, request=request, events_left=item.events,
@@ -143,19 +143,19 @@
         worker.running[key] = exchange
         worker.proxy.accept(exchange)
 
-    def _exchange_if_spare(self, worker: Worker) -> None:
-        """A worker whose last exchange is long past asks again as soon as an item ends."""
-        if worker.finished_since and worker.proxy.is_up:
+    def _request_leases_soon(self, worker: Worker) -> None:
+        """Request leases soon after an item ends, without waiting for the next regular request."""
+        if worker.has_finished_items and worker.proxy.is_up:
             token = worker.sequence
-            self._clock.after(MIN_INTERVAL_S / 2, self._exchange_if_finished, worker, token)
+            self._clock.after(MIN_INTERVAL_S / 2, self._request_leases_if_finished, worker, token)
 
     def _resolve(self, key: ItemKey) -> None:
         self._table.resolve(key, self._clock.now)
 
 
 def _ignore_rejection(_: float) -> None:
-    """An item waits on."""
+    """Do nothing: the proxy resubmits a rejected item itself."""
 
 
 def _ignore_failure() -> None:
-    """The lease of a killed proxy's item runs out."""
+    """Do nothing: the lease of an item at a killed proxy expires."""
--- a/bench/admission/clock.py
+++ b/bench/admission/clock.py
@@ -1,4 +1,4 @@
-"""Virtual time: an agenda of calls."""
+"""Virtual time: a queue of scheduled calls."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 
 class Clock:
-    """Calls functions in the order of their times, those of one time in the order of their entry."""
+    """Calls functions in the order of their times; those of the same time in scheduling order."""
 
     def __init__(self) -> None:
         self.now = 0.0
-        self._serial = 0
-        self._agenda: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
+        self._sequence = 0
+        self._queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
 
     def at(self, when: float, call: Callable[..., None], *arguments: Any) -> None:
-        """Call at a time, now at the earliest."""
-        self._serial += 1
-        heappush(self._agenda, (max(when, self.now), self._serial, call, arguments))
+        """Schedule a call at ``when``, or now if that is past."""
+        self._sequence += 1
+        heappush(self._queue, (max(when, self.now), self._sequence, call, arguments))
 
     def after(self, delay_s: float, call: Callable[..., None], *arguments: Any) -> None:
-        """Call after a delay."""
+        """Schedule a call after a delay."""
         self.at(self.now + delay_s, call, *arguments)
 
     def run(self, until: float) -> None:
-        """Make all calls up to a time."""
-        while self._agenda and self._agenda[0][0] <= until:
-            self.now, _, call, arguments = heappop(self._agenda)
+        """Make all calls that are due by ``until``."""
+        while self._queue and self._queue[0][0] <= until:
+            self.now, _, call, arguments = heappop(self._queue)
             call(*arguments)
--- a/bench/admission/constants.py
+++ b/bench/admission/constants.py
@@ -1,4 +1,4 @@
-"""Constants of the program, set to other values for one experiment: sensitivities and ablations."""
+"""Overrides constants of the program for one experiment, for sensitivity and ablation studies."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class ConstantError(ValueError):
-    """A setting that names no constant of the program, or gives it no number."""
+    """A setting is malformed, names no constant of the program, or its value is not a number."""
 
 
 @attrs.frozen
 class ConstantSetting:
-    """One named constant of a module, and its value."""
+    """A new value for a named constant of a module."""
 
     module: str
     name: str
@@ -23,7 +23,10 @@
 
     @classmethod
     def parse(cls, text: str) -> ConstantSetting:
-        """Read ``package.module.NAME=VALUE``, with the package below ``cherrycove.tier``."""
+        """Parse ``package.module.NAME=VALUE``, with the package relative to ``cherrycove.tier``.
+
+        Raises ``ConstantError`` for any other form.
+        """
         path, is_set, value = text.partition("=")
         module, _, name = path.rpartition(".")
         if not (is_set and module and name.isupper()):
@@ -31,15 +34,15 @@
         try:
             return cls(f"{PACKAGE}.{module}", name, float(value))
         except ValueError as error:
-            raise ConstantError(f"{text!r}: {value!r} is no number") from error
+            raise ConstantError(f"{text!r}: {value!r} is not a number") from error
 
     def apply(self) -> None:
-        """Set it in this process; raises ``ConstantError`` where there is no such constant."""
+        """Set the constant in this process; raises ``ConstantError`` if there is no such numeric constant."""
         try:
             module = import_module(self.module)
         except ModuleNotFoundError as error:
             raise ConstantError(f"there is no module {self.module}") from error
         present = getattr(module, self.name, None)
         if not isinstance(present, int | float):
-            raise ConstantError(f"{self.module} has no number {self.name}")
+            raise ConstantError(f"{self.module} has no numeric constant {self.name}")
         setattr(module, self.name, type(present)(self.value))
--- a/bench/admission/experiment.py
+++ b/bench/admission/experiment.py
@@ -1,4 +1,4 @@
-"""One day of one site, with one seed: assembles the models, plays them, and sums them up."""
+"""Simulates one day of a site with one seed: assembles the models, runs them and summarises the outcomes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from bench.admission.batch import BatchJobs
 from bench.admission.clock import Clock
-from bench.admission.faults import FaultPlayer
+from bench.admission.faults import FaultScheduler
 from bench.admission.network import SERVICE, Network
 from bench.admission.outcomes import Figures, Outcome, figures
 from bench.admission.proxy import Proxy
@@ -18,25 +18,25 @@
 from cherrycove.tier.configuration import Configuration, Engine, Route, Service
 from cherrycove.tier.dataplane.admission import ClusterSnapshot
 
-NEWS_DELAY_S = (0.01, 0.1)  # from the platform's list to a proxy
-RATES_INTERVAL_S = 1.0
-SETTLE_S = 10.0  # behind the last request
+PROPAGATION_DELAY_S = (0.01, 0.1)  # range of the delay from a change of the platform's listing to a proxy
+PUBLISH_INTERVAL_S = 1.0
+SETTLE_S = 10.0  # after the last request
 
 
 @attrs.frozen
 class Result:
-    """One played day."""
+    """The result of one simulated day."""
 
     seed: int
     figures: Figures
-    losses: dict[str, dict[str, int]]  # by kind, then by how it ended
-    most_waiting: int  # in the queue of any broker
+    losses: dict[str, dict[str, int]]  # counts by request kind, then by cause of loss
+    max_waiting: int  # longest queue of any broker
     new_connections: int
-    left_out: tuple[str, ...]  # kinds of faults that were not played
+    skipped_faults: tuple[str, ...]  # kinds of faults that this model does not support
 
 
 class Experiment:
-    """Owns all models of one day."""
+    """Owns all models of one simulated day."""
 
     def __init__(self, site: Site, day: Day, seed: int) -> None:
         self._site = site
@@ -44,29 +44,29 @@
         self._seed = seed
         self._clock = Clock()
         self._proxies: list[Proxy] = []
-        self._network = Network(self._clock, site, self._spread_list)
+        self._network = Network(self._clock, site, self._publish_listing)
         for zone, count in site.proxies.items():
             for _ in range(count):
                 self._proxies.append(self._new_proxy(zone))
-        self._faults = FaultPlayer(self._clock, site, self._network, self._rng, self._kill_proxies)
+        self._faults = FaultScheduler(self._clock, site, self._network, self._rng, self._kill_proxies)
         for fault in day.faults:
             self._faults.add(fault)
-        self._spread_list()
+        self._publish_listing()
         self._clients = Clients(self._clock, site, day, self._proxies, self._rng, self._submit)
         self._batch = BatchJobs(self._clock, site, self._proxies, self._clients.prompts, self._rng)
-        self._clock.after(RATES_INTERVAL_S, self._spread_rates)
+        self._clock.after(PUBLISH_INTERVAL_S, self._publish_periodically)
 
-    def play(self) -> Result:
-        """Play the day to its end."""
+    def run(self) -> Result:
+        """Simulate the day to its end and return its result."""
         self._clock.run(self._site.length_s + SETTLE_S)
         outcomes = [*self._clients.outcomes, *self._batch.outcomes]
         return Result(
             seed=self._seed,
             figures=figures(outcomes),
             losses=_losses(outcomes),
-            most_waiting=max(engine.most_waiting for engine in self._network.engines),
+            max_waiting=max(engine.max_waiting for engine in self._network.engines),
             new_connections=self._network.new_connections,
-            left_out=tuple(sorted(set(self._faults.left_out))),
+            skipped_faults=tuple(sorted(set(self._faults.skipped_faults))),
         )
 
     def _new_proxy(self, zone: str) -> Proxy:
@@ -76,15 +76,15 @@
     def _submit(self, zone: ZoneTraffic, kind: RequestKind, now: float) -> None:
         self._batch.submit(zone, kind, now)
 
-    def _spread_list(self) -> None:
-        """Each proxy learns the present list after a while of its own."""
+    def _publish_listing(self) -> None:
+        """Send the present cluster state to each proxy, each with a random delay."""
         snapshot = self._snapshot()
         for proxy in self._proxies:
-            self._clock.after(self._rng.uniform(*NEWS_DELAY_S), proxy.learn, snapshot)
+            self._clock.after(self._rng.uniform(*PROPAGATION_DELAY_S), proxy.update_cluster, snapshot)
 
-    def _spread_rates(self) -> None:
-        self._spread_list()
-        self._clock.after(RATES_INTERVAL_S, self._spread_rates)
+    def _publish_periodically(self) -> None:
+        self._publish_listing()
+        self._clock.after(PUBLISH_INTERVAL_S, self._publish_periodically)
 
     def _snapshot(self) -> ClusterSnapshot:
         rates: Counter[str] = Counter()
@@ -107,13 +107,13 @@
 
     def _start_proxy(self, proxy: Proxy) -> None:
         proxy.start()
-        proxy.learn(self._snapshot())
+        proxy.update_cluster(self._snapshot())
 
 
 def _configuration(site: Site) -> Configuration:
     engine = Engine(
         capacity_slots=site.engine.slots,
-        kv_cache_tokens=site.engine.memory_tokens,
+        kv_cache_tokens=site.engine.kv_cache_tokens,
         stride=site.engine.stride,
     )
     return Configuration(
@@ -135,7 +135,7 @@
         priority=kind.priority,
         max_attempts=kind.max_attempts,
         resumable=kind.is_resumable,
-        gap_aim_ms=kind.pause_s * 1000,
+        gap_aim_ms=kind.max_pause_s * 1000,
         completion_target_ms=kind.target_s * 1000,
     )
 
--- a/bench/admission/network.py
+++ b/bench/admission/network.py
@@ -1,4 +1,4 @@
-"""The brokers of a day: which exist, what the platform lists, and how a request reaches them."""
+"""The brokers of a day, the platform's listing of them, and the network between proxies and brokers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import attrs
 
 from bench.admission.clock import Clock
-from bench.admission.engine import EngineBroker, Fault, Run, RunEnd
+from bench.admission.engine import EngineBroker, EngineFault, Run, RunEnd
 from bench.admission.site import Site
 from cherrycove.tier.dataplane.admission import AttemptOutcome
 from cherrycove.tier.dataplane.headers import InstanceLoad
@@ -16,40 +16,40 @@
 from cherrycove.tier.distribution.cluster_view import Broker
 
 SERVICE = "service"
-CONNECTION_IDLE_S = 2.0  # for which a connection is kept after its last request
+CONNECTION_IDLE_S = 2.0  # idle time after which a connection is closed
 OUTCOMES = {
     RunEnd.COMPLETE: AttemptOutcome.SERVED,
     RunEnd.REJECTED: AttemptOutcome.REJECTED,
-    RunEnd.BROKEN: AttemptOutcome.INCOMPLETE,
+    RunEnd.ABORTED: AttemptOutcome.INCOMPLETE,
 }
 
 
 @attrs.define(eq=False)
-class BrokerSite:
-    """A place for a broker: its present instance and address."""
+class BrokerHost:
+    """A host for a broker; ``Network.replace`` changes its instance and keeps its address."""
 
     number: int
     zone: str
-    speed: float
+    slowdown: float
     instance_id: str
     engine: EngineBroker
 
 
 @attrs.define(eq=False)
 class Attempt:
-    """One request on its way to a broker and back; owned by the proxy that sent it."""
+    """One request sent to a broker; owned by the proxy that sent it. ``one_way_s`` is the network delay."""
 
     run: Run
     engine: EngineBroker
-    way_s: float
+    one_way_s: float
     is_over: bool = False
 
 
 class Network:
-    """Owns the brokers. ``on_listing`` is called whenever the platform's list changes."""
+    """Owns the brokers. Calls ``on_listing`` whenever the platform's listing changes."""
 
     def __init__(self, clock: Clock, site: Site, on_listing: Callable[[], None]) -> None:
-        self.sites: list[BrokerSite] = []
+        self.hosts: list[BrokerHost] = []
         self.listed: dict[str, Broker] = {}
         self.engines: list[EngineBroker] = []
         self.new_connections = 0
@@ -57,30 +57,30 @@
         self._site = site
         self._on_listing = on_listing
         self._started = 0
-        self._by_id: dict[str, BrokerSite] = {}
+        self._by_id: dict[str, BrokerHost] = {}
         self._last_used: dict[tuple[int, str], float] = {}
         for zone, count in site.brokers.items():
             for _ in range(count):
-                number = len(self.sites)
-                speed = site.speeds[number % len(site.speeds)]
-                self.sites.append(self._new_site(number, zone, speed))
-        for place in self.sites:
-            self.listed[place.instance_id] = self._entry(place)
-
-    def replace(self, place: BrokerSite) -> None:
-        """A new instance runs at the place; it is listed after the platform's lag."""
-        renewed = self._new_site(place.number, place.zone, place.speed)
-        place.instance_id, place.engine = renewed.instance_id, renewed.engine
-        self._by_id[place.instance_id] = place
-        self._clock.after(self._site.listing_lag_s, self._list, place)
+                number = len(self.hosts)
+                slowdown = site.slowdowns[number % len(site.slowdowns)]
+                self.hosts.append(self._new_host(number, zone, slowdown))
+        for host in self.hosts:
+            self.listed[host.instance_id] = self._entry(host)
+
+    def replace(self, host: BrokerHost) -> None:
+        """Start a new instance on the host; it is listed after the platform's lag."""
+        replacement = self._new_host(host.number, host.zone, host.slowdown)
+        host.instance_id, host.engine = replacement.instance_id, replacement.engine
+        self._by_id[host.instance_id] = host
+        self._clock.after(self._site.listing_lag_s, self._list, host)
 
     def unlist(self, instance_id: str) -> None:
-        """The platform lists it no more."""
+        """Remove an instance from the platform's listing."""
         if self.listed.pop(instance_id, None) is not None:
             self._on_listing()
 
     def drain(self, instance_id: str) -> None:
-        """The platform lists it as draining."""
+        """Mark an instance as draining in the platform's listing."""
         if instance_id in self.listed:
             self.listed[instance_id] = attrs.evolve(self.listed[instance_id], draining=True)
             self._on_listing()
@@ -94,48 +94,50 @@
         on_end: Callable[[AttemptOutcome], None],
         on_event: Callable[[InstanceLoad], None],
     ) -> Attempt:
-        """Send a request; what comes back arrives after the way between the zones."""
-        place = self._by_id[instance_id]
-        way_s = self._site.in_zone_s if place.zone == zone else self._site.cross_zone_s
-        attempt = Attempt(run, place.engine, way_s)
-        run.on_event = lambda load: self._clock.after(way_s, self._if_open, attempt, partial(on_event, load))
+        """Send a request; the callbacks are called after the network delay between the zones."""
+        host = self._by_id[instance_id]
+        one_way_s = self._site.in_zone_s if host.zone == zone else self._site.cross_zone_s
+        attempt = Attempt(run, host.engine, one_way_s)
+        run.on_event = lambda load: self._clock.after(
+            one_way_s, self._if_open, attempt, partial(on_event, load)
+        )
         run.on_end = lambda end: self._clock.after(
-            way_s, self._finish, attempt, partial(on_end, OUTCOMES[end])
+            one_way_s, self._finish, attempt, partial(on_end, OUTCOMES[end])
         )
         is_new = self._clock.now - self._last_used.get((proxy, instance_id), -1e9) > CONNECTION_IDLE_S
         self.new_connections += is_new
         self._last_used[proxy, instance_id] = self._clock.now
-        self._clock.after(way_s * (3 if is_new else 1), self._deliver, attempt, place, is_new, on_end)
+        self._clock.after(one_way_s * (3 if is_new else 1), self._deliver, attempt, host, is_new, on_end)
         return attempt
 
     def abandon(self, attempt: Attempt) -> None:
-        """Its proxy closes the connection."""
+        """Close the connection of an attempt; the broker drops the request after the network delay."""
         attempt.is_over = True
-        self._clock.after(attempt.way_s, attempt.engine.drop, attempt.run)
+        self._clock.after(attempt.one_way_s, attempt.engine.drop, attempt.run)
 
     def _deliver(
-        self, attempt: Attempt, place: BrokerSite, is_new: bool, on_end: Callable[[AttemptOutcome], None]
+        self, attempt: Attempt, host: BrokerHost, is_new: bool, on_end: Callable[[AttemptOutcome], None]
     ) -> None:
         if attempt.is_over:
             return
         engine = attempt.engine
-        is_replaced = place.engine is not engine
-        if engine.fault is Fault.GONE or is_replaced and engine.fault is not Fault.NONE:
+        is_replaced = host.engine is not engine
+        if engine.fault is EngineFault.REFUSING or is_replaced and engine.fault is not EngineFault.NONE:
             self._finish(attempt, partial(on_end, AttemptOutcome.UNREACHABLE))
-        elif engine.fault is Fault.DARK:
+        elif engine.fault is EngineFault.UNRESPONSIVE:
             if is_new:
                 self._clock.after(
                     CONNECT_TIMEOUT_S, self._finish, attempt, partial(on_end, AttemptOutcome.UNREACHABLE)
                 )
-        elif engine.fault is Fault.MUTE and self._strikes(engine):
+        elif engine.fault is EngineFault.HANGING and self._is_affected(engine):
             return
-        elif engine.fault is Fault.FAILING and self._strikes(engine):
+        elif engine.fault is EngineFault.FAILING and self._is_affected(engine):
             self._finish(attempt, partial(on_end, AttemptOutcome.INCOMPLETE))
         else:
             engine.submit(attempt.run)
 
-    def _strikes(self, engine: EngineBroker) -> bool:
-        return (self._clock.now * 7919.0) % 1.0 < engine.fault_share
+    def _is_affected(self, engine: EngineBroker) -> bool:
+        return (self._clock.now * 7919.0) % 1.0 < engine.affected_share
 
     def _if_open(self, attempt: Attempt, call: Callable[[], None]) -> None:
         if not attempt.is_over:
@@ -146,24 +148,24 @@
             attempt.is_over = True
             call()
 
-    def _new_site(self, number: int, zone: str, speed: float) -> BrokerSite:
+    def _new_host(self, number: int, zone: str, slowdown: float) -> BrokerHost:
         self._started += 1
-        engine = EngineBroker(self._clock, self._site.engine, speed)
+        engine = EngineBroker(self._clock, self._site.engine, slowdown)
         self.engines.append(engine)
-        place = BrokerSite(number, zone, speed, f"i-{self._started}", engine)
-        self._by_id[place.instance_id] = place
-        return place
+        host = BrokerHost(number, zone, slowdown, f"i-{self._started}", engine)
+        self._by_id[host.instance_id] = host
+        return host
 
-    def _list(self, place: BrokerSite) -> None:
-        self.listed[place.instance_id] = self._entry(place)
+    def _list(self, host: BrokerHost) -> None:
+        self.listed[host.instance_id] = self._entry(host)
         self._on_listing()
 
-    def _entry(self, place: BrokerSite) -> Broker:
+    def _entry(self, host: BrokerHost) -> Broker:
         return Broker(
-            instance_id=place.instance_id,
+            instance_id=host.instance_id,
             service=SERVICE,
-            address=f"10.0.0.{place.number}:80",
-            zone=place.zone,
+            address=f"10.0.0.{host.number}:80",
+            zone=host.zone,
             capacity_slots=self._site.engine.slots,
             draining=False,
         )
--- a/bench/admission/outcomes.py
+++ b/bench/admission/outcomes.py
@@ -1,4 +1,4 @@
-"""What became of the requests of a day, and the figures that follow from it."""
+"""Outcomes of the requests of a day, and the metrics computed from them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @attrs.define(eq=False)
 class Outcome:
-    """One live request or batch item over all its tries; times are seconds of the day."""
+    """The outcome of a live request or batch item, including client retries; times are seconds of the day."""
 
     kind: RequestKind
     zone: str
@@ -30,21 +30,21 @@
 
     @property
     def latency_s(self) -> float | None:
-        """To the first event, or of an item to its end."""
+        """Time to the first event, for a batch item to its end; None if it is not complete."""
         until = self.last_event_at if self.kind.is_batch else self.first_event_at
         return None if until is None or not self.is_complete else until - self.sent_at
 
     @property
     def is_in_time(self) -> bool:
-        """Whether it earns its full worth."""
+        """Whether the target latency and the maximum pause between events were met."""
         if self.latency_s is None:
             return False
-        is_smooth = self.kind.is_batch or self.longest_pause_s <= self.kind.pause_s
-        return self.latency_s <= self.kind.target_s and is_smooth
+        has_no_long_pause = self.kind.is_batch or self.longest_pause_s <= self.kind.max_pause_s
+        return self.latency_s <= self.kind.target_s and has_no_long_pause
 
     @property
     def earned(self) -> float:
-        """Its worth, as far as it earned that."""
+        """The full worth if in time, the reduced worth if late, 0 if not complete."""
         if not self.is_complete:
             return 0.0
         return self.kind.worth if self.is_in_time else self.kind.late_worth
@@ -52,7 +52,7 @@
 
 @attrs.frozen
 class Figures:
-    """One day in figures: earned worth as a share of what was owed."""
+    """The metrics of one day: earned worth as a share of the full worth of all requests, and latencies."""
 
     mean: float
     by_kind: dict[str, float]
@@ -63,7 +63,7 @@
 
     @property
     def score(self) -> float:
-        """The parts that a site's goal weights, without prices."""
+        """The weighted sum of the metrics in a site's objective, without its costs."""
         return (
             WEIGHTS["mean"] * self.mean
             + WEIGHTS["kind"] * min(self.by_kind.values(), default=0.0)
@@ -73,7 +73,7 @@
 
 
 def figures(outcomes: list[Outcome]) -> Figures:
-    """Sum up a day."""
+    """Compute the metrics of a day."""
     kinds = sorted({outcome.kind.name for outcome in outcomes})
     zones = sorted({outcome.zone for outcome in outcomes})
     windows: dict[int, list[Outcome]] = {}
@@ -92,11 +92,11 @@
 
 
 def _share(outcomes: Iterable[Outcome]) -> float:
-    owed = earned = 0.0
+    possible = earned = 0.0
     for outcome in outcomes:
-        owed += outcome.kind.worth
+        possible += outcome.kind.worth
         earned += outcome.earned
-    return earned / owed if owed >= MIN_WINDOW_WORTH else 1.0
+    return earned / possible if possible >= MIN_WINDOW_WORTH else 1.0
 
 
 def _quantile_ms(outcomes: list[Outcome], quantile: float) -> float:
--- a/bench/admission/site.py
+++ b/bench/admission/site.py
@@ -1,4 +1,4 @@
-"""Deployments as the experiments need them: read from a site file, whose figures are used as they stand."""
+"""Reads the description of a deployment, its traffic and its faults from a site file."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 LIVE_KIND = "stream"
 BATCH_KIND = "batch"
-DEFAULT_ROUTE_S = 60.0
+DEFAULT_PERIOD_S = 60.0
 
 
 @attrs.frozen
 class Size:
-    """A random size: lognormal around its mean with a relative spread, up to the largest."""
+    """A lognormal size distribution: mean, relative standard deviation (``spread``) and upper limit."""
 
     mean: float
     spread: float = 0.0
-    largest: float = float("inf")
+    maximum: float = float("inf")
 
 
 @attrs.frozen(kw_only=True)
 class SharedPart:
-    """A part of prompts that several requests share: one of so many, each of a size of its own."""
+    """A prompt segment shared by several requests: one of ``variants`` segments, each with its own size."""
 
     size: Size
     variants: int
@@ -32,11 +32,11 @@
 
 @attrs.frozen(kw_only=True)
 class RequestKind:
-    """One kind of request. Times are in seconds."""
+    """A kind of request. Times are in seconds; ``worth`` is the value of a request answered in time."""
 
     name: str
     is_batch: bool
-    target_s: float  # to the first event, or of a job to its last item
+    target_s: float  # target latency to the first event; for a job, to its last item
     client_timeout_s: float
     route_timeout_s: float
     max_attempts: int
@@ -44,16 +44,16 @@
     priority: int
     worth: float
     late_worth: float
-    pause_s: float
+    max_pause_s: float
     events: Size
     own_tokens: Size
     shared: tuple[SharedPart, ...]
-    items: Size  # of a job
+    items: Size  # number of items in a job
 
 
 @attrs.frozen(kw_only=True)
 class EngineModel:
-    """A model broker. Times are in seconds, speeds in tokens a second."""
+    """The parameters of the broker model. Times are in seconds, rates in tokens per second."""
 
     slots: int
     queue: int
@@ -61,40 +61,40 @@
     step_s: float
     step_s_per_request: float
     prefill_tokens_per_s: float
-    pairs_s_per_million: float  # of the prompt's tokens, squared and halved
-    memory_tokens: int
-    stride: int  # tokens in an event
+    pairs_s_per_million: float  # attention time per million token pairs; a prompt of n tokens has n²/2 pairs
+    kv_cache_tokens: int
+    stride: int  # tokens per event
 
 
 @attrs.frozen
 class ZoneTraffic:
-    """Requests that the clients of a zone send, and the wave of their rate."""
+    """The requests that the clients of a zone send; their rate varies as a sine wave."""
 
     zone: str
     per_s: float
-    mix: dict[str, float]  # shares by kind, relative to each other
+    mix: dict[str, float]  # relative shares by request kind
     clients: int
-    swing: float
+    amplitude: float
     period_s: float
     phase: float
 
 
 @attrs.frozen
 class Fault:
-    """One entry of a day, with the fields that the site file gives it."""
+    """One fault of a day, with the fields of its entry in the site file."""
 
     kind: str
     at: float
     fields: dict[str, Any]
 
     def number(self, name: str, default: float) -> float:
-        """A field that is a number."""
+        """Return a numeric field, or ``default`` if it is missing."""
         return float(self.fields.get(name, default))
 
 
 @attrs.frozen(kw_only=True)
 class Day:
-    """One day: its traffic and its faults."""
+    """A named scenario of a site: its traffic and its faults."""
 
     name: str
     seed: int
@@ -114,13 +114,13 @@
     listing_lag_s: float
     proxies: dict[str, int]  # by zone
     brokers: dict[str, int]
-    speeds: tuple[float, ...]  # how many times as long brokers take, in turn
+    slowdowns: tuple[float, ...]  # factors on the processing times of the brokers, assigned cyclically
     engine: EngineModel
     kinds: tuple[RequestKind, ...]
     days: tuple[Day, ...]
 
     def day(self, name: str) -> Day:
-        """The day of that name; ``KeyError`` if there is none."""
+        """Return the day of that name; raises ``KeyError`` if there is none."""
         for day in self.days:
             if day.name == name:
                 return day
@@ -128,9 +128,9 @@
 
 
 def load_site(path: Path) -> Site:
-    """Read a site file; ``KeyError`` names what is missing in one of another form."""
+    """Read a site file; raises ``KeyError`` with the name of a missing field."""
     document = tomllib.loads(path.read_text(encoding="utf-8"))
-    thin = float(document.get("thin", 1.0))
+    scale = float(document.get("thin", 1.0))
     service = document["services"][0]
     front = [machine for machine in document["machines"] if machine["class"] == "front"]
     return Site(
@@ -141,11 +141,11 @@
         client_s=document["net"]["client_ms"] / 1000,
         listing_lag_s=document["discovery"]["lag_ms"] / 1000,
         proxies={machine["zone"]: machine["count"] for machine in front},
-        brokers={one["zone"]: max(round(one["count"] * thin), 1) for one in service["servers"]},
-        speeds=tuple(service.get("speeds") or (1.0,)),
+        brokers={one["zone"]: max(round(one["count"] * scale), 1) for one in service["servers"]},
+        slowdowns=tuple(service.get("speeds") or (1.0,)),
         engine=_engine(service),
         kinds=tuple(_kind(entry) for entry in document["classes"]),
-        days=tuple(_day(entry, document, thin) for entry in document["day"]),
+        days=tuple(_day(entry, document, scale) for entry in document["day"]),
     )
 
 
@@ -159,7 +159,7 @@
         step_s_per_request=model["step_ms_per_slot"] / 1000,
         prefill_tokens_per_s=model["prefill_tokens_per_ms"] * 1000,
         pairs_s_per_million=model["pairs_ms_per_m"] / 1000,
-        memory_tokens=model["kv_tokens"],
+        kv_cache_tokens=model["kv_tokens"],
         stride=model["stride"],
     )
 
@@ -179,7 +179,7 @@
         priority=entry["priority"],
         worth=entry["worth"],
         late_worth=entry["late_worth"],
-        pause_s=stream["gap_aim_ms"] / 1000,
+        max_pause_s=stream["gap_aim_ms"] / 1000,
         events=_size(stream["pieces"]),
         own_tokens=_size(stream["prompt_tokens"]),
         shared=tuple(
@@ -193,25 +193,25 @@
     return Size(entry["mean"], entry["spread"], entry["max"])
 
 
-def _day(entry: dict[str, Any], document: dict[str, Any], thin: float) -> Day:
+def _day(entry: dict[str, Any], document: dict[str, Any], scale: float) -> Day:
     traffic = entry.get("traffic", document["traffic"])
     faults = [*entry.get("plan", ()), *entry.get("faults", ())]
     return Day(
         name=entry["name"],
         seed=entry["seed"],
-        traffic=tuple(_traffic(each, thin) for each in traffic),
+        traffic=tuple(_traffic(each, scale) for each in traffic),
         faults=tuple(Fault(each["kind"], each["at"], each) for each in faults),
     )
 
 
-def _traffic(entry: dict[str, Any], thin: float) -> ZoneTraffic:
+def _traffic(entry: dict[str, Any], scale: float) -> ZoneTraffic:
     shape = entry["shape"]
     return ZoneTraffic(
         zone=entry["zone"],
-        per_s=entry["per_s"] * thin,
+        per_s=entry["per_s"] * scale,
         mix=entry["mix"],
         clients=entry["clients"],
-        swing=shape.get("swing", 0.0),
-        period_s=shape.get("period_s", DEFAULT_ROUTE_S),
+        amplitude=shape.get("swing", 0.0),
+        period_s=shape.get("period_s", DEFAULT_PERIOD_S),
         phase=shape.get("phase", 0.0),
     )
--- a/bench/admission/traffic.py
+++ b/bench/admission/traffic.py
@@ -1,4 +1,4 @@
-"""Clients of a day: when they send which request, with which prompt, and how they retry."""
+"""Clients of a day: request arrival times, prompts and retries."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class PromptMaker:
-    """Prompts of a kind: parts shared by several requests, then the request's own part."""
+    """Creates prompts: segments shared by several requests, then a segment of the request's own."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -27,19 +27,19 @@
         self._own = 0
 
     def make(self, kind: RequestKind, events: int, stride: int) -> Prompt:
-        """A prompt, and at most so many tokens out as its events hold."""
+        """Return a new prompt; its maximum output is the tokens of ``events`` events."""
         segments = [self._shared(kind, number) for number in range(len(kind.shared))]
         self._own += 1
         segments.append(PromptSegment(f"own-{self._own}", self.size(kind.own_tokens)))
         return Prompt(tuple(segments), sum(segment.tokens for segment in segments), events * stride)
 
     def size(self, size: Size) -> int:
-        """A random size, 1 at least."""
+        """Draw a random size of at least 1."""
         if size.spread <= 0:
             return max(round(size.mean), 1)
         deviation = math.sqrt(math.log(1 + size.spread**2))
         drawn = self._rng.lognormvariate(math.log(size.mean) - deviation**2 / 2, deviation)
-        return max(round(min(drawn, size.largest)), 1)
+        return max(round(min(drawn, size.maximum)), 1)
 
     def _shared(self, kind: RequestKind, number: int) -> PromptSegment:
         part = kind.shared[number]
@@ -50,7 +50,7 @@
 
 
 class Clients:
-    """Sends all requests of a day; each client keeps to one proxy until a retry."""
+    """Sends all requests of a day; each client uses one proxy and another one for a retry."""
 
     def __init__(
         self,
@@ -71,18 +71,22 @@
         self._kinds = {kind.name: kind for kind in site.kinds}
         self._bursts = [fault for fault in day.faults if fault.kind == "burst"]
         for zone in day.traffic:
-            self._begin(zone)
+            self._start_zone(zone)
 
-    def _begin(self, zone: ZoneTraffic) -> None:
-        places = [proxy for proxy in self._proxies if proxy.zone == zone.zone]
-        homes = [self._rng.choice(places) for _ in range(zone.clients)]
+    def _start_zone(self, zone: ZoneTraffic) -> None:
+        candidates = [proxy for proxy in self._proxies if proxy.zone == zone.zone]
+        home_proxies = [self._rng.choice(candidates) for _ in range(zone.clients)]
         total = sum(zone.mix.values())
         for name, share in zone.mix.items():
-            self._next(zone, self._kinds[name], zone.per_s * share / total, homes)
+            self._schedule_next(zone, self._kinds[name], zone.per_s * share / total, home_proxies)
 
-    def _next(self, zone: ZoneTraffic, kind: RequestKind, per_s: float, homes: list[Proxy]) -> None:
-        """Thin a process of the highest rate (Lewis, Shedler: thinning, 1979)."""
-        highest = per_s * (1 + zone.swing) * max([1.0, *(burst.number("x", 1.0) for burst in self._bursts)])
+    def _schedule_next(
+        self, zone: ZoneTraffic, kind: RequestKind, per_s: float, home_proxies: list[Proxy]
+    ) -> None:
+        """Schedule the next arrival by thinning a Poisson process (Lewis, Shedler: thinning, 1979)."""
+        highest = (
+            per_s * (1 + zone.amplitude) * max([1.0, *(burst.number("x", 1.0) for burst in self._bursts)])
+        )
         when = self._clock.now
         while True:
             when += self._rng.expovariate(highest)
@@ -90,21 +94,23 @@
                 return
             if self._rng.random() * highest < per_s * self._factor(zone, kind, when):
                 break
-        self._clock.at(when, self._send_and_go_on, zone, kind, per_s, homes)
+        self._clock.at(when, self._send_and_schedule_next, zone, kind, per_s, home_proxies)
 
     def _factor(self, zone: ZoneTraffic, kind: RequestKind, when: float) -> float:
-        wave = 1 + zone.swing * math.sin(2 * math.pi * (when / zone.period_s + zone.phase))
+        factor = 1 + zone.amplitude * math.sin(2 * math.pi * (when / zone.period_s + zone.phase))
         for burst in self._bursts:
-            wave *= self._burst_factor(burst, zone, kind, when)
-        return wave
+            factor *= self._burst_factor(burst, zone, kind, when)
+        return factor
 
     def _burst_factor(self, burst: Fault, zone: ZoneTraffic, kind: RequestKind, when: float) -> float:
-        is_meant = burst.fields.get("class", kind.name) == kind.name
-        is_meant = is_meant and burst.fields.get("zone", zone.zone) == zone.zone
+        is_matching = burst.fields.get("class", kind.name) == kind.name
+        is_matching = is_matching and burst.fields.get("zone", zone.zone) == zone.zone
         is_on = burst.at <= when < burst.at + burst.number("for_s", 5.0)
-        return burst.number("x", 1.0) if is_meant and is_on else 1.0
+        return burst.number("x", 1.0) if is_matching and is_on else 1.0
 
-    def _send_and_go_on(self, zone: ZoneTraffic, kind: RequestKind, per_s: float, homes: list[Proxy]) -> None:
+    def _send_and_schedule_next(
+        self, zone: ZoneTraffic, kind: RequestKind, per_s: float, home_proxies: list[Proxy]
+    ) -> None:
         if kind.is_batch:
             self._on_job(zone, kind, self._clock.now)
         else:
@@ -112,10 +118,10 @@
             self.outcomes.append(outcome)
             events = self.prompts.size(kind.events)
             prompt = self.prompts.make(kind, events, self._site.engine.stride)
-            self._try(outcome, prompt, events, self._rng.choice(homes))
-        self._next(zone, kind, per_s, homes)
+            self._send(outcome, prompt, events, self._rng.choice(home_proxies))
+        self._schedule_next(zone, kind, per_s, home_proxies)
 
-    def _try(self, outcome: Outcome, prompt: Prompt, events: int, proxy: Proxy) -> None:
+    def _send(self, outcome: Outcome, prompt: Prompt, events: int, proxy: Proxy) -> None:
         arrived_at = self._clock.now + self._site.client_s
         left_s = outcome.sent_at + outcome.kind.client_timeout_s - self._clock.now
         if left_s <= MIN_RETRY_LEFT_S:
@@ -127,7 +133,7 @@
             delay_s = min(retry_after_s, left_s * MAX_RETRY_FRACTION) + 3 * self._site.client_s
             if outcome.rejections < 1 and outcome.first_event_at is None:
                 outcome.rejections += 1
-                self._clock.after(delay_s, self._try, outcome, prompt, events, self._other(proxy))
+                self._clock.after(delay_s, self._send, outcome, prompt, events, self._other_proxy(proxy))
 
         def failed() -> None:
             if outcome.kind.is_resumable and outcome.first_event_at is None:
@@ -146,14 +152,14 @@
                 events_left=events,
                 on_rejected=retry,
                 on_failed=failed,
-                on_done=_nothing,
+                on_done=_ignore_completion,
             )  # fmt: skip
         )
 
-    def _other(self, proxy: Proxy) -> Proxy:
-        places = [each for each in self._proxies if each.zone == proxy.zone and each.is_up]
-        return self._rng.choice(places or self._proxies)
+    def _other_proxy(self, proxy: Proxy) -> Proxy:
+        candidates = [each for each in self._proxies if each.zone == proxy.zone and each.is_up]
+        return self._rng.choice(candidates or self._proxies)
 
 
-def _nothing() -> None:
-    """A client that has its answer."""
+def _ignore_completion() -> None:
+    """Do nothing: the client has its complete response."""
--- a/tests/test_bench_admission.py
+++ b/tests/test_bench_admission.py
@@ -1,4 +1,4 @@
-"""Experiments with admission: a small deployment plays, one seed plays one day, and constants are set."""
+"""Admission experiments: simulation of a small site, reproducibility by seed, and constant overrides."""
 
 from __future__ import annotations
 
@@ -106,25 +106,27 @@
     return path
 
 
-def test_a_quiet_day_is_served_in_time(site_file: Path) -> None:
+def test_a_day_without_faults_is_served_in_time(site_file: Path) -> None:
     site = load_site(site_file)
-    result = Experiment(site, site.day("quiet"), seed=1).play()
+    result = Experiment(site, site.day("quiet"), seed=1).run()
     assert result.figures.mean >= 0.97
     assert set(result.figures.by_kind) == {"chat", "lots"}
     assert set(result.figures.by_zone) == {"a", "b"}
-    assert result.left_out == ()
+    assert result.skipped_faults == ()
 
 
-def test_the_same_seed_plays_the_same_day_with_all_its_faults(site_file: Path) -> None:
+def test_the_same_seed_gives_the_same_result_with_all_faults(site_file: Path) -> None:
     site = load_site(site_file)
-    first, again = (Experiment(site, site.day("faulty"), seed=3).play() for _ in range(2))
-    assert first == again
+    first, second = (Experiment(site, site.day("faulty"), seed=3).run() for _ in range(2))
+    assert first == second
     assert 0.2 < first.figures.mean < 1.0
-    assert first.left_out == ("disk_slow",)
+    assert first.skipped_faults == ("disk_slow",)
 
 
 def test_an_experiment_sets_a_constant_of_the_program(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(grant_policy, "USABLE_FRACTION", grant_policy.USABLE_FRACTION)  # put back at the end
+    monkeypatch.setattr(
+        grant_policy, "USABLE_FRACTION", grant_policy.USABLE_FRACTION
+    )  # restores the value at the end
     ConstantSetting.parse("batch.leasing.grant_policy.USABLE_FRACTION=0.5").apply()
     assert grant_policy.lease_limit([100], 0) == 50
 
@@ -133,11 +135,11 @@
     ("text", "reason"),
     [
         ("USABLE_FRACTION=1", "is not MODULE.NAME=VALUE"),
-        ("batch.leasing.grant_policy.USABLE_FRACTION=much", "'much' is no number"),
+        ("batch.leasing.grant_policy.USABLE_FRACTION=much", "'much' is not a number"),
         ("batch.leasing.nowhere.USABLE_FRACTION=1", "there is no module"),
-        ("batch.leasing.grant_policy.NOTHING=1", "has no number NOTHING"),
+        ("batch.leasing.grant_policy.NOTHING=1", "has no numeric constant NOTHING"),
     ],
 )
-def test_a_setting_that_names_no_constant_says_what_is_wrong(text: str, reason: str) -> None:
+def test_an_invalid_setting_raises_an_error_with_the_reason(text: str, reason: str) -> None:
     with pytest.raises(ConstantError, match=reason):
         ConstantSetting.parse(text).apply()
