--- a/bench/admission/proxy.py
+++ b/bench/admission/proxy.py
@@ -28,7 +28,7 @@
 from cherrycove.tier.dataplane.loss_cause import RequestTimeline
 from cherrycove.tier.dataplane.prompt import Prompt
 
-PROCESSING_S = 0.004  # time that a proxy takes to forward an event to the client
+PROCESSING_S = 0.004  # time that a proxy takes to forward a request or its first event
 BATCH_BACKOFF_S = 0.1
 
 
--- a/bench/admission/site.py
+++ b/bench/admission/site.py
@@ -1,4 +1,4 @@
-"""Reads the description of a deployment, its traffic and its faults from a site file."""
+"""Reads a deployment, its traffic and its faults from a site file, whose values are used unchanged."""
 
 from __future__ import annotations
 
--- a/bench/soak/__main__.py
+++ b/bench/soak/__main__.py
@@ -1,9 +1,10 @@
-"""``python -m bench.soak``: plays seeds of the soak and reports what broke.
+"""``python -m bench.soak``: runs the soak test for a list of seeds and reports violations.
 
     python -m bench.soak --seeds 1-50 --seconds 45 --jobs 3 --report soak.json
     python -m bench.soak --seeds 7 --machines 10 --proxies 40 --failures 2
 
-A run that broke a rule leaves its directory (settings, logs, disks) in ``--keep``. Exit code: 0 if none did.
+The directory of a run with violations (settings, logs, disks) is copied to ``--keep``. Exit code: 0 without
+violations, otherwise 1.
 """
 
 from __future__ import annotations
@@ -19,17 +20,17 @@
 
 import attrs
 
-from bench.soak.run import Outcome, Plan, play
+from bench.soak.run import Outcome, Plan, run_plan
 from examples.tier_processes import Sizes
 
-EXIT_BROKEN = 1
+EXIT_VIOLATIONS = 1
 
 
-def play_seed(plan: Plan, keep: Path) -> Outcome:
-    """Play one seed in a directory of its own, which stays under ``keep`` if a rule was broken."""
+def run_seed(plan: Plan, keep: Path) -> Outcome:
+    """Run one seed in a temporary directory, which is copied to ``keep`` if there were violations."""
     directory = Path(tempfile.mkdtemp(prefix=f"cherrycove-soak-{plan.seed}-"))
     try:
-        outcome = asyncio.run(play(plan, directory))
+        outcome = asyncio.run(run_plan(plan, directory))
         if outcome.violations:
             keep.mkdir(parents=True, exist_ok=True)
             shutil.copytree(directory, keep / f"seed-{plan.seed}", dirs_exist_ok=True)
@@ -38,8 +39,8 @@
         shutil.rmtree(directory)
 
 
-def seeds_of(text: str) -> list[int]:
-    """``3``, ``1-50`` or ``1-5,9``."""
+def parse_seeds(text: str) -> list[int]:
+    """Parse a list of seeds and ranges, such as ``3``, ``1-50`` or ``1-5,9``."""
     seeds: list[int] = []
     for part in text.split(","):
         first, _, last = part.partition("-")
@@ -49,13 +50,19 @@
 
 def parse_arguments() -> argparse.Namespace:
     parser = argparse.ArgumentParser(prog="python -m bench.soak", description=__doc__.splitlines()[0])
-    parser.add_argument("--seeds", type=seeds_of, default=[1], help="3, 1-50 or 1-5,9")
-    parser.add_argument("--seconds", type=float, default=40.0, help="of strikes in each run")
-    parser.add_argument("--machines", type=int, default=5, help="with a controller and a store each")
+    parser.add_argument("--seeds", type=parse_seeds, default=[1], help="3, 1-50 or 1-5,9")
+    parser.add_argument(
+        "--seconds", type=float, default=40.0, help="duration of the faults and changes in each run"
+    )
+    parser.add_argument(
+        "--machines", type=int, default=5, help="machines that run a controller and a store each"
+    )
     parser.add_argument("--proxies", type=int, default=4)
     parser.add_argument("--failures", type=int, default=1, help="machines that may be lost at once")
     parser.add_argument("--jobs", type=int, default=1, help="runs at the same time")
-    parser.add_argument("--keep", type=Path, default=Path("soak-kept"), help="for directories of broken runs")
+    parser.add_argument(
+        "--keep", type=Path, default=Path("soak-kept"), help="directory for runs with violations"
+    )
     parser.add_argument("--report", type=Path, help="a JSON file for all outcomes")
     return parser.parse_args()
 
@@ -71,14 +78,14 @@
     plans = [Plan(seed=seed, duration_s=arguments.seconds, sizes=sizes) for seed in arguments.seeds]
     outcomes: list[Outcome] = []
     with ProcessPoolExecutor(arguments.jobs) as pool:
-        for future in as_completed([pool.submit(play_seed, plan, arguments.keep) for plan in plans]):
+        for future in as_completed([pool.submit(run_seed, plan, arguments.keep) for plan in plans]):
             outcomes.append(future.result())
             print_outcome(outcomes[-1])
-    broken = [outcome for outcome in outcomes if outcome.violations]
-    print(f"{len(outcomes)} runs, {len(broken)} broke a rule")
+    with_violations = [outcome for outcome in outcomes if outcome.violations]
+    print(f"{len(outcomes)} runs, {len(with_violations)} with violations")
     if arguments.report is not None:
         arguments.report.write_text(json.dumps([attrs.asdict(outcome) for outcome in outcomes], indent=1))
-    return EXIT_BROKEN if broken else 0
+    return EXIT_VIOLATIONS if with_violations else 0
 
 
 def print_outcome(outcome: Outcome) -> None:
--- a/bench/soak/http_connection.py
+++ b/bench/soak/http_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection of a client, used until the other side closes it."""
+"""An HTTP/1.1 client connection, used until the server closes it."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 READ_LIMIT_BYTES = 1 << 20
 
 
-class CutOffError(Exception):
-    """The connection ended within an answer, or before it. ``status`` is 0 where no head came."""
+class IncompleteResponseError(Exception):
+    """The connection ended before or within a response. ``status`` is 0 if no response head arrived."""
 
     def __init__(self, detail: str, status: int = 0) -> None:
         super().__init__(detail)
@@ -19,8 +19,8 @@
 
 
 @attrs.frozen
-class HttpAnswer:
-    """A whole answer; names of headers in lower case."""
+class HttpResponse:
+    """A complete response; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -28,12 +28,12 @@
 
     @property
     def keeps_connection(self) -> bool:
-        """Whether the other side goes on with this connection."""
+        """Whether the server keeps the connection open."""
         return self.headers.get("connection", "").lower() != "close"
 
 
 class HttpConnection:
-    """Requests one after the other over one connection."""
+    """Sends requests one after the other over one connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader = reader
@@ -41,32 +41,32 @@
 
     @classmethod
     async def open(cls, address: str, timeout_s: float) -> HttpConnection:
-        """Connect to ``address`` (host:port); ``OSError`` or ``TimeoutError`` if that fails."""
+        """Connect to ``address`` (host:port); raises ``OSError`` or ``TimeoutError`` on failure."""
         host, _, port = address.rpartition(":")
         async with asyncio.timeout(timeout_s):
             return cls(*await asyncio.open_connection(host, int(port), limit=READ_LIMIT_BYTES))
 
     @property
     def is_closed(self) -> bool:
-        """Whether the other side has closed, as far as is known here."""
+        """Whether the server is known to have closed the connection."""
         return self._reader.at_eof()
 
     def close(self) -> None:
         """Close without waiting."""
         self._writer.close()
 
-    async def request(self, method: str, target: str, headers: dict[str, str], body: bytes) -> HttpAnswer:
-        """Send one request and read its whole answer; raises ``CutOffError``."""
+    async def request(self, method: str, target: str, headers: dict[str, str], body: bytes) -> HttpResponse:
+        """Send one request and read the complete response; raises ``IncompleteResponseError``."""
         fields = {**headers, "Content-Length": str(len(body))}
         head = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
         try:
             self._writer.write(f"{method} {target} HTTP/1.1\r\n{head}\r\n".encode() + body)
             await self._writer.drain()
         except ConnectionError as error:
-            raise CutOffError(f"sending: {error!r}") from error
-        return await self._read_answer()
+            raise IncompleteResponseError(f"sending: {error!r}") from error
+        return await self._read_response()
 
-    async def _read_answer(self) -> HttpAnswer:
+    async def _read_response(self) -> HttpResponse:
         status = 0
         try:
             text = (await self._reader.readuntil(HEAD_END)).decode("latin-1")
@@ -74,9 +74,9 @@
             status = int(first.split(" ")[1])
             pairs = (line.partition(":") for line in lines)
             headers = {name.lower(): value.strip() for name, _, value in pairs}
-            return HttpAnswer(status, headers, await self._read_body(headers))
+            return HttpResponse(status, headers, await self._read_body(headers))
         except (ConnectionError, asyncio.IncompleteReadError) as error:
-            raise CutOffError(repr(error), status) from error
+            raise IncompleteResponseError(repr(error), status) from error
 
     async def _read_body(self, headers: dict[str, str]) -> bytes:
         if headers.get("transfer-encoding", "") != "chunked":
--- a/bench/soak/live_clients.py
+++ b/bench/soak/live_clients.py
@@ -1,4 +1,4 @@
-"""Clients of live requests: each uses its connection until the proxy ends it."""
+"""Clients that send live requests; each uses its connection until the proxy closes it."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from random import Random
 
 from bench.soak import traffic
-from bench.soak.http_connection import CutOffError, HttpAnswer, HttpConnection
+from bench.soak.http_connection import HttpConnection, HttpResponse, IncompleteResponseError
 from bench.soak.ledger import Ledger, Request
 from examples.tier_client import new_id
 from examples.tier_processes import Daemon
@@ -16,13 +16,14 @@
 
 CONNECT_TIMEOUT_S = 1.0
 RECONNECT_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 0.3  # between two requests of a client
-PROMISES = (408, 421, 429, 503)  # the request has not run and never will
-ONCE_SHARE = 0.3
+MAX_PAUSE_S = 0.3  # longest pause between two requests of a client
+# A response with one of these statuses means that the request was not and will not be executed.
+NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
+NON_IDEMPOTENT_SHARE = 0.3
 
 
 class RunCounter:
-    """Counts the runs of requests at the brokers as they come."""
+    """Counts how often each request was executed by the brokers."""
 
     def __init__(self, brokers: list[ToyBroker]) -> None:
         self._brokers = brokers
@@ -30,7 +31,7 @@
         self._runs: Counter[str] = Counter()
 
     def count(self, request_id: str) -> int:
-        """How often a request has reached a broker and run."""
+        """Return how often a request has been executed by a broker."""
         for index, broker in enumerate(self._brokers):
             for received in broker.received[self._seen[index] :]:
                 self._runs[received.headers.get("request-id", "")] += 1
@@ -39,7 +40,7 @@
 
 
 class LiveClient:
-    """One client of one proxy. ``stop`` lets the request in flight end."""
+    """A client of one proxy. ``stop`` lets the request in flight complete."""
 
     def __init__(self, proxy: Daemon, runs: RunCounter, ledger: Ledger, random: Random) -> None:
         self._proxy = proxy
@@ -54,7 +55,7 @@
         self._is_stopping = True
 
     async def run(self) -> None:
-        """Connect and ask, again and again."""
+        """Connect and send requests, and reconnect when the connection ends, until ``stop`` is called."""
         while not self._is_stopping:
             try:
                 connection = await HttpConnection.open(self._proxy.frontend, CONNECT_TIMEOUT_S)
@@ -63,62 +64,65 @@
                 await asyncio.sleep(RECONNECT_PAUSE_S)
                 continue
             try:
-                await self._use(connection)
+                await self._use_connection(connection)
             finally:
                 connection.close()
 
-    async def _use(self, connection: HttpConnection) -> None:
+    async def _use_connection(self, connection: HttpConnection) -> None:
         while not self._is_stopping and not connection.is_closed:
-            answer = await self._ask(connection)
-            if answer is None or not answer.keeps_connection:
+            response = await self._send_request(connection)
+            if response is None or not response.keeps_connection:
                 return
-            await asyncio.sleep(self._random.uniform(0.0, LONGEST_PAUSE_S))
+            await asyncio.sleep(self._random.uniform(0.0, MAX_PAUSE_S))
 
-    async def _ask(self, connection: HttpConnection) -> HttpAnswer | None:
-        """Send one request; None if the connection ended without a whole answer."""
-        is_once = self._random.random() < ONCE_SHARE
+    async def _send_request(self, connection: HttpConnection) -> HttpResponse | None:
+        """Send one request; returns None if the connection ended without a complete response."""
+        is_non_idempotent = self._random.random() < NON_IDEMPOTENT_SHARE
         request_id = new_id()
-        target = (traffic.ONCE_PREFIX if is_once else traffic.STREAM_PREFIX) + request_id
+        target = (traffic.NON_IDEMPOTENT_PREFIX if is_non_idempotent else traffic.STREAM_PREFIX) + request_id
         sent_at = time.monotonic()
-        answer: HttpAnswer | None = None
+        response: HttpResponse | None = None
         status, detail = 0, ""
         try:
             async with asyncio.timeout(traffic.DEADLINE_S):
                 body = request_id.encode()
-                answer = await connection.request("POST", target, traffic.headers(request_id), body)
-            status = answer.status
-        except CutOffError as error:
+                response = await connection.request("POST", target, traffic.headers(request_id), body)
+            status = response.status
+        except IncompleteResponseError as error:
             status, detail = error.status, str(error)
         except TimeoutError:
-            detail = "no whole answer within the deadline"
+            detail = "no complete response within the deadline"
         request = Request(
             request_id=request_id,
-            kind="once" if is_once else "stream",
+            kind="once" if is_non_idempotent else "stream",
             proxy=self._proxy.name,
             sent_at=sent_at,
             ended_at=time.monotonic(),
             status=status,
-            is_complete=answer is not None,
+            is_complete=response is not None,
             detail=detail,
         )
-        self._judge(request, answer, is_once=is_once)
-        return answer
+        self._check_response(request, response, is_non_idempotent=is_non_idempotent)
+        return response
 
-    def _judge(self, request: Request, answer: HttpAnswer | None, *, is_once: bool) -> None:
+    def _check_response(
+        self, request: Request, response: HttpResponse | None, *, is_non_idempotent: bool
+    ) -> None:
         runs = self._runs.count(request.request_id)
-        self._ledger.request_over(request, deadline_s=traffic.DEADLINE_S, was_run=runs > 0)
-        if answer is None:
+        self._ledger.record_request(request, deadline_s=traffic.DEADLINE_S, was_run=runs > 0)
+        if response is None:
             return
-        if answer.status == 200:
+        if response.status == 200:
             self.served += 1
-            expected = request.request_id.encode() if is_once else traffic.WHOLE_STREAM
+            expected = request.request_id.encode() if is_non_idempotent else traffic.COMPLETE_STREAM
             self._ledger.require(
-                holds=answer.body == expected,
-                detail=f"{request.kind} {request.request_id}: not the broker's body: {answer.body[:200]!r}",
+                holds=response.body == expected,
+                detail=f"{request.kind} {request.request_id}: unexpected body: {response.body[:200]!r}",
             )
-        if is_once:
+        if is_non_idempotent:
             self._ledger.require(holds=runs <= 1, detail=f"once {request.request_id} ran {runs} times")
-            is_broken = answer.status in PROMISES and runs > 0
+            is_wrongly_executed = response.status in NOT_EXECUTED_STATUSES and runs > 0
             self._ledger.require(
-                holds=not is_broken, detail=f"once {request.request_id} got {answer.status} and has run"
+                holds=not is_wrongly_executed,
+                detail=f"once {request.request_id} got {response.status} but was executed",
             )
--- a/bench/soak/operator_client.py
+++ b/bench/soak/operator_client.py
@@ -1,4 +1,4 @@
-"""The operator: changes the configuration again and again, through whichever controller answers."""
+"""An operator client that changes the configuration through any controller that responds."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 CALL_TIMEOUT_S = 3.0
 RETRY_PAUSE_S = 0.1
-LONGEST_CHANGE_S = 60.0  # for one change, with all its repetitions
+CHANGE_TIMEOUT_S = 60.0  # for one change, including all retries
 PATH = "/api/configuration"
 
 
 @attrs.frozen
-class ControllerAnswer:
-    """One controller's answer; status 0: none came."""
+class ControllerResponse:
+    """The response of a controller; status 0 if there was none. ``location`` is the redirect target."""
 
     status: int
     body: bytes = b""
@@ -29,7 +29,7 @@
 
 
 class Operator:
-    """Changes one after the other. ``acknowledged`` is the newest version that was answered 200."""
+    """Makes one change at a time. ``acknowledged`` is the newest version that was answered with 200."""
 
     def __init__(self, tier: SoakTier, ledger: Ledger, random: Random) -> None:
         self._tier = tier
@@ -40,7 +40,7 @@
         self.acknowledged = 0
 
     async def close(self) -> None:
-        """End all connections."""
+        """Close all connections."""
         await self._session.close()
 
     async def change(self) -> None:
@@ -55,31 +55,31 @@
         headers = {"If-Match": f'"{base}"'}
         began_at = time.monotonic()
         address = self._any_controller()
-        while time.monotonic() - began_at < LONGEST_CHANGE_S:
-            answer = await self._call("PUT", address, headers, body)
-            if answer.status == 200:
+        while time.monotonic() - began_at < CHANGE_TIMEOUT_S:
+            response = await self._call("PUT", address, headers, body)
+            if response.status == 200:
                 self.acknowledged = version
                 self._ledger.counts["changes acknowledged"] += 1
                 return
-            if 400 <= answer.status < 500:
-                self._ledger.violate(
-                    f"version {version} on {base} was refused: {answer.status} {answer.body[:200]!r}"
+            if 400 <= response.status < 500:
+                self._ledger.record_violation(
+                    f"version {version} on {base} was rejected: {response.status} {response.body[:200]!r}"
                 )
                 return
-            address = answer.location or self._any_controller()
-            if not answer.location:
+            address = response.location or self._any_controller()
+            if not response.location:
                 await asyncio.sleep(RETRY_PAUSE_S)
-        self._ledger.violate(f"version {version} was not acknowledged within {LONGEST_CHANGE_S} s")
+        self._ledger.record_violation(f"version {version} was not acknowledged within {CHANGE_TIMEOUT_S} s")
 
     async def read(self, deadline: float) -> bytes:
-        """Return the configuration in force; empty if no controller gives it before ``deadline``."""
+        """Return the configuration in force; empty if no controller returns it before ``deadline``."""
         address = self._any_controller()
         while time.monotonic() < deadline:
-            answer = await self._call("GET", address, {}, b"")
-            if answer.status == 200:
-                return answer.body
-            address = answer.location or self._any_controller()
-            if not answer.location:
+            response = await self._call("GET", address, {}, b"")
+            if response.status == 200:
+                return response.body
+            address = response.location or self._any_controller()
+            if not response.location:
                 await asyncio.sleep(RETRY_PAUSE_S)
         return b""
 
@@ -88,13 +88,13 @@
 
     async def _call(
         self, method: str, address: str, headers: dict[str, str], body: bytes
-    ) -> ControllerAnswer:
+    ) -> ControllerResponse:
         url = f"http://{address}{PATH}"
         try:
             async with self._session.request(
                 method, url, data=body or None, headers=headers, allow_redirects=False
             ) as response:
                 location = response.headers.get("Location", "").partition("://")[2].partition("/")[0]
-                return ControllerAnswer(response.status, await response.read(), location)
+                return ControllerResponse(response.status, await response.read(), location)
         except (aiohttp.ClientError, TimeoutError, OSError):
-            return ControllerAnswer(0)
+            return ControllerResponse(0)
--- a/bench/soak/run.py
+++ b/bench/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak: a tier, its clients, a schedule, and at the end what was acknowledged is read back."""
+"""One run of the soak test: runs episodes against a tier with clients, then reads back acknowledged state."""
 
 from __future__ import annotations
 
@@ -13,48 +13,48 @@
 
 from bench.soak import traffic
 from bench.soak.batch_clients import BatchClients
+from bench.soak.episode_runner import EpisodeRunner
 from bench.soak.ledger import Ledger
 from bench.soak.live_clients import LiveClient, RunCounter
 from bench.soak.operator_client import Operator
-from bench.soak.schedule import draw_schedule
-from bench.soak.strikes import Striker
+from bench.soak.schedule import generate_schedule
 from bench.soak.tier import SoakTier
 from examples import small_tier
 from examples.tier_processes import Daemon, Sizes
 
 BROKERS = 3
-CLIENTS_OF_A_PROXY = 3
+CLIENTS_PER_PROXY = 3
 BATCH_CLIENTS = 3
-START_S = 30.0  # for the tier to serve at first
-RECOVERY_S = 15.0  # behind the last strike, until every proxy has to serve
-APPLY_S = 2.5  # after the acknowledgement of a configuration, every proxy works by it
-READ_BACK_S = 20.0
-OUTSIDE_SEEDS_SHARE = 0.5  # of the runs whose last start has seeds outside the group, where there are any
+STARTUP_TIMEOUT_S = 30.0  # for all proxies to become ready at the start
+RECOVERY_TIMEOUT_S = 15.0  # after the last action, until every proxy has to be ready
+APPLY_TIMEOUT_S = 2.5  # for every proxy to apply an acknowledged configuration
+READ_BACK_TIMEOUT_S = 20.0
+NON_MEMBER_SEEDS_SHARE = 0.5  # share of the runs whose last start uses seeds outside the group, if any
 ERROR_EVENTS = {"pull_failed", "controller_step_failed", "batch_maintenance_failed", "batch_exchange_failed",
                 "batch_item_failed", "apply_failed", "disk_damaged"}  # fmt: skip
 
 
 @attrs.frozen(kw_only=True)
 class Plan:
-    """What a run is made of."""
+    """The parameters of a run."""
 
     seed: int
     duration_s: float
     sizes: Sizes
-    final_loss: bool = True  # the run ends with the loss of as many disks as may be, and a kill of all else
+    wipe_at_end: bool = True  # at the end, kill all processes and wipe as many machines as tolerated
 
 
 @attrs.frozen(kw_only=True)
 class Outcome:
-    """What a run came to."""
+    """The violations and the counts of a run."""
 
     seed: int
     violations: list[str]
     counts: dict[str, Any]
 
 
-async def play(plan: Plan, directory: Path) -> Outcome:
-    """Play ``plan`` with all files in ``directory``."""
+async def run_plan(plan: Plan, directory: Path) -> Outcome:
+    """Carry out ``plan`` with all files in ``directory``."""
     ledger = Ledger()
     random = Random(f"soak run/{plan.seed}")
     brokers = traffic.make_brokers(BROKERS)
@@ -63,7 +63,7 @@
         run = _Run(plan, tier, ledger, RunCounter(brokers), random)
         stall_watch = asyncio.create_task(ledger.watch_stalls())
         try:
-            await run.play()
+            await run.run()
         finally:
             stall_watch.cancel()
             await run.close()
@@ -72,7 +72,7 @@
 
 
 class _Run:
-    """The clients of one run, and its order of events."""
+    """Owns the clients of one run and carries out its phases."""
 
     def __init__(self, plan: Plan, tier: SoakTier, ledger: Ledger, runs: RunCounter, random: Random) -> None:
         self._plan = plan
@@ -80,83 +80,91 @@
         self._ledger = ledger
         self._operator = Operator(tier, ledger, Random(random.random()))
         self._batch = BatchClients(tier, ledger, Random(random.random()))
-        self._striker = Striker(tier, self._operator, Random(random.random()))
+        self._episodes = EpisodeRunner(tier, self._operator, Random(random.random()))
         self._random = random
         self._live = [
             LiveClient(proxy, runs, ledger, Random(random.random()))
             for proxy in tier.all_of("proxy")
-            for _ in range(CLIENTS_OF_A_PROXY)
+            for _ in range(CLIENTS_PER_PROXY)
         ]
 
     async def close(self) -> None:
-        """End what is open."""
+        """Close the connections of the clients."""
         await self._operator.close()
         await self._batch.close()
 
-    async def play(self) -> None:
-        """Start, strike, calm down, read back."""
+    async def run(self) -> None:
+        """Start the tier, run the episodes, wait for recovery and read back what was acknowledged."""
         await self._operator.change()
-        await asyncio.gather(*(self._is_ready(proxy, START_S) for proxy in self._tier.all_of("proxy")))
+        await asyncio.gather(
+            *(self._check_ready(proxy, STARTUP_TIMEOUT_S) for proxy in self._tier.all_of("proxy"))
+        )
         async with asyncio.TaskGroup() as clients:
             for live in self._live:
                 clients.create_task(live.run())
             for _ in range(BATCH_CLIENTS):
                 clients.create_task(self._batch.run())
-            await self._striker.run(draw_schedule(self._plan.seed, self._plan.duration_s))
-            await self._striker.wait()
-            if self._plan.final_loss:
-                await self._lose_as_much_as_allowed()
+            await self._episodes.run(generate_schedule(self._plan.seed, self._plan.duration_s))
+            await self._episodes.wait()
+            if self._plan.wipe_at_end:
+                await self._wipe_max_machines()
             await self._recover()
             for live in self._live:
                 live.stop()
             self._batch.stop()
         await self._read_back()
 
-    async def _lose_as_much_as_allowed(self) -> None:
-        """As many machines lose their disks as may, right after an acknowledgement; all else is killed."""
-        await asyncio.sleep(RECOVERY_S / 2)  # what was lost before has caught up
+    async def _wipe_max_machines(self) -> None:
+        """Kill all processes right after an acknowledgement and wipe as many machines as tolerated."""
+        await asyncio.sleep(RECOVERY_TIMEOUT_S / 2)  # machines lost before have caught up
         await self._operator.change()
         tier = self._tier
         wiped = self._random.sample(tier.machines, tier.sizes.machine_failures)
-        outside = await tier.machines_outside()
+        non_members = await tier.machines_outside_group()
         await tier.kill(tier.daemons)
-        tier.draw_seeds(outside if self._random.random() < OUTSIDE_SEEDS_SHARE else ())
+        tier.choose_seeds(non_members if self._random.random() < NON_MEMBER_SEEDS_SHARE else ())
         for machine in wiped:
             tier.wipe(tier.on_machine(machine))
         for daemon in tier.daemons:
             await tier.start_again(daemon)
-            self._ledger.note_fault(daemon.name)
+            self._ledger.record_fault(daemon.name)
 
     async def _recover(self) -> None:
-        """Within RECOVERY_S every proxy serves, and then works by a new change within APPLY_S."""
+        """Check that all proxies become ready, and then apply a new change, within their time limits."""
         proxies = self._tier.all_of("proxy")
         began_at = time.monotonic()
-        await asyncio.gather(*(self._is_ready(proxy, RECOVERY_S) for proxy in proxies))
+        await asyncio.gather(*(self._check_ready(proxy, RECOVERY_TIMEOUT_S) for proxy in proxies))
         self._ledger.counts["ms to recover"] += int((time.monotonic() - began_at) * 1000)
-        self._tier.check_none_ended()
+        self._tier.check_all_running()
         await self._operator.change()
         acknowledged_at = time.monotonic()
-        target = f"{traffic.MARK_PREFIX}{self._operator.acknowledged}/"
-        await asyncio.gather(*(self._serves_mark(proxy, target, acknowledged_at) for proxy in proxies))
+        target = f"{traffic.MARKER_PREFIX}{self._operator.acknowledged}/"
+        await asyncio.gather(
+            *(self._serves_marker_route(proxy, target, acknowledged_at) for proxy in proxies)
+        )
 
-    async def _is_ready(self, proxy: Daemon, within_s: float) -> None:
+    async def _check_ready(self, proxy: Daemon, within_s: float) -> None:
         try:
             async with asyncio.timeout(within_s):
                 await self._tier.answers_readiness(proxy, 200)
         except (TimeoutError, small_tier.TierError):
-            self._ledger.violate(f"{proxy.name} is not ready {within_s} s after all processes run")
+            self._ledger.record_violation(
+                f"{proxy.name} is not ready {within_s} s after all processes were started"
+            )
 
-    async def _serves_mark(self, proxy: Daemon, target: str, acknowledged_at: float) -> None:
-        while time.monotonic() < acknowledged_at + APPLY_S:
+    async def _serves_marker_route(self, proxy: Daemon, target: str, acknowledged_at: float) -> None:
+        while time.monotonic() < acknowledged_at + APPLY_TIMEOUT_S:
             if await self._batch.status_of("POST", target, proxy.frontend) == 200:
                 return
             await asyncio.sleep(small_tier.POLL_S)
-        self._ledger.violate(f"{proxy.name} does not serve {target} {APPLY_S} s after its acknowledgement")
+        self._ledger.record_violation(
+            f"{proxy.name} does not serve {target} {APPLY_TIMEOUT_S} s after its acknowledgement"
+        )
 
     async def _read_back(self) -> None:
-        deadline = time.monotonic() + READ_BACK_S
+        deadline = time.monotonic() + READ_BACK_TIMEOUT_S
         await self._batch.read_back(deadline)
-        body = await self._operator.read(time.monotonic() + READ_BACK_S)
+        body = await self._operator.read(time.monotonic() + READ_BACK_TIMEOUT_S)
         expected = traffic.configuration(self._operator.acknowledged)
         version = json.loads(body)["version"] if body else None
         self._ledger.require(
@@ -167,18 +175,18 @@
 
 
 def _check_logs(daemons: list[Daemon], ledger: Ledger) -> None:
-    """No process logged an unforeseen error."""
+    """Record a violation for each log line that reports an unexpected error."""
     for daemon in daemons:
         if not daemon.log_path.exists():
             continue
         for line in daemon.log_path.read_text(errors="replace").splitlines():
             event = _event(line)
             if event is None or event in ERROR_EVENTS:
-                ledger.violate(f"{daemon.name} logged {line[:500]}")
+                ledger.record_violation(f"{daemon.name} logged {line[:500]}")
 
 
 def _event(line: str) -> str | None:
-    """The event of a log line; None for a line that is not of the log, such as a trace's."""
+    """Return the event of a log line; None for a line of another form, such as a traceback."""
     try:
         return str(json.loads(line)["event"])
     except (ValueError, KeyError, TypeError):
--- a/bench/soak/traffic.py
+++ b/bench/soak/traffic.py
@@ -1,4 +1,4 @@
-"""What the brokers of a soak answer, the configuration that clients and operator share, and its versions."""
+"""Broker responses, configuration versions and request headers of the soak test."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from examples.tier_client import HOST
 from examples.toy_broker import Received, ToyBroker, Wire
 
-EVENTS = 6  # of a stream, and of an item
+EVENTS = 6  # events of a stream and of a batch item
 EVENT_PAUSE_S = 0.03
 EVENT_TEXTS = [f"word {number}" for number in range(1, EVENTS + 1)]
-WHOLE_STREAM = "".join(f"id: {n}\ndata: {text}\n\n" for n, text in enumerate(EVENT_TEXTS, 1)).encode()
+COMPLETE_STREAM = "".join(f"id: {n}\ndata: {text}\n\n" for n, text in enumerate(EVENT_TEXTS, 1)).encode()
 STREAM_PREFIX = "/chat/"
 BATCH_PREFIX = "/bundle/"
-ONCE_PREFIX = "/once/"  # of a route whose requests must not be repeated
-MARK_PREFIX = "/mark-"  # followed by a version and a slash: a route of that version alone
+NON_IDEMPOTENT_PREFIX = "/once/"  # route whose requests must not be repeated
+MARKER_PREFIX = "/mark-"  # plus a version and a slash: route that only that version has
 DEADLINE_S = 8.0
 SLOTS = 64
 
 
-async def answer_slowly(wire: Wire, request: Received) -> None:
-    """A stream with pauses; an echo for the routes that are not streams."""
-    if request.target.startswith((ONCE_PREFIX, MARK_PREFIX)):
+async def respond_with_pauses(wire: Wire, request: Received) -> None:
+    """Stream events with pauses; echo the request on routes that are not streams."""
+    if request.target.startswith((NON_IDEMPOTENT_PREFIX, MARKER_PREFIX)):
         await asyncio.sleep(EVENT_PAUSE_S)
         await wire.answer(request, request.body)
         return
@@ -36,34 +36,40 @@
 
 
 def make_brokers(count: int) -> list[ToyBroker]:
-    """Brokers that are not started yet."""
+    """Create brokers without starting them."""
     return [
-        ToyBroker(instance_id=f"broker-{number}", slots=SLOTS, script=answer_slowly)
+        ToyBroker(instance_id=f"broker-{number}", slots=SLOTS, script=respond_with_pauses)
         for number in range(1, count + 1)
     ]
 
 
 def configuration(version: int) -> bytes:
-    """The configuration of ``version``: the examples' routes, one for requests that run once, one mark."""
+    """Return the configuration of ``version``.
+
+    It has the routes of the example, a non-idempotent route, and a marker route that has the version in its
+    path prefix.
+    """
     document: dict[str, Any] = json.loads(CONFIGURATION_PATH.read_text())
     stream, _ = document["routes"]
-    once = {
+    non_idempotent = {
         **{key: stream[key] for key in ("hostname", "timeoutMs", "targetLatencyMs", "priority", "service")},
         "name": "once",
-        "pathPrefix": ONCE_PREFIX,
+        "pathPrefix": NON_IDEMPOTENT_PREFIX,
         "routeKind": "non_idempotent",
         "maxAttempts": 2,
     }
-    mark = {**once, "name": "mark", "pathPrefix": f"{MARK_PREFIX}{version}/"}
+    marker = {**non_idempotent, "name": "mark", "pathPrefix": f"{MARKER_PREFIX}{version}/"}
     stream["timeoutMs"] = 10_000 + version % 7
     (service,) = document["services"]
     service["connectionLimit"] = 1024
     service["engine"]["capacitySlots"] = SLOTS
-    return json.dumps({**document, "version": version, "routes": [*document["routes"], once, mark]}).encode()
+    return json.dumps(
+        {**document, "version": version, "routes": [*document["routes"], non_idempotent, marker]}
+    ).encode()
 
 
 def headers(request_id: str, deadline_s: float = DEADLINE_S) -> dict[str, str]:
-    """The headers of a live request."""
+    """Return the headers of a live request."""
     return {
         "Host": HOST,
         "Request-Id": request_id,
