--- a/bench/serve_cost.py
+++ b/bench/serve_cost.py
@@ -33,7 +33,7 @@
     """Serves, or does not, at once."""
 
     async def attempt(self, attempt: Attempt) -> Reply:
-        attempt.wrote()
+        attempt.mark_written()
         return Reply(Ending.SERVED, b"data")
 
 
--- a/bench/why.py
+++ b/bench/why.py
@@ -22,10 +22,10 @@
 from typing import Any
 
 from cherrycove.broker import config
-from cherrycove.broker.core import Attempt, Ended, Ending, Request, Verdict
+from cherrycove.broker.core import Attempt, Ending, Request, RequestSummary, Verdict
 from cherrycove.broker.decision_log.book import DecisionLog, story_of
 from cherrycove.broker.decision_log.pack import PLAIN, AttemptRecord, RequestRecord, pack
-from cherrycove.broker.local_codes import Own
+from cherrycove.broker.local_codes import LocalCode
 from cherrycove.scheduling.interface import Code, Reason
 
 SEED = 11
@@ -71,7 +71,7 @@
                     ended,
                     took,
                     "served",
-                    Own.SERVED,
+                    LocalCode.SERVED,
                     "http",
                     cls,
                     0,
@@ -83,7 +83,7 @@
     return made
 
 
-def ended(story: RequestRecord) -> Ended:
+def ended(story: RequestRecord) -> RequestSummary:
     """The same as the core tells it."""
     request = Request(
         story.cls or 0,
@@ -98,11 +98,13 @@
     )
     came = story.ended - story.took
     tries = [
-        Attempt(0, 0, each.node, "", 0.0, came + each.at, why=each.why, took=each.took, ending=each.ending)
+        Attempt(
+            0, 0, each.node, "", 0.0, came + each.at, why=each.why, duration_s=each.took, ending=each.ending
+        )
         for each in story.tries
     ]
     verdict = Verdict.SERVED if story.verdict == "served" else Verdict.REFUSED
-    return Ended(came, story.ended, verdict, why=story.why, request=request, tries=tries)
+    return RequestSummary(came, story.ended, verdict, why=story.why, request=request, attempts=tries)
 
 
 class Plain:
@@ -127,7 +129,7 @@
                 del self.by_id[old.id]
 
 
-def plainly(form: Plain, end: Ended) -> None:
+def plainly(form: Plain, end: RequestSummary) -> None:
     form.add(story_of(end))
 
 
@@ -196,8 +198,8 @@
         ends = [ended(story) for story in sample]
         turns: dict[str, list[float]] = defaultdict(list)
         for _ in range(5):
-            turns["record as the core feeds it"].append(timed(book().ended, ends))
-            turns["the same with sketches"].append(timed(book(True).ended, ends))
+            turns["record as the core feeds it"].append(timed(book().record, ends))
+            turns["the same with sketches"].append(timed(book(True).record, ends))
             plain_form = Plain(20_000)
             turns["plain form, fed alike"].append(timed(partial(plainly, plain_form), ends))
         for form, times in turns.items():
--- a/cherrycove/broker/admin.py
+++ b/cherrycove/broker/admin.py
@@ -12,7 +12,7 @@
 from collections.abc import Awaitable, Callable, Mapping
 from dataclasses import dataclass
 
-from cherrycove.broker.core import Figures, Verdict
+from cherrycove.broker.core import Metrics, Verdict
 from cherrycove.broker.event_log import Log
 
 log = Log("cherrycove.admin")
@@ -64,18 +64,18 @@
     return Call(command, rest[0])
 
 
-def report(figures: Figures, parts: Mapping[str, int] | None = None) -> str:
+def report(metrics: Metrics, parts: Mapping[str, int] | None = None) -> str:
     """Return the statistics, a line each, then those of ``parts`` that are enabled, and the end line."""
     lines = [
         f"{word}.{cls}:{counts[verdict]}|c"
         for verdict, word in VERDICT_NAMES.items()
-        for cls, counts in figures.answers.items()
+        for cls, counts in metrics.answers.items()
     ]
     lines += [
-        f"upstream_tries:{figures.tries}|c",
-        f"in_progress:{figures.open}|g",
-        f"known_disk_nodes:{figures.known}|g",
-        f"skipped_disk_nodes:{figures.skipped}|g",
+        f"upstream_tries:{metrics.attempts}|c",
+        f"in_progress:{metrics.open_requests}|g",
+        f"known_disk_nodes:{metrics.listed_nodes}|g",
+        f"skipped_disk_nodes:{metrics.unused_nodes}|g",
     ]
     lines += [f"{name}:{count}|c" for name, count in (parts or {}).items()]
     return "\n".join([f"broker.{line}" for line in lines] + ["END"])
--- a/cherrycove/broker/consul.py
+++ b/cherrycove/broker/consul.py
@@ -217,7 +217,7 @@
             if answer.is_changed or self._core.version is None:
                 version += 1
                 self._update_core(answer.nodes)
-            self._core.silent = False
+            self._core.source_unreachable = False
             if not answer.next_index:
                 await asyncio.sleep(_MIN_BACKOFF_S)  # no index to block on: never a tight loop
             index, backoff_s = answer.next_index, _MIN_BACKOFF_S
--- a/cherrycove/broker/core/__init__.py
+++ b/cherrycove/broker/core/__init__.py
@@ -7,7 +7,7 @@
 
 from cherrycove.broker.core.endings import Ending
 from cherrycove.broker.core.facade import Core
-from cherrycove.broker.core.figures import Ended, Figures, Recorder
+from cherrycove.broker.core.metrics import Metrics, Recorder, RequestSummary
 from cherrycove.broker.core.nodes import Maintenance, Member, NodeList
 from cherrycove.broker.core.requests import Answer, Attempt, Backend, Reply, Request, Verdict
 
@@ -16,9 +16,9 @@
     "Attempt",
     "Backend",
     "Core",
-    "Ended",
+    "RequestSummary",
     "Ending",
-    "Figures",
+    "Metrics",
     "Maintenance",
     "Member",
     "NodeList",
--- a/cherrycove/broker/core/facade.py
+++ b/cherrycove/broker/core/facade.py
@@ -13,12 +13,12 @@
 
 from cherrycove.broker.core.driver import SchedulerDriver
 from cherrycove.broker.core.endings import Ending
-from cherrycove.broker.core.figures import Counters, Ended, Figures, Recorder
+from cherrycove.broker.core.metrics import Counters, Metrics, Recorder, RequestSummary
 from cherrycove.broker.core.nodes import Maintenance, Member, NodeList, NodeTable
 from cherrycove.broker.core.request_table import RequestTable, Ticket
 from cherrycove.broker.core.requests import Answer, Attempt, Backend, Reply, Request, Verdict
 from cherrycove.broker.event_log import Log, bound
-from cherrycove.broker.local_codes import Own
+from cherrycove.broker.local_codes import LocalCode
 from cherrycove.scheduling import interface as api
 
 log = Log("cherrycove.core")
@@ -34,9 +34,11 @@
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings = settings
-        self.on_list: Callable[[NodeList], None] | None = None  # called with each list from the source itself
-        self.silent = False  # whether the source of the node list is unreachable
-        self.watching = asyncio.Event()  # set whenever the scheduler asks for the list's changes
+        self.on_node_list: Callable[[NodeList], None] | None = (
+            None  # called with each list from the source itself
+        )
+        self.source_unreachable = False  # whether the source of the node list is unreachable
+        self.watch_requested = asyncio.Event()  # set whenever the scheduler asks for the list's changes
         self._loop = asyncio.get_running_loop()
         self._driver = SchedulerDriver(settings, seed, self.tick, self._run_action)
         self._nodes = NodeTable(self._loop.time())
@@ -54,11 +56,11 @@
         allowed = self._loop.time() + self.settings.classes[request.cls].deadline
         request.deadline = min(request.deadline, allowed)
         if self._given_up is not None:
-            own = Own.ENDING
+            local_code = LocalCode.ENDING
             self.record_rejection(
-                request.cls, Verdict.REFUSED, own, request.id, request.volume, request.front
+                request.cls, Verdict.REFUSED, local_code, request.id, request.volume, request.front
             )
-            return Answer(Verdict.REFUSED, retry_after=self.settings.retry_advice, own=own)
+            return Answer(Verdict.REFUSED, retry_after=self.settings.retry_advice, local_code=local_code)
         with bound(request=request.id):
             return await self._serve(request, backend)
 
@@ -66,7 +68,7 @@
         self,
         cls: int | None,
         verdict: Verdict = Verdict.FAILED,
-        own: Own = Own.MALFORMED,
+        local_code: LocalCode = LocalCode.MALFORMED,
         id: str = "",
         volume: str = "",
         front: str = "http",
@@ -76,13 +78,15 @@
             self._counters.count_answer(cls, verdict)
         if self.recorder is not None:
             now = self._loop.time()
-            self.recorder.ended(Ended(now, now, verdict, own, id=id, volume=volume, front=front, cls=cls))
+            self.recorder.record(
+                RequestSummary(now, now, verdict, local_code, id=id, volume=volume, front=front, cls=cls)
+            )
 
-    def find(self, id: str) -> list[Ended]:
+    def find(self, id: str) -> list[RequestSummary]:
         """Return the requests in flight with this id."""
         return self._requests.find(id)
 
-    def give_up(self) -> None:
+    def expire_requests(self) -> None:
         """Answer all requests in flight, and reject new ones, at once: the process ends.
 
         Responses that are being streamed go on.
@@ -90,7 +94,7 @@
         self._given_up = self._loop.time()
         self._requests.expire_all(self._given_up)
 
-    async def idle(self) -> None:
+    async def wait_idle(self) -> None:
         """Wait until no request is in flight."""
         await self._requests.idle.wait()
 
@@ -99,7 +103,7 @@
         """The number of requests in flight."""
         return self._requests.open
 
-    # Figures and records.
+    # Metrics and records.
 
     @property
     def counts(self) -> Mapping[str, int]:
@@ -120,10 +124,10 @@
     def recorder(self, recorder: Recorder | None) -> None:
         self._requests.recorder = recorder
 
-    def figures(self) -> Figures:
+    def metrics(self) -> Metrics:
         """Return the figures for operators."""
         members, used = self._nodes.members, self._driver.scheduler.accepting_nodes()
-        return Figures(
+        return Metrics(
             self._counters.answers,
             self._counters.attempts_written,
             self._requests.open,
@@ -160,15 +164,15 @@
 
     def update(self, update: NodeList, *, restored: bool = False) -> None:
         """Apply a node list, or changes of it, from its source; ``restored``: from an earlier process."""
-        self._nodes.version, self.silent = update.version, False
+        self._nodes.version, self.source_unreachable = update.version, False
         kind = api.ListKind.FULL if update.full else api.ListKind.CHANGES
         self._apply(update, api.ListKind.RESTORED if restored else kind)
-        if self.on_list is not None and not restored:
-            self.on_list(update)
+        if self.on_node_list is not None and not restored:
+            self.on_node_list(update)
 
     def list_unavailable(self) -> None:
         """Record that the source of the node list is unreachable."""
-        self.silent = True
+        self.source_unreachable = True
         self._driver.push(api.NodeListFailure())
 
     def drain_node(self, member: Member) -> None:
@@ -177,13 +181,13 @@
         if is_listed and member.state is not api.NodeState.UP:
             self._apply(NodeList(self.version or 0, False, (member,)), api.ListKind.CHANGES)
 
-    def maintain(self, state: Maintenance) -> None:
+    def set_maintenance(self, state: Maintenance) -> None:
         """Replace the maintenance state and update the scheduler for the nodes it changes."""
-        changed = self._nodes.maintain(state)
+        changed = self._nodes.set_maintenance(state)
         if changed:
             self._pass_on(self.version or 0, api.ListKind.CHANGES, changed)
 
-    def started(self, member: Member) -> float | None:
+    def node_started_at(self, member: Member) -> float | None:
         """Return when a node last started, on the loop's clock; None if that is unknown."""
         return self._nodes.loop_time(member.since_ms)
 
@@ -209,15 +213,15 @@
         """Use capacity that another broker has lent, within ``valid_s``."""
         self._driver.push(api.CapacityLoan(node, units, valid_s))
 
-    def sent(self) -> dict[str, float]:
+    def recent_sent_units(self) -> dict[str, float]:
         """Return the units sent recently, by the node's name."""
         return self._driver.scheduler.recent_sent_units()
 
-    def remember(self) -> api.RestartState:
+    def export_restart_state(self) -> api.RestartState:
         """Return the state for the next process of this broker; times are on the loop's clock."""
         return self._driver.scheduler.export_restart_state()
 
-    def recall(self, state: api.RestartState) -> None:
+    def import_restart_state(self, state: api.RestartState) -> None:
         """Apply the state that an earlier process of this broker saved."""
         self._driver.push(state)
 
@@ -264,28 +268,33 @@
 
     def _answer_undecided(self, ticket: Ticket) -> Answer:
         # Even without a decision, or on a loop that is late, each client gets an answer.
-        own = Own.LAST_RESORT if self._given_up is None else Own.ENDING
-        if own is Own.LAST_RESORT:
+        local_code = LocalCode.LAST_RESORT if self._given_up is None else LocalCode.ENDING
+        if local_code is LocalCode.LAST_RESORT:
             log.warning("request.undecided")
         self._report_expired_attempt(ticket)
         self._driver.push(api.ClientDeparture(ticket.id))
         verdict = Verdict.FAILED if ticket.attempts else Verdict.REFUSED  # nothing of it was sent
-        return Answer(verdict, cause=ticket.cause, retry_after=self.settings.retry_advice, own=own)
+        return Answer(
+            verdict,
+            last_ending=ticket.last_ending,
+            retry_after=self.settings.retry_advice,
+            local_code=local_code,
+        )
 
     def _report_expired_attempt(self, ticket: Ticket) -> None:
-        """Report the attempt that is under way if its own time-out has passed as well.
+        """Report the attempt that is under way if its local_code time-out has passed as well.
 
         On a loop that is late both time-outs pass in one turn. The attempt's comes first, but asyncio then
         passes the cancellation on to the outer one, and ``_carry_out`` does not see it.
         """
         attempt = ticket.current
-        if attempt is not None and attempt.scope is not None and attempt.scope.expired():
+        if attempt is not None and attempt.timeout is not None and attempt.timeout.expired():
             self._requests.report(attempt, _expired_reply(attempt))
 
     async def _carry_out(self, attempt: Attempt, backend: Backend) -> Reply:
         try:
             until = min(attempt.expires, attempt.write_by)
-            async with asyncio.timeout_at(until if until < inf else None) as attempt.scope:
+            async with asyncio.timeout_at(until if until < inf else None) as attempt.timeout:
                 with bound(attempt=attempt.number + 1, node=attempt.node):
                     return await backend.attempt(attempt)
         except TimeoutError:
@@ -299,7 +308,11 @@
         try:
             ending = await relay()
             is_complete = ending is Ending.SERVED
-            answer = begun if is_complete else Answer(Verdict.FAILED, cause=ending, own=Own.BROKE_OFF)
+            answer = (
+                begun
+                if is_complete
+                else Answer(Verdict.FAILED, last_ending=ending, local_code=LocalCode.BROKE_OFF)
+            )
         finally:
             self._requests.finish(ticket, answer)
         return answer
@@ -329,7 +342,7 @@
             case api.BorrowCapacity(node, units):
                 self._borrow_capacity(node, units)
             case api.WatchNodes():
-                self.watching.set()
+                self.watch_requested.set()
             case api.Report(text):
                 log.info("module.state", shards=text)
             case api.Probe(node):
@@ -343,6 +356,6 @@
 
 def _expired_reply(attempt: Attempt) -> Reply:
     """How an attempt ended whose time-out has passed."""
-    if not (attempt.written or attempt.begun):
+    if not (attempt.written or attempt.body_started):
         return Reply(Ending.EXPIRED)
-    return Reply(Ending.GIVEN_UP if attempt.given_up else Ending.TIMED_OUT)
+    return Reply(Ending.GIVEN_UP if attempt.cancelled else Ending.TIMED_OUT)
--- a/cherrycove/broker/core/figures.py
+++ b/cherrycove/broker/core/metrics.py
@@ -9,23 +9,23 @@
 
 from cherrycove.broker.core.endings import Ending
 from cherrycove.broker.core.requests import Attempt, Request, Verdict
-from cherrycove.broker.local_codes import Own
+from cherrycove.broker.local_codes import LocalCode
 from cherrycove.scheduling import interface as api
 
 
 @dataclass(slots=True, eq=False)
-class Ended:
+class RequestSummary:
     """A request that has ended, or is in flight, as a recorder gets it. Times are on the loop's clock."""
 
-    came: float
-    at: float
+    arrived_at: float
+    ended_at: float
     verdict: Verdict | None  # None: its client disconnected, or it is in flight
-    own: Own = Own.NOTHING
+    local_code: LocalCode = LocalCode.NOTHING
     why: api.Reason | None = None
     request: Request | None = None  # None: a server answered it by itself; the fields below identify it
-    tries: list[Attempt] = field(default_factory=list)
-    first: str = ""  # the id of the request that the client retries
-    rivals: int = 0
+    attempts: list[Attempt] = field(default_factory=list)
+    original_id: str = ""  # the id of the request that the client retries
+    candidates: int = 0
     id: str = ""
     volume: str = ""
     front: str = "http"
@@ -35,22 +35,22 @@
 class Recorder(Protocol):
     """Gets every request once, when it has ended."""
 
-    def came(self, request: Request, now: float) -> tuple[str, int]:
+    def match_retry(self, request: Request, now: float) -> tuple[str, int]:
         """Return the id of the request that this marked retry repeats, and how many candidates there were."""
 
-    def ended(self, ended: Ended) -> None:
+    def record(self, ended: RequestSummary) -> None:
         """Record a request that has ended."""
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
-    """Figures of a broker for its operators."""
+class Metrics:
+    """Metrics of a broker for its operators."""
 
     answers: Mapping[str, Mapping[Verdict, int]]  # by class, since the start
-    tries: int  # attempts written completely
-    open: int  # requests
-    known: int  # nodes in the list
-    skipped: int  # of these, nodes that get no requests now
+    attempts: int  # attempts written completely
+    open_requests: int  # requests
+    listed_nodes: int  # nodes in the list
+    unused_nodes: int  # of these, nodes that get no requests now
 
 
 class Counters:
--- a/cherrycove/broker/core/nodes.py
+++ b/cherrycove/broker/core/nodes.py
@@ -43,13 +43,13 @@
         default_factory=dict
     )  # that start, and the time of its return
 
-    def taking_out(self, name: str, since_ms: float) -> Maintenance:
+    def with_node_out(self, name: str, since_ms: float) -> Maintenance:
         """Return the state with this node out, whose reported start is ``since_ms``."""
         if name in self.out:
             return self
         return Maintenance({**self.out, name: since_ms}, {k: v for k, v in self.back.items() if k != name})
 
-    def putting_back(self, name: str, returned_ms: float) -> Maintenance:
+    def with_node_back(self, name: str, returned_ms: float) -> Maintenance:
         """Return the state with this node back since ``returned_ms``, in Unix time."""
         if name not in self.out:
             return self
@@ -58,7 +58,7 @@
             {**self.back, name: (self.out[name], returned_ms)},
         )
 
-    def joined(self, reported: Member) -> Member:
+    def apply_to(self, reported: Member) -> Member:
         """Return the node as discovery reported it, with maintenance applied."""
         since, returned = self.back.get(reported.name, (nan, 0.0))
         if since == reported.since_ms:
@@ -99,20 +99,20 @@
                 self.members.pop(member.name, None)
         self.maintenance = self.maintenance.without_superseded(self.members)
 
-    def maintain(self, state: Maintenance) -> list[Member]:
+    def set_maintenance(self, state: Maintenance) -> list[Member]:
         """Replace the maintenance state; return the members that it changes, as reported."""
         before, self.maintenance = self.maintenance, state
-        return [m for m in self.members.values() if before.joined(m) != state.joined(m)]
+        return [m for m in self.members.values() if before.apply_to(m) != state.apply_to(m)]
 
     def is_up(self, name: str) -> bool:
         """Return whether the node is in the list, and neither it nor its operators drain it."""
         member = self.members.get(name)
-        return member is not None and self.maintenance.joined(member).state is api.NodeState.UP
+        return member is not None and self.maintenance.apply_to(member).state is api.NodeState.UP
 
     def any_up(self) -> bool:
         """Return whether any node is up."""
         return any(
-            self.maintenance.joined(member).state is api.NodeState.UP for member in self.members.values()
+            self.maintenance.apply_to(member).state is api.NodeState.UP for member in self.members.values()
         )
 
     def loop_time(self, since_ms: float) -> float | None:
@@ -128,6 +128,6 @@
             kind,
             tuple(
                 api.Node(m.name, m.shard, m.zone, m.weight, self.loop_time(m.since_ms), m.state)
-                for m in map(self.maintenance.joined, members)
+                for m in map(self.maintenance.apply_to, members)
             ),
         )
--- a/cherrycove/broker/core/request_table.py
+++ b/cherrycove/broker/core/request_table.py
@@ -8,10 +8,10 @@
 
 from cherrycove.broker.core.driver import SchedulerDriver
 from cherrycove.broker.core.endings import OUTCOMES, Ending
-from cherrycove.broker.core.figures import Counters, Ended, Recorder
+from cherrycove.broker.core.metrics import Counters, Recorder, RequestSummary
 from cherrycove.broker.core.nodes import Member, NodeTable
 from cherrycove.broker.core.requests import Answer, Attempt, Reply, Request, Verdict
-from cherrycove.broker.local_codes import Own
+from cherrycove.broker.local_codes import LocalCode
 from cherrycove.scheduling import interface as api
 
 # A busy machine can delay this process for tens of ms, and an answer after the client's deadline is a failed
@@ -34,7 +34,7 @@
     step: Attempt | Answer | None = None  # decided before anybody waited for it
     attempts: int = 0
     current: Attempt | None = None
-    cause: Ending | None = None
+    last_ending: Ending | None = None
     over: bool = False  # answered, or its client disconnected; kept until the scheduler knows
     came: float = 0.0
     tries: list[Attempt] = field(default_factory=list)
@@ -74,7 +74,7 @@
         ticket = self.tickets[self._serial] = Ticket(self._serial, request, wait, margin)
         ticket.came = self._loop.time()
         if self.recorder is not None and request.repeat:
-            ticket.first = self.recorder.came(request, ticket.came)
+            ticket.first = self.recorder.match_retry(request, ticket.came)
         self.open += 1
         self.idle.clear()
         self._counters.counts["taken"] += 1
@@ -97,12 +97,12 @@
         if attempt.reported:
             return
         attempt.reported = True
-        attempt.ending, attempt.took = reply.ending, self._loop.time() - attempt.began
+        attempt.ending, attempt.duration_s = reply.ending, self._loop.time() - attempt.started_at
         self._counters.endings[reply.ending] += 1
         ticket = self.tickets.get(attempt.request)
         closed = ticket is None or ticket.over or reply.ending is Ending.SERVED
         if ticket is not None:
-            ticket.cause, ticket.current = reply.ending, None
+            ticket.last_ending, ticket.current = reply.ending, None
             if ticket.request.upload:
                 reschedule(ticket.limit, self._loop.time() + ticket.wait)
         self._driver.push(_attempt_end(attempt, reply, closed=closed))
@@ -118,13 +118,13 @@
         # An attempt decided as the client disconnected was never carried out; its end is still reported.
         for attempt in (ticket.current, ticket.step):
             if isinstance(attempt, Attempt):
-                self.report(attempt, Reply(Ending.GIVEN_UP if attempt.scope else Ending.NOT_STARTED))
+                self.report(attempt, Reply(Ending.GIVEN_UP if attempt.timeout else Ending.NOT_STARTED))
         if answer is None:
             self._driver.push(api.ClientDeparture(ticket.id))
         ticket.over = True
         self._over.append(ticket.id)
         if self.recorder is not None:
-            self.recorder.ended(_ended(ticket, answer, self._loop.time()))
+            self.recorder.record(_ended(ticket, answer, self._loop.time()))
 
     def take_over(self) -> list[int]:
         """Return the tickets that are over and not taken yet; ``forget`` them once the scheduler knows."""
@@ -136,18 +136,18 @@
         for number in over:
             del self.tickets[number]
 
-    def find(self, id: str) -> list[Ended]:
+    def find(self, id: str) -> list[RequestSummary]:
         """Return the requests in flight with this id of their client."""
         now = self._loop.time()
         return [
-            Ended(
+            RequestSummary(
                 ticket.came,
                 now,
                 None,
                 request=ticket.request,
-                tries=list(ticket.tries),
-                first=ticket.first[0],
-                rivals=ticket.first[1],
+                attempts=list(ticket.tries),
+                original_id=ticket.first[0],
+                candidates=ticket.first[1],
             )
             for ticket in self.tickets.values()
             if ticket.request.id == id and not ticket.over
@@ -166,12 +166,12 @@
         """
         for ticket in self.tickets.values():
             attempt = ticket.current
-            if attempt is None or attempt.written or attempt.begun or attempt.write_by <= latest:
+            if attempt is None or attempt.written or attempt.body_started or attempt.write_by <= latest:
                 continue
             if self._nodes.is_up(attempt.node):
                 continue
             attempt.write_by = latest
-            reschedule(attempt.scope, min(attempt.expires, latest))
+            reschedule(attempt.timeout, min(attempt.expires, latest))
 
     # The scheduler's actions.
 
@@ -199,15 +199,17 @@
         """End a request without a reply of a node; ``retry_after`` is in s."""
         ticket = self.tickets.get(request)
         if ticket is not None:
-            self.deliver(ticket, Answer(verdict, retry_after=retry_after, cause=ticket.cause, why=why))
+            self.deliver(
+                ticket, Answer(verdict, retry_after=retry_after, last_ending=ticket.last_ending, why=why)
+            )
 
     def cancel(self, request: int, number: int) -> None:
         """Cancel the attempt of this number, if it is under way."""
         ticket = self.tickets.get(request)
         attempt = ticket.current if ticket else None
-        if attempt and attempt.number == number and attempt.scope and not attempt.scope.expired():
-            attempt.given_up = True
-            attempt.scope.reschedule(self._loop.time())
+        if attempt and attempt.number == number and attempt.timeout and not attempt.timeout.expired():
+            attempt.cancelled = True
+            attempt.timeout.reschedule(self._loop.time())
 
     def deliver(self, ticket: Ticket, step: Attempt | Answer) -> None:
         """Give a request its next step, now or when ``next_step`` is called."""
@@ -241,13 +243,13 @@
         self._counters.attempts_written += 1
         ticket, now = self.tickets.get(attempt.request), self._loop.time()
         if attempt.write_by < inf:
-            reschedule(attempt.scope, attempt.expires)
+            reschedule(attempt.timeout, attempt.expires)
         if ticket is None or ticket.over or not ticket.request.upload:
             return
         # The client has sent all of its upload: its time begins.
         ticket.request.upload, ticket.request.deadline = False, now + ticket.wait
-        attempt.began, attempt.expires = now, now + ticket.wait - ticket.margin
-        reschedule(attempt.scope, attempt.expires)
+        attempt.started_at, attempt.expires = now, now + ticket.wait - ticket.margin
+        reschedule(attempt.timeout, attempt.expires)
         reschedule(ticket.limit, now + ticket.wait - ticket.last_resort_s)
         self._driver.push(api.UploadEnd(ticket.id))
 
@@ -276,19 +278,19 @@
         attempt.node,
         OUTCOMES[reply.ending],
         closed,
-        attempt.took,
+        attempt.duration_s,
         reply.use,
         reply.elsewhere,
         reply.load,
     )
 
 
-def _ended(ticket: Ticket, answer: Answer | None, now: float) -> Ended:
-    return Ended(
+def _ended(ticket: Ticket, answer: Answer | None, now: float) -> RequestSummary:
+    return RequestSummary(
         ticket.came,
         now,
         answer.verdict if answer else None,
-        Own.CLIENT_GONE if answer is None else answer.own,
+        LocalCode.CLIENT_GONE if answer is None else answer.local_code,
         answer.why if answer else None,
         ticket.request,
         ticket.tries,
--- a/cherrycove/broker/core/requests.py
+++ b/cherrycove/broker/core/requests.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from cherrycove.broker.core.endings import Ending
-from cherrycove.broker.local_codes import Own
+from cherrycove.broker.local_codes import LocalCode
 from cherrycove.scheduling import interface as api
 
 
@@ -41,21 +41,21 @@
     node: str
     address: str
     expires: float
-    began: float
-    wait: float = 0.0  # s that the broker waits for the response
-    life: str = ""  # the node's incarnation: name and start
+    started_at: float
+    response_timeout_s: float = 0.0  # s that the broker waits for the response
+    incarnation: str = ""  # the node's incarnation: name and start
     written: bool = False  # the last byte may have been sent
-    begun: bool = False  # a part of a streamed body may have been sent
+    body_started: bool = False  # a part of a streamed body may have been sent
     on_written: Callable[[Attempt], None] | None = None
-    scope: asyncio.Timeout | None = None  # while a backend carries it out
-    given_up: bool = False
+    timeout: asyncio.Timeout | None = None  # while a backend carries it out
+    cancelled: bool = False
     reported: bool = False
     why: api.Reason | None = None
-    took: float = 0.0  # s, once it has ended
+    duration_s: float = 0.0  # s, once it has ended
     ending: Ending | None = None
     write_by: float = inf  # by then the last byte has been sent, or the attempt is cancelled
 
-    def wrote(self) -> None:
+    def mark_written(self) -> None:
         """Mark the attempt as written; its backend calls this once the last byte may have left."""
         if not self.written:
             self.written = True
@@ -69,7 +69,7 @@
 
     ending: Ending
     body: bytes = b""
-    kind: str = ""  # the media type of the body, if the protocol has one
+    media_type: str = ""  # the media type of the body, if the protocol has one
     use: float | None = None  # the volume's use in a finished period, as a multiple of its plan's rate
     elsewhere: float = 0.0
     load: Mapping[str, float] = field(default_factory=dict)
@@ -93,9 +93,9 @@
     verdict: Verdict
     reply: Reply | None = None
     retry_after: float = 0.0  # s
-    cause: Ending | None = None  # how the last attempt ended, if there was one
+    last_ending: Ending | None = None  # how the last attempt ended, if there was one
     why: api.Reason | None = None  # the scheduler's
-    own: Own = Own.NOTHING  # the core's, if the scheduler had no part in it
+    local_code: LocalCode = LocalCode.NOTHING  # the core's, if the scheduler had no part in it
 
 
 class Backend(Protocol):
--- a/cherrycove/broker/decision_log/ask.py
+++ b/cherrycove/broker/decision_log/ask.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from typing import Any, NoReturn
 
-from cherrycove.broker.core import Ended
+from cherrycove.broker.core import RequestSummary
 from cherrycove.broker.decision_log import words
 from cherrycove.broker.decision_log.book import DecisionLog, story_of
 from cherrycove.broker.decision_log.pack import VERDICTS, RequestRecord
@@ -110,7 +110,10 @@
 
 
 async def answer(
-    question: Question, book: DecisionLog, now: Callable[[], float], still_open: Callable[[str], list[Ended]]
+    question: Question,
+    book: DecisionLog,
+    now: Callable[[], float],
+    still_open: Callable[[str], list[RequestSummary]],
 ) -> list[str]:
     """Return the lines of the answer, of which the first begins with YES or NO.
 
@@ -167,7 +170,7 @@
 
 
 def _one(
-    question: Question, book: DecisionLog, now: float, wall: float, still_open: list[Ended]
+    question: Question, book: DecisionLog, now: float, wall: float, still_open: list[RequestSummary]
 ) -> list[str]:
     said: list[str] = []
     for ended in still_open:
--- a/cherrycove/broker/decision_log/book.py
+++ b/cherrycove/broker/decision_log/book.py
@@ -15,7 +15,7 @@
 from typing import Any
 from zlib import crc32
 
-from cherrycove.broker.core import Ended, Ending, Request, Verdict
+from cherrycove.broker.core import Ending, Request, RequestSummary, Verdict
 from cherrycove.broker.decision_log import retries
 from cherrycove.broker.decision_log.pack import (
     HEAD,
@@ -32,7 +32,7 @@
 from cherrycove.broker.decision_log.ring import Ring
 from cherrycove.broker.decision_log.seen import Seen
 from cherrycove.broker.decision_log.sketches import OPEN, Sketches
-from cherrycove.broker.local_codes import AnyCode, Own
+from cherrycove.broker.local_codes import AnyCode, LocalCode
 from cherrycove.scheduling.interface import Reason, Settings
 
 LEAST = 192 * 1024  # bytes; a smaller limit holds nothing useful
@@ -147,29 +147,29 @@
 
     # Called by the core.
 
-    def came(self, request: Request, now: float) -> tuple[str, int]:
+    def match_retry(self, request: Request, now: float) -> tuple[str, int]:
         """Return the id of the first attempt of a marked retry, and how many it could have been."""
         self.flush()
         patience = self.settings.classes[request.cls].deadline
         return retries.claim(self.kept, request.volume, request.cls, _thing(request.key), now, patience)
 
-    def ended(self, ended: Ended) -> None:
+    def record(self, ended: RequestSummary) -> None:
         """Record an ended request.
 
         Inserted in batches: one by one, between other work, each costs three times the CPU, since nothing of
         it is in the processor's caches. Pending requests are plain values: the core's own objects would keep
         tasks and timers alive, and grow old enough for each garbage collection to visit them.
         """
-        request, tries, why = ended.request, ended.tries, ended.why
-        usual = request is not None and not ended.own and not request.repeat and self.on_story is None
+        request, tries, why = ended.request, ended.attempts, ended.why
+        usual = request is not None and not ended.local_code and not request.repeat and self.on_story is None
         if usual and request is not None and ended.verdict is Verdict.SERVED and len(tries) == 1:
             attempt = tries[0]
             self._pending.append(
                 (
                     request.id,
                     request.volume,
-                    ended.at,
-                    ended.at - ended.came,
+                    ended.ended_at,
+                    ended.ended_at - ended.arrived_at,
                     request.front,
                     request.cls,
                     request.plan,
@@ -177,8 +177,8 @@
                     request.shard,
                     attempt.node,
                     attempt.why,
-                    attempt.began - ended.came,
-                    attempt.took,
+                    attempt.started_at - ended.arrived_at,
+                    attempt.duration_s,
                 )
             )
         elif usual and request is not None and why is not None and not tries:
@@ -186,8 +186,8 @@
                 (
                     request.id,
                     request.volume,
-                    ended.at,
-                    ended.at - ended.came,
+                    ended.ended_at,
+                    ended.ended_at - ended.arrived_at,
                     request.front,
                     request.cls,
                     request.plan,
@@ -245,7 +245,7 @@
                     at,
                     took,
                     "served",
-                    Own.SERVED,
+                    LocalCode.SERVED,
                     front,
                     cls,
                     plan,
@@ -259,7 +259,7 @@
         self.seen.add(hashed, at)
         self.plain.add(record, hashed, hash(volume), at)
         if self.sketches is not None:
-            self.sketches.ended(at, "served", Own.SERVED, volume)
+            self.sketches.ended(at, "served", LocalCode.SERVED, volume)
             self.sketches.answered(at, node, cls, lasted)
 
     def _unsent(
@@ -449,27 +449,42 @@
     return crc32(key.encode("utf-8", "surrogateescape")) if key else 0
 
 
-def story_of(ended: Ended) -> RequestRecord:
+def story_of(ended: RequestSummary) -> RequestRecord:
     """Return the record of an ended request, or of an open one as it stands."""
     request = ended.request
     verdict = VERDICTS[ended.verdict] if ended.verdict is not None else "gone"
-    code: AnyCode = Own(ended.own) if ended.own else ended.why.code if ended.why else Own.NOTHING
-    if not ended.own and ended.verdict is Verdict.SERVED:
-        code = Own.SERVED
+    code: AnyCode = (
+        LocalCode(ended.local_code)
+        if ended.local_code
+        else ended.why.code
+        if ended.why
+        else LocalCode.NOTHING
+    )
+    if not ended.local_code and ended.verdict is Verdict.SERVED:
+        code = LocalCode.SERVED
     tries = [
-        AttemptRecord(each.node, each.why, max(each.began - ended.came, 0.0), each.took, each.ending)
-        for each in ended.tries
+        AttemptRecord(
+            each.node, each.why, max(each.started_at - ended.arrived_at, 0.0), each.duration_s, each.ending
+        )
+        for each in ended.attempts
         if each.why is not None
     ]
     if request is None:
         return RequestRecord(
-            ended.id, ended.volume, ended.at, ended.at - ended.came, verdict, code, ended.front, ended.cls
+            ended.id,
+            ended.volume,
+            ended.ended_at,
+            ended.ended_at - ended.arrived_at,
+            verdict,
+            code,
+            ended.front,
+            ended.cls,
         )
     return RequestRecord(
         request.id,
         request.volume,
-        ended.at,
-        ended.at - ended.came,
+        ended.ended_at,
+        ended.ended_at - ended.arrived_at,
         verdict,
         code,
         request.front,
@@ -478,8 +493,8 @@
         request.units,
         request.shard,
         request.repeat,
-        ended.first,
-        ended.rivals,
+        ended.original_id,
+        ended.candidates,
         tries,
         ended.why,
         _thing(request.key),
--- a/cherrycove/broker/decision_log/words.py
+++ b/cherrycove/broker/decision_log/words.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from cherrycove.broker.decision_log.pack import AttemptRecord, RequestRecord
-from cherrycove.broker.local_codes import AnyCode, Own
+from cherrycove.broker.local_codes import AnyCode, LocalCode
 from cherrycove.scheduling.interface import Code, Reason, Settings
 
 SAID = {"served": "served", "refused": "refused", "failed": "failed", "gone": "left by its client"}
@@ -87,26 +87,26 @@
     Code.EXTRAS: lambda volume, why: "further attempts have used up what the deployment allows of them",
     Code.TURN: lambda volume, why: "it waited for another request on the same object",
 }
-OWN: dict[Own, str] = {
-    Own.NOTHING: "no reason is known",
-    Own.SERVED: "a disk node's whole answer went out",
-    Own.CLIENT_GONE: "its client left before its answer",
-    Own.LAST_RESORT: "no decision came until its deadline",
-    Own.ENDING: "the broker ended before it was decided",
-    Own.BROKE_OFF: "its answer broke off on the way from the disk node",
-    Own.MALFORMED: "it was not a request of this deployment (400)",
-    Own.ID_OPEN: "a request with its id was open (409)",
-    Own.TOO_LONG: "its body was too long (413)",
-    Own.BODY_SLOW: "its body did not come in time (408)",
-    Own.NO_ROOM: "there was no room in memory for its body",
-    Own.NO_PATH: "it named no path of this deployment (404)",
-    Own.BAD_COMMAND: "it was not a command that its export takes",
+OWN: dict[LocalCode, str] = {
+    LocalCode.NOTHING: "no reason is known",
+    LocalCode.SERVED: "a disk node's whole answer went out",
+    LocalCode.CLIENT_GONE: "its client left before its answer",
+    LocalCode.LAST_RESORT: "no decision came until its deadline",
+    LocalCode.ENDING: "the broker ended before it was decided",
+    LocalCode.BROKE_OFF: "its answer broke off on the way from the disk node",
+    LocalCode.MALFORMED: "it was not a request of this deployment (400)",
+    LocalCode.ID_OPEN: "a request with its id was open (409)",
+    LocalCode.TOO_LONG: "its body was too long (413)",
+    LocalCode.BODY_SLOW: "its body did not come in time (408)",
+    LocalCode.NO_ROOM: "there was no room in memory for its body",
+    LocalCode.NO_PATH: "it named no path of this deployment (404)",
+    LocalCode.BAD_COMMAND: "it was not a command that its export takes",
 }
 
 
 def reason(story: RequestRecord) -> str:
     """Return in words why a request ended as it did."""
-    if isinstance(story.code, Own):
+    if isinstance(story.code, LocalCode):
         return OWN[story.code]
     say = ENDED.get(story.code)
     why = story.why or Reason(story.code)
--- a/cherrycove/broker/http1/server.py
+++ b/cherrycove/broker/http1/server.py
@@ -47,7 +47,7 @@
 )
 from cherrycove.broker.lifecycle.listening_socket import bind_listening_socket
 from cherrycove.broker.lifecycle.shutdown_timetable import ShutdownTimetable
-from cherrycove.broker.local_codes import BY_STATUS, Own
+from cherrycove.broker.local_codes import BY_STATUS, LocalCode
 from cherrycove.broker.sockets import POLL_INTERVAL_S, DisconnectWatcher, has_unread_input
 
 # aiohttp's own log, of requests that it could not parse.
@@ -332,7 +332,7 @@
 
     def _give_up(self) -> None:
         self._given_up = True
-        self._core.give_up()
+        self._core.expire_requests()
         self._end_at_once(self._taking)
 
     @staticmethod
@@ -356,7 +356,7 @@
                 await self._accept_rest(rest)
         # Requests that wait for memory, for their body or to be read are not known to the core yet.
         await self._web.settled(max(self._last_answer, loop.time() + NEW_CONNECTION_WAIT_S))
-        await self._core.idle()
+        await self._core.wait_idle()
         self._web.pre_shutdown()  # closes idle ones; the others close after their response
         # aiohttp waits twice for this time, and does not wait at all for 0.
         await self._web.shutdown(min(CLOSE_TIMEOUT_S, max((self._gone - loop.time()) / 2, 0.001)))
@@ -388,7 +388,7 @@
         self.last_request = asyncio.get_running_loop().time()
         cls = self._names.classes.get((path.split("/", 2) + [""])[1])
         if cls is None:
-            self._core.record_rejection(None, own=Own.NO_PATH, id=_id(request))
+            self._core.record_rejection(None, local_code=LocalCode.NO_PATH, id=_id(request))
             return self._response(404, "no such path\n", whole=not request.body_exists)
         try:
             if request.method not in ("GET", "PUT"):
@@ -428,9 +428,9 @@
 
     async def _refuse(self, request: web.BaseRequest, cls: int) -> web.Response:
         """Reject a request whose body has not been read."""
-        own, why = Own.NO_ROOM, "no room for its body now"
+        own, why = LocalCode.NO_ROOM, "no room for its body now"
         if self._given_up:
-            own, why = Own.ENDING, "this process ends"
+            own, why = LocalCode.ENDING, "this process ends"
         response = self._turn_away(
             request, cls, 503, f"refused: {why}\n", whole=False, verdict=Verdict.REFUSED, own=own
         )
@@ -498,7 +498,7 @@
         self, request: web.BaseRequest, relayed: list[web.StreamResponse], rest: ResponseStream, reply: Reply
     ) -> Ending:
         """Stream a long response. If it breaks off, the connection closes before the framed end."""
-        response = web.StreamResponse(headers=self._headers(reply.kind or "application/octet-stream"))
+        response = web.StreamResponse(headers=self._headers(reply.media_type or "application/octet-stream"))
         relayed.append(response)
         if rest.length is not None:
             response.content_length = rest.length
@@ -560,9 +560,11 @@
         why: str,
         whole: bool = True,
         verdict: Verdict = Verdict.FAILED,
-        own: Own | None = None,
+        own: LocalCode | None = None,
     ) -> web.Response:
-        self._core.record_rejection(cls, verdict, own or BY_STATUS.get(status, Own.MALFORMED), _id(request))
+        self._core.record_rejection(
+            cls, verdict, own or BY_STATUS.get(status, LocalCode.MALFORMED), _id(request)
+        )
         response = self._response(status, why, whole=whole)
         advice = min(MEMORY_TIMEOUT_S, self._core.settings.retry_advice)
         if verdict is Verdict.REFUSED and advice > 0:
@@ -571,13 +573,13 @@
 
     def _answer(self, answer: Answer) -> web.StreamResponse:
         if answer.verdict is Verdict.SERVED and answer.reply is not None:
-            return self._response(200, answer.reply.body, answer.reply.kind)
+            return self._response(200, answer.reply.body, answer.reply.media_type)
         if answer.verdict is Verdict.REFUSED:
             response = self._response(503, "refused: a new try does no harm\n")
             if answer.retry_after > 0:
                 response.headers["Retry-After"] = f"{answer.retry_after:.3f}"
             return response
-        late = answer.cause in (Ending.TIMED_OUT, Ending.CONNECT_TIMEOUT)
+        late = answer.last_ending in (Ending.TIMED_OUT, Ending.CONNECT_TIMEOUT)
         return self._response(504 if late else 500, "failed: it may have taken effect\n")
 
     @staticmethod
--- a/cherrycove/broker/http1/upstream.py
+++ b/cherrycove/broker/http1/upstream.py
@@ -384,7 +384,7 @@
     def written(self) -> None:
         self.sent = True
         if self._current is not None:
-            self._current.wrote()
+            self._current.mark_written()
 
     def count(self, size: int) -> None:
         if isinstance(self._body, bytes):
@@ -401,19 +401,21 @@
 
     async def _flow(self, upload: StreamedBody) -> AsyncIterator[bytes]:
         attempt, loop = self._current, asyncio.get_running_loop()
-        assert attempt is not None and attempt.scope is not None
+        assert attempt is not None and attempt.timeout is not None
         size = 0
         try:
             async for piece in upload.pieces():
-                attempt.begun = self.begun = True
+                attempt.body_started = self.begun = True
                 size += len(piece)
                 if size == upload.length:
                     self.written()  # before the write: with this chunk the node has all of it
                 else:
-                    attempt.scope.reschedule(loop.time() + STALL_TIMEOUT_S)  # the node must accept the chunk
+                    attempt.timeout.reschedule(
+                        loop.time() + STALL_TIMEOUT_S
+                    )  # the node must accept the chunk
                 yield piece
                 if not self.sent:
-                    attempt.scope.reschedule(None)  # the client's time is bounded by its body
+                    attempt.timeout.reschedule(None)  # the client's time is bounded by its body
             if not self.sent:
                 self.written()
         except BodyError as error:
@@ -425,7 +427,7 @@
             return Reply(Ending.NOT_STARTED)  # its first chunks have been consumed
         self._current = attempt
         self.sent, self._left = False, len(self._body) if isinstance(self._body, bytes) else 0
-        wait = max(int(attempt.wait * 1000), 1)
+        wait = max(int(attempt.response_timeout_s * 1000), 1)
         return await self._pool.exchange(
             self, attempt.address, {**self._unchanged, "X-Deadline-Ms": str(wait)}
         )
--- a/cherrycove/broker/http1/watch.py
+++ b/cherrycove/broker/http1/watch.py
@@ -45,7 +45,7 @@
                     is_known = False  # discovery has restarted: changes of an unknown list say nothing
                     continue
                 _update(core, nodes)
-                is_known, is_silent, core.silent, backoff_s = True, False, False, MIN_BACKOFF_S
+                is_known, is_silent, core.source_unreachable, backoff_s = True, False, False, MIN_BACKOFF_S
             except (NodeListError, aiohttp.ClientError, OSError, ValueError) as error:
                 if not is_silent:
                     log.warning("discovery.silent", why=str(error) or type(error).__name__)
--- a/cherrycove/broker/lifecycle/coordinator.py
+++ b/cherrycove/broker/lifecycle/coordinator.py
@@ -161,7 +161,7 @@
         try:
             members = tuple(parse_member(raw) for raw in state["members"])
             sent = {str(name): float(units) for name, units in state["sent"].items()}
-            self._core.maintain(parse_maintenance(state["maintenance"]))
+            self._core.set_maintenance(parse_maintenance(state["maintenance"]))
             if type(state["version"]) is int:
                 self._core.update(NodeList(state["version"], True, members), restored=True)
         except (KeyError, TypeError, ValueError, AttributeError) as error:
@@ -287,7 +287,7 @@
         state = {
             "version": self._core.version,
             "members": [pack_member(member) for member in self._core.members],
-            "sent": self._core.sent(),
+            "sent": self._core.recent_sent_units(),
             "maintenance": pack_maintenance(self._core.maintenance),
         }
         if self._remembers:
@@ -318,7 +318,7 @@
             return
         started = loop.time()
         await self._send_log_chunks(decision_log.pieces(started - LOG_WINDOW_S, started))
-        await self._core.idle()
+        await self._core.wait_idle()
         await self._send_log_chunks(decision_log.pieces(started, loop.time()))
 
     async def _send_log_chunks(self, chunks: Iterable[dict[str, object]]) -> None:
--- a/cherrycove/broker/lifecycle/maintenance.py
+++ b/cherrycove/broker/lifecycle/maintenance.py
@@ -27,7 +27,7 @@
 
     def load(self) -> None:
         """Apply what the last process stored."""
-        self._core.maintain(self._endpoint.load())
+        self._core.set_maintenance(self._endpoint.load())
         if self._core.maintenance.out:
             log.info("maintenance.out", nodes=" ".join(self._core.maintenance.out))
 
@@ -52,10 +52,12 @@
         """Apply a change of either process; return whether it was stored, else it is undone."""
         async with self._endpoint.changing:
             before, node, at_ms = self._core.maintenance, str(message["maint"]), float(message["at"])
-            state = before.taking_out(node, at_ms) if message["out"] else before.putting_back(node, at_ms)
+            state = (
+                before.with_node_out(node, at_ms) if message["out"] else before.with_node_back(node, at_ms)
+            )
             # Applied before it is stored: it has to bind 1 s after the call, however slow the disk is.
-            self._core.maintain(state)
+            self._core.set_maintenance(state)
             stored = await self._endpoint.save(state)
             if not stored:
-                self._core.maintain(before)
+                self._core.set_maintenance(before)
         return stored
--- a/cherrycove/broker/local_codes.py
+++ b/cherrycove/broker/local_codes.py
@@ -12,7 +12,7 @@
 from cherrycove.scheduling.interface import Code
 
 
-class Own(IntEnum):
+class LocalCode(IntEnum):
     """Why a request ended, where the scheduler had no part in it."""
 
     NOTHING = 0  # a record without a reason
@@ -30,21 +30,21 @@
     BAD_COMMAND = 75  # NBD: EINVAL, EPERM or ENOSPC by the front
 
 
-BY_STATUS: Mapping[int, Own] = {
-    400: Own.MALFORMED,
-    404: Own.NO_PATH,
-    408: Own.BODY_SLOW,
-    409: Own.ID_OPEN,
-    413: Own.TOO_LONG,
-    503: Own.NO_ROOM,
+BY_STATUS: Mapping[int, LocalCode] = {
+    400: LocalCode.MALFORMED,
+    404: LocalCode.NO_PATH,
+    408: LocalCode.BODY_SLOW,
+    409: LocalCode.ID_OPEN,
+    413: LocalCode.TOO_LONG,
+    503: LocalCode.NO_ROOM,
 }
 
-AnyCode = Code | Own
+AnyCode = Code | LocalCode
 
 
 def code(number: int) -> AnyCode:
     """Return the code of this number; ValueError if it is unknown, such as one of a newer process."""
-    return Own(number) if number in _OWN else Code(number)
+    return LocalCode(number) if number in _OWN else Code(number)
 
 
-_OWN = frozenset(int(each) for each in Own)
+_OWN = frozenset(int(each) for each in LocalCode)
--- a/cherrycove/broker/nbd/_session.py
+++ b/cherrycove/broker/nbd/_session.py
@@ -8,7 +8,7 @@
 from itertools import count
 
 from cherrycove.broker.core import Answer, Core, Ending, Request, Verdict
-from cherrycove.broker.local_codes import Own
+from cherrycove.broker.local_codes import LocalCode
 from cherrycove.broker.nbd._codec import (
     CommandRequest,
     ProtocolError,
@@ -170,7 +170,7 @@
         if request.command in self._config.classes:
             self._core.record_rejection(
                 self._config.classes[Command(request.command)],
-                own=Own.BAD_COMMAND,
+                local_code=LocalCode.BAD_COMMAND,
                 id=self._request_id(request),
                 volume=self._export.volume,
                 front=_FRONT,
@@ -228,6 +228,6 @@
     if answer.verdict is Verdict.REFUSED:
         message = f"refused: a new try does no harm; retry after {answer.retry_after:.3f} s"
         return _Result(Errno.ENOMEM, message)
-    if answer.cause is Ending.NODE_ERROR and node_errno in _FORWARDED_ERRORS:
+    if answer.last_ending is Ending.NODE_ERROR and node_errno in _FORWARDED_ERRORS:
         return _Result(Errno(node_errno), "the node refuses the command")
     return _Result(Errno.EIO, "failed: it may have taken effect")
--- a/cherrycove/broker/nbd/client.py
+++ b/cherrycove/broker/nbd/client.py
@@ -218,7 +218,7 @@
         unflushed = self._pool.unflushed_writes(self._export.name)
         is_flush = self._request.command == Command.FLUSH
         sequence = unflushed.last_sequence  # before the flush is sent: later writes are not covered
-        self._lost_writes = self._lost_writes or (is_flush and unflushed.forget_others(attempt.life))
+        self._lost_writes = self._lost_writes or (is_flush and unflushed.forget_others(attempt.incarnation))
         if self._lost_writes:
             self.errno = Errno.EIO
             return Reply(Ending.NODE_ERROR)
@@ -235,9 +235,9 @@
         if reply.errno:
             return Reply(Ending.NODE_ERROR)
         if is_flush:
-            unflushed.record_flush(attempt.life, sequence)
+            unflushed.record_flush(attempt.incarnation, sequence)
         elif self._request.command in (Command.WRITE, Command.TRIM):
-            unflushed.record_write(attempt.life)
+            unflushed.record_write(attempt.incarnation)
         return Reply(Ending.SERVED, bytes(reply.data))
 
     async def _exchange(self, attempt: Attempt) -> CommandReply | None:
@@ -253,7 +253,7 @@
             )
             if connection.writer.is_closing():
                 return None
-            attempt.wrote()  # from here on nobody can tell how much has been sent
+            attempt.mark_written()  # from here on nobody can tell how much has been sent
             connection.writer.write(request.pack() + self._payload)
             return await read_reply(connection.reader, request, structured=connection.structured)
 
--- a/cherrycove/broker/peer_capacity/exchange.py
+++ b/cherrycove/broker/peer_capacity/exchange.py
@@ -120,7 +120,7 @@
         starts = {
             lending.node_key(member.name, member.since_ms): (member.name, started)
             for member in self._core.members
-            if (started := self._core.started(member)) is not None
+            if (started := self._core.node_started_at(member)) is not None
         }
         self._names = {node: name for node, (name, _) in starts.items()}
         self._lender.know((node, started) for node, (_, started) in starts.items())
--- a/cherrycove/broker/process.py
+++ b/cherrycove/broker/process.py
@@ -213,7 +213,7 @@
 
         for key, (version, value) in setup.entries.items():
             entries.put(key, value, version)
-        self.core.on_list = on_list
+        self.core.on_node_list = on_list
         log.info("store.serves", port=await gossip.start(), peers=len(setup.peers))
         return entries
 
@@ -356,7 +356,7 @@
     async def _call(self, call: admin.Call) -> str:
         """Return the answer to an operator's call."""
         if call.command == "stats":
-            return admin.report(self.core.figures(), self._memory.figures() if self._memory else None)
+            return admin.report(self.core.metrics(), self._memory.figures() if self._memory else None)
         if call.command == "why":
             return "\n".join([*await self._why(call.arguments), "END"])
         if call.command == "status":
--- a/cherrycove/broker/shared_map.py
+++ b/cherrycove/broker/shared_map.py
@@ -245,7 +245,7 @@
     """
     name = entry.key.removeprefix(_NODE_PREFIX)
     member = next((each for each in core.members if each.name == name), None)
-    if not core.silent or member is None or entry.counter <= (core.version or 0):
+    if not core.source_unreachable or member is None or entry.counter <= (core.version or 0):
         return
     if entry.value is not None and not _is_drain_of(entry.value, member.since_ms):
         return
--- a/cherrycove/broker/warm_restart/restore.py
+++ b/cherrycove/broker/warm_restart/restore.py
@@ -35,7 +35,7 @@
 def take_snapshot(core: Core, broker: str, *, whole: bool) -> snapshot.Rows:
     """Return what this process knows now; ``whole`` says that it will send nothing any more."""
     now = asyncio.get_running_loop().time()
-    return snapshot.pack(core.remember(), now, moment(), core.settings, broker, whole=whole)
+    return snapshot.pack(core.export_restart_state(), now, moment(), core.settings, broker, whole=whole)
 
 
 def restore_snapshot(core: Core, rows: Any, broker: str, source: str, *, sent_is_known: bool = False) -> None:
@@ -66,4 +66,4 @@
         whole=state.whole,
         aside=sum(restored.skipped.values()),
     )
-    core.recall(state)
+    core.import_restart_state(state)
--- a/tests/golden_broker.py
+++ b/tests/golden_broker.py
@@ -168,7 +168,7 @@
     name = _NAME_OF.get(type(value))
     if name is not None:
         return {name: [to_plain(getattr(value, each)) for each in field_names(type(value))]}
-    if isinstance(value, api.Code | codes.Own):
+    if isinstance(value, api.Code | codes.LocalCode):
         return f"=code.{int(value)}"
     if isinstance(value, Enum):
         return _MEMBER_NAMES[value]
@@ -516,7 +516,7 @@
 def stats(answers: Mapping[str, Sequence[int]], parts: Mapping[str, int]) -> str:
     """The answer to the call stats, for counts of served, refused and failed by class."""
     counts = {cls: dict(zip(core.Verdict, each, strict=True)) for cls, each in answers.items()}
-    return admin.report(core.Figures(counts, 5, 6, 7, 8), parts)
+    return admin.report(core.Metrics(counts, 5, 6, 7, 8), parts)
 
 
 def read_call(line: str) -> Plain:
@@ -636,7 +636,7 @@
         "environment": environment(),
         "http": http_words(),
         "commands": commands(),
-        "reasons": [f"{int(each)} {each.name.lower()}" for each in [*api.Code, *codes.Own]],
+        "reasons": [f"{int(each)} {each.name.lower()}" for each in [*api.Code, *codes.LocalCode]],
         "endings": [f"{each.name.lower()} {each.value}" for each in core.Ending],
         "verdicts": [*(each.value for each in core.Verdict), *record.VERDICTS, *record.FRONTS],
         "statuses": [f"{status} {int(code)}" for status, code in codes.BY_STATUS.items()],
@@ -772,9 +772,9 @@
         taken = from_plain(settings)
         former = _succession(root, taken, _Record(taken, from_plain(stories)))
         own = former._core
-        own.maintain(from_plain(maintenance))
+        own.set_maintenance(from_plain(maintenance))
         own.update(core.NodeList(7, True, from_plain(members)))
-        while not own.sent():  # until the module has the list
+        while not own.recent_sent_units():  # until the module has the list
             await asyncio.sleep(0)
         await former.serving()
         await former.await_successor()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""Operators' calls and the figures they read."""
+"""Operators' calls and the metrics they read."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from support import PLATFORM, Node, World, cuts, fuzz, run, spoiled
 
 from cherrycove.broker import admin
-from cherrycove.broker.core import Figures, Verdict
+from cherrycove.broker.core import Metrics, Verdict
 
-STATS = admin.report(Figures({"r": dict.fromkeys(Verdict, 3)}, 7, 2, 9, 1))
+STATS = admin.report(Metrics({"r": dict.fromkeys(Verdict, 3)}, 7, 2, 9, 1))
 
 
 async def desk() -> tuple[admin.AdminServer, int]:
@@ -107,15 +107,20 @@
         async with World(node) as world:
             classes = [cls.name for cls in PLATFORM.settings.classes]
             write = {"cls": "claim-write", "method": "PUT", "body": b"x"}
-            assert set(world.core.figures().answers) == set(classes) and world.core.figures().tries == 0
+            assert set(world.core.metrics().answers) == set(classes) and world.core.metrics().attempts == 0
             statuses = [(await world.ask(**write, id=id))[0] for id in ("a", "b")]
             assert statuses == [200, 500] and (await world.ask(Tier="gold"))[0] == 400
             held = asyncio.create_task(world.ask(**write, id="c", ms=900))
             await node.until(3)
-            figures = world.core.figures()
-            assert (figures.tries, figures.open, figures.known, figures.skipped) == (3, 1, 1, 0)
+            metrics = world.core.metrics()
+            assert (metrics.attempts, metrics.open_requests, metrics.listed_nodes, metrics.unused_nodes) == (
+                3,
+                1,
+                1,
+                0,
+            )
             assert (await held)[0] == 504
-            lines = admin.report(world.core.figures()).split("\n")
+            lines = admin.report(world.core.metrics()).split("\n")
             assert "broker.passed.claim-write:1|c" in lines and "broker.bad_gateway.claim-write:2|c" in lines
             assert "broker.bad_gateway.claim-read:1|c" in lines and "broker.in_progress:0|g" in lines
             assert "broker.dropped.claim-export:0|c" in lines and lines[-1] == "END"
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -42,7 +42,7 @@
 
     async def _answer(self, asked: admin.Call) -> str:
         if asked.command == "stats":
-            return admin.report(self.world.core.figures())
+            return admin.report(self.world.core.metrics())
         if asked.command != "why":
             return f"NO {asked.command} {asked.node}"
         try:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -53,7 +53,7 @@
             await asyncio.sleep(0)
             ending = self.endings.pop(0) if self.endings else Ending.SERVED
             if ending is Ending.TIMED_OUT:
-                attempt.wrote()
+                attempt.mark_written()
                 await asyncio.Event().wait()
             return Reply(ending, b"whole")
         finally:
@@ -132,7 +132,7 @@
         found = await core.serve(asked, backend)
         assert found.verdict is Verdict.FAILED and core.endings == {Ending.TIMED_OUT: 1}
         made = backend.made[0]  # what the client still waits when it is sent is at most what it waited before
-        assert asked.deadline - made.expires >= MARGIN_FRACTION * (asked.deadline - made.began) - 1e-9
+        assert asked.deadline - made.expires >= MARGIN_FRACTION * (asked.deadline - made.started_at) - 1e-9
 
     run(story())
 
@@ -226,13 +226,13 @@
 def test_no_news_lifts_a_ban_and_no_return_lifts_a_drain() -> None:
     async def story() -> None:
         core = core_with()
-        core.maintain(core.maintenance.taking_out("d0", 0.0).taking_out("d0", 7.0))
+        core.set_maintenance(core.maintenance.with_node_out("d0", 0.0).with_node_out("d0", 7.0))
         for version, news in enumerate((NodeState.UP, NodeState.GONE, NodeState.UP), 2):
             core.update(NodeList(version, False, (Member("d0", "here", 0, state=news),)))
             assert (await core.serve(request(READ, 0.3), Scripted(core))).verdict is Verdict.REFUSED
         core.update(NodeList(5, True, (Member("d0", "here", 0, state=NodeState.DRAINING),)))
-        core.maintain(core.maintenance.putting_back("d0", 1e12))
-        assert not core.ready and core.figures().skipped == 1
+        core.set_maintenance(core.maintenance.with_node_back("d0", 1e12))
+        assert not core.ready and core.metrics().unused_nodes == 1
         core.update(NodeList(6, False, (Member("d0", "here", 0),)))
         assert (await core.serve(request(READ), Scripted(core))).verdict is Verdict.SERVED
 
@@ -245,18 +245,20 @@
     async def story() -> None:
         core = core_with()
         node = core._driver.scheduler.state.node(0)
-        core.maintain(core.maintenance.taking_out("d0", 0.0))
+        core.set_maintenance(core.maintenance.with_node_out("d0", 0.0))
         now = time.time() * 1000
-        core.maintain(core.maintenance.putting_back("d0", now))
+        core.set_maintenance(core.maintenance.with_node_back("d0", now))
         core.update(NodeList(2, True, (Member("d0", "here", 0),)))  # old news
         assert (await core.serve(request(READ), Scripted(core))).verdict is Verdict.SERVED  # it gets some
         assert core._driver.scheduler.state.is_cold(node) and node.started == core._nodes.loop_time(now)
         core.update(NodeList(3, False, (Member("d0", "here", 0, since_ms=now - 3000),)))
         core.tick()
         assert node.started == core._nodes.loop_time(now - 3000) and not core.maintenance.back
-        core.maintain(core.maintenance.taking_out("d0", now - 3000))
+        core.set_maintenance(core.maintenance.with_node_out("d0", now - 3000))
         core.update(NodeList(4, False, (Member("d0", "here", 0, since_ms=now - 1000),)))
-        core.maintain(core.maintenance.putting_back("d0", now))  # its restart was told while it was out
+        core.set_maintenance(
+            core.maintenance.with_node_back("d0", now)
+        )  # its restart was told while it was out
         core.tick()
         assert node.started == core._nodes.loop_time(now - 1000)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -223,7 +223,7 @@
             _, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(message(id="gone"))
             await until(
-                lambda: any(t.current and t.current.scope for t in world.core._requests.tickets.values())
+                lambda: any(t.current and t.current.timeout for t in world.core._requests.tickets.values())
             )
             await leave(writer, how)
             await until(lambda: world.core.counts["client gone"])
@@ -997,7 +997,7 @@
                 world.members[1] = replace(world.members[1], state=NodeState.DRAINING)
                 world.core.update(NodeList(2, False, (world.members[1],)))
             else:
-                world.core.maintain(world.core.maintenance.taking_out("d1", 0.0))
+                world.core.set_maintenance(world.core.maintenance.with_node_out("d1", 0.0))
             await until(lambda: world.core.endings[Ending.EXPIRED])
             busy.release.set()
             assert (await first)[0] == 200 and (await second)[0] == 503
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -183,7 +183,7 @@
             await node.until(1)
             writer.transport.abort()
             await node.hung_up.wait()
-            await world.core.idle()
+            await world.core.wait_idle()
             assert world.core.counts["client gone"] == 1 and world.core.endings == {Ending.GIVEN_UP: 1}
 
     run(story())
@@ -275,8 +275,8 @@
                 )
             assert (await world.ask(*data.draw(cuts(whole))))[0] == 200
             assert [seen["body"] for seen in node.seen] == [LONG]
-            figures = world.core.figures()
-            assert figures.tries == 1 and figures.open == 0
+            figures = world.core.metrics()
+            assert figures.attempts == 1 and figures.open_requests == 0
 
     run(story())
 
@@ -294,16 +294,16 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(message(cls="claim-write", method="PUT", body=LONG)[:200_000])
             while not world.core._counters.attempts_written and not any(
-                t.current and t.current.begun for t in world.core._requests.tickets.values()
+                t.current and t.current.body_started for t in world.core._requests.tickets.values()
             ):
                 await asyncio.sleep(0.01)
             if end == "stops":
                 status, headers, _ = await answer(reader)
                 assert (status, headers["connection"]) == (408, "close")
             writer.close()
-            await world.core.idle()
+            await world.core.wait_idle()
             ending = {"stops": Ending.CLIENT_BROKE, "leaves": Ending.GIVEN_UP}[end]
-            assert world.core.endings == {ending: 1} and not node.seen and not world.core.figures().tries
+            assert world.core.endings == {ending: 1} and not node.seen and not world.core.metrics().attempts
             assert not world.core._driver.scheduler.state.nodes[0].failures  # none of it was the node's fault
 
     run(story())
@@ -387,7 +387,7 @@
 def test_cuts_of_a_long_answer_change_nothing(form: str, data: st.DataObject) -> None:
     world, said = run(told(*data.draw(cuts(FORMS[form]))))
     assert said.startswith(HEAD) and run(body_of(said)) == LONG
-    assert world.core.counts["served"] == 1 and world.core.figures().open == 0
+    assert world.core.counts["served"] == 1 and world.core.metrics().open_requests == 0
 
 
 @pytest.mark.parametrize("form", FORMS)
@@ -424,7 +424,7 @@
             writer.write(message())
             begun = await reader.readuntil(LONG[:9_000])
             seen.set()
-            assert world.core.figures().open == 1 and world.core.endings == {Ending.SERVED: 1}
+            assert world.core.metrics().open_requests == 1 and world.core.endings == {Ending.SERVED: 1}
             rest = await reader.readuntil(b"0\r\n\r\n")
             assert await body_of(begun + rest) == LONG
             writer.close()
@@ -648,7 +648,7 @@
             world.front.room.take(90)
             status, headers, _ = await world.ask(**WRITE)
             assert status == 503 and float(headers["retry-after"]) > 0 and not node.seen
-            assert world.core.figures().answers["claim-write"][Verdict.REFUSED] == 1
+            assert world.core.metrics().answers["claim-write"][Verdict.REFUSED] == 1
             assert (await world.ask())[0] == 200  # what has no body needs no room
             world.front.room.leave(90)
             assert (await world.ask(**WRITE))[0] == 200 and world.front.room.held == 0
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -116,7 +116,7 @@
 def test_what_comes_once_all_was_given_up_is_answered_at_once() -> None:
     async def story() -> None:
         async with World(await Node("hang").start()) as world:
-            world.core.give_up()
+            world.core.expire_requests()
             status, headers, _ = await world.ask(ms=60_000)
             assert status == 503 and float(headers["retry-after"]) > 0  # it was never sent
 
--- a/tests/test_nbd.py
+++ b/tests/test_nbd.py
@@ -341,7 +341,7 @@
                 await node.arrived.wait_for(lambda: node.seen)
             client.writer.transport.abort()
             await node.hung_up.wait()
-            await world.core.idle()
+            await world.core.wait_idle()
             assert len(node.seen) == 1 and world.core.counts == {"taken": 1, "client gone": 1}
             await front.close()
 
@@ -395,7 +395,7 @@
 
             await asyncio.gather(*map(mount, range(4)), *map(browse, range(4)))
             await front.close()
-            await world.core.idle()
+            await world.core.wait_idle()
         writes = [payload for _, payload in blocks.seen] + [seen["x-request-id"] for seen in files.seen]
         assert len(writes) == len(set(writes)) and writes
         assert world.core.endings[Ending.TIMED_OUT] and world.core.endings[Ending.BROKEN]
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -119,7 +119,7 @@
             async def attempt(self, attempt: Attempt) -> Reply:
                 self.made.append(attempt)
                 if len(self.made) == 1:
-                    attempt.wrote()
+                    attempt.mark_written()
                     return Reply(Ending.NODE_ERROR)
                 await asyncio.Event().wait()  # the connection is never established
                 raise AssertionError
@@ -131,7 +131,7 @@
         began = loop.time()
         asked = Request(1, 0, "v", 2.0, 0, 1, began + 100.0)
         answer = await core.serve(asked, backend)
-        assert answer.verdict is Verdict.FAILED and answer.cause is Ending.EXPIRED
+        assert answer.verdict is Verdict.FAILED and answer.last_ending is Ending.EXPIRED
         assert len(backend.made) == 2 and loop.time() < began + 20.0  # not only at the client's deadline
         assert backend.made[1].write_by <= began + 1.5
 
@@ -143,19 +143,19 @@
         node = await Node("500").start()
         async with World(node, platform=keyed_platform(window_s=30.0)) as world:
             told: list[float] = []
-            wrote = Attempt.wrote
+            wrote = Attempt.mark_written
 
             def watched(attempt: Attempt) -> None:
                 wrote(attempt)
-                assert attempt.scope is not None
-                told.append((attempt.scope.when() or 0.0) - attempt.expires)
+                assert attempt.timeout is not None
+                told.append((attempt.timeout.when() or 0.0) - attempt.expires)
 
-            Attempt.wrote = watched  # type: ignore[method-assign]
+            Attempt.mark_written = watched  # type: ignore[method-assign]
             try:
                 ask = {"cls": "claim-write", "method": "PUT", "body": b"b", "Idempotency_Key": "k"}
                 assert (await world.ask(**ask))[0] == 200
             finally:
-                Attempt.wrote = wrote  # type: ignore[method-assign]
+                Attempt.mark_written = wrote  # type: ignore[method-assign]
             assert len(told) == 2 and told[1] == pytest.approx(0.0, abs=1e-6)
 
     run(story())
--- a/tests/test_why.py
+++ b/tests/test_why.py
@@ -17,14 +17,14 @@
 from support import PLATFORM, fuzz, run, spoiled
 
 import cherrycove.broker.decision_log.book as books
-from cherrycove.broker.core import Attempt, Ended, Ending, Request, Verdict
+from cherrycove.broker.core import Attempt, Ending, Request, RequestSummary, Verdict
 from cherrycove.broker.decision_log import ask, retries, words
 from cherrycove.broker.decision_log.book import LEAST, SKETCHED, DecisionLog, story_of
 from cherrycove.broker.decision_log.pack import AttemptRecord, PackError, RequestRecord, matters, pack, unpack
 from cherrycove.broker.decision_log.ring import Ring
 from cherrycove.broker.decision_log.seen import Seen
 from cherrycove.broker.decision_log.sketches import OPEN, Sketches, SpaceSaving
-from cherrycove.broker.local_codes import Own
+from cherrycove.broker.local_codes import LocalCode
 from cherrycove.scheduling.interface import Code, Reason
 
 SETTINGS = PLATFORM.settings
@@ -67,7 +67,7 @@
     st.integers(0, 10**7).map(lambda n: n / 1000),
     MS,
     st.sampled_from(["served", "refused", "failed", "gone"]),
-    st.sampled_from([*Own, *Code]),
+    st.sampled_from([*LocalCode, *Code]),
     st.sampled_from(["http", "nbd"]),
     st.sampled_from([None, 0, 2]),
     st.sampled_from([None, 1]),
@@ -84,7 +84,7 @@
 
 
 def story(id: str = "a1", ended: float = 10.0, verdict: str = "refused", **more: Any) -> RequestRecord:
-    code = more.pop("code", Own.SERVED if verdict == "served" else Code.NO_CREDIT)
+    code = more.pop("code", LocalCode.SERVED if verdict == "served" else Code.NO_CREDIT)
     tries = [AttemptRecord("s-1", SENT, 0.001, 0.02, Ending.SERVED)] if verdict == "served" else []
     if isinstance(code, Code):
         more.setdefault("why", Reason(code))
@@ -214,17 +214,24 @@
             why = SENT._replace(epoch=number + 1000)
             tries = [
                 Attempt(
-                    number, turn, "s-1", "127.0.0.1:5000", 9.0, 1.0 + number, why=why, took=0.125 + number
+                    number,
+                    turn,
+                    "s-1",
+                    "127.0.0.1:5000",
+                    9.0,
+                    1.0 + number,
+                    why=why,
+                    duration_s=0.125 + number,
                 )
                 for turn in range(3)
             ]
-            book.ended(
-                Ended(
+            book.record(
+                RequestSummary(
                     1.0 + number,
                     2.0 + number,
                     Verdict.FAILED,
                     request=request(f"id-{number}"),
-                    tries=tries,
+                    attempts=tries,
                     why=Reason(Code.LAST_ATTEMPT, "s-1", epoch=number + 1000),
                 )
             )
@@ -268,8 +275,10 @@
 
 def test_a_number_given_to_another_node_puts_no_wrong_name_on_old_records() -> None:
     book = DecisionLog(SETTINGS, LEAST, 0.0)
-    ended = Ended(0.0, 1.0, Verdict.FAILED, why=Reason(Code.MAY_HAVE_RUN, "first"), request=request("a1"))
-    book.ended(ended)
+    ended = RequestSummary(
+        0.0, 1.0, Verdict.FAILED, why=Reason(Code.MAY_HAVE_RUN, "first"), request=request("a1")
+    )
+    book.record(ended)
     assert book.find("a1", 2.0)[0].why == Reason(Code.MAY_HAVE_RUN, "first")
     for number in range(511):  # each number has had another name once, and the next is the first again
         book.nodes.number(f"s-{number}", 2.0 + number)
@@ -285,7 +294,7 @@
 def test_a_marked_retry_is_joined_to_its_first_try(verdict: str) -> None:
     book = DecisionLog(SETTINGS, LEAST, 0.0)
     book.add(replace(story("first", 10.0, verdict), object=retry_of(request())))
-    assert book.came(request("second", repeat=True), 10.3) == ("first", 1)
+    assert book.match_retry(request("second", repeat=True), 10.3) == ("first", 1)
     book.add(story("second", 10.5, "served", repeat=True, first="first"))
     for asked_id in ("first", "second"):  # either id tells the whole story, under the first try
         said = run(asked(book, asked_id))
@@ -293,7 +302,7 @@
 
 
 def retry_of(what: Request) -> int:
-    return story_of(Ended(0.0, 1.0, None, request=what)).object
+    return story_of(RequestSummary(0.0, 1.0, None, request=what)).object
 
 
 def test_two_clients_on_one_object_are_not_joined_falsely() -> None:
@@ -302,9 +311,9 @@
     for ident, ended in (("a", 10.0), ("b", 10.1)):
         book.add(replace(story(ident, ended), object=thing))
     # Their retries pair off one to one in their order, and the answer says that there were two.
-    assert book.came(request("a2", repeat=True), 10.4) == ("a", 2)
-    assert book.came(request("b2", repeat=True), 10.5) == ("b", 1)
-    assert book.came(request("c2", repeat=True), 10.6) == ("", 0)  # no try is repeated twice
+    assert book.match_retry(request("a2", repeat=True), 10.4) == ("a", 2)
+    assert book.match_retry(request("b2", repeat=True), 10.5) == ("b", 1)
+    assert book.match_retry(request("c2", repeat=True), 10.6) == ("", 0)  # no try is repeated twice
 
 
 @pytest.mark.parametrize(
@@ -315,7 +324,7 @@
     told = replace(story("first", 10.0, other.get("verdict", "refused")), object=retry_of(request()))
     at = other.pop("at", 10.3)
     book.add(replace(told, **other))
-    assert book.came(request("second", repeat=True), at) == ("", 0)
+    assert book.match_retry(request("second", repeat=True), at) == ("", 0)
 
 
 def test_only_so_many_records_are_looked_at_for_a_retry() -> None:
@@ -327,7 +336,7 @@
 
 
 async def asked(
-    book: DecisionLog, *arguments: str, now: float = 400.0, still: list[Ended] | None = None
+    book: DecisionLog, *arguments: str, now: float = 400.0, still: list[RequestSummary] | None = None
 ) -> list[str]:
     return await ask.answer(ask.parse(list(arguments)), book, lambda: now, lambda _: still or [])
 
@@ -415,7 +424,7 @@
 
 def test_an_open_request_is_told_as_it_stands() -> None:
     book = DecisionLog(SETTINGS, LEAST, 0.0)
-    said = run(asked(book, "a1", still=[Ended(399.0, 400.0, None, request=request())]))
+    said = run(asked(book, "a1", still=[RequestSummary(399.0, 400.0, None, request=request())]))
     assert said[0] == "YES 1 requests" and "is open since 1000 ms" in said[1]
 
 
--- a/tests/test_why_loopback.py
+++ b/tests/test_why_loopback.py
@@ -23,7 +23,7 @@
 from cherrycove.broker.decision_log import ask
 from cherrycove.broker.decision_log.book import DecisionLog
 from cherrycove.broker.decision_log.pack import RequestRecord
-from cherrycove.broker.local_codes import Own
+from cherrycove.broker.local_codes import LocalCode
 from cherrycove.broker.nbd import Command, Errno
 from cherrycove.scheduling import interface as api
 from cherrycove.scheduling.interface import Code, NodeState
@@ -153,16 +153,16 @@
                         ),
                     )
                 )
-                world.core.maintain(Maintenance({"d1": 0.0}))
+                world.core.set_maintenance(Maintenance({"d1": 0.0}))
                 await asyncio.sleep(0.2)
-                world.core.maintain(Maintenance())
+                world.core.set_maintenance(Maintenance())
 
             await asyncio.gather(
                 staff(),
                 *(browse(world, random.Random(seed * 100 + n), n, seen, firsts) for n in range(8)),
                 *(mount(port, random.Random(seed * 100 + n), mounted) for n in range(2)),
             )
-            await world.core.idle()
+            await world.core.wait_idle()
             while world.core.open_requests or any(
                 not book.find(ident, 0.0) and verdict != "?" for ident, verdict in seen.items()
             ):
@@ -218,11 +218,11 @@
     elif told.code is Code.DRAINED:
         assert told.shard in (0, 1)  # by the list, or by staff
     elif told.verdict == "served":
-        assert log[-1][2] == "ok" and told.code is Own.SERVED
-    elif told.code is Own.MALFORMED:
+        assert log[-1][2] == "ok" and told.code is LocalCode.SERVED
+    elif told.code is LocalCode.MALFORMED:
         assert not told.tries and not log
     elif told.verdict == "gone":
-        assert told.code is Own.CLIENT_GONE
+        assert told.code is LocalCode.CLIENT_GONE
 
 
 def test_a_decision_by_the_last_resort_is_told_as_that() -> None:
@@ -232,7 +232,7 @@
             world.core._driver.scheduler.handle = lambda now, events: []  # type: ignore[method-assign, assignment]
             assert (await world.ask(id="a1", ms=300))[0] == 503  # nothing of it was sent
             found = book.find("a1", asyncio.get_running_loop().time())[0]
-            assert found.code is Own.LAST_RESORT and found.verdict == "refused" and not found.tries
+            assert found.code is LocalCode.LAST_RESORT and found.verdict == "refused" and not found.tries
 
     run(story())
 
@@ -246,7 +246,7 @@
             found = book.find("a1", asyncio.get_running_loop().time())
             assert [(each.verdict, each.code) for each in found] == [
                 ("failed", Code.MAY_HAVE_RUN),
-                ("served", Own.SERVED),
+                ("served", LocalCode.SERVED),
             ]
 
     run(story())
