--- a/cherrycove/__main__.py
+++ b/cherrycove/__main__.py
@@ -81,7 +81,7 @@
 from cherrycove.broker import event_log as events
 from cherrycove.broker.process import run
 
-OPERATOR = "deploy/operator.toml"
+DEFAULT_OPERATOR_FILE = "deploy/operator.toml"
 
 
 def main() -> int:
@@ -94,7 +94,7 @@
     try:
         platform = config.load_platform_config()
         operator = config.load_operator_config(
-            Path(os.environ.get("CHERRYCOVE_OPERATOR", OPERATOR)), platform.settings
+            Path(os.environ.get("CHERRYCOVE_OPERATOR", DEFAULT_OPERATOR_FILE)), platform.settings
         )
     except config.ConfigError as error:
         print(f"cherrycove: {error}", file=sys.stderr)
--- a/cherrycove/broker/admin.py
+++ b/cherrycove/broker/admin.py
@@ -18,7 +18,7 @@
 log = Log("cherrycove.admin")
 
 MAX_LINE_BYTES = 512
-MAX_CALLERS = 8  # connections at once
+MAX_CONNECTIONS = 8  # connections at once
 CALL_TIMEOUT_S = 5.0  # s for the whole line
 MAX_EXCESS_BYTES = 64 * 1024  # bytes behind a call that are read and dropped
 HANG_UP_TIMEOUT_S = 1.0  # s that a caller has to take its answer and hang up
@@ -27,7 +27,7 @@
 VERDICT_NAMES = {Verdict.SERVED: "passed", Verdict.REFUSED: "dropped", Verdict.FAILED: "bad_gateway"}
 
 
-class CallError(ValueError):
+class InvalidCallError(ValueError):
     """A line that is no call; the text says why."""
 
 
@@ -41,26 +41,26 @@
 
 
 def parse_call(line: bytes) -> Call:
-    """Parse one line without its end; CallError if it is no call."""
+    """Parse one line without its end; InvalidCallError if it is no call."""
     try:
         words = line.decode("ascii").split()
     except UnicodeDecodeError as error:
-        raise CallError("not a line of text") from error
+        raise InvalidCallError("not a line of text") from error
     if not words:
-        raise CallError("an empty line")
+        raise InvalidCallError("an empty line")
     command, *rest = words
     if command in PLAIN_COMMANDS:
         if rest:
-            raise CallError(f"{command} stands alone")
+            raise InvalidCallError(f"{command} stands alone")
         return Call(command)
     if command in QUERY_COMMANDS:
         return Call(command, arguments=tuple(rest))
     if command not in NODE_COMMANDS:
-        raise CallError(
+        raise InvalidCallError(
             f"no such call; there are {', '.join(PLAIN_COMMANDS + NODE_COMMANDS + QUERY_COMMANDS)}"
         )
     if len(rest) != 1 or not NODE_ID.fullmatch(rest[0]):
-        raise CallError(f"{command} takes one disk node's id")
+        raise InvalidCallError(f"{command} takes one disk node's id")
     return Call(command, rest[0])
 
 
@@ -95,7 +95,7 @@
 
     def __init__(self, answer: Callable[[Call], Awaitable[str]]) -> None:
         self._answer = answer
-        self._callers: dict[_Caller, None] = {}  # in the order of their arrival
+        self._connections: dict[_Connection, None] = {}  # in the order of their arrival
         self._server: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> int:
@@ -103,7 +103,7 @@
         listener = socket.create_server((host, port))
         # The loop accepts as many at a time as the backlog given here; many more calls may wait.
         self._server = await asyncio.get_running_loop().create_server(
-            lambda: _Caller(self), sock=listener, backlog=MAX_CALLERS
+            lambda: _Connection(self), sock=listener, backlog=MAX_CONNECTIONS
         )
         listener.listen(128)
         bound: int = listener.getsockname()[1]
@@ -113,26 +113,26 @@
         """Stop listening and abort all connections."""
         if self._server is not None:
             self._server.close()
-        for caller in list(self._callers):
+        for caller in list(self._connections):
             caller.end()
 
-    def add(self, caller: _Caller) -> None:
+    def add(self, caller: _Connection) -> None:
         """Add a connection; beyond the limit the oldest without a call is aborted, else the oldest."""
-        self._callers[caller] = None
-        if len(self._callers) > MAX_CALLERS:
+        self._connections[caller] = None
+        if len(self._connections) > MAX_CONNECTIONS:
             # Callers that keep their connections must not use up the descriptors of the others.
-            others = list(self._callers)[:-1]
+            others = list(self._connections)[:-1]
             next((each for each in others if not each.asked), others[0]).end()
 
-    def remove(self, caller: _Caller) -> None:
+    def remove(self, caller: _Connection) -> None:
         """Remove a connection that has ended."""
-        self._callers.pop(caller, None)
+        self._connections.pop(caller, None)
 
     async def reply(self, line: bytes) -> str:
         """Return the answer to a line, also to one that is no call or whose call failed."""
         try:
             call = parse_call(line)
-        except CallError as error:
+        except InvalidCallError as error:
             return f"NO {error}"
         try:
             return await self._answer(call)
@@ -141,7 +141,7 @@
             return "NO the broker could not carry it out; its log says why"
 
 
-class _Caller(asyncio.Protocol):
+class _Connection(asyncio.Protocol):
     """One operator's connection: a line, its answer, the end.
 
     ``asked`` says whether a call has arrived.
--- a/cherrycove/broker/core/driver.py
+++ b/cherrycove/broker/core/driver.py
@@ -53,7 +53,7 @@
 
     def limit_open_requests(self, most: int) -> None:
         """Limit the requests in flight; the limit falls below ``most`` while the loop runs late."""
-        self._open_limit.most = self._reported_limit = most
+        self._open_limit.max_requests = self._reported_limit = most
         self.push(api.OpenRequestLimit(most))
 
     def run_batch(self) -> None:
@@ -68,7 +68,7 @@
             log.exception("module.failed", events=len(events))
 
     def _take_events(self, now: float) -> list[api.Event]:
-        limit = self._open_limit.now(now, now - self._wake.when() if self._wake else 0.0)
+        limit = self._open_limit.update(now, now - self._wake.when() if self._wake else 0.0)
         self._wake, self._last_batch_at = None, now
         events, self.pending_events = self.pending_events, []
         if limit != self._reported_limit:
--- a/cherrycove/broker/process.py
+++ b/cherrycove/broker/process.py
@@ -69,19 +69,19 @@
         self.platform, self.operator = platform, operator
         self._announcement = announcement
         self.core = Core(platform.settings, platform.seed)
-        self.life = LifecycleState(platform.sockets, platform.memory_mb)
-        budget = self.life.budget()
+        self.lifecycle = LifecycleState(platform.sockets, platform.memory_mb)
+        budget = self.lifecycle.budget()
         self.pool = upstream.ConnectionPool(
             platform.dial_timeout_s, platform.idle_timeout_s, most=budget.node_connections
         )
-        self.front = server.Server(
+        self.http_server = server.Server(
             self.core,
             self.pool,
             most_connections=budget.client_connections,
             crowd=platform.sockets // CROWD_DIVISOR,
             most_bytes=budget.body_bytes,
         )
-        self.stop = asyncio.Event()
+        self.shutdown_requested = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
         self._watch: asyncio.Task[None] | None = None  # of the platform's discovery
         self._nbd: nbd.Server | None = None
@@ -93,7 +93,7 @@
             platform.name,
             self.core,
             self,
-            self.life,
+            self.lifecycle,
             HandoverEndpoint(platform.name, platform.listen),
             lambda: self._book,
             remembers=operator.memory is not None,
@@ -123,7 +123,7 @@
             memory.directory,
             memory.interval_s,
             self.platform.name,
-            is_writer=lambda: self.life.is_state_writer,
+            is_writer=lambda: self.lifecycle.is_state_writer,
         )
 
     def _make_decision_log(self) -> None:
@@ -154,7 +154,9 @@
             self._watch = self._run(watch(self.core, platform.discovery, platform.zones))
         if operator.nbd is not None:
             await self._start_nbd(operator.nbd, entries, given)
-        port = await (self.front.accept(given[0]) if given else self.front.listen(*platform.listen))
+        port = await (
+            self.http_server.accept(given[0]) if given else self.http_server.listen(*platform.listen)
+        )
         log.info("broker.serves", name=platform.name, host=platform.listen[0], port=port)
         if operator.consul is not None:
             self._start_consul(operator.consul, port)
@@ -235,28 +237,28 @@
 
     def listeners(self) -> list[socket.socket]:
         """Return the listening sockets in use: of HTTP, and of NBD if it is enabled."""
-        return [self.front.listener] + ([self._nbd.listener] if self._nbd is not None else [])
+        return [self.http_server.listener] + ([self._nbd.listener] if self._nbd is not None else [])
 
     def hand_over(self) -> list[socket.socket]:
         """Stop accepting; return the listening sockets, in the order of ``listeners``."""
-        return [self.front.hand_over()] + ([self._nbd.hand_over()] if self._nbd is not None else [])
+        return [self.http_server.hand_over()] + ([self._nbd.hand_over()] if self._nbd is not None else [])
 
     async def accept(self, given: list[socket.socket]) -> None:
         """Accept from these sockets again."""
-        await self.front.accept(given[0])
+        await self.http_server.accept(given[0])
         if self._nbd is not None:
             await self._nbd.listen(given[1])
 
     async def accept_also(self, given: list[socket.socket]) -> None:
         """Accept from these sockets beside the own ones, in the order of ``listeners``."""
-        await self.front.accept_also(given[0])
+        await self.http_server.accept_also(given[0])
         if self._nbd is not None and len(given) > 1:
             await self._nbd.accept_also(given[1])
 
     def resize(self, clients: int, nodes: int, most_bytes: int) -> None:
         """Apply new limits: descriptors for clients and for nodes, bytes of bodies and answers."""
         self.pool.resize(nodes)
-        self.front.resize(clients, most_bytes)
+        self.http_server.resize(clients, most_bytes)
 
     def talk(self, now: bool) -> None:
         """Start or stop the exchange of capacity with the other brokers."""
@@ -288,24 +290,24 @@
             self._watch.cancel()
             self._watch = self._run(watch(self.core, fresh.discovery, old.zones, afresh=True))
 
-    async def end(self, began: float | None = None) -> None:
+    async def shut_down(self, began: float | None = None) -> None:
         """Shut down gracefully: serve on while clients still come, finish what is open, close every part.
 
         ``began`` is the time of the signal, on the loop's clock; the platform's kill counts from there.
         """
         began = asyncio.get_running_loop().time() if began is None else began
         log.info("broker.draining", open=self.core.open_requests)
-        self.life.shutdown_started()
-        self.front.drain(parting=self.life.has_handed_over)
+        self.lifecycle.shutdown_started()
+        self.http_server.drain(parting=self.lifecycle.has_handed_over)
         if self._nbd is not None:
             self._nbd.drain()
         deregistering = self._deregister()
         times = ShutdownTimetable.of(max(cls.deadline for cls in self.platform.settings.classes))
-        await self.front.linger(times, began, replaced=self.life.has_handed_over)
+        await self.http_server.linger(times, began, replaced=self.lifecycle.has_handed_over)
         if self._nbd is not None and self._nbd_pool is not None:
             await self._nbd.close()
             self._nbd_pool.close()
-        await self.front.close()
+        await self.http_server.close()
         if deregistering is not None:
             remaining = began + times.disconnect - asyncio.get_running_loop().time()
             await asyncio.wait((deregistering,), timeout=max(remaining, 0.0))
@@ -319,7 +321,7 @@
         Beside the shutdown: an agent that does not answer must not delay an answer.
         """
         setup = self.operator.consul
-        if self._consul is None or setup is None or not setup.register or self.life.has_handed_over:
+        if self._consul is None or setup is None or not setup.register or self.lifecycle.has_handed_over:
             return None
         return self._run(self._consul.deregister())
 
@@ -376,7 +378,7 @@
 
     def _obstacle(self) -> str | None:
         """Return why this process cannot serve, None if it can."""
-        if self.stop.is_set():
+        if self.shutdown_requested.is_set():
             return "it drains"
         return None if self.core.ready else "no disk node is known to be up"
 
@@ -392,7 +394,7 @@
         self._tasks.discard(task)
         if not task.cancelled():
             log.critical("broker.part_failed", fault=task.exception())
-            self.stop.set()
+            self.shutdown_requested.set()
 
 
 async def run(
@@ -415,7 +417,7 @@
 
     def end() -> None:
         signalled_at.append(loop.time())  # the kill counts from here, however long the start still takes
-        broker.stop.set()
+        broker.shutdown_requested.set()
 
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, end)
@@ -425,7 +427,7 @@
         broker.reload()
     gc.collect()
     gc.freeze()
-    await broker.stop.wait()
-    await broker.end(signalled_at[0] if signalled_at else loop.time())
+    await broker.shutdown_requested.wait()
+    await broker.shut_down(signalled_at[0] if signalled_at else loop.time())
     # The loop's end restores the signals' default actions, and a late SIGHUP would change the exit status.
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, signal.SIGTERM, signal.SIGINT))
--- a/cherrycove/broker/request_limit.py
+++ b/cherrycove/broker/request_limit.py
@@ -16,16 +16,16 @@
 
 
 class RequestLimit:
-    """The limit for a loop that is on time (``most``), and the limit at present. The core owns it."""
+    """The limit for a loop that is on time (``max_requests``), and the limit at present. The core owns it."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, max_requests: int) -> None:
+        self.max_requests = max_requests
         self._lateness_s, self._seen_at = 0.0, 0.0
 
-    def now(self, now: float, lateness_s: float) -> int:
+    def update(self, now: float, lateness_s: float) -> int:
         """Return how many requests may be open, the loop having run what was due this much late."""
         decayed = self._lateness_s * 0.5 ** (max(now - self._seen_at, 0.0) / HALF_LIFE_S)
         self._lateness_s, self._seen_at = max(decayed, lateness_s), now
         excess = (self._lateness_s - TOLERATED_LATENESS_S) / (FULL_LATENESS_S - TOLERATED_LATENESS_S)
         steps = int(min(max(excess, 0.0), 1.0) * STEPS)
-        return self.most - int(self.most * (1.0 - MIN_FRACTION) * steps / STEPS)
+        return self.max_requests - int(self.max_requests * (1.0 - MIN_FRACTION) * steps / STEPS)
--- a/tests/golden_broker.py
+++ b/tests/golden_broker.py
@@ -523,7 +523,7 @@
     """An operator's call as it is taken, or that it is none."""
     try:
         call = admin.parse_call(line.encode())
-    except admin.CallError:
+    except admin.InvalidCallError:
         return "no call"
     return [call.command, call.node, list(call.arguments)]
 
@@ -645,7 +645,12 @@
         "settings read": sorted(known.USED_NAMES),
         "settings left aside": sorted(known.IGNORED_NAMES),
         "wire events": sorted(wire.EVENT_WORDS),
-        "files": [handover.MAINTENANCE, handover.LOCK, announcement.SOCKET, cherrycove.__main__.OPERATOR],
+        "files": [
+            handover.MAINTENANCE,
+            handover.LOCK,
+            announcement.SOCKET,
+            cherrycove.__main__.DEFAULT_OPERATOR_FILE,
+        ],
         "magics": [snapshot_file.MAGIC.hex(), datagram.MAGIC.hex(), store.MAGIC.hex(), handover.BUSY.hex()],
         "forms": [f"memory rows {snapshot.FORM}", f"memory file {snapshot_file.FORMAT}"],
     }
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -48,7 +48,7 @@
 def test_a_line_is_a_call_or_gets_a_reason(garbage: bytes) -> None:
     try:
         found = admin.parse_call(garbage)
-    except admin.CallError as error:
+    except admin.InvalidCallError as error:
         assert str(error)
     else:
         assert found.command in admin.PLAIN_COMMANDS + admin.NODE_COMMANDS and bool(found.node) == (
@@ -80,7 +80,7 @@
         assert await call(port, b"stats\n") == STATS.encode() + b"\n"
         for _ in range(3):
             assert await call(port, b"status\n") == b"YES status \n"
-        assert len(made._callers) <= admin.MAX_CALLERS
+        assert len(made._connections) <= admin.MAX_CONNECTIONS
         for _, writer in held:
             writer.close()
         await made.close()
@@ -93,7 +93,7 @@
 
     async def story() -> None:
         made, port = await desk()
-        assert not await call(port, b"stat") and not made._callers
+        assert not await call(port, b"stat") and not made._connections
         await made.close()
 
     run(story())
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -214,8 +214,8 @@
             lingers.set()
             await go.wait()
 
-        monkeypatch.setattr(broker.front, "linger", linger)
-        ending = asyncio.create_task(broker.end())
+        monkeypatch.setattr(broker.http_server, "linger", linger)
+        ending = asyncio.create_task(broker.shut_down())
         await lingers.wait()
         await agent.holds.wait()
         closes = asyncio.Event()
@@ -223,7 +223,7 @@
         async def close() -> None:
             closes.set()
 
-        monkeypatch.setattr(broker.front, "close", close)
+        monkeypatch.setattr(broker.http_server, "close", close)
         go.set()
         await closes.wait()
         agent.hold.set()  # it answers behind all others, and is waited for
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -451,11 +451,11 @@
 
         async def ask() -> None:
             while True:
-                broker.front.last_request = asyncio.get_running_loop().time()
+                broker.http_server.last_request = asyncio.get_running_loop().time()
                 await asyncio.sleep(0.01)
 
         asking = asyncio.create_task(ask())
-        await broker.end()
+        await broker.shut_down()
         asking.cancel()
 
     run(story())
@@ -464,14 +464,14 @@
 def test_a_process_that_runs_late_keeps_fewer_requests_open() -> None:
     """A loop 30 ms late had as many connections on their way as clients have beyond the usual bound."""
     places = RequestLimit(96)
-    assert [places.now(1.0 + n, 0.004) for n in range(3)] == [96] * 3
-    assert places.now(10.0, 0.020) == 48 and places.now(10.0, 1e9) == 48
-    back = [RequestLimit(96).now(1.0, late / 1000) for late in range(40)]
+    assert [places.update(1.0 + n, 0.004) for n in range(3)] == [96] * 3
+    assert places.update(10.0, 0.020) == 48 and places.update(10.0, 1e9) == 48
+    back = [RequestLimit(96).update(1.0, late / 1000) for late in range(40)]
     assert back == sorted(back, reverse=True) and back[0] == 96 and back[12] in range(66, 78)
-    assert places.now(1e6, 0.0) == 96
+    assert places.update(1e6, 0.0) == 96
     places = RequestLimit(96)
-    places.now(1.0, 0.030)
-    fading = [places.now(1.0 + n / 10, 0.0) for n in range(1, 20)]
+    places.update(1.0, 0.030)
+    fading = [places.update(1.0 + n / 10, 0.0) for n in range(1, 20)]
     assert fading == sorted(fading) and fading[0] < 96 == fading[-1]
 
     async def story() -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -743,11 +743,11 @@
             await go.wait()
             return 0
 
-        async def end(self: Broker, at: float) -> None:
+        async def shut_down(self: Broker, at: float) -> None:
             began.append(at)
 
         monkeypatch.setattr(Broker, "start", start)
-        monkeypatch.setattr(Broker, "end", end)
+        monkeypatch.setattr(Broker, "shut_down", shut_down)
         monkeypatch.setattr(signal, "pthread_sigmask", lambda *_: None)
         platform = config.parse_platform_config(
             raw() | {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9"}, {}
@@ -757,7 +757,7 @@
 
         def make(self: Broker, *given: Any) -> None:
             made(self, *given)
-            stop.append(self.stop)
+            stop.append(self.shutdown_requested)
 
         monkeypatch.setattr(Broker, "__init__", make)
         running = asyncio.create_task(run_broker(platform, config.OperatorConfig(), []))
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -364,21 +364,21 @@
         monkeypatch.setattr(
             second.handover,
             "apply_request_limit",
-            lambda: (bound(), second.life.predecessor_open_requests is not None and told.set()),
+            lambda: (bound(), second.lifecycle.predecessor_open_requests is not None and told.set()),
         )
         await second.start()
         assert most(first) == 20  # it has handed over before the other says yes
         await told.wait()
         assert most(second) == 37  # what the former one holds is not the other's
-        first.stop.set()
-        ending = asyncio.create_task(first.end())
+        first.shutdown_requested.set()
+        ending = asyncio.create_task(first.shut_down())
         node.server.close()
         for link in list(first.handover.links):
             link.close()
         while second.handover.links:
             await asyncio.sleep(0.01)
         assert most(second) == 40 and most(first) == 20
-        await second.end()
+        await second.shut_down()
         ending.cancel()
 
     run(story())
