--- a/cherrycove/__main__.py
+++ b/cherrycove/__main__.py
@@ -1,8 +1,7 @@
-"""Starts one broker process: signals, announcement, gentle imports, configuration, exit status.
+"""Entry point of the broker: signals, announcement, low-priority imports, configuration, exit status.
 
-The order of the statements matters. Signals are handled before anything slow is imported, the process in
-service is told of the start before its imports take the core, and what is slow to import is imported at a low
-priority.
+The order of the statements matters. Signal handlers are set before any slow import, the process in service is
+told of the start before the imports use the CPU core, and slow modules are imported at a low priority.
 """
 
 from __future__ import annotations
@@ -10,15 +9,15 @@
 import sys
 
 if __name__ == "__main__" and len(sys.argv) > 1:
-    from cherrycove.broker.cli import main as command  # sub-commands; without one this is the broker
+    from cherrycove.broker.cli import main as command  # sub-commands; without arguments, the broker runs
 
     command()
 
 import signal
 
 if __name__ == "__main__":
-    # By default either ends the process with an error. A SIGHUP now asks for a file that is read later
-    # anyway; on a SIGTERM now, no request has been accepted.
+    # By default either signal ends the process with an error. A SIGHUP is ignored here, as the file to reload
+    # has not been read yet. On a SIGTERM the process exits, as it has accepted no request.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
 
@@ -32,39 +31,40 @@
 import threading
 from pathlib import Path
 
-LOW_PRIORITY = 10  # niceness: gets a tenth of a busy core
-LOW_PRIORITY_S = 1.0  # s after which the rest is imported at the usual priority
+IMPORT_NICENESS = 10  # gets a tenth of a busy core
+LOW_PRIORITY_IMPORT_S = 1.0  # after this time the remaining modules are imported at normal priority
 
 
-def _load(*modules: str, limit_s: float = LOW_PRIORITY_S) -> None:
-    """Import modules at a low priority, on a thread that ends with it; what it imports stays.
+def _import_at_low_priority(*modules: str, limit_s: float = LOW_PRIORITY_IMPORT_S) -> None:
+    """Import modules on a temporary thread at a low priority.
 
-    On a busy core a low priority gets little (at 19 a sixtieth), and a process that is not ready in 6 s takes
-    over from nobody. After ``limit_s`` seconds only the module in progress is waited for.
+    A low priority gets little of a busy core (at niceness 19 a sixtieth), and a process that is not ready
+    within 6 s cannot take over from its predecessor. After ``limit_s`` seconds, no further module is imported
+    here; only the import in progress is waited for.
     """
-    late = threading.Event()
+    time_up = threading.Event()
 
-    def load() -> None:
-        if sys.platform == "linux":  # elsewhere a priority is the whole process's, and stays
-            os.setpriority(os.PRIO_PROCESS, threading.get_native_id(), LOW_PRIORITY)
+    def import_modules() -> None:
+        if sys.platform == "linux":  # elsewhere the priority would apply to the whole process
+            os.setpriority(os.PRIO_PROCESS, threading.get_native_id(), IMPORT_NICENESS)
         for name in modules:
-            if late.is_set():
+            if time_up.is_set():
                 return
             importlib.import_module(name)
 
-    thread = threading.Thread(target=load)
+    thread = threading.Thread(target=import_modules)
     thread.start()
     thread.join(limit_s)
-    late.set()
+    time_up.set()
     thread.join()
 
 
 if __name__ == "__main__":
-    # The process that this one replaces serves on the same core; half of it taken away for most of a second
-    # would leave its clients without connections. No part of this program speaks TLS; reading the system's
-    # certificates costs 60 ms and 2 MB.
+    # The process that this one replaces serves on the same core: losing half of it for most of a second would
+    # leave its clients without connections.
+    # The broker does not use TLS; reading the system's certificates would cost 60 ms and 2 MB.
     os.environ.setdefault("SSL_CERT_FILE", os.devnull)
-    _load(
+    _import_at_low_priority(
         "asyncio",
         "ssl",
         "multidict",
@@ -85,9 +85,9 @@
 
 
 def main() -> int:
-    """Read both configurations and serve until a signal; return the exit status."""
-    # What a SIGHUP asks for is done once there is a watch to move. One that came between the reading of the
-    # file and the end of the start would be lost, and the broker would follow an address that is gone.
+    """Read both configuration files and serve until a signal; return the exit status."""
+    # A SIGHUP that arrives before the start is complete is counted, and the reload is done after it. Were it
+    # ignored between reading the file and the end of the start, the broker would watch an outdated address.
     hangups: list[int] = []
     signal.signal(signal.SIGHUP, lambda number, _: hangups.append(number))
     events.start()
--- a/cherrycove/broker/__init__.py
+++ b/cherrycove/broker/__init__.py
@@ -1,1 +1,1 @@
-"""The storage broker: sockets, configuration and operators' calls around ``cherrycove.scheduling``."""
+"""The storage broker: serves clients over HTTP and NBD, with ``cherrycove.scheduling`` as its scheduler."""
--- a/cherrycove/broker/admin.py
+++ b/cherrycove/broker/admin.py
@@ -1,7 +1,6 @@
-"""The operators' calls: one line a connection, on an address of their own.
+"""The admin protocol for operators, on an address of its own: one call, a line of text, per connection.
 
-Nothing here waits for a client or a node, one caller cannot keep out another, and a line that did not arrive
-completely is not acted on.
+No call waits for a client or a node, no caller can block another, and an incomplete line is never executed.
 """
 
 from __future__ import annotations
@@ -18,17 +17,17 @@
 log = Log("cherrycove.admin")
 
 MAX_LINE_BYTES = 512
-MAX_CONNECTIONS = 8  # connections at once
-CALL_TIMEOUT_S = 5.0  # s for the whole line
-MAX_EXCESS_BYTES = 64 * 1024  # bytes behind a call that are read and dropped
-HANG_UP_TIMEOUT_S = 1.0  # s that a caller has to take its answer and hang up
+MAX_CONNECTIONS = 8  # at the same time
+CALL_TIMEOUT_S = 5.0  # for receiving the whole line
+MAX_EXCESS_BYTES = 64 * 1024  # data after a call that is read and dropped
+HANG_UP_TIMEOUT_S = 1.0  # for the caller to read its answer and disconnect
 PLAIN_COMMANDS, NODE_COMMANDS, QUERY_COMMANDS = ("status", "stats"), ("maint-on", "maint-off"), ("why",)
 NODE_ID = re.compile(r"[!-~]{1,128}", re.ASCII)
 VERDICT_NAMES = {Verdict.SERVED: "passed", Verdict.REFUSED: "dropped", Verdict.FAILED: "bad_gateway"}
 
 
 class InvalidCallError(ValueError):
-    """A line that is no call; the text says why."""
+    """A line is not a valid call; the message is sent to the caller."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,12 +35,16 @@
     """An operator's call."""
 
     command: str
-    node: str = ""  # id, of a command on a node
-    arguments: tuple[str, ...] = ()  # of a query
+    node: str = ""  # node id, for commands on a node
+    arguments: tuple[str, ...] = ()  # of a query command
 
 
 def parse_call(line: bytes) -> Call:
-    """Parse one line without its end; InvalidCallError if it is no call."""
+    """Parse a line, given without its newline.
+
+    Raises:
+        InvalidCallError: the line is not a valid call.
+    """
     try:
         words = line.decode("ascii").split()
     except UnicodeDecodeError as error:
@@ -65,7 +68,7 @@
 
 
 def report(metrics: Metrics, parts: Mapping[str, int] | None = None) -> str:
-    """Return the statistics, a line each, then those of ``parts`` that are enabled, and the end line."""
+    """Return the metrics, one per line, then the counters of ``parts``, and the line END."""
     lines = [
         f"{word}.{cls}:{counts[verdict]}|c"
         for verdict, word in VERDICT_NAMES.items()
@@ -82,26 +85,26 @@
 
 
 def yes_or_no(refusal: str | None, done: str) -> str:
-    """Return the answer NO with the refusal, or YES with what is done."""
+    """Return the answer NO with the refusal or, if that is None, YES with what was done."""
     return f"YES {done}" if refusal is None else f"NO {refusal}"
 
 
 class AdminServer:
-    """Serves the calls; the broker's process owns it.
+    """Serves operators' calls. Owned by the broker.
 
-    ``answer`` returns a call's answer, in complete lines without the last line's end. If it fails, the caller
-    receives NO and the log the fault.
+    ``answer`` executes a call and returns the answer, without a newline at the end. If it raises, the
+    exception is logged and the caller receives NO.
     """
 
     def __init__(self, answer: Callable[[Call], Awaitable[str]]) -> None:
         self._answer = answer
-        self._connections: dict[_Connection, None] = {}  # in the order of their arrival
+        self._connections: dict[_Connection, None] = {}  # ordered by arrival; the values are unused
         self._server: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> int:
-        """Serve calls at this address; return the port."""
+        """Listen on this address; return the port."""
         listener = socket.create_server((host, port))
-        # The loop accepts as many at a time as the backlog given here; many more calls may wait.
+        # The event loop accepts up to ``backlog`` connections at a time; the socket may queue many more.
         self._server = await asyncio.get_running_loop().create_server(
             lambda: _Connection(self), sock=listener, backlog=MAX_CONNECTIONS
         )
@@ -113,49 +116,50 @@
         """Stop listening and abort all connections."""
         if self._server is not None:
             self._server.close()
-        for caller in list(self._connections):
-            caller.end()
+        for connection in list(self._connections):
+            connection.abort()
+
+    def add(self, connection: _Connection) -> None:
+        """Add a connection.
 
-    def add(self, caller: _Connection) -> None:
-        """Add a connection; beyond the limit the oldest without a call is aborted, else the oldest."""
-        self._connections[caller] = None
+        Beyond ``MAX_CONNECTIONS``, the oldest other connection without a call is aborted, or if there is
+        none, the oldest.
+        """
+        self._connections[connection] = None
         if len(self._connections) > MAX_CONNECTIONS:
-            # Callers that keep their connections must not use up the descriptors of the others.
+            # Callers that keep connections open must not exhaust the file descriptors for others.
             others = list(self._connections)[:-1]
-            next((each for each in others if not each.asked), others[0]).end()
+            next((each for each in others if not each.has_call), others[0]).abort()
 
-    def remove(self, caller: _Connection) -> None:
-        """Remove a connection that has ended."""
-        self._connections.pop(caller, None)
+    def remove(self, connection: _Connection) -> None:
+        """Remove a closed connection."""
+        self._connections.pop(connection, None)
 
     async def reply(self, line: bytes) -> str:
-        """Return the answer to a line, also to one that is no call or whose call failed."""
+        """Return the answer to a line, including NO for an invalid or failed call."""
         try:
             call = parse_call(line)
         except InvalidCallError as error:
             return f"NO {error}"
         try:
             return await self._answer(call)
-        except Exception:  # noqa: BLE001  # the top of a call: logged, and the broker serves on
+        except Exception:  # noqa: BLE001  # logged; a failed call must not stop the broker
             log.exception("call.failed", call=call.command)
             return "NO the broker could not carry it out; its log says why"
 
 
 class _Connection(asyncio.Protocol):
-    """One operator's connection: a line, its answer, the end.
-
-    ``asked`` says whether a call has arrived.
-    """
+    """A connection of an operator: receives a line, sends its answer and closes."""
 
     def __init__(self, server: AdminServer) -> None:
-        self._server, self._line, self.asked = server, b"", False
-        self._answered, self._hung_up, self._excess_bytes = False, False, 0
+        self._server, self._line, self.has_call = server, b"", False
+        self._answered, self._eof_received, self._excess_bytes = False, False, 0
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._work: asyncio.Task[None] | None = None
+        self._task: asyncio.Task[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Wait for the call, for ``CALL_TIMEOUT_S`` at most."""
+        """Wait for the call for at most ``CALL_TIMEOUT_S``."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._abort_after(CALL_TIMEOUT_S)
@@ -164,12 +168,12 @@
     def _abort_after(self, delay: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = asyncio.get_running_loop().call_later(delay, self.end)
+        self._timer = asyncio.get_running_loop().call_later(delay, self.abort)
 
     def data_received(self, data: bytes) -> None:
-        """Collect the line and start its call; drop what follows."""
-        if self.asked:
-            # Unread bytes would reset the connection, and the answer in transfer would be lost.
+        """Collect the line and execute its call; drop any data after it."""
+        if self.has_call:
+            # Closing with unread data would reset the connection, and the answer being sent would be lost.
             self._excess_bytes += len(data)
             if self._excess_bytes > MAX_EXCESS_BYTES and self._transport is not None:
                 self._transport.pause_reading()
@@ -182,37 +186,37 @@
             self._send_answer(f"NO more than {MAX_LINE_BYTES} bytes without a whole call")
 
     def eof_received(self) -> bool:
-        """Reject an incomplete line; return whether the transport stays open for an answer."""
-        if not self.asked:
-            # ``maint-on s-1`` may be the first half of ``maint-on s-12``.
+        """Reject an incomplete line; return whether the transport stays open for the answer."""
+        if not self.has_call:
+            # ``maint-on s-1`` may be a truncated ``maint-on s-12``.
             self._send_answer("NO the line has no end")
-        self._hung_up = True
-        return not self._answered  # the answer may still be due
+        self._eof_received = True
+        return not self._answered  # the answer may be still to be sent
 
     def _start_call(self, line: bytes) -> None:
-        self.asked = True
-        self._work = asyncio.get_running_loop().create_task(self._carry_out(line))
+        self.has_call = True
+        self._task = asyncio.get_running_loop().create_task(self._execute(line))
 
-    async def _carry_out(self, line: bytes) -> None:
+    async def _execute(self, line: bytes) -> None:
         self._send_answer(await self._server.reply(line))
 
     def _send_answer(self, answer: str) -> None:
-        self.asked, self._answered, self._line = True, True, b""
+        self.has_call, self._answered, self._line = True, True, b""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(answer.encode("ascii", "replace") + b"\n")
-            if self._hung_up:
+            if self._eof_received:
                 self._transport.close()
             else:
                 self._transport.write_eof()
                 self._abort_after(HANG_UP_TIMEOUT_S)
 
-    def end(self) -> None:
+    def abort(self) -> None:
         """Abort the connection."""
         if self._transport is not None:
             self._transport.abort()
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Remove the connection from its server."""
+        """Stop the timer and remove the connection from the server."""
         if self._timer is not None:
             self._timer.cancel()
         self._server.remove(self)
--- a/cherrycove/broker/core/__init__.py
+++ b/cherrycove/broker/core/__init__.py
@@ -1,8 +1,8 @@
-"""The broker's core: requests, attempts, endings and final answers, whatever protocol they arrive by.
+"""The protocol-independent core of the broker: requests, attempts, endings and final answers.
 
-It owns the scheduler of the process, its clock, its timers and its batches of events. It is the only package
-that handles the scheduler's events and actions, the only one that maps an ``Ending`` to an ``Outcome``, and
-it ensures that each request gets exactly one final answer before its client's deadline.
+It owns the process's scheduler with its clock, timers and event batches. It is the only package that handles
+the scheduler's events and actions, the only one that maps an ``Ending`` to an ``Outcome``, and it ensures
+that each request gets exactly one final answer before its client's deadline.
 """
 
 from cherrycove.broker.core.endings import Ending
--- a/cherrycove/broker/core/driver.py
+++ b/cherrycove/broker/core/driver.py
@@ -1,4 +1,4 @@
-"""The scheduler's driver: its clock, its timers and its batches of events."""
+"""Drives the scheduler: provides its clock and timers and collects its events into batches."""
 
 from __future__ import annotations
 
@@ -13,14 +13,19 @@
 
 log = Log("cherrycove.core")
 
-_UNLIMITED = 1 << 30  # requests
+_UNLIMITED_REQUESTS = 1 << 30
 
 
 class SchedulerDriver:
-    """Collects events into batches for the scheduler and has its actions carried out. The core owns it.
+    """Passes events to the scheduler in batches and executes its actions. Owned by the core.
 
-    ``on_batch_due`` is called when a batch is due and calls ``run_batch``; ``carry_out`` is called with each
-    action. A fault of the scheduler is logged, and the actions of that batch that were left are lost.
+    If the scheduler raises, the exception is logged and the remaining actions of that batch are lost.
+
+    Args:
+        settings: the settings of the deployment.
+        seed: the seed of the scheduler's random numbers.
+        on_batch_due: called when a batch is due; it must call ``run_batch``.
+        carry_out: executes one action; called with each action of the scheduler.
     """
 
     def __init__(
@@ -35,41 +40,41 @@
         self._tick_s = settings.tick
         self._on_batch_due, self._carry_out = on_batch_due, carry_out
         self._loop = asyncio.get_running_loop()
-        self._wake: asyncio.TimerHandle | None = None
+        self._batch_timer: asyncio.TimerHandle | None = None
         self._last_batch_at = -inf
-        self._open_limit = RequestLimit(_UNLIMITED)
-        self._reported_limit = _UNLIMITED  # that the scheduler knows
+        self._request_limit = RequestLimit(_UNLIMITED_REQUESTS)
+        self._reported_limit = _UNLIMITED_REQUESTS  # the last limit that the scheduler was told
 
     def push(self, event: api.Event) -> None:
-        """Add an event to the next batch; batches are a tick apart, so that a burst costs one call."""
+        """Add an event to the next batch; batches are at least a tick apart, so a burst costs one call."""
         self.pending_events.append(event)
-        if self._wake is None:
+        if self._batch_timer is None:
             when = max(self._last_batch_at + self._tick_s, self._loop.time())
-            self._wake = self._loop.call_at(when, self._on_batch_due)
+            self._batch_timer = self._loop.call_at(when, self._on_batch_due)
 
     def push_later(self, delay_s: float, event: api.Event) -> None:
-        """Add an event to the batch that follows this delay."""
+        """Add an event to the next batch once ``delay_s`` has passed."""
         self._loop.call_later(delay_s, self.push, event)
 
-    def limit_open_requests(self, most: int) -> None:
-        """Limit the requests in flight; the limit falls below ``most`` while the loop runs late."""
-        self._open_limit.max_requests = self._reported_limit = most
-        self.push(api.OpenRequestLimit(most))
+    def limit_open_requests(self, max_requests: int) -> None:
+        """Limit the requests in flight to ``max_requests``, and to fewer while the event loop runs late."""
+        self._request_limit.max_requests = self._reported_limit = max_requests
+        self.push(api.OpenRequestLimit(max_requests))
 
     def run_batch(self) -> None:
-        """Pass the events since the last batch to the scheduler and have its actions carried out."""
+        """Pass the events since the last batch to the scheduler and execute its actions."""
         now = self._loop.time()
         events = self._take_events(now)
         try:
             for action in self.scheduler.handle(now, events):
                 self._carry_out(action)
         except Exception:
-            # The requests concerned fail at their deadlines; the broker goes on serving the others.
+            # The affected requests fail at their deadlines; the broker continues to serve the others.
             log.exception("module.failed", events=len(events))
 
     def _take_events(self, now: float) -> list[api.Event]:
-        limit = self._open_limit.update(now, now - self._wake.when() if self._wake else 0.0)
-        self._wake, self._last_batch_at = None, now
+        limit = self._request_limit.update(now, now - self._batch_timer.when() if self._batch_timer else 0.0)
+        self._batch_timer, self._last_batch_at = None, now
         events, self.pending_events = self.pending_events, []
         if limit != self._reported_limit:
             self._reported_limit = limit
--- a/cherrycove/broker/core/facade.py
+++ b/cherrycove/broker/core/facade.py
@@ -1,8 +1,8 @@
-"""The facade that the servers and the rest of the broker's process use.
+"""The core's interface for the servers and the rest of the broker's process.
 
-It gives the servers an interface in blocking style: ``serve`` a request up to its one final answer, before
-its client's deadline. It must never open a socket, know a header or a frame, decide where or when a request
-is sent, or delay an answer that the scheduler has given.
+A server awaits ``serve`` for each request, which returns the final answer before the client's deadline. This
+module must never open a socket, depend on headers or frames, decide where or when a request is sent, or delay
+an answer that the scheduler has given.
 """
 
 from __future__ import annotations
@@ -23,39 +23,43 @@
 
 log = Log("cherrycove.core")
 
-DECISION_TICKS = 5  # that the scheduler has in any case
+MIN_DECISION_TICKS = 5  # ticks that the scheduler has for a decision in any case
 
 
 class Core:
-    """The facade over the scheduler, for one event loop.
+    """The facade over the scheduler, for one event loop. Owned by the broker.
 
-    The broker owns it. A fault of the scheduler is logged; the requests concerned fail at their deadlines.
+    If the scheduler raises, the exception is logged, and the affected requests fail at their deadlines.
     """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings = settings
         self.on_node_list: Callable[[NodeList], None] | None = (
-            None  # called with each list from the source itself
+            None  # called with each update from the list's source
         )
         self.source_unreachable = False  # whether the source of the node list is unreachable
-        self.watch_requested = asyncio.Event()  # set whenever the scheduler asks for the list's changes
+        self.watch_requested = asyncio.Event()  # set whenever the scheduler asks for changes of the list
         self._loop = asyncio.get_running_loop()
         self._driver = SchedulerDriver(settings, seed, self.tick, self._run_action)
         self._nodes = NodeTable(self._loop.time())
         self._counters = Counters(settings)
         self._requests = RequestTable(self._driver, self._nodes, self._counters)
         self._borrow_capacity: Callable[[str, float], None] = _borrow_nothing
-        self._given_up: float | None = None  # since then new requests are rejected at once
+        self._expired_at: float | None = None  # since then new requests are rejected immediately
 
     # Requests.
 
     async def serve(self, request: Request, backend: Backend) -> Answer:
-        """Serve a request up to its one final answer. Cancellation means that the client has disconnected."""
-        # The scheduler takes the longest wait seen in a class for that of a first request. One client that
-        # claims to wait longer than the class allows would make all others look like late retries.
+        """Serve a request and return its final answer.
+
+        Cancelling the call means that the client has disconnected.
+        """
+        # The scheduler assumes that the longest wait seen in a class is that of requests that are no retries.
+        # One client that claims to wait longer than the class allows would make all others look like late
+        # retries.
         allowed = self._loop.time() + self.settings.classes[request.cls].deadline
         request.deadline = min(request.deadline, allowed)
-        if self._given_up is not None:
+        if self._expired_at is not None:
             local_code = LocalCode.ENDING
             self.record_rejection(
                 request.cls, Verdict.REFUSED, local_code, request.id, request.volume, request.front
@@ -73,7 +77,7 @@
         volume: str = "",
         front: str = "http",
     ) -> None:
-        """Record that a server rejected a request of this class by itself; the core has not served it."""
+        """Record a request that a server rejected without calling ``serve``."""
         if cls is not None:
             self._counters.count_answer(cls, verdict)
         if self.recorder is not None:
@@ -83,16 +87,16 @@
             )
 
     def find(self, id: str) -> list[RequestSummary]:
-        """Return the requests in flight with this id."""
+        """Return summaries of the requests in flight with this client-assigned id."""
         return self._requests.find(id)
 
     def expire_requests(self) -> None:
-        """Answer all requests in flight, and reject new ones, at once: the process ends.
+        """Answer all requests in flight immediately, and reject new ones, since the process is ending.
 
-        Responses that are being streamed go on.
+        Responses that are being streamed continue.
         """
-        self._given_up = self._loop.time()
-        self._requests.expire_all(self._given_up)
+        self._expired_at = self._loop.time()
+        self._requests.expire_all(self._expired_at)
 
     async def wait_idle(self) -> None:
         """Wait until no request is in flight."""
@@ -107,17 +111,17 @@
 
     @property
     def counts(self) -> Mapping[str, int]:
-        """The requests taken, and how they ended, since the start."""
+        """The number of requests accepted ("taken"), and of requests by how they ended, since the start."""
         return self._counters.counts
 
     @property
     def endings(self) -> Mapping[Ending, int]:
-        """How attempts ended, since the start."""
+        """The number of attempts by how they ended, since the start."""
         return self._counters.endings
 
     @property
     def recorder(self) -> Recorder | None:
-        """What gets every request once, when it has ended; None: nothing is recorded."""
+        """The recorder that receives every request once it has ended; None: nothing is recorded."""
         return self._requests.recorder
 
     @recorder.setter
@@ -125,7 +129,7 @@
         self._requests.recorder = recorder
 
     def metrics(self) -> Metrics:
-        """Return the figures for operators."""
+        """Return the metrics for operators."""
         members, used = self._nodes.members, self._driver.scheduler.accepting_nodes()
         return Metrics(
             self._counters.answers,
@@ -139,31 +143,31 @@
 
     @property
     def version(self) -> int | None:
-        """The version of the node list; None: there is none yet."""
+        """The version of the node list; None: none was received yet."""
         return self._nodes.version
 
     @property
     def list_updates(self) -> int:
-        """How often the node list has changed."""
-        return self._nodes.updates
+        """The number of updates applied to the node list."""
+        return self._nodes.update_count
 
     @property
     def maintenance(self) -> Maintenance:
-        """The nodes that operators took out or put back."""
+        """The maintenance state set by operators."""
         return self._nodes.maintenance
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """The node list as reported, without maintenance."""
+        """The node list as reported, without maintenance applied."""
         return tuple(self._nodes.members.values())
 
     @property
     def ready(self) -> bool:
-        """Whether any node is up."""
+        """Whether any node is up and not under maintenance."""
         return self._nodes.any_up()
 
     def update(self, update: NodeList, *, restored: bool = False) -> None:
-        """Apply a node list, or changes of it, from its source; ``restored``: from an earlier process."""
+        """Apply a node list or changes to it; ``restored``: the list is one that an earlier process saved."""
         self._nodes.version, self.source_unreachable = update.version, False
         kind = api.ListKind.FULL if update.full else api.ListKind.CHANGES
         self._apply(update, api.ListKind.RESTORED if restored else kind)
@@ -176,7 +180,7 @@
         self._driver.push(api.NodeListFailure())
 
     def drain_node(self, member: Member) -> None:
-        """Send a node no new requests, on information that is not from the list's source."""
+        """Send no new requests to a node that another broker, not the list's source, reports as not up."""
         is_listed = member.name in self._nodes.members and self.version is not None
         if is_listed and member.state is not api.NodeState.UP:
             self._apply(NodeList(self.version or 0, False, (member,)), api.ListKind.CHANGES)
@@ -185,40 +189,43 @@
         """Replace the maintenance state and update the scheduler for the nodes it changes."""
         changed = self._nodes.set_maintenance(state)
         if changed:
-            self._pass_on(self.version or 0, api.ListKind.CHANGES, changed)
+            self._notify_scheduler(self.version or 0, api.ListKind.CHANGES, changed)
 
     def node_started_at(self, member: Member) -> float | None:
-        """Return when a node last started, on the loop's clock; None if that is unknown."""
+        """Return when a node last started, on the event loop's clock; None if that is unknown."""
         return self._nodes.loop_time(member.since_ms)
 
     # The scheduler's budget, capacity and state.
 
     def set_budget_share(self, fraction: float, sent: Mapping[str, float] | None = None) -> None:
-        """Use this share of the broker's budget; ``sent`` is what its other processes sent recently."""
+        """Use this fraction of the broker's budget.
+
+        ``sent`` holds the units that the broker's other processes sent recently, by node name.
+        """
         self._driver.push(api.BudgetShare(fraction, sent or {}))
 
-    def limit_open_requests(self, most: int) -> None:
-        """Limit the requests in flight, so that the servers keep connections for others."""
-        self._driver.limit_open_requests(most)
+    def limit_open_requests(self, max_requests: int) -> None:
+        """Limit the requests in flight, so that the servers have connections left for other clients."""
+        self._driver.limit_open_requests(max_requests)
 
-    def pool_capacity(self, fraction: float, ask: Callable[[str, float], None]) -> None:
+    def pool_capacity(self, fraction: float, borrow: Callable[[str, float], None]) -> None:
         """Pool this fraction of the capacity of nodes in slow start among the brokers.
 
-        ``ask`` is called with the name of a node and the units wanted, as often as the scheduler likes.
+        ``borrow`` is called with a node's name and the units wanted, each time the scheduler asks for them.
         """
-        self._borrow_capacity = ask
+        self._borrow_capacity = borrow
         self._driver.push(api.CapacityPool(fraction))
 
     def use_loan(self, node: str, units: float, valid_s: float) -> None:
-        """Use capacity that another broker has lent, within ``valid_s``."""
+        """Use capacity of a node that another broker has lent; the loan expires after ``valid_s``."""
         self._driver.push(api.CapacityLoan(node, units, valid_s))
 
     def recent_sent_units(self) -> dict[str, float]:
-        """Return the units sent recently, by the node's name."""
+        """Return the units sent recently, by node name."""
         return self._driver.scheduler.recent_sent_units()
 
     def export_restart_state(self) -> api.RestartState:
-        """Return the state for the next process of this broker; times are on the loop's clock."""
+        """Return the state for the next process of this broker; times are on the event loop's clock."""
         return self._driver.scheduler.export_restart_state()
 
     def import_restart_state(self, state: api.RestartState) -> None:
@@ -226,10 +233,10 @@
         self._driver.push(state)
 
     def tick(self) -> None:
-        """Pass the events since the last tick to the scheduler and carry out its actions."""
-        over = self._requests.take_over()
+        """Pass the events since the last tick to the scheduler and execute its actions."""
+        closed = self._requests.take_closed()
         self._driver.run_batch()
-        self._requests.forget(over)
+        self._requests.delete(closed)
 
     # Serving one request.
 
@@ -237,7 +244,7 @@
         ticket = self._requests.add(request)
         answer: Answer | None = None
         try:
-            async with asyncio.timeout_at(self._latest_answer_at(ticket)) as ticket.limit:
+            async with asyncio.timeout_at(self._latest_answer_at(ticket)) as ticket.answer_timeout:
                 while answer is None:
                     step = await self._requests.next_step(ticket)
                     if isinstance(step, Answer):
@@ -253,27 +260,27 @@
             self._requests.finish(ticket, None)
             raise
         finally:
-            ticket.limit = None
+            ticket.answer_timeout = None
         if answer.reply is not None and answer.reply.relay is not None:
             return await self._relay(ticket, answer, answer.reply.relay)
         self._requests.finish(ticket, answer)
         return answer
 
     def _latest_answer_at(self, ticket: Ticket) -> float:
-        # A client's late retry may have less time left than the last resort; the scheduler still decides.
+        # A client's late retry may have less time left than ``last_resort_s``; the scheduler still decides.
         return max(
             ticket.request.deadline - ticket.last_resort_s,
-            self._loop.time() + DECISION_TICKS * self.settings.tick,
+            self._loop.time() + MIN_DECISION_TICKS * self.settings.tick,
         )
 
     def _answer_undecided(self, ticket: Ticket) -> Answer:
-        # Even without a decision, or on a loop that is late, each client gets an answer.
-        local_code = LocalCode.LAST_RESORT if self._given_up is None else LocalCode.ENDING
+        # Each client gets an answer, even without a decision or if the event loop runs late.
+        local_code = LocalCode.LAST_RESORT if self._expired_at is None else LocalCode.ENDING
         if local_code is LocalCode.LAST_RESORT:
             log.warning("request.undecided")
         self._report_expired_attempt(ticket)
         self._driver.push(api.ClientDeparture(ticket.id))
-        verdict = Verdict.FAILED if ticket.attempts else Verdict.REFUSED  # nothing of it was sent
+        verdict = Verdict.FAILED if ticket.attempt_count else Verdict.REFUSED  # refused: nothing was sent
         return Answer(
             verdict,
             last_ending=ticket.last_ending,
@@ -282,10 +289,10 @@
         )
 
     def _report_expired_attempt(self, ticket: Ticket) -> None:
-        """Report the attempt that is under way if its local_code time-out has passed as well.
+        """Report the attempt under way if its own time-out has expired as well.
 
-        On a loop that is late both time-outs pass in one turn. The attempt's comes first, but asyncio then
-        passes the cancellation on to the outer one, and ``_carry_out`` does not see it.
+        If the event loop runs late, both time-outs expire in one iteration. The attempt's is first, but
+        asyncio then passes the cancellation on to the outer one, and ``_carry_out`` does not see it.
         """
         attempt = ticket.current
         if attempt is not None and attempt.timeout is not None and attempt.timeout.expired():
@@ -303,13 +310,13 @@
             log.exception("attempt.unforeseen", attempt=attempt.number + 1, node=attempt.node)
             return Reply(Ending.BROKEN)
 
-    async def _relay(self, ticket: Ticket, begun: Answer, relay: Callable[[], Awaitable[Ending]]) -> Answer:
+    async def _relay(self, ticket: Ticket, started: Answer, relay: Callable[[], Awaitable[Ending]]) -> Answer:
         answer: Answer | None = None
         try:
             ending = await relay()
             is_complete = ending is Ending.SERVED
             answer = (
-                begun
+                started
                 if is_complete
                 else Answer(Verdict.FAILED, last_ending=ending, local_code=LocalCode.BROKE_OFF)
             )
@@ -317,13 +324,13 @@
             self._requests.finish(ticket, answer)
         return answer
 
-    # Between the facade and the scheduler.
+    # Events for the scheduler, and its actions.
 
     def _apply(self, update: NodeList, kind: api.ListKind) -> None:
         self._nodes.apply(update)
-        self._pass_on(update.version, kind, update.members)
+        self._notify_scheduler(update.version, kind, update.members)
 
-    def _pass_on(self, version: int, kind: api.ListKind, members: Iterable[Member]) -> None:
+    def _notify_scheduler(self, version: int, kind: api.ListKind, members: Iterable[Member]) -> None:
         self._driver.push(self._nodes.scheduler_update(version, kind, members))
         self._requests.cancel_unwritten(self._loop.time() + self.settings.drain_grace)
 
@@ -346,16 +353,16 @@
             case api.Report(text):
                 log.info("module.state", shards=text)
             case api.Probe(node):
-                # No deployment's settings let the scheduler probe, and it asks for none.
+                # No deployment's settings allow probes, so the scheduler does not ask for any.
                 self._driver.push(api.ProbeEnd(node, api.Outcome.NOT_EXECUTED, 0.0))
 
 
 def _borrow_nothing(_node: str, _units: float) -> None:
-    """Borrow no capacity: it is not pooled."""
+    """Ignore the request, since capacity is not pooled."""
 
 
 def _expired_reply(attempt: Attempt) -> Reply:
-    """How an attempt ended whose time-out has passed."""
+    """Return how an attempt ended whose time-out has expired."""
     if not (attempt.written or attempt.body_started):
         return Reply(Ending.EXPIRED)
     return Reply(Ending.GIVEN_UP if attempt.cancelled else Ending.TIMED_OUT)
--- a/cherrycove/broker/core/metrics.py
+++ b/cherrycove/broker/core/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of a broker, and what is passed on for operators: figures, and a record of each request."""
+"""Counters of the core, the metrics reported to operators, and the interface for recording requests."""
 
 from __future__ import annotations
 
@@ -15,54 +15,54 @@
 
 @dataclass(slots=True, eq=False)
 class RequestSummary:
-    """A request that has ended, or is in flight, as a recorder gets it. Times are on the loop's clock."""
+    """Summary of a request for a ``Recorder`` or a query. Times are on the event loop's clock."""
 
     arrived_at: float
-    ended_at: float
-    verdict: Verdict | None  # None: its client disconnected, or it is in flight
+    ended_at: float  # for a request in flight: the time of the summary
+    verdict: Verdict | None  # None: the client disconnected, or the request is in flight
     local_code: LocalCode = LocalCode.NOTHING
     why: api.Reason | None = None
-    request: Request | None = None  # None: a server answered it by itself; the fields below identify it
+    request: Request | None = None  # None: rejected by a server; id, volume, front and cls identify it
     attempts: list[Attempt] = field(default_factory=list)
-    original_id: str = ""  # the id of the request that the client retries
-    candidates: int = 0
+    original_id: str = ""  # id of the request that this one retries; "": none is known
+    candidates: int = 0  # number of earlier requests that this one could retry
     id: str = ""
     volume: str = ""
-    front: str = "http"
+    front: str = "http"  # server that received it: "http" or "nbd"
     cls: int | None = None
 
 
 class Recorder(Protocol):
-    """Gets every request once, when it has ended."""
+    """Receives a summary of every request, once, when the request has ended."""
 
     def match_retry(self, request: Request, now: float) -> tuple[str, int]:
-        """Return the id of the request that this marked retry repeats, and how many candidates there were."""
+        """Return the id of the request that this marked retry repeats and the number of candidates."""
 
-    def record(self, ended: RequestSummary) -> None:
+    def record(self, summary: RequestSummary) -> None:
         """Record a request that has ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class Metrics:
-    """Metrics of a broker for its operators."""
+    """Metrics of the core, for operators."""
 
-    answers: Mapping[str, Mapping[Verdict, int]]  # by class, since the start
-    attempts: int  # attempts written completely
-    open_requests: int  # requests
-    listed_nodes: int  # nodes in the list
-    unused_nodes: int  # of these, nodes that get no requests now
+    answers: Mapping[str, Mapping[Verdict, int]]  # final answers by class name and verdict, since the start
+    attempts: int  # that were written completely, since the start
+    open_requests: int
+    listed_nodes: int  # nodes in the node list
+    unused_nodes: int  # listed nodes that currently get no requests
 
 
 class Counters:
-    """What the core counts from the start of the process on. The core owns it."""
+    """Counts since the start of the process. Owned by the core."""
 
     def __init__(self, settings: api.Settings) -> None:
-        self.counts: Counter[str] = Counter()  # requests taken, and how they ended
-        self.endings: Counter[Ending] = Counter()  # of attempts
+        self.counts: Counter[str] = Counter()  # requests accepted ("taken"), and how they ended
+        self.endings: Counter[Ending] = Counter()  # how attempts ended
         self.answers = {cls.name: dict.fromkeys(Verdict, 0) for cls in settings.classes}
         self.attempts_written = 0
         self._classes = settings.classes
 
     def count_answer(self, cls: int, verdict: Verdict) -> None:
-        """Count a final answer to a request of the class with this index."""
+        """Count a final answer to a request of the class with index ``cls``."""
         self.answers[self._classes[cls].name][verdict] += 1
--- a/cherrycove/broker/core/requests.py
+++ b/cherrycove/broker/core/requests.py
@@ -1,4 +1,4 @@
-"""Requests, attempts and answers: what the core exchanges with the servers and with their backends."""
+"""Requests, attempts, replies and answers: the types that the core shares with servers and backends."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """What the core must know of a request; its content is known to the backend alone."""
+    """The properties of a request that the core needs; only the backend knows the content."""
 
-    cls: int
-    plan: int
+    cls: int  # index in ``Settings.classes``
+    plan: int  # index in ``Settings.plans``
     volume: str
     units: float
-    shard: int | None
-    hosts: int
-    deadline: float  # on the loop's clock: when the client stops waiting
+    shard: int | None  # shard that holds the data; None: a new object, which any node may store
+    hosts: int  # number of brokers that receive requests of the volume
+    deadline: float  # when the client stops waiting, on the event loop's clock
     key: str | None = None
-    repeat: bool = False
-    upload: bool = False  # its last byte is still to be received; its deadline counts from then on
-    id: str = ""  # the client's id of it
-    front: str = "http"
+    repeat: bool = False  # the client marked it as a retry
+    upload: bool = False  # its last byte has not arrived yet; the deadline counts from then on
+    id: str = ""  # assigned by the client
+    front: str = "http"  # server that received it: "http" or "nbd"
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """Permission to send a request to a node, once, until ``expires``. Times are on the loop's clock."""
+    """Permission to send a request to a node once, until ``expires``. Times are on the event loop's clock."""
 
     request: int
     number: int
@@ -42,21 +42,21 @@
     address: str
     expires: float
     started_at: float
-    response_timeout_s: float = 0.0  # s that the broker waits for the response
-    incarnation: str = ""  # the node's incarnation: name and start
+    response_timeout_s: float = 0.0  # how long the broker waits for the response
+    incarnation: str = ""  # identifies the node's process: name and start time
     written: bool = False  # the last byte may have been sent
     body_started: bool = False  # a part of a streamed body may have been sent
     on_written: Callable[[Attempt], None] | None = None
-    timeout: asyncio.Timeout | None = None  # while a backend carries it out
-    cancelled: bool = False
-    reported: bool = False
+    timeout: asyncio.Timeout | None = None  # set while a backend carries the attempt out
+    cancelled: bool = False  # by the scheduler
+    reported: bool = False  # its end was reported to the scheduler
     why: api.Reason | None = None
-    duration_s: float = 0.0  # s, once it has ended
+    duration_s: float = 0.0  # set when the attempt ends
     ending: Ending | None = None
-    write_by: float = inf  # by then the last byte has been sent, or the attempt is cancelled
+    write_by: float = inf  # cancelled if the last byte has not been sent by then
 
     def mark_written(self) -> None:
-        """Mark the attempt as written; its backend calls this once the last byte may have left."""
+        """Mark the attempt as written; the backend calls this once the last byte may have been sent."""
         if not self.written:
             self.written = True
             if self.on_written is not None:
@@ -65,25 +65,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """How an attempt ended, and what the node sent."""
+    """How an attempt ended, and the node's response."""
 
     ending: Ending
     body: bytes = b""
-    media_type: str = ""  # the media type of the body, if the protocol has one
-    use: float | None = None  # the volume's use in a finished period, as a multiple of its plan's rate
-    elsewhere: float = 0.0
-    load: Mapping[str, float] = field(default_factory=dict)
+    media_type: str = ""  # of the body; "" if the protocol has none
+    use: float | None = None  # use of the volume in a past meter period, as a multiple of its plan's rate
+    elsewhere: float = 0.0  # units served for the volume through other brokers
+    load: Mapping[str, float] = field(default_factory=dict)  # reported by the node
     relay: Callable[[], Awaitable[Ending]] | None = (
-        None  # streams the rest of a long response, which begins with body
+        None  # streams the rest of a long response, after ``body``
     )
 
 
 class Verdict(Enum):
-    """What the final answer to a request tells its client."""
+    """What the final answer tells the client."""
 
     SERVED = "served"
-    REFUSED = "refused"  # it did not run: a retry is safe
-    FAILED = "failed"  # it may have taken effect
+    REFUSED = "refused"  # not executed: a retry is safe
+    FAILED = "failed"  # may have been executed
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,14 +92,17 @@
 
     verdict: Verdict
     reply: Reply | None = None
-    retry_after: float = 0.0  # s
+    retry_after: float = 0.0  # seconds; 0: no advice
     last_ending: Ending | None = None  # how the last attempt ended, if there was one
-    why: api.Reason | None = None  # the scheduler's
-    local_code: LocalCode = LocalCode.NOTHING  # the core's, if the scheduler had no part in it
+    why: api.Reason | None = None  # the scheduler's reason, if it decided
+    local_code: LocalCode = LocalCode.NOTHING  # the core's reason, if the scheduler did not decide
 
 
 class Backend(Protocol):
-    """Carries out attempts of one request over one protocol; cancelled, it closes the connection it used."""
+    """Carries out the attempts of one request over one protocol."""
 
     async def attempt(self, attempt: Attempt) -> Reply:
-        """Send the request to the attempt's node and return how that ended."""
+        """Send the request to the attempt's node and return how that ended.
+
+        If cancelled, it closes the connection that it used.
+        """
--- a/cherrycove/broker/event_log.py
+++ b/cherrycove/broker/event_log.py
@@ -1,7 +1,7 @@
-"""The broker's log: one event a line, by a stable name, with fields.
+"""The broker's structured log: each line is an event with a stable name and fields.
 
-Lines are for people or, with ``form = "json"``, for programs; python-json-logger is imported for the latter
-only. A field's text cannot end its line.
+Lines are human-readable or, with ``form = "json"``, JSON; only the latter imports python-json-logger. Field
+values are escaped, so that an event is always a single line.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @contextmanager
 def bound(**fields: Any) -> Iterator[None]:
-    """Add these fields to every line that is logged within, also by tasks that are started there."""
+    """Add these fields to every event logged in this context, including tasks that are created in it."""
     token = _bound.set((_bound.get() or {}) | fields)
     try:
         yield
@@ -28,7 +28,7 @@
 
 
 class Log:
-    """Logs events of one part of the broker; ``name`` is its logger's."""
+    """Logs events of one component of the broker to the logger called ``name``."""
 
     def __init__(self, name: str) -> None:
         self._logger = logging.getLogger(name)
@@ -41,28 +41,28 @@
             self._logger.log(level, event, exc_info=exc_info, extra={"fields": all_fields})
 
     def info(self, event: str, **fields: Any) -> None:
-        """Log an event at this level."""
+        """Log an event at level INFO."""
         self._write(logging.INFO, event, fields)
 
     def warning(self, event: str, **fields: Any) -> None:
-        """Log an event at this level."""
+        """Log an event at level WARNING."""
         self._write(logging.WARNING, event, fields)
 
     def error(self, event: str, **fields: Any) -> None:
-        """Log an event at this level."""
+        """Log an event at level ERROR."""
         self._write(logging.ERROR, event, fields)
 
     def exception(self, event: str, **fields: Any) -> None:
-        """Log an error within an except block, with its traceback."""
+        """Log an event at level ERROR with the traceback of the exception being handled."""
         self._write(logging.ERROR, event, fields, exc_info=True)
 
     def critical(self, event: str, fault: BaseException | None = None, **fields: Any) -> None:
-        """Log an event after which the process ends, with the traceback of its fault."""
+        """Log an event after which the process ends, with the traceback of ``fault``."""
         self._write(logging.CRITICAL, event, fields, exc_info=fault)
 
 
-def text(value: Any) -> str:
-    """Return a field's value as logged: bare, or quoted and escaped if it would not be one word."""
+def _format_value(value: Any) -> str:
+    """Return a field's value as logged: bare, or quoted and escaped if it is not a single plain word."""
     if isinstance(value, float):
         return f"{value:g}"
     plain = str(value)
@@ -80,22 +80,22 @@
 
 
 class HumanFormatter(logging.Formatter):
-    """Formats a line as ``LEVEL logger: event key=value ...``."""
+    """Formats an event as ``LEVEL logger: event key=value ...``."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the line, and the traceback if there is one."""
+        """Return the line, followed by the traceback if there is one."""
         fields: dict[str, Any] = getattr(record, "fields", {})
         line = f"{record.levelname} {record.name}: {record.getMessage()}"
-        line += "".join(f" {name}={text(value)}" for name, value in fields.items())
+        line += "".join(f" {name}={_format_value(value)}" for name, value in fields.items())
         if record.exc_info:
             line += "\n" + self.formatException(record.exc_info)
         return line
 
 
-def _json() -> logging.Formatter:
+def _json_formatter() -> logging.Formatter:
     from pythonjsonlogger.json import JsonFormatter
 
-    class Json(JsonFormatter):
+    class EventJsonFormatter(JsonFormatter):
         def add_fields(
             self, log_data: dict[str, Any], record: logging.LogRecord, _message: dict[str, Any]
         ) -> None:
@@ -106,13 +106,13 @@
             if record.exc_info:
                 log_data["trace"] = self.formatException(record.exc_info)
 
-    return Json(json_default=str, json_ensure_ascii=True)
+    return EventJsonFormatter(json_default=str, json_ensure_ascii=True)
 
 
 def start(form: str = "human", level: str = "INFO", stream: TextIO | None = None) -> None:
-    """Log to standard error, or this stream, in one of ``FORMS`` and from this level on."""
+    """Configure logging to ``stream`` (by default standard error), in one of ``FORMS``, from ``level`` up."""
     handler = logging.StreamHandler(stream or sys.stderr)
-    handler.setFormatter(_json() if form == "json" else HumanFormatter())
+    handler.setFormatter(_json_formatter() if form == "json" else HumanFormatter())
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level)
--- a/cherrycove/broker/process.py
+++ b/cherrycove/broker/process.py
@@ -1,6 +1,6 @@
-"""One broker process: builds its parts, starts them, and shuts them down in order.
+"""The broker process: creates its components, starts them, and shuts them down in order.
 
-``Broker`` owns every part and task of the process. ``run`` serves until a signal ends it.
+``Broker`` owns every component and task of the process. ``run`` serves until a signal ends it.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 log = Log("cherrycove")
 
-# What a reload cannot change: the name in the log, and the attribute of ``PlatformConfig``.
+# Settings that a reload cannot change: the name in the log, and the attribute of ``PlatformConfig``.
 START_ONLY_SETTINGS = {
     "listen": "listen",
     "admin": "admin",
@@ -44,20 +44,20 @@
     "conn_idle": "idle_timeout_s",
 }
 LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
-CROWD_DIVISOR = 6  # past this part of its descriptors the server closes connections behind their answers
-NBD_POOL_DIVISOR = 16  # the part of the descriptors for connections to NBD nodes
+CLOSE_AFTER_ANSWER_DIVISOR = 6  # with more clients than sockets / 6, each answer closes its connection
+NBD_POOL_DIVISOR = 16  # connections to NBD nodes may use sockets / 16
 
 
 class Broker:
-    """All parts of one broker, started and stopped together.
+    """All components of one broker, started and stopped together.
 
-    A part that fails ends the process in order; the platform starts the next.
+    If a component fails, the process shuts down gracefully, and the platform starts another.
 
     Args:
         platform: the platform's configuration.
         operator: the operator's configuration.
-        announcement: the connection over which this start was announced, closed once it has met the process
-            in service.
+        announcement: the connection over which this start was announced; closed once the handover with the
+            process in service is done.
     """
 
     def __init__(
@@ -78,40 +78,40 @@
             self.core,
             self.pool,
             most_connections=budget.client_connections,
-            crowd=platform.sockets // CROWD_DIVISOR,
+            crowd=platform.sockets // CLOSE_AFTER_ANSWER_DIVISOR,
             most_bytes=budget.body_bytes,
         )
         self.shutdown_requested = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._watch: asyncio.Task[None] | None = None  # of the platform's discovery
+        self._watch: asyncio.Task[None] | None = None  # watches the platform's discovery
         self._nbd: nbd.Server | None = None
         self._nbd_pool: nbd.ConnectionPool | None = None
         self._consul: consul.ConsulClient | None = None
         self._gossip: shared_map.GossipProtocol | None = None
-        self._admin = admin.AdminServer(self._call)
+        self._admin = admin.AdminServer(self._answer_call)
         self.handover = HandoverCoordinator(
             platform.name,
             self.core,
             self,
             self.lifecycle,
             HandoverEndpoint(platform.name, platform.listen),
-            lambda: self._book,
+            lambda: self._decision_log,
             remembers=operator.memory is not None,
         )
-        self._peers = self._make_exchange()
-        self._memory = self._make_snapshot_store()
-        self._book: DecisionLog | None = None
+        self._capacity_exchange = self._create_exchange()
+        self._snapshot_store = self._create_snapshot_store()
+        self._decision_log: DecisionLog | None = None
         self._tracer: Tracer | None = None
-        self._make_decision_log()
+        self._create_decision_log()
         self.handover.apply_request_limit()
 
-    def _make_exchange(self) -> exchange.CapacityExchange | None:
+    def _create_exchange(self) -> exchange.CapacityExchange | None:
         tier = self.platform.tier
         if tier is None or not exchange.is_lending_useful(self.core):
             return None
         return exchange.CapacityExchange(self.core, tier.number, tier.peers, self.platform.seed)
 
-    def _make_snapshot_store(self) -> SnapshotStore | None:
+    def _create_snapshot_store(self) -> SnapshotStore | None:
         memory = self.operator.memory
         if memory is None:
             return None
@@ -126,7 +126,7 @@
             is_writer=lambda: self.lifecycle.is_state_writer,
         )
 
-    def _make_decision_log(self) -> None:
+    def _create_decision_log(self) -> None:
         why = self.operator.why
         if why is None:
             return
@@ -134,59 +134,59 @@
         from cherrycove.broker.decision_log.book import DecisionLog
 
         settings = self.platform.settings
-        self._book = DecisionLog(settings, why.max_bytes, asyncio.get_running_loop().time())
-        self.core.recorder = self._book
+        self._decision_log = DecisionLog(settings, why.max_bytes, asyncio.get_running_loop().time())
+        self.core.recorder = self._decision_log
         if why.spans_path:
             from cherrycove.broker.decision_log import spans
 
             sampler = spans.Sampler(why.sampled_fraction, why.max_spans_per_s, self.platform.seed)
             self._tracer = spans.Tracer(settings, Path(why.spans_path), sampler, self.platform.name)
-            self._book.on_story = self._tracer.tell
+            self._decision_log.on_story = self._tracer.tell
 
-    # The start.
+    # Start.
 
     async def start(self) -> int:
-        """Begin to serve, in place of a predecessor if there is one; return the port for clients."""
+        """Start serving, in place of a predecessor if there is one; return the port for HTTP clients."""
         platform, operator = self.platform, self.operator
         entries = await self._start_shared_map(operator.store) if operator.store is not None else None
-        given = await self._restore()
+        inherited = await self._restore()
         if operator.consul is None:
-            self._watch = self._run(watch(self.core, platform.discovery, platform.zones))
+            self._watch = self._start_task(watch(self.core, platform.discovery, platform.zones))
         if operator.nbd is not None:
-            await self._start_nbd(operator.nbd, entries, given)
+            await self._start_nbd(operator.nbd, entries, inherited)
         port = await (
-            self.http_server.accept(given[0]) if given else self.http_server.listen(*platform.listen)
+            self.http_server.accept(inherited[0]) if inherited else self.http_server.listen(*platform.listen)
         )
         log.info("broker.serves", name=platform.name, host=platform.listen[0], port=port)
         if operator.consul is not None:
             self._start_consul(operator.consul, port)
         await self.handover.serving()
-        if self._memory is not None:
-            self._run(self._memory.keep())
+        if self._snapshot_store is not None:
+            self._start_task(self._snapshot_store.keep())
         await self.handover.await_successor()
         if platform.admin is not None:
-            # Last, once the predecessor accepts no more and this process can be found by the next: a YES to
-            # ``status`` has the operators end the predecessor.
+            # Last, once the predecessor no longer accepts clients and a successor can find this process: on a
+            # YES to ``status``, operators stop the predecessor.
             log.info("calls.serves", port=await self._admin.listen(*platform.admin))
         return port
 
     async def _restore(self) -> list[socket.socket] | None:
-        """Restore what is known, the newest last; return the listening sockets of a predecessor."""
+        """Restore the saved state, the newest last; return the listening sockets of a predecessor."""
         self.handover.maintenance.load()
         if self.platform.known is not None:
             self.core.update(self.platform.known, restored=True)
-        given = await self.handover.meet()
+        inherited = await self.handover.meet()
         if self._announcement is not None:
             self._announcement.close()
-        if given is None and self._memory is not None:
-            await self._memory.load()
-        return given
+        if inherited is None and self._snapshot_store is not None:
+            await self._snapshot_store.load()
+        return inherited
 
     async def _start_nbd(
         self,
         setup: nbd.NbdConfig,
         entries: shared_map.SharedMap | None,
-        given: list[socket.socket] | None,
+        inherited: list[socket.socket] | None,
     ) -> None:
         self._nbd_pool = nbd.ConnectionPool(
             setup, self.platform.dial_timeout_s, most=self.platform.sockets // NBD_POOL_DIVISOR
@@ -194,7 +194,7 @@
         self._nbd = nbd.Server(self.core, self._nbd_pool, setup)
         for entry in entries.items("config/").values() if entries is not None else ():
             self._apply_entry(entry)
-        port = await self._nbd.listen(given[1] if given and len(given) > 1 else None)
+        port = await self._nbd.listen(inherited[1] if inherited and len(inherited) > 1 else None)
         log.info("nbd.serves", port=port, exports=" ".join(setup.exports))
 
     def _start_consul(self, setup: consul.ConsulConfig, port: int) -> None:
@@ -202,9 +202,9 @@
         self._consul = consul.ConsulClient(
             self.core, setup, platform.zones, platform.name, (platform.listen[0], port)
         )
-        self._run(self._consul.watch())
+        self._start_task(self._consul.watch())
         if setup.register:
-            self._run(self._consul.keep_registered())
+            self._start_task(self._consul.keep_registered())
 
     async def _start_shared_map(self, setup: shared_map.SharedMapConfig) -> shared_map.SharedMap:
         entries = shared_map.SharedMap(self.platform.name, self._apply_entry)
@@ -220,7 +220,10 @@
         return entries
 
     def _apply_entry(self, entry: shared_map.Entry) -> None:
-        """Apply an entry of the shared map: it may tune the log or take something away, nothing else."""
+        """Apply an entry of the shared map.
+
+        An entry may set the log level, drain a node or close an export, and undo that; nothing else.
+        """
         if entry.key.startswith("node/"):
             shared_map.apply_peer_drain(self.core, entry)
         elif entry.key == "config/log_level":
@@ -233,69 +236,70 @@
             else:
                 self._nbd.reopen_export(export)
 
-    # ``ClientListeners`` of the handover (cherrycove/broker/lifecycle/coordinator.py).
+    # Implementation of ``ClientListeners`` (cherrycove/broker/lifecycle/coordinator.py).
 
     def listeners(self) -> list[socket.socket]:
-        """Return the listening sockets in use: of HTTP, and of NBD if it is enabled."""
+        """Return the listening sockets in use: for HTTP and, if it is enabled, for NBD."""
         return [self.http_server.listener] + ([self._nbd.listener] if self._nbd is not None else [])
 
     def hand_over(self) -> list[socket.socket]:
-        """Stop accepting; return the listening sockets, in the order of ``listeners``."""
+        """Stop accepting; return the listening sockets in the order of ``listeners``."""
         return [self.http_server.hand_over()] + ([self._nbd.hand_over()] if self._nbd is not None else [])
 
     async def accept(self, given: list[socket.socket]) -> None:
-        """Accept from these sockets again."""
+        """Accept clients from these sockets again."""
         await self.http_server.accept(given[0])
         if self._nbd is not None:
             await self._nbd.listen(given[1])
 
     async def accept_also(self, given: list[socket.socket]) -> None:
-        """Accept from these sockets beside the own ones, in the order of ``listeners``."""
+        """Accept clients from these sockets too; they are in the order of ``listeners``."""
         await self.http_server.accept_also(given[0])
         if self._nbd is not None and len(given) > 1:
             await self._nbd.accept_also(given[1])
 
     def resize(self, clients: int, nodes: int, most_bytes: int) -> None:
-        """Apply new limits: descriptors for clients and for nodes, bytes of bodies and answers."""
+        """Apply new limits on connections to clients and to nodes, and on the bytes of bodies and answers."""
         self.pool.resize(nodes)
         self.http_server.resize(clients, most_bytes)
 
     def talk(self, now: bool) -> None:
-        """Start or stop the exchange of capacity with the other brokers."""
-        if self._peers is None or self.platform.tier is None:
+        """Start or stop exchanging capacity with the other brokers."""
+        if self._capacity_exchange is None or self.platform.tier is None:
             return
         if now:
-            self._peers.start(self.platform.tier.listen)
+            self._capacity_exchange.start(self.platform.tier.listen)
         else:
-            self._peers.close()
+            self._capacity_exchange.close()
 
     # Signals.
 
     def reload(self) -> None:
-        """Read the platform's configuration again and follow its discovery; requests go on untouched."""
+        """Reload the platform's configuration and watch its discovery; requests are not affected."""
         try:
-            fresh = config.load_platform_config()
+            new = config.load_platform_config()
         except config.ConfigError as error:
             log.error("config.not_used", why=error)
             return
         old = self.platform
         for setting, attribute in START_ONLY_SETTINGS.items():
-            if getattr(fresh, attribute) != getattr(old, attribute):
+            if getattr(new, attribute) != getattr(old, attribute):
                 log.warning("config.next_start_only", setting=setting)
-        moved = fresh.discovery != old.discovery
-        self.platform = replace(old, discovery=fresh.discovery)
-        log.info("config.read_again", discovery=fresh.discovery, moved=moved)
+        moved = new.discovery != old.discovery
+        self.platform = replace(old, discovery=new.discovery)
+        log.info("config.read_again", discovery=new.discovery, moved=moved)
         if moved and self._watch is not None:
-            # The former address's versions mean nothing at the new one, so the full list is asked for.
+            # Versions of the previous address mean nothing at the new one, so request the full list.
             self._watch.cancel()
-            self._watch = self._run(watch(self.core, fresh.discovery, old.zones, afresh=True))
+            self._watch = self._start_task(watch(self.core, new.discovery, old.zones, afresh=True))
 
-    async def shut_down(self, began: float | None = None) -> None:
-        """Shut down gracefully: serve on while clients still come, finish what is open, close every part.
+    async def shut_down(self, signalled_at: float | None = None) -> None:
+        """Shut down gracefully: serve while clients still arrive, finish open requests, close all components.
 
-        ``began`` is the time of the signal, on the loop's clock; the platform's kill counts from there.
+        ``signalled_at`` is the time of the signal on the event loop's clock; the platform kills the process a
+        fixed time after it.
         """
-        began = asyncio.get_running_loop().time() if began is None else began
+        signalled_at = asyncio.get_running_loop().time() if signalled_at is None else signalled_at
         log.info("broker.draining", open=self.core.open_requests)
         self.lifecycle.shutdown_started()
         self.http_server.drain(parting=self.lifecycle.has_handed_over)
@@ -303,30 +307,30 @@
             self._nbd.drain()
         deregistering = self._deregister()
         times = ShutdownTimetable.of(max(cls.deadline for cls in self.platform.settings.classes))
-        await self.http_server.linger(times, began, replaced=self.lifecycle.has_handed_over)
+        await self.http_server.linger(times, signalled_at, replaced=self.lifecycle.has_handed_over)
         if self._nbd is not None and self._nbd_pool is not None:
             await self._nbd.close()
             self._nbd_pool.close()
         await self.http_server.close()
         if deregistering is not None:
-            remaining = began + times.disconnect - asyncio.get_running_loop().time()
+            remaining = signalled_at + times.disconnect - asyncio.get_running_loop().time()
             await asyncio.wait((deregistering,), timeout=max(remaining, 0.0))
         await self._cancel_tasks()
         await self._close_parts()
         self._log_counts()
 
     def _deregister(self) -> asyncio.Task[None] | None:
-        """Deregister at Consul unless a successor serves.
+        """Start deregistering from Consul, unless a successor serves.
 
-        Beside the shutdown: an agent that does not answer must not delay an answer.
+        It runs concurrently with the shutdown: an unresponsive agent must not delay an answer.
         """
         setup = self.operator.consul
         if self._consul is None or setup is None or not setup.register or self.lifecycle.has_handed_over:
             return None
-        return self._run(self._consul.deregister())
+        return self._start_task(self._consul.deregister())
 
     async def _cancel_tasks(self) -> None:
-        self._watch = None  # a SIGHUP from now on finds no watch to move
+        self._watch = None  # so that a later SIGHUP does not start a new watch
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -337,14 +341,14 @@
         if self._consul is not None:
             await self._consul.close()
         await self.pool.close()
-        if self._peers is not None:
-            self._peers.close()
-        if self._memory is not None:
-            await self._memory.close()
+        if self._capacity_exchange is not None:
+            self._capacity_exchange.close()
+        if self._snapshot_store is not None:
+            await self._snapshot_store.close()
         await self._admin.close()
         await self.handover.close()
-        if self._tracer is not None and self._book is not None:
-            self._book.flush()
+        if self._tracer is not None and self._decision_log is not None:
+            self._decision_log.flush()
             await asyncio.to_thread(self._tracer.close)
 
     def _log_counts(self) -> None:
@@ -355,42 +359,44 @@
 
     # Operators' calls.
 
-    async def _call(self, call: admin.Call) -> str:
-        """Return the answer to an operator's call."""
+    async def _answer_call(self, call: admin.Call) -> str:
+        """Execute an operator's call and return the answer."""
         if call.command == "stats":
-            return admin.report(self.core.metrics(), self._memory.figures() if self._memory else None)
+            return admin.report(
+                self.core.metrics(), self._snapshot_store.figures() if self._snapshot_store else None
+            )
         if call.command == "why":
-            return "\n".join([*await self._why(call.arguments), "END"])
+            return "\n".join([*await self._answer_why(call.arguments), "END"])
         if call.command == "status":
-            return admin.yes_or_no(self._obstacle(), "serving")
+            return admin.yes_or_no(self._reason_not_serving(), "serving")
         return await self.handover.maintenance.change(call.node, call.command == "maint-on")
 
-    async def _why(self, asked: tuple[str, ...]) -> list[str]:
-        if self._book is None:
+    async def _answer_why(self, asked: tuple[str, ...]) -> list[str]:
+        if self._decision_log is None:
             return ["NO there is no record: [why] in the operator's file is not enabled"]
-        from cherrycove.broker.decision_log import ask  # only where somebody asks
+        from cherrycove.broker.decision_log import ask  # imported only when needed
 
         try:
             question = ask.parse(list(asked))
         except ask.AskError as error:
             return [f"NO {error}"]
-        return await ask.answer(question, self._book, asyncio.get_running_loop().time, self.core.find)
+        return await ask.answer(question, self._decision_log, asyncio.get_running_loop().time, self.core.find)
 
-    def _obstacle(self) -> str | None:
-        """Return why this process cannot serve, None if it can."""
+    def _reason_not_serving(self) -> str | None:
+        """Return why this process cannot serve; None if it can."""
         if self.shutdown_requested.is_set():
             return "it drains"
         return None if self.core.ready else "no disk node is known to be up"
 
     # Tasks.
 
-    def _run(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
-        task = asyncio.create_task(work)
-        task.add_done_callback(self._over)
+    def _start_task(self, coroutine: Coroutine[None, None, None]) -> asyncio.Task[None]:
+        task = asyncio.create_task(coroutine)
+        task.add_done_callback(self._on_task_done)
         self._tasks.add(task)
         return task
 
-    def _over(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled():
             log.critical("broker.part_failed", fault=task.exception())
@@ -408,7 +414,8 @@
     Args:
         platform: the platform's configuration.
         operator: the operator's configuration.
-        hangups: grows by one with each SIGHUP since before the platform's configuration was read.
+        hangups: gets an item for each SIGHUP that arrives until the start is complete, beginning before the
+            platform's configuration is read.
         announcement: see ``Broker``.
     """
     loop = asyncio.get_running_loop()
@@ -416,7 +423,7 @@
     signalled_at: list[float] = []
 
     def end() -> None:
-        signalled_at.append(loop.time())  # the kill counts from here, however long the start still takes
+        signalled_at.append(loop.time())  # the time until the kill counts from here, even during the start
         broker.shutdown_requested.set()
 
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -429,5 +436,6 @@
     gc.freeze()
     await broker.shutdown_requested.wait()
     await broker.shut_down(signalled_at[0] if signalled_at else loop.time())
-    # The loop's end restores the signals' default actions, and a late SIGHUP would change the exit status.
+    # Closing the event loop restores the default actions of signals, and a late SIGHUP would then change the
+    # exit status.
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, signal.SIGTERM, signal.SIGINT))
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -52,7 +52,7 @@
     line = events.HumanFormatter().format(record)
     assert line.isascii() and line.isprintable() and line.startswith("INFO cherrycove: a.b")
     assert all(f" {name}=" in line for name in fields)
-    read = json.loads(events._json().format(record))
+    read = json.loads(events._json_formatter().format(record))
     assert read["event"] == "a.b" and {name: read[name] for name in fields} == fields
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -588,7 +588,7 @@
 
     monkeypatch.setattr(main.threading, "Event", make)
     monkeypatch.setattr(main.importlib, "import_module", slow)
-    main._load("first", "second", limit_s=0.05)
+    main._import_at_low_priority("first", "second", limit_s=0.05)
     assert seen == ["first"]  # the one at hand is waited for, the others come at the usual priority
 
 
@@ -599,7 +599,7 @@
         script = (
             "import os, sys, importlib; import cherrycove.__main__ as m; at = []; "
             "m.importlib.import_module = lambda name: at.append(os.getpriority(os.PRIO_PROCESS, 0)); "
-            "m._load('x'); print(at[0] - os.getpriority(os.PRIO_PROCESS, 0))"
+            "m._import_at_low_priority('x'); print(at[0] - os.getpriority(os.PRIO_PROCESS, 0))"
         )
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-c", script, cwd=ROOT, stdout=asyncio.subprocess.PIPE
