--- a/tests/confined.py
+++ b/tests/confined.py
@@ -1,10 +1,10 @@
-"""Runs the broker as the fleet test's processes run: what is refused there raises here.
+"""Runs the broker under the restrictions of the fleet test: what is refused there raises an error here.
 
-Refused by audit hook: fork, spawn and exec, programs started by any name, ctypes, a connection to a Unix
-socket, and sockets that are not IPv4 (a pair made by ``socketpair`` is the loop's own and has no name). By
-taking the function's place, as no audit event tells of them: sendfile and splice.
-What neither can see: a system call made by a library in C (io_uring, a fork in C, clone without a thread),
-and a thread that spins. No package of the runtime list is known to do either; the kit's run is the check.
+An audit hook refuses fork, spawn and exec, starting programs in any other way, ctypes, connections to Unix
+sockets, and sockets that are not IPv4 (except pairs made by ``socketpair``, which the event loop uses and
+which have no name). sendfile and splice raise no audit event, so the functions are replaced.
+Neither detects a system call made by a C library (io_uring, a fork in C, clone without a thread) or a thread
+that spins. No runtime dependency is known to do either; the run of the fleet test's kit checks that.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 import sys
 from typing import Any, NoReturn
 
-PROGRAMS = (
+REFUSED_EVENTS = (
     "os.fork",
     "os.forkpty",
     "os.exec",
@@ -28,24 +28,24 @@
 )
 
 
-def refuse(event: str, arguments: tuple[Any, ...]) -> None:
-    if event in PROGRAMS:
+def audit(event: str, arguments: tuple[Any, ...]) -> None:
+    if event in REFUSED_EVENTS:
         raise OSError(errno.ENOSYS, f"refused: {event}")
     if event == "socket.__new__" and arguments[1] not in (socket.AF_INET, socket.AF_UNIX, -1):
         raise OSError(errno.EAFNOSUPPORT, f"refused: a socket of family {arguments[1]!r}")
     if event == "socket.connect" and arguments[0].family == socket.AF_UNIX:
-        raise ConnectionRefusedError(errno.ECONNREFUSED, "nobody comes to a Unix socket")
+        raise ConnectionRefusedError(errno.ECONNREFUSED, "refused: a connection to a Unix socket")
 
 
-def absent(*_: object, **__: object) -> NoReturn:
+def refuse_call(*_: object, **__: object) -> NoReturn:
     raise OSError(errno.ENOSYS, "refused: sendfile or splice")
 
 
 def confine() -> None:
-    os.sendfile = absent
-    os.splice = absent
-    socket.socket.sendfile = absent  # type: ignore[method-assign]  # replaced on purpose
-    sys.addaudithook(refuse)
+    os.sendfile = refuse_call
+    os.splice = refuse_call
+    socket.socket.sendfile = refuse_call  # type: ignore[method-assign]  # replaced on purpose
+    sys.addaudithook(audit)
 
 
 if __name__ == "__main__":
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""Operators' calls and the metrics they read."""
+"""The admin protocol, and the metrics that it reports."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 STATS = admin.report(Metrics({"r": dict.fromkeys(Verdict, 3)}, 7, 2, 9, 1))
 
 
-async def desk() -> tuple[admin.AdminServer, int]:
+async def start_server() -> tuple[admin.AdminServer, int]:
     async def answer(call: admin.Call) -> str:
         return STATS if call.command == "stats" else f"YES {call.command} {call.node}"
 
-    made = admin.AdminServer(answer)
-    return made, await made.listen("127.0.0.1", 0)
+    server = admin.AdminServer(answer)
+    return server, await server.listen("127.0.0.1", 0)
 
 
 async def call(port: int, *pieces: bytes) -> bytes:
@@ -27,27 +27,27 @@
     for piece in pieces:
         writer.write(piece)
         await asyncio.sleep(0)
-    said = await reader.read()
+    received = await reader.read()
     writer.close()
-    return said
+    return received
 
 
 @fuzz
 @given(cuts(b"maint-on s-5be2a07c\r\nmaint-off s-5be2a07c\n"))
-def test_cuts_of_a_call_change_nothing_and_a_second_line_is_nobodys(pieces: list[bytes]) -> None:
-    async def story() -> None:
-        made, port = await desk()
+def test_a_call_is_executed_however_it_is_split_and_a_second_line_is_ignored(pieces: list[bytes]) -> None:
+    async def scenario() -> None:
+        server, port = await start_server()
         assert await call(port, *pieces) == b"YES maint-on s-5be2a07c\n"
-        await made.close()
+        await server.close()
 
-    run(story())
+    run(scenario())
 
 
 @fuzz
 @given(spoiled(b"maint-on s-5be2a07c"))
-def test_a_line_is_a_call_or_gets_a_reason(garbage: bytes) -> None:
+def test_a_line_is_a_valid_call_or_is_rejected_with_a_reason(line: bytes) -> None:
     try:
-        found = admin.parse_call(garbage)
+        found = admin.parse_call(line)
     except admin.InvalidCallError as error:
         assert str(error)
     else:
@@ -56,11 +56,11 @@
         )
 
 
-def test_what_is_no_whole_call_gets_a_no() -> None:
-    """A line cut off may name another node than was meant; an endless one would be kept in memory."""
+def test_an_incomplete_or_invalid_call_is_answered_no() -> None:
+    """A truncated line may name another node than intended; an endless one would be kept in memory."""
 
-    async def story() -> None:
-        made, port = await desk()
+    async def scenario() -> None:
+        server, port = await start_server()
         for line in (b"\n", b"maint-on\n", b"maint-on a b\n", b"stats now\n", b"\xff\0\n", b"x" * 9000):
             assert (await call(port, line)).startswith(b"NO "), line
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -68,41 +68,41 @@
         writer.write_eof()
         assert (await reader.read()).startswith(b"NO ")
         writer.close()
-        await made.close()
+        await server.close()
 
-    run(story())
+    run(scenario())
 
 
-def test_callers_who_stay_keep_nobody_out() -> None:
-    async def story() -> None:
-        made, port = await desk()
-        held = [await asyncio.open_connection("127.0.0.1", port) for _ in range(40)]
+def test_idle_callers_do_not_block_others() -> None:
+    async def scenario() -> None:
+        server, port = await start_server()
+        idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(40)]
         assert await call(port, b"stats\n") == STATS.encode() + b"\n"
         for _ in range(3):
             assert await call(port, b"status\n") == b"YES status \n"
-        assert len(made._connections) <= admin.MAX_CONNECTIONS
-        for _, writer in held:
+        assert len(server._connections) <= admin.MAX_CONNECTIONS
+        for _, writer in idle:
             writer.close()
-        await made.close()
+        await server.close()
 
-    run(story())
+    run(scenario())
 
 
-def test_a_caller_who_never_ends_its_line_is_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_caller_that_does_not_complete_its_line_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(admin, "CALL_TIMEOUT_S", 0.05)
 
-    async def story() -> None:
-        made, port = await desk()
-        assert not await call(port, b"stat") and not made._connections
-        await made.close()
+    async def scenario() -> None:
+        server, port = await start_server()
+        assert not await call(port, b"stat") and not server._connections
+        await server.close()
 
-    run(story())
+    run(scenario())
 
 
-def test_the_figures_count_every_answer_once_and_gauges_return() -> None:
-    """Also what a front answers by itself; each class is told from the start, so that a sum never jumps."""
+def test_the_metrics_count_every_answer_once_and_gauges_return_to_zero() -> None:
+    """Rejections by a server count too; each class is reported from the start, so no sum jumps."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         node = await Node("ok", "500", "hang").start()
         async with World(node) as world:
             classes = [cls.name for cls in PLATFORM.settings.classes]
@@ -125,4 +125,4 @@
             assert "broker.bad_gateway.claim-read:1|c" in lines and "broker.in_progress:0|g" in lines
             assert "broker.dropped.claim-export:0|c" in lines and lines[-1] == "END"
 
-    run(story())
+    run(scenario())
--- a/tests/test_confined.py
+++ b/tests/test_confined.py
@@ -1,4 +1,4 @@
-"""The broker under the terms of the fleet test: it starts, serves, reloads and ends with all that refused."""
+"""The broker under the restrictions of the fleet test: it starts, serves, reloads and shuts down."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
     program = (str(ROOT / "tests/confined.py"),)
 
 
-def test_it_starts_serves_reloads_and_ends_where_programs_and_peers_are_refused(tmp_path: Path) -> None:
-    async def story() -> None:
+def test_the_broker_runs_where_programs_and_unix_sockets_are_refused(tmp_path: Path) -> None:
+    async def scenario() -> None:
         node = await Node("ok", "ok", "hang").start()
         whole = raw() | {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "admin": "127.0.0.1:0"}
         whole["known"]["endpoints"][0] |= {"name": "d0", "address": f"127.0.0.1:{node.port}"}
-        # One of a tier that lends room; a peer that answers nothing.
+        # The broker is one of several that lend capacity; its peer does not answer.
         with (
             socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer,
             socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as own,
@@ -51,15 +51,15 @@
             writer.write(message(id="held", ms=2500))
             await node.until(3)
             broker.process.send_signal(signal.SIGTERM)
-            assert (await answer(reader))[0] == 503  # taken before, answered before the end
+            assert (await answer(reader))[0] == 503  # accepted before the signal, answered before the exit
             writer.close()
             await broker.end()
 
-    run(story())
+    run(scenario())
 
 
-def test_run_is_one_process_by_exec() -> None:
-    """The shell that starts it is gone; what stays is python, linked against the C library at run time."""
+def test_the_run_command_leaves_one_process() -> None:
+    """exec replaces the shell; what remains is Python, linked dynamically against the C library."""
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
     assert deploy["run"].startswith("exec ") and not set(deploy["run"]) & set(";&|<>")
     with open(os.path.realpath(sys.executable), "rb") as file:
@@ -67,9 +67,9 @@
     assert program[:4] != b"\x7fELF" or b"ld-linux" in program or b"ld-musl" in program
 
 
-def test_what_is_refused_there_is_refused_here() -> None:
-    """The first test would prove nothing under hooks that let things pass."""
-    acts = (
+def test_the_restrictions_are_enforced() -> None:
+    """Without enforcement, the first test would prove nothing."""
+    forbidden = (
         "os.fork()",
         "subprocess.Popen(['true'])",
         "os.system('true')",
@@ -84,12 +84,12 @@
 import ctypes, os, socket, subprocess, confined
 confined.confine()
 socket.socketpair(), socket.socket()
-for act in {acts!r}:
+for statement in {forbidden!r}:
     try:
-        eval(act)
+        eval(statement)
     except OSError as error:
-        assert 'refused' in str(error) or 'nobody' in str(error), error
+        assert 'refused: ' in str(error), error
     else:
-        raise SystemExit(act)
+        raise SystemExit(statement)
 """
     subprocess.run([sys.executable, "-c", script], cwd=ROOT / "tests", check=True)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,7 +1,7 @@
-"""Two events that cross: real connections, and the bad order made to happen each time.
+"""Races between two events on real connections, with the unfavourable order forced each time.
 
-One side is held at a barrier (credit that is spent, room that is taken, a node that answers when told), the
-other event is awaited, then the barrier is lifted. docs/design/crossings.md names each pair.
+One side is blocked (by spent credit, occupied memory, or a node that answers on command), the other event is
+awaited, then the first continues. docs/design/crossings.md names each pair.
 """
 
 from __future__ import annotations
@@ -41,19 +41,19 @@
 from cherrycove.scheduling import interface as api
 from cherrycove.scheduling.interface import NodeState
 
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: the end of the connection is a reset
+RESET = struct.pack("ii", 1, 0)  # SO_LINGER: closing resets the connection
 
 
-def patient(**changes: Any) -> config.PlatformConfig:
-    """The example's deployment with a connection time that no test outlasts."""
+def long_dial_timeout(**changes: Any) -> config.PlatformConfig:
+    """The example's deployment with a connect time-out longer than any test."""
     whole = raw()
     whole["settings"]["limits"]["dialTimeoutNs"] = 10**11
     whole["settings"]["guarantees"] |= changes
     return config.parse_platform_config(whole, {})
 
 
-class Held:
-    """The module's hand is held back: what comes waits, as for credit, until ``free``."""
+class PausedScheduler:
+    """Withholds all events from the scheduler until ``resume``, as if requests waited for credit."""
 
     def __init__(self, world: World) -> None:
         self._core, self._handle = world.core, world.core._driver.scheduler.handle
@@ -64,7 +64,7 @@
         self.events += events
         return []
 
-    def free(self) -> None:
+    def resume(self) -> None:
         self._core._driver.scheduler.handle = self._handle  # type: ignore[method-assign]
         driver = self._core._driver
         driver.pending_events = self.events + driver.pending_events
@@ -72,13 +72,13 @@
 
 
 async def until(holds: Callable[[], object]) -> None:
-    """Until that is so; nothing but the loop's turns passes meanwhile."""
+    """Wait until ``holds`` returns a true value; only the event loop runs meanwhile."""
     while not holds():
         await asyncio.sleep(0.001)
 
 
 async def received_at(listener: socket.socket) -> bytes:
-    """All that comes over the next connection in the queue of ``listener``, up to its end."""
+    """All data received over the next pending connection of ``listener``, until it ends."""
     connection, _ = listener.accept()
     with connection:
         connection.setblocking(False)
@@ -88,7 +88,7 @@
         return received
 
 
-async def leave(writer: asyncio.StreamWriter, how: str) -> None:
+async def disconnect(writer: asyncio.StreamWriter, how: str) -> None:
     if how == "reset":
         writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
         writer.transport.abort()
@@ -96,8 +96,10 @@
         writer.close()
 
 
-async def nothing_came(world: World, node: Node, shard: int = 0, before: tuple[str, ...] = ()) -> None:
-    """The node has seen no byte of what it was spared, and what that held is free again."""
+async def assert_not_forwarded(
+    world: World, node: Node, shard: int = 0, before: tuple[str, ...] = ()
+) -> None:
+    """The node received no byte of the abandoned request, whose resources are released."""
     await until(lambda: world.core.open_requests == 0 and world.front.room.held == 0)
     status, _, data = await world.ask(id="later", shard=shard)
     assert (status, data) == (200, b"data of later")
@@ -110,14 +112,14 @@
 
 
 def raw_client(port: int) -> socket.socket:
-    """One that sends at once, between two turns of the loop."""
+    """A blocking client socket, which sends immediately, between two iterations of the event loop."""
     made = socket.create_connection(("127.0.0.1", port))
     made.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return made
 
 
-async def answered(client: socket.socket) -> int:
-    """The status that a raw client is answered."""
+async def status_received(client: socket.socket) -> int:
+    """The status of the answer that a raw client receives."""
     client.setblocking(False)
     reader, writer = await asyncio.open_connection(sock=client)
     try:
@@ -126,136 +128,140 @@
         writer.close()
 
 
-# Clients that leave.
+# Clients that disconnect.
 
 BURST = b"".join(message(id=f"p{number}") for number in range(40))
-WAITS = {
+SENT_WHILE_WAITING = {
     "one read": message(id="gone"),
-    "half a next request behind": message(id="gone") + message(id="next")[:40],
-    "many requests at once": BURST,  # more than the library reads ahead
+    "half of another request": message(id="gone") + message(id="next")[:40],
+    "many requests at once": BURST,  # more than aiohttp reads ahead
     "a long body": message("claim-write", "PUT", id="gone", body=b"x" * 70_000),  # more than is read ahead
 }
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-@pytest.mark.parametrize("sends", WAITS)
-def test_a_client_that_leaves_while_it_waits_for_the_module_is_not_sent_on(sends: str, how: str) -> None:
-    """While a connection's buffer is full nobody reads it, and its end was not seen."""
+@pytest.mark.parametrize("sends", SENT_WHILE_WAITING)
+def test_a_client_that_disconnects_while_waiting_for_the_scheduler_is_not_forwarded(
+    sends: str, how: str
+) -> None:
+    """While a connection's buffer is full it is not read, and the disconnect went unnoticed."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         node = await Node().start()
         async with World(node) as world:
-            held = Held(world)
+            scheduler = PausedScheduler(world)
             _, writer = await asyncio.open_connection("127.0.0.1", world.port)
-            writer.write(WAITS[sends])
+            writer.write(SENT_WHILE_WAITING[sends])
             await until(lambda: world.core.counts["taken"])
-            await leave(writer, how)
+            await disconnect(writer, how)
             await until(lambda: world.core.counts["client gone"])
-            held.free()
-            await nothing_came(world, node)
+            scheduler.resume()
+            await assert_not_forwarded(world, node)
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
 @pytest.mark.parametrize("size", [1_000, 60_000])
-def test_a_client_that_leaves_while_its_body_waits_for_room_is_not_sent_on(size: int, how: str) -> None:
-    async def story() -> None:
+def test_a_client_that_disconnects_while_its_body_waits_for_memory_is_not_forwarded(
+    size: int, how: str
+) -> None:
+    async def scenario() -> None:
         node = await Node().start()
         async with World(node) as world:
             world.front.room.take(world.front.room.most)
             _, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(message("claim-write", "PUT", id="gone", body=b"x" * size))
             await until(lambda: world.front.room._waiting)
-            await leave(writer, how)
+            await disconnect(writer, how)
             await until(lambda: not world.front._web.connected)
             world.front.room.leave(world.front.room.most)
             assert world.core.counts["taken"] == 0
-            await nothing_came(world, node)
+            await assert_not_forwarded(world, node)
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_a_client_that_leaves_within_its_body_is_not_sent_on(how: str) -> None:
-    async def story() -> None:
+def test_a_client_that_disconnects_within_its_body_is_not_forwarded(how: str) -> None:
+    async def scenario() -> None:
         node = await Node().start()
         async with World(node) as world:
             _, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(message("claim-write", "PUT", id="gone", body=b"x" * 900)[:-100])
             await until(lambda: world.front._taking)
-            await leave(writer, how)
+            await disconnect(writer, how)
             await until(lambda: not world.front._web.connected)
             assert world.core.counts["taken"] == 0
-            await nothing_came(world, node)
+            await assert_not_forwarded(world, node)
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_a_client_that_leaves_while_it_waits_for_a_pool_place_is_not_sent_on(how: str) -> None:
-    async def story() -> None:
+def test_a_client_that_disconnects_while_waiting_for_a_pool_slot_is_not_forwarded(how: str) -> None:
+    async def scenario() -> None:
         busy, node = await Node("held ok").start(), await Node().start()
-        async with World(busy, node, platform=patient()) as world:
+        async with World(busy, node, platform=long_dial_timeout()) as world:
             world.pool.resize(1)
             first = asyncio.create_task(world.ask(id="first"))
             await busy.until(1)
             _, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(message(id="gone", shard=1))
             await until(lambda: world.pool._connector._waiters)
-            await leave(writer, how)
+            await disconnect(writer, how)
             await until(lambda: world.core.counts["client gone"])
             busy.release.set()
             assert (await first)[0] == 200
-            await nothing_came(world, node, shard=1)
+            await assert_not_forwarded(world, node, shard=1)
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_a_client_that_leaves_while_a_connection_comes_up_late_is_not_sent_on(how: str) -> None:
-    async def story() -> None:
+def test_a_client_that_disconnects_while_a_node_connection_is_pending_is_not_forwarded(how: str) -> None:
+    async def scenario() -> None:
         late = socket.create_server(("127.0.0.1", 0), backlog=0)
-        filler = raw_client(late.getsockname()[1])  # the queue is full: whoever comes next is not let in
+        filler = raw_client(late.getsockname()[1])  # fills the queue: the next connection is not accepted
         node = Node()
         node.port = late.getsockname()[1]
-        async with World(node, platform=patient()) as world:
+        async with World(node, platform=long_dial_timeout()) as world:
             _, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(message(id="gone"))
             await until(
                 lambda: any(t.current and t.current.timeout for t in world.core._requests.tickets.values())
             )
-            await leave(writer, how)
+            await disconnect(writer, how)
             await until(lambda: world.core.counts["client gone"])
             filler.close()
             await node.start(at=late)
-            await nothing_came(world, node)
+            await assert_not_forwarded(world, node)
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_a_client_that_leaves_between_two_attempts_is_not_sent_on(how: str) -> None:
-    async def story() -> None:
+def test_a_client_that_disconnects_between_two_attempts_is_not_forwarded(how: str) -> None:
+    async def scenario() -> None:
         node = await Node("held 503 X-Not-Run: 1").start()
         async with World(node) as world:
             _, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(message(id="gone"))
             await node.until(1)
-            held = Held(world)
+            scheduler = PausedScheduler(world)
             node.release.set()
-            await until(lambda: any(isinstance(event, api.AttemptEnd) for event in held.events))
-            await leave(writer, how)
+            await until(lambda: any(isinstance(event, api.AttemptEnd) for event in scheduler.events))
+            await disconnect(writer, how)
             await until(lambda: world.core.counts["client gone"])
-            held.free()
-            await nothing_came(world, node, before=("gone",))
+            scheduler.resume()
+            await assert_not_forwarded(world, node, before=("gone",))
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("first", ["leaving", "attempt"])
-def test_a_client_that_leaves_just_as_an_attempt_is_handed_out_is_not_sent_on(first: str) -> None:
-    async def story() -> None:
+@pytest.mark.parametrize("first", ["disconnect", "attempt"])
+def test_a_client_that_disconnects_as_an_attempt_is_delivered_is_not_forwarded(first: str) -> None:
+    async def scenario() -> None:
         node = await Node().start()
         async with World(node) as world:
             give = world.core._requests.deliver
@@ -266,41 +272,42 @@
                 if first == "attempt":
                     give(ticket, step)
                 for transport in list(world.front._web._connections.values()):
-                    transport.abort()  # its end is seen in this turn of the loop
-                if first == "leaving":
+                    transport.abort()  # the disconnect is noticed in this iteration of the loop
+                if first == "disconnect":
                     give(ticket, step)
 
             world.core._requests.deliver = cross  # type: ignore[method-assign]
             _, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(message(id="gone"))
             await until(lambda: world.core.counts["client gone"])
-            await nothing_came(world, node)
+            await assert_not_forwarded(world, node)
             writer.close()
 
-    run(story())
+    run(scenario())
 
 
-def test_a_client_that_leaves_before_it_is_accepted_is_not_sent_on() -> None:
-    async def story() -> None:
+def test_a_client_that_disconnects_before_it_is_accepted_is_not_forwarded() -> None:
+    async def scenario() -> None:
         node = await Node().start()
         async with World(node) as world:
             client = raw_client(world.port)
             client.sendall(message(id="gone"))
-            client.close()  # all this in one turn of the broker's loop
+            client.close()  # all this in one iteration of the broker's loop
             await until(lambda: world.core.counts["client gone"] or world.core.counts["taken"])
             await until(lambda: not world.front._web.connected)
-            await nothing_came(world, node)
+            await assert_not_forwarded(world, node)
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize("late_dials", [0, 1])
-def test_what_is_left_of_a_request_when_its_client_leaves_is_not_sent(
+def test_the_rest_of_a_request_is_not_sent_after_its_client_disconnects(
     late_dials: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Closed in good order, a connection sent on what the node had not taken yet, whenever it did.
+    """Closed normally, a connection still delivers buffered data whenever the node reads it.
 
-    A loop that is late gives up a connection which the node's system has accepted already, and dials again.
+    An event loop that runs late abandons a connection that the node's kernel has already accepted, and
+    connects again.
     """
     made = upstream.NodeConnection.connection_made
 
@@ -310,7 +317,7 @@
 
     monkeypatch.setattr(upstream.NodeConnection, "connection_made", narrow)
 
-    async def story() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         clock, dial, dials, shift_s = loop.time, loop.sock_connect, 0, 0.0
 
@@ -318,7 +325,7 @@
             nonlocal dials, shift_s
             dials += 1
             if dials <= late_dials:
-                shift_s += 2 * PLATFORM.dial_timeout_s  # connected and timed out in the same turn
+                shift_s += 2 * PLATFORM.dial_timeout_s  # connected and timed out in the same iteration
             await dial(sock, address)
 
         listener = socket.socket()
@@ -338,21 +345,21 @@
                     for each in world.pool._connector._acquired
                 )
             )
-            await leave(writer, "close")
+            await disconnect(writer, "close")
             await until(lambda: world.core.counts["client gone"])
             received = [await received_at(listener) for _ in range(dials)]
             listener.close()
-            assert dials == late_dials + 1 and not any(received[:-1])  # one that is given up carries nothing
+            assert dials == late_dials + 1 and not any(received[:-1])  # abandoned: they carry no data
             got = received[-1]
             assert got.startswith(b"PUT /claim-write") and got.count(b"x") < 60_000
 
-    run(story())
+    run(scenario())
 
 
-def test_an_nbd_client_that_leaves_while_its_commands_wait_is_not_sent_on(
+def test_an_nbd_client_that_disconnects_while_its_commands_wait_is_not_forwarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """With its pipeline full nobody reads it; what it sent beyond fills the buffer ahead of its end."""
+    """With a full pipeline the connection is not read; further data fills the buffer ahead of its end."""
     made: list[Any] = []
     connected = nbd.server.ClientProtocol.connection_made
 
@@ -362,59 +369,60 @@
 
     monkeypatch.setattr(nbd.server.ClientProtocol, "connection_made", connect)
 
-    async def story() -> None:
+    async def scenario() -> None:
         block = await BlockNode().start()
         async with World(Node(), platform=PLATFORM) as world:
             _, port = await world.nbd(setup(block, pipeline=2))
-            held = Held(world)
+            scheduler = PausedScheduler(world)
             client = await Client.mounted(port)
             for number in range(2):
                 client.send(Command.WRITE, number * 1024, len(BLOCK), BLOCK)
             await until(lambda: world.core.counts["taken"] == 2)
-            for number in range(160):  # what is read ahead, and more
+            for number in range(160):  # more than is read ahead
                 client.send(Command.WRITE, number * 1024, 1 << 16, bytes(1 << 16))
             await until(lambda: not made[0].is_reading())
-            await leave(client.writer, "reset")  # a mere end would stay behind what the broker does not take
+            # An orderly close would stay behind the data that the broker does not read.
+            await disconnect(client.writer, "reset")
             await until(lambda: world.core.counts["client gone"] == 2)
-            held.free()
+            scheduler.resume()
             assert not block.seen and world.core.open_requests == 0
 
-    run(story())
+    run(scenario())
 
 
 # Shutdown.
 
 
-def test_a_request_in_the_buffer_of_an_idle_connection_is_answered_before_it_closes() -> None:
-    async def story() -> None:
+def test_a_request_in_the_buffer_of_an_idle_connection_is_answered_before_shutdown() -> None:
+    async def scenario() -> None:
         async with World(await Node().start()) as world:
             client = raw_client(world.port)
             client.sendall(message(id="before"))
             await until(lambda: world.core.counts["served"] and world.front._web._idle)
             client.recv(1 << 16)
             client.sendall(message(id="crossing"))
-            closing = asyncio.create_task(world.front.close())  # its first step comes before the loop reads
-            assert await answered(client) == 200
+            closing = asyncio.create_task(world.front.close())  # its first step runs before the loop reads
+            assert await status_received(client) == 200
             await closing
 
-    run(story())
+    run(scenario())
 
 
 def test_a_request_that_waits_to_be_accepted_is_answered_before_the_listener_closes() -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         async with World(await Node(*["ok"] * 9).start()) as world:
-            clients = [raw_client(world.port) for _ in range(9)]  # more than are accepted in one turn
+            clients = [raw_client(world.port) for _ in range(9)]  # more than are accepted in one iteration
             for number, client in enumerate(clients):
                 client.sendall(message(id=f"c{number}"))
             closing = asyncio.create_task(world.front.close())
-            assert [await answered(client) for client in clients] == [200] * 9
+            assert [await status_received(client) for client in clients] == [200] * 9
             await closing
 
-    run(story())
+    run(scenario())
 
 
-def test_a_body_that_is_on_its_way_as_the_process_ends_is_taken() -> None:
-    async def story() -> None:
+def test_a_body_that_is_being_received_as_the_process_ends_is_accepted() -> None:
+    async def scenario() -> None:
         async with World(await Node().start()) as world:
             world.front._last_answer = math.inf
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
@@ -428,40 +436,40 @@
             await closing
             writer.close()
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("waits_for", ["room", "body"])
-def test_what_is_not_taken_in_when_all_is_given_up_is_refused_at_once(
+@pytest.mark.parametrize("waits_for", ["memory", "body"])
+def test_a_request_not_received_when_requests_are_expired_is_refused_immediately(
     waits_for: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(server, "MEMORY_TIMEOUT_S", 1e6)
     monkeypatch.setattr(body, "CHUNK_TIMEOUT_S", 1e6)
 
-    async def story() -> None:
+    async def scenario() -> None:
         node = await Node().start()
         async with World(node) as world:
-            if waits_for == "room":
+            if waits_for == "memory":
                 world.front.room.take(world.front.room.most)
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             whole = message("claim-write", "PUT", id="late", body=b"x" * 900)
-            writer.write(whole if waits_for == "room" else whole[:-100])
+            writer.write(whole if waits_for == "memory" else whole[:-100])
             await until(lambda: world.front._taking)
             world.front._give_up()
             status, headers, _ = await answer(reader)
             assert status == 503 and float(headers["retry-after"]) > 0 and not node.seen
             writer.close()
 
-    run(story())
+    run(scenario())
 
 
-def test_an_answer_whose_node_stands_still_within_it_does_not_hold_up_the_end(
+def test_a_response_whose_node_stalls_does_not_delay_the_shutdown(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The process was killed over it, 10 s before the answer would have been given up."""
+    """The process was killed while it waited, 10 s before the response would have been aborted."""
     monkeypatch.setattr(upstream, "STALL_TIMEOUT_S", 1e6)
 
-    async def story() -> None:
+    async def scenario() -> None:
         async def stall(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + b"x" * 100_000)
@@ -475,22 +483,24 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(message(id="stalls"))
             assert b" 200 " in await reader.readuntil(b"\r\n\r\n") and await reader.readexactly(100_000)
-            with closing(writer):  # which ends what waits, should the test fail
+            with closing(writer):  # ends the wait should the test fail
                 times = ShutdownTimetable(0.0, 0.0, 0.0, 0.1)
                 await world.front.linger(times, asyncio.get_running_loop().time(), replaced=False)
                 ends = asyncio.create_task(world.front.close())
-                assert await reader.read() == b""  # 100,000 bytes short, as its client can tell
+                assert await reader.read() == b""  # 100,000 bytes short, which the client can detect
                 await ends
                 assert not world.core.open_requests and not world.front.room.held
 
-    run(story())
+    run(scenario())
 
 
-def test_a_client_that_still_sends_its_body_does_not_hold_up_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_still_sends_its_body_does_not_delay_the_shutdown(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(server, "CLOSE_TIMEOUT_S", 1e6)
     monkeypatch.setattr(server, "LINGER_TIMEOUT_S", 1e6)
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with World(await Node().start()) as world:
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(message("claim-write", "PUT", id="sends", body=b"x" * 900)[:-100])
@@ -503,28 +513,30 @@
                 await ends
                 assert not world.front._web.connected
 
-    run(story())
+    run(scenario())
 
 
-def test_what_waits_for_room_is_refused_within_its_own_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It waited 1 s, however little its client did: where a class waits 200 ms, that is too late."""
+def test_a_request_that_waits_for_memory_is_refused_within_its_deadline(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """It waited for 1 s whatever its deadline, which is too late for a class that waits 200 ms."""
     monkeypatch.setattr(server, "MEMORY_TIMEOUT_S", 1e6)
 
-    async def story() -> None:
+    async def scenario() -> None:
         node = await Node().start()
         async with World(node) as world:
             world.front.room.take(world.front.room.most)
             status, _, _ = await world.ask(cls="claim-write", method="PUT", body=b"x" * 900, ms=200)
             assert status == 503 and not node.seen
 
-    run(story())
+    run(scenario())
 
 
-def test_a_read_does_not_stand_behind_bodies_that_wait_for_room(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_read_is_not_queued_behind_bodies_that_wait_for_memory(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server, "MEMORY_TIMEOUT_S", 1e6)
     monkeypatch.setattr(server, "MEMORY_TIMEOUT_FRACTION", 1e6)
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with World(await Node().start()) as world:
             world.front.room.take(world.front.room.most)
             waits = asyncio.create_task(
@@ -537,13 +549,13 @@
                 world.front.room.leave(world.front.room.most)
             assert (await waits)[2] == b"data of waits"
 
-    run(story())
+    run(scenario())
 
 
-def test_what_waited_for_room_has_so_much_less_time() -> None:
-    """Its time was counted from when it had room, and its answer came later than its client waited."""
+def test_the_wait_for_memory_counts_against_the_deadline() -> None:
+    """The deadline was counted from when memory was allocated, so the answer came after it."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         clock, shift = loop.time, [0.0]
         loop.time = lambda: clock() + shift[0]  # type: ignore[method-assign]
@@ -552,18 +564,18 @@
             world.front.room.take(world.front.room.most)
             asks = asyncio.create_task(world.ask(cls="claim-write", method="PUT", body=b"x" * 900, ms=20_000))
             await until(lambda: world.front.room._waiting)
-            shift[0] = 0.4  # of the 1 s that it may wait
+            shift[0] = 0.4  # of the 1 s for which it may wait
             world.front.room.leave(world.front.room.most)
             assert (await asks)[0] == 200
             assert int(node.seen[0]["x-deadline-ms"]) <= 19_600
 
-    run(story())
+    run(scenario())
 
 
-def test_no_advice_to_wait_is_given_where_the_settings_allow_none(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_retry_after_is_sent_where_the_settings_do_not_allow_it(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(server, "MEMORY_TIMEOUT_S", 0.0)
 
-    async def story() -> None:
+    async def scenario() -> None:
         whole = raw()
         whole["settings"]["limits"]["retryAfter"] = False
         async with World(await Node().start(), platform=config.parse_platform_config(whole, {})) as world:
@@ -571,12 +583,12 @@
             status, headers, _ = await world.ask(cls="claim-write", method="PUT", body=b"x" * 900)
             assert status == 503 and "retry-after" not in headers
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("by", ["its idle time", "a newcomer", "a crowd"])
-def test_an_idle_connection_on_which_a_request_has_come_is_not_closed(by: str) -> None:
-    async def story() -> None:
+@pytest.mark.parametrize("by", ["idle time-out", "new connection", "many connections"])
+def test_an_idle_connection_with_an_unread_request_is_not_closed(by: str) -> None:
+    async def scenario() -> None:
         async with World(await Node().start()) as world:
             web = world.front._web
             client = raw_client(world.port)
@@ -585,31 +597,31 @@
             client.recv(1 << 16)
             (handler,) = web._idle
             client.sendall(message(id="crossing"))
-            if by == "its idle time":
+            if by == "idle time-out":
                 handler._next_keepalive_close_time = 0.0
                 handler._process_keepalive()
-            elif by == "a newcomer":
-                web._partly[server.ClientConnection(web, loop=web._loop)] = 0.0  # one that may go instead
+            elif by == "new connection":
+                web._partly[server.ClientConnection(web, loop=web._loop)] = 0.0  # may be closed instead
                 web._connections[next(iter(web._partly))] = asyncio.Transport()
-                with pytest.raises(NotImplementedError):  # of the stand-in's abort: it is the one to go
+                with pytest.raises(NotImplementedError):  # from the stub's abort: it is the one closed
                     web.resize(1)
             else:
                 web._crowd, web._idle[handler] = 0, 0.0
-                web.begin(handler_like(web))
-            assert await answered(client) == 200
+                web.begin(other_connection(web))
+            assert await status_received(client) == 200
 
-    run(story())
+    run(scenario())
 
 
-def handler_like(web: server.ClientConnections) -> Any:
-    """A connection that begins a request beside the one looked at."""
+def other_connection(web: server.ClientConnections) -> Any:
+    """Another connection, on which a request begins."""
     other = server.ClientConnection(web, loop=web._loop)
     other.transport = asyncio.Transport()
     return other
 
 
-class Started:
-    """A whole broker as a process whose configuration comes through a pipe: the test says when it is read."""
+class BrokerProcess:
+    """A broker process that reads its configuration from a pipe, so that the test controls when."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.path = folder, folder / "config.json"
@@ -617,7 +629,7 @@
         whole = copy.deepcopy(RAW)
         del whole["admin"]
         self.raw = whole | {"listen": "127.0.0.1:0"}
-        self.place = Path(announcement.directory(self.raw["name"], "127.0.0.1", 0, str(folder)))
+        self.start_directory = Path(announcement.directory(self.raw["name"], "127.0.0.1", 0, str(folder)))
         self.lines: list[str] = []
 
     async def start(self) -> None:
@@ -636,95 +648,97 @@
             },
         )
 
-    async def read_by_process(self, before: Callable[[], object] = lambda: None) -> None:
-        """Once the process reads its file: ``before``, then what the file holds."""
+    async def serve_config(self, before: Callable[[], object] = lambda: None) -> None:
+        """When the process opens its configuration file, call ``before``, then supply the content."""
         numbers: list[int] = []
 
-        def reader_is_there() -> bool:
+        def has_reader() -> bool:
             with contextlib.suppress(OSError):
                 numbers.append(os.open(self.path, os.O_WRONLY | os.O_NONBLOCK))
             return bool(numbers)
 
-        await until(reader_is_there)
-        # Guard: seen to come and to go, or the next one to write meets the same reader.
-        await until(lambda: str(self.path) in opened(self.process.pid))
+        await until(has_reader)
+        # Wait until it opens and closes the file, or the next call would write to the same reader.
+        await until(lambda: str(self.path) in open_files(self.process.pid))
         before()
         os.write(numbers[0], json.dumps(self.raw).encode())
         os.close(numbers[0])
-        await until(lambda: str(self.path) not in opened(self.process.pid))
+        await until(lambda: str(self.path) not in open_files(self.process.pid))
 
-    async def says(self, event: str) -> None:
+    async def wait_for_event(self, event: str) -> None:
         assert self.process.stderr is not None
         while line := (await self.process.stderr.readline()).decode():
             self.lines.append(line)
             if event in line:
                 return
-        raise AssertionError(f"it ended without {event}: {self.lines}")
+        raise AssertionError(f"the process ended without {event}: {self.lines}")
 
-    async def held_in_its_start(self) -> int:
-        """Hold the lock that a start has to have; closing it sets the process free."""
-        self.place.mkdir(mode=0o700)
-        lock = os.open(self.place / LOCK, os.O_RDWR | os.O_CREAT, 0o600)
+    async def block_start(self) -> int:
+        """Take the lock that a start needs; closing the returned descriptor releases it."""
+        self.start_directory.mkdir(mode=0o700)
+        lock = os.open(self.start_directory / LOCK, os.O_RDWR | os.O_CREAT, 0o600)
         fcntl.flock(lock, fcntl.LOCK_EX)
         return lock
 
 
-def test_a_sighup_before_the_file_is_read_does_no_harm(tmp_path: Path) -> None:
-    async def story() -> None:
-        broker = Started(tmp_path)
+def test_a_sighup_before_the_configuration_is_read_is_harmless(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        broker = BrokerProcess(tmp_path)
         await broker.start()
-        await broker.read_by_process(lambda: broker.process.send_signal(signal.SIGHUP))  # before its imports
+        await broker.serve_config(lambda: broker.process.send_signal(signal.SIGHUP))  # before its imports
 
         def again() -> None:
             broker.path.unlink()
-            broker.path.write_text(json.dumps(broker.raw))  # what is read again
+            broker.path.write_text(json.dumps(broker.raw))  # for the reload
             broker.process.send_signal(signal.SIGHUP)
 
-        await broker.read_by_process(again)
-        await broker.says("config.read_again")
+        await broker.serve_config(again)
+        await broker.wait_for_event("config.read_again")
         broker.process.send_signal(signal.SIGTERM)
-        await broker.says("broker.ended")
+        await broker.wait_for_event("broker.ended")
         assert await broker.process.wait() == 0
 
-    run(story())
+    run(scenario())
 
 
-def test_a_sigterm_before_the_imports_ends_in_good_order(tmp_path: Path) -> None:
-    async def story() -> None:
-        broker = Started(tmp_path)
+def test_a_sigterm_before_the_imports_ends_the_process_with_0(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        broker = BrokerProcess(tmp_path)
         await broker.start()
         with contextlib.suppress(BrokenPipeError):  # it may have ended by then
-            await broker.read_by_process(lambda: broker.process.send_signal(signal.SIGTERM))
+            await broker.serve_config(lambda: broker.process.send_signal(signal.SIGTERM))
         assert await broker.process.wait() == 0
 
-    run(story())
+    run(scenario())
 
 
-def test_a_sighup_within_the_start_is_done_once_it_is_over(tmp_path: Path) -> None:
-    async def story() -> None:
+def test_a_sighup_during_the_start_is_executed_after_it(tmp_path: Path) -> None:
+    async def scenario() -> None:
         lists = [Discovery(json.dumps(RAW["known"]).encode()) for _ in range(2)]
-        broker = Started(tmp_path)
+        broker = BrokerProcess(tmp_path)
         broker.raw["discovery"] = await lists[0].start()
-        lock = await broker.held_in_its_start()
+        lock = await broker.block_start()
         await broker.start()
-        await broker.read_by_process()
-        await broker.read_by_process()  # the old address; the start waits for the lock
+        await broker.serve_config()
+        await broker.serve_config()  # with the old address; the start waits for the lock
         moved = tmp_path / "moved.json"
         moved.write_text(json.dumps(broker.raw | {"discovery": await lists[1].start()}))
-        await until(lambda: str(broker.place / LOCK) in opened(broker.process.pid))  # it is in its start
+        await until(
+            lambda: str(broker.start_directory / LOCK) in open_files(broker.process.pid)
+        )  # it is starting
         os.replace(moved, broker.path)
         broker.process.send_signal(signal.SIGHUP)
         os.close(lock)
         assert "since" not in await lists[1].asked.get()
         broker.process.send_signal(signal.SIGTERM)
-        await broker.says("broker.ended")
+        await broker.wait_for_event("broker.ended")
         assert await broker.process.wait() == 0
 
-    run(story())
+    run(scenario())
 
 
-def opened(pid: int) -> set[str]:
-    """The files that a process has open."""
+def open_files(pid: int) -> set[str]:
+    """The paths of the files that a process has open."""
     found = set()
     with contextlib.suppress(OSError):  # the process has ended
         for number in Path(f"/proc/{pid}/fd").iterdir():
@@ -733,10 +747,10 @@
     return found
 
 
-def test_the_kill_counts_from_the_signal_though_the_start_takes_longer(
+def test_the_time_until_the_kill_counts_from_the_signal_even_during_the_start(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         go, began = asyncio.Event(), []  # type: asyncio.Event, list[float]
 
         async def start(self: Broker) -> int:
@@ -765,20 +779,20 @@
         os.kill(os.getpid(), signal.SIGTERM)
         await until(lambda: stop[0].is_set())
         latest = loop.time()
-        os.kill(os.getpid(), signal.SIGTERM)  # a second one moves nothing
+        os.kill(os.getpid(), signal.SIGTERM)  # a second signal has no effect
         await asyncio.sleep(0.01)
         go.set()
         await running
         assert began and began[0] <= latest
 
-    run(story())
+    run(scenario())
 
 
 # Connections to nodes.
 
 
-class Repeating:
-    """A node that answers a connection's first request twice, at the latest ahead of its next answer."""
+class DuplicatingNode:
+    """A node that answers a connection's first request twice, at the latest before its next answer."""
 
     async def start(self) -> int:
         self.connections, self.writer = 0, None  # type: int, asyncio.StreamWriter | None
@@ -798,17 +812,17 @@
 
 
 @pytest.mark.parametrize("second", [True, False])
-def test_a_second_answer_that_comes_late_is_not_taken_for_that_to_the_next_request(
+def test_a_late_duplicate_response_is_not_taken_for_the_next_one(
     second: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It crossed the next request on its way, if that went out at once over the same connection."""
-    clock, rests = [100.0], []  # type: list[float], list[float]
+    """It crossed with the next request if that was sent immediately over the same connection."""
+    clock, delays = [100.0], []  # type: list[float], list[float]
     for module in (upstream, connector):
         monkeypatch.setattr(module, "monotonic", lambda: clock[0])
-    node = Repeating()
+    node = DuplicatingNode()
 
-    async def let_rest(pool: upstream.Connector, time: float) -> None:
-        rests.append(time)
+    async def delay_reuse(pool: upstream.Connector, time: float) -> None:
+        delays.append(time)
         clock[0] += time
         if second:
             (((connection, _),),) = pool._conns.values()
@@ -818,9 +832,9 @@
         else:
             node.last = b""
 
-    monkeypatch.setattr(upstream.Connector, "_let_rest", let_rest)
+    monkeypatch.setattr(upstream.Connector, "_let_rest", delay_reuse)
 
-    async def story() -> None:
+    async def scenario() -> None:
         port = await node.start()
         async with World(rest=upstream.REUSE_DELAY_S) as world:
             world.members = [Member("d0", f"127.0.0.1:{port}", 0)]
@@ -828,27 +842,29 @@
             assert (await world.ask(id="first"))[2] == b"to first"
             clock[0] += upstream.REUSE_DELAY_S / 4
             assert (await world.ask(id="next"))[2] == b"to next"
-            assert rests == [pytest.approx(upstream.REUSE_DELAY_S * 3 / 4)] and node.connections == 1 + second
+            assert (
+                delays == [pytest.approx(upstream.REUSE_DELAY_S * 3 / 4)] and node.connections == 1 + second
+            )
 
-    run(story())
+    run(scenario())
 
 
-def test_a_place_is_passed_on_by_one_that_leaves_while_its_connection_rests(
+def test_a_pool_slot_is_passed_on_if_its_holder_is_cancelled_before_reuse(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Woken for the place and gone without a word, it left the next to wait for good."""
-    monkeypatch.setattr(connector.random, "shuffle", lambda keys: None)  # who has waited longest is woken
-    rests = asyncio.Event()
+    """A waiter woken for the slot and then cancelled did not wake the next, which waited forever."""
+    monkeypatch.setattr(connector.random, "shuffle", lambda keys: None)  # the longest waiter is woken first
+    delays = asyncio.Event()
 
-    async def let_rest(*_: object) -> None:
-        rests.set()
+    async def delay_reuse(*_: object) -> None:
+        delays.set()
         await asyncio.Event().wait()
 
-    monkeypatch.setattr(upstream.Connector, "_let_rest", let_rest)
+    monkeypatch.setattr(upstream.Connector, "_let_rest", delay_reuse)
 
-    async def story() -> None:
+    async def scenario() -> None:
         busy, node = await Node("held ok").start(), await Node().start()
-        async with World(busy, node, platform=patient(), rest=1e6) as world:
+        async with World(busy, node, platform=long_dial_timeout(), rest=1e6) as world:
             world.pool.resize(1)
             first = asyncio.create_task(world.ask(id="first"))
             await busy.until(1)
@@ -859,23 +875,26 @@
             await until(lambda: len(world.pool._connector._waiters) == 2)
             busy.release.set()
             assert (await first)[0] == 200
-            await rests.wait()
+            await delays.wait()
             assert len(world.pool._connector._waiters) == 1 and not last.done()
-            await leave(writer, "close")
+            await disconnect(writer, "close")
             assert (await last)[2] == b"data of last"
             assert [each["x-request-id"] for each in busy.seen] == ["first"]
 
-    run(story())
+    run(scenario())
 
 
-# Lists.
+# Node lists.
 
 
-async def telling(*steps: bytes | None) -> tuple[str, asyncio.Queue[str]]:
-    """A discovery that answers each call with the next of these and then says no more; what it was asked."""
+async def scripted_discovery(*steps: bytes | None) -> tuple[str, asyncio.Queue[str]]:
+    """A discovery that answers each request with the next of ``steps``, then no more.
+
+    Returns its address and the paths that were requested.
+    """
     left, asked = list(steps), asyncio.Queue[str]()
 
-    async def tell(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def respond(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
                 asked.put_nowait((await reader.readuntil(b"\r\n\r\n")).split()[1].decode())
@@ -885,24 +904,24 @@
         except (EOFError, OSError):
             writer.close()
 
-    server = await asyncio.start_server(tell, "127.0.0.1", 0)
+    server = await asyncio.start_server(respond, "127.0.0.1", 0)
     return f"127.0.0.1:{server.sockets[0].getsockname()[1]}", asked
 
 
-def told(index: int, whole: bool = True, status: str = "up") -> bytes:
+def list_response(index: int, whole: bool = True, status: str = "up") -> bytes:
     entry = {"name": "d0", "address": "127.0.0.1:1", "group": 0, "status": status}
     text = json.dumps({"index": index, "snapshot": whole, "endpoints": [entry]}).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(text) + text
 
 
-@pytest.mark.parametrize("silent_after", [0, 10, 60, 120])  # at once, in the head, behind it, in the body
-def test_a_watch_that_falls_silent_is_opened_anew(silent_after: int, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize("silent_after", [0, 10, 60, 120])  # immediately, in the head, after it, in the body
+def test_a_watch_without_responses_is_reopened(silent_after: int, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watch, "WATCH_TIMEOUT_S", 0.2)
     monkeypatch.setattr(watch, "WATCH_SLACK_S", 0.2)
 
-    async def story() -> None:
-        news = told(2, False, "draining")
-        address, asked = await telling(told(1), news[:silent_after], news)
+    async def scenario() -> None:
+        update = list_response(2, False, "draining")
+        address, asked = await scripted_discovery(list_response(1), update[:silent_after], update)
         async with World() as world:
             watching = asyncio.create_task(watch.watch(world.core, address, {}))
             await until(lambda: world.core.version == 2)
@@ -910,19 +929,19 @@
             assert ["since" in await asked.get() for _ in range(3)] == [False, True, True]
             watching.cancel()
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize("known", [False, True])
-def test_a_silent_watch_ends_within_what_its_silence_may_take(known: bool) -> None:
-    """The library rounds limits of over 5 s up to whole seconds: 6 s were up to 7."""
+def test_a_watch_without_responses_ends_within_its_time_out(known: bool) -> None:
+    """aiohttp rounds time-outs of over 5 s up to whole seconds: 6 s became up to 7 s."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         clock = loop.time
-        shift = math.ceil(clock()) + 0.05 - clock()  # a rounding up costs almost a second from here on
+        shift = math.ceil(clock()) + 0.05 - clock()  # from here on, rounding up adds almost a second
         loop.time = lambda: clock() + shift  # type: ignore[method-assign]
-        address, asked = await telling(*[told(1)] * known)
+        address, asked = await scripted_discovery(*[list_response(1)] * known)
         async with World() as world:
             watching = asyncio.create_task(watch.watch(world.core, address, {}))
             for _ in range(1 + known):
@@ -936,10 +955,10 @@
             assert ends <= began + (6.0 if known else 4.0)
             watching.cancel()
 
-    run(story())
+    run(scenario())
 
 
-def test_a_discovery_that_tells_changes_for_the_whole_list_is_not_asked_without_a_pause(
+def test_a_discovery_that_sends_changes_instead_of_the_full_list_is_not_polled_without_a_delay(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     waits: list[float] = []
@@ -951,8 +970,8 @@
 
     monkeypatch.setattr(watch.asyncio, "sleep", sleep)
 
-    async def story() -> None:
-        address, asked = await telling(*[told(1, False)] * 5)
+    async def scenario() -> None:
+        address, asked = await scripted_discovery(*[list_response(1, False)] * 5)
         async with World() as world:
             watching = asyncio.create_task(watch.watch(world.core, address, {}))
             for _ in range(6):
@@ -960,19 +979,21 @@
             assert len(waits) >= 5 and not world.core.ready
             watching.cancel()
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("figure", ["weight", "since_ms"])
+@pytest.mark.parametrize("field", ["weight", "since_ms"])
 @pytest.mark.parametrize("sign", [1, -1])
-def test_a_figure_that_no_float_holds_leaves_the_list_as_it_was(figure: str, sign: int) -> None:
+def test_a_number_beyond_the_range_of_a_float_leaves_the_list_unchanged(field: str, sign: int) -> None:
     """It ended the watch, and with it the broker."""
 
-    async def story() -> None:
-        entry = {"name": "d9", "address": "127.0.0.1:1", "group": 0, "status": "up", figure: sign * 10**400}
-        spoilt = json.dumps({"index": 2, "snapshot": True, "endpoints": [entry]}).encode()
-        address, asked = await telling(
-            told(1), b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(spoilt) + spoilt, told(3)
+    async def scenario() -> None:
+        entry = {"name": "d9", "address": "127.0.0.1:1", "group": 0, "status": "up", field: sign * 10**400}
+        invalid = json.dumps({"index": 2, "snapshot": True, "endpoints": [entry]}).encode()
+        address, asked = await scripted_discovery(
+            list_response(1),
+            b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(invalid) + invalid,
+            list_response(3),
         )
         async with World() as world:
             watching = asyncio.create_task(watch.watch(world.core, address, {}))
@@ -980,20 +1001,20 @@
             assert not watching.done() and [m.name for m in world.core.members] == ["d0"]
             watching.cancel()
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("news", ["drains", "is out"])
-def test_a_drain_told_while_an_attempt_waits_for_a_pool_place_calls_it_off(news: str) -> None:
-    async def story() -> None:
+@pytest.mark.parametrize("change", ["drains", "is under maintenance"])
+def test_a_drain_while_an_attempt_waits_for_a_pool_slot_cancels_it(change: str) -> None:
+    async def scenario() -> None:
         busy, node = await Node("held ok").start(), await Node().start()
-        async with World(busy, node, platform=patient(drainGraceNs=10**7)) as world:
+        async with World(busy, node, platform=long_dial_timeout(drainGraceNs=10**7)) as world:
             world.pool.resize(1)
             first = asyncio.create_task(world.ask(id="first"))
             await busy.until(1)
             second = asyncio.create_task(world.ask(id="second", shard=1))
             await until(lambda: world.pool._connector._waiters)
-            if news == "drains":
+            if change == "drains":
                 world.members[1] = replace(world.members[1], state=NodeState.DRAINING)
                 world.core.update(NodeList(2, False, (world.members[1],)))
             else:
@@ -1003,4 +1024,4 @@
             assert (await first)[0] == 200 and (await second)[0] == 503
             assert not node.seen and not node.scraps
 
-    run(story())
+    run(scenario())
