--- a/cherrycove/broker/consul.py
+++ b/cherrycove/broker/consul.py
@@ -218,7 +218,7 @@
             if result.is_changed or self._core.version is None:
                 version += 1
                 self._update_core(result.nodes)
-            self._core.silent = False
+            self._core.source_unreachable = False
             if not result.next_index:
                 await asyncio.sleep(_MIN_BACKOFF_S)  # the next query does not block: avoid a tight loop
             index, backoff_s = result.next_index, _MIN_BACKOFF_S
--- a/cherrycove/broker/nbd/client.py
+++ b/cherrycove/broker/nbd/client.py
@@ -222,7 +222,7 @@
         is_flush = self._request.command == Command.FLUSH
         sequence = unflushed.last_sequence  # read before the flush is sent: later writes are not covered
         self._lost_writes = self._lost_writes or (
-            is_flush and unflushed.discard_other_incarnations(attempt.life)
+            is_flush and unflushed.discard_other_incarnations(attempt.incarnation)
         )
         if self._lost_writes:
             self.errno = Errno.EIO
@@ -240,9 +240,9 @@
         if reply.errno:
             return Reply(Ending.NODE_ERROR)
         if is_flush:
-            unflushed.record_flush(attempt.life, sequence)
+            unflushed.record_flush(attempt.incarnation, sequence)
         elif self._request.command in (Command.WRITE, Command.TRIM):
-            unflushed.record_write(attempt.life)
+            unflushed.record_write(attempt.incarnation)
         return Reply(Ending.SERVED, bytes(reply.data))
 
     async def _exchange(self, attempt: Attempt) -> CommandReply | None:
@@ -258,7 +258,7 @@
             )
             if connection.writer.is_closing():
                 return None
-            attempt.wrote()  # from here on, how much has been sent is unknown
+            attempt.mark_written()  # from here on, how much has been sent is unknown
             connection.writer.write(request.pack() + self._payload)
             return await read_reply(connection.reader, request, structured=connection.structured)
 
--- a/tests/golden_broker.py
+++ b/tests/golden_broker.py
@@ -168,7 +168,7 @@
     name = _NAME_OF.get(type(value))
     if name is not None:
         return {name: [to_plain(getattr(value, each)) for each in field_names(type(value))]}
-    if isinstance(value, api.Code | codes.Own):
+    if isinstance(value, api.Code | codes.LocalCode):
         return f"=code.{int(value)}"
     if isinstance(value, Enum):
         return _MEMBER_NAMES[value]
@@ -516,14 +516,14 @@
 def stats(answers: Mapping[str, Sequence[int]], parts: Mapping[str, int]) -> str:
     """The answer to the call stats, for counts of served, refused and failed by class."""
     counts = {cls: dict(zip(core.Verdict, each, strict=True)) for cls, each in answers.items()}
-    return admin.report(core.Figures(counts, 5, 6, 7, 8), parts)
+    return admin.report(core.Metrics(counts, 5, 6, 7, 8), parts)
 
 
 def read_call(line: str) -> Plain:
     """An operator's call as it is taken, or that it is none."""
     try:
         call = admin.parse_call(line.encode())
-    except admin.CallError:
+    except admin.InvalidCallError:
         return "no call"
     return [call.command, call.node, list(call.arguments)]
 
@@ -636,7 +636,7 @@
         "environment": environment(),
         "http": http_words(),
         "commands": commands(),
-        "reasons": [f"{int(each)} {each.name.lower()}" for each in [*api.Code, *codes.Own]],
+        "reasons": [f"{int(each)} {each.name.lower()}" for each in [*api.Code, *codes.LocalCode]],
         "endings": [f"{each.name.lower()} {each.value}" for each in core.Ending],
         "verdicts": [*(each.value for each in core.Verdict), *record.VERDICTS, *record.FRONTS],
         "statuses": [f"{status} {int(code)}" for status, code in codes.BY_STATUS.items()],
@@ -645,7 +645,12 @@
         "settings read": sorted(known.USED_NAMES),
         "settings left aside": sorted(known.IGNORED_NAMES),
         "wire events": sorted(wire.EVENT_WORDS),
-        "files": [handover.MAINTENANCE, handover.LOCK, announcement.SOCKET, cherrycove.__main__.OPERATOR],
+        "files": [
+            handover.MAINTENANCE,
+            handover.LOCK,
+            announcement.SOCKET,
+            cherrycove.__main__.DEFAULT_OPERATOR_FILE,
+        ],
         "magics": [snapshot_file.MAGIC.hex(), datagram.MAGIC.hex(), store.MAGIC.hex(), handover.BUSY.hex()],
         "forms": [f"memory rows {snapshot.FORM}", f"memory file {snapshot_file.FORMAT}"],
     }
@@ -772,9 +777,9 @@
         taken = from_plain(settings)
         former = _succession(root, taken, _Record(taken, from_plain(stories)))
         own = former._core
-        own.maintain(from_plain(maintenance))
+        own.set_maintenance(from_plain(maintenance))
         own.update(core.NodeList(7, True, from_plain(members)))
-        while not own.sent():  # until the module has the list
+        while not own.recent_sent_units():  # until the module has the list
             await asyncio.sleep(0)
         await former.serving()
         await former.await_successor()
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -218,8 +218,8 @@
             lingering.set()
             await proceed.wait()
 
-        monkeypatch.setattr(broker.front, "linger", linger)
-        ending = asyncio.create_task(broker.end())
+        monkeypatch.setattr(broker.http_server, "linger", linger)
+        ending = asyncio.create_task(broker.shut_down())
         await lingering.wait()
         await agent.put_waiting.wait()
         closing = asyncio.Event()
@@ -227,7 +227,7 @@
         async def close() -> None:
             closing.set()
 
-        monkeypatch.setattr(broker.front, "close", close)
+        monkeypatch.setattr(broker.http_server, "close", close)
         proceed.set()
         await closing.wait()
         agent.put_gate.set()  # the shutdown waits for this last response
--- a/tests/test_nbd.py
+++ b/tests/test_nbd.py
@@ -347,7 +347,7 @@
                 await node.arrived.wait_for(lambda: node.seen)
             client.writer.transport.abort()
             await node.disconnected.wait()
-            await world.core.idle()
+            await world.core.wait_idle()
             assert len(node.seen) == 1 and world.core.counts == {"taken": 1, "client gone": 1}
             await server.close()
 
@@ -401,7 +401,7 @@
 
             await asyncio.gather(*map(send_nbd_writes, range(4)), *map(send_http_writes, range(4)))
             await server.close()
-            await world.core.idle()
+            await world.core.wait_idle()
         writes = [payload for _, payload in blocks.seen] + [seen["x-request-id"] for seen in files.seen]
         assert len(writes) == len(set(writes)) and writes
         assert world.core.endings[Ending.TIMED_OUT] and world.core.endings[Ending.BROKEN]
