--- a/cherrycove/broker/lifecycle/announcement.py
+++ b/cherrycove/broker/lifecycle/announcement.py
@@ -13,13 +13,13 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-SOCKET = "process.sock"  # file name, in the broker's directory, of the socket of the process in service
+SOCKET_NAME = "process.sock"  # file name, in the broker's directory, of the socket of the process in service
 ANNOUNCE_TIMEOUT_S = 0.1
-COMING = b'{"coming": 1}\n'  # the announcement's bytes
+ANNOUNCEMENT_MESSAGE = b'{"coming": 1}\n'  # the announcement's bytes
 MAX_SOCKET_FOLDER_BYTES = 80  # of a path; a Unix address holds 108 with the file name and a zero byte
 
 
-def directory(name: str, host: str, port: int, root: str | None = None) -> str:
+def broker_directory(name: str, host: str, port: int, root: str | None = None) -> str:
     """Return the path of the directory that all processes of one broker share.
 
     ``root`` defaults to ``$TMPDIR``, or to the system's directory for temporary files.
@@ -72,7 +72,7 @@
         raw = json.load(file)
     name = str(raw.get("name") or os.environ.get("RELAY_NAME") or "broker")
     host, _, port = (raw.get("listen") or os.environ["RELAY_LISTEN"]).rpartition(":")
-    return directory(name, host.strip("[]"), int(port))
+    return broker_directory(name, host.strip("[]"), int(port))
 
 
 def _connect(folder: str) -> socket.socket:
@@ -80,8 +80,8 @@
     try:
         peer.settimeout(ANNOUNCE_TIMEOUT_S)
         with short(folder) as short_folder:
-            peer.connect(f"{short_folder}/{SOCKET}")
-        peer.sendall(COMING)
+            peer.connect(f"{short_folder}/{SOCKET_NAME}")
+        peer.sendall(ANNOUNCEMENT_MESSAGE)
     except (OSError, ValueError):
         peer.close()
         raise
--- a/cherrycove/broker/lifecycle/coordinator.py
+++ b/cherrycove/broker/lifecycle/coordinator.py
@@ -53,7 +53,7 @@
     def resize(self, clients: int, nodes: int, most_bytes: int) -> None:
         """Apply new limits: descriptors for clients and for nodes, bytes of bodies and answers."""
 
-    def talk(self, now: bool) -> None:
+    def set_capacity_exchange(self, enabled: bool) -> None:
         """Start or stop the exchange of capacity with the other brokers."""
 
 
@@ -79,10 +79,10 @@
         broker: the broker's name.
         core: receives budgets, node list and maintenance state.
         listeners: see ``ClientListeners``.
-        life: the state of this process.
+        lifecycle: the state of this process.
         endpoint: the broker's directory.
         decision_log: returns the decision log, or None if it is disabled.
-        remembers: whether what was learned about nodes and volumes is handed over and applied.
+        transfers_snapshot: whether what was learned about nodes and volumes is handed over and applied.
     """
 
     def __init__(
@@ -90,16 +90,16 @@
         broker: str,
         core: Core,
         listeners: ClientListeners,
-        life: LifecycleState,
+        lifecycle: LifecycleState,
         endpoint: HandoverEndpoint,
         decision_log: Callable[[], DecisionLog | None] = lambda: None,
         *,
-        remembers: bool = False,
+        transfers_snapshot: bool = False,
     ) -> None:
-        self._remembers = remembers
+        self._transfers_snapshot = transfers_snapshot
         self._broker, self._core = broker, core
         self._listeners, self._decision_log = listeners, decision_log
-        self.life, self.endpoint = life, endpoint
+        self.lifecycle, self.endpoint = lifecycle, endpoint
         self.maintenance = MaintenanceController(core, endpoint, self._send_to_peers)
         self.links: set[Link] = set()
         self._successors: set[Link] = set()  # of these, the links to a successor
@@ -112,14 +112,14 @@
 
     # As successor.
 
-    async def meet(self) -> list[socket.socket] | None:
+    async def request_handover(self) -> list[socket.socket] | None:
         """Ask the process in service for the handover; return its listening sockets, None without one."""
         await self.endpoint.enter()
-        takeover = await self.endpoint.meet({"hello": 1}, self._predecessor_stalled)
+        takeover = await self.endpoint.request_handover({"hello": 1}, self._predecessor_stalled)
         if takeover is None:
             return None
         log.info("handover.taking_over")
-        self.life.predecessor_found()
+        self.lifecycle.predecessor_found()
         self._take_over(takeover.state)
         self._own(asyncio.create_task(self._follow(takeover.link, is_successor=False)))
         return takeover.listeners
@@ -129,7 +129,7 @@
 
         This process serves meanwhile, from sockets of its own: it has to within 6 s of its start.
         """
-        self.life.predecessor_found()
+        self.lifecycle.predecessor_found()
         self.apply_budget()
         self._own(asyncio.create_task(self._await_stalled(pending)))
 
@@ -139,7 +139,7 @@
         except BusyError:
             takeover = None  # it has another beside it, which it takes for the one in service
         if takeover is None:
-            self.life.predecessor_gone()
+            self.lifecycle.predecessor_gone()
             self.apply_budget()
             log.info("handover.other_ended")
             return
@@ -148,8 +148,8 @@
         # The predecessor's sockets share the address: what it stops to accept has to be accepted here.
         await self._listeners.accept_also(takeover.listeners)
         self._own(asyncio.create_task(self._follow(takeover.link, is_successor=False)))
-        if self.life.is_accepting:
-            await self._announce_serving(takeover.link)
+        if self.lifecycle.is_accepting:
+            await self._report_serving(takeover.link)
 
     def _own(self, task: asyncio.Task[None]) -> None:
         """Keep a task that ends with the predecessor's process, or with this one."""
@@ -168,28 +168,28 @@
             log.warning("handover.state_unusable", why=error)
             sent = {}
         self._core.set_budget_share(SHARED_FRACTION, sent)
-        if self._remembers and "memory" in state:
+        if self._transfers_snapshot and "memory" in state:
             try:
                 restore_snapshot(self._core, state["memory"], self._broker, "process", sent_is_known=True)
             except UnusableError as error:
                 log.warning("memory.unusable", source="process", why=error)
 
-    async def serving(self) -> None:
+    async def report_serving(self) -> None:
         """Record that this process accepts clients, and have the predecessor stop."""
-        self.life.serving_started()
+        self.lifecycle.serving_started()
         for link in list(self.links):
-            await self._announce_serving(link)
-        if self.life.is_alone:
+            await self._report_serving(link)
+        if self.lifecycle.is_alone:
             self.apply_budget()
 
-    async def _announce_serving(self, link: Link) -> None:
+    async def _report_serving(self, link: Link) -> None:
         if not await link.request({"serving": True}):
             log.warning("handover.unconfirmed", told="serving")
 
     async def await_successor(self) -> None:
         """Listen for the next process."""
         await self.endpoint.await_successor(
-            self._grant, lambda link: self._follow(link, is_successor=True), self.life.successor_gone
+            self._grant, lambda link: self._follow(link, is_successor=True), self.lifecycle.successor_gone
         )
 
     def _receive_log_chunk(self, message: Message) -> None:
@@ -212,20 +212,20 @@
 
     def apply_budget(self) -> None:
         """Apply the budget of the present state: two processes count as one broker."""
-        budget = self.life.budget()
+        budget = self.lifecycle.budget()
         self._core.set_budget_share(budget.fraction)
         self._listeners.resize(budget.client_connections, budget.node_connections, budget.body_bytes)
         # A process that ends must not open the address of the exchange again: its successor is about to.
-        self._listeners.talk(budget.uses_tier)
+        self._listeners.set_capacity_exchange(budget.uses_tier)
         self.apply_request_limit()
 
     def apply_request_limit(self) -> None:
         """Apply the limit of open requests of the present state."""
-        self._core.limit_open_requests(self.life.budget().open_requests)
+        self._core.limit_open_requests(self.lifecycle.budget().open_requests)
 
     def announcements_changed(self) -> None:
         """Count the processes that have announced themselves, and apply the limit of open requests."""
-        self.life.announced = self.endpoint.coming
+        self.lifecycle.announced = self.endpoint.coming
         self.apply_request_limit()
 
     async def _follow(self, link: Link, *, is_successor: bool) -> None:
@@ -241,9 +241,9 @@
             self.links.discard(link)
             self._successors.discard(link)
             if is_successor:
-                accepts_again = self.life.successor_gone()
+                accepts_again = self.lifecycle.successor_gone()
             else:
-                self.life.predecessor_gone()
+                self.lifecycle.predecessor_gone()
             self.apply_budget()
         log.info("handover.other_ended")
         if accepts_again:
@@ -259,12 +259,12 @@
         await self._listeners.accept(listeners)
 
     async def _receive(self, message: Message) -> None:
-        if message.get("serving") and self.life.successor_serving():
+        if message.get("serving") and self.lifecycle.successor_serving():
             self._stop_accepting()
         if "why" in message:
             self._receive_log_chunk(message)
         if type(message.get("open")) is int:
-            self.life.predecessor_reported(message["open"])
+            self.lifecycle.predecessor_reported(message["open"])
             self.apply_request_limit()
         if "maint" in message:
             await self.maintenance.apply(message)
@@ -278,19 +278,19 @@
 
     def _grant(self, _hello: Message) -> Grant | None:
         """Return what a successor receives, None if it has to ask again."""
-        if not self.life.can_be_succeeded():
+        if not self.lifecycle.can_be_succeeded():
             log.info("handover.successor_waits")
             return None
         log.info("handover.successor_started")
-        self.life.successor_found()
-        self._core.set_budget_share(self.life.budget().fraction)
+        self.lifecycle.successor_found()
+        self._core.set_budget_share(self.lifecycle.budget().fraction)
         state = {
             "version": self._core.version,
             "members": [pack_member(member) for member in self._core.members],
             "sent": self._core.sent(),
             "maintenance": pack_maintenance(self._core.maintenance),
         }
-        if self._remembers:
+        if self._transfers_snapshot:
             state["memory"] = take_snapshot(self._core, self._broker, whole=True)
         return Grant(state, self._handed_over or self._listeners.listeners())
 
@@ -303,7 +303,7 @@
 
     def _report_open_requests(self, reported: int = -1) -> None:
         """Report the number of open requests to the successor whenever it has changed, until either ends."""
-        if not (self._successors and self.life.has_handed_over):
+        if not (self._successors and self.lifecycle.has_handed_over):
             return
         if self._core.open_requests != reported:
             reported = self._core.open_requests
--- a/cherrycove/broker/lifecycle/handover.py
+++ b/cherrycove/broker/lifecycle/handover.py
@@ -20,7 +20,7 @@
 
 from cherrycove.broker.core import Maintenance
 from cherrycove.broker.event_log import Log
-from cherrycove.broker.lifecycle.announcement import SOCKET, directory, short
+from cherrycove.broker.lifecycle.announcement import SOCKET_NAME, broker_directory, short
 from cherrycove.broker.lifecycle.link import Link
 from cherrycove.broker.lifecycle.messages import (
     HandoverError,
@@ -32,8 +32,8 @@
 
 log = Log("cherrycove.life.handover")
 
-MAINTENANCE = "maintenance.json"  # file names in the broker's directory
-LOCK = "start.lock"  # locked by the process that starts, until it can be found
+MAINTENANCE_FILE = "maintenance.json"  # file names in the broker's directory
+LOCK_FILE = "start.lock"  # locked by the process that starts, until it can be found
 LOCK_RETRY_S = 0.02
 ANNOUNCEMENT_TIMEOUT_S = 6.0  # in which a process that has announced itself must ask for the handover
 # In which a process in service must answer its successor, else it counts as absent. A successor has to serve
@@ -98,7 +98,7 @@
         root: str | None = None,
         on_coming: Callable[[], None] = lambda: None,
     ) -> None:
-        self.path = Path(directory(name, *listen, root))
+        self.path = Path(broker_directory(name, *listen, root))
         self.changing = asyncio.Lock()  # of the maintenance state, until a change is stored or undone
         self.coming = 0  # processes that have announced themselves and not asked yet
         self.on_coming = on_coming
@@ -122,7 +122,7 @@
         loop = asyncio.get_running_loop()
         deadline = loop.time() + BUSY_TIMEOUT_S
         try:
-            self._lock = os.open(self.path / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+            self._lock = os.open(self.path / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
             while not _try_lock(self._lock):
                 if loop.time() >= deadline:
                     log.warning("handover.start_not_alone")
@@ -152,23 +152,23 @@
         return True
 
     def _write(self, text: str) -> None:
-        fresh = self.path / f"{os.getpid()}.{MAINTENANCE}"
+        fresh = self.path / f"{os.getpid()}.{MAINTENANCE_FILE}"
         fresh.write_text(text)
-        os.replace(fresh, self.path / MAINTENANCE)
+        os.replace(fresh, self.path / MAINTENANCE_FILE)
 
     def load(self) -> Maintenance:
         """Return the stored maintenance state; the empty one if there is none or it is unreadable."""
         try:
-            return parse_maintenance(parse_message((self.path / MAINTENANCE).read_bytes()))
+            return parse_maintenance(parse_message((self.path / MAINTENANCE_FILE).read_bytes()))
         except FileNotFoundError:
             return Maintenance()
         except (OSError, HandoverError) as error:
-            log.warning("maintenance.unreadable", path=self.path / MAINTENANCE, why=error)
+            log.warning("maintenance.unreadable", path=self.path / MAINTENANCE_FILE, why=error)
             return Maintenance()
 
     # The successor's side.
 
-    async def meet(
+    async def request_handover(
         self, hello: Message, on_stalled: Callable[[PendingTakeover], None] = cancel_takeover
     ) -> Takeover | None:
         """Ask the process in service for the handover; None if there is none, or it does not answer.
@@ -229,7 +229,7 @@
     async def _send_hello(self, peer: socket.socket, hello: Message) -> None:
         loop = asyncio.get_running_loop()
         with short(self.path) as folder:
-            await loop.sock_connect(peer, f"{folder}/{SOCKET}")
+            await loop.sock_connect(peer, f"{folder}/{SOCKET_NAME}")
         await loop.sock_sendall(peer, json.dumps(hello).encode() + b"\n")
 
     # The predecessor's side.
@@ -259,7 +259,7 @@
                     serve, f"{folder}/{own_name}", limit=MAX_MESSAGE_BYTES
                 )
             # Replaces whatever lies there, of the predecessor or of a process that died long ago.
-            os.replace(self.path / own_name, self.path / SOCKET)
+            os.replace(self.path / own_name, self.path / SOCKET_NAME)
         except OSError as error:
             log.warning("handover.no_place", path=self.path, why=error)
         finally:
--- a/cherrycove/broker/lifecycle/state_machine.py
+++ b/cherrycove/broker/lifecycle/state_machine.py
@@ -102,7 +102,7 @@
         return not (self.has_predecessor or self.has_successor)
 
     @property
-    def is_state_writer(self) -> bool:
+    def is_snapshot_writer(self) -> bool:
         """Whether this process is the one that writes the warm-restart file.
 
         Its last write says that nothing was sent after it, which no process beside a successor can say.
--- a/cherrycove/broker/process.py
+++ b/cherrycove/broker/process.py
@@ -96,7 +96,7 @@
             self.life,
             HandoverEndpoint(platform.name, platform.listen),
             lambda: self._book,
-            remembers=operator.memory is not None,
+            transfers_snapshot=operator.memory is not None,
         )
         self._peers = self._make_exchange()
         self._memory = self._make_snapshot_store()
@@ -123,7 +123,7 @@
             memory.directory,
             memory.interval_s,
             self.platform.name,
-            is_writer=lambda: self.life.is_state_writer,
+            is_writer=lambda: self.life.is_snapshot_writer,
         )
 
     def _make_decision_log(self) -> None:
@@ -158,7 +158,7 @@
         log.info("broker.serves", name=platform.name, host=platform.listen[0], port=port)
         if operator.consul is not None:
             self._start_consul(operator.consul, port)
-        await self.handover.serving()
+        await self.handover.report_serving()
         if self._memory is not None:
             self._run(self._memory.keep())
         await self.handover.await_successor()
@@ -173,7 +173,7 @@
         self.handover.maintenance.load()
         if self.platform.known is not None:
             self.core.update(self.platform.known, restored=True)
-        given = await self.handover.meet()
+        given = await self.handover.request_handover()
         if self._announcement is not None:
             self._announcement.close()
         if given is None and self._memory is not None:
@@ -258,11 +258,11 @@
         self.pool.resize(nodes)
         self.front.resize(clients, most_bytes)
 
-    def talk(self, now: bool) -> None:
+    def set_capacity_exchange(self, enabled: bool) -> None:
         """Start or stop the exchange of capacity with the other brokers."""
         if self._peers is None or self.platform.tier is None:
             return
-        if now:
+        if enabled:
             self._peers.start(self.platform.tier.listen)
         else:
             self._peers.close()
--- a/tests/golden_broker.py
+++ b/tests/golden_broker.py
@@ -255,12 +255,12 @@
 }
 # Only written by this program, or read by it as part of a larger exchange.
 WRITTEN: Mapping[str, Callable[..., bytes]] = {
-    "herald_coming": lambda: announcement.COMING,
+    "herald_coming": lambda: announcement.ANNOUNCEMENT_MESSAGE,
     "nbd_greeting": nbd.pack_greeting,
     "nbd_simple_reply": nbd.pack_simple_reply,
     "nbd_error_chunk": lambda *values: nbd.make_error_chunk(*values).pack(),
     "nbd_data_chunk": lambda *values: nbd.make_data_chunk(*values).pack(),
-    "directory": lambda *values: announcement.directory(*values).encode(),
+    "directory": lambda *values: announcement.broker_directory(*values).encode(),
     "memory_path": lambda *values: str(snapshot_file.path(*values)).encode(),
     "node_key": lambda *values: _node_key(*values),
     "wire_action": lambda scheduler, act: wire.format_action(scheduler, act).encode(),
@@ -296,7 +296,7 @@
     return told, absence, sum(aside.values())
 
 
-MAINTENANCE_FILE = handover.MAINTENANCE
+MAINTENANCE_FILE = handover.MAINTENANCE_FILE
 
 
 def write_maintenance(state: core.Maintenance, root: Path) -> bytes:
@@ -645,7 +645,12 @@
         "settings read": sorted(known.USED_NAMES),
         "settings left aside": sorted(known.IGNORED_NAMES),
         "wire events": sorted(wire.EVENT_WORDS),
-        "files": [handover.MAINTENANCE, handover.LOCK, announcement.SOCKET, cherrycove.__main__.OPERATOR],
+        "files": [
+            handover.MAINTENANCE_FILE,
+            handover.LOCK_FILE,
+            announcement.SOCKET_NAME,
+            cherrycove.__main__.OPERATOR,
+        ],
         "magics": [snapshot_file.MAGIC.hex(), datagram.MAGIC.hex(), store.MAGIC.hex(), handover.BUSY.hex()],
         "forms": [f"memory rows {snapshot.FORM}", f"memory file {snapshot_file.FORMAT}"],
     }
@@ -677,7 +682,7 @@
     def resize(self, clients: int, nodes: int, most_bytes: int) -> None:
         pass
 
-    def talk(self, now: bool) -> None:
+    def set_capacity_exchange(self, enabled: bool) -> None:
         pass
 
 
@@ -733,14 +738,14 @@
     life = state_machine.LifecycleState(1024, 192.0)
     place = handover.HandoverEndpoint(*PLACE, str(root))
     return coordinator.HandoverCoordinator(
-        "n1", core.Core(settings, 1), _Doors(), life, place, lambda: log, remembers=True
+        "n1", core.Core(settings, 1), _Doors(), life, place, lambda: log, transfers_snapshot=True
     )
 
 
 def _unix(root: Path) -> tuple[socket.socket, str]:
     peer = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     peer.settimeout(WAIT_S)
-    return peer, f"{announcement.directory(PLACE[0], *PLACE[1], str(root))}/{announcement.SOCKET}"
+    return peer, f"{announcement.broker_directory(PLACE[0], *PLACE[1], str(root))}/{announcement.SOCKET_NAME}"
 
 
 def hand_over(
@@ -776,7 +781,7 @@
         own.update(core.NodeList(7, True, from_plain(members)))
         while not own.sent():  # until the module has the list
             await asyncio.sleep(0)
-        await former.serving()
+        await former.report_serving()
         await former.await_successor()
         await asyncio.to_thread(successor)
         said.append(json.dumps(to_plain(own.maintenance)))
@@ -820,16 +825,16 @@
         listening.bind(place)
         listening.listen(1)
         former = asyncio.create_task(asyncio.to_thread(first))
-        given = await fresh.meet()
+        given = await fresh.request_handover()
         while not fresh.links:  # until it follows the other
             await asyncio.sleep(0)
-        await fresh.serving()
+        await fresh.report_serving()
         raw = await former
         parting = asyncio.create_task(asyncio.to_thread(second, raw))
         said.append((await fresh.maintenance.change("d0", True)).split()[0])
         await parting
         own = fresh._core
-        open_there = fresh.life.predecessor_open_requests
+        open_there = fresh.lifecycle.predecessor_open_requests
         said.append(f"sockets {len(given or [])}, version {own.version}, open there {open_there}")
         said.append(f"records {log.taken}, lost {log.former_lost}")
         said.extend(json.dumps(to_plain(each)) for each in (*own.members, own.maintenance))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -33,7 +33,7 @@
 from cherrycove.broker.core import Attempt, Ending, Member, NodeList
 from cherrycove.broker.http1 import body, server, upstream, watch
 from cherrycove.broker.lifecycle import announcement
-from cherrycove.broker.lifecycle.handover import LOCK
+from cherrycove.broker.lifecycle.handover import LOCK_FILE
 from cherrycove.broker.lifecycle.shutdown_timetable import ShutdownTimetable
 from cherrycove.broker.nbd import Command
 from cherrycove.broker.process import Broker
@@ -617,7 +617,7 @@
         whole = copy.deepcopy(RAW)
         del whole["admin"]
         self.raw = whole | {"listen": "127.0.0.1:0"}
-        self.place = Path(announcement.directory(self.raw["name"], "127.0.0.1", 0, str(folder)))
+        self.place = Path(announcement.broker_directory(self.raw["name"], "127.0.0.1", 0, str(folder)))
         self.lines: list[str] = []
 
     async def start(self) -> None:
@@ -664,7 +664,7 @@
     async def held_in_its_start(self) -> int:
         """Hold the lock that a start has to have; closing it sets the process free."""
         self.place.mkdir(mode=0o700)
-        lock = os.open(self.place / LOCK, os.O_RDWR | os.O_CREAT, 0o600)
+        lock = os.open(self.place / LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o600)
         fcntl.flock(lock, fcntl.LOCK_EX)
         return lock
 
@@ -711,7 +711,7 @@
         await broker.read_by_process()  # the old address; the start waits for the lock
         moved = tmp_path / "moved.json"
         moved.write_text(json.dumps(broker.raw | {"discovery": await lists[1].start()}))
-        await until(lambda: str(broker.place / LOCK) in opened(broker.process.pid))  # it is in its start
+        await until(lambda: str(broker.place / LOCK_FILE) in opened(broker.process.pid))  # it is in its start
         os.replace(moved, broker.path)
         broker.process.send_signal(signal.SIGHUP)
         os.close(lock)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -165,7 +165,7 @@
                 place = handover.HandoverEndpoint("n0", _listen(whole), str(tmp_path))
                 peer = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
                 with announcement.short(place.path) as folder:
-                    peer.connect(f"{folder}/{handover.SOCKET}")
+                    peer.connect(f"{folder}/{handover.SOCKET_NAME}")
                 if point == "while it is handed the sockets":
                     peer.sendall(b'{"hello": 1}\n')
                     await first.line("handover.successor_started")
@@ -299,12 +299,12 @@
         await other.enter()
         if how == "a process that hangs as it starts":
             await place.enter()  # it goes on without
-            assert await place.meet({}) is None
+            assert await place.request_handover({}) is None
         else:
             await other.await_successor(lambda hello: None, lambda link: link.follow(None))  # type: ignore
             await place.enter()
             with pytest.raises(handover.TwoLiveError):
-                await place.meet({})
+                await place.request_handover({})
             await other.close()
         for each in (place, other):
             each.leave()
@@ -396,15 +396,15 @@
         place = handover.HandoverEndpoint("n0", ("h", 1), str(deep))
         stale = socket.socket(socket.AF_UNIX)
         if left == "a file":
-            (place.path / handover.SOCKET).write_bytes(b"garbage")
+            (place.path / handover.SOCKET_NAME).write_bytes(b"garbage")
         elif left != "nothing":
             with announcement.short(place.path) as folder:
-                stale.bind(f"{folder}/{handover.SOCKET}")
+                stale.bind(f"{folder}/{handover.SOCKET_NAME}")
         if left == "one that never answers":
             stale.listen()
         else:
             stale.close()
-        assert await place.meet({}) is None
+        assert await place.request_handover({}) is None
         with socket.create_server(("127.0.0.1", 0)) as front:
             talks: list[Link] = []
 
@@ -416,7 +416,7 @@
                 assert message["tell"] == 1
 
             await place.await_successor(lambda hello: (STATE, [front]), keep)
-            met = await handover.HandoverEndpoint("n0", ("h", 1), str(deep)).meet({"hello": 1})
+            met = await handover.HandoverEndpoint("n0", ("h", 1), str(deep)).request_handover({"hello": 1})
             assert met is not None and met[1] == STATE
             assert met[2][0].getsockname() == front.getsockname()
             following = asyncio.create_task(met[0].follow(took))
@@ -450,7 +450,7 @@
             lambda link: link.follow(None),
             life.successor_gone,
         )  # type: ignore
-        assert await handover.HandoverEndpoint("n0", ("h", 1), str(tmp_path)).meet({}) is None
+        assert await handover.HandoverEndpoint("n0", ("h", 1), str(tmp_path)).request_handover({}) is None
         assert life.can_be_succeeded() and life.budget().fraction == 1.0
         await place.close()
 
@@ -461,7 +461,7 @@
     async def story() -> None:
         (tmp_path / "file").write_bytes(b"")
         place = handover.HandoverEndpoint("n0", ("h", 1), str(tmp_path / "file"))
-        assert await place.meet({}) is None
+        assert await place.request_handover({}) is None
         await place.await_successor(lambda hello: (STATE, []), lambda link: link.follow(None))  # type: ignore
         await place.close()
 
@@ -543,9 +543,9 @@
     state = Maintenance({"d0": 5.0}, {"d1": (0.0, 9.0)})
     assert run(place.save(state)) and place.load() == state
     for garbage in (b"", b"{", b"[]", b'{"out":[]}', b'{"out":{"a":"x"},"back":{}}', b"\xff"):
-        (place.path / handover.MAINTENANCE).write_bytes(garbage)
+        (place.path / handover.MAINTENANCE_FILE).write_bytes(garbage)
         assert place.load() == Maintenance()
-    (place.path / handover.MAINTENANCE).unlink()
+    (place.path / handover.MAINTENANCE_FILE).unlink()
     place.path.rmdir()
     assert not run(place.save(state))
 
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -163,7 +163,7 @@
     sending = [each for each in lives if each.phase in ("serving", "told")]
     if sum(each.life.budget().fraction for each in sending) > 1.0:
         return "two budgets"
-    if sum(each.life.is_state_writer and each.phase == "told" for each in lives) > 1:
+    if sum(each.life.is_snapshot_writer and each.phase == "told" for each in lives) > 1:
         return "two memories"
     for each in lives:
         elder = state.processes[each.elder] if each.elder >= 0 else None
@@ -236,7 +236,7 @@
         ("successor_gone", _never_again, "nobody accepts"),
         ("successor_serving", lambda life: False, "two memories"),
         ("successor_serving", _heir_serves_always, "handed over what it had not"),
-        ("is_state_writer", property(lambda life: True), "two memories"),
+        ("is_snapshot_writer", property(lambda life: True), "two memories"),
         ("serving_started", _at_once, "nobody accepts"),
     ],
 )
