--- a/cherrycove/broker/lifecycle/handover.py
+++ b/cherrycove/broker/lifecycle/handover.py
@@ -139,7 +139,7 @@
 
     # The maintenance state.
 
-    async def save(self, state: Maintenance) -> bool:
+    async def save_maintenance(self, state: Maintenance) -> bool:
         """Store the maintenance state; return whether the next start will find it.
 
         On a thread: a busy disk takes 0.25 s for it, in which the loop would handle no request.
@@ -156,7 +156,7 @@
         fresh.write_text(text)
         os.replace(fresh, self.path / MAINTENANCE_FILE)
 
-    def load(self) -> Maintenance:
+    def load_maintenance(self) -> Maintenance:
         """Return the stored maintenance state; the empty one if there is none or it is unreadable."""
         try:
             return parse_maintenance(parse_message((self.path / MAINTENANCE_FILE).read_bytes()))
--- a/cherrycove/broker/lifecycle/maintenance.py
+++ b/cherrycove/broker/lifecycle/maintenance.py
@@ -27,7 +27,7 @@
 
     def load(self) -> None:
         """Apply what the last process stored."""
-        self._core.maintain(self._endpoint.load())
+        self._core.maintain(self._endpoint.load_maintenance())
         if self._core.maintenance.out:
             log.info("maintenance.out", nodes=" ".join(self._core.maintenance.out))
 
@@ -55,7 +55,7 @@
             state = before.taking_out(node, at_ms) if message["out"] else before.putting_back(node, at_ms)
             # Applied before it is stored: it has to bind 1 s after the call, however slow the disk is.
             self._core.maintain(state)
-            stored = await self._endpoint.save(state)
+            stored = await self._endpoint.save_maintenance(state)
             if not stored:
                 self._core.maintain(before)
         return stored
--- a/tests/golden_broker.py
+++ b/tests/golden_broker.py
@@ -302,7 +302,7 @@
 def write_maintenance(state: core.Maintenance, root: Path) -> bytes:
     """The bytes of the maintenance file that a broker keeps under ``root``."""
     place = handover.HandoverEndpoint("n1", ("127.0.0.1", 8080), str(root))
-    assert asyncio.run(place.save(state))
+    assert asyncio.run(place.save_maintenance(state))
     return (place.path / MAINTENANCE_FILE).read_bytes()
 
 
@@ -310,7 +310,7 @@
     """What a broker takes from such a file."""
     place = handover.HandoverEndpoint("n1", ("127.0.0.1", 8080), str(root))
     (place.path / MAINTENANCE_FILE).write_bytes(data)
-    return place.load()
+    return place.load_maintenance()
 
 
 # The shared map.
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -541,13 +541,13 @@
     """A yes that the next process knows nothing of would send to a node that is being worked on."""
     place = handover.HandoverEndpoint("n0", ("h", 1), str(tmp_path))
     state = Maintenance({"d0": 5.0}, {"d1": (0.0, 9.0)})
-    assert run(place.save(state)) and place.load() == state
+    assert run(place.save_maintenance(state)) and place.load_maintenance() == state
     for garbage in (b"", b"{", b"[]", b'{"out":[]}', b'{"out":{"a":"x"},"back":{}}', b"\xff"):
         (place.path / handover.MAINTENANCE_FILE).write_bytes(garbage)
-        assert place.load() == Maintenance()
+        assert place.load_maintenance() == Maintenance()
     (place.path / handover.MAINTENANCE_FILE).unlink()
     place.path.rmdir()
-    assert not run(place.save(state))
+    assert not run(place.save_maintenance(state))
 
 
 def test_a_disk_that_takes_its_time_holds_nothing_else_up(
@@ -564,9 +564,9 @@
     async def story() -> None:
         place = handover.HandoverEndpoint("n0", ("h", 1), str(tmp_path))
         monkeypatch.setattr(os, "replace", slow)
-        saving = asyncio.create_task(place.save(Maintenance({"d0": 5.0})))
+        saving = asyncio.create_task(place.save_maintenance(Maintenance({"d0": 5.0})))
         asyncio.get_running_loop().call_later(0.05, gate.set)
-        assert await saving and place.load() == Maintenance({"d0": 5.0})
+        assert await saving and place.load_maintenance() == Maintenance({"d0": 5.0})
 
     run(story())
 
