--- a/cherrycove/broker/lifecycle/coordinator.py
+++ b/cherrycove/broker/lifecycle/coordinator.py
@@ -1,7 +1,7 @@
 """Drives a handover: applies each state of the lifecycle to the broker, and exchanges messages.
 
-``state_machine`` decides the states and the budgets, ``handover`` how two processes meet. Nothing here keeps
-a process from serving: with nobody to meet it serves alone.
+``state_machine`` decides states and budgets, and ``handover`` implements the handover protocol. No failure
+here prevents a process from serving: without a predecessor it serves alone.
 """
 
 from __future__ import annotations
@@ -29,26 +29,26 @@
 
 log = Log("cherrycove.life.handover")
 
-LOG_WINDOW_S = 300.0  # of the decision log that a successor receives
+LOG_WINDOW_S = 300.0  # a successor receives the records of the decision log of this last period
 LOG_CHUNK_INTERVAL_S = 0.01
-LOG_CLOSE_TIMEOUT_S = 0.3  # for the last of it, once all accepted requests are answered
-OPEN_REQUESTS_INTERVAL_S = 0.05  # between two reports of how many requests are open
+LOG_CLOSE_TIMEOUT_S = 0.3  # the longest wait for the last chunks, once all accepted requests are answered
+OPEN_REQUESTS_INTERVAL_S = 0.05  # interval at which the number of open requests is reported
 
 
 class ClientListeners(Protocol):
-    """The parts of the broker whose sockets and limits a handover changes."""
+    """The broker's servers and limits, as far as a handover changes them."""
 
     def listeners(self) -> list[socket.socket]:
         """Return the listening sockets in use."""
 
     def hand_over(self) -> list[socket.socket]:
-        """Stop accepting; return the sockets, for the case that this process has to accept again."""
+        """Stop accepting; return the listening sockets, in case this process has to accept again."""
 
     async def accept(self, given: list[socket.socket]) -> None:
         """Accept from these sockets again."""
 
     async def accept_also(self, given: list[socket.socket]) -> None:
-        """Accept from these sockets beside the own ones; ``listeners`` does not name them."""
+        """Accept from these sockets in addition to the own ones; ``listeners`` does not return them."""
 
     def resize(self, clients: int, nodes: int, most_bytes: int) -> None:
         """Apply new limits: descriptors for clients and for nodes, bytes of bodies and answers."""
@@ -60,27 +60,27 @@
 class DecisionLog(Protocol):
     """The decision log (cherrycove/broker/decision_log), if it is enabled."""
 
-    former_lost: int  # chunks of the predecessor's log that did not arrive or were malformed
+    former_lost: int  # number of chunks of the predecessor's log that did not arrive or were malformed
 
     def pieces(self, since: float, now: float) -> Iterable[dict[str, object]]:
-        """Return the records since then in chunks that ``take_over`` accepts."""
+        """Return the records since the time ``since``, in chunks that ``take_over`` accepts."""
 
     def take_over(self, piece: dict[str, object], now: float) -> int:
-        """Add a chunk of the predecessor's log; return the number of records."""
+        """Add a chunk of the predecessor's log; return the number of its records."""
 
 
 class HandoverCoordinator:
-    """One process's part in a handover, as successor and later as predecessor. The broker owns it.
+    """Runs one process's part in a handover, as successor and later as predecessor. The broker owns it.
 
-    If the other process dies at any step, this one goes on alone: a successor serves with the whole budget, a
-    predecessor accepts clients again unless it is shutting down.
+    If the other process dies at any step, this one continues alone: a successor serves with the whole budget,
+    and a predecessor accepts clients again unless it is shutting down.
 
     Args:
         broker: the broker's name.
         core: receives budgets, node list and maintenance state.
-        listeners: see ``ClientListeners``.
+        listeners: the broker's servers and their limits.
         lifecycle: the state of this process.
-        endpoint: the broker's directory.
+        endpoint: this process's side of the handover protocol.
         decision_log: returns the decision log, or None if it is disabled.
         transfers_snapshot: whether what was learned about nodes and volumes is handed over and applied.
     """
@@ -100,64 +100,65 @@
         self._broker, self._core = broker, core
         self._listeners, self._decision_log = listeners, decision_log
         self.lifecycle, self.endpoint = lifecycle, endpoint
-        self.maintenance = MaintenanceController(core, endpoint, self._send_to_peers)
+        self.maintenance = MaintenanceController(core, endpoint, self._notify_other_processes)
         self.links: set[Link] = set()
-        self._successors: set[Link] = set()  # of these, the links to a successor
-        self._handed_over: list[socket.socket] = []  # sockets that a successor accepts from, should it die
-        self._following: set[asyncio.Task[None]] = set()
+        self._successors: set[Link] = set()  # the subset of ``links`` that lead to a successor
+        self._handed_over_listeners: list[socket.socket] = []  # accepted from again if the successor dies
+        self._background_tasks: set[asyncio.Task[None]] = set()
         self._sending_log: asyncio.Task[None] | None = None
         self._closed = False
-        self._chunks_received = 0  # of the predecessor's decision log
-        endpoint.on_coming = self.announcements_changed
+        self._chunks_received = 0  # chunks of the predecessor's decision log in the present transfer
+        endpoint.on_announcements_changed = self.announcements_changed
 
-    # As successor.
+    # The successor's side.
 
     async def request_handover(self) -> list[socket.socket] | None:
-        """Ask the process in service for the handover; return its listening sockets, None without one."""
-        await self.endpoint.enter()
+        """Request the handover; return the predecessor's listening sockets, or None without a handover."""
+        await self.endpoint.acquire_start_lock()
         takeover = await self.endpoint.request_handover({"hello": 1}, self._predecessor_stalled)
         if takeover is None:
             return None
         log.info("handover.taking_over")
         self.lifecycle.predecessor_found()
-        self._take_over(takeover.state)
-        self._own(asyncio.create_task(self._follow(takeover.link, is_successor=False)))
+        self._apply_state(takeover.state)
+        self._track(asyncio.create_task(self._run_link(takeover.link, is_successor=False)))
         return takeover.listeners
 
     def _predecessor_stalled(self, pending: PendingTakeover) -> None:
-        """Share the budgets with a process that is alive but does not answer, until it does or ends.
+        """Share the budgets with a predecessor that is alive but does not answer, until it answers or ends.
 
-        This process serves meanwhile, from sockets of its own: it has to within 6 s of its start.
+        Meanwhile this process serves from its own sockets, since it has to serve within 6 s of its start.
         """
         self.lifecycle.predecessor_found()
         self.apply_budget()
-        self._own(asyncio.create_task(self._await_stalled(pending)))
+        self._track(asyncio.create_task(self._await_stalled(pending)))
 
     async def _await_stalled(self, pending: PendingTakeover) -> None:
         try:
             takeover = await pending
         except BusyError:
-            takeover = None  # it has another beside it, which it takes for the one in service
+            takeover = None  # the other process has a successor already, which it takes to be in service
         if takeover is None:
             self.lifecycle.predecessor_gone()
             self.apply_budget()
             log.info("handover.other_ended")
             return
         log.info("handover.taking_over")
-        self._take_over(takeover.state)
-        # The predecessor's sockets share the address: what it stops to accept has to be accepted here.
+        self._apply_state(takeover.state)
+        # The predecessor's sockets share the address: connections that queue there have to be accepted here
+        # once the predecessor stops accepting.
         await self._listeners.accept_also(takeover.listeners)
-        self._own(asyncio.create_task(self._follow(takeover.link, is_successor=False)))
+        self._track(asyncio.create_task(self._run_link(takeover.link, is_successor=False)))
         if self.lifecycle.is_accepting:
             await self._report_serving(takeover.link)
 
-    def _own(self, task: asyncio.Task[None]) -> None:
-        """Keep a task that ends with the predecessor's process, or with this one."""
-        self._following.add(task)
-        task.add_done_callback(self._following.discard)
+    def _track(self, task: asyncio.Task[None]) -> None:
+        """Keep a reference to a task that ends with the predecessor; ``close`` cancels it otherwise."""
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
 
-    def _take_over(self, state: Message) -> None:
-        """Apply the predecessor's state, as far as it is usable."""
+    def _apply_state(self, state: Message) -> None:
+        """Apply the predecessor's state, as far as it is well-formed."""
         try:
             members = tuple(parse_member(raw) for raw in state["members"])
             sent = {str(name): float(units) for name, units in state["sent"].items()}
@@ -175,7 +176,7 @@
                 log.warning("memory.unusable", source="process", why=error)
 
     async def report_serving(self) -> None:
-        """Record that this process accepts clients, and have the predecessor stop."""
+        """Record that this process accepts clients, and tell the predecessor to stop accepting."""
         self.lifecycle.serving_started()
         for link in list(self.links):
             await self._report_serving(link)
@@ -187,16 +188,16 @@
             log.warning("handover.unconfirmed", told="serving")
 
     async def await_successor(self) -> None:
-        """Listen for the next process."""
+        """Listen for the next process, and release the start lock."""
         await self.endpoint.await_successor(
-            self._grant, lambda link: self._follow(link, is_successor=True), self.lifecycle.successor_gone
+            self._grant, lambda link: self._run_link(link, is_successor=True), self.lifecycle.successor_gone
         )
 
     def _receive_log_chunk(self, message: Message) -> None:
         decision_log = self._decision_log()
         if decision_log is None:
             return
-        if message["why"] is None:  # the end of a transfer, with the number of its chunks
+        if message["why"] is None:  # end of a transfer; ``number`` is the count of its chunks
             missing = message["number"] - self._chunks_received
             decision_log.former_lost += max(missing, 0) if type(message["number"]) is int else 1
             self._chunks_received = 0
@@ -208,35 +209,36 @@
             decision_log.former_lost += 1
             log.warning("why.piece_unusable", why=error)
 
-    # As either.
+    # Both sides.
 
     def apply_budget(self) -> None:
-        """Apply the budget of the present state: two processes count as one broker."""
+        """Apply the budget of the present state, in which two processes share that of one broker."""
         budget = self.lifecycle.budget()
         self._core.set_budget_share(budget.fraction)
         self._listeners.resize(budget.client_connections, budget.node_connections, budget.body_bytes)
-        # A process that ends must not open the address of the exchange again: its successor is about to.
-        self._listeners.set_capacity_exchange(budget.uses_tier)
+        # A process that is shutting down must not bind the address of the exchange again, because its
+        # successor is about to.
+        self._listeners.set_capacity_exchange(budget.exchanges_capacity)
         self.apply_request_limit()
 
     def apply_request_limit(self) -> None:
-        """Apply the limit of open requests of the present state."""
+        """Apply the limit of open requests that the present state allows."""
         self._core.limit_open_requests(self.lifecycle.budget().open_requests)
 
     def announcements_changed(self) -> None:
-        """Count the processes that have announced themselves, and apply the limit of open requests."""
-        self.lifecycle.announced = self.endpoint.coming
+        """Record the number of announced processes, and apply the resulting limit of open requests."""
+        self.lifecycle.announced_processes = self.endpoint.announcement_count
         self.apply_request_limit()
 
-    async def _follow(self, link: Link, *, is_successor: bool) -> None:
-        """Exchange messages with the other process while it lives."""
+    async def _run_link(self, link: Link, *, is_successor: bool) -> None:
+        """Exchange messages with the other process until its link closes, then adapt to its end."""
         self.links.add(link)
         if is_successor:
             self._successors.add(link)
         self.apply_budget()
         accepts_again = False
         try:
-            await link.follow(self._receive)
+            await link.run(self._receive)
         finally:
             self.links.discard(link)
             self._successors.discard(link)
@@ -249,13 +251,13 @@
         if accepts_again:
             await self._accept_again()
         if is_successor and not self._closed:
-            # The successor may have taken this process's name: the next would find nobody, and serve beside
-            # this one with a budget of its own.
+            # The successor may have replaced this process's socket file. The next process would then find no
+            # predecessor, and serve in parallel to this one with a whole budget.
             await self.await_successor()
 
     async def _accept_again(self) -> None:
         log.warning("handover.serving_again")
-        listeners, self._handed_over = self._handed_over, []
+        listeners, self._handed_over_listeners = self._handed_over_listeners, []
         await self._listeners.accept(listeners)
 
     async def _receive(self, message: Message) -> None:
@@ -269,16 +271,16 @@
         if "maint" in message:
             await self.maintenance.apply(message)
 
-    async def _send_to_peers(self, message: Message) -> None:
+    async def _notify_other_processes(self, message: Message) -> None:
         for link in list(self.links):
             if not await link.request(message):
                 log.warning("handover.unconfirmed", told=message)
 
-    # As predecessor.
+    # The predecessor's side.
 
     def _grant(self, _hello: Message) -> Grant | None:
-        """Return what a successor receives, None if it has to ask again."""
-        if not self.lifecycle.can_be_succeeded():
+        """Return what to hand over to a successor, or None if it has to request the handover again."""
+        if not self.lifecycle.can_grant_handover():
             log.info("handover.successor_waits")
             return None
         log.info("handover.successor_started")
@@ -292,17 +294,20 @@
         }
         if self._transfers_snapshot:
             state["memory"] = take_snapshot(self._core, self._broker, whole=True)
-        return Grant(state, self._handed_over or self._listeners.listeners())
+        return Grant(state, self._handed_over_listeners or self._listeners.listeners())
 
     def _stop_accepting(self) -> None:
         log.info("handover.successor_serves")
-        self._handed_over = self._listeners.hand_over()
+        self._handed_over_listeners = self._listeners.hand_over()
         self.apply_request_limit()
         self._report_open_requests()
         self._sending_log = asyncio.create_task(self._send_log())
 
     def _report_open_requests(self, reported: int = -1) -> None:
-        """Report the number of open requests to the successor whenever it has changed, until either ends."""
+        """Report the number of open requests to the successor when it has changed, until either process ends.
+
+        ``reported`` is the number in the last report.
+        """
         if not (self._successors and self.lifecycle.has_handed_over):
             return
         if self._core.open_requests != reported:
@@ -312,7 +317,7 @@
         asyncio.get_running_loop().call_later(OPEN_REQUESTS_INTERVAL_S, self._report_open_requests, reported)
 
     async def _send_log(self) -> None:
-        """Send the recent decision log, and, once no request is open, what was added meanwhile."""
+        """Send the recent decision log and, once no request is open, the records added meanwhile."""
         decision_log, loop = self._decision_log(), asyncio.get_running_loop()
         if decision_log is None:
             return
@@ -332,10 +337,10 @@
         for link in self._successors:
             link.send(message)
 
-    # The end.
+    # Shutdown.
 
     async def close(self) -> None:
-        """Close the links, once all accepted requests are answered; the last of the log is still sent."""
+        """Send the rest of the decision log and close the links; called once all requests are answered."""
         self._closed = True
         if self._sending_log is not None:
             await asyncio.wait((self._sending_log,), timeout=LOG_CLOSE_TIMEOUT_S)
@@ -343,6 +348,6 @@
         for link in list(self.links):
             link.close()
         await self.endpoint.close()
-        for following in list(self._following):
-            following.cancel()
-        await asyncio.gather(*self._following, return_exceptions=True)
+        for task in list(self._background_tasks):
+            task.cancel()
+        await asyncio.gather(*self._background_tasks, return_exceptions=True)
--- a/cherrycove/broker/lifecycle/handover.py
+++ b/cherrycove/broker/lifecycle/handover.py
@@ -1,8 +1,8 @@
-"""The meeting of two processes of one broker: start lock, handover of the listening sockets, state file.
+"""The handover between two processes of one broker: start lock, transfer of listening sockets, state file.
 
-All processes of a broker share a directory in $TMPDIR. In it lie the Unix socket of the process in service,
-the lock of the process that starts, and the maintenance state. What is found there is not trusted, and no
-fault there keeps a process from starting: without the directory a broker serves alone.
+All processes of a broker share a directory in $TMPDIR. It contains the Unix socket of the process in service,
+the lock of the process that starts, and the maintenance state. Its contents are not trusted, and no error
+there prevents a process from starting: without the directory a broker serves without handover.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 from cherrycove.broker.core import Maintenance
 from cherrycove.broker.event_log import Log
-from cherrycove.broker.lifecycle.announcement import SOCKET_NAME, broker_directory, short
+from cherrycove.broker.lifecycle.announcement import SOCKET_NAME, broker_directory, short_path
 from cherrycove.broker.lifecycle.link import Link
 from cherrycove.broker.lifecycle.messages import (
     HandoverError,
@@ -32,63 +32,63 @@
 
 log = Log("cherrycove.life.handover")
 
-MAINTENANCE_FILE = "maintenance.json"  # file names in the broker's directory
-LOCK_FILE = "start.lock"  # locked by the process that starts, until it can be found
+# File names in the broker's directory.
+MAINTENANCE_FILE = "maintenance.json"
+LOCK_FILE = "start.lock"  # locked by the starting process until it listens for its successor
 LOCK_RETRY_S = 0.02
-ANNOUNCEMENT_TIMEOUT_S = 6.0  # in which a process that has announced itself must ask for the handover
-# In which a process in service must answer its successor, else it counts as absent. A successor has to serve
-# 6 s after its start, of which its imports take up to 2 on a crowded core.
+ANNOUNCEMENT_TIMEOUT_S = 6.0  # an announced process must request the handover within this time
+# A successor has to serve within 6 s of its start, of which its imports take up to 2 s on a busy core. It
+# starts to serve on its own if the process in service has not answered within this time.
 ANSWER_TIMEOUT_S = 2.5
-GRANTED = b"\n"  # first byte of an answer; the descriptors come with it, the state behind it
-BUSY = b"w"  # the answer of a process that has another beside it already
+GRANTED = b"\n"  # first byte of a grant; the descriptors are attached to it, and the state follows it
+BUSY = b"w"  # the answer of a process that already has a predecessor or a successor
 BUSY_RETRY_S = 0.1
-BUSY_TIMEOUT_S = 4.5  # as long as a shutdown may take, and what is left of the 6 s
+BUSY_TIMEOUT_S = 4.5  # the longest duration of a shutdown; also what remains of the 6 s
 MAX_MESSAGE_BYTES = 1 << 20
 MAX_LISTENERS = 4
 
-
 TAKEOVER_ERRORS = (OSError, EOFError, HandoverError, asyncio.LimitOverrunError, ValueError)
 
 
-class TwoLiveError(OSError):
-    """Two processes of this broker are alive already, and neither has ended in ``BUSY_TIMEOUT_S``."""
+class TwoProcessesAliveError(OSError):
+    """Two processes of this broker are already alive, and neither has ended within ``BUSY_TIMEOUT_S``."""
 
 
 class BusyError(Exception):
-    """The process in service has another beside it."""
+    """The process in service already has a predecessor or a successor."""
 
 
 class Grant(NamedTuple):
-    """What the process in service hands to its successor."""
+    """The state and listening sockets that the process in service hands over to its successor."""
 
     state: Message
     listeners: list[socket.socket]
 
 
 class Takeover(NamedTuple):
-    """What a successor has received from the process in service."""
+    """The link, state and listening sockets that a successor has received from the process in service."""
 
     link: Link
     state: Message
     listeners: list[socket.socket]
 
 
-PendingTakeover = asyncio.Task[Takeover | None]  # ends with None where the process in service has ended
+PendingTakeover = asyncio.Task[Takeover | None]  # returns None if the process in service has ended
 
 
 def cancel_takeover(pending: PendingTakeover) -> None:
-    """Await a handover no longer, and close its connection."""
+    """Stop waiting for a handover, and close its connection."""
     pending.cancel()
 
 
 class HandoverEndpoint:
-    """One process's end of a handover, and the broker's directory. The coordinator owns it.
+    """One process's side of the handover protocol, and the broker's directory. The coordinator owns it.
 
     Args:
         name: the broker's name.
         listen: host and port of its HTTP server; with the name they identify the broker.
-        root: the folder of the directory; $TMPDIR by default.
-        on_coming: called when ``coming`` has changed.
+        root: the parent of the broker's directory; $TMPDIR by default.
+        on_announcements_changed: called when ``announcement_count`` has changed.
     """
 
     def __init__(
@@ -96,16 +96,16 @@
         name: str,
         listen: tuple[str, int],
         root: str | None = None,
-        on_coming: Callable[[], None] = lambda: None,
+        on_announcements_changed: Callable[[], None] = lambda: None,
     ) -> None:
         self.path = Path(broker_directory(name, *listen, root))
-        self.changing = asyncio.Lock()  # of the maintenance state, until a change is stored or undone
-        self.coming = 0  # processes that have announced themselves and not asked yet
-        self.on_coming = on_coming
+        self.maintenance_lock = asyncio.Lock()  # held until a change of the state is stored or undone
+        self.announcement_count = 0  # processes announced that have not requested the handover yet
+        self.on_announcements_changed = on_announcements_changed
         self._server: asyncio.Server | None = None
-        self._lock = -1
+        self._lock_descriptor = -1
         self._connections: set[asyncio.Task[None]] = set()
-        self._announcements: set[asyncio.Task[None]] = set()  # of these, those that carry an announcement
+        self._announcements: set[asyncio.Task[None]] = set()  # the connections that carry an announcement
         try:
             self.path.mkdir(mode=0o700, exist_ok=True)
         except OSError as error:
@@ -113,17 +113,20 @@
 
     # The start lock.
 
-    async def enter(self) -> None:
-        """Acquire the start lock, until ``leave`` or the end of this process.
+    async def acquire_start_lock(self) -> None:
+        """Acquire the start lock, which is held until ``release_start_lock`` or the end of this process.
 
-        Two that start at once would find nobody each, and serve with two budgets. One that stalls as it
-        starts delays the next by ``BUSY_TIMEOUT_S``, and no longer.
+        Without it, two processes that start at the same time would both find no predecessor, and each would
+        serve with a whole budget. A process that stalls during its start delays the next by
+        ``BUSY_TIMEOUT_S`` at most: that one then starts without the lock.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + BUSY_TIMEOUT_S
         try:
-            self._lock = os.open(self.path / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-            while not _try_lock(self._lock):
+            self._lock_descriptor = os.open(
+                self.path / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600
+            )
+            while not _try_lock(self._lock_descriptor):
                 if loop.time() >= deadline:
                     log.warning("handover.start_not_alone")
                     return
@@ -131,18 +134,18 @@
         except OSError as error:
             log.warning("handover.no_place", path=self.path, why=error.strerror)
 
-    def leave(self) -> None:
-        """Release the start lock: the next process may start."""
-        if self._lock >= 0:
-            os.close(self._lock)
-            self._lock = -1
+    def release_start_lock(self) -> None:
+        """Release the start lock, so that the next process may start."""
+        if self._lock_descriptor >= 0:
+            os.close(self._lock_descriptor)
+            self._lock_descriptor = -1
 
     # The maintenance state.
 
     async def save_maintenance(self, state: Maintenance) -> bool:
-        """Store the maintenance state; return whether the next start will find it.
+        """Store the maintenance state; return whether it was written, so that the next process finds it.
 
-        On a thread: a busy disk takes 0.25 s for it, in which the loop would handle no request.
+        Runs on a thread: a busy disk takes 0.25 s for it, during which the loop would handle no request.
         """
         try:
             await asyncio.to_thread(self._write, json.dumps(pack_maintenance(state)))
@@ -152,12 +155,12 @@
         return True
 
     def _write(self, text: str) -> None:
-        fresh = self.path / f"{os.getpid()}.{MAINTENANCE_FILE}"
-        fresh.write_text(text)
-        os.replace(fresh, self.path / MAINTENANCE_FILE)
+        temporary = self.path / f"{os.getpid()}.{MAINTENANCE_FILE}"
+        temporary.write_text(text)
+        os.replace(temporary, self.path / MAINTENANCE_FILE)
 
     def load_maintenance(self) -> Maintenance:
-        """Return the stored maintenance state; the empty one if there is none or it is unreadable."""
+        """Return the stored maintenance state, or an empty one if there is none or it is unreadable."""
         try:
             return parse_maintenance(parse_message((self.path / MAINTENANCE_FILE).read_bytes()))
         except FileNotFoundError:
@@ -171,14 +174,14 @@
     async def request_handover(
         self, hello: Message, on_stalled: Callable[[PendingTakeover], None] = cancel_takeover
     ) -> Takeover | None:
-        """Ask the process in service for the handover; None if there is none, or it does not answer.
+        """Request the handover from the process in service; return None if there is none or no answer.
 
-        ``on_stalled`` gets the handover that is still awaited where a process has taken the connection, and
-        so is alive, but has not answered in ``ANSWER_TIMEOUT_S``.
+        ``on_stalled`` receives the pending takeover if a process has accepted the connection, and so is
+        alive, but has not answered within ``ANSWER_TIMEOUT_S``.
 
         Raises:
-            TwoLiveError: it has had another beside it for ``BUSY_TIMEOUT_S``. A third that served at once
-                would have half of the budgets beside two others.
+            TwoProcessesAliveError: if the process in service has answered BUSY for ``BUSY_TIMEOUT_S``. A
+                third process that served at once would use half of the budgets in addition to the two others.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + BUSY_TIMEOUT_S
@@ -187,7 +190,9 @@
                 return await self._request_takeover(hello, on_stalled)
             except BusyError as error:
                 if loop.time() >= deadline:
-                    raise TwoLiveError("two processes of this broker live already") from error
+                    raise TwoProcessesAliveError(
+                        f"two processes of this broker are alive and neither ended within {BUSY_TIMEOUT_S} s"
+                    ) from error
                 await asyncio.sleep(BUSY_RETRY_S)
 
     async def _request_takeover(
@@ -214,22 +219,22 @@
             descriptors = await _receive_descriptors(peer)
             reader, writer = await asyncio.open_connection(sock=peer, limit=MAX_MESSAGE_BYTES)
             state = parse_message(await reader.readline())
-            listeners = [socket.socket(fileno=number) for number in descriptors]
+            listeners = [socket.socket(fileno=descriptor) for descriptor in descriptors]
             return Takeover(Link(reader, writer), state, listeners)
         except BaseException as error:
-            for number in descriptors:
-                os.close(number)
+            for descriptor in descriptors:
+                os.close(descriptor)
             peer.close()
             if not isinstance(error, TAKEOVER_ERRORS):
-                raise  # it is busy, or this process ends
+                raise  # BusyError, or the task was cancelled
             if not isinstance(error, FileNotFoundError | ConnectionRefusedError):
                 log.warning("handover.nobody", why=str(error) or type(error).__name__)
             return None
 
     async def _send_hello(self, peer: socket.socket, hello: Message) -> None:
         loop = asyncio.get_running_loop()
-        with short(self.path) as folder:
-            await loop.sock_connect(peer, f"{folder}/{SOCKET_NAME}")
+        with short_path(self.path) as directory:
+            await loop.sock_connect(peer, f"{directory}/{SOCKET_NAME}")
         await loop.sock_sendall(peer, json.dumps(hello).encode() + b"\n")
 
     # The predecessor's side.
@@ -240,30 +245,30 @@
         on_link: Callable[[Link], Awaitable[None]],
         on_lost: Callable[[], object] = lambda: None,
     ) -> None:
-        """Listen for the next process, in place of whichever was listening, and release the start lock.
+        """Listen for the next process in place of the one that listened so far, and release the start lock.
 
         Args:
-            grant: returns what to hand over, or None if the process has to ask again.
-            on_link: runs as long as the link to the successor.
-            on_lost: called if the successor was lost between the grant and the link.
+            grant: returns what to hand over, or None if the other process has to request it again.
+            on_link: runs the link to the successor until the link is closed.
+            on_lost: called if the grant could not be sent to the successor.
         """
-        own_name = f"{os.getpid()}.sock"
+        own_socket_name = f"{os.getpid()}.sock"
         serve = partial(self._serve, grant, on_link, on_lost)
         if self._server is not None:
-            self._server.close()  # another process has taken its name since
+            self._server.close()  # another process has replaced its socket file since
         try:
-            with short(self.path) as folder:
+            with short_path(self.path) as directory:
                 with contextlib.suppress(FileNotFoundError):
-                    os.unlink(f"{folder}/{own_name}")
+                    os.unlink(f"{directory}/{own_socket_name}")
                 self._server = await asyncio.start_unix_server(
-                    serve, f"{folder}/{own_name}", limit=MAX_MESSAGE_BYTES
+                    serve, f"{directory}/{own_socket_name}", limit=MAX_MESSAGE_BYTES
                 )
-            # Replaces whatever lies there, of the predecessor or of a process that died long ago.
-            os.replace(self.path / own_name, self.path / SOCKET_NAME)
+            # Replaces any existing file: the predecessor's socket, or that of a process that died long ago.
+            os.replace(self.path / own_socket_name, self.path / SOCKET_NAME)
         except OSError as error:
             log.warning("handover.no_place", path=self.path, why=error)
         finally:
-            self.leave()
+            self.release_start_lock()
 
     async def _serve(
         self,
@@ -299,9 +304,9 @@
             writer.close()
 
     async def _await_request(self, reader: asyncio.StreamReader, connection: asyncio.Task[None]) -> None:
-        """Count an announced process until it closes its announcement, dies, or has had its time."""
-        self.coming += 1
-        self.on_coming()
+        """Count an announced process until its connection closes, for ``ANNOUNCEMENT_TIMEOUT_S`` at most."""
+        self.announcement_count += 1
+        self.on_announcements_changed()
         self._announcements.add(connection)
         try:
             async with asyncio.timeout(ANNOUNCEMENT_TIMEOUT_S):
@@ -310,11 +315,11 @@
             pass
         finally:
             self._announcements.discard(connection)
-            self.coming -= 1
-            self.on_coming()
+            self.announcement_count -= 1
+            self.on_announcements_changed()
 
     async def close(self) -> None:
-        """Stop listening, and wait for the connections; their links are closed by the coordinator."""
+        """Stop listening, and wait until all connections are closed; the coordinator closes the links."""
         if self._server is not None:
             self._server.close()
         for announcement in self._announcements:
@@ -332,12 +337,17 @@
 
 def _send_grant(writer: asyncio.StreamWriter, state: Message, listeners: list[socket.socket]) -> None:
     with writer.get_extra_info("socket").dup() as peer:
-        socket.send_fds(peer, [GRANTED], [each.fileno() for each in listeners])
+        socket.send_fds(peer, [GRANTED], [listener.fileno() for listener in listeners])
     writer.write(json.dumps(state).encode() + b"\n")
 
 
 async def _receive_descriptors(peer: socket.socket) -> list[int]:
-    """Receive the listening sockets; BusyError if the other has to be asked again."""
+    """Receive the descriptors of the listening sockets.
+
+    Raises:
+        BusyError: if the handover has to be requested again.
+        HandoverError: if the other process sent no descriptors.
+    """
     loop = asyncio.get_running_loop()
     readable = loop.create_future()
     loop.add_reader(peer, _wake, readable)
@@ -345,12 +355,12 @@
         await readable
     finally:
         loop.remove_reader(peer)
-    # One byte and no more: the descriptors come with it, and the state behind it is read as a stream.
+    # Reads a single byte: the descriptors are attached to it, and the state that follows is read as a stream.
     first, descriptors, _, _ = socket.recv_fds(peer, 1, MAX_LISTENERS)
     if first == BUSY:
         raise BusyError
     if not first or not descriptors:
-        raise HandoverError("it hands nothing over")
+        raise HandoverError("the process in service sent no listening sockets")
     return descriptors
 
 
--- a/cherrycove/broker/lifecycle/listening_socket.py
+++ b/cherrycove/broker/lifecycle/listening_socket.py
@@ -8,8 +8,11 @@
 def bind_listening_socket(host: str, port: int, **options: int) -> socket.socket:
     """Return a bound socket for clients that does not listen yet; ``options`` are TCP options by their names.
 
-    The address is shared: a process that did not answer its successor may still occupy it. Where it did
-    answer, one socket serves both. OSError if the address cannot be bound.
+    The address can be shared (SO_REUSEPORT), since a predecessor that did not answer the request for the
+    handover may still be bound to it. A predecessor that answered passes its own socket instead.
+
+    Raises:
+        OSError: if the address cannot be bound.
     """
     family, kind, protocol, _, address = socket.getaddrinfo(host, port, type=socket.SOCK_STREAM)[0]
     listening = socket.socket(family, kind, protocol)
--- a/cherrycove/broker/lifecycle/maintenance.py
+++ b/cherrycove/broker/lifecycle/maintenance.py
@@ -1,4 +1,4 @@
-"""Takes nodes out of service for maintenance, across the processes of a broker and across restarts."""
+"""Takes nodes out of service for maintenance, in all processes of a broker and across restarts."""
 
 from __future__ import annotations
 
@@ -14,25 +14,29 @@
 
 
 class MaintenanceController:
-    """Changes the maintenance state here, in the file, and at the other process; then confirms.
+    """Changes the maintenance state in this process, in the maintenance file and in the other process.
 
-    ``send_to_peer`` returns once the other process has acknowledged or could not be reached. A change that
-    cannot be stored is undone and refused: the next process would not know of it.
+    The operator gets a YES only after all three. ``notify_other_process`` returns once the other process has
+    acknowledged or could not be reached. A change that cannot be stored is undone and refused, since the next
+    process would not know of it.
     """
 
     def __init__(
-        self, core: Core, endpoint: HandoverEndpoint, send_to_peer: Callable[[Message], Awaitable[None]]
+        self,
+        core: Core,
+        endpoint: HandoverEndpoint,
+        notify_other_process: Callable[[Message], Awaitable[None]],
     ) -> None:
-        self._core, self._endpoint, self._send_to_peer = core, endpoint, send_to_peer
+        self._core, self._endpoint, self._notify_other_process = core, endpoint, notify_other_process
 
     def load(self) -> None:
-        """Apply what the last process stored."""
+        """Apply the maintenance state that the previous process stored."""
         self._core.maintain(self._endpoint.load_maintenance())
         if self._core.maintenance.out:
             log.info("maintenance.out", nodes=" ".join(self._core.maintenance.out))
 
     async def change(self, node: str, out: bool) -> str:
-        """Take a node out of service, or back into it; return the answer to the operator (YES or NO ...)."""
+        """Take a node out of service, or put it back; return the answer to the operator (YES or NO ...)."""
         state = self._core.maintenance
         known = {member.name: member for member in self._core.members}
         if node not in known and node not in state.out:
@@ -44,16 +48,16 @@
         message = {"maint": node, "at": at_ms, "out": out}
         if not await self.apply(message):
             return "NO it cannot be kept across a restart; the log says why"
-        await self._send_to_peer(message)
+        await self._notify_other_process(message)
         log.info("maintenance.changed", node=node, out=out)
         return f"YES {node} is {'out' if out else 'back'}"
 
     async def apply(self, message: Message) -> bool:
-        """Apply a change of either process; return whether it was stored, else it is undone."""
-        async with self._endpoint.changing:
+        """Apply a change made in either process; return whether it was stored, otherwise it is undone."""
+        async with self._endpoint.maintenance_lock:
             before, node, at_ms = self._core.maintenance, str(message["maint"]), float(message["at"])
             state = before.taking_out(node, at_ms) if message["out"] else before.putting_back(node, at_ms)
-            # Applied before it is stored: it has to bind 1 s after the call, however slow the disk is.
+            # Applied before it is stored: it must take effect 1 s after the call, however slow the disk is.
             self._core.maintain(state)
             stored = await self._endpoint.save_maintenance(state)
             if not stored:
--- a/cherrycove/broker/lifecycle/messages.py
+++ b/cherrycove/broker/lifecycle/messages.py
@@ -1,7 +1,7 @@
 """Codec of the messages between two processes of one broker, and of the maintenance file: JSON objects.
 
-A message is one line. Whatever is parsed was written by another process or lay in a directory for temporary
-files, so each function checks the shape and raises ``HandoverError``.
+A message is one line. The input was written by another process, or lay in a directory for temporary files, so
+each parser checks its structure and raises ``HandoverError``.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 from cherrycove.broker.core import Maintenance, Member
 from cherrycove.scheduling.interface import NodeState
 
-MAX_NODES_OUT = 256  # nodes that may be out of service for maintenance
+MAX_NODES_OUT = 256  # the most nodes that may be out of service for maintenance at a time
 Message = dict[str, Any]
 
 
 class HandoverError(ValueError):
-    """A message of another process, or the maintenance file, is malformed; the text says why."""
+    """A message of another process, or the maintenance file, is malformed; the message says why."""
 
 
 def pack_member(member: Member) -> list[Any]:
-    """Encode an entry of the node list; ``since_ms`` is a wall-clock time."""
+    """Encode an entry of the node list; ``since_ms`` is a wall-clock time in milliseconds."""
     return [
         member.name,
         member.address,
@@ -34,7 +34,7 @@
 
 
 def parse_member(raw: Any) -> Member:
-    """Decode an entry of the node list; HandoverError if it is malformed."""
+    """Decode an entry of the node list; raise HandoverError if it is malformed."""
     try:
         name, address, shard, zone, weight, since_ms, state = raw
         member = Member(name, address, shard, zone, float(weight), float(since_ms), NodeState(state))
@@ -52,23 +52,23 @@
 
 
 def parse_maintenance(raw: Any) -> Maintenance:
-    """Decode the maintenance state; HandoverError if it is malformed or holds too many nodes."""
+    """Decode the maintenance state; raise HandoverError if it is malformed or has too many nodes out."""
     try:
         out = {str(name): float(since) for name, since in raw["out"].items()}
         back = {str(name): (float(since), float(at)) for name, (since, at) in raw["back"].items()}
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise HandoverError("the state of maintenance is malformed") from error
+        raise HandoverError("the maintenance state is malformed") from error
     if len(out) > MAX_NODES_OUT:
-        raise HandoverError("more nodes are out than may be")
+        raise HandoverError(f"more than {MAX_NODES_OUT} nodes are out of service")
     return Maintenance(out, back)
 
 
 def parse_message(line: bytes) -> Message:
-    """Decode one line; HandoverError if it is not a JSON object."""
+    """Decode one line; raise HandoverError if it is not a JSON object."""
     try:
         message = json.loads(line)
     except (ValueError, RecursionError) as error:
-        raise HandoverError("not JSON") from error
+        raise HandoverError("the message is not valid JSON") from error
     if not isinstance(message, dict):
-        raise HandoverError("no object")
+        raise HandoverError("the message is not a JSON object")
     return message
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -164,7 +164,7 @@
             else:
                 place = handover.HandoverEndpoint("n0", _listen(whole), str(tmp_path))
                 peer = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-                with announcement.short(place.path) as folder:
+                with announcement.short_path(place.path) as folder:
                     peer.connect(f"{folder}/{handover.SOCKET_NAME}")
                 if point == "while it is handed the sockets":
                     peer.sendall(b'{"hello": 1}\n')
@@ -296,18 +296,18 @@
 
     async def story() -> None:
         place, other = (handover.HandoverEndpoint("n0", ("h", 1), str(tmp_path)) for _ in range(2))
-        await other.enter()
+        await other.acquire_start_lock()
         if how == "a process that hangs as it starts":
-            await place.enter()  # it goes on without
+            await place.acquire_start_lock()  # it goes on without
             assert await place.request_handover({}) is None
         else:
-            await other.await_successor(lambda hello: None, lambda link: link.follow(None))  # type: ignore
-            await place.enter()
-            with pytest.raises(handover.TwoLiveError):
+            await other.await_successor(lambda hello: None, lambda link: link.run(None))  # type: ignore
+            await place.acquire_start_lock()
+            with pytest.raises(handover.TwoProcessesAliveError):
                 await place.request_handover({})
             await other.close()
         for each in (place, other):
-            each.leave()
+            each.release_start_lock()
 
     run(story())
 
@@ -342,7 +342,7 @@
         monkeypatch.setenv("RELAY_CONFIG", str(tmp_path / "config.json"))
         monkeypatch.setattr(
             first.handover.endpoint,
-            "on_coming",
+            "on_announcements_changed",
             lambda: (first.handover.announcements_changed(), changed.set()),
         )
         changed, coming = asyncio.Event(), announcement.announce()
@@ -398,7 +398,7 @@
         if left == "a file":
             (place.path / handover.SOCKET_NAME).write_bytes(b"garbage")
         elif left != "nothing":
-            with announcement.short(place.path) as folder:
+            with announcement.short_path(place.path) as folder:
                 stale.bind(f"{folder}/{handover.SOCKET_NAME}")
         if left == "one that never answers":
             stale.listen()
@@ -410,7 +410,7 @@
 
             async def keep(link: Link) -> None:
                 talks.append(link)
-                await link.follow(took)
+                await link.run(took)
 
             async def took(message: handover.Message) -> None:
                 assert message["tell"] == 1
@@ -419,7 +419,7 @@
             met = await handover.HandoverEndpoint("n0", ("h", 1), str(deep)).request_handover({"hello": 1})
             assert met is not None and met[1] == STATE
             assert met[2][0].getsockname() == front.getsockname()
-            following = asyncio.create_task(met[0].follow(took))
+            following = asyncio.create_task(met[0].run(took))
             assert await met[0].request({"tell": 1})  # told, taken in, acknowledged
             met[2][0].close()
             met[0].close()
@@ -447,11 +447,11 @@
         monkeypatch.setattr(socket, "send_fds", broken)
         await place.await_successor(
             lambda hello: (life.successor_found(), (STATE, []))[1],  # type: ignore
-            lambda link: link.follow(None),
+            lambda link: link.run(None),
             life.successor_gone,
         )  # type: ignore
         assert await handover.HandoverEndpoint("n0", ("h", 1), str(tmp_path)).request_handover({}) is None
-        assert life.can_be_succeeded() and life.budget().fraction == 1.0
+        assert life.can_grant_handover() and life.budget().fraction == 1.0
         await place.close()
 
     run(story())
@@ -462,7 +462,7 @@
         (tmp_path / "file").write_bytes(b"")
         place = handover.HandoverEndpoint("n0", ("h", 1), str(tmp_path / "file"))
         assert await place.request_handover({}) is None
-        await place.await_successor(lambda hello: (STATE, []), lambda link: link.follow(None))  # type: ignore
+        await place.await_successor(lambda hello: (STATE, []), lambda link: link.run(None))  # type: ignore
         await place.close()
 
     run(story())
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -101,12 +101,12 @@
                 yield f"{number} serves alone", served.put(number, phase="told")._replace(found=number)
         if state.kills:
             yield f"{number} is killed", gone(state, number)._replace(kills=state.kills - 1)
-        if state.ends and not each.life.is_ending and each.phase == "told":
+        if state.ends and not each.life.is_shutting_down and each.phase == "told":
             yield (
                 f"{number} is told to end",
                 told(state, number, "shutdown_started")[0]._replace(ends=state.ends - 1),
             )
-        if each.life.is_ending:
+        if each.life.is_shutting_down:
             yield f"{number} ends", gone(state, number)
     seen: set[tuple[int, int]] = set()
     for place, (source, target, what) in enumerate(state.way):
@@ -125,7 +125,7 @@
 def read(state: State, source: int, target: int, what: str) -> State:
     each = state.processes[target]
     if what == "hello":
-        if not each.life.can_be_succeeded():
+        if not each.life.can_grant_handover():
             return state.send((target, source, "busy"))
         return told(state.put(target, heir=source), target, "successor_found")[0].send(
             (target, source, "grant")
@@ -136,7 +136,7 @@
         return told(state.put(target, phase="met"), target, "predecessor_found")[0]
     if what == "serving":
         after, stops = told(state, target, "successor_serving")
-        if stops and (each.life.has_handed_over or each.life.is_ending):
+        if stops and (each.life.has_handed_over or each.life.is_shutting_down):
             after = after._replace(fault="handed over what it had not")
         return after.send((target, source, "ack"))
     if what == "ack":
@@ -172,16 +172,19 @@
             and elder
             and elder.alive
             and elder.life.is_accepting
-            and not elder.life.is_ending
+            and not elder.life.is_shutting_down
         ):
             return "yes too early"
     if (
         not state.way
-        and any(not each.life.is_ending for each in sending)
+        and any(not each.life.is_shutting_down for each in sending)
         and not any(each.life.is_accepting for each in sending)
     ):
         return "nobody accepts"
-    if not state.way and sum(each.life.is_accepting and not each.life.is_ending for each in sending) > 1:
+    if (
+        not state.way
+        and sum(each.life.is_accepting and not each.life.is_shutting_down for each in sending) > 1
+    ):
         return "two accept"
     return ""
 
@@ -232,7 +235,7 @@
     [
         ("successor_found", _at_once, "two budgets"),
         ("predecessor_found", _at_once, "two budgets"),
-        ("can_be_succeeded", lambda life: True, "two budgets"),
+        ("can_grant_handover", lambda life: True, "two budgets"),
         ("successor_gone", _never_again, "nobody accepts"),
         ("successor_serving", lambda life: False, "two memories"),
         ("successor_serving", _heir_serves_always, "handed over what it had not"),
@@ -256,7 +259,9 @@
     heir.serving_started()
     assert elder.successor_serving()
     both = elder.budget(), heir.budget()
-    assert sum(each.fraction for each in both) == alone.fraction and not any(each.uses_tier for each in both)
+    assert sum(each.fraction for each in both) == alone.fraction and not any(
+        each.exchanges_capacity for each in both
+    )
     assert (
         sum(each.node_connections for each in both) <= alone.node_connections
         and sum(each.body_bytes for each in both) <= alone.body_bytes
