--- a/tests/test_leaving.py
+++ b/tests/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""A process that was told to end: whom it serves still, and that all have their answers before the kill."""
+"""Graceful shutdown: which clients are still served, and that all requests are answered before the kill."""
 
 from __future__ import annotations
 
@@ -33,23 +33,23 @@
     until = times.accepts_until(since, min(quiet, since), replaced=replaced, connected=connected)
     assert until <= times.stop
     if connected and not replaced:
-        assert until == times.stop  # whoever has a connection finds nobody else at this address
+        assert until == times.stop  # no other process serves the connected clients at this address
     elif quiet < since and since - quiet + shutdown_timetable.QUIET_S < times.stop:
         assert until - (since - quiet) == pytest.approx(shutdown_timetable.QUIET_S)
 
 
-def test_without_a_successor_connections_stay_open_and_what_is_held_has_its_answer(
+def test_without_a_successor_connections_stay_open_and_open_requests_are_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Told to close behind each answer, clients found nobody until the next process was started."""
+    """Closing connections after each answer left clients without a broker until the next process started."""
     monkeypatch.setattr(shutdown_timetable, "MAX_DEADLINE_S", 1.0)
 
-    async def story() -> None:
+    async def scenario() -> None:
         node = await Node("ok", "ok", "hang", "hang").start()
         async with World(node) as world:
             loop = asyncio.get_running_loop()
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
-            held, holder = await asyncio.open_connection("127.0.0.1", world.port)
+            held_reader, held_writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(message(id="before"))
             assert (await answer(reader))[0] == 200
             times, began = ShutdownTimetable.of(60.0), loop.time()
@@ -58,28 +58,28 @@
             writer.write(message(id="after"))
             status, headers, body = await answer(reader)
             assert (status, body) == (200, b"data of after") and "connection" not in headers
-            holder.write(message(id="read", ms=60_000))
+            held_writer.write(message(id="read", ms=60_000))
             writer.write(message(id="write", ms=60_000, cls="claim-write", method="PUT", body=b"x"))
             await node.until(4)
             await lingering
             closing = asyncio.create_task(world.front.close())
-            assert {(await answer(held))[0], (await answer(reader))[0]} <= {500, 503, 504}
+            assert {(await answer(held_reader))[0], (await answer(reader))[0]} <= {500, 503, 504}
             assert loop.time() >= began + times.give_up
             await closing
-            assert not await reader.read() and not await held.read()
+            assert not await reader.read() and not await held_reader.read()
             writer.close()
-            holder.close()
+            held_writer.close()
 
-    run(story())
+    run(scenario())
 
 
-def test_a_connection_that_is_idle_when_the_process_leaves_stays_a_way_in(
+def test_idle_connections_stay_open_during_a_shutdown_without_successor(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Closed for having no request for a while, it left its client without a broker at this address."""
+    """Closing a connection for being idle left its client without a broker at this address."""
     monkeypatch.setattr(server, "IDLE_TIMEOUT_S", 0.2)
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with World(await Node("ok", "ok").start()) as world:
             times, began = ShutdownTimetable(30.0, 31.0, 32.0, 33.0), asyncio.get_running_loop().time()
             lingering = asyncio.create_task(world.front.linger(times, began, replaced=False))
@@ -91,11 +91,11 @@
             lingering.cancel()
             writer.close()
 
-    run(story())
+    run(scenario())
 
 
-def test_with_a_successor_every_answer_closes_its_connection_and_quiet_ends_it() -> None:
-    async def story() -> None:
+def test_with_a_successor_answers_close_their_connections_and_a_quiet_period_ends_the_shutdown() -> None:
+    async def scenario() -> None:
         node = await Node("ok").start()
         async with World(node) as world:
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
@@ -106,18 +106,18 @@
             )
             writer.write(message(id="last"))
             assert (await answer(reader))[1]["connection"] == "close"
-            await lingering  # long before `stop`, though whoever asked was connected
+            await lingering  # ends long before `stop`, although the client was connected
             await world.front.close()
             writer.close()
 
-    run(story())
+    run(scenario())
 
 
-def test_what_comes_once_all_was_given_up_is_answered_at_once() -> None:
-    async def story() -> None:
+def test_requests_after_give_up_are_rejected_at_once() -> None:
+    async def scenario() -> None:
         async with World(await Node("hang").start()) as world:
             world.core.give_up()
             status, headers, _ = await world.ask(ms=60_000)
-            assert status == 503 and float(headers["retry-after"]) > 0  # it was never sent
+            assert status == 503 and float(headers["retry-after"]) > 0  # the request was never sent to a node
 
-    run(story())
+    run(scenario())
