--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Two processes of one broker: what they pass on, share, and survive."""
+"""Handover between two processes of one broker: transferred state, shared limits, and failures."""
 
 from __future__ import annotations
 
@@ -32,19 +32,19 @@
 
 
 class Process:
-    """A broker's process, and what its log says."""
+    """A broker process, whose log is read line by line."""
 
     program: tuple[str, ...] = ("-m", "cherrycove")
 
-    def __init__(self, whole: dict[str, object], folder: Path, operator: str = "") -> None:
-        self.whole, self.folder, self.env = whole, folder, {}
+    def __init__(self, configuration: dict[str, object], folder: Path, operator: str = "") -> None:
+        self.configuration, self.folder, self.env = configuration, folder, {}
         if operator:
             (folder / "operator.toml").write_text(operator)
             self.env = {"CHERRYCOVE_OPERATOR": str(folder / "operator.toml")}
 
     async def __aenter__(self) -> Process:
         self.path = self.folder / f"{id(self)}.json"
-        self.path.write_text(json.dumps(self.whole))
+        self.path.write_text(json.dumps(self.configuration))
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             *self.program,
@@ -59,36 +59,35 @@
     async def __aexit__(self, *_: object) -> None:
         if self.process.returncode is None:
             self.process.kill()
-        await self.process.communicate()  # closes the pipe while the loop that serves it still runs
+        await self.process.communicate()  # closes the pipe while its event loop still runs
 
     async def line(self, text: str) -> str:
         assert self.process.stderr is not None
-        self.said: list[str] = getattr(self, "said", [])
+        self.log_lines: list[str] = getattr(self, "log_lines", [])
         while text not in (line := (await self.process.stderr.readline()).decode()):
-            assert line, f"it ended before it said {text!r}: {self.said}"
-            self.said.append(line)
+            assert line, f"the process ended before it logged {text!r}; its log: {self.log_lines}"
+            self.log_lines.append(line)
         return line.strip()
 
     async def call(self, line: str) -> str:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.admin)
         writer.write(line.encode() + b"\n")
-        said = (await reader.read()).decode()
+        reply = (await reader.read()).decode()
         writer.close()
-        return said
+        return reply
 
     async def end(self) -> None:
         self.process.send_signal(signal.SIGTERM)
-        await self.ended()
+        await self.wait_for_clean_exit()
 
-    async def ended(self) -> None:
-        """In order, having been told to."""
+    async def wait_for_clean_exit(self) -> None:
+        """Wait until the process ends; it has to exit with status 0 and log no traceback."""
         assert self.process.stderr is not None
         assert b"Traceback" not in await self.process.stderr.read() and await self.process.wait() == 0
 
 
-class PatientProcess(Process):
-    """Keeps a connection between two requests for as long as a test may take: how long another process needs
-    to start says nothing about the one in service."""
+class LongIdleTimeoutProcess(Process):
+    """A process that closes no idle connection during a test, however long another process takes to start."""
 
     program = (
         "-c",
@@ -98,7 +97,7 @@
 
 
 def free_port() -> int:
-    """Below those that the system gives to connections: one of these is taken again at once."""
+    """Return a free port below the ephemeral range: the system may reassign ports of that range at once."""
     for port in random.SystemRandom().sample(range(15_000, 32_000), 100):
         with contextlib.suppress(OSError), socket.create_server(("127.0.0.1", port)):
             return port
@@ -107,112 +106,127 @@
 
 def settings(node: Node) -> dict[str, object]:
     port = free_port()
-    whole = raw() | {"listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:9", "admin": "127.0.0.1:0"}
-    whole["known"]["endpoints"][0] |= {"name": "d0", "address": f"127.0.0.1:{node.port}"}
-    return whole
+    configuration = raw() | {
+        "listen": f"127.0.0.1:{port}",
+        "discovery": "127.0.0.1:9",
+        "admin": "127.0.0.1:0",
+    }
+    configuration["known"]["endpoints"][0] |= {"name": "d0", "address": f"127.0.0.1:{node.port}"}
+    return configuration
 
 
-def test_a_second_process_takes_the_place_of_the_first_and_nobody_is_turned_away(tmp_path: Path) -> None:
-    """It ended with the address in use; a socket of its own would drop the first one's queue."""
+def test_a_second_process_takes_over_and_no_request_is_rejected(tmp_path: Path) -> None:
+    """Without the handover the second process failed, as the address was in use.
 
-    async def story() -> None:
+    If it opened a socket of its own, the connections queued at the first process's socket would be dropped.
+    """
+
+    async def scenario() -> None:
         node = await Node("ok", "held ok").start()
-        whole = settings(node)
-        place = ("127.0.0.1", int(str(whole["listen"]).rpartition(":")[2]))
-        async with PatientProcess(whole, tmp_path) as first:
-            kept, writer = await asyncio.open_connection(*place)
+        configuration = settings(node)
+        address = ("127.0.0.1", int(str(configuration["listen"]).rpartition(":")[2]))
+        async with LongIdleTimeoutProcess(configuration, tmp_path) as first:
+            kept_reader, writer = await asyncio.open_connection(*address)
             writer.write(message(id="kept"))
-            assert "connection" not in (await answer(kept))[1]
-            held, holder = await asyncio.open_connection(*place)
-            holder.write(message(id="held"))
+            assert "connection" not in (await answer(kept_reader))[1]
+            held_reader, held_writer = await asyncio.open_connection(*address)
+            held_writer.write(message(id="held"))
             await node.until(2)
-            async with Process(whole, tmp_path) as second:
+            async with Process(configuration, tmp_path) as second:
                 assert (await second.call("status")).startswith("YES")
                 await first.line("handover.successor_serves")
-                writer.write(message(id="last"))  # a kept connection ends with its request
-                status, headers, body = await answer(kept)
+                # A kept-alive connection is closed with the answer to its next request.
+                writer.write(message(id="last"))
+                status, headers, body = await answer(kept_reader)
                 assert (status, headers["connection"], body) == (200, "close", b"data of last")
-                assert not await kept.read()
+                assert not await kept_reader.read()
                 first.process.send_signal(signal.SIGTERM)
                 await first.line("broker.draining")
                 node.release.set()
-                status, _, body = await answer(held)  # taken before, answered before the end
+                # The request was accepted before the shutdown and is answered before the process ends.
+                status, _, body = await answer(held_reader)
                 assert (status, body) == (200, b"data of held")
-                await first.ended()
+                await first.wait_for_clean_exit()
                 await second.line("handover.other_ended")
-                reader, asker = await asyncio.open_connection(*place)
-                asker.write(message(id="new"))
+                reader, new_writer = await asyncio.open_connection(*address)
+                new_writer.write(message(id="new"))
                 assert (await answer(reader))[2] == b"data of new"
-                for each in (writer, holder, asker):
+                for each in (writer, held_writer, new_writer):
                     each.close()
                 await second.end()
 
-    run(story())
+    run(scenario())
+
 
+@pytest.mark.parametrize(
+    "point", ["before its request", "during the transfer of the sockets", "once it serves"]
+)
+def test_the_process_in_service_continues_if_its_successor_dies(point: str, tmp_path: Path) -> None:
+    """The operators' port has to open after the predecessor was told that the successor serves.
 
-@pytest.mark.parametrize("point", ["before it asked", "while it is handed the sockets", "once it serves"])
-def test_should_the_successor_die_the_process_in_service_goes_on(point: str, tmp_path: Path) -> None:
-    """Killed between its operators' line and its word to the former process, that one had stopped nothing."""
+    A successor killed between the two in the other order leaves a predecessor that has not stopped accepting.
+    """
 
-    async def story() -> None:
-        whole = settings(await Node().start())
-        async with Process(whole, tmp_path) as first:
+    async def scenario() -> None:
+        configuration = settings(await Node().start())
+        async with Process(configuration, tmp_path) as first:
             if point == "once it serves":
-                async with Process(whole, tmp_path) as second:
+                async with Process(configuration, tmp_path) as second:
                     second.process.kill()
                 await first.line("handover.serving_again")
             else:
-                place = handover.HandoverEndpoint("n0", _listen(whole), str(tmp_path))
+                endpoint = handover.HandoverEndpoint("n0", _listen_address(configuration), str(tmp_path))
                 peer = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-                with announcement.short_path(place.path) as folder:
+                with announcement.short_path(endpoint.path) as folder:
                     peer.connect(f"{folder}/{handover.SOCKET_NAME}")
-                if point == "while it is handed the sockets":
+                if point == "during the transfer of the sockets":
                     peer.sendall(b'{"hello": 1}\n')
                     await first.line("handover.successor_started")
                 peer.close()
-            reader, writer = await asyncio.open_connection(*_listen(whole))
+            reader, writer = await asyncio.open_connection(*_listen_address(configuration))
             writer.write(message(id="after"))
             status, headers, body = await answer(reader)
-            assert body == b"data of after" and "connection" not in headers  # and it goes on keeping them
+            # Connections are still kept alive.
+            assert body == b"data of after" and "connection" not in headers
             writer.close()
             await first.end()
 
-    run(story())
+    run(scenario())
 
 
-def test_a_successor_takes_up_what_the_process_in_service_knows(tmp_path: Path) -> None:
-    """Where a memory is on; of the file, which is older, it reads nothing."""
+def test_a_successor_restores_the_snapshot_of_the_process_in_service(tmp_path: Path) -> None:
+    """The snapshot of the process in service is applied; the snapshot file, which is older, is not read."""
 
-    async def story() -> None:
-        whole = settings(await Node().start())
+    async def scenario() -> None:
+        configuration = settings(await Node().start())
         memory = f'[memory]\nenabled = true\nfolder = "{tmp_path}"\n'
-        async with Process(whole, tmp_path, memory) as first:
-            reader, writer = await asyncio.open_connection(*_listen(whole))
+        async with Process(configuration, tmp_path, memory) as first:
+            reader, writer = await asyncio.open_connection(*_listen_address(configuration))
             writer.write(message(id="learn"))
             assert (await answer(reader))[0] == 200
             writer.close()
-            async with Process(whole, tmp_path, memory) as second:
-                taken = [line for line in second.said if "memory.taken_up" in line]
-                assert len(taken) == 1 and "source=process" in taken[0] and " nodes=1 " in taken[0]
+            async with Process(configuration, tmp_path, memory) as second:
+                restored = [line for line in second.log_lines if "memory.taken_up" in line]
+                assert len(restored) == 1 and "source=process" in restored[0] and " nodes=1 " in restored[0]
                 await first.end()
                 await second.line("handover.other_ended")
                 await second.end()
 
-    run(story())
+    run(scenario())
 
 
 def test_a_third_process_waits_until_the_first_has_ended(tmp_path: Path) -> None:
-    """Three shared what is one broker's: a half each."""
+    """With three processes at a time, each used half of one broker's budget."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         node = await Node("hang").start()
-        whole = settings(node)
-        async with Process(whole, tmp_path) as first:
-            reader, holder = await asyncio.open_connection(*_listen(whole))
-            holder.write(message(id="held", ms=2500))
+        configuration = settings(node)
+        async with Process(configuration, tmp_path) as first:
+            reader, held_writer = await asyncio.open_connection(*_listen_address(configuration))
+            held_writer.write(message(id="held", ms=2500))
             await node.until(1)
-            async with Process(whole, tmp_path) as second:
-                third = Process(whole, tmp_path)
+            async with Process(configuration, tmp_path) as second:
+                third = Process(configuration, tmp_path)
                 starting = asyncio.create_task(third.__aenter__())
                 await second.line("handover.successor_waits")
                 assert not starting.done()
@@ -223,40 +237,40 @@
                 assert (await third.call("status")).startswith("YES")
                 await second.end()
                 await third.end()
-                holder.close()
+                held_writer.close()
 
-    run(story())
+    run(scenario())
 
 
 def test_a_process_whose_successor_died_is_found_by_the_next(tmp_path: Path) -> None:
-    """That one had taken its name, and the next served beside it from a socket of its own."""
+    """The dead successor had replaced its socket file, so the next process found no predecessor."""
 
-    async def story() -> None:
-        whole = settings(await Node().start())
-        async with Process(whole, tmp_path) as first:
+    async def scenario() -> None:
+        configuration = settings(await Node().start())
+        async with Process(configuration, tmp_path) as first:
             for _ in range(2):
-                async with Process(whole, tmp_path) as dies:
-                    assert (await dies.call("status")).startswith("YES")
+                async with Process(configuration, tmp_path) as dying:
+                    assert (await dying.call("status")).startswith("YES")
                 await first.line("handover.serving_again")
-            async with Process(whole, tmp_path) as last:
+            async with Process(configuration, tmp_path) as last:
                 await first.line("handover.successor_serves")
                 await first.end()
                 await last.line("handover.other_ended")
                 await last.end()
 
-    run(story())
+    run(scenario())
 
 
-def test_a_process_that_stands_still_as_its_successor_starts_makes_room_once_it_goes_on(
+def test_a_process_stopped_during_its_successors_start_hands_over_once_it_resumes(
     tmp_path: Path,
 ) -> None:
-    """It was counted as absent, and both served with a whole budget for as long as they lived."""
+    """It was counted as absent, and both processes served with a whole budget until one ended."""
 
-    async def story() -> None:
-        whole = settings(await Node().start())
-        async with Process(whole, tmp_path) as first:
+    async def scenario() -> None:
+        configuration = settings(await Node().start())
+        async with Process(configuration, tmp_path) as first:
             first.process.send_signal(signal.SIGSTOP)
-            async with Process(whole, tmp_path) as last:
+            async with Process(configuration, tmp_path) as last:
                 assert (await last.call("status")).startswith("YES")
                 first.process.send_signal(signal.SIGCONT)
                 await first.line("handover.successor_serves")
@@ -264,112 +278,111 @@
                 await last.line("handover.other_ended")
                 await last.end()
 
-    run(story())
+    run(scenario())
 
 
-def test_of_two_that_start_at_once_one_takes_the_place_of_the_other(tmp_path: Path) -> None:
-    async def story() -> None:
-        whole = settings(await Node().start())
-        both = [Process(whole, tmp_path) for _ in range(2)]
-        async with contextlib.AsyncExitStack() as stack:  # what is still running ends within this loop
+def test_of_two_simultaneous_starts_one_takes_over_from_the_other(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        configuration = settings(await Node().start())
+        both = [Process(configuration, tmp_path) for _ in range(2)]
+        # The stack ends the processes that still run within this event loop.
+        async with contextlib.AsyncExitStack() as stack:
             await asyncio.gather(*(stack.enter_async_context(each) for each in both))
-            words = [await each.call("status") for each in both]
-            assert all(word.startswith("YES") for word in words)
+            replies = [await each.call("status") for each in both]
+            assert all(reply.startswith("YES") for reply in replies)
             lines = [asyncio.create_task(each.line("handover.successor_serves")) for each in both]
             done, others = await asyncio.wait(lines, return_when=asyncio.FIRST_COMPLETED)
-            assert len(done) == 1  # just one of them was the other's elder
+            assert len(done) == 1  # exactly one of them was the predecessor of the other
             for each in others:
                 each.cancel()
             await asyncio.gather(*others, return_exceptions=True)
-            elder = both[lines.index(done.pop())]
-            elder.process.send_signal(signal.SIGTERM)
-            assert await elder.process.wait() == 0
+            predecessor = both[lines.index(done.pop())]
+            predecessor.process.send_signal(signal.SIGTERM)
+            assert await predecessor.process.wait() == 0
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("how", ["a process that hangs as it starts", "two that live on"])
-def test_no_process_waits_for_ever_to_start(
-    how: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+@pytest.mark.parametrize("how", ["a process that hangs during its start", "two processes that stay alive"])
+def test_a_start_waits_for_a_limited_time(how: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(handover, "BUSY_TIMEOUT_S", 0.1)
 
-    async def story() -> None:
-        place, other = (handover.HandoverEndpoint("n0", ("h", 1), str(tmp_path)) for _ in range(2))
+    async def scenario() -> None:
+        endpoint, other = (handover.HandoverEndpoint("n0", ("h", 1), str(tmp_path)) for _ in range(2))
         await other.acquire_start_lock()
-        if how == "a process that hangs as it starts":
-            await place.acquire_start_lock()  # it goes on without
-            assert await place.request_handover({}) is None
+        if how == "a process that hangs during its start":
+            await endpoint.acquire_start_lock()  # returns without the lock
+            assert await endpoint.request_handover({}) is None
         else:
             await other.await_successor(lambda hello: None, lambda link: link.run(None))  # type: ignore
-            await place.acquire_start_lock()
+            await endpoint.acquire_start_lock()
             with pytest.raises(handover.TwoProcessesAliveError):
-                await place.request_handover({})
+                await endpoint.request_handover({})
             await other.close()
-        for each in (place, other):
+        for each in (endpoint, other):
             each.release_start_lock()
 
-    run(story())
+    run(scenario())
 
 
-def _listen(whole: dict[str, object]) -> tuple[str, int]:
-    return "127.0.0.1", int(str(whole["listen"]).rpartition(":")[2])
+def _listen_address(configuration: dict[str, object]) -> tuple[str, int]:
+    return "127.0.0.1", int(str(configuration["listen"]).rpartition(":")[2])
 
 
-def test_two_processes_together_leave_clients_the_places_that_one_leaves_them(
+def test_two_processes_together_limit_open_requests_like_one(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Each held a quarter of the descriptors with open requests, and together more than clients have."""
+    """Each had open requests for a quarter of the descriptors, together more than clients have."""
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    monkeypatch.setattr(
-        request_limit, "FULL_LATENESS_S", 1e9
-    )  # a busy machine makes this process late, and its bound lower
+    # A busy machine delays this process, which would lower its limit.
+    monkeypatch.setattr(request_limit, "FULL_LATENESS_S", 1e9)
 
-    async def story() -> None:
+    async def scenario() -> None:
         node = await Node(*["hang"] * 3).start()
-        whole = settings(node) | {"limits": {"sockets": 160, "memory_mb": 80}}
-        platform = config.parse_platform_config(whole, {})
+        configuration = settings(node) | {"limits": {"sockets": 160, "memory_mb": 80}}
+        platform = config.parse_platform_config(configuration, {})
 
-        def most(broker: Broker) -> float:
+        def request_limit_of(broker: Broker) -> float:
             broker.core.tick()
             return broker.core._driver.scheduler.shedding.max_open_requests
 
         first, second = (Broker(platform, config.OperatorConfig()) for _ in range(2))
         await first.start()
-        assert most(first) == 40
-        # One that is only about to start takes the core from this one; what waits unread holds places too.
-        (tmp_path / "config.json").write_text(json.dumps(whole))
+        assert request_limit_of(first) == 40
+        # A starting process uses the core that both share; requests that wait unread occupy connections too.
+        (tmp_path / "config.json").write_text(json.dumps(configuration))
         monkeypatch.setenv("RELAY_CONFIG", str(tmp_path / "config.json"))
         monkeypatch.setattr(
             first.handover.endpoint,
             "on_announcements_changed",
             lambda: (first.handover.announcements_changed(), changed.set()),
         )
-        changed, coming = asyncio.Event(), announcement.announce()
-        assert coming is not None
+        changed, announcing = asyncio.Event(), announcement.announce()
+        assert announcing is not None
         await changed.wait()
-        assert most(first) == 20
+        assert request_limit_of(first) == 20
         changed.clear()
-        coming.close()
+        announcing.close()
         await changed.wait()
-        assert most(first) == 40
+        assert request_limit_of(first) == 40
         held: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
         for number in range(3):
-            held.append(await asyncio.open_connection(*_listen(whole)))
+            held.append(await asyncio.open_connection(*_listen_address(configuration)))
             held[-1][1].write(message(id=f"h{number}", ms=20_000))
         while first.core.open_requests < 3:
             await asyncio.sleep(0.01)
-        told = asyncio.Event()
-        bound = second.handover.apply_request_limit
+        reported = asyncio.Event()
+        apply_limit = second.handover.apply_request_limit
         monkeypatch.setattr(
             second.handover,
             "apply_request_limit",
-            lambda: (bound(), second.life.predecessor_open_requests is not None and told.set()),
+            lambda: (apply_limit(), second.life.predecessor_open_requests is not None and reported.set()),
         )
         await second.start()
-        assert most(first) == 20  # it has handed over before the other says yes
-        await told.wait()
-        assert most(second) == 37  # what the former one holds is not the other's
+        assert request_limit_of(first) == 20  # it has handed over before the successor reports ready
+        await reported.wait()
+        # Requests open at the predecessor count against the successor's limit.
+        assert request_limit_of(second) == 37
         first.stop.set()
         ending = asyncio.create_task(first.end())
         node.server.close()
@@ -377,95 +390,97 @@
             link.close()
         while second.handover.links:
             await asyncio.sleep(0.01)
-        assert most(second) == 40 and most(first) == 20
+        assert request_limit_of(second) == 40 and request_limit_of(first) == 20
         await second.end()
         ending.cancel()
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("left", ["nothing", "a file", "a socket of the dead", "one that never answers"])
-def test_whatever_lies_in_the_directory_a_process_starts_and_can_be_found(
+@pytest.mark.parametrize("left", ["nothing", "a file", "a stale socket", "a socket that never answers"])
+def test_a_process_starts_and_can_be_found_whatever_the_directory_contains(
     left: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(handover, "ANSWER_TIMEOUT_S", 0.2)
 
-    async def story() -> None:
-        deep = tmp_path / ("x" * 100)  # longer than the address of a Unix socket may be
+    async def scenario() -> None:
+        deep = tmp_path / ("x" * 100)  # longer than the address of a Unix socket allows
         deep.mkdir()
-        place = handover.HandoverEndpoint("n0", ("h", 1), str(deep))
+        endpoint = handover.HandoverEndpoint("n0", ("h", 1), str(deep))
         stale = socket.socket(socket.AF_UNIX)
         if left == "a file":
-            (place.path / handover.SOCKET_NAME).write_bytes(b"garbage")
+            (endpoint.path / handover.SOCKET_NAME).write_bytes(b"garbage")
         elif left != "nothing":
-            with announcement.short_path(place.path) as folder:
+            with announcement.short_path(endpoint.path) as folder:
                 stale.bind(f"{folder}/{handover.SOCKET_NAME}")
-        if left == "one that never answers":
+        if left == "a socket that never answers":
             stale.listen()
         else:
             stale.close()
-        assert await place.request_handover({}) is None
+        assert await endpoint.request_handover({}) is None
         with socket.create_server(("127.0.0.1", 0)) as front:
-            talks: list[Link] = []
+            links: list[Link] = []
 
-            async def keep(link: Link) -> None:
-                talks.append(link)
-                await link.run(took)
+            async def run_link(link: Link) -> None:
+                links.append(link)
+                await link.run(receive)
 
-            async def took(message: handover.Message) -> None:
+            async def receive(message: handover.Message) -> None:
                 assert message["tell"] == 1
 
-            await place.await_successor(lambda hello: (STATE, [front]), keep)
-            met = await handover.HandoverEndpoint("n0", ("h", 1), str(deep)).request_handover({"hello": 1})
-            assert met is not None and met[1] == STATE
-            assert met[2][0].getsockname() == front.getsockname()
-            following = asyncio.create_task(met[0].run(took))
-            assert await met[0].request({"tell": 1})  # told, taken in, acknowledged
-            met[2][0].close()
-            met[0].close()
-            talks[0].close()
-            await place.close()
+            await endpoint.await_successor(lambda hello: (STATE, [front]), run_link)
+            takeover = await handover.HandoverEndpoint("n0", ("h", 1), str(deep)).request_handover(
+                {"hello": 1}
+            )
+            assert takeover is not None and takeover[1] == STATE
+            assert takeover[2][0].getsockname() == front.getsockname()
+            following = asyncio.create_task(takeover[0].run(receive))
+            assert await takeover[0].request({"tell": 1})  # sent, received and acknowledged
+            takeover[2][0].close()
+            takeover[0].close()
+            links[0].close()
+            await endpoint.close()
             await following
         stale.close()
 
-    run(story())
+    run(scenario())
 
 
-def test_a_successor_lost_in_the_middle_of_the_answer_leaves_the_place_free(
+def test_a_successor_lost_during_the_grant_does_not_block_the_next(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Claimed for good, it was handed to nobody any more."""
+    """The lost successor stayed recorded, and no later process was granted the handover."""
 
     def broken(*_: object) -> None:
         raise OSError("gone")
 
-    async def story() -> None:
-        life, place = (
+    async def scenario() -> None:
+        lifecycle, endpoint = (
             state_machine.LifecycleState(1024, 80.0),
             handover.HandoverEndpoint("n0", ("h", 1), str(tmp_path)),
         )
         monkeypatch.setattr(socket, "send_fds", broken)
-        await place.await_successor(
-            lambda hello: (life.successor_found(), (STATE, []))[1],  # type: ignore
+        await endpoint.await_successor(
+            lambda hello: (lifecycle.successor_found(), (STATE, []))[1],  # type: ignore
             lambda link: link.run(None),
-            life.successor_gone,
+            lifecycle.successor_gone,
         )  # type: ignore
         assert await handover.HandoverEndpoint("n0", ("h", 1), str(tmp_path)).request_handover({}) is None
-        assert life.can_grant_handover() and life.budget().fraction == 1.0
-        await place.close()
+        assert lifecycle.can_grant_handover() and lifecycle.budget().fraction == 1.0
+        await endpoint.close()
 
-    run(story())
+    run(scenario())
 
 
-def test_a_place_that_cannot_be_made_keeps_no_process_from_starting(tmp_path: Path) -> None:
-    async def story() -> None:
+def test_a_process_starts_although_its_directory_cannot_be_created(tmp_path: Path) -> None:
+    async def scenario() -> None:
         (tmp_path / "file").write_bytes(b"")
-        place = handover.HandoverEndpoint("n0", ("h", 1), str(tmp_path / "file"))
-        assert await place.request_handover({}) is None
-        await place.await_successor(lambda hello: (STATE, []), lambda link: link.run(None))  # type: ignore
-        await place.close()
+        endpoint = handover.HandoverEndpoint("n0", ("h", 1), str(tmp_path / "file"))
+        assert await endpoint.request_handover({}) is None
+        await endpoint.await_successor(lambda hello: (STATE, []), lambda link: link.run(None))  # type: ignore
+        await endpoint.close()
 
-    run(story())
+    run(scenario())
 
 
 @fuzz
@@ -480,12 +495,12 @@
         assert all(member.name for member in members)
 
 
-def test_two_processes_send_a_cold_node_what_one_may() -> None:
-    """Each with the whole of the broker's part, together they push it over."""
+def test_two_processes_send_a_node_in_slow_start_what_one_may() -> None:
+    """With the broker's whole share each, the two processes together would overload the node."""
 
     def units(shared: api.BudgetShare) -> float:
         rig = Rig(cold_units=80.0)
-        rig.wait(2.0)  # an earlier life's sends are past
+        rig.wait(2.0)  # sends of an earlier process no longer count
         rig.listed(api.Node("n0", 0, started=rig.now - 0.5))
         rig.give(shared)
         for number in range(200):
@@ -496,12 +511,13 @@
                     rig.end(request)
         return rig.scheduler.recent_sent_units()["n0"]
 
-    whole, half = units(api.BudgetShare(1.0)), units(api.BudgetShare(0.5))
-    assert whole / 2 - 2 <= half <= whole / 2
-    assert units(api.BudgetShare(0.5, {"n0": 12.0})) <= half - 10  # what the other sent of late counts too
+    full_units, half_units = units(api.BudgetShare(1.0)), units(api.BudgetShare(0.5))
+    assert full_units / 2 - 2 <= half_units <= full_units / 2
+    # What the other process sent recently counts too.
+    assert units(api.BudgetShare(0.5, {"n0": 12.0})) <= half_units - 10
 
 
-def test_limits_are_shared_and_whole_again() -> None:
+def test_plan_limits_are_halved_and_restored() -> None:
     volume = Volume("v", api.Plan("p", 1.0, limit=20.0, burst=8.0), 1.0, 0.0, hosts=2)
     volume.set_limit_fraction(0.0, 1.0)
     assert (volume.limit, volume.burst) == (10.0, 4.0)
@@ -511,18 +527,20 @@
     assert volume.bucket_level(10.1) == pytest.approx(3.0)
 
 
-def test_a_ban_binds_both_processes_and_outlasts_the_first(tmp_path: Path) -> None:
-    async def story() -> None:
-        whole = settings(await Node().start())
-        async with Process(whole, tmp_path) as first:
+def test_maintenance_applies_to_both_processes_and_outlasts_the_first(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        configuration = settings(await Node().start())
+        async with Process(configuration, tmp_path) as first:
             assert (await first.call("maint-on nobody")).startswith("NO ")
-            assert (await first.call("maint-off d0")).startswith("YES ")  # it was not out: nothing to undo
+            # The node is in service, so there is nothing to undo.
+            assert (await first.call("maint-off d0")).startswith("YES ")
             for _ in range(2):
                 assert (await first.call("maint-on d0")).startswith("YES ")
             assert "broker.skipped_disk_nodes:1|g" in await first.call("stats")
-            async with Process(whole, tmp_path) as second:
+            async with Process(configuration, tmp_path) as second:
                 assert "broker.skipped_disk_nodes:1|g" in await second.call("stats")
-                assert (await second.call("maint-off d0")).startswith("YES ")  # one undoes both
+                # The change applies in both processes.
+                assert (await second.call("maint-off d0")).startswith("YES ")
                 for each in (first, second):
                     assert "broker.skipped_disk_nodes:0|g" in await each.call("stats")
                 assert (await first.call("maint-on d0")).startswith("YES ")
@@ -530,72 +548,71 @@
                 assert "broker.skipped_disk_nodes:1|g" in await second.call("stats")
                 second.process.kill()
                 await second.process.wait()
-            async with Process(whole, tmp_path) as third:  # from the file alone
+            async with Process(configuration, tmp_path) as third:  # restored from the file alone
                 assert "broker.skipped_disk_nodes:1|g" in await third.call("stats")
                 await third.end()
 
-    run(story())
+    run(scenario())
 
 
-def test_a_ban_that_cannot_be_kept_is_owed_a_no(tmp_path: Path) -> None:
-    """A yes that the next process knows nothing of would send to a node that is being worked on."""
-    place = handover.HandoverEndpoint("n0", ("h", 1), str(tmp_path))
+def test_unreadable_maintenance_files_are_ignored_and_failed_writes_reported(tmp_path: Path) -> None:
+    """If a failed write were confirmed, the next process would send to a node that is under maintenance."""
+    endpoint = handover.HandoverEndpoint("n0", ("h", 1), str(tmp_path))
     state = Maintenance({"d0": 5.0}, {"d1": (0.0, 9.0)})
-    assert run(place.save_maintenance(state)) and place.load_maintenance() == state
+    assert run(endpoint.save_maintenance(state)) and endpoint.load_maintenance() == state
     for garbage in (b"", b"{", b"[]", b'{"out":[]}', b'{"out":{"a":"x"},"back":{}}', b"\xff"):
-        (place.path / handover.MAINTENANCE_FILE).write_bytes(garbage)
-        assert place.load_maintenance() == Maintenance()
-    (place.path / handover.MAINTENANCE_FILE).unlink()
-    place.path.rmdir()
-    assert not run(place.save_maintenance(state))
+        (endpoint.path / handover.MAINTENANCE_FILE).write_bytes(garbage)
+        assert endpoint.load_maintenance() == Maintenance()
+    (endpoint.path / handover.MAINTENANCE_FILE).unlink()
+    endpoint.path.rmdir()
+    assert not run(endpoint.save_maintenance(state))
 
 
-def test_a_disk_that_takes_its_time_holds_nothing_else_up(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """Requests waited 0.25 s for it, and clients ran out of connections."""
+def test_a_slow_disk_does_not_block_the_event_loop(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Requests waited 0.25 s for the write, and clients ran out of connections."""
     gate, replace = threading.Event(), os.replace
 
-    def slow(*places: Path) -> None:
+    def slow(*paths: Path) -> None:
         if not gate.wait(5):
-            raise OSError("nothing else ran meanwhile")
-        replace(*places)
+            raise OSError("the event loop did not run during the write")
+        replace(*paths)
 
-    async def story() -> None:
-        place = handover.HandoverEndpoint("n0", ("h", 1), str(tmp_path))
+    async def scenario() -> None:
+        endpoint = handover.HandoverEndpoint("n0", ("h", 1), str(tmp_path))
         monkeypatch.setattr(os, "replace", slow)
-        saving = asyncio.create_task(place.save_maintenance(Maintenance({"d0": 5.0})))
+        saving = asyncio.create_task(endpoint.save_maintenance(Maintenance({"d0": 5.0})))
         asyncio.get_running_loop().call_later(0.05, gate.set)
-        assert await saving and place.load_maintenance() == Maintenance({"d0": 5.0})
+        assert await saving and endpoint.load_maintenance() == Maintenance({"d0": 5.0})
 
-    run(story())
+    run(scenario())
 
 
-def test_imports_at_low_priority_end_while_others_keep_the_core_busy(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The lowest priority gets a sixtieth of such a core, and the successor was not ready within 6 s."""
-    made: list[threading.Event] = []
+def test_imports_at_low_priority_end_on_a_busy_core(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The lowest priority gets a sixtieth of a busy core, and the successor was not ready within 6 s."""
+    events: list[threading.Event] = []
     event = threading.Event
 
-    def make() -> threading.Event:
-        made.append(event())
-        return made[-1]
+    def make_event() -> threading.Event:
+        events.append(event())
+        return events[-1]
 
     seen: list[str] = []
 
     def slow(name: str) -> None:
         seen.append(name)
-        assert made[0].wait(20)
+        assert events[0].wait(20)
 
-    monkeypatch.setattr(main.threading, "Event", make)
+    monkeypatch.setattr(main.threading, "Event", make_event)
     monkeypatch.setattr(main.importlib, "import_module", slow)
     main._load("first", "second", limit_s=0.05)
-    assert seen == ["first"]  # the one at hand is waited for, the others come at the usual priority
+    # Only the import in progress is waited for; the others run later, at the usual priority.
+    assert seen == ["first"]
 
 
-def test_a_process_imports_at_low_priority_and_then_works_at_its_own() -> None:
-    """Else the process that it replaces has half a core for the time of its start."""
+def test_imports_run_at_low_priority_and_the_process_at_its_own() -> None:
+    """Otherwise the process in service would have only half a core during the start of its successor."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         script = (
             "import os, sys, importlib; import cherrycove.__main__ as m; at = []; "
             "m.importlib.import_module = lambda name: at.append(os.getpriority(os.PRIO_PROCESS, 0)); "
@@ -604,7 +621,7 @@
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-c", script, cwd=ROOT, stdout=asyncio.subprocess.PIPE
         )
-        said, _ = await process.communicate()
-        assert int(said) > 0
+        output, _ = await process.communicate()
+        assert int(output) > 0
 
-    run(story())
+    run(scenario())
