--- a/cherrycove/broker/lifecycle/announcement.py
+++ b/cherrycove/broker/lifecycle/announcement.py
@@ -29,9 +29,8 @@
     identity = hashlib.sha256(f"{name}\n{host}\n{port}".encode()).hexdigest()[:16]
     root = root or os.environ.get("TMPDIR")
     if not root:
-        from tempfile import (
-            gettempdir,
-        )  # imported only here: it takes a tenth of the time before the announcement
+        # Imported only here: the import takes a tenth of the time before the announcement.
+        from tempfile import gettempdir
 
         root = gettempdir()
     return os.path.join(root, f"cherrycove-{identity}")
--- a/cherrycove/broker/lifecycle/state_machine.py
+++ b/cherrycove/broker/lifecycle/state_machine.py
@@ -7,7 +7,7 @@
                                       any --shutdown_started--> shutting down
 
 The predecessor is the process that this one replaces, the successor the one that replaces it.
-tests/test_lifecycle_exploration.py explores all reachable states of two overlapping processes and a third one.
+tests/test_lifecycle_exploration.py explores all reachable states of two overlapping processes and a third.
 """
 
 from __future__ import annotations
