--- a/cherrycove/broker/process.py
+++ b/cherrycove/broker/process.py
@@ -96,7 +96,7 @@
             self.lifecycle,
             HandoverEndpoint(platform.name, platform.listen),
             lambda: self._decision_log,
-            remembers=operator.memory is not None,
+            transfers_snapshot=operator.memory is not None,
         )
         self._capacity_exchange = self._create_exchange()
         self._snapshot_store = self._create_snapshot_store()
@@ -123,7 +123,7 @@
             memory.directory,
             memory.interval_s,
             self.platform.name,
-            is_writer=lambda: self.lifecycle.is_state_writer,
+            is_writer=lambda: self.lifecycle.is_snapshot_writer,
         )
 
     def _create_decision_log(self) -> None:
@@ -160,7 +160,7 @@
         log.info("broker.serves", name=platform.name, host=platform.listen[0], port=port)
         if operator.consul is not None:
             self._start_consul(operator.consul, port)
-        await self.handover.serving()
+        await self.handover.report_serving()
         if self._snapshot_store is not None:
             self._start_task(self._snapshot_store.keep())
         await self.handover.await_successor()
@@ -175,7 +175,7 @@
         self.handover.maintenance.load()
         if self.platform.known is not None:
             self.core.update(self.platform.known, restored=True)
-        inherited = await self.handover.meet()
+        inherited = await self.handover.request_handover()
         if self._announcement is not None:
             self._announcement.close()
         if inherited is None and self._snapshot_store is not None:
@@ -263,11 +263,11 @@
         self.pool.resize(nodes)
         self.http_server.resize(clients, most_bytes)
 
-    def talk(self, now: bool) -> None:
+    def set_capacity_exchange(self, enabled: bool) -> None:
         """Start or stop exchanging capacity with the other brokers."""
         if self._capacity_exchange is None or self.platform.tier is None:
             return
-        if now:
+        if enabled:
             self._capacity_exchange.start(self.platform.tier.listen)
         else:
             self._capacity_exchange.close()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -33,7 +33,7 @@
 from cherrycove.broker.core import Attempt, Ending, Member, NodeList
 from cherrycove.broker.http1 import body, server, upstream, watch
 from cherrycove.broker.lifecycle import announcement
-from cherrycove.broker.lifecycle.handover import LOCK
+from cherrycove.broker.lifecycle.handover import LOCK_FILE
 from cherrycove.broker.lifecycle.shutdown_timetable import ShutdownTimetable
 from cherrycove.broker.nbd import Command
 from cherrycove.broker.process import Broker
@@ -629,7 +629,9 @@
         whole = copy.deepcopy(RAW)
         del whole["admin"]
         self.raw = whole | {"listen": "127.0.0.1:0"}
-        self.start_directory = Path(announcement.directory(self.raw["name"], "127.0.0.1", 0, str(folder)))
+        self.start_directory = Path(
+            announcement.broker_directory(self.raw["name"], "127.0.0.1", 0, str(folder))
+        )
         self.lines: list[str] = []
 
     async def start(self) -> None:
@@ -676,7 +678,7 @@
     async def block_start(self) -> int:
         """Take the lock that a start needs; closing the returned descriptor releases it."""
         self.start_directory.mkdir(mode=0o700)
-        lock = os.open(self.start_directory / LOCK, os.O_RDWR | os.O_CREAT, 0o600)
+        lock = os.open(self.start_directory / LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o600)
         fcntl.flock(lock, fcntl.LOCK_EX)
         return lock
 
@@ -724,7 +726,7 @@
         moved = tmp_path / "moved.json"
         moved.write_text(json.dumps(broker.raw | {"discovery": await lists[1].start()}))
         await until(
-            lambda: str(broker.start_directory / LOCK) in open_files(broker.process.pid)
+            lambda: str(broker.start_directory / LOCK_FILE) in open_files(broker.process.pid)
         )  # it is starting
         os.replace(moved, broker.path)
         broker.process.send_signal(signal.SIGHUP)
