--- a/cherrycove/broker/shared_map.py
+++ b/cherrycove/broker/shared_map.py
@@ -140,8 +140,8 @@
     def put(self, key: str, value: str | None, counter: int | None = None) -> Entry | None:
         """Write a value, or delete the key if it is None; return the entry, or None if it was not stored.
 
-        An entry is not stored if the replica holds a later one or is full. Without a counter the entry is
-        later than the one this replica holds.
+        An entry is not stored if the replica holds the same or a later one, or is full. Without a counter it
+        is later than the one this replica holds.
 
         Raises:
             EntryError: if the entry is invalid or too large for a datagram.
