--- a/cherrycove/broker/http1/body.py
+++ b/cherrycove/broker/http1/body.py
@@ -32,21 +32,21 @@
 class BodyMemory:
     """The bound on the memory of all bodies and responses; waiters get theirs in the order of arrival.
 
-    The server owns it. ``held`` is the number of bytes reserved, ``most`` the bound, which a single body
-    that is larger, or a ``take``, may exceed.
+    The server owns it. ``reserved_bytes`` may exceed ``limit_bytes`` by a single body that is larger than the
+    limit, or by ``reserve_unchecked``.
     """
 
-    def __init__(self, most: int) -> None:
-        """Nothing is reserved; ``most`` is in bytes."""
-        self.most = most
-        self.held = 0
+    def __init__(self, limit_bytes: int) -> None:
+        """Nothing is reserved; ``limit_bytes`` is the bound."""
+        self.limit_bytes = limit_bytes
+        self.reserved_bytes = 0
         self._waiting: deque[_Waiter] = deque()
 
-    def take(self, size: int) -> None:
+    def reserve_unchecked(self, size: int) -> None:
         """Reserve ``size`` bytes whether or not the bound allows it."""
-        self.held += size
+        self.reserved_bytes += size
 
-    async def enter(self, size: int, within: float = MEMORY_TIMEOUT_S) -> None:
+    async def reserve(self, size: int, within: float = MEMORY_TIMEOUT_S) -> None:
         """Reserve ``size`` bytes once the bound allows it, or nothing else is reserved.
 
         Raises:
@@ -54,7 +54,7 @@
         """
         # Requests without a body need no memory and must not queue behind those that do.
         if not size or (not self._waiting and self._fits(size)):
-            self.take(size)
+            self.reserve_unchecked(size)
             return
         waiter = _Waiter(size, asyncio.get_running_loop().create_future())
         self._waiting.append(waiter)
@@ -69,27 +69,27 @@
         if waiter in self._waiting:
             self._waiting.remove(waiter)
         elif waiter.reserved.done() and not waiter.reserved.cancelled():
-            self.leave(waiter.size)  # it was reserved in the moment in which the waiter gave up
+            self.release(waiter.size)  # it was reserved in the moment in which the waiter gave up
         self._admit()
 
-    def leave(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """Release ``size`` reserved bytes."""
-        self.held -= size
+        self.reserved_bytes -= size
         self._admit()
 
-    def resize(self, most: int) -> None:
+    def resize(self, limit_bytes: int) -> None:
         """Change the bound; what is reserved beyond a smaller one stays so."""
-        self.most = most
+        self.limit_bytes = limit_bytes
         self._admit()
 
     def _fits(self, size: int) -> bool:
-        return not self.held or self.held + size <= self.most
+        return not self.reserved_bytes or self.reserved_bytes + size <= self.limit_bytes
 
     def _admit(self) -> None:
         while self._waiting and self._fits(self._waiting[0].size):
             waiter = self._waiting.popleft()
             if not waiter.reserved.done():
-                self.take(waiter.size)
+                self.reserve_unchecked(waiter.size)
                 waiter.reserved.set_result(None)
 
 
--- a/cherrycove/broker/http1/server.py
+++ b/cherrycove/broker/http1/server.py
@@ -115,7 +115,10 @@
     """
 
     def __init__(
-        self, handle: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]], most: int, crowd: int
+        self,
+        handle: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]],
+        max_connections: int,
+        soft_limit: int,
     ) -> None:
         # By default aiohttp waits an hour for a head, and reads on for ten seconds after an error.
         super().__init__(
@@ -129,15 +132,15 @@
             logger=clients_log,
             read_bufsize=READ_CHUNK_BYTES // 2,
         )
-        self._most, self._crowd = most, crowd
+        self._max_connections, self._soft_limit = max_connections, soft_limit
         # The connections in each state, in the order of entering it, with that time.
         self._silent: dict[web.RequestHandler, float] = {}  # nothing received yet
-        self._partly: dict[web.RequestHandler, float] = {}  # a part of a head
+        self._partial: dict[web.RequestHandler, float] = {}  # a part of a head
         self._idle: dict[web.RequestHandler, float] = {}  # between requests
         self._busy: dict[
             web.RequestHandler, float
         ] = {}  # a request is in flight, or its body is still being received
-        self._groups = self._silent, self._partly, self._idle, self._busy
+        self._groups = self._silent, self._partial, self._idle, self._busy
         self.held_until = 0.0  # until then idle connections stay open
         self.left = asyncio.Event()  # set when the last connection has closed
         self.moved = asyncio.Event()  # set when a connection has changed its state
@@ -156,19 +159,19 @@
         transport.max_size = READ_CHUNK_BYTES  # type: ignore[attr-defined]
         transport.set_write_buffer_limits(READ_CHUNK_BYTES)
         self._move(handler, self._silent)
-        self.resize(self._most)
+        self.resize(self._max_connections)
 
-    def resize(self, most: int) -> None:
-        self._most = most
-        while sum(map(len, self._groups)) > most:
+    def resize(self, max_connections: int) -> None:
+        self._max_connections = max_connections
+        while sum(map(len, self._groups)) > max_connections:
             # Without free descriptors no client could be accepted.
             group = self._silent if len(self._silent) >= len(self._idle) else self._idle
-            first = next(chain(group, self._partly), None)
-            victim = next((each for each in chain(group, self._partly) if not self._asks(each)), first)
+            first = next(chain(group, self._partial), None)
+            victim = next((each for each in chain(group, self._partial) if not self._asks(each)), first)
             if victim is None:
                 return
             group.pop(victim, None)
-            self._partly.pop(victim, None)
+            self._partial.pop(victim, None)
             self._connections[victim].abort()
 
     def _asks(self, handler: web.RequestHandler) -> bool:
@@ -179,8 +182,8 @@
         return handler in self._idle
 
     def spoke(self, handler: web.RequestHandler) -> None:
-        if handler not in self._busy and handler not in self._partly:
-            self._move(handler, self._partly)
+        if handler not in self._busy and handler not in self._partial:
+            self._move(handler, self._partial)
             # aiohttp counts from the last response, and would time out a slow head on an idle connection.
             handler._next_keepalive_close_time = self._loop.time() + IDLE_TIMEOUT_S
 
@@ -197,7 +200,7 @@
         while (now := self._loop.time()) < until:
             self.moved.clear()
             young = (
-                max((*self._silent.values(), *self._partly.values()), default=-inf) + NEW_CONNECTION_WAIT_S
+                max((*self._silent.values(), *self._partial.values()), default=-inf) + NEW_CONNECTION_WAIT_S
             )
             if young <= now and not (self._busy or any(map(self._asks, self._idle))):
                 return
@@ -210,15 +213,15 @@
         return any(self._groups)
 
     @property
-    def crowded(self) -> bool:
+    def exceeds_soft_limit(self) -> bool:
         """Whether clients hold so many descriptors (a third of all) that others may not be accepted."""
-        return len(self._idle) + len(self._busy) > self._crowd
+        return len(self._idle) + len(self._busy) > self._soft_limit
 
-    def begin(self, handler: web.RequestHandler) -> None:
+    def request_started(self, handler: web.RequestHandler) -> None:
         if handler.transport is None:
             return
         self._move(handler, self._busy)
-        if self.crowded and self._idle:
+        if self.exceeds_soft_limit and self._idle:
             # Idle clients would keep others from being accepted until they time out.
             longest, since = next(iter(self._idle.items()))
             if since < self._loop.time() - MIN_IDLE_S and not self._asks(longest):
@@ -228,9 +231,9 @@
     def answered(self, handler: web.RequestHandler) -> None:
         """Its client has its response, but still sends."""
         if handler in self._busy:
-            self._move(handler, self._partly)
+            self._move(handler, self._partial)
 
-    def finish(self, handler: web.RequestHandler) -> None:
+    def request_finished(self, handler: web.RequestHandler) -> None:
         if handler in self._busy:
             self._move(handler, self._idle)
 
@@ -244,20 +247,20 @@
     """
 
     def __init__(
-        self, core: Core, pool: ConnectionPool, most_connections: int, crowd: int, most_bytes: int
+        self, core: Core, pool: ConnectionPool, max_connections: int, soft_limit: int, body_memory_bytes: int
     ) -> None:
         self._core, self._pool = core, pool
         self._names = DeploymentNames(core.settings)
-        self._draining = self._parting = False
+        self._draining = self._closing_connections = False
         self._server: asyncio.Server | None = None
         self._further_servers: list[asyncio.Server] = []  # on sockets of a process that answered late
         self.listener: socket.socket
-        self._web = ClientConnections(self._handle, most_connections, crowd)
-        self.room = BodyMemory(most_bytes)
+        self._web = ClientConnections(self._handle, max_connections, soft_limit)
+        self.body_memory = BodyMemory(body_memory_bytes)
         self._open: set[str] = set()  # the ids of requests in flight
         self.last_request = 0.0
-        self._last_answer, self._given_up = 0.0, False  # from then on new requests are rejected at once
-        self._taking: set[asyncio.Timeout] = set()  # of requests that wait for memory or their body
+        self._give_up_at, self._given_up = 0.0, False  # from then on new requests are rejected at once
+        self._body_timeouts: set[asyncio.Timeout] = set()  # of requests that wait for memory or their body
         self._flowing: set[asyncio.Timeout] = set()  # of responses that are being streamed
         self._gone = inf  # the time by which all connections are closed
 
@@ -275,7 +278,7 @@
             self._web, sock=given, backlog=MAX_ACCEPTED_PER_TURN
         )
         given.listen(LISTEN_BACKLOG)
-        self.listener, self._draining, self._parting = given, False, False
+        self.listener, self._draining, self._closing_connections = given, False, False
         bound: int = given.getsockname()[1]
         return bound
 
@@ -297,15 +300,15 @@
         self.drain()
         return kept
 
-    def resize(self, most_connections: int, most_bytes: int) -> None:
-        self._web.resize(most_connections)
-        self.room.resize(most_bytes)
+    def resize(self, max_connections: int, body_memory_bytes: int) -> None:
+        self._web.resize(max_connections)
+        self.body_memory.resize(body_memory_bytes)
 
-    def drain(self, parting: bool = True) -> None:
-        self._draining, self._parting = True, self._parting or parting
+    def drain(self, close_connections: bool = True) -> None:
+        self._draining, self._closing_connections = True, self._closing_connections or close_connections
         self.last_request = asyncio.get_running_loop().time()
 
-    async def linger(self, times: ShutdownTimetable, began: float, replaced: bool) -> None:
+    async def serve_until_stop(self, times: ShutdownTimetable, began: float, replaced: bool) -> None:
         """Serve until no more requests are accepted; those in flight then have until ``times.give_up``.
 
         ``began`` is the time of the signal on the loop's clock; ``replaced``: whether another process serves.
@@ -314,8 +317,8 @@
         if not replaced:
             web.held_until = began + times.stop  # it may be its client's only way to the tier
         loop.call_at(began + times.closes_connections_at(replaced=replaced), self.drain)
-        self._last_answer = began + times.give_up
-        loop.call_at(self._last_answer, self._give_up)
+        self._give_up_at = began + times.give_up
+        loop.call_at(self._give_up_at, self._give_up)
         loop.call_at(began + times.abort, self._end_at_once, self._flowing)
         self._gone = began + times.disconnect
         while True:
@@ -333,7 +336,7 @@
     def _give_up(self) -> None:
         self._given_up = True
         self._core.give_up()
-        self._end_at_once(self._taking)
+        self._end_at_once(self._body_timeouts)
 
     @staticmethod
     def _end_at_once(waits: set[asyncio.Timeout]) -> None:
@@ -355,7 +358,7 @@
                 self._server.close()
                 await self._accept_rest(rest)
         # Requests that wait for memory, for their body or to be read are not known to the core yet.
-        await self._web.settled(max(self._last_answer, loop.time() + NEW_CONNECTION_WAIT_S))
+        await self._web.settled(max(self._give_up_at, loop.time() + NEW_CONNECTION_WAIT_S))
         await self._core.idle()
         self._web.pre_shutdown()  # closes idle ones; the others close after their response
         # aiohttp waits twice for this time, and does not wait at all for 0.
@@ -373,11 +376,11 @@
             await asyncio.sleep(0)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        self._web.begin(request.protocol)
+        self._web.request_started(request.protocol)
         try:
             return await self._respond(request)
         finally:
-            self._web.finish(request.protocol)
+            self._web.request_finished(request.protocol)
 
     async def _respond(self, request: web.BaseRequest) -> web.StreamResponse:
         target = to_origin_form(request.raw_path)
@@ -399,7 +402,7 @@
             size, came = required_memory_bytes(request), asyncio.get_running_loop().time()
             budget = min(head.budget, self._core.settings.classes[cls].deadline)
             async with self._until_given_up(request):
-                await self.room.enter(size, min(MEMORY_TIMEOUT_S, MEMORY_TIMEOUT_FRACTION * budget))
+                await self.body_memory.reserve(size, min(MEMORY_TIMEOUT_S, MEMORY_TIMEOUT_FRACTION * budget))
             # The client's time runs meanwhile if its body is complete: the wait counts towards the deadline.
             waited = asyncio.get_running_loop().time() - came
         except TimeoutError:
@@ -411,7 +414,7 @@
         try:
             return await self._take(request, cls, head, waited)
         finally:
-            self.room.leave(size)
+            self.body_memory.release(size)
 
     @asynccontextmanager
     async def _until_given_up(self, request: web.BaseRequest) -> AsyncIterator[None]:
@@ -420,11 +423,11 @@
             yield  # there is no body to wait for
             return
         async with asyncio.timeout(0.0 if self._given_up else None) as waiting:
-            self._taking.add(waiting)
+            self._body_timeouts.add(waiting)
             try:
                 yield
             finally:
-                self._taking.discard(waiting)
+                self._body_timeouts.discard(waiting)
 
     async def _refuse(self, request: web.BaseRequest, cls: int) -> web.Response:
         """Reject a request whose body has not been read."""
@@ -506,9 +509,9 @@
             response.enable_chunked_encoding()
         else:
             response.force_close()
-        if self._parting or self._web.crowded or not request.content.is_eof():
+        if self._closing_connections or self._web.exceeds_soft_limit or not request.content.is_eof():
             response.force_close()
-        self.room.take(STREAM_MEMORY_BYTES)
+        self.body_memory.reserve_unchecked(STREAM_MEMORY_BYTES)
         try:
             async with asyncio.timeout(None) as flowing:
                 self._flowing.add(flowing)
@@ -518,7 +521,7 @@
             return Ending.CUT_SHORT
         finally:
             self._flowing.discard(flowing)
-            self.room.leave(STREAM_MEMORY_BYTES)
+            self.body_memory.release(STREAM_MEMORY_BYTES)
 
     async def _pump(
         self, request: web.BaseRequest, response: web.StreamResponse, rest: ResponseStream, reply: Reply
@@ -594,6 +597,6 @@
             ),
         )
         # Clients that send one request and stay would keep others out until they time out.
-        if self._parting or not whole or self._web.crowded:
+        if self._closing_connections or not whole or self._web.exceeds_soft_limit:
             response.force_close()
         return response
--- a/cherrycove/broker/http1/upstream.py
+++ b/cherrycove/broker/http1/upstream.py
@@ -52,10 +52,12 @@
         self._begin()
 
     def _begin(self) -> None:
-        self._answer: StreamReader | None = None  # the body of the response whose head has been received
+        self._response_body: StreamReader | None = (
+            None  # the body of the response whose head has been received
+        )
         self._left: int | None = None  # bytes of that body still to come, if its length is known
         self._clean = True  # whether a chunked body may end with the bytes received so far
-        self._seam, self._heads = b"", 0  # the last bytes received, and the size of all heads
+        self._seam, self._header_bytes = b"", 0  # the last bytes received, and the size of all heads
 
     def set_response_params(self, **params: Any) -> None:
         self._begin()
@@ -65,34 +67,38 @@
         """Whether it can be reused: an end or a second response may have come unread while it was idle."""
         if self.transport is None or not super().is_connected():
             return False
-        return self._answer is None or not self._answer.is_eof() or not has_unread_input(self.transport)
+        return (
+            self._response_body is None
+            or not self._response_body.is_eof()
+            or not has_unread_input(self.transport)
+        )
 
     def feed_data(self, data: tuple[RawResponseMessage, StreamReader], size: int = 0) -> None:
         """Called by aiohttp's parser with a complete head and the body to come."""
         message, body = data
         if 100 <= message.code < 200 and message.code != 101:
             return  # an interim response
-        if self._answer is not None:
+        if self._response_body is not None:
             return self._drop()  # a second response, after a chunked body
         length = message.headers.get("Content-Length")
-        self._answer, self._left = body, int(length) if length is not None else None
+        self._response_body, self._left = body, int(length) if length is not None else None
         super().feed_data(data, size)
 
     def data_received(self, data: bytes) -> None:
-        whole = self._answer is not None and self._answer.is_eof()
+        whole = self._response_body is not None and self._response_body.is_eof()
         if not data:  # aiohttp resumes a parser that it had paused
             if not whole:
                 super().data_received(data)
         elif self._parser is None or whole:
             return self._drop()  # no request is in flight, or its response is complete
-        elif self._answer is None:
+        elif self._response_body is None:
             place = (self._seam + data).find(b"\r\n\r\n")
             size = place + 4 - len(self._seam) if place >= 0 else len(data)
             # The parser rejects a NUL in a load report; RFC 9110, section 5.5, lets a recipient read a space.
             head, rest = data[:size].replace(b"\0", b" "), data[size:]
             self._seam = (self._seam + head)[-3:] if place < 0 else b""
-            self._heads += len(head)
-            if self._heads > MAX_HEADERS_BYTES:
+            self._header_bytes += len(head)
+            if self._header_bytes > MAX_HEADERS_BYTES:
                 return self._spoil()
             super().data_received(head)
             if rest and self.transport is not None and not self.transport.is_closing():
@@ -107,7 +113,7 @@
             end = (self._seam + data)[-4:]
             self._seam, self._clean = end[-3:], end == b"\r\n\r\n"
             super().data_received(data)
-        if not self._clean and self._answer is not None and self._answer.is_eof():
+        if not self._clean and self._response_body is not None and self._response_body.is_eof():
             self._drop()
         if self.transport is None or self.transport.is_closing():
             self._spoil()
@@ -117,9 +123,9 @@
         transport.max_size = READ_CHUNK_BYTES  # type: ignore[attr-defined]
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        if exc is not None and self._answer is not None and not self._answer.is_eof():
+        if exc is not None and self._response_body is not None and not self._response_body.is_eof():
             # aiohttp would take a reset for the end of a response delimited by the connection's close.
-            self._answer.set_exception(aiohttp.ClientPayloadError("the connection was reset"))
+            self._response_body.set_exception(aiohttp.ClientPayloadError("the connection was reset"))
             self._parser = None
         super().connection_lost(exc)
 
@@ -136,10 +142,10 @@
     def _spoil(self) -> None:
         """Fail the response; aiohttp alone would leave the reader of its body waiting for ever."""
         self._drop()
-        if self._answer is None and self._exception is None:
+        if self._response_body is None and self._exception is None:
             self.set_exception(InvalidResponseError("the answer's head is too long"))
-        elif self._answer is not None and not self._answer.is_eof():
-            self._answer.set_exception(InvalidResponseError("the answer's body is spoilt"))
+        elif self._response_body is not None and not self._response_body.is_eof():
+            self._response_body.set_exception(InvalidResponseError("the answer's body is spoilt"))
 
 
 class Connector(aiohttp.TCPConnector):
@@ -165,14 +171,14 @@
                 place: Any = _TransportPlaceholder(self._placeholder_future)
                 self._acquired.add(place)
                 try:
-                    await self._let_rest(self._rest - rested)
+                    await self._wait_for_reuse(self._rest - rested)
                 finally:
                     self._release_acquired(key, place)
             else:
                 break
         return await super()._get(key, traces)
 
-    async def _let_rest(self, time: float) -> None:
+    async def _wait_for_reuse(self, time: float) -> None:
         await asyncio.sleep(time)
 
     async def _create_connection(self, *request: Any) -> ResponseHandler:
@@ -192,13 +198,23 @@
     The broker owns it and closes it after the server. A node's failure ends the attempt alone.
     """
 
-    def __init__(self, dial_timeout: float, conn_idle: float, most: int, rest: float = REUSE_DELAY_S) -> None:
+    def __init__(
+        self,
+        dial_timeout: float,
+        conn_idle: float,
+        max_connections: int,
+        reuse_delay_s: float = REUSE_DELAY_S,
+    ) -> None:
         trace = aiohttp.TraceConfig()
         trace.on_request_headers_sent.append(self._headers_sent)
         trace.on_request_chunk_sent.append(self._chunk_sent)
         # A node closes connections idle for ``conn_idle`` (s); what is written to one at that moment is lost.
         self._connector = Connector(
-            rest, min(conn_idle * 0.4, 15.0), limit=most, happy_eyeballs_delay=None, use_dns_cache=False
+            reuse_delay_s,
+            min(conn_idle * 0.4, 15.0),
+            limit=max_connections,
+            happy_eyeballs_delay=None,
+            use_dns_cache=False,
         )
         self._session = aiohttp.ClientSession(
             connector=self._connector,
--- a/cherrycove/broker/http1/watch.py
+++ b/cherrycove/broker/http1/watch.py
@@ -28,16 +28,16 @@
 MAX_BACKOFF_S = 1.0
 
 
-async def watch(core: Core, address: str, zones: Mapping[str, int], afresh: bool = False) -> None:
+async def watch(core: Core, address: str, zones: Mapping[str, int], need_full_list: bool = False) -> None:
     """Follow discovery's list at ``address`` until cancelled, and update the core.
 
-    ``afresh``: whether the core's list is from another source, so that the full list is needed. Any failure
+    ``need_full_list``: whether the core's list is from another source. Any failure
     is logged, once until the next success, and retried for ever.
     """
     # aiohttp rounds time-outs over 5 s up to a full second of the loop's clock: they are set apart from it.
     limit = aiohttp.ClientTimeout(total=None, sock_connect=WATCH_SLACK_S)
     async with aiohttp.ClientSession(cookie_jar=aiohttp.DummyCookieJar(), timeout=limit) as session:
-        is_known, is_silent, backoff_s = core.version is not None and not afresh, False, MIN_BACKOFF_S
+        is_known, is_silent, backoff_s = core.version is not None and not need_full_list, False, MIN_BACKOFF_S
         while True:
             try:
                 nodes = await _query(session, address, zones, core.version if is_known else None)
--- a/cherrycove/broker/process.py
+++ b/cherrycove/broker/process.py
@@ -72,14 +72,14 @@
         self.life = LifecycleState(platform.sockets, platform.memory_mb)
         budget = self.life.budget()
         self.pool = upstream.ConnectionPool(
-            platform.dial_timeout_s, platform.idle_timeout_s, most=budget.node_connections
+            platform.dial_timeout_s, platform.idle_timeout_s, max_connections=budget.node_connections
         )
         self.front = server.Server(
             self.core,
             self.pool,
-            most_connections=budget.client_connections,
-            crowd=platform.sockets // CROWD_DIVISOR,
-            most_bytes=budget.body_bytes,
+            max_connections=budget.client_connections,
+            soft_limit=platform.sockets // CROWD_DIVISOR,
+            body_memory_bytes=budget.body_bytes,
         )
         self.stop = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -286,7 +286,7 @@
         if moved and self._watch is not None:
             # The former address's versions mean nothing at the new one, so the full list is asked for.
             self._watch.cancel()
-            self._watch = self._run(watch(self.core, fresh.discovery, old.zones, afresh=True))
+            self._watch = self._run(watch(self.core, fresh.discovery, old.zones, need_full_list=True))
 
     async def end(self, began: float | None = None) -> None:
         """Shut down gracefully: serve on while clients still come, finish what is open, close every part.
@@ -296,12 +296,12 @@
         began = asyncio.get_running_loop().time() if began is None else began
         log.info("broker.draining", open=self.core.open_requests)
         self.life.shutdown_started()
-        self.front.drain(parting=self.life.has_handed_over)
+        self.front.drain(close_connections=self.life.has_handed_over)
         if self._nbd is not None:
             self._nbd.drain()
         deregistering = self._deregister()
         times = ShutdownTimetable.of(max(cls.deadline for cls in self.platform.settings.classes))
-        await self.front.linger(times, began, replaced=self.life.has_handed_over)
+        await self.front.serve_until_stop(times, began, replaced=self.life.has_handed_over)
         if self._nbd is not None and self._nbd_pool is not None:
             await self._nbd.close()
             self._nbd_pool.close()
--- a/cherrycove/tier/dataplane/connection_pool.py
+++ b/cherrycove/tier/dataplane/connection_pool.py
@@ -83,7 +83,7 @@
         """Handle parsed response headers; called by aiohttp."""
         message, body = data
         request_id = message.headers.get(REQUEST_ID)
-        if self._answer is None and request_id != self._expected_id:
+        if self._response_body is None and request_id != self._expected_id:
             self._should_close = True
             if request_id is not None:
                 self._unexpected_body = body
@@ -97,11 +97,13 @@
     def data_received(self, data: bytes) -> None:
         """Parse received bytes, and note the end of the response; called by the event loop."""
         if self._unexpected_body is not None and not self._unexpected_body.is_eof():
-            self._heads = 0  # these bytes belong to a body, so the limit on header bytes does not apply
+            self._header_bytes = (
+                0  # these bytes belong to a body, so the limit on header bytes does not apply
+            )
         super().data_received(data)
         if self._unexpected_body is not None and self._unexpected_body.exception() is None:
             self._unexpected_body.read_nowait()  # otherwise aiohttp stops reading at its buffer limit
-        if self._answer is not None and self._answer.is_eof():
+        if self._response_body is not None and self._response_body.is_eof():
             self._response_ended_at = min(self._response_ended_at, monotonic())
 
     def is_connected(self) -> bool:
--- a/tests/support.py
+++ b/tests/support.py
@@ -193,9 +193,13 @@
     """A core, its fronts and its backs on ephemeral ports; shard i is held by the i-th node. Connections to
     nodes do not rest between requests, or a machine's speed would say which of them a request takes."""
 
-    def __init__(self, *nodes: Node, platform: config.PlatformConfig = PLATFORM, rest: float = 0.0) -> None:
+    def __init__(
+        self, *nodes: Node, platform: config.PlatformConfig = PLATFORM, reuse_delay_s: float = 0.0
+    ) -> None:
         self.core = Core(platform.settings, platform.seed)
-        self.pool = upstream.ConnectionPool(platform.dial_timeout_s, platform.idle_timeout_s, 64, rest)
+        self.pool = upstream.ConnectionPool(
+            platform.dial_timeout_s, platform.idle_timeout_s, 64, reuse_delay_s
+        )
         self.front = server.Server(self.core, self.pool, 64, 21, 4 << 20)
         self.members = [Member(f"d{i}", f"127.0.0.1:{node.port}", i) for i, node in enumerate(nodes)]
         self.platform = platform
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -214,7 +214,7 @@
             lingers.set()
             await go.wait()
 
-        monkeypatch.setattr(broker.front, "linger", linger)
+        monkeypatch.setattr(broker.front, "serve_until_stop", linger)
         ending = asyncio.create_task(broker.end())
         await lingers.wait()
         await agent.holds.wait()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -98,7 +98,7 @@
 
 async def nothing_came(world: World, node: Node, shard: int = 0, before: tuple[str, ...] = ()) -> None:
     """The node has seen no byte of what it was spared, and what that held is free again."""
-    await until(lambda: world.core.open_requests == 0 and world.front.room.held == 0)
+    await until(lambda: world.core.open_requests == 0 and world.front.body_memory.reserved_bytes == 0)
     status, _, data = await world.ask(id="later", shard=shard)
     assert (status, data) == (200, b"data of later")
     assert [each["x-request-id"] for each in node.seen] == [*before, "later"] and not node.scraps
@@ -163,13 +163,13 @@
     async def story() -> None:
         node = await Node().start()
         async with World(node) as world:
-            world.front.room.take(world.front.room.most)
+            world.front.body_memory.reserve_unchecked(world.front.body_memory.limit_bytes)
             _, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(message("claim-write", "PUT", id="gone", body=b"x" * size))
-            await until(lambda: world.front.room._waiting)
+            await until(lambda: world.front.body_memory._waiting)
             await leave(writer, how)
             await until(lambda: not world.front._web.connected)
-            world.front.room.leave(world.front.room.most)
+            world.front.body_memory.release(world.front.body_memory.limit_bytes)
             assert world.core.counts["taken"] == 0
             await nothing_came(world, node)
 
@@ -183,7 +183,7 @@
         async with World(node) as world:
             _, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(message("claim-write", "PUT", id="gone", body=b"x" * 900)[:-100])
-            await until(lambda: world.front._taking)
+            await until(lambda: world.front._body_timeouts)
             await leave(writer, how)
             await until(lambda: not world.front._web.connected)
             assert world.core.counts["taken"] == 0
@@ -416,11 +416,11 @@
 def test_a_body_that_is_on_its_way_as_the_process_ends_is_taken() -> None:
     async def story() -> None:
         async with World(await Node().start()) as world:
-            world.front._last_answer = math.inf
+            world.front._give_up_at = math.inf
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             whole = message("claim-write", "PUT", id="late", body=b"x" * 900)
             writer.write(whole[:-100])
-            await until(lambda: world.front._taking)
+            await until(lambda: world.front._body_timeouts)
             closing = asyncio.create_task(world.front.close())
             await until(lambda: world.front._server is not None and not world.front._server.is_serving())
             writer.write(whole[-100:])
@@ -442,11 +442,11 @@
         node = await Node().start()
         async with World(node) as world:
             if waits_for == "room":
-                world.front.room.take(world.front.room.most)
+                world.front.body_memory.reserve_unchecked(world.front.body_memory.limit_bytes)
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             whole = message("claim-write", "PUT", id="late", body=b"x" * 900)
             writer.write(whole if waits_for == "room" else whole[:-100])
-            await until(lambda: world.front._taking)
+            await until(lambda: world.front._body_timeouts)
             world.front._give_up()
             status, headers, _ = await answer(reader)
             assert status == 503 and float(headers["retry-after"]) > 0 and not node.seen
@@ -477,11 +477,11 @@
             assert b" 200 " in await reader.readuntil(b"\r\n\r\n") and await reader.readexactly(100_000)
             with closing(writer):  # which ends what waits, should the test fail
                 times = ShutdownTimetable(0.0, 0.0, 0.0, 0.1)
-                await world.front.linger(times, asyncio.get_running_loop().time(), replaced=False)
+                await world.front.serve_until_stop(times, asyncio.get_running_loop().time(), replaced=False)
                 ends = asyncio.create_task(world.front.close())
                 assert await reader.read() == b""  # 100,000 bytes short, as its client can tell
                 await ends
-                assert not world.core.open_requests and not world.front.room.held
+                assert not world.core.open_requests and not world.front.body_memory.reserved_bytes
 
     run(story())
 
@@ -494,10 +494,10 @@
         async with World(await Node().start()) as world:
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(message("claim-write", "PUT", id="sends", body=b"x" * 900)[:-100])
-            await until(lambda: world.front._taking)
+            await until(lambda: world.front._body_timeouts)
             with closing(writer):
                 times = ShutdownTimetable(0.0, 0.0, 0.0, 0.1)
-                await world.front.linger(times, asyncio.get_running_loop().time(), replaced=False)
+                await world.front.serve_until_stop(times, asyncio.get_running_loop().time(), replaced=False)
                 ends = asyncio.create_task(world.front.close())
                 assert (await answer(reader))[0] == 503
                 await ends
@@ -513,7 +513,7 @@
     async def story() -> None:
         node = await Node().start()
         async with World(node) as world:
-            world.front.room.take(world.front.room.most)
+            world.front.body_memory.reserve_unchecked(world.front.body_memory.limit_bytes)
             status, _, _ = await world.ask(cls="claim-write", method="PUT", body=b"x" * 900, ms=200)
             assert status == 503 and not node.seen
 
@@ -526,15 +526,15 @@
 
     async def story() -> None:
         async with World(await Node().start()) as world:
-            world.front.room.take(world.front.room.most)
+            world.front.body_memory.reserve_unchecked(world.front.body_memory.limit_bytes)
             waits = asyncio.create_task(
                 world.ask(cls="claim-write", method="PUT", body=b"x" * 900, id="waits")
             )
-            await until(lambda: world.front.room._waiting)
+            await until(lambda: world.front.body_memory._waiting)
             try:
                 assert (await world.ask(id="reads"))[2] == b"data of reads" and not waits.done()
             finally:
-                world.front.room.leave(world.front.room.most)
+                world.front.body_memory.release(world.front.body_memory.limit_bytes)
             assert (await waits)[2] == b"data of waits"
 
     run(story())
@@ -549,11 +549,11 @@
         loop.time = lambda: clock() + shift[0]  # type: ignore[method-assign]
         node = await Node().start()
         async with World(node) as world:
-            world.front.room.take(world.front.room.most)
+            world.front.body_memory.reserve_unchecked(world.front.body_memory.limit_bytes)
             asks = asyncio.create_task(world.ask(cls="claim-write", method="PUT", body=b"x" * 900, ms=20_000))
-            await until(lambda: world.front.room._waiting)
+            await until(lambda: world.front.body_memory._waiting)
             shift[0] = 0.4  # of the 1 s that it may wait
-            world.front.room.leave(world.front.room.most)
+            world.front.body_memory.release(world.front.body_memory.limit_bytes)
             assert (await asks)[0] == 200
             assert int(node.seen[0]["x-deadline-ms"]) <= 19_600
 
@@ -567,7 +567,7 @@
         whole = raw()
         whole["settings"]["limits"]["retryAfter"] = False
         async with World(await Node().start(), platform=config.parse_platform_config(whole, {})) as world:
-            world.front.room.take(world.front.room.most)
+            world.front.body_memory.reserve_unchecked(world.front.body_memory.limit_bytes)
             status, headers, _ = await world.ask(cls="claim-write", method="PUT", body=b"x" * 900)
             assert status == 503 and "retry-after" not in headers
 
@@ -589,13 +589,13 @@
                 handler._next_keepalive_close_time = 0.0
                 handler._process_keepalive()
             elif by == "a newcomer":
-                web._partly[server.ClientConnection(web, loop=web._loop)] = 0.0  # one that may go instead
-                web._connections[next(iter(web._partly))] = asyncio.Transport()
+                web._partial[server.ClientConnection(web, loop=web._loop)] = 0.0  # one that may go instead
+                web._connections[next(iter(web._partial))] = asyncio.Transport()
                 with pytest.raises(NotImplementedError):  # of the stand-in's abort: it is the one to go
                     web.resize(1)
             else:
-                web._crowd, web._idle[handler] = 0, 0.0
-                web.begin(handler_like(web))
+                web._soft_limit, web._idle[handler] = 0, 0.0
+                web.request_started(handler_like(web))
             assert await answered(client) == 200
 
     run(story())
@@ -818,11 +818,11 @@
         else:
             node.last = b""
 
-    monkeypatch.setattr(upstream.Connector, "_let_rest", let_rest)
+    monkeypatch.setattr(upstream.Connector, "_wait_for_reuse", let_rest)
 
     async def story() -> None:
         port = await node.start()
-        async with World(rest=upstream.REUSE_DELAY_S) as world:
+        async with World(reuse_delay_s=upstream.REUSE_DELAY_S) as world:
             world.members = [Member("d0", f"127.0.0.1:{port}", 0)]
             world.list()
             assert (await world.ask(id="first"))[2] == b"to first"
@@ -844,11 +844,11 @@
         rests.set()
         await asyncio.Event().wait()
 
-    monkeypatch.setattr(upstream.Connector, "_let_rest", let_rest)
+    monkeypatch.setattr(upstream.Connector, "_wait_for_reuse", let_rest)
 
     async def story() -> None:
         busy, node = await Node("held ok").start(), await Node().start()
-        async with World(busy, node, platform=patient(), rest=1e6) as world:
+        async with World(busy, node, platform=patient(), reuse_delay_s=1e6) as world:
             world.pool.resize(1)
             first = asyncio.create_task(world.ask(id="first"))
             await busy.until(1)
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -594,7 +594,7 @@
         async with World(await Node().start()) as world:
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(message()[:30])
-            while not world.front._web._partly:
+            while not world.front._web._partial:
                 await asyncio.sleep(0.01)
             crowd = [await asyncio.open_connection("127.0.0.1", world.port) for _ in range(150)]
             writer.write(message()[30:])
@@ -614,7 +614,7 @@
         room, inside = body.BodyMemory(10), []  # type: body.BodyMemory, list[int]
 
         async def enter(size: int) -> None:
-            await room.enter(size)
+            await room.reserve(size)
             inside.append(size)
 
         tasks = []
@@ -623,15 +623,15 @@
             for _ in range(leaving):
                 await asyncio.sleep(0)
                 if inside:
-                    room.leave(inside.pop(0))
-            assert room.held <= 10 and room.held >= sum(inside)
+                    room.release(inside.pop(0))
+            assert room.reserved_bytes <= 10 and room.reserved_bytes >= sum(inside)
         while not all(task.done() for task in tasks):
             await asyncio.sleep(0)
             while inside:
-                room.leave(inside.pop())
+                room.release(inside.pop())
         while inside:
-            room.leave(inside.pop())
-        assert room.held == 0 and not room._waiting
+            room.release(inside.pop())
+        assert room.reserved_bytes == 0 and not room._waiting
 
     run(story())
 
@@ -644,14 +644,14 @@
     async def story() -> None:
         node = await Node().start()
         async with World(node) as world:
-            world.front.room.resize(100)
-            world.front.room.take(90)
+            world.front.body_memory.resize(100)
+            world.front.body_memory.reserve_unchecked(90)
             status, headers, _ = await world.ask(**WRITE)
             assert status == 503 and float(headers["retry-after"]) > 0 and not node.seen
             assert world.core.figures().answers["claim-write"][Verdict.REFUSED] == 1
             assert (await world.ask())[0] == 200  # what has no body needs no room
-            world.front.room.leave(90)
-            assert (await world.ask(**WRITE))[0] == 200 and world.front.room.held == 0
+            world.front.body_memory.release(90)
+            assert (await world.ask(**WRITE))[0] == 200 and world.front.body_memory.reserved_bytes == 0
 
     run(story())
 
@@ -705,7 +705,7 @@
             before = handler._next_keepalive_close_time
             await asyncio.sleep(0.05)
             writer.write(message(id="second")[:30])
-            while handler not in web._partly:
+            while handler not in web._partial:
                 await asyncio.sleep(0.01)
             assert handler._next_keepalive_close_time >= before + 0.05
             writer.write(message(id="second")[30:])
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -53,8 +53,8 @@
             writer.write(message(id="before"))
             assert (await answer(reader))[0] == 200
             times, began = ShutdownTimetable.of(60.0), loop.time()
-            world.front.drain(parting=False)
-            lingering = asyncio.create_task(world.front.linger(times, began, replaced=False))
+            world.front.drain(close_connections=False)
+            lingering = asyncio.create_task(world.front.serve_until_stop(times, began, replaced=False))
             writer.write(message(id="after"))
             status, headers, body = await answer(reader)
             assert (status, body) == (200, b"data of after") and "connection" not in headers
@@ -82,7 +82,7 @@
     async def story() -> None:
         async with World(await Node("ok", "ok").start()) as world:
             times, began = ShutdownTimetable(30.0, 31.0, 32.0, 33.0), asyncio.get_running_loop().time()
-            lingering = asyncio.create_task(world.front.linger(times, began, replaced=False))
+            lingering = asyncio.create_task(world.front.serve_until_stop(times, began, replaced=False))
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             for number in range(2):
                 writer.write(message(id=f"a{number}"))
@@ -100,9 +100,9 @@
         async with World(node) as world:
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             began = asyncio.get_running_loop().time()
-            world.front.drain(parting=True)
+            world.front.drain(close_connections=True)
             lingering = asyncio.create_task(
-                world.front.linger(ShutdownTimetable.of(60.0), began, replaced=True)
+                world.front.serve_until_stop(ShutdownTimetable.of(60.0), began, replaced=True)
             )
             writer.write(message(id="last"))
             assert (await answer(reader))[1]["connection"] == "close"
