--- a/cherrycove/broker/http1/__init__.py
+++ b/cherrycove/broker/http1/__init__.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1: the platform's wire, by concern.
+"""The platform's protocols over HTTP/1.1: requests of clients, exchanges with disk nodes, discovery.
 
-``parse`` is pure: heads, lists and reports in text that anybody may have written. ``body`` takes clients'
-bodies and bounds what they hold in memory, ``upstream`` asks disk nodes, ``server`` answers clients,
-``watch`` follows discovery. Imports run from the last of these to the first. The package must never decide
-anything about a request that is well formed, send one twice by itself, answer 200 with anything but a node's
-whole 200 body, or use a connection again on which an answer is still to come.
+``parse`` is pure and parses request heads, node lists and load reports from untrusted text. ``body`` reads
+clients' bodies and limits their memory, ``upstream`` sends requests to disk nodes, ``server`` responds to
+clients, ``watch`` follows discovery. Each module may import only those named before it. The package must
+never decide anything about a well-formed request, send one twice by itself, respond 200 with anything but a
+node's complete 200 body, or reuse a connection on which a response is still to come.
 """
--- a/cherrycove/broker/http1/body.py
+++ b/cherrycove/broker/http1/body.py
@@ -1,6 +1,6 @@
-"""Clients' bodies: buffered where they are short, streamed where they are long, within one bound on memory.
+"""Reads clients' bodies: short ones are buffered, long ones are streamed, within one limit on memory.
 
-It owns that bound and how long a client may take to send its body. It must never hold more of a long body
+This module owns that limit and the time-outs for receiving a body. It must never hold more of a long body
 than a chunk and its buffers, and never return a chunk twice.
 """
 
@@ -18,39 +18,41 @@
 
 MAX_BUFFERED_BODY_BYTES = 64 * 1024  # longer bodies are streamed
 MAX_BODY_BYTES = 32 * 1024 * 1024  # of a request or a response
-CHUNK_TIMEOUT_S = 2.0  # for each chunk of a body; for all of it as much again, and
-MIN_BODY_BYTES_PER_S = 32 * 1024  # the time that it takes at this rate
-STREAM_MEMORY_BYTES = 160 * 1024  # that a streamed body or response holds, at the most
-MEMORY_TIMEOUT_S = 1.0  # that a body waits for memory until its request is rejected
+CHUNK_TIMEOUT_S = 2.0  # for each chunk of a body
+MIN_BODY_BYTES_PER_S = 32 * 1024  # the whole body may take CHUNK_TIMEOUT_S plus its size at this rate
+STREAM_MEMORY_BYTES = 160 * 1024  # the most that a streamed body or response holds in memory
+MEMORY_TIMEOUT_S = 1.0  # how long a body waits for memory before its request is rejected
 
 
 class _Waiter(NamedTuple):
+    """A reservation of ``size`` bytes that waits; ``reserved`` is resolved when they have been reserved."""
+
     size: int
     reserved: asyncio.Future[None]
 
 
 class BodyMemory:
-    """The bound on the memory of all bodies and responses; waiters get theirs in the order of arrival.
+    """Limits the memory of all bodies and responses; reservations are granted in the order of arrival.
 
     The server owns it. ``reserved_bytes`` may exceed ``limit_bytes`` by a single body that is larger than the
     limit, or by ``reserve_unchecked``.
     """
 
     def __init__(self, limit_bytes: int) -> None:
-        """Nothing is reserved; ``limit_bytes`` is the bound."""
+        """Start with nothing reserved."""
         self.limit_bytes = limit_bytes
         self.reserved_bytes = 0
         self._waiting: deque[_Waiter] = deque()
 
     def reserve_unchecked(self, size: int) -> None:
-        """Reserve ``size`` bytes whether or not the bound allows it."""
+        """Reserve ``size`` bytes whether or not the limit allows it."""
         self.reserved_bytes += size
 
-    async def reserve(self, size: int, within: float = MEMORY_TIMEOUT_S) -> None:
-        """Reserve ``size`` bytes once the bound allows it, or nothing else is reserved.
+    async def reserve(self, size: int, timeout_s: float = MEMORY_TIMEOUT_S) -> None:
+        """Reserve ``size`` bytes, once the limit allows it or nothing else is reserved.
 
         Raises:
-            TimeoutError: if that took longer than ``within`` seconds; nothing is reserved.
+            TimeoutError: if that would take longer than ``timeout_s``; nothing is reserved then.
         """
         # Requests without a body need no memory and must not queue behind those that do.
         if not size or (not self._waiting and self._fits(size)):
@@ -59,33 +61,33 @@
         waiter = _Waiter(size, asyncio.get_running_loop().create_future())
         self._waiting.append(waiter)
         try:
-            async with asyncio.timeout(within):
+            async with asyncio.timeout(timeout_s):
                 await waiter.reserved
         except BaseException:
-            self._abandon(waiter)
+            self._cancel(waiter)
             raise
 
-    def _abandon(self, waiter: _Waiter) -> None:
+    def _cancel(self, waiter: _Waiter) -> None:
         if waiter in self._waiting:
             self._waiting.remove(waiter)
         elif waiter.reserved.done() and not waiter.reserved.cancelled():
-            self.release(waiter.size)  # it was reserved in the moment in which the waiter gave up
-        self._admit()
+            self.release(waiter.size)  # it was reserved just as the waiter timed out or was cancelled
+        self._grant_waiting()
 
     def release(self, size: int) -> None:
         """Release ``size`` reserved bytes."""
         self.reserved_bytes -= size
-        self._admit()
+        self._grant_waiting()
 
     def resize(self, limit_bytes: int) -> None:
-        """Change the bound; what is reserved beyond a smaller one stays so."""
+        """Change the limit; bytes that are already reserved stay reserved, even above a smaller limit."""
         self.limit_bytes = limit_bytes
-        self._admit()
+        self._grant_waiting()
 
     def _fits(self, size: int) -> bool:
         return not self.reserved_bytes or self.reserved_bytes + size <= self.limit_bytes
 
-    def _admit(self) -> None:
+    def _grant_waiting(self) -> None:
         while self._waiting and self._fits(self._waiting[0].size):
             waiter = self._waiting.popleft()
             if not waiter.reserved.done():
@@ -94,32 +96,32 @@
 
 
 class StreamedBody:
-    """A client's long body, each chunk read once the one before was consumed. It can be read once.
+    """A client's long body, which can be read once; a chunk is read when the one before has been consumed.
 
-    ``length`` is in bytes, None if it is not known; ``touched`` says whether reading has begun.
+    ``length`` is in bytes, None if it is not known; ``is_read`` is True as soon as reading has begun.
     """
 
-    def __init__(self, request: web.BaseRequest, start: bytes) -> None:
-        """``start`` is what has been read of the body already."""
+    def __init__(self, request: web.BaseRequest, prefix: bytes) -> None:
+        """Stream the body of ``request``, of which ``prefix`` has been read already."""
         self.length = None if request.headers.get("Transfer-Encoding") else request.content_length
-        self.touched = False
+        self.is_read = False
         self._request = request
-        self._start = start
-
-    async def pieces(self) -> AsyncGenerator[bytes, None]:
-        """The chunks up to the body's end; BodyError if it does not come completely."""
-        self.touched = True
-        if self._start:
-            yield self._start
-        async for chunk in _read_chunks(self._request, len(self._start)):
+        self._prefix = prefix
+
+    async def chunks(self) -> AsyncGenerator[bytes, None]:
+        """Yield the chunks up to the end of the body; BodyError if it is not received completely."""
+        self.is_read = True
+        if self._prefix:
+            yield self._prefix
+        async for chunk in _read_chunks(self._request, len(self._prefix)):
             yield chunk
 
 
 def required_memory_bytes(request: web.BaseRequest) -> int:
-    """What a request's body will hold in memory.
+    """Return how many bytes of memory the body of a request needs.
 
     Raises:
-        RequestError: if the request may have no body, or none in that coding.
+        RequestError: if the method allows no body, or its Transfer-Encoding is not supported.
         BodyError: if the announced length is over ``MAX_BODY_BYTES``.
     """
     if not request.body_exists:
@@ -136,10 +138,10 @@
 
 
 async def read_body(request: web.BaseRequest) -> bytes | StreamedBody:
-    """The complete body, or a stream if it is too long to be buffered.
+    """Return the complete body, or a stream if it is too long to be buffered.
 
     Raises:
-        BodyError: if it does not come in time, or not as it was announced.
+        BodyError: if it is not received in time, or not as its headers announce it.
     """
     if not request.body_exists:
         return b""
@@ -156,22 +158,24 @@
 
 
 async def _send_continue(request: web.BaseRequest) -> None:
-    """Ask for the body (RFC 9110, section 10.1.1): aiohttp's low-level server leaves that to its user."""
+    """Send 100 Continue (RFC 9110, section 10.1.1), which aiohttp's low-level server leaves to its user."""
     await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-    request.writer.output_size = 0  # aiohttp takes a written response for begun: the final one is to come
+    # aiohttp assumes that the response has begun once anything was written; the final one is still to come.
+    request.writer.output_size = 0
 
 
 async def _read_chunks(request: web.BaseRequest, size: int = 0) -> AsyncIterator[bytes]:
-    """The chunks of a body of which ``size`` bytes have been read.
+    """Yield the further chunks of a body of which ``size`` bytes have been read.
 
-    A client may be slow, but not hold its memory for ever: time that the consumer takes is not the client's.
+    Raises ``BodyError`` when a slow client exceeds the time for its body, so that it cannot hold memory for
+    ever. Time that the consumer of the chunks takes does not count.
     """
     loop = asyncio.get_running_loop()
-    began_s, consumer_s = loop.time(), 0.0
+    started_at, consumer_s = loop.time(), 0.0
     while True:
-        latest_s = began_s + consumer_s + CHUNK_TIMEOUT_S + size / MIN_BODY_BYTES_PER_S
+        body_timeout_at = started_at + consumer_s + CHUNK_TIMEOUT_S + size / MIN_BODY_BYTES_PER_S
         try:
-            async with asyncio.timeout_at(min(loop.time() + CHUNK_TIMEOUT_S, latest_s)):
+            async with asyncio.timeout_at(min(loop.time() + CHUNK_TIMEOUT_S, body_timeout_at)):
                 chunk = await request.content.readany()
         except TimeoutError as error:
             raise BodyError(408, "the rest of the request did not come") from error
@@ -182,6 +186,6 @@
         size += len(chunk)
         if size > MAX_BODY_BYTES:
             raise BodyError(413, f"more than {MAX_BODY_BYTES} bytes")
-        before_s = loop.time()
+        yielded_at = loop.time()
         yield chunk
-        consumer_s += loop.time() - before_s
+        consumer_s += loop.time() - yielded_at
--- a/cherrycove/broker/http1/parse.py
+++ b/cherrycove/broker/http1/parse.py
@@ -1,7 +1,7 @@
-"""Heads of requests, discovery's lists and nodes' reports, from text that anybody may have written.
+"""Parses heads of requests, discovery's node lists and nodes' load reports, all from untrusted text.
 
-It owns what makes a request of this deployment and what is wrong with one. It must never do I/O, and never
-return a part of what it could not read completely.
+This module decides what is a valid request of this deployment, and names the fault of an invalid one. It must
+never do I/O, and never return a part of what it could not parse completely.
 """
 
 from __future__ import annotations
@@ -34,29 +34,29 @@
     "Idempotency-Key",
 )
 _NO_SHARD = "-1"
-MAX_FIGURE = 1e18  # of any figure in a list or report: ms since 1970 are some 1.8e12
+MAX_NUMBER = 1e18  # bound on any number in a list or report: ms since 1970 are about 1.8e12
 _STATE_BY_STATUS = {"up": NodeState.UP, "draining": NodeState.DRAINING, "removed": NodeState.GONE}
 
 
 class RequestError(ValueError):
-    """What a client sent is not a request of this deployment; the message says why."""
+    """A client's request is not valid in this deployment; the message, sent to the client, says why."""
 
 
 class BodyError(RequestError):
-    """A body did not come, or not as it was announced; ``status`` is the response's."""
+    """A body was not received, or not as its headers announce it; ``status`` is the response's."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
 class NodeListError(ValueError):
-    """What discovery sent is not a node list; the message says why."""
+    """Discovery's response is not a valid node list; the message says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestHead:
-    """What a request's head says, before the core's view of it.
+    """The parsed and validated head of a request.
 
     Attributes:
         cls: index into ``Settings.classes``.
@@ -65,11 +65,11 @@
         units: the request's cost.
         shard: None if any shard may serve it.
         hosts: how many brokers the volume's clients use.
-        budget: s until the client's deadline.
-        key: of the object, 16 hex digits.
-        id: by which the client knows the request.
-        repeat: whether the client has sent it before.
-        idempotency_key: by which nodes drop a duplicate; empty: none was sent.
+        budget_s: seconds until the client's deadline.
+        key: the object's key, 16 hex digits.
+        id: the client's id of the request.
+        is_retry: whether the client has sent the request before.
+        idempotency_key: by which nodes recognise and drop a duplicate; empty if none was sent.
     """
 
     cls: int
@@ -78,18 +78,18 @@
     units: float
     shard: int | None
     hosts: int
-    budget: float
+    budget_s: float
     key: str
     id: str
-    repeat: bool
+    is_retry: bool
     idempotency_key: str = ""
 
 
 class DeploymentNames:
-    """A deployment's names of classes and plans, indexed, and the bounds of a request's figures."""
+    """The indexes of a deployment's classes and plans by name, and the limits of a request's numbers."""
 
     def __init__(self, settings: Settings) -> None:
-        """The names and bounds of these settings."""
+        """Take the names and limits from ``settings``."""
         self.classes = {cls.name: index for index, cls in enumerate(settings.classes)}
         self.keyed = {index for index, cls in enumerate(settings.classes) if cls.effect is Effect.KEYED}
         self.plans = {plan.name: index for index, plan in enumerate(settings.plans)}
@@ -97,10 +97,10 @@
 
 
 def parse_head(path: str, headers: Mapping[str, str], names: DeploymentNames) -> RequestHead:
-    """A request's head. A path that names no class is the caller's to answer.
+    """Parse a request's head. The caller responds to a path that names no class.
 
     Raises:
-        RequestError: at the first header that is missing, malformed or out of range.
+        RequestError: for the first header that is missing, malformed or out of range.
     """
     class_name = _header(headers, "X-Class")
     cls, plan = names.classes.get(class_name), names.plans.get(_header(headers, "Tier"))
@@ -115,7 +115,7 @@
     shard = _parse_shard(info["shard"], names)
     idempotency_key = headers.get("Idempotency-Key")
     if idempotency_key is None and cls in names.keyed:
-        # Nodes could not drop a duplicate of it, and the class says that one does no harm.
+        # Without it nodes could not drop duplicates, which the class declares harmless.
         raise RequestError("Idempotency-Key is missing")
     hosts = max(min(int(_matched(_INTEGER, info["hosts"], "hosts")), names.brokers), 1)
     return RequestHead(
@@ -125,10 +125,10 @@
         units=units,
         shard=shard,
         hosts=hosts,
-        budget=int(_matched(_INTEGER, _header(headers, "X-Deadline-Ms"), "X-Deadline-Ms")) / 1000,
+        budget_s=int(_matched(_INTEGER, _header(headers, "X-Deadline-Ms"), "X-Deadline-Ms")) / 1000,
         key=_matched(HEX16, _cookie(_header(headers, "Cookie"), "object"), "the cookie object"),
         id=_matched(_REQUEST_ID, _header(headers, "X-Request-Id"), "X-Request-Id"),
-        repeat=headers.get("X-Retry") == "1",
+        is_retry=headers.get("X-Retry") == "1",
         idempotency_key=_checked_idempotency_key(idempotency_key),
     )
 
@@ -173,7 +173,7 @@
         return None
     shard = int(_matched(_INTEGER, text, "shard"))
     if shard >= names.shards > 0:
-        # The decision module keeps state for each shard that it has seen, for good.
+        # The scheduler keeps state for every shard that it has seen and never deletes it.
         raise RequestError("shard is out of range")
     return shard
 
@@ -183,22 +183,22 @@
 
 
 def parse_node_list(text: bytes | str, zones: Mapping[str, int]) -> NodeList:
-    """Discovery's response; ``zones`` gives the index of each zone's name.
+    """Parse discovery's response; ``zones`` maps the name of each zone to its index.
 
     Raises:
-        NodeListError: if any part is wrong: such a list is trusted in none.
+        NodeListError: if any part is invalid; no part of such a list is used.
     """
     try:
         raw = json.loads(text)
     except (ValueError, RecursionError) as error:
-        raise NodeListError("not JSON") from error
+        raise NodeListError("the list is not JSON") from error
     return parse_node_list_json(raw, zones)
 
 
 def parse_node_list_json(raw: Any, zones: Mapping[str, int]) -> NodeList:
-    """A node list that has been read as JSON; NodeListError if any part is wrong."""
+    """Parse a node list from a JSON value; NodeListError if any part is invalid."""
     if not isinstance(raw, dict):
-        raise NodeListError("no object")
+        raise NodeListError("the list is not a JSON object")
     index, full, entries = raw.get("index"), raw.get("snapshot"), raw.get("endpoints")
     if type(index) is not int or index < 0 or type(full) is not bool or not isinstance(entries, list):
         raise NodeListError("index, snapshot or endpoints is missing or of the wrong type")
@@ -207,15 +207,17 @@
 
 def _parse_node(raw: Any, zones: Mapping[str, int]) -> Member:
     if not isinstance(raw, dict):
-        raise NodeListError("an entry is no object")
+        raise NodeListError("an entry is not a JSON object")
     try:
         name, state = raw["name"], _STATE_BY_STATUS[raw["status"]]
     except (KeyError, TypeError) as error:
-        raise NodeListError(f"an entry lacks or misstates {error}") from error
+        raise NodeListError(f"an entry has a missing or unknown value: {error}") from error
     address, shard = raw.get("address", ""), raw.get("group", -1)
     weight, since_ms = raw.get("weight", 1.0), raw.get("since_ms", 0)
-    has_texts = isinstance(name, str) and name and isinstance(address, str)
-    if not (has_texts and type(shard) is int and _is_figure(weight) and _is_figure(since_ms)):
+    has_strings = isinstance(name, str) and name and isinstance(address, str)
+    if not (
+        has_strings and type(shard) is int and _is_bounded_number(weight) and _is_bounded_number(since_ms)
+    ):
         raise NodeListError("an entry has a value of the wrong type")
     if state is not NodeState.GONE and not (_is_address(address) and shard >= 0):
         raise NodeListError("an entry has no usable address or group")
@@ -231,9 +233,9 @@
     )
 
 
-def _is_figure(value: Any) -> bool:
-    """Whether it is a number that a float can hold; JSON's integers have no bound."""
-    return type(value) in (int, float) and abs(value) < MAX_FIGURE
+def _is_bounded_number(value: Any) -> bool:
+    """Whether ``value`` is a number that a float can hold; integers in JSON have no bound."""
+    return type(value) in (int, float) and abs(value) < MAX_NUMBER
 
 
 def _is_address(address: str) -> bool:
@@ -243,34 +245,34 @@
 
 
 def parse_load(text: str | None) -> dict[str, float]:
-    """A node's load report by name; what cannot be read is left out, since it is only advice."""
+    """Return the values of a node's load report by name; unreadable ones are omitted: they are only hints."""
     try:
         raw = json.loads(text) if text else {}
     except (ValueError, RecursionError):
         return {}
     if not isinstance(raw, dict):
         return {}
-    return {name: float(value) for name, value in raw.items() if _is_figure(value)}
+    return {name: float(value) for name, value in raw.items() if _is_bounded_number(value)}
 
 
 def parse_volume_load(text: str | None) -> float | None:
-    """The volume's use as a multiple of its plan's rate, reported in percent; None if it cannot be read."""
+    """Return the volume's use, reported in percent, as a multiple of its plan's rate; None if unreadable."""
     return int(text) / 100 if text and _INTEGER.fullmatch(text) else None
 
 
 def parse_other_hosts(text: str | None) -> float:
-    """The units that a shard has served for the volume through other brokers; 0 if that cannot be read."""
+    """Return the units that a shard has served for the volume through other brokers; 0 if unreadable."""
     return float(text) if text and _DECIMAL.fullmatch(text) else 0.0
 
 
 def to_origin_form(target: str) -> str:
-    """A request target without the scheme and host of the absolute form (RFC 9112, section 3.2.2)."""
+    """Return a request target without the scheme and host of the absolute form (RFC 9112, section 3.2.2)."""
     scheme, separator, rest = target.partition("://")
     return "/" + rest.partition("/")[2] if separator and scheme.lower() == "http" else target
 
 
 def reject_repeated_headers(headers: MultiMapping[str]) -> MultiMapping[str]:
-    """The headers; RequestError if one that identifies the request is there twice."""
+    """Return the headers unchanged; RequestError if one of ``_SINGLE_HEADERS`` occurs more than once."""
     for name in _SINGLE_HEADERS:
         if len(headers.getall(name, ())) > 1:
             raise RequestError(f"{name} comes twice")
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,7 +1,7 @@
-"""The one helper of the broker's tests: random cuts and garbage from fixed seeds, and a broker on loopback.
+"""Helpers for the broker's tests: random splits and garbage from fixed seeds, and a broker on loopback.
 
-Every wait ends on an event or a stream's data; ports are the system's choice. ``Node`` stands in for a disk
-node that speaks HTTP/1.1: it notes each whole request and then does what its script says.
+Every wait ends on an event or on a stream's data; the system chooses the ports. ``Node`` is a fake disk node
+that speaks HTTP/1.1: it records each complete request and then does what its script says.
 """
 
 from __future__ import annotations
@@ -29,40 +29,43 @@
 Writer = asyncio.StreamWriter
 
 
-def raw(aim_times: int = 40, **settings: Any) -> dict[str, Any]:
-    """The example's configuration, with aims so long that a slow machine changes no outcome."""
-    whole = copy.deepcopy(RAW)
-    del whole["admin"]  # its port may be in use
-    whole["settings"].update(settings)
-    for cls in whole["settings"]["classes"]:
-        cls["aimNs"], cls["deadlineNs"] = cls["aimNs"] * aim_times, cls["deadlineNs"] * aim_times
-    return whole
+def raw(time_factor: int = 40, **settings: Any) -> dict[str, Any]:
+    """Return the example's configuration, with times so long that a slow machine changes no outcome.
+
+    ``time_factor`` multiplies the latency targets and deadlines of all classes.
+    """
+    document = copy.deepcopy(RAW)
+    del document["admin"]  # its port may be in use
+    document["settings"].update(settings)
+    for cls in document["settings"]["classes"]:
+        cls["aimNs"], cls["deadlineNs"] = cls["aimNs"] * time_factor, cls["deadlineNs"] * time_factor
+    return document
 
 
 PLATFORM = config.parse_platform_config(raw(), {})
 
 
 def cuts(message: bytes) -> st.SearchStrategy[list[bytes]]:
-    """The message in random pieces."""
-    places = st.lists(st.integers(1, max(len(message) - 1, 1)), max_size=6, unique=True).map(sorted)
-    return places.map(lambda at: [message[a:b] for a, b in zip([0, *at], [*at, None], strict=True)])
+    """Generate lists of the pieces into which the message is split at up to 6 random positions."""
+    positions = st.lists(st.integers(1, max(len(message) - 1, 1)), max_size=6, unique=True).map(sorted)
+    return positions.map(lambda at: [message[a:b] for a, b in zip([0, *at], [*at, None], strict=True)])
 
 
 def spoiled(message: bytes) -> st.SearchStrategy[bytes]:
-    """Garbage: out of nothing, or the message with bytes changed, lost or doubled."""
+    """Generate garbage: random bytes, or the message truncated or with changed, removed or added bytes."""
 
-    def spoil(seed: int) -> bytes:
-        dice, data = random.Random(seed), bytearray(message)
-        for _ in range(dice.randint(1, 4)):
-            at = dice.randrange(len(data) + 1)
-            data[at : at + dice.randint(0, 3)] = dice.randbytes(dice.randint(0, 3))
-        return bytes(data[: dice.randint(1, len(data))] if data and dice.random() < 0.3 else data)
+    def corrupt(seed: int) -> bytes:
+        rng, data = random.Random(seed), bytearray(message)
+        for _ in range(rng.randint(1, 4)):
+            at = rng.randrange(len(data) + 1)
+            data[at : at + rng.randint(0, 3)] = rng.randbytes(rng.randint(0, 3))
+        return bytes(data[: rng.randint(1, len(data))] if data and rng.random() < 0.3 else data)
 
-    return st.one_of(st.binary(max_size=80), st.integers(0, 1 << 32).map(spoil))
+    return st.one_of(st.binary(max_size=80), st.integers(0, 1 << 32).map(corrupt))
 
 
 def run(coroutine: Coroutine[Any, Any, Any]) -> Any:
-    """To its end, or to a failure should something wait for what never comes."""
+    """Run the coroutine to its end and return its result; TimeoutError after 60 s."""
 
     async def bounded() -> Any:
         return await asyncio.wait_for(coroutine, 60)
@@ -71,7 +74,7 @@
 
 
 def feed(pieces: list[bytes]) -> asyncio.StreamReader:
-    """A stream on which these pieces come, and then its end."""
+    """Return a stream from which these pieces and then its end can be read."""
     reader = asyncio.StreamReader()
     for piece in pieces:
         reader.feed_data(piece)
@@ -80,18 +83,22 @@
 
 
 class Node:
-    """A stand-in disk node for HTTP/1.1; ``script`` says what each whole request meets, then "ok"."""
+    """A fake disk node for HTTP/1.1.
+
+    Each complete request takes one step from ``script``; when that is used up, the step is "ok". ``seen``
+    holds the complete requests. ``hung_up`` is set when the broker has closed a connection.
+    """
 
     def __init__(self, *script: str) -> None:
         self.script, self.seen = list(script), []  # type: list[str], list[dict[str, Any]]
         self.arrived, self.hung_up = asyncio.Condition(), asyncio.Event()
         self.port = self.connections = 0
-        self.scraps: list[bytes] = []  # of requests that did not come whole
-        self.release = asyncio.Event()  # "held ..." in the script waits for it
+        self.scraps: list[bytes] = []  # the starts of requests that were not received completely
+        self.release = asyncio.Event()  # a step "held ..." waits for it
 
     async def start(self, at: socket.socket | None = None) -> Node:
-        where: dict[str, Any] = {"sock": at} if at else {"host": "127.0.0.1", "port": 0}
-        self.server = await asyncio.start_server(self._serve, limit=1 << 20, **where)
+        address: dict[str, Any] = {"sock": at} if at else {"host": "127.0.0.1", "port": 0}
+        self.server = await asyncio.start_server(self._serve, limit=1 << 20, **address)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
@@ -145,9 +152,9 @@
             return False
         status, _, extra = step.partition(" ")
         status, data = ("200" if status == "ok" else status), f"data of {headers['x-request-id']}".encode()
-        more = f"{extra}\r\n" if extra else ""
+        extra_line = f"{extra}\r\n" if extra else ""
         writer.write(
-            f'HTTP/1.1 {status} X\r\nVolume-Load: 40\r\nX-Load: {{"inflight":3}}\r\n{more}'
+            f'HTTP/1.1 {status} X\r\nVolume-Load: 40\r\nX-Load: {{"inflight":3}}\r\n{extra_line}'
             f"Content-Length: {len(data)}\r\n\r\n".encode()
             + data
         )
@@ -155,7 +162,7 @@
 
 
 async def chunks(reader: asyncio.StreamReader) -> bytes:
-    """A body in chunks, and what stands behind it."""
+    """Read a chunked body and its trailers; return the body."""
     body = b""
     while size := int((await reader.readline()).partition(b";")[0], 16):
         body += (await reader.readexactly(size + 2))[:-2]
@@ -165,17 +172,17 @@
 
 
 class Discovery:
-    """A stand-in for discovery: tells this list at once, then has no news; ``asked`` holds the queries."""
+    """A fake discovery: returns this list at once, then reports no change; ``asked`` holds the queries."""
 
     def __init__(self, body: bytes) -> None:
         self.body, self.asked = body, asyncio.Queue[str]()
         self.gone = asyncio.Event()  # the watch has closed its connection
 
     async def start(self) -> str:
-        server = await asyncio.start_server(self._tell, "127.0.0.1", 0)
+        server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
-    async def _tell(self, reader: asyncio.StreamReader, writer: Writer) -> None:
+    async def _serve(self, reader: asyncio.StreamReader, writer: Writer) -> None:
         try:
             while True:
                 target = (await reader.readuntil(b"\r\n\r\n")).split()[1].decode()
@@ -190,8 +197,11 @@
 
 
 class World:
-    """A core, its fronts and its backs on ephemeral ports; shard i is held by the i-th node. Connections to
-    nodes do not rest between requests, or a machine's speed would say which of them a request takes."""
+    """A core with its servers and its connection pool on ephemeral ports; the i-th node holds shard i.
+
+    By default connections to nodes are reused without a delay. Otherwise the machine's speed would decide
+    which connection a request takes.
+    """
 
     def __init__(
         self, *nodes: Node, platform: config.PlatformConfig = PLATFORM, reuse_delay_s: float = 0.0
@@ -219,13 +229,16 @@
             NodeList(1, True, tuple(Member(m.name, m.address, m.shard, state=state) for m in self.members))
         )
 
-    async def nbd(self, setup: nbd.NbdConfig) -> tuple[nbd.Server, int]:
-        pool = nbd.ConnectionPool(setup, self.platform.dial_timeout_s, 32)
-        front = nbd.Server(self.core, pool, setup)
-        return front, await front.listen()
+    async def nbd(self, nbd_config: nbd.NbdConfig) -> tuple[nbd.Server, int]:
+        pool = nbd.ConnectionPool(nbd_config, self.platform.dial_timeout_s, 32)
+        nbd_server = nbd.Server(self.core, pool, nbd_config)
+        return nbd_server, await nbd_server.listen()
 
     async def ask(self, *pieces: bytes, **fields: Any) -> tuple[int, dict[str, str], bytes]:
-        """Send a request (as ``message`` makes it, unless pieces of one are given); its answer."""
+        """Send a request on a new connection; return status, headers and body of the response.
+
+        The request is made by ``message`` from ``fields``, unless ``pieces`` of one are given.
+        """
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         try:
             for piece in pieces or (message(**fields),):
@@ -238,6 +251,7 @@
 
 
 async def answer(reader: asyncio.StreamReader) -> tuple[int, dict[str, str], bytes]:
+    """Read a response; return its status, headers (names in lower case) and body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     headers = {k.lower(): v for k, _, v in (line.partition(": ") for line in head[1:] if line)}
     body = (
@@ -258,7 +272,7 @@
     path: str = "/x?q=%20a&b",
     **extra: str,
 ) -> bytes:
-    """A client's request; ``extra`` replaces headers by their names with _ for -; "" leaves one out."""
+    """Return a client's request; ``extra`` sets headers, named with _ for -, and omits those set to ""."""
     headers = {
         "Host": "service.internal",
         "X-Request-Id": id,
