--- a/tests/support.py
+++ b/tests/support.py
@@ -45,13 +45,13 @@
 PLATFORM = config.parse_platform_config(raw(), {})
 
 
-def cuts(message: bytes) -> st.SearchStrategy[list[bytes]]:
+def random_splits(message: bytes) -> st.SearchStrategy[list[bytes]]:
     """Generate lists of the pieces into which the message is split at up to 6 random positions."""
     positions = st.lists(st.integers(1, max(len(message) - 1, 1)), max_size=6, unique=True).map(sorted)
     return positions.map(lambda at: [message[a:b] for a, b in zip([0, *at], [*at, None], strict=True)])
 
 
-def spoiled(message: bytes) -> st.SearchStrategy[bytes]:
+def corrupted(message: bytes) -> st.SearchStrategy[bytes]:
     """Generate garbage: random bytes, or the message truncated or with changed, removed or added bytes."""
 
     def corrupt(seed: int) -> bytes:
@@ -93,11 +93,11 @@
         self.script, self.seen = list(script), []  # type: list[str], list[dict[str, Any]]
         self.arrived, self.hung_up = asyncio.Condition(), asyncio.Event()
         self.port = self.connections = 0
-        self.scraps: list[bytes] = []  # the starts of requests that were not received completely
+        self.partial_requests: list[bytes] = []  # the starts of requests that were not received completely
         self.release = asyncio.Event()  # a step "held ..." waits for it
 
-    async def start(self, at: socket.socket | None = None) -> Node:
-        address: dict[str, Any] = {"sock": at} if at else {"host": "127.0.0.1", "port": 0}
+    async def start(self, listener: socket.socket | None = None) -> Node:
+        address: dict[str, Any] = {"sock": listener} if listener else {"host": "127.0.0.1", "port": 0}
         self.server = await asyncio.start_server(self._serve, limit=1 << 20, **address)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
@@ -125,7 +125,7 @@
                 if not await self._step(step, reader, writer, headers):
                     return
         except asyncio.IncompleteReadError as error:
-            self.scraps += [error.partial] if error.partial else []
+            self.partial_requests += [error.partial] if error.partial else []
             self.hung_up.set()
         except (EOFError, OSError):
             self.hung_up.set()
@@ -176,7 +176,7 @@
 
     def __init__(self, body: bytes) -> None:
         self.body, self.asked = body, asyncio.Queue[str]()
-        self.gone = asyncio.Event()  # the watch has closed its connection
+        self.disconnected = asyncio.Event()  # the watch has closed its connection
 
     async def start(self) -> str:
         server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -191,7 +191,7 @@
                     head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(self.body)
                     writer.write(head + self.body)
         except (EOFError, OSError):
-            self.gone.set()
+            self.disconnected.set()
         finally:
             writer.close()
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -6,7 +6,7 @@
 
 import pytest
 from hypothesis import given
-from support import PLATFORM, Node, World, cuts, fuzz, run, spoiled
+from support import PLATFORM, Node, World, corrupted, fuzz, random_splits, run
 
 from cherrycove.broker import admin
 from cherrycove.broker.core import Figures, Verdict
@@ -33,7 +33,7 @@
 
 
 @fuzz
-@given(cuts(b"maint-on s-5be2a07c\r\nmaint-off s-5be2a07c\n"))
+@given(random_splits(b"maint-on s-5be2a07c\r\nmaint-off s-5be2a07c\n"))
 def test_cuts_of_a_call_change_nothing_and_a_second_line_is_nobodys(pieces: list[bytes]) -> None:
     async def story() -> None:
         made, port = await desk()
@@ -44,7 +44,7 @@
 
 
 @fuzz
-@given(spoiled(b"maint-on s-5be2a07c"))
+@given(corrupted(b"maint-on s-5be2a07c"))
 def test_a_line_is_a_call_or_gets_a_reason(garbage: bytes) -> None:
     try:
         found = admin.parse_call(garbage)
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -9,7 +9,7 @@
 import pytest
 from aiohttp import ClientTimeout, web
 from hypothesis import given
-from support import PLATFORM, World, fuzz, raw, run, spoiled
+from support import PLATFORM, World, corrupted, fuzz, raw, run
 
 from cherrycove.broker import config, consul
 from cherrycove.broker.core import Member
@@ -68,7 +68,7 @@
 
 
 @fuzz
-@given(spoiled(json.dumps([instance("a")]).encode()))
+@given(corrupted(json.dumps([instance("a")]).encode()))
 def test_garbage_is_refused_or_a_usable_list(garbage: bytes) -> None:
     try:
         news = consul.parse_health(garbage, PLATFORM.zones, {}, 1)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -14,7 +14,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from support import PLATFORM, RAW, ROOT, Discovery, Node, answer, fuzz, message, raw, run, spoiled
+from support import PLATFORM, RAW, ROOT, Discovery, Node, answer, corrupted, fuzz, message, raw, run
 
 from cherrycove.broker import config
 from cherrycove.broker.core import (
@@ -264,7 +264,7 @@
 
 
 @fuzz
-@given(spoiled(json.dumps(RAW).encode()))
+@given(corrupted(json.dumps(RAW).encode()))
 def test_a_spoiled_configuration_is_refused_in_words_or_usable(garbage: bytes) -> None:
     try:
         whole = json.loads(garbage)
@@ -418,7 +418,7 @@
                 assert line, "a bad file ended it"
             path.write_text(json.dumps(whole | {"discovery": await places[1].start()}))
             process.send_signal(signal.SIGHUP)
-            await places[0].gone.wait()
+            await places[0].disconnected.wait()
             assert await places[1].asked.get() == "/api/targets"  # the other's versions mean nothing here
             assert "since=1&" in await places[1].asked.get()
             for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -101,7 +101,7 @@
     await until(lambda: world.core.open_requests == 0 and world.front.body_memory.reserved_bytes == 0)
     status, _, data = await world.ask(id="later", shard=shard)
     assert (status, data) == (200, b"data of later")
-    assert [each["x-request-id"] for each in node.seen] == [*before, "later"] and not node.scraps
+    assert [each["x-request-id"] for each in node.seen] == [*before, "later"] and not node.partial_requests
     await until(
         lambda: all(
             each.in_flight == each.waiting == 0 for each in world.core._driver.scheduler.state.nodes.values()
@@ -228,7 +228,7 @@
             await leave(writer, how)
             await until(lambda: world.core.counts["client gone"])
             filler.close()
-            await node.start(at=late)
+            await node.start(listener=late)
             await nothing_came(world, node)
 
     run(story())
@@ -1001,6 +1001,6 @@
             await until(lambda: world.core.endings[Ending.EXPIRED])
             busy.release.set()
             assert (await first)[0] == 200 and (await second)[0] == 503
-            assert not node.seen and not node.scraps
+            assert not node.seen and not node.partial_requests
 
     run(story())
--- a/tests/test_fleet_room.py
+++ b/tests/test_fleet_room.py
@@ -12,7 +12,7 @@
 from helpers import Rig
 from hypothesis import given
 from hypothesis import strategies as st
-from support import PLATFORM, fuzz, raw, run, spoiled
+from support import PLATFORM, corrupted, fuzz, raw, run
 
 from cherrycove.broker import config
 from cherrycove.broker.core import Core, Member, NodeList
@@ -128,7 +128,7 @@
 
 
 @fuzz
-@given(spoiled(datagram.pack(datagram.LoanRequest(1, 2, 3, NODE, 2.0))))
+@given(corrupted(datagram.pack(datagram.LoanRequest(1, 2, 3, NODE, 2.0))))
 def test_garbage_is_told_as_garbage(data: bytes) -> None:
     try:
         message = datagram.parse(data)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -16,7 +16,7 @@
 import pytest
 from helpers import Rig
 from hypothesis import given
-from support import ROOT, Node, answer, fuzz, message, raw, run, spoiled
+from support import ROOT, Node, answer, corrupted, fuzz, message, raw, run
 
 import cherrycove.__main__ as main
 from cherrycove.broker import config, request_limit
@@ -469,7 +469,7 @@
 
 
 @fuzz
-@given(spoiled(json.dumps(STATE).encode()))
+@given(corrupted(json.dumps(STATE).encode()))
 def test_spoiled_messages_are_refused_in_words_or_usable(garbage: bytes) -> None:
     try:
         state = messages.parse_message(garbage)
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -11,7 +11,21 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from support import PLATFORM, RAW, Node, World, answer, chunks, cuts, feed, fuzz, message, raw, run, spoiled
+from support import (
+    PLATFORM,
+    RAW,
+    Node,
+    World,
+    answer,
+    chunks,
+    corrupted,
+    feed,
+    fuzz,
+    message,
+    random_splits,
+    raw,
+    run,
+)
 
 from cherrycove.broker import config
 from cherrycove.broker.core import Ending, Member, Verdict
@@ -105,7 +119,7 @@
 def test_bytes_after_a_response_are_discarded(data: st.DataObject, response: bytes, interim: bytes) -> None:
     """A duplicate after a response was returned to the next request; garbage there lost the response."""
     trailing = data.draw(st.sampled_from([b"", *TRAILING_BYTES]))
-    pieces = data.draw(cuts(interim + response + trailing))
+    pieces = data.draw(random_splits(interim + response + trailing))
     assert run(exchange_twice(*pieces)) == ([(200, b"good"), (200, b"2nd!")], 2 if trailing else 1)
 
 
@@ -276,7 +290,7 @@
                     )
                     + b"0\r\nTrailer: t\r\n\r\n"
                 )
-            assert (await world.ask(*data.draw(cuts(request))))[0] == 200
+            assert (await world.ask(*data.draw(random_splits(request))))[0] == 200
             assert [seen["body"] for seen in node.seen] == [LONG]
             figures = world.core.figures()
             assert figures.tries == 1 and figures.open == 0
@@ -388,7 +402,7 @@
 @fuzz
 @given(st.data())
 def test_splitting_a_long_response_changes_nothing(form: str, data: st.DataObject) -> None:
-    world, received = run(receive_relayed(*data.draw(cuts(FRAMED_RESPONSES[form]))))
+    world, received = run(receive_relayed(*data.draw(random_splits(FRAMED_RESPONSES[form]))))
     assert received.startswith(HEAD) and run(body_of(received)) == LONG
     assert world.core.counts["served"] == 1 and world.core.figures().open == 0
 
@@ -773,7 +787,7 @@
 
 
 @fuzz
-@given(cuts(message(**WRITE)))
+@given(random_splits(message(**WRITE)))
 def test_splitting_a_request_changes_nothing(pieces: list[bytes]) -> None:
     async def scenario() -> None:
         node = await Node().start()
@@ -785,7 +799,7 @@
 
 
 @fuzz
-@given(spoiled(message(ms=300)))
+@given(corrupted(message(ms=300)))
 def test_garbage_gets_a_response_or_a_close_and_breaks_nothing(garbage: bytes) -> None:
     async def scenario() -> None:
         node = await Node().start()
@@ -803,7 +817,7 @@
 
 
 @fuzz
-@given(spoiled(message().split(b"\r\n\r\n")[0]))
+@given(corrupted(message().split(b"\r\n\r\n")[0]))
 def test_the_head_parser_accepts_or_rejects_but_never_crashes(garbage: bytes) -> None:
     lines = garbage.decode("latin-1").split("\r\n")
     headers = dict(line.partition(": ")[::2] for line in lines[1:])
@@ -818,7 +832,7 @@
 
 
 @fuzz
-@given(spoiled(LIST))
+@given(corrupted(LIST))
 def test_a_corrupted_node_list_is_rejected_whole_or_usable(garbage: bytes) -> None:
     try:
         nodes = parse.parse_node_list(garbage, PLATFORM.zones)
--- a/tests/test_nbd.py
+++ b/tests/test_nbd.py
@@ -9,7 +9,7 @@
 
 import pytest
 from hypothesis import given
-from support import PLATFORM, Node, World, cuts, feed, fuzz, raw, run, spoiled
+from support import PLATFORM, Node, World, corrupted, feed, fuzz, random_splits, raw, run
 
 from cherrycove.broker import config, nbd
 from cherrycove.broker.core import Ending, Member, NodeList
@@ -431,7 +431,11 @@
 
 
 @fuzz
-@given(cuts(CHUNKS), cuts(CALL.pack()), cuts(nbd.pack_option(Option.GO, nbd.pack_go_data("claims", [0, 3]))))
+@given(
+    random_splits(CHUNKS),
+    random_splits(CALL.pack()),
+    random_splits(nbd.pack_option(Option.GO, nbd.pack_go_data("claims", [0, 3]))),
+)
 def test_cuts_of_frames_change_nothing(chunks: list[bytes], call: list[bytes], option: list[bytes]) -> None:
     async def story() -> None:
         reply = await nbd.read_reply(feed(chunks), CALL, structured=True)
@@ -444,7 +448,7 @@
 
 
 @fuzz
-@given(spoiled(CHUNKS), spoiled(CALL.pack()), spoiled(nbd.pack_go_data("claims", [0])))
+@given(corrupted(CHUNKS), corrupted(CALL.pack()), corrupted(nbd.pack_go_data("claims", [0])))
 def test_garbage_is_a_protocol_error_or_a_whole_message(chunks: bytes, call: bytes, data: bytes) -> None:
     async def story() -> None:
         for task in (
@@ -467,7 +471,7 @@
 
 
 @fuzz
-@given(spoiled(struct.pack(">I", 3) + nbd.pack_option(Option.GO, nbd.pack_go_data("claims")) + CALL.pack()))
+@given(corrupted(struct.pack(">I", 3) + nbd.pack_option(Option.GO, nbd.pack_go_data("claims")) + CALL.pack()))
 def test_garbage_at_the_front_leaves_it_serving(garbage: bytes) -> None:
     async def story() -> None:
         node = await BlockNode().start()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -10,7 +10,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from support import Node, World, fuzz, run, spoiled
+from support import Node, World, corrupted, fuzz, run
 
 from cherrycove.broker import shared_map as store
 from cherrycove.broker.core import Member, NodeList
@@ -82,7 +82,7 @@
 
 
 @fuzz
-@given(spoiled(SAMPLE.pack()), spoiled(SharedMap("a").digest()))
+@given(corrupted(SAMPLE.pack()), corrupted(SharedMap("a").digest()))
 def test_garbage_is_counted_and_dropped_or_a_whole_entry(entry: bytes, digest: bytes) -> None:
     broker = SharedMap("n0")
     for data in (entry, digest):
--- a/tests/test_why.py
+++ b/tests/test_why.py
@@ -14,7 +14,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from support import PLATFORM, fuzz, run, spoiled
+from support import PLATFORM, corrupted, fuzz, run
 
 import cherrycove.broker.decision_log.book as books
 from cherrycove.broker.core import Attempt, Ended, Ending, Request, Verdict
@@ -128,7 +128,7 @@
 
 
 @fuzz
-@given(spoiled(pack(story("an id that is no hex", first="b"), NODES)))
+@given(corrupted(pack(story("an id that is no hex", first="b"), NODES)))
 def test_spoiled_records_are_refused_or_read_within_their_bytes(garbage: bytes) -> None:
     try:
         back = unpack(garbage, 0, 100.0, list(NODES))
@@ -491,7 +491,7 @@
 
 
 @fuzz
-@given(spoiled(PIECE))
+@given(corrupted(PIECE))
 def test_spoiled_pieces_are_refused_in_words(garbage: bytes) -> None:
     book = DecisionLog(SETTINGS, SKETCHED, 0.0)
     try:
