--- a/cherrycove/broker/http1/server.py
+++ b/cherrycove/broker/http1/server.py
@@ -200,7 +200,7 @@
         if not self.connected:
             self.all_closed.set()
 
-    async def wait_for_requests(self, until: float) -> None:
+    async def wait_until_no_requests(self, until: float) -> None:
         """Wait until no request is in flight, unread or expected, or until ``until`` on the loop's clock."""
         while (now := self._loop.time()) < until:
             self.state_changed.clear()
@@ -372,7 +372,7 @@
                 self._server.close()
                 await self._accept_queued(duplicate)
         # The core does not know requests yet that wait for memory, for their body or to be read.
-        await self._web.wait_for_requests(max(self._give_up_at, loop.time() + NEW_CONNECTION_WAIT_S))
+        await self._web.wait_until_no_requests(max(self._give_up_at, loop.time() + NEW_CONNECTION_WAIT_S))
         await self._core.idle()
         self._web.pre_shutdown()  # closes idle connections; the others close after their response
         # aiohttp waits for this time twice, and does not wait at all if it is 0.
