--- a/cherrycove/broker/process.py
+++ b/cherrycove/broker/process.py
@@ -72,14 +72,14 @@
         self.lifecycle = LifecycleState(platform.sockets, platform.memory_mb)
         budget = self.lifecycle.budget()
         self.pool = upstream.ConnectionPool(
-            platform.dial_timeout_s, platform.idle_timeout_s, most=budget.node_connections
+            platform.dial_timeout_s, platform.idle_timeout_s, max_connections=budget.node_connections
         )
         self.http_server = server.Server(
             self.core,
             self.pool,
-            most_connections=budget.client_connections,
-            crowd=platform.sockets // CLOSE_AFTER_ANSWER_DIVISOR,
-            most_bytes=budget.body_bytes,
+            max_connections=budget.client_connections,
+            soft_limit=platform.sockets // CLOSE_AFTER_ANSWER_DIVISOR,
+            body_memory_bytes=budget.body_bytes,
         )
         self.shutdown_requested = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -291,7 +291,7 @@
         if moved and self._watch is not None:
             # Versions of the previous address mean nothing at the new one, so request the full list.
             self._watch.cancel()
-            self._watch = self._start_task(watch(self.core, new.discovery, old.zones, afresh=True))
+            self._watch = self._start_task(watch(self.core, new.discovery, old.zones, need_full_list=True))
 
     async def shut_down(self, signalled_at: float | None = None) -> None:
         """Shut down gracefully: serve while clients still arrive, finish open requests, close all components.
@@ -302,12 +302,12 @@
         signalled_at = asyncio.get_running_loop().time() if signalled_at is None else signalled_at
         log.info("broker.draining", open=self.core.open_requests)
         self.lifecycle.shutdown_started()
-        self.http_server.drain(parting=self.lifecycle.has_handed_over)
+        self.http_server.drain(close_connections=self.lifecycle.has_handed_over)
         if self._nbd is not None:
             self._nbd.drain()
         deregistering = self._deregister()
         times = ShutdownTimetable.of(max(cls.deadline for cls in self.platform.settings.classes))
-        await self.http_server.linger(times, signalled_at, replaced=self.lifecycle.has_handed_over)
+        await self.http_server.serve_until_stop(times, signalled_at, replaced=self.lifecycle.has_handed_over)
         if self._nbd is not None and self._nbd_pool is not None:
             await self._nbd.close()
             self._nbd_pool.close()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -6,7 +6,7 @@
 
 import pytest
 from hypothesis import given
-from support import PLATFORM, Node, World, cuts, fuzz, run, spoiled
+from support import PLATFORM, Node, World, corrupted, fuzz, random_splits, run
 
 from cherrycove.broker import admin
 from cherrycove.broker.core import Metrics, Verdict
@@ -33,7 +33,7 @@
 
 
 @fuzz
-@given(cuts(b"maint-on s-5be2a07c\r\nmaint-off s-5be2a07c\n"))
+@given(random_splits(b"maint-on s-5be2a07c\r\nmaint-off s-5be2a07c\n"))
 def test_a_call_is_executed_however_it_is_split_and_a_second_line_is_ignored(pieces: list[bytes]) -> None:
     async def scenario() -> None:
         server, port = await start_server()
@@ -44,7 +44,7 @@
 
 
 @fuzz
-@given(spoiled(b"maint-on s-5be2a07c"))
+@given(corrupted(b"maint-on s-5be2a07c"))
 def test_a_line_is_a_valid_call_or_is_rejected_with_a_reason(line: bytes) -> None:
     try:
         found = admin.parse_call(line)
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -9,7 +9,7 @@
 import pytest
 from aiohttp import ClientTimeout, web
 from hypothesis import given
-from support import PLATFORM, World, fuzz, raw, run, spoiled
+from support import PLATFORM, World, corrupted, fuzz, raw, run
 
 from cherrycove.broker import config, consul
 from cherrycove.broker.core import Member
@@ -68,7 +68,7 @@
 
 
 @fuzz
-@given(spoiled(json.dumps([instance("a")]).encode()))
+@given(corrupted(json.dumps([instance("a")]).encode()))
 def test_garbage_is_refused_or_a_usable_list(garbage: bytes) -> None:
     try:
         news = consul.parse_health(garbage, PLATFORM.zones, {}, 1)
@@ -218,7 +218,7 @@
             lingering.set()
             await proceed.wait()
 
-        monkeypatch.setattr(broker.http_server, "linger", linger)
+        monkeypatch.setattr(broker.http_server, "serve_until_stop", linger)
         ending = asyncio.create_task(broker.shut_down())
         await lingering.wait()
         await agent.put_waiting.wait()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -14,7 +14,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from support import PLATFORM, RAW, ROOT, Discovery, Node, answer, fuzz, message, raw, run, spoiled
+from support import PLATFORM, RAW, ROOT, Discovery, Node, answer, corrupted, fuzz, message, raw, run
 
 from cherrycove.broker import config
 from cherrycove.broker.core import (
@@ -269,7 +269,7 @@
 
 
 @fuzz
-@given(spoiled(json.dumps(RAW).encode()))
+@given(corrupted(json.dumps(RAW).encode()))
 def test_a_corrupted_configuration_is_rejected_with_a_message_or_usable(content: bytes) -> None:
     try:
         whole = json.loads(content)
@@ -421,7 +421,7 @@
                 assert line, "an invalid file ended the process"
             path.write_text(json.dumps(whole | {"discovery": await discoveries[1].start()}))
             process.send_signal(signal.SIGHUP)
-            await discoveries[0].gone.wait()
+            await discoveries[0].disconnected.wait()
             # Versions of the other discovery are meaningless to this one.
             assert await discoveries[1].asked.get() == "/api/targets"
             assert "since=1&" in await discoveries[1].asked.get()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -100,10 +100,10 @@
     world: World, node: Node, shard: int = 0, before: tuple[str, ...] = ()
 ) -> None:
     """The node received no byte of the abandoned request, whose resources are released."""
-    await until(lambda: world.core.open_requests == 0 and world.front.room.held == 0)
+    await until(lambda: world.core.open_requests == 0 and world.front.body_memory.reserved_bytes == 0)
     status, _, data = await world.ask(id="later", shard=shard)
     assert (status, data) == (200, b"data of later")
-    assert [each["x-request-id"] for each in node.seen] == [*before, "later"] and not node.scraps
+    assert [each["x-request-id"] for each in node.seen] == [*before, "later"] and not node.partial_requests
     await until(
         lambda: all(
             each.in_flight == each.waiting == 0 for each in world.core._driver.scheduler.state.nodes.values()
@@ -169,13 +169,13 @@
     async def scenario() -> None:
         node = await Node().start()
         async with World(node) as world:
-            world.front.room.take(world.front.room.most)
+            world.front.body_memory.reserve_unchecked(world.front.body_memory.limit_bytes)
             _, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(message("claim-write", "PUT", id="gone", body=b"x" * size))
-            await until(lambda: world.front.room._waiting)
+            await until(lambda: world.front.body_memory._waiting)
             await disconnect(writer, how)
             await until(lambda: not world.front._web.connected)
-            world.front.room.leave(world.front.room.most)
+            world.front.body_memory.release(world.front.body_memory.limit_bytes)
             assert world.core.counts["taken"] == 0
             await assert_not_forwarded(world, node)
 
@@ -189,7 +189,7 @@
         async with World(node) as world:
             _, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(message("claim-write", "PUT", id="gone", body=b"x" * 900)[:-100])
-            await until(lambda: world.front._taking)
+            await until(lambda: world.front._body_timeouts)
             await disconnect(writer, how)
             await until(lambda: not world.front._web.connected)
             assert world.core.counts["taken"] == 0
@@ -234,7 +234,7 @@
             await disconnect(writer, how)
             await until(lambda: world.core.counts["client gone"])
             filler.close()
-            await node.start(at=late)
+            await node.start(listener=late)
             await assert_not_forwarded(world, node)
 
     run(scenario())
@@ -424,11 +424,11 @@
 def test_a_body_that_is_being_received_as_the_process_ends_is_accepted() -> None:
     async def scenario() -> None:
         async with World(await Node().start()) as world:
-            world.front._last_answer = math.inf
+            world.front._give_up_at = math.inf
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             whole = message("claim-write", "PUT", id="late", body=b"x" * 900)
             writer.write(whole[:-100])
-            await until(lambda: world.front._taking)
+            await until(lambda: world.front._body_timeouts)
             closing = asyncio.create_task(world.front.close())
             await until(lambda: world.front._server is not None and not world.front._server.is_serving())
             writer.write(whole[-100:])
@@ -450,11 +450,11 @@
         node = await Node().start()
         async with World(node) as world:
             if waits_for == "memory":
-                world.front.room.take(world.front.room.most)
+                world.front.body_memory.reserve_unchecked(world.front.body_memory.limit_bytes)
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             whole = message("claim-write", "PUT", id="late", body=b"x" * 900)
             writer.write(whole if waits_for == "memory" else whole[:-100])
-            await until(lambda: world.front._taking)
+            await until(lambda: world.front._body_timeouts)
             world.front._give_up()
             status, headers, _ = await answer(reader)
             assert status == 503 and float(headers["retry-after"]) > 0 and not node.seen
@@ -485,11 +485,11 @@
             assert b" 200 " in await reader.readuntil(b"\r\n\r\n") and await reader.readexactly(100_000)
             with closing(writer):  # ends the wait should the test fail
                 times = ShutdownTimetable(0.0, 0.0, 0.0, 0.1)
-                await world.front.linger(times, asyncio.get_running_loop().time(), replaced=False)
+                await world.front.serve_until_stop(times, asyncio.get_running_loop().time(), replaced=False)
                 ends = asyncio.create_task(world.front.close())
                 assert await reader.read() == b""  # 100,000 bytes short, which the client can detect
                 await ends
-                assert not world.core.open_requests and not world.front.room.held
+                assert not world.core.open_requests and not world.front.body_memory.reserved_bytes
 
     run(scenario())
 
@@ -504,10 +504,10 @@
         async with World(await Node().start()) as world:
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(message("claim-write", "PUT", id="sends", body=b"x" * 900)[:-100])
-            await until(lambda: world.front._taking)
+            await until(lambda: world.front._body_timeouts)
             with closing(writer):
                 times = ShutdownTimetable(0.0, 0.0, 0.0, 0.1)
-                await world.front.linger(times, asyncio.get_running_loop().time(), replaced=False)
+                await world.front.serve_until_stop(times, asyncio.get_running_loop().time(), replaced=False)
                 ends = asyncio.create_task(world.front.close())
                 assert (await answer(reader))[0] == 503
                 await ends
@@ -525,7 +525,7 @@
     async def scenario() -> None:
         node = await Node().start()
         async with World(node) as world:
-            world.front.room.take(world.front.room.most)
+            world.front.body_memory.reserve_unchecked(world.front.body_memory.limit_bytes)
             status, _, _ = await world.ask(cls="claim-write", method="PUT", body=b"x" * 900, ms=200)
             assert status == 503 and not node.seen
 
@@ -538,15 +538,15 @@
 
     async def scenario() -> None:
         async with World(await Node().start()) as world:
-            world.front.room.take(world.front.room.most)
+            world.front.body_memory.reserve_unchecked(world.front.body_memory.limit_bytes)
             waits = asyncio.create_task(
                 world.ask(cls="claim-write", method="PUT", body=b"x" * 900, id="waits")
             )
-            await until(lambda: world.front.room._waiting)
+            await until(lambda: world.front.body_memory._waiting)
             try:
                 assert (await world.ask(id="reads"))[2] == b"data of reads" and not waits.done()
             finally:
-                world.front.room.leave(world.front.room.most)
+                world.front.body_memory.release(world.front.body_memory.limit_bytes)
             assert (await waits)[2] == b"data of waits"
 
     run(scenario())
@@ -561,11 +561,11 @@
         loop.time = lambda: clock() + shift[0]  # type: ignore[method-assign]
         node = await Node().start()
         async with World(node) as world:
-            world.front.room.take(world.front.room.most)
+            world.front.body_memory.reserve_unchecked(world.front.body_memory.limit_bytes)
             asks = asyncio.create_task(world.ask(cls="claim-write", method="PUT", body=b"x" * 900, ms=20_000))
-            await until(lambda: world.front.room._waiting)
+            await until(lambda: world.front.body_memory._waiting)
             shift[0] = 0.4  # of the 1 s for which it may wait
-            world.front.room.leave(world.front.room.most)
+            world.front.body_memory.release(world.front.body_memory.limit_bytes)
             assert (await asks)[0] == 200
             assert int(node.seen[0]["x-deadline-ms"]) <= 19_600
 
@@ -579,7 +579,7 @@
         whole = raw()
         whole["settings"]["limits"]["retryAfter"] = False
         async with World(await Node().start(), platform=config.parse_platform_config(whole, {})) as world:
-            world.front.room.take(world.front.room.most)
+            world.front.body_memory.reserve_unchecked(world.front.body_memory.limit_bytes)
             status, headers, _ = await world.ask(cls="claim-write", method="PUT", body=b"x" * 900)
             assert status == 503 and "retry-after" not in headers
 
@@ -601,13 +601,13 @@
                 handler._next_keepalive_close_time = 0.0
                 handler._process_keepalive()
             elif by == "new connection":
-                web._partly[server.ClientConnection(web, loop=web._loop)] = 0.0  # may be closed instead
-                web._connections[next(iter(web._partly))] = asyncio.Transport()
+                web._partial[server.ClientConnection(web, loop=web._loop)] = 0.0  # may be closed instead
+                web._connections[next(iter(web._partial))] = asyncio.Transport()
                 with pytest.raises(NotImplementedError):  # from the stub's abort: it is the one closed
                     web.resize(1)
             else:
-                web._crowd, web._idle[handler] = 0, 0.0
-                web.begin(other_connection(web))
+                web._soft_limit, web._idle[handler] = 0, 0.0
+                web.request_started(other_connection(web))
             assert await status_received(client) == 200
 
     run(scenario())
@@ -834,11 +834,11 @@
         else:
             node.last = b""
 
-    monkeypatch.setattr(upstream.Connector, "_let_rest", delay_reuse)
+    monkeypatch.setattr(upstream.Connector, "_wait_for_reuse", delay_reuse)
 
     async def scenario() -> None:
         port = await node.start()
-        async with World(rest=upstream.REUSE_DELAY_S) as world:
+        async with World(reuse_delay_s=upstream.REUSE_DELAY_S) as world:
             world.members = [Member("d0", f"127.0.0.1:{port}", 0)]
             world.list()
             assert (await world.ask(id="first"))[2] == b"to first"
@@ -862,11 +862,11 @@
         delays.set()
         await asyncio.Event().wait()
 
-    monkeypatch.setattr(upstream.Connector, "_let_rest", delay_reuse)
+    monkeypatch.setattr(upstream.Connector, "_wait_for_reuse", delay_reuse)
 
     async def scenario() -> None:
         busy, node = await Node("held ok").start(), await Node().start()
-        async with World(busy, node, platform=long_dial_timeout(), rest=1e6) as world:
+        async with World(busy, node, platform=long_dial_timeout(), reuse_delay_s=1e6) as world:
             world.pool.resize(1)
             first = asyncio.create_task(world.ask(id="first"))
             await busy.until(1)
@@ -1024,6 +1024,6 @@
             await until(lambda: world.core.endings[Ending.EXPIRED])
             busy.release.set()
             assert (await first)[0] == 200 and (await second)[0] == 503
-            assert not node.seen and not node.scraps
+            assert not node.seen and not node.partial_requests
 
     run(scenario())
--- a/tests/test_why_loopback.py
+++ b/tests/test_why_loopback.py
@@ -101,7 +101,7 @@
             512 if command == Command.READ else 0,
             b"x" * 512 if command == Command.WRITE else b"",
         )
-        seen.append((len(client.calls), {0: "served", Errno.ENOMEM: "refused"}.get(errno, "failed")))
+        seen.append((len(client.requests), {0: "served", Errno.ENOMEM: "refused"}.get(errno, "failed")))
     client.writer.close()
 
 
