--- a/bench/serve_cost.py
+++ b/bench/serve_cost.py
@@ -26,7 +26,7 @@
 
 from cherrycove.broker import config
 from cherrycove.broker.core import Attempt, Core, Ending, Member, NodeList, Reply, Request
-from cherrycove.broker.decision_log.book import DecisionLog
+from cherrycove.broker.decision_log.log import DecisionLog
 
 
 class Back:
--- a/bench/why.py
+++ b/bench/why.py
@@ -23,8 +23,8 @@
 
 from cherrycove.broker import config
 from cherrycove.broker.core import Attempt, Ended, Ending, Request, Verdict
-from cherrycove.broker.decision_log.book import DecisionLog, story_of
-from cherrycove.broker.decision_log.pack import PLAIN, AttemptRecord, RequestRecord, pack
+from cherrycove.broker.decision_log.codec import SERVED_RECORD, AttemptRecord, RequestRecord, pack
+from cherrycove.broker.decision_log.log import DecisionLog, to_record
 from cherrycove.broker.local_codes import Own
 from cherrycove.scheduling.interface import Code, Reason
 
@@ -55,8 +55,8 @@
                     0,
                     2.0,
                     1,
-                    why=why,
-                    object=number,
+                    reason=why,
+                    object_hash=number,
                 )
             )
         else:
@@ -77,7 +77,7 @@
                     0,
                     2.0,
                     1,
-                    tries=[AttemptRecord(node, sent, 0.002, took, Ending.SERVED)],
+                    attempts=[AttemptRecord(node, sent, 0.002, took, Ending.SERVED)],
                 )
             )
     return made
@@ -96,13 +96,23 @@
         "7f3a9c21e0b4d655",
         id=story.id,
     )
-    came = story.ended - story.took
+    came = story.ended_at - story.duration
     tries = [
-        Attempt(0, 0, each.node, "", 0.0, came + each.at, why=each.why, took=each.took, ending=each.ending)
-        for each in story.tries
+        Attempt(
+            0,
+            0,
+            each.node,
+            "",
+            0.0,
+            came + each.started_after,
+            why=each.reason,
+            took=each.duration,
+            ending=each.ending,
+        )
+        for each in story.attempts
     ]
     verdict = Verdict.SERVED if story.verdict == "served" else Verdict.REFUSED
-    return Ended(came, story.ended, verdict, why=story.why, request=request, tries=tries)
+    return Ended(came, story.ended_at, verdict, why=story.reason, request=request, tries=tries)
 
 
 class Plain:
@@ -128,7 +138,7 @@
 
 
 def plainly(form: Plain, end: Ended) -> None:
-    form.add(story_of(end))
+    form.add(to_record(end))
 
 
 def timed(work: Callable[[Any], None], given: list[Any]) -> float:
@@ -187,7 +197,7 @@
         whole = book()
         for story in sample:
             whole.add(story)
-        ring = whole.kept if refused else whole.plain
+        ring = whole.notable if refused else whole.routine
         rows.append((f"{name}: packed record", f"{each} bytes"))
         rows.append((f"{name}: with its part of the index", f"{ring.footprint() / ring.count:.1f} bytes"))
         rows.append((f"{name}: records held at {given.bound >> 10} KiB", str(ring.count)))
@@ -206,7 +216,7 @@
     full = book(True)
     for story in mixed:
         full.add(story)
-    now = mixed[-1].ended
+    now = mixed[-1].ended_at
     recent = [story.id for story in mixed if full.find(story.id, now)]
     dice = random.Random(SEED)
     times = []
@@ -222,16 +232,16 @@
             f"median {times[1000] / 1000:.0f} us, 99% {times[1980] / 1000:.0f} us",
         )
     )
-    rate = full.kept.count / 300
+    rate = full.notable.count / 300
     rows.append(("every refusal of 5 minutes is held up to", f"{rate:.0f} a second"))
-    assert PLAIN.size <= 64
+    assert SERVED_RECORD.size <= 64
     watched = DecisionLog(settings, given.bound, 0.0)
     before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
     told = 0
     block = stories(20_000, 0.4)
     for turn in range(given.million * 50):
         for story in block:
-            story.ended += 25.0
+            story.ended_at += 25.0
             watched.add(story)
         told += len(block)
         if turn == 0:
--- a/cherrycove/broker/decision_log/report.py
+++ b/cherrycove/broker/decision_log/report.py
@@ -1,6 +1,7 @@
-"""Writes an HTML report of recent requests: refusals by reason over time, latency by node, the last refusals.
+"""Writes an HTML report of recent requests: refusals over time, latency by node, the latest refusals.
 
-Everything on the page comes from the broker's answers; clients' texts are escaped, and nothing is fetched.
+All data on the page comes from the broker's answers. Texts from clients are escaped, and the page loads no
+resources from elsewhere.
 """
 
 from __future__ import annotations
@@ -13,43 +14,43 @@
 import matplotlib
 from jinja2 import Environment, PackageLoader, StrictUndefined
 
-matplotlib.use("svg")  # no screen
+matplotlib.use("svg")  # needs no display
 
 from matplotlib import pyplot  # noqa: E402
 
-Ask = Callable[[str], list[str]]
+SendQuery = Callable[[str], list[str]]
 VERDICTS = ("refused", "failed", "gone")
 
 
 class ReportError(ValueError):
-    """The broker has no summary; the text is its own."""
+    """The broker has no summary. The text is the first line of its answer."""
 
 
-def _whole(said: list[str]) -> dict[str, Any]:
-    if not said or said[0].startswith("NO") or len(said) < 2:
-        raise ReportError(said[0] if said else "no answer")
-    whole: dict[str, Any] = json.loads(said[1])
-    return whole
+def _parse_summary(answer: list[str]) -> dict[str, Any]:
+    if not answer or answer[0].startswith("NO") or len(answer) < 2:
+        raise ReportError(answer[0] if answer else "no answer")
+    summary: dict[str, Any] = json.loads(answer[1])
+    return summary
 
 
-def write(out: Path, ask: Ask, since: str) -> Path:
-    """Query a broker and write the report into a folder.
+def write(out: Path, send_query: SendQuery, since: str) -> Path:
+    """Query a broker and write the report into a folder, which is created if needed.
 
     Returns:
-        The path of the page.
+        The path of the HTML page.
 
     Raises:
         ReportError: the broker has no summary.
         OSError: the folder or a file in it cannot be written.
     """
-    whole = _whole(ask(f"why --summary --json --since {since}"))
-    rows = ask(f"why --only refused,failed --most 50 --json --since {since}")
-    last = [json.loads(line) for line in rows if line.startswith("{")]
+    summary = _parse_summary(send_query(f"why --summary --json --since {since}"))
+    rows = send_query(f"why --only refused,failed --most 50 --json --since {since}")
+    recent = [json.loads(line) for line in rows if line.startswith("{")]
     out.mkdir(parents=True, exist_ok=True)
     plots = {"refusals.svg": _refusals, "latency.svg": _latency}
     for name, draw in plots.items():
         figure, axes = pyplot.subplots(figsize=(9, 3.5), layout="constrained")
-        draw(axes, whole)
+        draw(axes, summary)
         figure.savefig(out / name, metadata={"Date": None})
         pyplot.close(figure)
     environment = Environment(
@@ -58,14 +59,14 @@
         undefined=StrictUndefined,
     )
     template = environment.get_template("report.html")
-    page = template.render(whole=whole, last=last, since=since, plots=list(plots))
+    page = template.render(summary=summary, recent=recent, since=since, plots=list(plots))
     path = out / "index.html"
     path.write_text(page, encoding="utf-8")
     return path
 
 
-def _refusals(axes: Any, whole: dict[str, Any]) -> None:
-    minutes = whole["minutes"]
+def _refusals(axes: Any, summary: dict[str, Any]) -> None:
+    minutes = summary["minutes"]
     below = [0] * len(minutes)
     for verdict in VERDICTS:
         counts = [row[verdict] for row in minutes]
@@ -77,11 +78,11 @@
     axes.legend()
 
 
-def _latency(axes: Any, whole: dict[str, Any]) -> None:
-    names = [f"{row['node']}\n{row['class']}" for row in whole["nodes"]]
+def _latency(axes: Any, summary: dict[str, Any]) -> None:
+    names = [f"{row['node']}\n{row['class']}" for row in summary["nodes"]]
     for part, mark in ((50, "o"), (95, "^"), (99, "x")):
-        axes.plot(range(len(names)), [row[f"p{part}_ms"] for row in whole["nodes"]], mark, label=f"{part}%")
-    # matplotlib reads text between dollars as a formula.
+        axes.plot(range(len(names)), [row[f"p{part}_ms"] for row in summary["nodes"]], mark, label=f"{part}%")
+    # Matplotlib interprets text between dollar signs as a formula.
     axes.set_xticks(
         range(len(names)), [name.replace("$", r"\$") for name in names], rotation=45, ha="right", fontsize=7
     )
--- a/cherrycove/broker/decision_log/retries.py
+++ b/cherrycove/broker/decision_log/retries.py
@@ -1,42 +1,58 @@
-"""Correlates a client's marked retry, which has a new id, with the attempt that it repeats.
+"""Correlates a client's marked retry, which has a new id, with the original request that it repeats.
 
-The rule: the earliest request of the same volume, class and object that was refused, failed or abandoned, no
-longer before the retry than a client of that class waits, and that no other retry has claimed. Requests that
-were served are not repeated. Two clients of one object cannot be told apart on the wire, so their first
-attempts and retries are paired in their order; the number of candidates is recorded.
+The original is the earliest request of the same volume, class and object that was refused, failed or
+abandoned by its client, that ended no longer before the retry than a client of that class waits, and that no
+other retry has claimed. Served requests are not retried. Two clients of one object cannot be told apart on
+the wire, so their originals and retries are paired in order; the number of candidates is recorded.
 """
 
 from __future__ import annotations
 
-from cherrycove.broker.decision_log.pack import CLAIMED, END, HEAD, MASK, end_at, unpack
-from cherrycove.broker.decision_log.ring import Ring
+from cherrycove.broker.decision_log.codec import (
+    CLAIMED,
+    END_REASON,
+    HEADER,
+    U32_MASK,
+    end_reason_offset,
+    unpack,
+)
+from cherrycove.broker.decision_log.ring_buffer import RingBuffer
 
-MOST_STEPS = 256  # records of a volume's bucket that are examined for one retry
-_OBJECT_AT = END.size - 4
+MAX_EXAMINED = 256  # records of a volume's bucket that are examined for one retry
+_OBJECT_OFFSET = END_REASON.size - 4
 
 
-def claim(ring: Ring, volume: str, cls: int, thing: int, now: float, patience: float) -> tuple[str, int]:
-    """Claim the first attempt of a retry.
+def claim(
+    ring: RingBuffer, volume: str, cls: int, object_hash: int, now: float, window: float
+) -> tuple[str, int]:
+    """Find the original request of a retry and mark it as claimed.
 
     Returns:
-        Its id, and how many it could have been; ``("", 0)`` if there is none.
+        The id of the original request and the number of candidates; ``("", 0)`` if there is none. If the
+        claimed request is itself a correlated retry, the id is that of its own original.
     """
-    oldest, found, rivals = int((now - patience) * 1000), -1, 0
+    oldest, found, candidates = int((now - window) * 1000), -1, 0
     data, now_ms = ring.data, int(now * 1000)
     for steps, at in enumerate(ring.by_volume(hash(volume)), 1):
-        _, flags, _, _, _, ended, _, _, its_class, _, _, _ = HEAD.unpack_from(data, at)
-        if now_ms - ((now_ms - ended) & MASK) < oldest or steps > MOST_STEPS:
+        _, flags, _, _, _, ended_ms, _, _, record_class, _, _, _ = HEADER.unpack_from(data, at)
+        if now_ms - ((now_ms - ended_ms) & U32_MASK) < oldest or steps > MAX_EXAMINED:
             break
-        if not flags & 3 or its_class != cls:
+        if not flags & 3 or record_class != cls:
             continue
-        end = end_at(data, at)
-        stands = data[end + 2]
-        if stands & CLAIMED or int.from_bytes(data[end + _OBJECT_AT : end + END.size], "little") != thing:
+        reason_offset = end_reason_offset(data, at)
+        place = data[reason_offset + 2]
+        if (
+            place & CLAIMED
+            or int.from_bytes(
+                data[reason_offset + _OBJECT_OFFSET : reason_offset + END_REASON.size], "little"
+            )
+            != object_hash
+        ):
             continue
         if unpack(data, at, now).volume == volume:
-            found, rivals = at, rivals + 1
+            found, candidates = at, candidates + 1
     if found < 0:
         return "", 0
-    data[end_at(data, found) + 2] |= CLAIMED
-    first = unpack(data, found, now)
-    return first.first or first.id, rivals
+    data[end_reason_offset(data, found) + 2] |= CLAIMED
+    original = unpack(data, found, now)
+    return original.original_id or original.id, candidates
--- a/cherrycove/broker/process.py
+++ b/cherrycove/broker/process.py
@@ -27,7 +27,7 @@
 from cherrycove.broker.peer_capacity import exchange
 
 if TYPE_CHECKING:
-    from cherrycove.broker.decision_log.book import DecisionLog
+    from cherrycove.broker.decision_log.log import DecisionLog
     from cherrycove.broker.decision_log.spans import Tracer
     from cherrycove.broker.warm_restart.store import SnapshotStore
 
@@ -131,7 +131,7 @@
         if why is None:
             return
         # Imported only where it is enabled: it takes start time and memory.
-        from cherrycove.broker.decision_log.book import DecisionLog
+        from cherrycove.broker.decision_log.log import DecisionLog
 
         settings = self.platform.settings
         self._book = DecisionLog(settings, why.max_bytes, asyncio.get_running_loop().time())
@@ -141,7 +141,7 @@
 
             sampler = spans.Sampler(why.sampled_fraction, why.max_spans_per_s, self.platform.seed)
             self._tracer = spans.Tracer(settings, Path(why.spans_path), sampler, self.platform.name)
-            self._book.on_story = self._tracer.tell
+            self._book.on_record = self._tracer.trace
 
     # The start.
 
@@ -366,13 +366,13 @@
     async def _why(self, asked: tuple[str, ...]) -> list[str]:
         if self._book is None:
             return ["NO there is no record: [why] in the operator's file is not enabled"]
-        from cherrycove.broker.decision_log import ask  # only where somebody asks
+        from cherrycove.broker.decision_log import queries  # only where somebody asks
 
         try:
-            question = ask.parse(list(asked))
-        except ask.AskError as error:
+            query = queries.parse(list(asked))
+        except queries.QueryError as error:
             return [f"NO {error}"]
-        return await ask.answer(question, self._book, asyncio.get_running_loop().time, self.core.find)
+        return await queries.answer(query, self._book, asyncio.get_running_loop().time, self.core.find)
 
     def _obstacle(self) -> str | None:
         """Return why this process cannot serve, None if it can."""
--- a/tests/golden_broker.py
+++ b/tests/golden_broker.py
@@ -32,8 +32,9 @@
 from cherrycove.broker import local_codes as codes
 from cherrycove.broker import shared_map as store
 from cherrycove.broker.cli.commands import main as commands_main
-from cherrycove.broker.decision_log import book, words
-from cherrycove.broker.decision_log import pack as record
+from cherrycove.broker.decision_log import codec as record
+from cherrycove.broker.decision_log import formatting
+from cherrycove.broker.decision_log import log as decision_log
 from cherrycove.broker.http1 import parse
 from cherrycove.broker.lifecycle import announcement, coordinator, handover, messages, state_machine
 from cherrycove.broker.peer_capacity import datagram
@@ -508,7 +509,9 @@
 
 def why_fields(story: Plain, settings: Plain, still_open: bool) -> Plain:
     """A request's story for a program; the sentence in it is wording and left out."""
-    fields = words.fields(from_plain(story), from_plain(settings), RECORDS_AT, 1_700_000_000.0, still_open)
+    fields = formatting.to_fields(
+        from_plain(story), from_plain(settings), RECORDS_AT, 1_700_000_000.0, still_open
+    )
     assert fields.pop("sentence")
     return fields
 
@@ -686,7 +689,7 @@
 
     def __init__(self, settings: api.Settings, stories: Sequence[record.RequestRecord]) -> None:
         self.former_lost, self.taken = 0, 0
-        self._book = book.DecisionLog(settings, 2 << 20, 0.0)
+        self._book = decision_log.DecisionLog(settings, 2 << 20, 0.0)
         if stories:
             numbers = {name: place for place, name in enumerate(NODES)}
             data = b"".join(record.pack(each, numbers) for each in stories)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -11,16 +11,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from support import PLATFORM, ROOT, Node, World, fuzz, run
-from test_why import HEX, story
+from test_why import HEX, make_record
 
 from cherrycove.broker import admin
 from cherrycove.broker import event_log as events
 from cherrycove.broker.cli.call import CallError, call
 from cherrycove.broker.cli.commands import figures, main
 from cherrycove.broker.core import Ending
-from cherrycove.broker.decision_log import ask, report, spans
-from cherrycove.broker.decision_log.book import SKETCHED, DecisionLog
-from cherrycove.broker.decision_log.pack import AttemptRecord
+from cherrycove.broker.decision_log import queries, report, spans
+from cherrycove.broker.decision_log.codec import AttemptRecord
+from cherrycove.broker.decision_log.log import MIN_BYTES_FOR_SKETCHES, DecisionLog
 from cherrycove.scheduling.interface import Code, Reason
 
 EXAMPLE = str(ROOT / "examples/config.json")
@@ -31,7 +31,7 @@
 
     async def __aenter__(self) -> Desk:
         self.world = await World(await Node("ok", "500").start()).__aenter__()
-        self.book = self.world.core.recorder = DecisionLog(PLATFORM.settings, SKETCHED, 0.0)
+        self.book = self.world.core.recorder = DecisionLog(PLATFORM.settings, MIN_BYTES_FOR_SKETCHES, 0.0)
         self.desk = admin.AdminServer(self._answer)
         self.place = f"127.0.0.1:{await self.desk.listen('127.0.0.1', 0)}"
         return self
@@ -46,11 +46,11 @@
         if asked.command != "why":
             return f"NO {asked.command} {asked.node}"
         try:
-            question = ask.parse(list(asked.arguments))
-        except ask.AskError as error:
+            query = queries.parse(list(asked.arguments))
+        except queries.QueryError as error:
             return f"NO {error}\nEND"
         now = asyncio.get_running_loop().time
-        return "\n".join([*await ask.answer(question, self.book, now, self.world.core.find), "END"])
+        return "\n".join([*await queries.answer(query, self.book, now, self.world.core.find), "END"])
 
     async def command(self, *words: str) -> click.testing.Result:
         return await asyncio.to_thread(
@@ -149,10 +149,10 @@
 
 
 def test_the_report_escapes_what_clients_named(tmp_path: Path) -> None:
-    book = DecisionLog(PLATFORM.settings, SKETCHED, 0.0)
+    book = DecisionLog(PLATFORM.settings, MIN_BYTES_FOR_SKETCHES, 0.0)
     for number in range(40):
         book.add(
-            story(
+            make_record(
                 "<script>alert(1)</script>" if number % 2 else f"r{number}",
                 10.0 + number * 3,
                 "refused" if number % 3 else "served",
@@ -161,8 +161,8 @@
         )
 
     def asked(line: str) -> list[str]:
-        question = ask.parse(line.split()[1:])
-        return run(ask.answer(question, book, lambda: 140.0, lambda _: []))  # type: ignore[no-any-return]
+        query = queries.parse(line.split()[1:])
+        return run(queries.answer(query, book, lambda: 140.0, lambda _: []))  # type: ignore[no-any-return]
 
     path = report.write(tmp_path / "out", asked, "1h")
     page = path.read_text()
@@ -180,18 +180,18 @@
 def test_a_trace_holds_the_tree_of_attempts_in_the_published_form(tmp_path: Path) -> None:
     path = tmp_path / "traces.jsonl"
     tracer = spans.Tracer(PLATFORM.settings, path, spans.Sampler(0.0, 5.0, 1), "n0")
-    failed = story(
+    failed = make_record(
         "a1",
         50.0,
         "failed",
         code=Code.MAY_HAVE_RUN,
-        tries=[
+        attempts=[
             AttemptRecord("d0", Reason(Code.CREDIT, "d0"), 0.001, 0.004, Ending.TURNED_AWAY),
             AttemptRecord("d0", Reason(Code.AGAIN, "d0"), 0.006, 0.01, Ending.BROKEN),
         ],
     )
-    tracer.tell(failed)
-    tracer.tell(story("b2", 50.0, "served"))
+    tracer.trace(failed)
+    tracer.trace(make_record("b2", 50.0, "served"))
     tracer.close()
     lines = map(json.loads, path.read_text().splitlines())
     found = [
@@ -218,9 +218,11 @@
 
 def test_refusals_are_traced_up_to_the_rate_and_the_others_in_part() -> None:
     sampler = spans.Sampler(0.1, 3.0, 7)
-    refused = [sampler.chosen(story(f"r{n}", 10.0 + n / 100)) for n in range(200)]  # 100 a second for 2 s
-    assert 3 <= sum(refused) <= 3 + 3 * 2 + 1 and sampler.passed_over == 200 - sum(refused)
-    served = sum(sampler.chosen(story(f"s{n}", 20.0, "served")) for n in range(2000))
+    refused = [
+        sampler.sample(make_record(f"r{n}", 10.0 + n / 100)) for n in range(200)
+    ]  # 100 a second for 2 s
+    assert 3 <= sum(refused) <= 3 + 3 * 2 + 1 and sampler.rate_limited == 200 - sum(refused)
+    served = sum(sampler.sample(make_record(f"s{n}", 20.0, "served")) for n in range(2000))
     assert 150 <= served <= 250  # a fixed seed
 
 
@@ -231,7 +233,7 @@
     monkeypatch.setattr(events.Log, "warning", lambda self, event, **fields: said.append(event))
     tracer = spans.Tracer(PLATFORM.settings, tmp_path, spans.Sampler(1.0, 50.0, 1), "n0")  # a folder
     for number in range(2):
-        tracer.tell(story(f"r{number}", 10.0))
+        tracer.trace(make_record(f"r{number}", 10.0))
         tracer._provider.force_flush()
     tracer.close()
-    assert said == ["why.spans_not_written"] and tracer.lines.dropped == 2
+    assert said == ["why.spans_not_written"] and tracer.exporter.dropped == 2
--- a/tests/test_why.py
+++ b/tests/test_why.py
@@ -1,5 +1,4 @@
-"""The record of decisions: what is kept, for how long, what is found again, and what is told of what is
-gone."""
+"""The decision log: codec, ring buffer, limits of bytes, correlation of retries, queries and sketches."""
 
 from __future__ import annotations
 
@@ -16,14 +15,21 @@
 from hypothesis import strategies as st
 from support import PLATFORM, fuzz, run, spoiled
 
-import cherrycove.broker.decision_log.book as books
 from cherrycove.broker.core import Attempt, Ended, Ending, Request, Verdict
-from cherrycove.broker.decision_log import ask, retries, words
-from cherrycove.broker.decision_log.book import LEAST, SKETCHED, DecisionLog, story_of
-from cherrycove.broker.decision_log.pack import AttemptRecord, PackError, RequestRecord, matters, pack, unpack
-from cherrycove.broker.decision_log.ring import Ring
-from cherrycove.broker.decision_log.seen import Seen
-from cherrycove.broker.decision_log.sketches import OPEN, Sketches, SpaceSaving
+from cherrycove.broker.decision_log import formatting, queries, retries
+from cherrycove.broker.decision_log import log as log_module
+from cherrycove.broker.decision_log.bloom_filter import RotatingBloomFilter
+from cherrycove.broker.decision_log.codec import (
+    AttemptRecord,
+    DecodeError,
+    RequestRecord,
+    is_notable,
+    pack,
+    unpack,
+)
+from cherrycove.broker.decision_log.log import MIN_BYTES, MIN_BYTES_FOR_SKETCHES, DecisionLog, to_record
+from cherrycove.broker.decision_log.ring_buffer import RingBuffer
+from cherrycove.broker.decision_log.sketches import OPEN_MINUTE_BYTES, Sketches, SpaceSaving
 from cherrycove.broker.local_codes import Own
 from cherrycove.scheduling.interface import Code, Reason
 
@@ -53,14 +59,14 @@
     )
 
 
-TRIES = st.builds(
+ATTEMPTS = st.builds(
     lambda why, at, took, ending: AttemptRecord(why.node, why, at, took, ending),
     reasons(range(1, 6), place=st.just(""), left=st.just(0.0), refill=st.just(0.0), epoch=st.just(0)),
     MS,
     MS,
     st.sampled_from([*Ending, None]),
 )
-STORIES = st.builds(
+RECORDS = st.builds(
     RequestRecord,
     NAMES,
     NAMES,
@@ -76,22 +82,24 @@
     st.booleans(),
     NAMES,
     st.integers(0, 255),
-    st.lists(TRIES, max_size=3),
+    st.lists(ATTEMPTS, max_size=3),
     st.none(),
     st.integers(0, 2**32 - 1),
 )
 NODES = {"s-1": 0, "s-2": 1}
 
 
-def story(id: str = "a1", ended: float = 10.0, verdict: str = "refused", **more: Any) -> RequestRecord:
+def make_record(
+    id: str = "a1", ended_at: float = 10.0, verdict: str = "refused", **more: Any
+) -> RequestRecord:
     code = more.pop("code", Own.SERVED if verdict == "served" else Code.NO_CREDIT)
-    tries = [AttemptRecord("s-1", SENT, 0.001, 0.02, Ending.SERVED)] if verdict == "served" else []
+    attempts = [AttemptRecord("s-1", SENT, 0.001, 0.02, Ending.SERVED)] if verdict == "served" else []
     if isinstance(code, Code):
-        more.setdefault("why", Reason(code))
+        more.setdefault("reason", Reason(code))
     return RequestRecord(
         id,
         more.pop("volume", HEX),
-        ended,
+        ended_at,
         0.02,
         verdict,
         code,
@@ -99,14 +107,14 @@
         plan=0,
         units=2.0,
         shard=0,
-        tries=more.pop("tries", tries),
+        attempts=more.pop("attempts", attempts),
         **more,
     )
 
 
 @fuzz
 @given(
-    STORIES,
+    RECORDS,
     reasons(
         range(16, 31),
         place=st.sampled_from(["", "lane", "queue"]),
@@ -115,102 +123,108 @@
         epoch=st.integers(0, 2**32 - 1),
     ),
 )
-def test_a_story_is_read_as_it_was_written(told: RequestRecord, why: Reason) -> None:
-    if told.verdict == "served":
-        told = replace(told, object=0)
-    elif isinstance(told.code, Code):
-        told = replace(told, why=why._replace(code=told.code, left=min(why.left, 32.0)))
-    if not told.first:
-        told = replace(told, rivals=0)
-    back = unpack(b"xx" + pack(told, NODES), 2, told.ended + 5.0, list(NODES))
-    assert back == told
-    assert matters(back) == matters(told)
+def test_decoding_restores_an_encoded_record(record: RequestRecord, why: Reason) -> None:
+    if record.verdict == "served":
+        record = replace(record, object_hash=0)
+    elif isinstance(record.code, Code):
+        record = replace(record, reason=why._replace(code=record.code, left=min(why.left, 32.0)))
+    if not record.original_id:
+        record = replace(record, candidates=0)
+    back = unpack(b"xx" + pack(record, NODES), 2, record.ended_at + 5.0, list(NODES))
+    assert back == record
+    assert is_notable(back) == is_notable(record)
 
 
 @fuzz
-@given(spoiled(pack(story("an id that is no hex", first="b"), NODES)))
-def test_spoiled_records_are_refused_or_read_within_their_bytes(garbage: bytes) -> None:
+@given(spoiled(pack(make_record("an id that is no hex", original_id="b"), NODES)))
+def test_malformed_records_are_rejected_or_decoded_within_their_bytes(data: bytes) -> None:
     try:
-        back = unpack(garbage, 0, 100.0, list(NODES))
-    except PackError as error:
+        back = unpack(data, 0, 100.0, list(NODES))
+    except DecodeError as error:
         assert str(error)
     else:
-        assert words.lines(back, SETTINGS, 100.0, 1e9) and len(back.tries) <= 15
+        assert formatting.format_lines(back, SETTINGS, 100.0, 1e9) and len(back.attempts) <= 15
 
 
 @fuzz
 @given(st.lists(st.tuples(st.integers(0, 9), st.integers(0, 3), st.integers(0, 120)), max_size=400))
-def test_a_ring_holds_its_newest_records_and_finds_them_all(steps: list[tuple[int, int, int]]) -> None:
-    """Against a plain list: by id, by volume, by time, and the accounts of what is gone."""
-    ring, model, now = Ring(6000), [], 0.0
+def test_a_ring_buffer_holds_its_newest_records_and_finds_them_all(steps: list[tuple[int, int, int]]) -> None:
+    """Compares it with a plain list: by id, by volume, by time, and the counters of dropped records."""
+    ring, model, now = RingBuffer(6000), [], 0.0
     for ident, volume, length in steps:
         now += 0.25
-        told = story(f"{ident}" + "x" * length, now, volume=f"v{volume}")
-        assert ring.add(pack(told), ident, volume, now)
-        model.append((ident, volume, told))
+        record = make_record(f"{ident}" + "x" * length, now, volume=f"v{volume}")
+        assert ring.add(pack(record), ident, volume, now)
+        model.append((ident, volume, record))
     held = model[len(model) - ring.count :]
-    assert ring.lost == len(model) - len(held) and ring.footprint() <= 6000
-    assert ring.lost_until == (model[ring.lost - 1][2].ended if ring.lost else 0.0)
+    assert ring.dropped == len(model) - len(held) and ring.footprint() <= 6000
+    assert ring.dropped_until == (model[ring.dropped - 1][2].ended_at if ring.dropped else 0.0)
 
     def read(places: Any) -> list[RequestRecord]:
         return [unpack(ring.data, at, now) for at in places]
 
-    assert read(ring.since(0.0)) == [told for _, _, told in held]
+    assert read(ring.since(0.0)) == [record for _, _, record in held]
     for ident in range(10):
-        mine = [told for i, _, told in held if i == ident]
+        mine = [record for i, _, record in held if i == ident]
         found = [each for each in read(ring.by_id(ident)) if each.id.rstrip("x") == str(ident)]
         assert found == mine[::-1]
     for volume in range(4):
-        mine = [told for _, v, told in held if v == volume]
+        mine = [record for _, v, record in held if v == volume]
         assert [each for each in read(ring.by_volume(volume)) if each.volume == f"v{volume}"] == mine[::-1]
     for when in (0.0, now / 2, now, now + 1):
-        late = [each for each in read(ring.since(when)) if each.ended >= when]
-        assert late == [told for _, _, told in held if told.ended >= when]
+        late = [each for each in read(ring.since(when)) if each.ended_at >= when]
+        assert late == [record for _, _, record in held if record.ended_at >= when]
 
 
-def test_positions_past_32_bits_still_find_what_is_there() -> None:
-    ring = Ring(8192)
+def test_records_are_found_at_positions_beyond_32_bits() -> None:
+    ring = RingBuffer(8192)
     ring.head = ring.tail = (1 << 32) // ring.size * ring.size - 300
     for number in range(100):
-        ring.add(pack(story(f"r{number}", number / 10)), number, 0, number / 10)
+        ring.add(pack(make_record(f"r{number}", number / 10)), number, 0, number / 10)
     assert ring.head > 1 << 32
     newest = [unpack(ring.data, at, 10.0).id for at in ring.by_volume(0)]
-    # One link at most is lost, where a position's low bits would be those of no record.
+    # At most one link is lost, where the low 32 bits of a position are 0, which means no record.
     assert newest == [f"r{number}" for number in range(99, 99 - len(newest), -1)] and len(newest) >= 60
     assert [unpack(ring.data, at, 10.0).id for at in ring.by_id(99)][0] == "r99"
 
 
-@pytest.mark.parametrize("bound", [LEAST, 2 << 20])
-def test_the_record_never_holds_more_than_its_bound(bound: int) -> None:
-    """By its own exact account at each step, and by what the interpreter has really taken."""
-    assert ddsketch and msgpack  # what is imported is not the record's
+@pytest.mark.parametrize("max_bytes", [MIN_BYTES, 2 << 20])
+def test_the_log_stays_within_its_limit_of_bytes(max_bytes: int) -> None:
+    """Checks the log's own footprint at each step, and the memory that the interpreter allocated."""
+    assert ddsketch and msgpack  # imported before, so that the log is not charged for the modules
     tracemalloc.start()
     try:
-        book = DecisionLog(SETTINGS, bound, 0.0)
+        decision_log = DecisionLog(SETTINGS, max_bytes, 0.0)
         before = tracemalloc.get_traced_memory()[0]
-        for number in range(12_000 if bound == LEAST else 40_000):
+        for number in range(12_000 if max_bytes == MIN_BYTES else 40_000):
             kind = ("served", "refused", "failed", "gone")[number % 4]
             served = kind == "served"
-            tries = (
+            attempts = (
                 [AttemptRecord(f"s-{number}", SENT, 0.0, number % 50 / 1000, Ending.SERVED)] if served else []
             )
-            for each in tries:
-                book.nodes.number(each.node, number / 10)  # node names that are always new
-            book.add(story("i" * 100 + str(number), number / 10, kind, volume=f"{number:016x}", tries=tries))
-            assert number % 16 or book.footprint() <= bound
-        assert tracemalloc.get_traced_memory()[0] <= bound * 1.05
-        assert before <= bound * 1.05  # all of it is taken at the start, but for names and summaries
+            for each in attempts:
+                decision_log.nodes.assign(each.node, number / 10)  # each node name is new
+            decision_log.add(
+                make_record(
+                    "i" * 100 + str(number), number / 10, kind, volume=f"{number:016x}", attempts=attempts
+                )
+            )
+            assert number % 16 or decision_log.footprint() <= max_bytes
+        assert tracemalloc.get_traced_memory()[0] <= max_bytes * 1.05
+        assert before <= max_bytes * 1.05  # all but names and sketches is allocated at the start
     finally:
         tracemalloc.stop()
-    assert book.kept.lost and book.plain.lost and len(book.nodes.names) <= 256
+    assert (
+        decision_log.notable.dropped and decision_log.routine.dropped and len(decision_log.nodes.names) <= 256
+    )
 
 
-def test_what_waits_to_be_taken_in_is_found_and_within_the_bound() -> None:
-    book = DecisionLog(SETTINGS, LEAST, 0.0)
+def test_pending_requests_are_found_and_stay_within_their_limit_of_bytes() -> None:
+    decision_log = DecisionLog(SETTINGS, MIN_BYTES, 0.0)
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
-        for number in range(books.BATCH - 1):
+        for number in range(log_module.BATCH_SIZE - 1):
             why = SENT._replace(epoch=number + 1000)
             tries = [
                 Attempt(
@@ -218,7 +232,7 @@
                 )
                 for turn in range(3)
             ]
-            book.ended(
+            decision_log.ended(
                 Ended(
                     1.0 + number,
                     2.0 + number,
@@ -228,53 +242,65 @@
                     why=Reason(Code.LAST_ATTEMPT, "s-1", epoch=number + 1000),
                 )
             )
-        assert len(book._pending) == books.BATCH - 1 and not book.kept.count
-        assert tracemalloc.get_traced_memory()[0] - before <= books.BATCH * books.WAITING
+        assert len(decision_log._pending) == log_module.BATCH_SIZE - 1 and not decision_log.notable.count
+        assert tracemalloc.get_traced_memory()[0] - before <= log_module.BATCH_SIZE * log_module.PENDING_BYTES
     finally:
         tracemalloc.stop()
-    assert len(book.find("id-0", 50.0)) == 1 and not book._pending and book.kept.count == books.BATCH - 1
+    assert (
+        len(decision_log.find("id-0", 50.0)) == 1
+        and not decision_log._pending
+        and decision_log.notable.count == log_module.BATCH_SIZE - 1
+    )
 
 
-def test_refusals_outlive_a_surge_of_served_requests_and_the_loss_is_told() -> None:
-    book = DecisionLog(SETTINGS, LEAST, 0.0)
-    book.add(story("refused", 1.0))
-    book.add(story("retried", 1.5, "served", repeat=True))
+def test_refusals_outlive_many_served_requests_and_answers_state_what_was_dropped() -> None:
+    decision_log = DecisionLog(SETTINGS, MIN_BYTES, 0.0)
+    decision_log.add(make_record("refused", 1.0))
+    decision_log.add(make_record("retried", 1.5, "served", is_retry=True))
     for number in range(2400):
-        book.add(story(f"{number:016x}", 2.0 + number / 1000, "served"))
-    assert book.find("refused", 9.0) and book.find("retried", 9.0) and not book.find(f"{1:016x}", 9.0)
-    plain = book.gaps()[1]
-    assert plain.held + plain.lost == 2400 and plain.whole_since is not None
-    assert not book.find(f"{plain.lost - 1:016x}", 9.0) and book.find(f"{plain.lost:016x}", 9.0)
-    assert plain.whole_since == pytest.approx(2.0 + (plain.lost - 1) / 1000, abs=0.0015)
-    said = "\n".join(run(asked(book, f"{1:016x}")))
-    assert said.startswith("NO this id was here since")
-    assert f"{plain.lost} given up of those served at once" in said
-
-
-def test_an_id_that_never_came_is_told_from_one_that_was_given_up() -> None:
-    """For as many ids as the filter says, and with as few strangers taken for known."""
-    seen = Seen(8192, 0.0)
-    for number in range(2 * seen.most):
-        seen.add(hash(f"r{number}"), number / 10)
-    assert all(hash(f"r{number}") in seen for number in range(2 * seen.most))
-    assert seen.since == 0.0 and seen.footprint() <= 8192
-    seen.add(hash("one more"), 1e6)
-    assert seen.since > 0 and all(hash(f"r{number}") in seen for number in range(seen.most, 2 * seen.most))
-    strangers = sum(hash(f"s{number}") in seen for number in range(4000))
-    assert strangers <= 4000 * 0.02 * 2  # two generations at one in a hundred, and hashes differ by run
-    book = DecisionLog(SETTINGS, LEAST, 100.0)
-    assert "since the record began" in run(asked(book, "never"))[0]
-
-
-def test_a_number_given_to_another_node_puts_no_wrong_name_on_old_records() -> None:
-    book = DecisionLog(SETTINGS, LEAST, 0.0)
+        decision_log.add(make_record(f"{number:016x}", 2.0 + number / 1000, "served"))
+    assert (
+        decision_log.find("refused", 9.0)
+        and decision_log.find("retried", 9.0)
+        and not decision_log.find(f"{1:016x}", 9.0)
+    )
+    routine = decision_log.gaps()[1]
+    assert routine.held + routine.dropped == 2400 and routine.complete_since is not None
+    assert not decision_log.find(f"{routine.dropped - 1:016x}", 9.0) and decision_log.find(
+        f"{routine.dropped:016x}", 9.0
+    )
+    assert routine.complete_since == pytest.approx(2.0 + (routine.dropped - 1) / 1000, abs=0.0015)
+    answer = "\n".join(run(asked(decision_log, f"{1:016x}")))
+    assert answer.startswith("NO this id arrived since")
+    assert f"{routine.dropped} dropped of those served at the first attempt" in answer
+
+
+def test_an_unknown_id_is_distinguished_from_one_whose_record_was_dropped() -> None:
+    """The filter covers the stated number of ids, with the stated rate of false positives."""
+    recent_ids = RotatingBloomFilter(8192, 0.0)
+    for number in range(2 * recent_ids.max_ids):
+        recent_ids.add(hash(f"r{number}"), number / 10)
+    assert all(hash(f"r{number}") in recent_ids for number in range(2 * recent_ids.max_ids))
+    assert recent_ids.since == 0.0 and recent_ids.footprint() <= 8192
+    recent_ids.add(hash("one more"), 1e6)
+    assert recent_ids.since > 0 and all(
+        hash(f"r{number}") in recent_ids for number in range(recent_ids.max_ids, 2 * recent_ids.max_ids)
+    )
+    false_positives = sum(hash(f"s{number}") in recent_ids for number in range(4000))
+    assert false_positives <= 4000 * 0.02 * 2  # two generations at 1%, and hashes differ by run
+    decision_log = DecisionLog(SETTINGS, MIN_BYTES, 100.0)
+    assert "since the decision log began" in run(asked(decision_log, "never"))[0]
+
+
+def test_a_reassigned_node_number_gives_no_wrong_name_to_earlier_records() -> None:
+    decision_log = DecisionLog(SETTINGS, MIN_BYTES, 0.0)
     ended = Ended(0.0, 1.0, Verdict.FAILED, why=Reason(Code.MAY_HAVE_RUN, "first"), request=request("a1"))
-    book.ended(ended)
-    assert book.find("a1", 2.0)[0].why == Reason(Code.MAY_HAVE_RUN, "first")
-    for number in range(511):  # each number has had another name once, and the next is the first again
-        book.nodes.number(f"s-{number}", 2.0 + number)
-    again = book.find("a1", 600.0)[0]
-    assert again.why is not None and again.why.node == ""
+    decision_log.ended(ended)
+    assert decision_log.find("a1", 2.0)[0].reason == Reason(Code.MAY_HAVE_RUN, "first")
+    for number in range(511):  # every number was reassigned, and the next is that of "first"
+        decision_log.nodes.assign(f"s-{number}", 2.0 + number)
+    again = decision_log.find("a1", 600.0)[0]
+    assert again.reason is not None and again.reason.node == ""
 
 
 def request(id: str = "a1", **more: Any) -> Request:
@@ -282,66 +308,71 @@
 
 
 @pytest.mark.parametrize("verdict", ["refused", "failed", "gone"])
-def test_a_marked_retry_is_joined_to_its_first_try(verdict: str) -> None:
-    book = DecisionLog(SETTINGS, LEAST, 0.0)
-    book.add(replace(story("first", 10.0, verdict), object=retry_of(request())))
-    assert book.came(request("second", repeat=True), 10.3) == ("first", 1)
-    book.add(story("second", 10.5, "served", repeat=True, first="first"))
-    for asked_id in ("first", "second"):  # either id tells the whole story, under the first try
-        said = run(asked(book, asked_id))
-        assert [line.split()[1] for line in said if line.startswith("20")] == ["first", "second"]
+def test_a_marked_retry_is_correlated_with_its_original_request(verdict: str) -> None:
+    decision_log = DecisionLog(SETTINGS, MIN_BYTES, 0.0)
+    decision_log.add(replace(make_record("first", 10.0, verdict), object_hash=object_hash_of(request())))
+    assert decision_log.came(request("second", repeat=True), 10.3) == ("first", 1)
+    decision_log.add(make_record("second", 10.5, "served", is_retry=True, original_id="first"))
+    for asked_id in ("first", "second"):  # a query for either id shows both, the original first
+        answer = run(asked(decision_log, asked_id))
+        assert [line.split()[1] for line in answer if line.startswith("20")] == ["first", "second"]
 
 
-def retry_of(what: Request) -> int:
-    return story_of(Ended(0.0, 1.0, None, request=what)).object
+def object_hash_of(subject: Request) -> int:
+    return to_record(Ended(0.0, 1.0, None, request=subject)).object_hash
 
 
-def test_two_clients_on_one_object_are_not_joined_falsely() -> None:
-    book = DecisionLog(SETTINGS, LEAST, 0.0)
-    thing = retry_of(request())
+def test_retries_of_two_clients_of_one_object_are_paired_in_order() -> None:
+    decision_log = DecisionLog(SETTINGS, MIN_BYTES, 0.0)
+    object_hash = object_hash_of(request())
     for ident, ended in (("a", 10.0), ("b", 10.1)):
-        book.add(replace(story(ident, ended), object=thing))
-    # Their retries pair off one to one in their order, and the answer says that there were two.
-    assert book.came(request("a2", repeat=True), 10.4) == ("a", 2)
-    assert book.came(request("b2", repeat=True), 10.5) == ("b", 1)
-    assert book.came(request("c2", repeat=True), 10.6) == ("", 0)  # no try is repeated twice
+        decision_log.add(replace(make_record(ident, ended), object_hash=object_hash))
+    # Their retries are paired one to one in order, and the number of candidates is recorded.
+    assert decision_log.came(request("a2", repeat=True), 10.4) == ("a", 2)
+    assert decision_log.came(request("b2", repeat=True), 10.5) == ("b", 1)
+    assert decision_log.came(request("c2", repeat=True), 10.6) == ("", 0)  # no request is claimed twice
 
 
 @pytest.mark.parametrize(
-    "other", [{"verdict": "served"}, {"volume": "0000000000000002"}, {"object": 1}, {"cls": 1}, {"at": 500.0}]
+    "other",
+    [{"verdict": "served"}, {"volume": "0000000000000002"}, {"object_hash": 1}, {"cls": 1}, {"at": 500.0}],
 )
-def test_what_is_not_its_first_try_is_not_joined(other: dict[str, Any]) -> None:
-    book = DecisionLog(SETTINGS, LEAST, 0.0)
-    told = replace(story("first", 10.0, other.get("verdict", "refused")), object=retry_of(request()))
+def test_a_retry_is_not_correlated_with_another_request(other: dict[str, Any]) -> None:
+    decision_log = DecisionLog(SETTINGS, MIN_BYTES, 0.0)
+    record = replace(
+        make_record("first", 10.0, other.get("verdict", "refused")), object_hash=object_hash_of(request())
+    )
     at = other.pop("at", 10.3)
-    book.add(replace(told, **other))
-    assert book.came(request("second", repeat=True), at) == ("", 0)
+    decision_log.add(replace(record, **other))
+    assert decision_log.came(request("second", repeat=True), at) == ("", 0)
 
 
-def test_only_so_many_records_are_looked_at_for_a_retry() -> None:
-    ring = Ring(1 << 17)
-    for number in range(retries.MOST_STEPS + 5):
-        ring.add(pack(replace(story(f"r{number}", 10.0), object=number)), number, hash(HEX), 10.0)
-    assert retries.claim(ring, HEX, 0, 0, 10.1, 5.0) == ("", 0)  # the oldest is out of reach
+def test_a_limited_number_of_records_is_examined_for_a_retry() -> None:
+    ring = RingBuffer(1 << 17)
+    for number in range(retries.MAX_EXAMINED + 5):
+        ring.add(pack(replace(make_record(f"r{number}", 10.0), object_hash=number)), number, hash(HEX), 10.0)
+    assert retries.claim(ring, HEX, 0, 0, 10.1, 5.0) == ("", 0)  # the oldest is not examined
     assert retries.claim(ring, HEX, 0, 9, 10.1, 5.0) == ("r9", 1)
 
 
 async def asked(
-    book: DecisionLog, *arguments: str, now: float = 400.0, still: list[Ended] | None = None
+    decision_log: DecisionLog, *arguments: str, now: float = 400.0, still: list[Ended] | None = None
 ) -> list[str]:
-    return await ask.answer(ask.parse(list(arguments)), book, lambda: now, lambda _: still or [])
+    return await queries.answer(
+        queries.parse(list(arguments)), decision_log, lambda: now, lambda _: still or []
+    )
 
 
 @fuzz
 @given(NAMES, NAMES)
-def test_hostile_names_leave_as_printable_text_and_whole_json(ident: str, volume: str) -> None:
-    book = DecisionLog(SETTINGS, LEAST, 0.0)
-    book.add(story(ident or "x", 10.0, volume=volume))
-    for line in run(asked(book, "--since", "1h", now=11.0)):
+def test_hostile_names_are_output_as_printable_text_and_valid_json(ident: str, volume: str) -> None:
+    decision_log = DecisionLog(SETTINGS, MIN_BYTES, 0.0)
+    decision_log.add(make_record(ident or "x", 10.0, volume=volume))
+    for line in run(asked(decision_log, "--since", "1h", now=11.0)):
         assert line.isascii() and line.isprintable()
     rows = [
         json.loads(line)
-        for line in run(asked(book, "--json", "--since", "1h", now=11.0))
+        for line in run(asked(decision_log, "--json", "--since", "1h", now=11.0))
         if line.startswith("{")
     ]
     assert [row["id"] for row in rows] == [
@@ -364,67 +395,73 @@
         "a --only refused",
     ],
 )
-def test_what_is_no_question_is_told_so(line: str) -> None:
-    with pytest.raises(ask.AskError) as said:
-        ask.parse(line.split())
-    assert str(said.value)
+def test_invalid_queries_are_rejected(line: str) -> None:
+    with pytest.raises(queries.QueryError) as raised:
+        queries.parse(line.split())
+    assert str(raised.value)
 
 
-def test_questions_choose_by_volume_time_and_verdict() -> None:
-    book = DecisionLog(SETTINGS, LEAST, 0.0)
+def test_queries_select_by_volume_time_and_verdict() -> None:
+    decision_log = DecisionLog(SETTINGS, MIN_BYTES, 0.0)
     for number, (volume, kind) in enumerate(
         [("1", "refused"), ("2", "refused"), ("1", "failed"), ("1", "served"), ("1", "refused")]
     ):
-        book.add(story(f"r{number}", 100.0 + number * 10, kind, volume=volume * 16))
+        decision_log.add(make_record(f"r{number}", 100.0 + number * 10, kind, volume=volume * 16))
 
     def ids(*arguments: str) -> list[str]:
-        return [line.split()[1] for line in run(asked(book, *arguments, now=150.0)) if line.startswith("20")]
+        return [
+            line.split()[1]
+            for line in run(asked(decision_log, *arguments, now=150.0))
+            if line.startswith("20")
+        ]
 
     assert ids("--volume", "1" * 16) == ["r0", "r2", "r3", "r4"]
     assert ids("--volume", "1" * 16, "--only", "refused,failed", "--since", "35s") == ["r2", "r4"]
     assert ids("--only", "refused") == ["r0", "r1", "r4"]
     assert ids("--only", "refused", "--most", "1") == ["r4"]
-    assert run(asked(book, "--most", "2", now=150.0))[0] == "YES the last 2 of more requests"
+    assert run(asked(decision_log, "--most", "2", now=150.0))[0] == "YES the last 2 of more requests"
 
 
-def test_a_question_over_a_full_record_gives_the_loop_back_between_slices(
+def test_a_query_of_a_full_log_yields_to_the_event_loop_between_slices(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    book = DecisionLog(SETTINGS, 2 << 20, 0.0)
+    decision_log = DecisionLog(SETTINGS, 2 << 20, 0.0)
     for number in range(40_000):
-        book.add(story(f"{number:016x}", number / 1000))
+        decision_log.add(make_record(f"{number:016x}", number / 1000))
     clock = [0.0]
 
     def step() -> float:
         clock[0] += 0.0005
         return clock[0]
 
-    monkeypatch.setattr(ask._Pace.__init__, "__defaults__", (step,))
+    monkeypatch.setattr(queries._TimeSlices.__init__, "__defaults__", (step,))
 
-    async def story_() -> int:
+    async def scenario() -> int:
         turns = 0
-        task = asyncio.create_task(asked(book, "--since", "1h", now=40.0))
+        task = asyncio.create_task(asked(decision_log, "--since", "1h", now=40.0))
         while not task.done():
             await asyncio.sleep(0)
             turns += 1
         assert "stopped" in (await task)[0]
         return turns
 
-    assert run(story_()) >= ask.ANSWER_TIME / ask.SLICE / 4
+    assert run(scenario()) >= queries.ANSWER_TIMEOUT_S / queries.SLICE_S / 4
 
 
-def test_an_open_request_is_told_as_it_stands() -> None:
-    book = DecisionLog(SETTINGS, LEAST, 0.0)
-    said = run(asked(book, "a1", still=[Ended(399.0, 400.0, None, request=request())]))
-    assert said[0] == "YES 1 requests" and "is open since 1000 ms" in said[1]
+def test_an_open_request_is_shown_in_its_current_state() -> None:
+    decision_log = DecisionLog(SETTINGS, MIN_BYTES, 0.0)
+    answer = run(asked(decision_log, "a1", still=[Ended(399.0, 400.0, None, request=request())]))
+    assert answer[0] == "YES 1 requests" and "has been open for 1000 ms" in answer[1]
 
 
-# What no longer fits.
+# Sketches.
 
 
 @fuzz
 @given(st.lists(st.integers(0, 30), max_size=300), st.integers(2, 12))
-def test_the_heaviest_are_in_the_table_and_no_count_is_too_low(stream: list[int], size: int) -> None:
+def test_the_most_frequent_keys_are_in_the_table_and_no_count_is_too_low(
+    stream: list[int], size: int
+) -> None:
     table = SpaceSaving(size)
     for each in stream:
         table.add((str(each), 0))
@@ -438,12 +475,12 @@
             assert true <= count <= true + error and error <= len(stream) / size
 
 
-def test_summaries_roll_by_the_minute_within_their_bytes_and_tell_the_latency() -> None:
-    sketches = Sketches(OPEN + 20_000)
+def test_sketches_advance_by_minute_within_their_bytes_and_estimate_latency() -> None:
+    sketches = Sketches(OPEN_MINUTE_BYTES + 20_000)
     for second in range(4000):
-        sketches.ended(second, "refused" if second % 3 else "served", 16, f"{second % 7:016x}")
-        sketches.answered(second, f"s-{second % 3}", 0, 0.010 + 0.001 * (second % 100))
-        assert sketches.footprint() <= OPEN + 20_000
+        sketches.count_end(second, "refused" if second % 3 else "served", 16, f"{second % 7:016x}")
+        sketches.count_answer(second, f"s-{second % 3}", 0, 0.010 + 0.001 * (second % 100))
+        assert sketches.footprint() <= OPEN_MINUTE_BYTES + 20_000
     minutes = list(sketches.minutes(0.0))
     assert 5 < len(minutes) <= 60 and minutes[-1].number == 3999 // 60
     assert sum(minutes[-2].counts.values()) == 60
@@ -455,51 +492,56 @@
     assert sketches.volumes(3900.0).total == sum(1 for s in range(3900, 4000) if s % 3)
 
 
-def test_a_summary_says_what_was_counted() -> None:
-    book = DecisionLog(SETTINGS, SKETCHED, 0.0)
+def test_a_summary_has_the_counts() -> None:
+    decision_log = DecisionLog(SETTINGS, MIN_BYTES_FOR_SKETCHES, 0.0)
     for number in range(90):
-        book.add(story(f"r{number}", 10.0 + number, "refused" if number % 3 else "served"))
-    said = run(asked(book, "--summary", now=120.0))
-    assert said[0] == "YES" and {"reason refused no_credit: 60", f"volume {HEX} no_credit: 60"} <= set(said)
-    whole = json.loads(run(asked(book, "--summary", "--json", now=120.0))[1])
-    assert sum(row["refused"] for row in whole["minutes"]) == 60 and whole["nodes"][0]["count"] == 30
-    assert run(asked(DecisionLog(SETTINGS, LEAST, 0.0), "--summary"))[0].startswith("NO ")
+        decision_log.add(make_record(f"r{number}", 10.0 + number, "refused" if number % 3 else "served"))
+    answer = run(asked(decision_log, "--summary", now=120.0))
+    assert answer[0] == "YES" and {"reason refused no_credit: 60", f"volume {HEX} no_credit: 60"} <= set(
+        answer
+    )
+    summary = json.loads(run(asked(decision_log, "--summary", "--json", now=120.0))[1])
+    assert sum(row["refused"] for row in summary["minutes"]) == 60 and summary["nodes"][0]["count"] == 30
+    assert run(asked(DecisionLog(SETTINGS, MIN_BYTES, 0.0), "--summary"))[0].startswith("NO ")
 
 
-# From one process to the next.
+# Transfer from one process to its successor.
 
 
-def test_a_successor_answers_for_what_its_predecessor_decided() -> None:
-    first, second = DecisionLog(SETTINGS, SKETCHED, 0.0), DecisionLog(SETTINGS, SKETCHED, 50.0)
+def test_a_successor_has_the_records_of_its_predecessor() -> None:
+    first, second = (
+        DecisionLog(SETTINGS, MIN_BYTES_FOR_SKETCHES, 0.0),
+        DecisionLog(SETTINGS, MIN_BYTES_FOR_SKETCHES, 50.0),
+    )
     for number in range(2000):
         kind = ("served", "refused")[number % 2]
-        first.nodes.number("s-1", 1.0)
-        first.add(story(f"{number:016x}", 10.0 + number / 100, kind))
-    second.nodes.number("another", 49.0)
-    second.add(story("own", 60.0))
+        first.nodes.assign("s-1", 1.0)
+        first.add(make_record(f"{number:016x}", 10.0 + number / 100, kind))
+    second.nodes.assign("another", 49.0)
+    second.add(make_record("own", 60.0))
     pieces = list(first.pieces(20.0, 60.0))
     assert len(pieces) > 2 and all(len(json.dumps(piece)) < 1 << 17 for piece in pieces)
     for piece in pieces:
         second.take_over(json.loads(json.dumps(piece)), 60.0)
-    told = [number for number in range(2000) if second.find(f"{number:016x}", 60.0)]
-    assert told and told == list(range(told[0], 2000))
+    found = [number for number in range(2000) if second.find(f"{number:016x}", 60.0)]
+    assert found and found == list(range(found[0], 2000))
     assert second.find(f"{1998:016x}", 60.0) == first.find(f"{1998:016x}", 60.0)
-    assert second.find("own", 60.0) and second.footprint() <= SKETCHED
+    assert second.find("own", 60.0) and second.footprint() <= MIN_BYTES_FOR_SKETCHES
 
 
-PIECE = json.dumps({"nodes": ["s-1"], "records": pack(story("x", 1.0), NODES).hex()}).encode()
+CHUNK = json.dumps({"nodes": ["s-1"], "records": pack(make_record("x", 1.0), NODES).hex()}).encode()
 
 
 @fuzz
-@given(spoiled(PIECE))
-def test_spoiled_pieces_are_refused_in_words(garbage: bytes) -> None:
-    book = DecisionLog(SETTINGS, SKETCHED, 0.0)
+@given(spoiled(CHUNK))
+def test_malformed_chunks_are_rejected_with_a_message(data: bytes) -> None:
+    decision_log = DecisionLog(SETTINGS, MIN_BYTES_FOR_SKETCHES, 0.0)
     try:
-        piece = json.loads(garbage)
+        piece = json.loads(data)
         if isinstance(piece, dict):
-            book.take_over(piece, 10.0)
-    except PackError as error:
+            decision_log.take_over(piece, 10.0)
+    except DecodeError as error:
         assert str(error)
     except (ValueError, RecursionError):
-        pass  # no JSON
-    assert book.footprint() <= SKETCHED
+        pass  # not JSON
+    assert decision_log.footprint() <= MIN_BYTES_FOR_SKETCHES
--- a/tests/test_why_loopback.py
+++ b/tests/test_why_loopback.py
@@ -1,4 +1,4 @@
-"""What the record tells against what an independent observer saw at nodes and clients, both fronts mixed."""
+"""The decision log's records compared with what nodes and clients observed, over HTTP and NBD."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 from test_handover import Process, settings
 from test_nbd import VOLUME, BlockNode, Client, setup
 
-import cherrycove.broker.decision_log.book as books
 from cherrycove.broker import config
 from cherrycove.broker.core import Ending, Maintenance, Member, NodeList
-from cherrycove.broker.decision_log import ask
-from cherrycove.broker.decision_log.book import DecisionLog
-from cherrycove.broker.decision_log.pack import RequestRecord
+from cherrycove.broker.decision_log import log as log_module
+from cherrycove.broker.decision_log import queries
+from cherrycove.broker.decision_log.codec import RequestRecord
+from cherrycove.broker.decision_log.log import DecisionLog
 from cherrycove.broker.local_codes import Own
 from cherrycove.broker.nbd import Command, Errno
 from cherrycove.scheduling import interface as api
 from cherrycove.scheduling.interface import Code, NodeState
 
-MEANS = {  # what a node's step may look like from the broker
+ENDINGS_BY_STEP = {  # the endings that the broker may record for a step of a node
     "ok": {Ending.SERVED},
     "500": {Ending.NODE_ERROR},
     "503 X-Not-Run: 1": {Ending.TURNED_AWAY},
@@ -41,23 +41,23 @@
 
 
 class Watched(Node):
-    """A node that writes down what it did to whom."""
+    """A node that logs which step it took for which request."""
 
-    def __init__(self, log: list[tuple[str, str, str]], name: str, *script: str) -> None:
+    def __init__(self, node_log: list[tuple[str, str, str]], name: str, *script: str) -> None:
         super().__init__(*script)
-        self.log, self.name = log, name
+        self.node_log, self.name = node_log, name
 
     async def _step(
         self, step: str, reader: asyncio.StreamReader, writer: Writer, headers: dict[str, str]
     ) -> bool:
-        self.log.append((headers["x-request-id"], self.name, step))
+        self.node_log.append((headers["x-request-id"], self.name, step))
         return await super()._step(step, reader, writer, headers)
 
 
 async def browse(
-    world: World, dice: random.Random, number: int, seen: dict[str, str], firsts: dict[str, str]
+    world: World, dice: random.Random, number: int, observed: dict[str, str], originals: dict[str, str]
 ) -> None:
-    """One client: requests of all kinds, marked retries of what was refused, some hung up, some malformed."""
+    """Send one client's requests: all kinds, marked retries of refused ones, some aborted, some malformed."""
     for turn in range(14):
         ident = f"{number:08x}{turn:08x}"
         cls = dice.choice(["claim-read", "claim-write", "claim-export"])
@@ -74,24 +74,24 @@
         if kind < 0.07:
             status, _, _ = await world.ask(**fields | {"Tier": "no such plan"})
             assert status == 400
-            seen[ident] = "failed"
+            observed[ident] = "failed"
         elif kind < 0.17:
             reader, writer = await asyncio.open_connection("127.0.0.1", world.port)
             writer.write(message(**fields))
             await writer.drain()
             await asyncio.sleep(dice.choice([0.0, 0.005, 0.05]))
             writer.transport.abort()
-            seen[ident] = "?"  # it may have had its answer by then
+            observed[ident] = "?"  # the answer may have been sent by then
         else:
             status, _, _ = await world.ask(**fields)
-            seen[ident] = VERDICTS.get(status, "failed")
-            if seen[ident] == "refused" and dice.random() < 0.7:
+            observed[ident] = VERDICTS.get(status, "failed")
+            if observed[ident] == "refused" and dice.random() < 0.7:
                 again = f"{number + 256:08x}{turn:08x}"
                 status, _, _ = await world.ask(**fields | {"id": again, "X_Retry": "1"})
-                seen[again], firsts[again] = VERDICTS.get(status, "failed"), ident
+                observed[again], originals[again] = VERDICTS.get(status, "failed"), ident
 
 
-async def mount(port: int, dice: random.Random, seen: list[tuple[int, str]]) -> None:
+async def mount(port: int, dice: random.Random, observed: list[tuple[int, str]]) -> None:
     client = await Client.mounted(port)
     for turn in range(10):
         command = dice.choice([Command.READ, Command.WRITE])
@@ -101,20 +101,20 @@
             512 if command == Command.READ else 0,
             b"x" * 512 if command == Command.WRITE else b"",
         )
-        seen.append((len(client.calls), {0: "served", Errno.ENOMEM: "refused"}.get(errno, "failed")))
+        observed.append((len(client.calls), {0: "served", Errno.ENOMEM: "refused"}.get(errno, "failed")))
     client.writer.close()
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_every_ending_has_an_explanation_that_matches_what_was_seen(seed: int) -> None:
-    async def story() -> None:
-        dice, log = random.Random(seed), []  # type: random.Random, list[tuple[str, str, str]]
-        steps = list(MEANS) + ["ok"] * 24
-        nodes = [await Watched(log, f"d{i}", *dice.choices(steps, k=60)).start() for i in range(3)]
-        fresh = await Watched(log, "fresh", *dice.choices(steps, k=60)).start()
+def test_the_record_of_every_request_matches_what_nodes_and_clients_observed(seed: int) -> None:
+    async def scenario() -> None:
+        dice, node_log = random.Random(seed), []  # type: random.Random, list[tuple[str, str, str]]
+        steps = list(ENDINGS_BY_STEP) + ["ok"] * 24
+        nodes = [await Watched(node_log, f"d{i}", *dice.choices(steps, k=60)).start() for i in range(3)]
+        fresh = await Watched(node_log, "fresh", *dice.choices(steps, k=60)).start()
         block = await BlockNode(*dice.choices(["ok"] * 9 + ["drop", "5"], k=60)).start()
         async with World(*nodes, platform=config.parse_platform_config(raw(3), {})) as world:
-            book = world.core.recorder = DecisionLog(world.core.settings, 2 << 20, 0.0)
+            decision_log = world.core.recorder = DecisionLog(world.core.settings, 2 << 20, 0.0)
             members = [Member(f"d{i}", f"127.0.0.1:{node.port}", i) for i, node in enumerate(nodes)]
             members.append(Member("d3", f"127.0.0.1:{block.port}", BLOCK_SHARD))
             world.core.update(NodeList(1, True, tuple(members)))
@@ -132,12 +132,12 @@
                     },
                 )
             )
-            seen: dict[str, str] = {}
-            firsts: dict[str, str] = {}
+            observed: dict[str, str] = {}
+            originals: dict[str, str] = {}
             mounted: list[tuple[int, str]] = []
 
-            async def staff() -> None:
-                """A drain, then another node under its shard; a ban, undone."""
+            async def operator_actions() -> None:
+                """Drain a node, replace it by another with its shard, and take a node out and back."""
                 await nodes[0].until(8)
                 world.core.update(
                     NodeList(2, False, (Member("d0", members[0].address, 0, state=NodeState.DRAINING),))
@@ -158,43 +158,50 @@
                 world.core.maintain(Maintenance())
 
             await asyncio.gather(
-                staff(),
-                *(browse(world, random.Random(seed * 100 + n), n, seen, firsts) for n in range(8)),
+                operator_actions(),
+                *(browse(world, random.Random(seed * 100 + n), n, observed, originals) for n in range(8)),
                 *(mount(port, random.Random(seed * 100 + n), mounted) for n in range(2)),
             )
             await world.core.idle()
             while world.core.open_requests or any(
-                not book.find(ident, 0.0) and verdict != "?" for ident, verdict in seen.items()
+                not decision_log.find(ident, 0.0) and verdict != "?" for ident, verdict in observed.items()
             ):
                 await asyncio.sleep(0.01)
             now = asyncio.get_running_loop().time()
-            for ident, verdict in seen.items():
-                compare(ident, verdict, book.find(ident, now), [each for each in log if each[0] == ident])
-            for again, first in firsts.items():
-                found = book.find(again, now)[0]
-                assert found.repeat and found.first == first  # objects are each client's own
-            told = Counter(
+            for ident, verdict in observed.items():
+                compare(
+                    ident,
+                    verdict,
+                    decision_log.find(ident, now),
+                    [each for each in node_log if each[0] == ident],
+                )
+            for again, first in originals.items():
+                found = decision_log.find(again, now)[0]
+                assert found.is_retry and found.original_id == first  # objects are each client's own
+            recorded = Counter(
                 (int(each.id.rpartition(":")[2], 16), each.verdict)
-                for each in book.walk(0.0, now=now)
+                for each in decision_log.walk(0.0, now=now)
                 if each is not None and each.front == "nbd"
             )
-            assert told == Counter(mounted)
-            assert {"refused", "failed", "served"} <= set(seen.values())
+            assert recorded == Counter(mounted)
+            assert {"refused", "failed", "served"} <= set(observed.values())
             await front.close()
 
-    run(story())
+    run(scenario())
 
 
-def compare(ident: str, verdict: str, found: list[RequestRecord], log: list[tuple[str, str, str]]) -> None:
+def compare(
+    ident: str, verdict: str, found: list[RequestRecord], node_log: list[tuple[str, str, str]]
+) -> None:
     if verdict == "?" and not found:
-        return  # it never came whole
+        return  # the request did not arrive completely
     assert len(found) == 1, (ident, verdict)
-    told = found[0]
-    assert verdict in ("?", told.verdict), (ident, verdict, told)
-    # A node may have seen nothing of an attempt that was given up on its way; else order and place agree.
+    record = found[0]
+    assert verdict in ("?", record.verdict), (ident, verdict, record)
+    # A node may not have received an attempt that was cancelled; otherwise order and nodes agree.
     reached = [
         each
-        for each in told.tries
+        for each in record.attempts
         if each.ending
         not in (
             Ending.NOT_STARTED,
@@ -204,81 +211,82 @@
             Ending.EXPIRED,
         )
     ]
-    left = told.verdict == "gone"
-    if not left or len(reached) == len(log):
-        assert [each.node for each in reached] == [node for _, node, _ in log], (told, log)
-    for each, (_, _, step) in zip(reached, log, strict=False):
-        assert each.ending in MEANS[step] | ({Ending.GIVEN_UP} if left else set()), (each, step)
-    for each in told.tries:
-        assert each.why.node == each.node and each.why.code < Code.NO_CREDIT
-    if told.code is Code.MAY_HAVE_RUN:
-        assert told.cls == 1 and any(step not in ("503 X-Not-Run: 1",) for _, _, step in log)
-    elif told.code is Code.LAST_ATTEMPT:
-        assert len(told.tries) == 3
-    elif told.code is Code.DRAINED:
-        assert told.shard in (0, 1)  # by the list, or by staff
-    elif told.verdict == "served":
-        assert log[-1][2] == "ok" and told.code is Own.SERVED
-    elif told.code is Own.MALFORMED:
-        assert not told.tries and not log
-    elif told.verdict == "gone":
-        assert told.code is Own.CLIENT_GONE
-
-
-def test_a_decision_by_the_last_resort_is_told_as_that() -> None:
-    async def story() -> None:
+    left = record.verdict == "gone"
+    if not left or len(reached) == len(node_log):
+        assert [each.node for each in reached] == [node for _, node, _ in node_log], (record, node_log)
+    for each, (_, _, step) in zip(reached, node_log, strict=False):
+        assert each.ending in ENDINGS_BY_STEP[step] | ({Ending.GIVEN_UP} if left else set()), (each, step)
+    for each in record.attempts:
+        assert each.reason.node == each.node and each.reason.code < Code.NO_CREDIT
+    if record.code is Code.MAY_HAVE_RUN:
+        assert record.cls == 1 and any(step not in ("503 X-Not-Run: 1",) for _, _, step in node_log)
+    elif record.code is Code.LAST_ATTEMPT:
+        assert len(record.attempts) == 3
+    elif record.code is Code.DRAINED:
+        assert record.shard in (0, 1)  # drained by the node list, or taken out by an operator
+    elif record.verdict == "served":
+        assert node_log[-1][2] == "ok" and record.code is Own.SERVED
+    elif record.code is Own.MALFORMED:
+        assert not record.attempts and not node_log
+    elif record.verdict == "gone":
+        assert record.code is Own.CLIENT_GONE
+
+
+def test_an_answer_in_place_of_the_scheduler_is_recorded_as_last_resort() -> None:
+    async def scenario() -> None:
         async with World(await Node().start(), platform=config.parse_platform_config(raw(1), {})) as world:
-            book = world.core.recorder = DecisionLog(world.core.settings, books.LEAST, 0.0)
+            decision_log = world.core.recorder = DecisionLog(world.core.settings, log_module.MIN_BYTES, 0.0)
             world.core._driver.scheduler.handle = lambda now, events: []  # type: ignore[method-assign, assignment]
-            assert (await world.ask(id="a1", ms=300))[0] == 503  # nothing of it was sent
-            found = book.find("a1", asyncio.get_running_loop().time())[0]
-            assert found.code is Own.LAST_RESORT and found.verdict == "refused" and not found.tries
+            assert (await world.ask(id="a1", ms=300))[0] == 503  # no attempt was sent
+            found = decision_log.find("a1", asyncio.get_running_loop().time())[0]
+            assert found.code is Own.LAST_RESORT and found.verdict == "refused" and not found.attempts
 
-    run(story())
+    run(scenario())
 
 
-def test_an_id_that_is_used_again_is_told_of_twice() -> None:
-    async def story() -> None:
+def test_a_reused_id_has_two_records() -> None:
+    async def scenario() -> None:
         async with World(await Node("ok", "500").start()) as world:
-            book = world.core.recorder = DecisionLog(world.core.settings, books.LEAST, 0.0)
+            decision_log = world.core.recorder = DecisionLog(world.core.settings, log_module.MIN_BYTES, 0.0)
             assert (await world.ask(id="a1"))[0] == 200
             assert (await world.ask(id="a1", cls="claim-write", method="PUT", body=b"x"))[0] == 500
-            found = book.find("a1", asyncio.get_running_loop().time())
+            found = decision_log.find("a1", asyncio.get_running_loop().time())
             assert [(each.verdict, each.code) for each in found] == [
                 ("failed", Code.MAY_HAVE_RUN),
                 ("served", Own.SERVED),
             ]
 
-    run(story())
+    run(scenario())
 
 
-def test_a_step_of_the_wall_clock_moves_no_record(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def story() -> None:
+def test_a_step_of_the_wall_clock_hides_no_record(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario() -> None:
         async with World(await Node().start()) as world:
-            book = world.core.recorder = DecisionLog(world.core.settings, books.LEAST, 0.0)
+            decision_log = world.core.recorder = DecisionLog(world.core.settings, log_module.MIN_BYTES, 0.0)
             loop = asyncio.get_running_loop()
             await world.ask(id="a1")
-            monkeypatch.setattr(ask.time, "time", lambda: 1e6)  # back to 1970
+            monkeypatch.setattr(queries.time, "time", lambda: 1e6)  # back to 1970
             await world.ask(id="a2")
-            said = await ask.answer(ask.parse(["--since", "1m"]), book, loop.time, world.core.find)
-            ids = [line.split()[1] for line in said if line.startswith("1970")]
+            answer = await queries.answer(
+                queries.parse(["--since", "1m"]), decision_log, loop.time, world.core.find
+            )
+            ids = [line.split()[1] for line in answer if line.startswith("1970")]
             assert ids == ["a1", "a2"]
 
-    run(story())
+    run(scenario())
 
 
-def test_a_cancel_says_why_too() -> None:
+def test_sends_and_cancels_have_reasons() -> None:
     rig = Rig()
     rig.arrive()
     assert isinstance(rig.sends[-1].why, api.Reason)
     assert api.Cancel(1, 0, api.Reason(Code.NO_TIME)) == api.Cancel(1, 0)
 
 
-def test_the_successor_answers_for_the_process_it_replaced(tmp_path: Path) -> None:
-    """A real upgrade: what the first process decided is asked of the second, while the first drains and
-    after."""
+def test_a_successor_answers_queries_about_its_predecessors_requests(tmp_path: Path) -> None:
+    """Upgrades a real process; the second one is asked for decisions of the first, which has drained."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         (tmp_path / "operator.toml").write_text("[why]\nenabled = true\n")
         whole = settings(await Node("ok", "500").start())
         place = ("127.0.0.1", int(str(whole["listen"]).rpartition(":")[2]))
@@ -294,24 +302,26 @@
                 async with Process(whole, tmp_path) as second:
                     await first.end()
                     await second.line("handover.other_ended")
-                    said = await second.call("why before-1 --json")
-                    told = json.loads(said.splitlines()[1])
-                    assert told["code"] == "may_have_run" and told["attempts"][0]["ending"] == "node error"
+                    lines = await second.call("why before-1 --json")
+                    record = json.loads(lines.splitlines()[1])
+                    assert (
+                        record["code"] == "may_have_run" and record["attempts"][0]["ending"] == "node error"
+                    )
                     assert "served" in await second.call("why before-0")
                     assert (await second.call("why never")).startswith("NO ")
-                    assert "did not come" not in await second.call("why --only failed")
+                    assert "did not arrive" not in await second.call("why --only failed")
                     second.process.send_signal(signal.SIGTERM)
                     assert await second.process.wait() == 0
         finally:
             del os.environ["CHERRYCOVE_OPERATOR"]
 
-    run(story())
+    run(scenario())
 
 
-def test_without_a_record_nothing_of_it_is_imported() -> None:
-    """Start time and memory of a process whose record is off must not grow."""
+def test_a_disabled_log_imports_none_of_its_modules() -> None:
+    """Start time and memory of a process whose log is disabled must not grow."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         script = (
             "import sys, cherrycove.__main__; print(sorted(name for name in sys.modules if name in "
             "('ddsketch', 'msgpack', 'click', 'jinja2', 'matplotlib', 'numpy') "
@@ -321,7 +331,7 @@
         process = await asyncio.create_subprocess_exec(
             os.sys.executable, "-c", script, cwd=ROOT, stdout=asyncio.subprocess.PIPE
         )  # type: ignore[attr-defined]
-        said, _ = await process.communicate()
-        assert said.strip() == b"[]"
+        output, _ = await process.communicate()
+        assert output.strip() == b"[]"
 
-    run(story())
+    run(scenario())
