--- a/cherrycove/broker/decision_log/log.py
+++ b/cherrycove/broker/decision_log/log.py
@@ -132,7 +132,7 @@
         self.nodes = NodeNames()
         self.counts: Counter[str] = Counter()
         self._pending: list[Any] = []  # received but not inserted yet
-        self.former_lost = 0  # chunks of the predecessor's log that did not arrive
+        self.lost_chunks = 0  # chunks of the predecessor's log that did not arrive or were malformed
         self.predecessor_start = start  # when the predecessor's log began, if there was one
         self.on_record: Callable[[RequestRecord], None] | None = (
             None  # called with each record, to export traces
@@ -433,7 +433,7 @@
 
     # Transfer from a broker's process to its successor.
 
-    def pieces(self, since: float, now: float) -> Iterator[dict[str, object]]:
+    def export_chunks(self, since: float, now: float) -> Iterator[dict[str, object]]:
         """Yield the records since ``since``, oldest first, in chunks with the names of the nodes."""
         self.flush()
 
@@ -457,7 +457,7 @@
         if batch:
             yield {"nodes": self.nodes.names, "records": b"".join(batch).hex()}
 
-    def take_over(self, piece: dict[str, object], now: float) -> int:
+    def import_chunk(self, chunk: dict[str, object], now: float) -> int:
         """Insert a chunk of a predecessor's log. Return the number of records inserted.
 
         Raises:
@@ -465,7 +465,7 @@
         """
         if self.predecessor is None:
             return 0
-        names, records = piece.get("nodes"), piece.get("records")
+        names, records = chunk.get("nodes"), chunk.get("records")
         if not (
             isinstance(names, list)
             and all(isinstance(name, str) for name in names)
--- a/cherrycove/broker/decision_log/queries.py
+++ b/cherrycove/broker/decision_log/queries.py
@@ -229,8 +229,8 @@
                 f"# {gap.held} held, {gap.dropped} dropped of those {names[gap.ring]}; "
                 f"all since {since} are held"
             )
-    if decision_log.former_lost:
-        lines.append(f"# {decision_log.former_lost} chunks from the previous process did not arrive")
+    if decision_log.lost_chunks:
+        lines.append(f"# {decision_log.lost_chunks} chunks from the previous process were lost or malformed")
     return lines
 
 
--- a/cherrycove/broker/lifecycle/coordinator.py
+++ b/cherrycove/broker/lifecycle/coordinator.py
@@ -60,12 +60,12 @@
 class DecisionLog(Protocol):
     """The decision log (cherrycove/broker/decision_log), if it is enabled."""
 
-    former_lost: int  # chunks of the predecessor's log that did not arrive or were malformed
+    lost_chunks: int  # chunks of the predecessor's log that did not arrive or were malformed
 
-    def pieces(self, since: float, now: float) -> Iterable[dict[str, object]]:
-        """Return the records since then in chunks that ``take_over`` accepts."""
+    def export_chunks(self, since: float, now: float) -> Iterable[dict[str, object]]:
+        """Return the records since then in chunks that ``import_chunk`` accepts."""
 
-    def take_over(self, piece: dict[str, object], now: float) -> int:
+    def import_chunk(self, chunk: dict[str, object], now: float) -> int:
         """Add a chunk of the predecessor's log; return the number of records."""
 
 
@@ -198,14 +198,14 @@
             return
         if message["why"] is None:  # the end of a transfer, with the number of its chunks
             missing = message["number"] - self._chunks_received
-            decision_log.former_lost += max(missing, 0) if type(message["number"]) is int else 1
+            decision_log.lost_chunks += max(missing, 0) if type(message["number"]) is int else 1
             self._chunks_received = 0
             return
         self._chunks_received += 1
         try:
-            decision_log.take_over(message["why"], asyncio.get_running_loop().time())
+            decision_log.import_chunk(message["why"], asyncio.get_running_loop().time())
         except (ValueError, TypeError, AttributeError) as error:
-            decision_log.former_lost += 1
+            decision_log.lost_chunks += 1
             log.warning("why.piece_unusable", why=error)
 
     # As either.
@@ -317,9 +317,9 @@
         if decision_log is None:
             return
         started = loop.time()
-        await self._send_log_chunks(decision_log.pieces(started - LOG_WINDOW_S, started))
+        await self._send_log_chunks(decision_log.export_chunks(started - LOG_WINDOW_S, started))
         await self._core.idle()
-        await self._send_log_chunks(decision_log.pieces(started, loop.time()))
+        await self._send_log_chunks(decision_log.export_chunks(started, loop.time()))
 
     async def _send_log_chunks(self, chunks: Iterable[dict[str, object]]) -> None:
         number = 0
