--- a/tests/golden_broker.py
+++ b/tests/golden_broker.py
@@ -32,8 +32,9 @@
 from cherrycove.broker import local_codes as codes
 from cherrycove.broker import shared_map as store
 from cherrycove.broker.cli.commands import main as commands_main
-from cherrycove.broker.decision_log import book, words
-from cherrycove.broker.decision_log import pack as record
+from cherrycove.broker.decision_log import codec as record
+from cherrycove.broker.decision_log import formatting
+from cherrycove.broker.decision_log import log as decision_log
 from cherrycove.broker.http1 import parse
 from cherrycove.broker.lifecycle import announcement, coordinator, handover, messages, state_machine
 from cherrycove.broker.peer_capacity import datagram
@@ -508,7 +509,9 @@
 
 def why_fields(story: Plain, settings: Plain, still_open: bool) -> Plain:
     """A request's story for a program; the sentence in it is wording and left out."""
-    fields = words.fields(from_plain(story), from_plain(settings), RECORDS_AT, 1_700_000_000.0, still_open)
+    fields = formatting.to_fields(
+        from_plain(story), from_plain(settings), RECORDS_AT, 1_700_000_000.0, still_open
+    )
     assert fields.pop("sentence")
     return fields
 
@@ -690,19 +693,19 @@
     """The record of decisions with a clock of its own."""
 
     def __init__(self, settings: api.Settings, stories: Sequence[record.RequestRecord]) -> None:
-        self.former_lost, self.taken = 0, 0
-        self._book = book.DecisionLog(settings, 2 << 20, 0.0)
+        self.lost_chunks, self.taken = 0, 0
+        self._book = decision_log.DecisionLog(settings, 2 << 20, 0.0)
         if stories:
             numbers = {name: place for place, name in enumerate(NODES)}
             data = b"".join(record.pack(each, numbers) for each in stories)
-            self._book.take_over({"nodes": NODES, "records": data.hex()}, RECORDS_AT)
+            self._book.import_chunk({"nodes": NODES, "records": data.hex()}, RECORDS_AT)
 
-    def pieces(self, since: float, now: float) -> list[dict[str, object]]:
+    def export_chunks(self, since: float, now: float) -> list[dict[str, object]]:
         asked_at_once = since < now - 100.0  # later it asks for what has ended meanwhile
-        return list(self._book.pieces(0.0, RECORDS_AT)) if asked_at_once else []
+        return list(self._book.export_chunks(0.0, RECORDS_AT)) if asked_at_once else []
 
-    def take_over(self, piece: dict[str, object], now: float) -> int:
-        taken = self._book.take_over(piece, RECORDS_AT)
+    def import_chunk(self, chunk: dict[str, object], now: float) -> int:
+        taken = self._book.import_chunk(chunk, RECORDS_AT)
         self.taken += taken
         return taken
 
@@ -836,7 +839,7 @@
         own = fresh._core
         open_there = fresh.lifecycle.predecessor_open_requests
         said.append(f"sockets {len(given or [])}, version {own.version}, open there {open_there}")
-        said.append(f"records {log.taken}, lost {log.former_lost}")
+        said.append(f"records {log.taken}, lost {log.lost_chunks}")
         said.extend(json.dumps(to_plain(each)) for each in (*own.members, own.maintenance))
         raw.close()
         await fresh.close()
