--- a/bench/fleet/hosts.py
+++ b/bench/fleet/hosts.py
@@ -86,7 +86,7 @@
                     self.clock.at(self.clock.now + delay, self.timer, self.lives, token)
 
     def know(self) -> None:
-        self.lender.know(
+        self.lender.set_nodes(
             (lending.node_key(name, node.born * 1000), node.born)
             for name, node in self.listed.items()
             if node.born
@@ -94,7 +94,7 @@
 
     def ask_room(self, name: str, units: float) -> None:
         key = lending.node_key(name, self.listed[name].born * 1000)
-        asked = self.borrower.ask(key, self.clock.now)
+        asked = self.borrower.begin_request(key, self.clock.now)
         if asked is not None:
             whom, serial = asked
             to = self.fleet.fronts[whom]
@@ -105,7 +105,9 @@
         self.fleet.message(self, who, Host.lent, self.number, life, serial, lent, wait)
 
     def lent(self, whom: int, life: int, serial: int, units: float, wait: float) -> None:
-        found = self.borrower.answered(whom, serial, wait, self.clock.now) if life == self.lives else None
+        found = (
+            self.borrower.accept_answer(whom, serial, wait, self.clock.now) if life == self.lives else None
+        )
         if found is not None and units:
             for name, node in self.listed.items():
                 if lending.node_key(name, node.born * 1000) == found[0]:
--- a/cherrycove/broker/cli/commands.py
+++ b/cherrycove/broker/cli/commands.py
@@ -94,9 +94,9 @@
     parts = {
         "nbd": found.nbd,
         "consul": found.consul,
-        "store": found.store,
-        "why": found.why,
-        "memory": found.memory,
+        "store": found.shared_map,
+        "why": found.decision_log,
+        "memory": found.warm_restart,
     }
     on = [name for name, part in parts.items() if part is not None]
     if as_json:
--- a/cherrycove/broker/cli/memory.py
+++ b/cherrycove/broker/cli/memory.py
@@ -63,9 +63,9 @@
     if given:
         return Path(given)
     platform, operator = _configured(as_json)
-    if operator.memory is None:
+    if operator.warm_restart is None:
         _end("[memory] in the operator's file is not enabled: give --file", USAGE, as_json)
-    return snapshot_file.path(operator.memory.directory, platform.name)
+    return snapshot_file.path(operator.warm_restart.directory, platform.name)
 
 
 def _read(where: Path, as_json: bool) -> dict[str, Any]:
@@ -164,7 +164,7 @@
     """Throw a memory away. A broker in service writes it anew: end it first."""
     where = _path(given, as_json)
     try:
-        found = snapshot_file.forget(where)
+        found = snapshot_file.delete(where)
     except OSError as error:
         _end(f"{where}: {error.strerror}", NO, as_json)
     if as_json:
--- a/cherrycove/broker/config/operator_file.py
+++ b/cherrycove/broker/config/operator_file.py
@@ -75,10 +75,10 @@
 
     nbd: nbd.NbdConfig | None = None
     consul: consul.ConsulConfig | None = None
-    store: store.SharedMapConfig | None = None
-    why: DecisionLogConfig | None = None
+    shared_map: store.SharedMapConfig | None = None
+    decision_log: DecisionLogConfig | None = None
     log: LogConfig = LogConfig()
-    memory: WarmRestartConfig | None = None
+    warm_restart: WarmRestartConfig | None = None
 
 
 def load_operator_config(path: Path, settings: Settings) -> OperatorConfig:
@@ -105,10 +105,10 @@
     config = OperatorConfig(
         nbd=_parse_nbd(top.table("nbd"), settings),
         consul=_parse_consul(top.table("consul")),
-        store=_parse_store(top.table("store")),
-        why=_parse_decision_log(top.table("why")),
+        shared_map=_parse_store(top.table("store")),
+        decision_log=_parse_decision_log(top.table("why")),
         log=_parse_log(top.table("log")),
-        memory=_parse_warm_restart(top.table("memory")),
+        warm_restart=_parse_warm_restart(top.table("memory")),
     )
     top.reject_unknown_keys()
     return config
--- a/cherrycove/broker/peer_capacity/exchange.py
+++ b/cherrycove/broker/peer_capacity/exchange.py
@@ -123,7 +123,7 @@
             if (started := self._core.started(member)) is not None
         }
         self._names = {node: name for node, (name, _) in starts.items()}
-        self._lender.know((node, started) for node, (_, started) in starts.items())
+        self._lender.set_nodes((node, started) for node, (_, started) in starts.items())
 
     def _answer(self, request: datagram.LoanRequest) -> None:
         units, wait_s = self._lend(request.node, request.units)
@@ -145,7 +145,7 @@
         if member is None or self._transport is None:
             return
         node = lending.node_key(name, member.since_ms)
-        asked = self._borrower.ask(node, self._loop.time())
+        asked = self._borrower.begin_request(node, self._loop.time())
         if asked is None:
             return
         lender, serial = asked
@@ -156,7 +156,7 @@
             self._send(lender, datagram.LoanRequest(self._number, self._incarnation, serial, node, units))
 
     def _receive_loan(self, lender: int, serial: int, units: float, wait_s: float) -> None:
-        answered = self._borrower.answered(lender, serial, wait_s, self._loop.time())
+        answered = self._borrower.accept_answer(lender, serial, wait_s, self._loop.time())
         if answered is None:
             self.counts["stale"] += 1
             return
--- a/cherrycove/broker/peer_capacity/lending.py
+++ b/cherrycove/broker/peer_capacity/lending.py
@@ -67,7 +67,7 @@
         self._not_before = now + settings.fall_window + LOAN_VALID_S
         self._nodes: dict[bytes, _NodeLoans] = {}
 
-    def know(self, nodes: Iterable[tuple[bytes, float]]) -> None:
+    def set_nodes(self, nodes: Iterable[tuple[bytes, float]]) -> None:
         """Apply the node list, as (key, start) of the nodes that have a start; of others nothing is lent."""
         hosts = self._settings.schedulers
         own = {node: started for node, started in nodes if lender_of(node, hosts) == self._number}
@@ -113,7 +113,7 @@
     _pending: dict[int, _Pending] = field(default_factory=dict)  # by serial
     _serial: int = 0
 
-    def ask(self, node: bytes, now: float) -> tuple[int, int] | None:
+    def begin_request(self, node: bytes, now: float) -> tuple[int, int] | None:
         """Return the lender to ask and the serial of the request, or None if it is too early."""
         lender = lender_of(node, self.hosts)
         state = self._lenders.setdefault(lender, _LenderState())
@@ -129,7 +129,9 @@
         state.unanswered += 1
         return lender, self._serial
 
-    def answered(self, lender: int, serial: int, wait_s: float, now: float) -> tuple[bytes, float] | None:
+    def accept_answer(
+        self, lender: int, serial: int, wait_s: float, now: float
+    ) -> tuple[bytes, float] | None:
         """Record an answer; return its node, and for how long (s) a loan may be used.
 
         The time counts from the request, which is no later than the lender's record of the loan. None if the
--- a/cherrycove/broker/process.py
+++ b/cherrycove/broker/process.py
@@ -96,7 +96,7 @@
             self.life,
             HandoverEndpoint(platform.name, platform.listen),
             lambda: self._book,
-            remembers=operator.memory is not None,
+            remembers=operator.warm_restart is not None,
         )
         self._peers = self._make_exchange()
         self._memory = self._make_snapshot_store()
@@ -112,7 +112,7 @@
         return exchange.CapacityExchange(self.core, tier.number, tier.peers, self.platform.seed)
 
     def _make_snapshot_store(self) -> SnapshotStore | None:
-        memory = self.operator.memory
+        memory = self.operator.warm_restart
         if memory is None:
             return None
         # Imported only where it is enabled: it takes start time and memory.
@@ -127,7 +127,7 @@
         )
 
     def _make_decision_log(self) -> None:
-        why = self.operator.why
+        why = self.operator.decision_log
         if why is None:
             return
         # Imported only where it is enabled: it takes start time and memory.
@@ -148,7 +148,9 @@
     async def start(self) -> int:
         """Begin to serve, in place of a predecessor if there is one; return the port for clients."""
         platform, operator = self.platform, self.operator
-        entries = await self._start_shared_map(operator.store) if operator.store is not None else None
+        entries = (
+            await self._start_shared_map(operator.shared_map) if operator.shared_map is not None else None
+        )
         given = await self._restore()
         if operator.consul is None:
             self._watch = self._run(watch(self.core, platform.discovery, platform.zones))
@@ -160,7 +162,7 @@
             self._start_consul(operator.consul, port)
         await self.handover.serving()
         if self._memory is not None:
-            self._run(self._memory.keep())
+            self._run(self._memory.write_periodically())
         await self.handover.await_successor()
         if platform.admin is not None:
             # Last, once the predecessor accepts no more and this process can be found by the next: a YES to
--- a/cherrycove/broker/warm_restart/snapshot.py
+++ b/cherrycove/broker/warm_restart/snapshot.py
@@ -16,7 +16,7 @@
 
 from cherrycove.scheduling.interface import NodeRestartState, RestartState, Settings, VolumeRestartState
 
-FORM = 1  # of the rows; raised where a reader of the former could misread them
+ROWS_FORMAT = 1  # of the rows; raised where a reader of the former could misread them
 MAX_NODES = 1024
 MAX_VOLUMES = 4096
 MAX_NAME_LENGTH = 128  # characters
@@ -39,9 +39,9 @@
 class Moment:
     """One moment, on the clocks that outlive a process."""
 
-    wall: float  # s, Unix
-    boot: str  # id of the machine's present run; "" if unknown
-    up: float  # s since the machine started
+    wall_s: float  # s, Unix
+    boot_id: str  # id of the machine's present run; "" if unknown
+    uptime_s: float  # s since the machine started
 
     def since(self, before: Moment) -> float | None:
         """Return the seconds from another moment to this one, or None if they cannot be known.
@@ -49,9 +49,9 @@
         Within one run of the machine its own clock counts, which nobody sets. Across runs the wall clock
         does; if it says that this moment came first, it was set by an unknown amount.
         """
-        if self.boot and self.boot == before.boot:
-            return max(self.up - before.up, 0.0)
-        passed = self.wall - before.wall
+        if self.boot_id and self.boot_id == before.boot_id:
+            return max(self.uptime_s - before.uptime_s, 0.0)
+        passed = self.wall_s - before.wall_s
         return None if passed < -CLOCK_TOLERANCE_S else max(passed, 0.0)
 
 
@@ -87,13 +87,13 @@
     known.sort(key=lambda each: (not each.failures, -each.last_served_at))
     volumes = sorted(restart_state.volumes, key=lambda each: each.credits)
     return {
-        "form": FORM,
+        "form": ROWS_FORMAT,
         "deployment": deployment(settings),
         "broker": broker,
         "whole": whole,
-        "wall": moment.wall,
-        "boot": moment.boot,
-        "up": moment.up,
+        "wall": moment.wall_s,
+        "boot": moment.boot_id,
+        "up": moment.uptime_s,
         "budgets": {settings.classes[cls].name: longest for cls, longest in restart_state.budgets.items()},
         "nodes": [_pack_node(each, now) for each in known[:MAX_NODES]],
         "volumes": [
@@ -148,8 +148,8 @@
     """
     if not isinstance(rows, dict):
         raise UnusableError("it holds no table")
-    if rows.get("form") != FORM:
-        raise UnusableError(f"its form is {rows.get('form')!r}; this program reads {FORM}")
+    if rows.get("form") != ROWS_FORMAT:
+        raise UnusableError(f"its form is {rows.get('form')!r}; this program reads {ROWS_FORMAT}")
     if rows.get("deployment") != deployment(settings):
         raise UnusableError("it is of another deployment")
     if rows.get("broker") != broker:
--- a/cherrycove/broker/warm_restart/snapshot_file.py
+++ b/cherrycove/broker/warm_restart/snapshot_file.py
@@ -22,7 +22,7 @@
 from cherrycove.broker.warm_restart.snapshot import UnusableError
 
 MAGIC = b"ccmemory"
-FORMAT = 1  # of the frame
+FILE_FORMAT = 1  # of the frame
 HEAD = struct.Struct(">8sHHI")
 CHECKSUM_BYTES = 16
 MAX_BYTES = 1 << 20
@@ -38,7 +38,7 @@
     body: bytes = msgpack.packb(rows)
     if len(body) > MAX_BYTES - HEAD.size - CHECKSUM_BYTES:
         raise UnusableError(f"it would hold {len(body)} bytes, of which {MAX_BYTES} may be")
-    head = HEAD.pack(MAGIC, FORMAT, 0, len(body))
+    head = HEAD.pack(MAGIC, FILE_FORMAT, 0, len(body))
     return head + _checksum(head, body) + body
 
 
@@ -49,8 +49,8 @@
     magic, form, _, length = HEAD.unpack_from(data)
     if magic != MAGIC:
         raise UnusableError("it is no memory of this program")
-    if form != FORMAT:
-        raise UnusableError(f"its format is {form}; this program reads {FORMAT}")
+    if form != FILE_FORMAT:
+        raise UnusableError(f"its format is {form}; this program reads {FILE_FORMAT}")
     checksum, body = data[HEAD.size : HEAD.size + CHECKSUM_BYTES], data[HEAD.size + CHECKSUM_BYTES :]
     if len(body) != length:
         raise UnusableError("it is cut short" if len(body) < length else "something stands behind its end")
@@ -122,7 +122,7 @@
         os.close(descriptor)
 
 
-def forget(where: Path) -> bool:
+def delete(where: Path) -> bool:
     """Delete the file and its temporary files; return whether there was any."""
     found = False
     for each in (where, *where.parent.glob(f".{where.name}.*")):
--- a/cherrycove/broker/warm_restart/store.py
+++ b/cherrycove/broker/warm_restart/store.py
@@ -109,7 +109,7 @@
             snapshot_file.write(self._path, snapshot_file.frame(rows | {"whole": False}))
         return rows
 
-    async def keep(self) -> None:
+    async def write_periodically(self) -> None:
         """Write the file at each interval, without end."""
         await self._remove_leftovers()
         while True:
--- a/tests/golden_broker.py
+++ b/tests/golden_broker.py
@@ -647,7 +647,7 @@
         "wire events": sorted(wire.EVENT_WORDS),
         "files": [handover.MAINTENANCE, handover.LOCK, announcement.SOCKET, cherrycove.__main__.OPERATOR],
         "magics": [snapshot_file.MAGIC.hex(), datagram.MAGIC.hex(), store.MAGIC.hex(), handover.BUSY.hex()],
-        "forms": [f"memory rows {snapshot.FORM}", f"memory file {snapshot_file.FORMAT}"],
+        "forms": [f"memory rows {snapshot.ROWS_FORMAT}", f"memory file {snapshot_file.FILE_FORMAT}"],
     }
 
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -302,7 +302,7 @@
     path = tmp_path / "operator.toml"
     path.write_text(text)
     found = config.load_operator_config(path, PLATFORM.settings)
-    assert found.nbd and found.consul and found.store and found.nbd.exports["claims"].size == 1 << 30
+    assert found.nbd and found.consul and found.shared_map and found.nbd.exports["claims"].size == 1 << 30
     for old, new, word in [
         ('write = "claim-write"', 'write = "claim-read"', "never runs twice"),
         ("pipeline = 16", "pipelines = 16", "pipeline"),
--- a/tests/test_fleet_room.py
+++ b/tests/test_fleet_room.py
@@ -49,13 +49,13 @@
     dice = random.Random(seed)
     number = lender_of(NODE, 5)
     books, started, loans = Lender(SETTINGS, number, -100.0), 0.0, list[tuple[float, float]]()
-    books.know([(NODE, started)])
+    books.set_nodes([(NODE, started)])
     now = 0.0
     while now < 25.0:
         now += dice.expovariate(8.0)
         if dice.random() < 0.01:
             books = Lender(SETTINGS, number, now)
-            books.know([(NODE, started)])
+            books.set_nodes([(NODE, started)])
         units, wait = books.lend(NODE, dice.choice([0.5, 1.0, 2.0, 8.0]), now)
         assert wait >= 0 and (units > 0) != (wait > 0)
         if units:
@@ -77,30 +77,30 @@
     number = lender_of(NODE, 5)
     other, fresh = Lender(SETTINGS, (number + 1) % 5, 0.0), Lender(SETTINGS, number, 10.0)
     for each in (other, fresh):
-        each.know([(NODE, 5.0)])
+        each.set_nodes([(NODE, 5.0)])
     assert other.lend(NODE, 1.0, 50.0)[0] == 0.0  # two lenders would lend it twice
     assert fresh.lend(NODE, 1.0, 13.0)[0] == 0.0  # a former life's loans may still be used
     assert fresh.lend(NODE, 1.0, 13.6) == (1.0, 0.0)
     assert fresh.lend(node_key("s-2", 0.0), 1.0, 13.6)[0] == 0.0
-    fresh.know([])
+    fresh.set_nodes([])
     assert fresh.lend(NODE, 1.0, 60.0)[0] == 0.0
 
 
 def test_an_answer_counts_once_and_only_from_the_host_that_was_asked() -> None:
     borrower = Borrower(5)
-    whom, serial = borrower.ask(NODE, 0.0) or pytest.fail()
-    assert borrower.ask(NODE, 0.1) is None  # the first has not been answered
-    assert borrower.answered(whom + 1, serial, 0.0, 0.1) is None
-    assert borrower.answered(whom, serial, 0.0, 0.1) == (NODE, pytest.approx(LOAN_VALID_S - 0.1))
-    assert borrower.answered(whom, serial, 0.0, 0.1) is None  # the network repeated it
-    later = (borrower.ask(NODE, 0.2) or pytest.fail())[1]
-    assert borrower.answered(whom, later, 0.0, 0.2 + LOAN_VALID_S) is None  # too late to be used
+    whom, serial = borrower.begin_request(NODE, 0.0) or pytest.fail()
+    assert borrower.begin_request(NODE, 0.1) is None  # the first has not been answered
+    assert borrower.accept_answer(whom + 1, serial, 0.0, 0.1) is None
+    assert borrower.accept_answer(whom, serial, 0.0, 0.1) == (NODE, pytest.approx(LOAN_VALID_S - 0.1))
+    assert borrower.accept_answer(whom, serial, 0.0, 0.1) is None  # the network repeated it
+    later = (borrower.begin_request(NODE, 0.2) or pytest.fail())[1]
+    assert borrower.accept_answer(whom, later, 0.0, 0.2 + LOAN_VALID_S) is None  # too late to be used
 
 
 def test_a_silent_lender_is_asked_less_and_less() -> None:
     borrower, asked, now = Borrower(5), list[float](), 0.0
     while now < 30.0:
-        if borrower.ask(NODE, now):
+        if borrower.begin_request(NODE, now):
             asked.append(now)
         now += 0.05
     gaps = [b - a for a, b in zip(asked, asked[1:], strict=False)]
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -65,7 +65,9 @@
 
 
 def test_what_was_written_comes_back_older_by_the_absence_on_another_clock() -> None:
-    later = replace(HERE, wall=HERE.wall + 7777.0, up=HERE.up + 2.0)  # the wall clock leapt; nobody minds
+    later = replace(
+        HERE, wall_s=HERE.wall_s + 7777.0, uptime_s=HERE.uptime_s + 2.0
+    )  # the wall clock leapt; nobody minds
     told = taken(json.loads(json.dumps(rows(whole=True))), later, now=5.0)
     n0, n1 = told.nodes
     assert n0 == replace(TOLD.nodes[0], started=-57.0, last_served_at=1.0, backoff_until=3.5, sent_at=2.0)
@@ -79,14 +81,14 @@
 @pytest.mark.parametrize(
     ("changes", "moment", "why"),
     [
-        ({"form": snapshot.FORM + 1}, HERE, "form"),
+        ({"form": snapshot.ROWS_FORMAT + 1}, HERE, "form"),
         ({"form": None}, HERE, "form"),
         ({"deployment": "another"}, HERE, "another deployment"),
         ({"broker": "c"}, HERE, "another broker"),
         ({"up": "x"}, HERE, "when"),
         ({"up": 10**400}, HERE, "when"),
         ({"wall": float("nan")}, HERE, "when"),
-        ({}, Moment(HERE.wall - 3600.0, "next boot", 1.0), "set back"),
+        ({}, Moment(HERE.wall_s - 3600.0, "next boot", 1.0), "set back"),
     ],
 )
 def test_rows_that_are_not_for_this_broker_or_of_no_known_age_count_for_nothing(
@@ -97,12 +99,15 @@
 
 
 def test_a_clock_set_back_within_one_run_of_the_machine_does_no_harm() -> None:
-    set_back = replace(HERE, wall=HERE.wall - 3600.0, up=HERE.up + 1.0)
+    set_back = replace(HERE, wall_s=HERE.wall_s - 3600.0, uptime_s=HERE.uptime_s + 1.0)
     assert taken(rows(), set_back).nodes[0].last_served_at == 2.0
 
 
 def test_past_the_bound_only_figures_without_a_time_count() -> None:
-    for moment in (replace(HERE, up=HERE.up + snapshot.MAX_AGE_S), Moment(HERE.wall + 3600.0, "next", 9.0)):
+    for moment in (
+        replace(HERE, uptime_s=HERE.uptime_s + snapshot.MAX_AGE_S),
+        Moment(HERE.wall_s + 3600.0, "next", 9.0),
+    ):
         told = taken(rows(), moment)
         assert (told.nodes, told.volumes, told.budgets) == ((), (), {0: 3.0})
 
@@ -222,7 +227,7 @@
             last = int(([b"0", *writer.stdout.read().split()])[-1] or 0)
         first, _, again = snapshot_file.read(where)
         assert first == again >= last
-    assert snapshot_file.forget(where) and not list(tmp_path.iterdir()) and not snapshot_file.forget(where)
+    assert snapshot_file.delete(where) and not list(tmp_path.iterdir()) and not snapshot_file.delete(where)
 
 
 # What the module does with it.
@@ -468,7 +473,7 @@
         return click.testing.CliRunner().invoke(main, ["memory", words[0], "--file", str(where), *words[1:]])
 
     assert command("show").exit_code == 1 and command("check").exit_code == 1
-    snapshot_file.write(where, snapshot_file.frame(rows(replace(HERE, boot="gone", wall=time.time()))))
+    snapshot_file.write(where, snapshot_file.frame(rows(replace(HERE, boot_id="gone", wall_s=time.time()))))
     shown = json.loads(command("show", "--json").stdout)
     assert shown["nodes"][0]["id"] == "n0" and shown["nodes"][0]["failures"] == 2 and shown["absence_s"] < 60
     assert "failed 2 times" in command("show").stdout and "volume v: -3.5" in command("show").stdout
