--- a/cherrycove/broker/cli/call.py
+++ b/cherrycove/broker/cli/call.py
@@ -1,4 +1,4 @@
-"""One call on a broker's operators' address, in blocking style."""
+"""Client for calls to a broker at its operators' address, with blocking I/O."""
 
 from __future__ import annotations
 
@@ -6,20 +6,21 @@
 import os
 import socket
 
-ANSWER_TIME = 5.0  # s; a broker answers within 1
-MOST_ANSWER = 64 << 20  # bytes
+RESPONSE_TIMEOUT_S = 5.0  # a broker answers within 1 s
+MAX_RESPONSE_BYTES = 64 << 20
 
 
 class CallError(OSError):
-    """Nobody answers there, or not as a broker does; the text says what happened."""
+    """No answer came, or none that a broker sends; the message says what happened."""
 
 
 def address(given: str | None) -> tuple[str, int]:
-    """Return the address to call: the given one, else that of the broker of this environment.
+    """Return the address to call: ``given``, or else the one that the environment configures.
 
-    ValueError if it is no HOST:PORT, or the configuration cannot be read.
+    Raises:
+        ValueError: the address is not HOST:PORT, or the configuration cannot be read.
     """
-    text = given or os.environ.get("RELAY_ADMIN") or _configured()
+    text = given or os.environ.get("RELAY_ADMIN") or _configured_address()
     host, _, port = (text or "").rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError(
@@ -29,7 +30,7 @@
     return host.strip("[]"), int(port)
 
 
-def _configured() -> str | None:
+def _configured_address() -> str | None:
     path = os.environ.get("RELAY_CONFIG")
     if not path:
         return None
@@ -41,30 +42,30 @@
     return admin if isinstance(admin, str) else None
 
 
-def call(place: tuple[str, int], line: str) -> list[str]:
-    """Make a call; return the answer's lines, without END.
+def call(endpoint: tuple[str, int], line: str) -> list[str]:
+    """Send one command and return the lines of the response, without END.
 
     Raises:
         ValueError: ``line`` is more than one line, or not ASCII.
         CallError: no answer came.
     """
     if "\n" in line or "\r" in line:
-        raise ValueError("a call is one line")
-    said = bytearray()
+        raise ValueError("a call must be one line")
+    response = bytearray()
     try:
-        with socket.create_connection(place, timeout=ANSWER_TIME) as peer:
+        with socket.create_connection(endpoint, timeout=RESPONSE_TIMEOUT_S) as peer:
             peer.sendall(line.encode("ascii", "strict") + b"\n")
-            while piece := peer.recv(65536):
-                said += piece
-                if len(said) > MOST_ANSWER:
-                    raise CallError("the answer does not end")
+            while chunk := peer.recv(65536):
+                response += chunk
+                if len(response) > MAX_RESPONSE_BYTES:
+                    raise CallError(f"the response is longer than {MAX_RESPONSE_BYTES} bytes")
     except UnicodeEncodeError:
-        raise ValueError("a call is plain text") from None
+        raise ValueError("a call must be ASCII text") from None
     except CallError:
         raise
     except OSError as error:
-        raise CallError(f"{place[0]}:{place[1]}: {error.strerror or type(error).__name__}") from None
-    lines = said.decode("ascii", "replace").splitlines()
+        raise CallError(f"{endpoint[0]}:{endpoint[1]}: {error.strerror or type(error).__name__}") from None
+    lines = response.decode("ascii", "replace").splitlines()
     if not lines:
-        raise CallError(f"{place[0]}:{place[1]}: hung up without an answer")
+        raise CallError(f"{endpoint[0]}:{endpoint[1]}: closed the connection without an answer")
     return lines[:-1] if lines[-1] == "END" else lines
--- a/cherrycove/broker/cli/commands.py
+++ b/cherrycove/broker/cli/commands.py
@@ -1,4 +1,4 @@
-"""The sub-commands, on click."""
+"""The sub-commands, defined with click."""
 
 from __future__ import annotations
 
@@ -13,41 +13,42 @@
 
 from cherrycove.broker.cli.call import CallError, address, call
 
-NO, USAGE, NOBODY = 1, 2, 3
+EXIT_NO, EXIT_USAGE, EXIT_NO_ANSWER = 1, 2, 3
 ADMIN = click.option(
     "--admin",
     metavar="HOST:PORT",
     help="The broker's operators' address; else RELAY_ADMIN, else that of the file that RELAY_CONFIG names.",
 )
-JSON = click.option("--json", "as_json", is_flag=True, help="For a program: JSON.")
+JSON = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 
 
 class _Broker:
-    """The broker that a command is about; ends the program with the right code where it does not answer."""
+    """The broker that a command calls; ends the program with the exit code of the error if the call fails."""
 
     def __init__(self, admin: str | None) -> None:
         try:
-            self._place = address(admin)
+            self._endpoint = address(admin)
         except ValueError as error:
-            _end(str(error), USAGE)
+            _fail(str(error), EXIT_USAGE)
 
-    def ask(self, line: str) -> list[str]:
+    def query(self, line: str) -> list[str]:
+        """Send a call and return the lines of the answer."""
         try:
-            return call(self._place, line)
+            return call(self._endpoint, line)
         except ValueError as error:
-            _end(str(error), USAGE)
+            _fail(str(error), EXIT_USAGE)
         except CallError as error:
-            _end(f"nobody answers: {error}", NOBODY)
+            _fail(f"nobody answers: {error}", EXIT_NO_ANSWER)
 
-    def say(self, line: str) -> None:
-        """Ask, show the whole answer, and end as it says."""
-        said = self.ask(line)
-        for each in said:
+    def run(self, line: str) -> None:
+        """Send a call, print the answer, and exit with ``EXIT_NO`` if it begins with NO, else with 0."""
+        answer = self.query(line)
+        for each in answer:
             click.echo(each)
-        sys.exit(NO if said[0].startswith("NO") else 0)
+        sys.exit(EXIT_NO if answer[0].startswith("NO") else 0)
 
 
-def _end(why: str, code: int) -> NoReturn:
+def _fail(why: str, code: int) -> NoReturn:
     click.echo(f"cherrycove: {why}", err=True)
     sys.exit(code)
 
@@ -63,7 +64,7 @@
 
 @main.command()
 def run() -> None:
-    """Be the broker that RELAY_CONFIG tells of; the same as python -m cherrycove."""
+    """Run the broker that RELAY_CONFIG configures; the same as python -m cherrycove."""
     sys.stdout.flush()
     os.execv(sys.executable, [sys.executable, "-m", "cherrycove"])
 
@@ -77,45 +78,46 @@
 )
 @JSON
 def check_config(platform: str | None, operator: str | None, as_json: bool) -> None:
-    """Read both configurations as the broker would, and say what they turn on or what is wrong."""
-    from cherrycove.broker import config  # the broker's own reading, with all that it imports
+    """Read both configurations as the broker would, and say what they enable or what is wrong."""
+    # Imported here because it imports much of the broker.
+    from cherrycove.broker import config
 
     env = dict(os.environ) | ({"RELAY_CONFIG": platform} if platform else {})
     path = Path(operator or env.get("CHERRYCOVE_OPERATOR", "deploy/operator.toml"))
     if operator and not path.exists():
-        _end(f"{path}: no such file", USAGE)
+        _fail(f"{path}: no such file", EXIT_USAGE)
     try:
-        told = config.load_platform_config(env)
-        found = config.load_operator_config(path, told.settings)
+        platform_config = config.load_platform_config(env)
+        operator_config = config.load_operator_config(path, platform_config.settings)
     except config.ConfigError as error:
         if as_json:
             click.echo(json.dumps({"ok": False, "error": str(error)}))
-        _end(str(error), USAGE)
-    parts = {
-        "nbd": found.nbd,
-        "consul": found.consul,
-        "store": found.shared_map,
-        "why": found.decision_log,
-        "memory": found.warm_restart,
+        _fail(str(error), EXIT_USAGE)
+    tables = {
+        "nbd": operator_config.nbd,
+        "consul": operator_config.consul,
+        "store": operator_config.shared_map,
+        "why": operator_config.decision_log,
+        "memory": operator_config.warm_restart,
     }
-    on = [name for name, part in parts.items() if part is not None]
+    enabled = [name for name, table in tables.items() if table is not None]
     if as_json:
         click.echo(
             json.dumps(
                 {
                     "ok": True,
-                    "name": told.name,
-                    "listen": list(told.listen),
-                    "on": on,
-                    "admin": list(told.admin) if told.admin else None,
-                    "log": found.log.form,
+                    "name": platform_config.name,
+                    "listen": list(platform_config.listen),
+                    "on": enabled,
+                    "admin": list(platform_config.admin) if platform_config.admin else None,
+                    "log": operator_config.log.form,
                 }
             )
         )
         return
     click.echo(
-        f"{told.name} would serve on {told.listen[0]}:{told.listen[1]}; on beside that: "
-        f"{', '.join(on) or 'nothing'}"
+        f"{platform_config.name} would serve on {platform_config.listen[0]}:{platform_config.listen[1]}; "
+        f"also enabled: {', '.join(enabled) or 'nothing'}"
     )
 
 
@@ -123,39 +125,42 @@
 @ADMIN
 def status(admin: str | None) -> None:
     """Whether the broker serves."""
-    _Broker(admin).say("status")
+    _Broker(admin).run("status")
 
 
 def figures(lines: list[str]) -> dict[str, Any]:
-    """Lines such as ``broker.passed.claim-read:812|c`` as nested figures; ValueError names one that is
-    none."""
-    whole: dict[str, Any] = {}
+    """Return nested counters from lines such as ``broker.passed.claim-read:812|c``.
+
+    Raises:
+        ValueError: a line is not of that form; the message names it.
+    """
+    result: dict[str, Any] = {}
     for line in lines:
-        name, mark, value = line.partition(":")
+        name, separator, value = line.partition(":")
         number, _, _ = value.partition("|")
-        if not mark or not number.isdigit():
-            raise ValueError(f"not a figure: {line!r}")
-        place, (*path, last) = whole, name.split(".")[1:]
-        for word in path:
-            place = place.setdefault(word, {})
-        place[last] = int(number)
-    return whole
+        if not separator or not number.isdigit():
+            raise ValueError(f"not a line of statistics: {line!r}")
+        table, (*path, last) = result, name.split(".")[1:]
+        for part in path:
+            table = table.setdefault(part, {})
+        table[last] = int(number)
+    return result
 
 
 @main.command()
 @ADMIN
 @JSON
 def stats(admin: str | None, as_json: bool) -> None:
-    """The broker's figures."""
-    said = _Broker(admin).ask("stats")
+    """The broker's statistics."""
+    answer = _Broker(admin).query("stats")
     try:
-        whole = figures(said)
+        counters = figures(answer)
     except ValueError as error:
-        _end(str(error), NO)
+        _fail(str(error), EXIT_NO)
     if as_json:
-        click.echo(json.dumps(whole))
+        click.echo(json.dumps(counters))
         return
-    for name, value in whole.items():
+    for name, value in counters.items():
         nested = value if isinstance(value, dict) else {}
         shown = " ".join(f"{key}={count}" for key, count in nested.items()) or value
         click.echo(f"{name:22} {shown}")
@@ -171,23 +176,25 @@
 @ADMIN
 def maint_on(node: str, admin: str | None) -> None:
     """Take NODE out: nothing more is sent to it, whatever discovery says."""
-    _Broker(admin).say(f"maint-on {node}")
+    _Broker(admin).run(f"maint-on {node}")
 
 
 @maint.command("off")
 @click.argument("node")
 @ADMIN
 def maint_off(node: str, admin: str | None) -> None:
-    """Put NODE back: it may serve again, from cold."""
-    _Broker(admin).say(f"maint-off {node}")
+    """Put NODE back: it may serve again, beginning with slow start."""
+    _Broker(admin).run(f"maint-off {node}")
 
 
 @main.command()
 @click.argument("id", default="", metavar="[REQUEST-ID | report]")
 @click.option("--volume", metavar="V", help="Requests of this volume.")
 @click.option("--since", metavar="5m", help="Not older than this; 5m if not given.")
-@click.option("--only", metavar="VERDICTS", help="Of served,refused,failed,gone.")
-@click.option("--most", metavar="N", help="So many requests at most, the newest; 100 if not given.")
+@click.option(
+    "--only", metavar="VERDICTS", help="Requests with these of the verdicts served,refused,failed,gone."
+)
+@click.option("--most", metavar="N", help="At most N requests, the newest; 100 if not given.")
 @click.option("--summary", is_flag=True, help="Counts by reason, volume, node and minute.")
 @click.option("--out", type=click.Path(file_okay=False), help="With report: the folder for the pages.")
 @ADMIN
@@ -208,9 +215,10 @@
     if out is not None:
         if id != "report":
             raise click.UsageError("--out goes with report")
-        from cherrycove.broker.decision_log import report  # templates and plots
+        # Imported here because it imports templates and plots.
+        from cherrycove.broker.decision_log import report
 
-        path = report.write(Path(out), broker.ask, since or "1h")
+        path = report.write(Path(out), broker.query, since or "1h")
         click.echo(str(path))
         return
     if id == "report":
@@ -221,12 +229,12 @@
     words += ["--summary"] if summary else []
     words += ["--json"] if as_json else []
     if any(set(word) & set(" \t\r\n") for word in words):
-        raise click.UsageError("no word may hold a blank")
-    broker.say(" ".join(words))
+        raise click.UsageError("no argument may contain white space")
+    broker.run(" ".join(words))
 
 
-class _Memory(click.Group):
-    """Its own module is read where it is called."""
+class _LazyMemoryGroup(click.Group):
+    """The group ``memory``; its module is imported only when it is used."""
 
     def _group(self) -> click.Group:
         from cherrycove.broker.cli.memory import memory
@@ -240,16 +248,16 @@
         return self._group().get_command(ctx, cmd_name)
 
 
-@main.command("memory", cls=_Memory)
+@main.command("memory", cls=_LazyMemoryGroup)
 def memory() -> None:
-    """What a broker keeps of what it has learned, for its next life."""
+    """What a broker has learned, kept in a file for its next process."""
 
 
 @main.command()
 @click.argument("shell", type=click.Choice(["bash", "zsh", "fish"]))
 def completion(shell: str) -> None:
     """A script that completes commands and options: eval "$(cherrycove completion bash)"."""
-    found = get_completion_class(shell)
-    if found is None:
-        _end(f"no completion for {shell}", USAGE)
-    click.echo(found(main, {}, "cherrycove", "_CHERRYCOVE_COMPLETE").source())
+    completion_class = get_completion_class(shell)
+    if completion_class is None:
+        _fail(f"no completion for {shell}", EXIT_USAGE)
+    click.echo(completion_class(main, {}, "cherrycove", "_CHERRYCOVE_COMPLETE").source())
--- a/cherrycove/broker/cli/memory.py
+++ b/cherrycove/broker/cli/memory.py
@@ -1,6 +1,6 @@
-"""``cherrycove memory``: look at a broker's memory, check it, throw it away.
+"""The sub-commands ``cherrycove memory``: show, check and delete a broker's snapshot file.
 
-It owns how a memory is shown. It must never change one: ``forget`` removes the whole file.
+This module defines how a snapshot is printed. It must never change one; ``forget`` deletes the whole file.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 from cherrycove.broker.warm_restart import snapshot, snapshot_file
 from cherrycove.broker.warm_restart.restore import moment
 
-NO, USAGE = 1, 2
+EXIT_NO, EXIT_USAGE = 1, 2
 FILE = click.option(
     "--file",
     "given",
     type=click.Path(dir_okay=False),
-    help="The memory; else that of the broker of this environment, by RELAY_CONFIG and CHERRYCOVE_OPERATOR.",
+    help="The memory's file; else that of the broker that RELAY_CONFIG and CHERRYCOVE_OPERATOR configure.",
 )
-JSON = click.option("--json", "as_json", is_flag=True, help="For a program: JSON.")
-NODE = (
+JSON = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
+NODE_FIELDS = (
     "id",
     "has_start",
     "started_ago_s",
@@ -40,50 +40,50 @@
     "sent_units",
     "sent_ago_s",
 )
-VOLUME = ("name", "credits", "refilled_ago_s", "beyond_ago_s")
+VOLUME_FIELDS = ("name", "credits", "refilled_ago_s", "beyond_ago_s")
 
 
-def _end(why: str, code: int, as_json: bool = False) -> NoReturn:
+def _fail(why: str, code: int, as_json: bool = False) -> NoReturn:
     if as_json:
         click.echo(json.dumps({"ok": False, "error": why}))
     click.echo(f"cherrycove: {why}", err=True)
     sys.exit(code)
 
 
-def _configured(as_json: bool) -> tuple[config.PlatformConfig, config.OperatorConfig]:
+def _load_configs(as_json: bool) -> tuple[config.PlatformConfig, config.OperatorConfig]:
     path = Path(os.environ.get("CHERRYCOVE_OPERATOR", "deploy/operator.toml"))
     try:
         platform = config.load_platform_config()
         return platform, config.load_operator_config(path, platform.settings)
     except config.ConfigError as error:
-        _end(str(error), USAGE, as_json)
+        _fail(str(error), EXIT_USAGE, as_json)
 
 
 def _path(given: str | None, as_json: bool) -> Path:
     if given:
         return Path(given)
-    platform, operator = _configured(as_json)
+    platform, operator = _load_configs(as_json)
     if operator.warm_restart is None:
-        _end("[memory] in the operator's file is not enabled: give --file", USAGE, as_json)
+        _fail("[memory] in the operator's file is not enabled: give --file", EXIT_USAGE, as_json)
     return snapshot_file.path(operator.warm_restart.directory, platform.name)
 
 
-def _read(where: Path, as_json: bool) -> dict[str, Any]:
+def _read(file_path: Path, as_json: bool) -> dict[str, Any]:
     try:
-        rows = snapshot_file.read(where)
+        rows = snapshot_file.read(file_path)
         if not isinstance(rows, dict):
-            raise snapshot.UnusableError("it holds no table")
+            raise snapshot.UnusableError("the snapshot is not a map")
         written = snapshot.moment_of(rows)
     except FileNotFoundError:
-        _end(f"{where}: there is none", NO, as_json)
+        _fail(f"{file_path}: no such file", EXIT_NO, as_json)
     except (OSError, snapshot.UnusableError) as error:
-        _end(f"{where}: {getattr(error, 'strerror', None) or error}", NO, as_json)
+        _fail(f"{file_path}: {getattr(error, 'strerror', None) or error}", EXIT_NO, as_json)
     return rows | {"absence_s": moment().since(written)}
 
 
 @click.group()
 def memory() -> None:
-    """What a broker keeps of what it has learned, for its next life."""
+    """What a broker has learned, kept in a file for its next process."""
 
 
 @memory.command()
@@ -91,10 +91,10 @@
 @JSON
 def show(given: str | None, as_json: bool) -> None:
     """What a memory holds, and how old it is."""
-    where = _path(given, as_json)
-    rows = _read(where, as_json)
-    nodes = [dict(zip(NODE, row, strict=False)) for row in rows.get("nodes", [])]
-    volumes = [dict(zip(VOLUME, row, strict=False)) for row in rows.get("volumes", [])]
+    file_path = _path(given, as_json)
+    rows = _read(file_path, as_json)
+    nodes = [dict(zip(NODE_FIELDS, row, strict=False)) for row in rows.get("nodes", [])]
+    volumes = [dict(zip(VOLUME_FIELDS, row, strict=False)) for row in rows.get("volumes", [])]
     if as_json:
         click.echo(json.dumps(rows | {"nodes": nodes, "volumes": volumes}))
         return
@@ -104,21 +104,21 @@
         else f"{rows['absence_s']:.1f} s old"
     )
     click.echo(
-        f"{where}: of broker {rows.get('broker')}, deployment {rows.get('deployment')}, written "
+        f"{file_path}: of broker {rows.get('broker')}, deployment {rows.get('deployment')}, written "
         f"{datetime.fromtimestamp(rows['wall'], UTC).isoformat(timespec='seconds')}, {age}, "
-        f"{'whole' if rows.get('whole') else 'of a life that went on'}"
+        f"{'complete' if rows.get('whole') else 'written while requests could still be sent'}"
     )
     click.echo(
         "longest waits: "
         + (" ".join(f"{name}={longest:g}s" for name, longest in rows.get("budgets", {}).items()) or "none")
     )
     for node in nodes:
-        marks = ("overloaded " if node["overload"] else "") + (
+        remarks = ("overloaded " if node["overload"] else "") + (
             f"failed {node['failures']} times in a row " if node["failures"] else ""
         )
         click.echo(
-            f"node {node['id']}: {node['latency_s'] * 1000:.0f} ms, L {node['threshold']:.1f}, "
-            f"{marks}{node['sent_units']:g} units sent in the window"
+            f"node {node['id']}: {node['latency_s'] * 1000:.0f} ms, threshold {node['threshold']:.1f}, "
+            f"{remarks}{node['sent_units']:g} units sent in the window"
         )
     for volume in volumes:
         click.echo(f"volume {volume['name']}: {volume['credits']:.1f} units of credit")
@@ -128,32 +128,32 @@
 @FILE
 @JSON
 def check(given: str | None, as_json: bool) -> None:
-    """Whether a broker that started now would take it up, and what of it."""
-    where = _path(given, as_json)
-    rows = _read(where, as_json)
-    platform, _ = _configured(as_json)
+    """Whether a broker that started now would restore a memory, and how much of it."""
+    file_path = _path(given, as_json)
+    rows = _read(file_path, as_json)
+    platform, _ = _load_configs(as_json)
     try:
-        told, absence, aside = snapshot.unpack(rows, 0.0, moment(), platform.settings, platform.name)
+        restored, absence_s, skipped = snapshot.unpack(rows, 0.0, moment(), platform.settings, platform.name)
     except snapshot.UnusableError as error:
-        _end(f"{where}: {error}", NO, as_json)
+        _fail(f"{file_path}: {error}", EXIT_NO, as_json)
     if as_json:
         click.echo(
             json.dumps(
                 {
                     "ok": True,
-                    "file": str(where),
-                    "absence_s": absence,
-                    "whole": told.whole,
-                    "nodes": len(told.nodes),
-                    "volumes": len(told.volumes),
-                    "aside": dict(aside),
+                    "file": str(file_path),
+                    "absence_s": absence_s,
+                    "whole": restored.whole,
+                    "nodes": len(restored.nodes),
+                    "volumes": len(restored.volumes),
+                    "aside": dict(skipped),
                 }
             )
         )
         return
     click.echo(
-        f"{where}: {len(told.nodes)} nodes and {len(told.volumes)} volumes would be taken up after "
-        f"{absence:.1f} s" + (f"; left aside: {dict(aside)}" if aside.total() else "")
+        f"{file_path}: {len(restored.nodes)} nodes and {len(restored.volumes)} volumes would be restored "
+        f"after {absence_s:.1f} s" + (f"; skipped: {dict(skipped)}" if skipped.total() else "")
     )
 
 
@@ -161,13 +161,13 @@
 @FILE
 @JSON
 def forget(given: str | None, as_json: bool) -> None:
-    """Throw a memory away. A broker in service writes it anew: end it first."""
-    where = _path(given, as_json)
+    """Delete a memory. A running broker writes it again: stop the broker first."""
+    file_path = _path(given, as_json)
     try:
-        found = snapshot_file.delete(where)
+        found = snapshot_file.delete(file_path)
     except OSError as error:
-        _end(f"{where}: {error.strerror}", NO, as_json)
+        _fail(f"{file_path}: {error.strerror}", EXIT_NO, as_json)
     if as_json:
-        click.echo(json.dumps({"ok": True, "file": str(where), "found": found}))
+        click.echo(json.dumps({"ok": True, "file": str(file_path), "found": found}))
     else:
-        click.echo(f"{where}: {'forgotten' if found else 'there was none'}")
+        click.echo(f"{file_path}: {'forgotten' if found else 'there was none'}")
--- a/cherrycove/broker/config/__init__.py
+++ b/cherrycove/broker/config/__init__.py
@@ -1,8 +1,9 @@
 """Configuration: the platform's file that ``RELAY_CONFIG`` names, and the operator's TOML file.
 
-``platform_file`` and ``operator_file`` read one each; ``_table`` reads the operator's tables key by key and
-``_values`` what both hold. The package owns the form of both files and says what is wrong with one. It must
-never make up a figure that a rule depends on, and never open a connection.
+``platform_file`` and ``operator_file`` read one file each, ``_table`` reads a table of the operator's file
+key by key, and ``_values`` holds what both files need. The package defines the format of both files and
+reports what is wrong with one. It must never make up a value that a rule depends on, and never open a
+connection.
 """
 
 from cherrycove.broker.config._values import ConfigError, parse_host_port
--- a/cherrycove/broker/config/_table.py
+++ b/cherrycove/broker/config/_table.py
@@ -1,4 +1,4 @@
-"""A table of the operator's file, read key by key."""
+"""Reads a table of the operator's file key by key, with checks of type and range."""
 
 from __future__ import annotations
 
@@ -10,13 +10,17 @@
 class Table:
     """Typed access to a TOML table; each error names the key with its path.
 
-    Keys that nobody has asked for are errors (``reject_unknown_keys``). A disabled table is checked for the
-    names and types of its keys alone: what is missing is not needed, and its values may fit another
-    deployment than this one.
+    Keys that have not been read are errors (``reject_unknown_keys``). Of a disabled table only the names and
+    types of the keys are checked: missing keys are not needed, and the values may be meant for another
+    deployment.
     """
 
     def __init__(self, raw: Any, path: str, *, is_disabled: bool = False) -> None:
-        """``path``: the table's place in the file, empty for the top. ConfigError if ``raw`` is no table."""
+        """Wrap ``raw``, which stands at ``path`` in the file ("" for the top level).
+
+        Raises:
+            ConfigError: ``raw`` is not a table.
+        """
         if not isinstance(raw, dict):
             raise ConfigError(f"{path} must be a table")
         self._raw = raw
@@ -26,12 +30,12 @@
 
     @property
     def is_disabled(self) -> bool:
-        """Whether the table, or one that holds it, is switched off."""
+        """Whether the table, or one that contains it, is disabled."""
         return self._is_disabled
 
     @property
     def keys(self) -> list[str]:
-        """All keys in the order of the file."""
+        """All keys, in the order of the file."""
         return list(self._raw)
 
     def read_enabled(self) -> None:
@@ -42,14 +46,14 @@
         self._is_disabled = not self.value("enabled", bool, False)
 
     def key_path(self, key: str) -> str:
-        """The key with the path of its table, as messages name it."""
+        """Return the key with the path of its table, as error messages name it."""
         return f"{self._path}.{key}" if self._path else key
 
     def value(self, key: str, kind: type, default: Any = None) -> Any:
-        """The key's value; an integer is accepted as a float.
+        """Return the key's value; an integer is accepted where a float is expected.
 
         Raises:
-            ConfigError: if the value is of another type, or missing without a default.
+            ConfigError: the value is of another type, or missing without a default.
         """
         self._unread_keys.discard(key)
         if self._is_disabled and default is None:
@@ -61,15 +65,15 @@
             raise ConfigError(f"{self.key_path(key)} must be of type {kind.__name__}, not {value!r}")
         return value
 
-    def number(self, key: str, least: int, most: int, default: int | None = None) -> int:
-        """An integer from ``least`` to ``most``; ConfigError if it is not."""
+    def number(self, key: str, minimum: int, maximum: int, default: int | None = None) -> int:
+        """Return an integer from ``minimum`` to ``maximum``; ConfigError if the value is not one."""
         value: int = self.value(key, int, default)
-        if not (least <= value <= most or self._is_disabled):
-            raise ConfigError(f"{self.key_path(key)} must lie between {least} and {most}, not {value}")
+        if not (minimum <= value <= maximum or self._is_disabled):
+            raise ConfigError(f"{self.key_path(key)} must lie between {minimum} and {maximum}, not {value}")
         return value
 
     def choice(self, key: str, names: list[str], default: str | None = None) -> int:
-        """The index in ``names`` of the key's value; ConfigError if it is none of them."""
+        """Return the index in ``names`` of the key's value; ConfigError if it is none of them."""
         value: str = self.value(key, str, default)
         if self._is_disabled:
             return 0
@@ -78,15 +82,15 @@
         return names.index(value)
 
     def address(self, key: str, default: str | None = None) -> tuple[str, int]:
-        """Host and port; ConfigError if the value is not ``HOST:PORT``."""
+        """Return host and port; ConfigError if the value is not ``HOST:PORT``."""
         text = self.value(key, str, default)
         return ("", 0) if self._is_disabled else parse_host_port(text, self.key_path(key))
 
     def table(self, key: str) -> Table:
-        """The table under this key, empty if it is missing."""
+        """Return the table under this key, an empty one if it is missing."""
         return Table(self.value(key, dict, {}), self.key_path(key), is_disabled=self._is_disabled)
 
     def reject_unknown_keys(self) -> None:
-        """ConfigError if a key has not been read, which is then unknown to this program."""
+        """Raise ConfigError if a key has not been read: this program does not know it."""
         if self._unread_keys:
             raise ConfigError(f"{self.key_path(min(self._unread_keys))} is not a setting of this program")
--- a/cherrycove/broker/config/operator_file.py
+++ b/cherrycove/broker/config/operator_file.py
@@ -1,6 +1,6 @@
-"""The operator's configuration: a TOML file that turns on what goes beyond the platform's port.
+"""Reads the operator's TOML file, which enables services beyond the platform's HTTP interface.
 
-Each table is off unless it says ``enabled = true``; an unknown key anywhere is an error.
+Each service's table is disabled unless it says ``enabled = true``; an unknown key anywhere is an error.
 """
 
 from __future__ import annotations
@@ -11,9 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from cherrycove.broker import consul, nbd
-from cherrycove.broker import event_log as events
-from cherrycove.broker import shared_map as store
+from cherrycove.broker import consul, event_log, nbd, shared_map
 from cherrycove.broker.config._table import Table
 from cherrycove.broker.config._values import MAX_PORT, ConfigError, parse_host_port
 from cherrycove.broker.http1.parse import HEX16
@@ -22,7 +20,7 @@
 SERVICE_NAME = re.compile(r"[A-Za-z0-9._-]{1,128}", re.ASCII)
 MAX_EXPORT_NAME_BYTES = 4096
 LOG_LEVELS = ["DEBUG", "INFO", "WARNING", "ERROR"]
-# A store entry is as long as its writer's name makes it; this one stands for any broker's.
+# The writer's name adds to an entry's length; this stands in for the name of whichever broker writes it.
 SAMPLE_WRITER = "a name of this length"
 COMMANDS = {
     "read": nbd.Command.READ,
@@ -35,13 +33,13 @@
 
 @dataclass(frozen=True, slots=True)
 class DecisionLogConfig:
-    """The table ``[why]``: the record of recent decisions.
+    """The table ``[why]``: the log of recent decisions, kept in memory.
 
     Attributes:
         max_bytes: memory for all records.
-        spans_path: the file for traces; empty: none are written.
-        sampled_fraction: of the served requests that are traced, from 0 to 1.
-        max_spans_per_s: traces of refused and failed requests.
+        spans_path: the file that traces are written to; "" if none are written.
+        sampled_fraction: the fraction of served requests that are traced, from 0 to 1.
+        max_spans_per_s: how many refused and failed requests are traced per second.
     """
 
     max_bytes: int
@@ -52,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogConfig:
-    """The table ``[log]``: the log's form and its least level."""
+    """The table ``[log]``: the log's output format and its minimum level."""
 
     form: str = "human"
     level: str = "INFO"
@@ -60,9 +58,9 @@
 
 @dataclass(frozen=True, slots=True)
 class WarmRestartConfig:
-    """The table ``[memory]``: what the broker has learned, kept for its next incarnation.
+    """The table ``[memory]``: the snapshot from which the broker's next process restores what was learned.
 
-    ``directory`` must outlast the process; ``interval_s`` is the time between two writes.
+    ``directory`` must persist when the process ends; ``interval_s`` is the time between two writes.
     """
 
     directory: str
@@ -71,21 +69,21 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorConfig:
-    """The operator's file; None stands for each table that is off."""
+    """The contents of the operator's file; a disabled table is None."""
 
     nbd: nbd.NbdConfig | None = None
     consul: consul.ConsulConfig | None = None
-    shared_map: store.SharedMapConfig | None = None
+    shared_map: shared_map.SharedMapConfig | None = None
     decision_log: DecisionLogConfig | None = None
     log: LogConfig = LogConfig()
     warm_restart: WarmRestartConfig | None = None
 
 
 def load_operator_config(path: Path, settings: Settings) -> OperatorConfig:
-    """The file at ``path``; if there is none, all is off.
+    """Return the configuration in the file at ``path``; all is disabled if there is no file.
 
     Raises:
-        ConfigError: if the file cannot be read or used with the deployment's ``settings``.
+        ConfigError: the file cannot be read or used with the deployment's ``settings``.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -100,12 +98,12 @@
 
 
 def parse_operator_config(raw: dict[str, Any], settings: Settings) -> OperatorConfig:
-    """The configuration in a parsed file; ConfigError at the first value that cannot be used."""
+    """Return the configuration in a parsed file; ConfigError at the first value that cannot be used."""
     top = Table(raw, "")
     config = OperatorConfig(
         nbd=_parse_nbd(top.table("nbd"), settings),
         consul=_parse_consul(top.table("consul")),
-        shared_map=_parse_store(top.table("store")),
+        shared_map=_parse_shared_map(top.table("store")),
         decision_log=_parse_decision_log(top.table("why")),
         log=_parse_log(top.table("log")),
         warm_restart=_parse_warm_restart(top.table("memory")),
@@ -133,7 +131,7 @@
 
 
 def _parse_command_classes(table: Table, settings: Settings) -> dict[nbd.Command, int]:
-    """The index of each command's class; those that modify need one whose requests never run twice."""
+    """Return the class index of each command; modifying ones need a class whose requests never run twice."""
     names = [cls.name for cls in settings.classes]
     classes = {command: table.choice(key, names) for key, command in COMMANDS.items()}
     table.reject_unknown_keys()
@@ -181,13 +179,13 @@
     return None if table.is_disabled else config
 
 
-def _parse_store(table: Table) -> store.SharedMapConfig | None:
+def _parse_shared_map(table: Table) -> shared_map.SharedMapConfig | None:
     table.read_enabled()
     peers: list[Any] = table.value("peers", list)
     rows = table.table("config")
-    entries = {f"config/{key}": _parse_entry(rows.table(key)) for key in rows.keys}
+    entries = {f"config/{key}": _parse_map_entry(rows.table(key)) for key in rows.keys}
     listen = table.address("listen")
-    config = store.SharedMapConfig(
+    config = shared_map.SharedMapConfig(
         listen=listen,
         entries=entries,
         peers=() if table.is_disabled else _parse_peers(peers, table.key_path("peers")),
@@ -197,7 +195,7 @@
     if table.is_disabled:
         return None
     for key, (version, value) in entries.items():
-        _check_entry_fits(store.Entry(key, version, SAMPLE_WRITER, value), table.key_path("config"))
+        _check_entry_fits(shared_map.Entry(key, version, SAMPLE_WRITER, value), table.key_path("config"))
     return config
 
 
@@ -205,25 +203,25 @@
     return tuple(parse_host_port(peer, path) for peer in peers)
 
 
-def _parse_entry(table: Table) -> tuple[int, str | None]:
-    """Version and value of a store entry; no value for a deleted one."""
-    version = table.number("version", 1, store.MAX_COUNTER)
+def _parse_map_entry(table: Table) -> tuple[int, str | None]:
+    """Return version and value of an entry of the shared map; the value of a deleted one is None."""
+    version = table.number("version", 1, shared_map.MAX_COUNTER)
     value = None if table.value("deleted", bool, False) else table.value("value", str)
     table.reject_unknown_keys()
     return version, value
 
 
-def _check_entry_fits(entry: store.Entry, path: str) -> None:
+def _check_entry_fits(entry: shared_map.Entry, path: str) -> None:
     try:
         entry.pack()
-    except store.EntryError as error:
+    except shared_map.EntryError as error:
         raise ConfigError(f"{path}: {error}") from error
 
 
 def _parse_log(table: Table) -> LogConfig:
-    forms = list(events.FORMS)
+    formats = list(event_log.FORMS)
     config = LogConfig(
-        form=forms[table.choice("form", forms, "human")],
+        form=formats[table.choice("form", formats, "human")],
         level=LOG_LEVELS[table.choice("level", LOG_LEVELS, "INFO")],
     )
     table.reject_unknown_keys()
--- a/cherrycove/broker/config/platform_file.py
+++ b/cherrycove/broker/config/platform_file.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: the JSON file that ``RELAY_CONFIG`` names, and ``RELAY_`` variables."""
+"""Reads the platform's configuration: the JSON file that ``RELAY_CONFIG`` names, and ``RELAY_`` variables."""
 
 from __future__ import annotations
 
@@ -13,8 +13,7 @@
 from cherrycove.broker.core import NodeList
 from cherrycove.broker.event_log import Log
 from cherrycove.broker.http1.parse import NodeListError, parse_node_list_json
-from cherrycove.scheduling import settings_check as known_settings
-from cherrycove.scheduling import simulator_codec as wire
+from cherrycove.scheduling import settings_check, simulator_codec
 from cherrycove.scheduling.interface import Settings
 
 log = Log("cherrycove.config")
@@ -33,7 +32,7 @@
     "settings",
     "tier",
 }
-MAX_LIMIT = 1 << 30  # descriptors, or MB: no machine has more
+MAX_LIMIT = 1 << 30  # file descriptors or MB; no machine has more
 MIN_SOCKETS = 64
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 192
@@ -41,9 +40,9 @@
 
 @dataclass(frozen=True, slots=True)
 class BrokerTierConfig:
-    """Where the brokers of the tier send each other datagrams.
+    """The addresses at which the brokers of the tier send each other datagrams.
 
-    ``number`` is this broker's index in ``peers``, which holds the addresses of all.
+    ``number`` is this broker's index in ``peers``, which holds the addresses of all brokers.
     """
 
     number: int
@@ -53,24 +52,24 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformConfig:
-    """What the platform configures of a broker.
+    """The broker's configuration as the platform sets it.
 
     Attributes:
-        name: of this broker.
-        listen: host and port for clients over HTTP.
+        name: this broker's name.
+        listen: host and port that serve clients over HTTP.
         discovery: ``HOST:PORT`` of the source of the node list.
-        seed: of the decision module's random numbers.
+        seed: seed of the scheduler's random numbers.
         sockets: file descriptors that connections may use.
         memory_mb: memory that the process may use.
-        settings: of the decision module.
-        zones: index by name.
-        dial_timeout_s: for connecting to a node.
-        idle_timeout_s: after which nodes close idle connections.
+        settings: settings of the scheduler.
+        zones: the index of each zone, by name.
+        dial_timeout_s: the time limit for connecting to a node.
+        idle_timeout_s: the time after which nodes close idle connections.
         known: the last node list; None if there is none.
-        admin: host and port for operators' calls; None: there are no calls.
-        tier: the other brokers; None: they must not communicate.
+        admin: host and port for operators' calls; None if there are to be no calls.
+        tier: the brokers of the tier; None if they must not communicate or no peers are listed.
         unknown_settings: names of settings that this program does not know.
-        unsupported_settings: what the settings ask and this program does not do, in words.
+        unsupported_settings: descriptions of what the settings ask for and this program does not do.
     """
 
     name: str
@@ -91,10 +90,10 @@
 
 
 def load_platform_config(env: Mapping[str, str] = os.environ) -> PlatformConfig:
-    """The configuration in the file that ``RELAY_CONFIG`` names.
+    """Return the configuration in the file that ``RELAY_CONFIG`` names.
 
     Raises:
-        ConfigError: if the variable is not set, or the file cannot be read or used.
+        ConfigError: the variable is not set, or the file cannot be read or used.
     """
     path = env.get("RELAY_CONFIG")
     if not path:
@@ -120,10 +119,10 @@
 
 
 def parse_platform_config(raw: dict[str, Any], env: Mapping[str, str]) -> PlatformConfig:
-    """The configuration in a parsed file; ``RELAY_*`` variables stand in for addresses it lacks.
+    """Return the configuration in a parsed file; ``RELAY_*`` variables supply the name or addresses it lacks.
 
     Raises:
-        ConfigError: at the first value that cannot be used.
+        ConfigError: a value cannot be used; the first such value is named.
     """
     raw_settings: Any = raw.get("settings")
     settings = _parse_settings(raw_settings)
@@ -149,16 +148,16 @@
         known=known,
         admin=parse_host_port(admin, "admin") if admin else None,
         tier=tier,
-        unknown_settings=(*known_settings.unknown_names(raw_settings), *sorted(raw.keys() - PLATFORM_KEYS)),
-        unsupported_settings=tuple(known_settings.unsupported_requests(raw_settings)),
+        unknown_settings=(*settings_check.unknown_names(raw_settings), *sorted(raw.keys() - PLATFORM_KEYS)),
+        unsupported_settings=tuple(settings_check.unsupported_requests(raw_settings)),
     )
 
 
 def _parse_settings(raw_settings: Any) -> Settings:
-    if wrong := known_settings.find_invalid_value(raw_settings, place="settings"):
-        raise ConfigError(wrong)
+    if problem := settings_check.find_invalid_value(raw_settings, place="settings"):
+        raise ConfigError(problem)
     try:
-        return wire.parse_settings(json.dumps(raw_settings))
+        return simulator_codec.parse_settings(json.dumps(raw_settings))
     except ValueError as error:
         raise ConfigError(f"settings: {error}") from error
 
@@ -180,7 +179,7 @@
 
 
 def _parse_limits(limits: Any) -> tuple[int, float]:
-    """Descriptors and MB; what is no object holds no limits."""
+    """Return file descriptors and memory in MB; the defaults if ``limits`` is not an object."""
     sockets = limits.get("sockets", DEFAULT_SOCKETS) if isinstance(limits, dict) else DEFAULT_SOCKETS
     if type(sockets) is not int or not MIN_SOCKETS <= sockets <= MAX_LIMIT:
         raise ConfigError(
@@ -208,11 +207,11 @@
         raise ConfigError(f"settings.limits lacks {name}") from error
     if type(value) not in (int, float) or value <= 0:
         raise ConfigError(f"settings.limits.{name} must be a number above 0, not {value!r}")
-    return float(value) * wire.NS
+    return float(value) * simulator_codec.NS
 
 
 def _parse_tier(raw: dict[str, Any], raw_settings: Any, broker_count: int) -> BrokerTierConfig | None:
-    """None where the settings do not let brokers communicate or the file names no peers."""
+    """Return None if the settings do not let brokers communicate or the file names no peers."""
     may_communicate = raw_settings["limits"].get("mayTell")
     if not may_communicate or not raw.get("peers") or not raw.get("peer_listen"):
         return None
@@ -231,8 +230,8 @@
 
 
 def log_unsupported_settings(platform: PlatformConfig) -> None:
-    """Log what this program does not know or do, since it may break a rule that comes with it."""
+    """Log the settings that this program does not know or support; it may break a rule that they set."""
     if platform.unknown_settings:
         log.warning("config.settings_unknown", settings=" ".join(platform.unknown_settings))
-    for words in platform.unsupported_settings:
-        log.warning("config.setting_unmet", what=words)
+    for request in platform.unsupported_settings:
+        log.warning("config.setting_unmet", what=request)
--- a/cherrycove/broker/peer_capacity/exchange.py
+++ b/cherrycove/broker/peer_capacity/exchange.py
@@ -1,4 +1,4 @@
-"""The socket to the other brokers of the tier, which joins lender and borrower to the core."""
+"""The UDP socket to the other brokers of the tier; it connects lender and borrower with the core."""
 
 from __future__ import annotations
 
@@ -12,31 +12,32 @@
 from cherrycove.broker.peer_capacity import datagram, lending
 
 log = Log("cherrycove.fleet")
-SOCKET_RETRY_S = 1.0  # after which an address that is in use is tried again
-MAX_DATAGRAMS_PER_S = 500  # that are read; a peer that floods costs no more
+SOCKET_RETRY_S = 1.0  # time until an address that is in use is tried again
+MAX_DATAGRAMS_PER_S = 500  # datagrams beyond this are dropped unread, which bounds the cost of a flood
 Address = tuple[str, int]
 
 
 def is_lending_useful(core: Core) -> bool:
-    """Return whether an even part of a node's capacity in slow start is too small for a usual request.
+    """Return whether an even share of the capacity of a node in slow start is too small for a usual request.
 
-    All brokers of a tier come to the same answer: they have the same settings.
+    All brokers of a tier come to the same result because they have the same settings.
     """
     settings = core.settings
     return settings.cold_units / settings.schedulers < settings.usual_units
 
 
 class CapacityExchange(asyncio.DatagramProtocol):
-    """One broker's side of the lending. The broker's process owns it, and opens it while it is alone.
+    """One broker's part in the lending.
 
-    Answers only the listed address of the host that a datagram claims to be from, with one datagram for one.
-    Without a socket the broker has its split part of each node's capacity.
+    The broker's process owns it, and opens it while no other process of the broker runs. Datagrams are
+    answered only if they come from the configured address of their claimed sender, each with at most one
+    datagram. Without a socket the broker uses only its fixed share of each node's capacity.
 
     Args:
-        core: receives loans, and asks for them.
-        number: of this host among ``addresses``.
-        addresses: of all hosts, by number.
-        seed: of the random incarnation.
+        core: the core that requests loans and receives them.
+        number: the index of this host in ``addresses``.
+        addresses: the addresses of all hosts.
+        seed: seed of the random incarnation number.
     """
 
     def __init__(self, core: Core, number: int, addresses: Sequence[Address], seed: int) -> None:
@@ -48,24 +49,24 @@
         self._retry: asyncio.TimerHandle | None = None
         self._lender = lending.Lender(core.settings, number, self._loop.time())
         self._borrower = lending.Borrower(core.settings.schedulers)
-        self._known_list = -1  # the node list that the lender knows
-        self._names: dict[bytes, str] = {}
+        self._applied_list_update = -1  # the list update that the lender has received last
+        self._names: dict[bytes, str] = {}  # by node key
         self._second, self._received = 0, 0
         self.counts: Counter[str] = Counter()
-        # Also while there is no socket: a broker that used its whole even part beside what is lent of it
-        # would pass the node's capacity.
-        core.pool_capacity(lending.LENT_FRACTION, self._ask)
+        # This applies without a socket, too: a broker that used its whole even share, a part of which is lent
+        # to others, would let the total exceed the node's capacity.
+        core.pool_capacity(lending.LENT_FRACTION, self._borrow)
 
     def start(self, listen: Address) -> None:
         """Open the socket in the background; see ``serve``."""
         self._opening = asyncio.create_task(self.serve(listen))
 
     async def serve(self, listen: Address) -> None:
-        """Borrow from now on, and lend as soon as no loan of an earlier process can be used any more."""
+        """Start borrowing now, and lending once no loan of an earlier process can be used any more."""
         if self._transport is not None:
             return
         self._lender = lending.Lender(self._core.settings, self._number, self._loop.time())
-        self._known_list = -1
+        self._applied_list_update = -1
         try:
             self._transport, _ = await self._loop.create_datagram_endpoint(lambda: self, local_addr=listen)
         except OSError as error:
@@ -73,7 +74,10 @@
             self._retry = self._loop.call_later(SOCKET_RETRY_S, self.start, listen)
 
     def close(self) -> None:
-        """Close the socket, before a successor opens it: two processes would each lend the whole."""
+        """Close the socket.
+
+        This must happen before a successor opens it: two processes would lend the same capacity twice.
+        """
         if self._opening is not None:
             self._opening.cancel()
         if self._retry is not None:
@@ -83,8 +87,8 @@
             self._transport = None
 
     def datagram_received(self, data: bytes, address: Address) -> None:
-        """Handle a datagram of a known peer; count what is malformed, forged or beyond the limit."""
-        if self._is_flooded():
+        """Handle a datagram of a known peer; drop and count malformed, forged and excess ones."""
+        if self._exceeds_datagram_limit():
             self.counts["flooded"] += 1
             return
         try:
@@ -100,8 +104,8 @@
         elif message.to_incarnation == self._incarnation:
             self._receive_loan(message.sender, message.serial, message.units, message.wait_s)
 
-    def _is_flooded(self) -> bool:
-        """Count a datagram; return whether it is beyond the limit of this second."""
+    def _exceeds_datagram_limit(self) -> bool:
+        """Count a datagram; return whether it exceeds the limit for the current second."""
         second = int(self._loop.time())
         if second != self._second:
             self._second, self._received = second, 0
@@ -113,10 +117,10 @@
         self.counts["unreachable"] += 1
 
     def _update_nodes(self) -> None:
-        """Tell the lender the nodes of the present list."""
-        if self._known_list == self._core.list_updates:
+        """Pass the nodes of the current list to the lender if the list has changed."""
+        if self._applied_list_update == self._core.list_updates:
             return
-        self._known_list = self._core.list_updates
+        self._applied_list_update = self._core.list_updates
         starts = {
             lending.node_key(member.name, member.since_ms): (member.name, started)
             for member in self._core.members
@@ -138,17 +142,17 @@
         self.counts["lent" if lent else "denied"] += 1
         return lent, wait_s
 
-    def _ask(self, name: str, units: float) -> None:
-        """Ask the lender of this node; the scheduler needs capacity there."""
+    def _borrow(self, name: str, units: float) -> None:
+        """Ask the lender of this node for capacity; the scheduler calls this when it needs some."""
         self._update_nodes()
         member = next((member for member in self._core.members if member.name == name), None)
         if member is None or self._transport is None:
             return
         node = lending.node_key(name, member.since_ms)
-        asked = self._borrower.begin_request(node, self._loop.time())
-        if asked is None:
+        request = self._borrower.begin_request(node, self._loop.time())
+        if request is None:
             return
-        lender, serial = asked
+        lender, serial = request
         self.counts["asked"] += 1
         if lender == self._number:
             self._receive_loan(lender, serial, *self._lend(node, units))
@@ -156,11 +160,11 @@
             self._send(lender, datagram.LoanRequest(self._number, self._incarnation, serial, node, units))
 
     def _receive_loan(self, lender: int, serial: int, units: float, wait_s: float) -> None:
-        answered = self._borrower.accept_answer(lender, serial, wait_s, self._loop.time())
-        if answered is None:
+        accepted = self._borrower.accept_answer(lender, serial, wait_s, self._loop.time())
+        if accepted is None:
             self.counts["stale"] += 1
             return
-        node, valid_s = answered
+        node, valid_s = accepted
         if units > 0 and node in self._names:
             self.counts["borrowed"] += 1
             self._core.use_loan(self._names[node], units, valid_s)
--- a/cherrycove/broker/warm_restart/__init__.py
+++ b/cherrycove/broker/warm_restart/__init__.py
@@ -1,7 +1,7 @@
-"""Warm restart: what a broker has learned about nodes and volumes, kept for its next process.
+"""Warm restart: a broker's next process restores what this one has learned about nodes and volumes.
 
-``snapshot`` converts it to plain rows and back (pure), ``snapshot_file`` holds them on disk, ``restore``
-connects both to the core, ``store`` reads and writes the file at its times. A broker without a usable
-snapshot starts as one that knows nothing; nothing here permits what a rule forbids, or touches a disk from
-the event loop.
+``snapshot`` converts this state to plain rows and back (pure), ``snapshot_file`` reads and writes the file,
+``restore`` takes snapshots of the core and restores them, and ``store`` schedules reading and writing. A
+broker without a usable snapshot starts without prior state. Nothing here permits what a rule forbids, or
+accesses a disk from the event loop.
 """
--- a/cherrycove/broker/warm_restart/restore.py
+++ b/cherrycove/broker/warm_restart/restore.py
@@ -1,4 +1,4 @@
-"""Takes a snapshot of the core, and restores one into it; reads the clocks that outlive a process."""
+"""Takes a snapshot of the core and restores one into it; reads the clocks that span processes."""
 
 from __future__ import annotations
 
@@ -22,35 +22,35 @@
     try:
         return Path(BOOT_ID).read_text(encoding="ascii").strip()
     except (OSError, ValueError):
-        return ""  # then the wall clock alone counts
+        return ""  # the age of a snapshot is then computed from the wall clock alone
 
 
 def moment() -> snapshot.Moment:
-    """Return the present moment on the clocks that outlive this process."""
+    """Return the current time on the clocks that span processes."""
     if not hasattr(time, "CLOCK_BOOTTIME"):
         return snapshot.Moment(time.time(), "", 0.0)
     return snapshot.Moment(time.time(), _boot_id(), time.clock_gettime(time.CLOCK_BOOTTIME))
 
 
 def take_snapshot(core: Core, broker: str, *, whole: bool) -> snapshot.Rows:
-    """Return what this process knows now; ``whole`` says that it will send nothing any more."""
+    """Return a snapshot of the core; ``whole`` states that this process will send no more requests."""
     now = asyncio.get_running_loop().time()
     return snapshot.pack(core.remember(), now, moment(), core.settings, broker, whole=whole)
 
 
 def restore_snapshot(core: Core, rows: Any, broker: str, source: str, *, sent_is_known: bool = False) -> None:
-    """Hand the scheduler what is usable of a snapshot.
+    """Pass the usable part of a snapshot to the scheduler.
 
     Args:
         core: the core whose scheduler receives it.
         rows: the snapshot.
         broker: this broker's name; a snapshot of another broker is unusable.
-        source: where it is from, for the log.
-        sent_is_known: whether the units sent to nodes in slow start were received elsewhere already. They
-            must not count twice.
+        source: where the snapshot comes from, for the log.
+        sent_is_known: whether the units sent to nodes in slow start have already been received by another
+            way; they must not count twice.
 
     Raises:
-        UnusableError: nothing of it is usable.
+        UnusableError: no part of the snapshot is usable.
     """
     now = asyncio.get_running_loop().time()
     restored = snapshot.unpack(rows, now, moment(), core.settings, broker)
--- a/cherrycove/broker/warm_restart/snapshot.py
+++ b/cherrycove/broker/warm_restart/snapshot.py
@@ -1,8 +1,9 @@
-"""Snapshots as plain rows, and how a later process reads them. Pure: no I/O and no clock.
+"""Codec of snapshots: the scheduler's restart state as plain rows. Pure: no I/O and no clock.
 
-Times are stored as ages at the moment of writing, so that no clock matters but the one that tells how long no
-process ran. What does not fit is rejected (another deployment, broker or form, a clock that was set back) or
-skipped by entry (malformed, too old); no figure is invented for one that is unusable.
+Times are stored as ages at the time of writing, so that the only clock that matters is the one that tells
+how long no process ran. A snapshot of another deployment, broker or row format is rejected as a whole, and so
+is one whose age is unknown because the clock was set back. Malformed and too old entries are skipped one by
+one. No value is made up in place of an unusable one.
 """
 
 from __future__ import annotations
@@ -16,38 +17,38 @@
 
 from cherrycove.scheduling.interface import NodeRestartState, RestartState, Settings, VolumeRestartState
 
-ROWS_FORMAT = 1  # of the rows; raised where a reader of the former could misread them
+ROWS_FORMAT = 1  # raised when a reader of the previous format could misread the rows
 MAX_NODES = 1024
 MAX_VOLUMES = 4096
 MAX_NAME_LENGTH = 128  # characters
-MAX_AGE_S = 60.0  # past which nothing that was learned of a node or a volume counts
-CLOCK_TOLERANCE_S = 1.0  # by which the wall clock may have been set back unnoticed
-NEVER = -1.0  # an age: it has not happened
+MAX_AGE_S = 60.0  # what was learned about a node or a volume is discarded beyond this age
+CLOCK_TOLERANCE_S = 1.0  # a wall clock set back by at most this counts as not set back
+NEVER = -1.0  # stored as the age of an event that has not happened
 Rows = dict[str, Any]
 Entry = TypeVar("Entry")
 
 
 class UnusableError(ValueError):
-    """A snapshot that cannot be used at all; the text says why."""
+    """A snapshot cannot be used at all; the message says why."""
 
 
 class _TooOldError(Exception):
-    """An entry older than ``MAX_AGE_S``."""
+    """An entry is older than ``MAX_AGE_S``."""
 
 
 @dataclass(frozen=True, slots=True)
 class Moment:
-    """One moment, on the clocks that outlive a process."""
+    """A point in time on the clocks that span processes."""
 
-    wall_s: float  # s, Unix
-    boot_id: str  # id of the machine's present run; "" if unknown
-    uptime_s: float  # s since the machine started
+    wall_s: float  # Unix time
+    boot_id: str  # of the machine's current boot; "" if unknown
+    uptime_s: float  # since the machine booted
 
     def since(self, before: Moment) -> float | None:
-        """Return the seconds from another moment to this one, or None if they cannot be known.
+        """Return the seconds from ``before`` to this moment, or None if they cannot be known.
 
-        Within one run of the machine its own clock counts, which nobody sets. Across runs the wall clock
-        does; if it says that this moment came first, it was set by an unknown amount.
+        Within one boot of the machine the boot clock is used, which cannot be set. Across boots the wall
+        clock is used; if by it this moment is the earlier one, it was set back by an unknown amount.
         """
         if self.boot_id and self.boot_id == before.boot_id:
             return max(self.uptime_s - before.uptime_s, 0.0)
@@ -56,15 +57,15 @@
 
 
 class Restored(NamedTuple):
-    """What is usable of a snapshot."""
+    """The usable part of a snapshot."""
 
     restart_state: RestartState
-    absence_s: float  # from the writing to the reading
-    skipped: Counter[str]  # entries that are not usable, by reason
+    absence_s: float  # time from writing to reading the snapshot
+    skipped: Counter[str]  # number of unusable entries, by reason
 
 
 def deployment(settings: Settings) -> str:
-    """Return an id of the deployment: of its names and sizes, not of targets that an operator may tune."""
+    """Return an id of the deployment: a hash of names and sizes, not of targets that operators may tune."""
     identity = (
         [each.name for each in settings.classes],
         [each.name for each in settings.plans],
@@ -78,10 +79,10 @@
 def pack(
     restart_state: RestartState, now: float, moment: Moment, settings: Settings, broker: str, *, whole: bool
 ) -> Rows:
-    """Return the rows of what the scheduler knew at ``now``, on the clock of its times.
+    """Return the rows of a snapshot; ``now`` is the current time on the clock of ``restart_state``.
 
-    The nodes and volumes that restrict most are kept if there are more than the limits allow. ``whole`` says
-    that nothing is sent any more.
+    If there are more nodes or volumes than the limits allow, those that restrict most are kept. ``whole``
+    states that no more requests will be sent.
     """
     known = [each for each in restart_state.nodes if each.last_served_at > -inf or each.failures or each.sent]
     known.sort(key=lambda each: (not each.failures, -each.last_served_at))
@@ -125,39 +126,43 @@
 
 
 def moment_of(rows: Mapping[str, Any]) -> Moment:
-    """Return when a snapshot was taken; UnusableError if it does not say so."""
+    """Return when a snapshot was taken; UnusableError if it holds no valid time."""
     wall, boot, up = rows.get("wall"), rows.get("boot"), rows.get("up")
-    has_boot = isinstance(boot, str) and len(boot) <= MAX_NAME_LENGTH
-    if not (_is_number(wall) and _is_number(up) and has_boot):
-        raise UnusableError("it does not say when it was written")
+    has_boot_id = isinstance(boot, str) and len(boot) <= MAX_NAME_LENGTH
+    if not (_is_number(wall) and _is_number(up) and has_boot_id):
+        raise UnusableError("the snapshot does not say when it was written")
     return Moment(float(wall), boot, float(up))  # type: ignore[arg-type]
 
 
 def unpack(rows: Any, now: float, moment: Moment, settings: Settings, broker: str) -> Restored:
-    """Return what is usable of a snapshot.
+    """Return the usable part of a snapshot.
 
     Args:
         rows: the snapshot, of unknown shape.
-        now: the present, on the clock of the times that the result is to have.
-        moment: the present, on the clocks that outlive a process.
-        settings: of this deployment; a snapshot of another one is unusable.
+        now: the current time, on the clock that the times in the result refer to.
+        moment: the current time, on the clocks that span processes.
+        settings: the settings of this deployment; a snapshot of another one is unusable.
         broker: this broker's name; a snapshot of another one is unusable.
 
     Raises:
-        UnusableError: none of it is usable.
+        UnusableError: no part of the snapshot is usable.
     """
     if not isinstance(rows, dict):
-        raise UnusableError("it holds no table")
+        raise UnusableError("the snapshot is not a map")
     if rows.get("form") != ROWS_FORMAT:
-        raise UnusableError(f"its form is {rows.get('form')!r}; this program reads {ROWS_FORMAT}")
+        raise UnusableError(
+            f"row format {rows.get('form')!r} is not supported; this program reads {ROWS_FORMAT}"
+        )
     if rows.get("deployment") != deployment(settings):
-        raise UnusableError("it is of another deployment")
+        raise UnusableError("the snapshot belongs to another deployment")
     if rows.get("broker") != broker:
-        raise UnusableError(f"it is of another broker, {str(rows.get('broker'))[:MAX_NAME_LENGTH]!r}")
+        raise UnusableError(
+            f"the snapshot belongs to another broker, {str(rows.get('broker'))[:MAX_NAME_LENGTH]!r}"
+        )
     absence_s, skipped = moment.since(moment_of(rows)), Counter[str]()
     budgets = _parse_budgets(rows.get("budgets"), settings, skipped)
     if absence_s is None:
-        raise UnusableError("the clock was set back: nobody can tell how old it is")
+        raise UnusableError("the wall clock was set back, so the age of the snapshot is unknown")
     written = now - absence_s
     nodes = _parse_each(rows.get("nodes"), MAX_NODES, skipped, lambda row: _parse_node(row, written, now))
     volumes = _parse_each(
@@ -187,44 +192,65 @@
 
 
 def _parse_node(row: Any, written: float, now: float) -> NodeRestartState:
-    """Return a node's entry; ValueError or TypeError if it is malformed, _TooOldError."""
-    (name, has_start, ago, service, heard, threshold, overload, failures, rests, slot, sent, last) = row
+    """Return a node's entry.
+
+    Raises ValueError or TypeError if the row is malformed, _TooOldError if it is too old to be used.
+    """
+    (
+        name,
+        has_start,
+        age,
+        latency,
+        served_age,
+        threshold,
+        overload,
+        failures,
+        backoff,
+        slot,
+        sent,
+        sent_age,
+    ) = row
     has_types = type(has_start) is bool and type(overload) is bool and type(slot) is type(failures) is int
-    amounts = (ago, service, threshold, failures, rests, sent)
+    amounts = (age, latency, threshold, failures, backoff, sent)
     has_amounts = all(_is_number(each, 0.0) for each in amounts)
-    if not (_is_name(name) and has_types and has_amounts and _is_age(heard) and _is_age(last)):
-        raise ValueError("a node's row")
-    if now - written + max(heard, 0.0) > MAX_AGE_S:
+    if not (_is_name(name) and has_types and has_amounts and _is_age(served_age) and _is_age(sent_age)):
+        raise ValueError("malformed row of a node")
+    if now - written + max(served_age, 0.0) > MAX_AGE_S:
         raise _TooOldError
     return NodeRestartState(
         name,
-        written - ago if has_start else None,
-        service,
-        _when(heard, written),
+        written - age if has_start else None,
+        latency,
+        _time_of(served_age, written),
         max(threshold, 1.0),
         overload,
         failures,
-        written + rests,
+        written + backoff,
         slot,
         sent,
-        _when(last, written),
+        _time_of(sent_age, written),
     )
 
 
 def _parse_volume(row: Any, written: float, now: float) -> VolumeRestartState:
-    """Return a volume's entry; ValueError or TypeError if it is malformed, _TooOldError."""
-    name, credits, at, beyond = row
-    if not (_is_name(name) and _is_number(credits) and _is_number(at, 0.0) and _is_age(beyond)):
-        raise ValueError("a volume's row")
-    if now - written + at > MAX_AGE_S:
+    """Return a volume's entry.
+
+    Raises ValueError or TypeError if the row is malformed, _TooOldError if it is too old to be used.
+    """
+    name, credits, refill_age, over_reserve_age = row
+    if not (
+        _is_name(name) and _is_number(credits) and _is_number(refill_age, 0.0) and _is_age(over_reserve_age)
+    ):
+        raise ValueError("malformed row of a volume")
+    if now - written + refill_age > MAX_AGE_S:
         raise _TooOldError
-    return VolumeRestartState(name, credits, written - at, _when(beyond, written))
+    return VolumeRestartState(name, credits, written - refill_age, _time_of(over_reserve_age, written))
 
 
 def _parse_budgets(raw: Any, settings: Settings, skipped: Counter[str]) -> dict[int, float]:
-    """Return the longest budget seen of each class; they hold no time and do not age.
+    """Return the longest budget seen of each class; budgets contain no point in time and do not expire.
 
-    One that is longer than its class allows would make all others late retries.
+    A budget longer than its class allows is rejected: it would make all other requests count as late retries.
     """
     found: dict[int, float] = {}
     for index, cls in enumerate(settings.classes):
@@ -238,10 +264,10 @@
     return found
 
 
-def _is_number(value: Any, least: float = -inf) -> bool:
+def _is_number(value: Any, minimum: float = -inf) -> bool:
     try:
-        return type(value) in (int, float) and isfinite(value) and value >= least
-    except OverflowError:  # an integer greater than all floats
+        return type(value) in (int, float) and isfinite(value) and value >= minimum
+    except OverflowError:  # an integer beyond the range of floats
         return False
 
 
@@ -253,5 +279,5 @@
     return isinstance(value, str) and 0 < len(value) <= MAX_NAME_LENGTH
 
 
-def _when(age: float, written: float) -> float:
+def _time_of(age: float, written: float) -> float:
     return written - age if age >= 0 else -inf
--- a/cherrycove/broker/warm_restart/snapshot_file.py
+++ b/cherrycove/broker/warm_restart/snapshot_file.py
@@ -1,9 +1,10 @@
-"""The snapshot file: written completely or not at all, and used only if its checksum is right.
+"""The snapshot file: replaced atomically, and used only if its checksum is right.
 
     magic:8 format:u16 reserved:u16 length:u32 checksum:16 body
 
-Integers in network order. The body is MessagePack, the checksum BLAKE2b of it and of what precedes the
-checksum. All functions that touch the disk block; they must not be called from the event loop.
+Integers are in network byte order. The body is MessagePack; the checksum is BLAKE2b over the header (all
+fields before the checksum) and the body. All functions that access the disk block; they must not be called
+from the event loop.
 """
 
 from __future__ import annotations
@@ -22,110 +23,118 @@
 from cherrycove.broker.warm_restart.snapshot import UnusableError
 
 MAGIC = b"ccmemory"
-FILE_FORMAT = 1  # of the frame
-HEAD = struct.Struct(">8sHHI")
+FILE_FORMAT = 1  # of header and checksum; the format of the body is snapshot.ROWS_FORMAT
+HEADER = struct.Struct(">8sHHI")
 CHECKSUM_BYTES = 16
 MAX_BYTES = 1 << 20
 
 
-def path(folder: str | os.PathLike[str], broker: str) -> Path:
+def path(directory: str | os.PathLike[str], broker: str) -> Path:
     """Return the path of a broker's snapshot file."""
-    return Path(folder) / f"{quote(broker, safe='')}.memory"
+    return Path(directory) / f"{quote(broker, safe='')}.memory"
 
 
 def frame(rows: Any) -> bytes:
-    """Return the file's bytes; UnusableError if they would be more than ``MAX_BYTES``."""
+    """Return the file's bytes; UnusableError if there would be more than ``MAX_BYTES``."""
     body: bytes = msgpack.packb(rows)
-    if len(body) > MAX_BYTES - HEAD.size - CHECKSUM_BYTES:
-        raise UnusableError(f"it would hold {len(body)} bytes, of which {MAX_BYTES} may be")
-    head = HEAD.pack(MAGIC, FILE_FORMAT, 0, len(body))
-    return head + _checksum(head, body) + body
+    if len(body) > MAX_BYTES - HEADER.size - CHECKSUM_BYTES:
+        raise UnusableError(f"the body would hold {len(body)} bytes; the whole file may hold {MAX_BYTES}")
+    header = HEADER.pack(MAGIC, FILE_FORMAT, 0, len(body))
+    return header + _checksum(header, body) + body
 
 
 def parse(data: bytes) -> Any:
-    """Return the rows in a file's bytes; UnusableError says what is wrong with them."""
-    if len(data) < HEAD.size + CHECKSUM_BYTES:
-        raise UnusableError("it is cut short")
-    magic, form, _, length = HEAD.unpack_from(data)
+    """Return the rows that a file's bytes contain; UnusableError if they are damaged or of another format."""
+    if len(data) < HEADER.size + CHECKSUM_BYTES:
+        raise UnusableError(
+            f"the file is truncated: it holds {len(data)} bytes, less than a header and checksum"
+        )
+    magic, file_format, _, length = HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise UnusableError("it is no memory of this program")
-    if form != FILE_FORMAT:
-        raise UnusableError(f"its format is {form}; this program reads {FILE_FORMAT}")
-    checksum, body = data[HEAD.size : HEAD.size + CHECKSUM_BYTES], data[HEAD.size + CHECKSUM_BYTES :]
+        raise UnusableError("not a snapshot file: the magic bytes differ")
+    if file_format != FILE_FORMAT:
+        raise UnusableError(f"file format {file_format} is not supported; this program reads {FILE_FORMAT}")
+    checksum, body = data[HEADER.size : HEADER.size + CHECKSUM_BYTES], data[HEADER.size + CHECKSUM_BYTES :]
     if len(body) != length:
-        raise UnusableError("it is cut short" if len(body) < length else "something stands behind its end")
-    if checksum != _checksum(data[: HEAD.size], body):
-        raise UnusableError("its checksum does not hold")
+        raise UnusableError(
+            "the file is truncated" if len(body) < length else "data follows the end of the body"
+        )
+    if checksum != _checksum(data[: HEADER.size], body):
+        raise UnusableError("the checksum does not match")
     try:
         return msgpack.unpackb(body, strict_map_key=True)
     except (ValueError, RecursionError, msgpack.UnpackException) as error:
-        raise UnusableError(f"it cannot be read: {error}") from error
+        raise UnusableError(f"the body cannot be decoded: {error}") from error
 
 
-def _checksum(head: bytes, body: bytes) -> bytes:
-    return hashlib.blake2b(head + body, digest_size=CHECKSUM_BYTES).digest()
+def _checksum(header: bytes, body: bytes) -> bytes:
+    return hashlib.blake2b(header + body, digest_size=CHECKSUM_BYTES).digest()
 
 
-def read(where: Path) -> Any:
+def read(file_path: Path) -> Any:
     """Return the rows of a file.
 
-    Opened without blocking: what lies under the name may be a pipe or a device.
+    The file is opened without blocking, because the path may lead to a pipe or a device.
 
     Raises:
-        FileNotFoundError: there is none.
-        OSError: it cannot be read.
-        UnusableError: its content cannot be used.
+        FileNotFoundError: the file does not exist.
+        OSError: the file cannot be read.
+        UnusableError: the path leads to no regular file, or the content cannot be used.
     """
-    descriptor = os.open(where, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
+    descriptor = os.open(file_path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
     try:
         if not stat.S_ISREG(os.fstat(descriptor).st_mode):
-            raise UnusableError("it is no file")
+            raise UnusableError("not a regular file")
         data = b""
         while len(data) <= MAX_BYTES and (chunk := os.read(descriptor, MAX_BYTES + 1 - len(data))):
             data += chunk
     finally:
         os.close(descriptor)
     if len(data) > MAX_BYTES:
-        raise UnusableError(f"it holds more than {MAX_BYTES} bytes")
+        raise UnusableError(f"the file holds more than {MAX_BYTES} bytes")
     return parse(data)
 
 
-def write(where: Path, data: bytes) -> None:
-    """Replace the file; OSError leaves the former one untouched.
+def write(file_path: Path, data: bytes) -> None:
+    """Replace the file atomically.
 
-    Without the first fsync a crash may leave the new name on a file without its bytes, without the second the
-    old name. A failed fsync is a failed write: what it did not store is not written by another fsync.
+    Without the fsync of the file, a crash could leave the new directory entry with a file that lacks its
+    bytes; without the fsync of the directory, it could leave the old entry. A failed fsync counts as a failed
+    write: a second fsync would not write the data that the first did not store.
+
+    Raises:
+        OSError: the write failed. The previous file remains, unless only the directory could not be synced.
     """
-    fresh = where.with_name(f".{where.name}.{os.getpid()}")
+    temporary = file_path.with_name(f".{file_path.name}.{os.getpid()}")
     try:
-        _write_synced(fresh, data)
-        os.replace(fresh, where)
+        _write_synced(temporary, data)
+        os.replace(temporary, file_path)
     except OSError:
         with contextlib.suppress(OSError):
-            os.unlink(fresh)
+            os.unlink(temporary)
         raise
-    folder = os.open(where.parent, os.O_RDONLY | os.O_DIRECTORY)
+    directory = os.open(file_path.parent, os.O_RDONLY | os.O_DIRECTORY)
     try:
-        os.fsync(folder)
+        os.fsync(directory)
     finally:
-        os.close(folder)
+        os.close(directory)
 
 
-def _write_synced(fresh: Path, data: bytes) -> None:
-    descriptor = os.open(fresh, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
+def _write_synced(temporary: Path, data: bytes) -> None:
+    descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
     try:
         remaining = memoryview(data)
-        while remaining:  # a short write is no error to the system
+        while remaining:  # os.write may write fewer bytes without an error
             remaining = remaining[os.write(descriptor, remaining) :]
         os.fsync(descriptor)
     finally:
         os.close(descriptor)
 
 
-def delete(where: Path) -> bool:
-    """Delete the file and its temporary files; return whether there was any."""
+def delete(file_path: Path) -> bool:
+    """Delete the file and its temporary files; return whether any of them existed."""
     found = False
-    for each in (where, *where.parent.glob(f".{where.name}.*")):
+    for each in (file_path, *file_path.parent.glob(f".{file_path.name}.*")):
         with contextlib.suppress(FileNotFoundError):
             os.unlink(each)
             found = True
--- a/cherrycove/broker/warm_restart/store.py
+++ b/cherrycove/broker/warm_restart/store.py
@@ -1,4 +1,4 @@
-"""Reads and writes the snapshot file at its times, on threads of its own."""
+"""Reads the snapshot file at the start and writes it periodically, on separate threads."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 
 log = Log("cherrycove.memory")
 
-READ_TIMEOUT_S = 0.5  # that a start waits for the file
-LAST_WRITE_TIMEOUT_S = 0.5  # that a shutdown waits for its last write
-NO_ANSWER = "the disk does not answer"
+READ_TIMEOUT_S = 0.5  # how long the start waits for the file
+LAST_WRITE_TIMEOUT_S = 0.5  # how long a shutdown waits for its last write
+TIMED_OUT = "the disk did not respond in time"
 Result = TypeVar("Result")
 
 
 async def run_in_thread(work: Callable[[], Result], timeout_s: float | None) -> Result:
-    """Run ``work`` on a thread of its own and return its result.
+    """Run ``work`` on a new thread and return its result.
 
-    A disk that hangs occupies its thread for good. The threads of a pool are waited for as the process ends,
-    a daemon thread is not.
+    A hanging disk blocks its thread forever. The exit of the process waits for the threads of a pool, but not
+    for a daemon thread.
 
     Raises:
-        TimeoutError: ``timeout_s`` has passed; the thread goes on alone.
+        TimeoutError: ``timeout_s`` has passed; the thread continues on its own.
         OSError: no thread can be started.
-        Exception: whatever ``work`` raises.
+        Exception: any exception that ``work`` raises.
     """
     loop = asyncio.get_running_loop()
     done: asyncio.Future[Result] = loop.create_future()
@@ -46,10 +46,10 @@
             done.set_exception(error)
 
     def run() -> None:
-        with contextlib.suppress(RuntimeError):  # the loop has ended meanwhile
+        with contextlib.suppress(RuntimeError):  # the event loop has been closed meanwhile
             try:
                 value = work()
-            except Exception as error:  # noqa: BLE001  # the top of a thread: the caller receives it
+            except Exception as error:  # noqa: BLE001  # passed on to the caller
                 loop.call_soon_threadsafe(set_exception, error)
             else:
                 loop.call_soon_threadsafe(set_result, value)
@@ -63,30 +63,29 @@
 
 
 class SnapshotStore:
-    """The snapshot file of one broker. The broker's process owns it.
+    """Loads and saves the snapshot file of one broker. The broker's process owns it.
 
-    At most one write is pending: one that hangs is waited for, however long, since a second would hang beside
-    it.
+    Periodic writes have no time limit and never overlap: if one hangs, a second one would hang as well.
 
     Args:
-        core: whose knowledge is stored.
-        folder: of the file.
-        interval_s: between two writes.
+        core: the core whose restart state is stored.
+        directory: the directory of the file.
+        interval_s: the time between two writes.
         broker: the broker's name.
-        is_writer: whether this process, of two, is the one that writes.
+        is_writer: returns whether this process writes the file, while two processes of the broker run.
     """
 
     def __init__(
-        self, core: Core, folder: str, interval_s: float, broker: str, is_writer: Callable[[], bool]
+        self, core: Core, directory: str, interval_s: float, broker: str, is_writer: Callable[[], bool]
     ) -> None:
         self._core, self._interval_s, self._broker, self._is_writer = core, interval_s, broker, is_writer
-        self._path = snapshot_file.path(folder, broker)
+        self._path = snapshot_file.path(directory, broker)
         self._writing = threading.Lock()
         self._is_failing = False
         self.counts: Counter[str] = Counter()
 
     async def load(self) -> bool:
-        """Restore what an earlier process left; return whether there was anything usable."""
+        """Restore the snapshot of an earlier process; return whether a usable one was found."""
         try:
             rows = await run_in_thread(self._read, READ_TIMEOUT_S)
             restore_snapshot(self._core, rows, self._broker, "file")
@@ -95,14 +94,14 @@
             log.info("memory.none", path=self._path)
         except (OSError, TimeoutError, snapshot.UnusableError) as error:
             self.counts["unusable"] += 1
-            log.warning("memory.unusable", source="file", why=str(error) or NO_ANSWER)
+            log.warning("memory.unusable", source="file", why=str(error) or TIMED_OUT)
         return False
 
     def _read(self) -> object:
-        """Read the rows, and mark the file as one of a process that went on.
+        """Return the rows of the file, and mark the file itself as not ``whole``.
 
-        A process that is killed before its first write has sent something. The next one would read from an
-        unmarked file that nothing was sent since.
+        A process that is killed before its first write may have sent requests. Without the mark, the next
+        process would conclude from the old file that nothing has been sent since.
         """
         rows = snapshot_file.read(self._path)
         if isinstance(rows, dict) and rows.get("whole"):
@@ -110,35 +109,36 @@
         return rows
 
     async def write_periodically(self) -> None:
-        """Write the file at each interval, without end."""
-        await self._remove_leftovers()
+        """Write the file after each interval, until cancelled."""
+        await self._remove_temporary_files()
         while True:
             await asyncio.sleep(self._interval_s)
             if self._is_writer():
                 await self.save()
 
-    async def _remove_leftovers(self) -> None:
-        """Remove the temporary files of processes that were killed as they wrote; each leaves one."""
+    async def _remove_temporary_files(self) -> None:
+        """Remove the temporary files of processes that were killed while writing; each leaves one."""
 
         def remove() -> None:
             for each in self._path.parent.glob(f".{self._path.name}.*"):
                 if each.name.rpartition(".")[2] != str(os.getpid()):
                     each.unlink(missing_ok=True)
 
-        # An error here is reported by the writes that follow.
+        # The writes that follow report an error.
         with contextlib.suppress(OSError, TimeoutError):
             if self._is_writer():
                 await run_in_thread(remove, READ_TIMEOUT_S)
 
     async def save(self, *, whole: bool = False, timeout_s: float | None = None) -> bool:
-        """Write the file once; return whether it is written.
+        """Write the file once; return whether that succeeded.
 
-        A failure is logged when it begins and when it is over. ``whole`` says that nothing is sent any more.
+        Of consecutive failures only the first is logged, and then the first success. ``whole`` states that no
+        more requests will be sent.
         """
         rows = take_snapshot(self._core, self._broker, whole=whole)
 
         def write() -> None:
-            with self._writing:  # the last write of a process must not be undone by the one before it
+            with self._writing:  # an earlier write must not overwrite the last write of a process
                 snapshot_file.write(self._path, snapshot_file.frame(rows))
 
         try:
@@ -146,7 +146,7 @@
         except (OSError, TimeoutError, snapshot.UnusableError) as error:
             self.counts["not_written"] += 1
             if not self._is_failing:
-                log.error("memory.not_written", path=self._path, why=str(error) or NO_ANSWER)
+                log.error("memory.not_written", path=self._path, why=str(error) or TIMED_OUT)
             self._is_failing = True
             return False
         if self._is_failing:
@@ -156,7 +156,7 @@
         return True
 
     async def close(self) -> None:
-        """Write the last time, once nothing is sent any more, if this process is the writer."""
+        """Write the file a last time, when no more requests are sent, if this process is the writer."""
         if self._is_writer():
             await self.save(whole=True, timeout_s=LAST_WRITE_TIMEOUT_S)
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line against a broker in service: words, exit codes, JSON, reports, traces."""
+"""The command line against a running broker: output, exit codes, JSON, reports, traces."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 EXAMPLE = str(ROOT / "examples/config.json")
 
 
-class Desk:
-    """A broker's operators' address with a record behind it; commands run on a thread, as a shell's would."""
+class OperatorsAddress:
+    """A broker's operators' address with a decision log; commands run on another thread, as from a shell."""
 
-    async def __aenter__(self) -> Desk:
+    async def __aenter__(self) -> OperatorsAddress:
         self.world = await World(await Node("ok", "500").start()).__aenter__()
-        self.book = self.world.core.recorder = DecisionLog(PLATFORM.settings, SKETCHED, 0.0)
-        self.desk = admin.AdminServer(self._answer)
-        self.place = f"127.0.0.1:{await self.desk.listen('127.0.0.1', 0)}"
+        self.decision_log = self.world.core.recorder = DecisionLog(PLATFORM.settings, SKETCHED, 0.0)
+        self.server = admin.AdminServer(self._answer)
+        self.address = f"127.0.0.1:{await self.server.listen('127.0.0.1', 0)}"
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        await self.desk.close()
+        await self.server.close()
         await self.world.__aexit__()
 
     async def _answer(self, asked: admin.Call) -> str:
@@ -50,38 +50,38 @@
         except ask.AskError as error:
             return f"NO {error}\nEND"
         now = asyncio.get_running_loop().time
-        return "\n".join([*await ask.answer(question, self.book, now, self.world.core.find), "END"])
+        return "\n".join([*await ask.answer(question, self.decision_log, now, self.world.core.find), "END"])
 
     async def command(self, *words: str) -> click.testing.Result:
         return await asyncio.to_thread(
-            click.testing.CliRunner().invoke, main, [*words, "--admin", self.place]
+            click.testing.CliRunner().invoke, main, [*words, "--admin", self.address]
         )
 
 
-def test_staff_ask_a_broker_in_service() -> None:
-    async def tale() -> None:
-        async with Desk() as desk:
-            await desk.world.ask(id="a1")
-            await desk.world.ask(id="b2", cls="claim-write", method="PUT", body=b"x")
-            found = await desk.command("why", "b2")
-            assert found.exit_code == 0 and "may have run" in found.output and "node error" in found.output
-            lost = await desk.command("why", "c3")
-            assert lost.exit_code == 1 and lost.output.startswith("NO ")
-            rows = await desk.command("why", "--only", "served", "--since", "1m", "--json")
-            told = [json.loads(line) for line in rows.output.splitlines() if line.startswith("{")]
-            assert [row["id"] for row in told] == ["a1"] and told[0]["attempts"][0]["ending"] == "served"
-            assert json.loads((await desk.command("stats", "--json")).output)["passed"]["claim-read"] == 1
-            assert "claim-write=1" in (await desk.command("stats")).output
-            assert (await desk.command("why", "--summary")).output.startswith("YES")
-            assert (await desk.command("maint", "on", "d0")).output == "NO maint-on d0\n"
-            assert (await desk.command("status")).exit_code == 1
+def test_operators_query_a_running_broker() -> None:
+    async def scenario() -> None:
+        async with OperatorsAddress() as broker:
+            await broker.world.ask(id="a1")
+            await broker.world.ask(id="b2", cls="claim-write", method="PUT", body=b"x")
+            known = await broker.command("why", "b2")
+            assert known.exit_code == 0 and "may have run" in known.output and "node error" in known.output
+            unknown = await broker.command("why", "c3")
+            assert unknown.exit_code == 1 and unknown.output.startswith("NO ")
+            rows = await broker.command("why", "--only", "served", "--since", "1m", "--json")
+            found = [json.loads(line) for line in rows.output.splitlines() if line.startswith("{")]
+            assert [row["id"] for row in found] == ["a1"] and found[0]["attempts"][0]["ending"] == "served"
+            assert json.loads((await broker.command("stats", "--json")).output)["passed"]["claim-read"] == 1
+            assert "claim-write=1" in (await broker.command("stats")).output
+            assert (await broker.command("why", "--summary")).output.startswith("YES")
+            assert (await broker.command("maint", "on", "d0")).output == "NO maint-on d0\n"
+            assert (await broker.command("status")).exit_code == 1
             for wrong in (["why", "--since", "x"], ["why", "report"], ["why", "a b"], ["nothing"]):
-                assert (await desk.command(*wrong)).exit_code in (1, 2), wrong
+                assert (await broker.command(*wrong)).exit_code in (1, 2), wrong
 
-    run(tale())
+    run(scenario())
 
 
-def test_nobody_there_and_a_wrong_address_have_codes_of_their_own(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_answer_and_an_invalid_address_have_different_exit_codes(monkeypatch: pytest.MonkeyPatch) -> None:
     for name in ("RELAY_ADMIN", "RELAY_CONFIG"):
         monkeypatch.delenv(name, raising=False)
     runner = click.testing.CliRunner()
@@ -92,12 +92,12 @@
     assert runner.invoke(main, ["status"]).exit_code == 3
 
 
-def test_check_config_says_what_is_on_or_names_file_key_and_reason(tmp_path: Path) -> None:
+def test_check_config_prints_what_is_enabled_or_the_invalid_file_and_key(tmp_path: Path) -> None:
     runner, path = click.testing.CliRunner(), tmp_path / "operator.toml"
     path.write_text('[why]\nenabled = true\nbytes = 1048576\n[log]\nform = "json"\n')
-    told = runner.invoke(main, ["check-config", "--platform", EXAMPLE, "--operator", str(path), "--json"])
-    assert told.exit_code == 0 and json.loads(told.output)["on"] == ["why"]
-    assert json.loads(told.output)["log"] == "json"
+    valid = runner.invoke(main, ["check-config", "--platform", EXAMPLE, "--operator", str(path), "--json"])
+    assert valid.exit_code == 0 and json.loads(valid.output)["on"] == ["why"]
+    assert json.loads(valid.output)["log"] == "json"
     for text, key in (
         ("[why]\nenabled = true\nbytes = 5\n", "why.bytes"),
         ("[log]\nform = 'x'\n", "log.form"),
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("shell", ["bash", "zsh", "fish"])
-def test_shells_complete_the_sub_commands(shell: str) -> None:
+def test_completion_prints_a_script_for_each_shell(shell: str) -> None:
     runner = click.testing.CliRunner()
     assert "_CHERRYCOVE_COMPLETE" in runner.invoke(main, ["completion", shell]).output
 
@@ -126,32 +126,32 @@
         assert isinstance(error, ValueError), error
 
 
-@pytest.mark.parametrize("said", [b"", b"YES"])
-def test_an_answer_that_is_none_is_told_so(said: bytes) -> None:
-    async def tale() -> None:
+@pytest.mark.parametrize("response", [b"", b"YES"])
+def test_call_returns_an_unterminated_response_but_raises_on_an_empty_one(response: bytes) -> None:
+    async def scenario() -> None:
         async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readline()
-            writer.write(said)
+            writer.write(response)
             writer.close()
 
         server = await asyncio.start_server(answer, "127.0.0.1", 0)
-        place = server.sockets[0].getsockname()[:2]
-        if said:
-            assert await asyncio.to_thread(call, place, "status") == ["YES"]
+        address = server.sockets[0].getsockname()[:2]
+        if response:
+            assert await asyncio.to_thread(call, address, "status") == ["YES"]
         else:
             with pytest.raises(CallError):
-                await asyncio.to_thread(call, place, "status")
+                await asyncio.to_thread(call, address, "status")
         for line in ("a\nb", "\u00e9"):
             with pytest.raises(ValueError):
-                call(place, line)
+                call(address, line)
 
-    run(tale())
+    run(scenario())
 
 
-def test_the_report_escapes_what_clients_named(tmp_path: Path) -> None:
-    book = DecisionLog(PLATFORM.settings, SKETCHED, 0.0)
+def test_report_escapes_names_that_clients_choose(tmp_path: Path) -> None:
+    decision_log = DecisionLog(PLATFORM.settings, SKETCHED, 0.0)
     for number in range(40):
-        book.add(
+        decision_log.add(
             story(
                 "<script>alert(1)</script>" if number % 2 else f"r{number}",
                 10.0 + number * 3,
@@ -160,16 +160,16 @@
             )
         )
 
-    def asked(line: str) -> list[str]:
+    def query(line: str) -> list[str]:
         question = ask.parse(line.split()[1:])
-        return run(ask.answer(question, book, lambda: 140.0, lambda _: []))  # type: ignore[no-any-return]
+        return run(ask.answer(question, decision_log, lambda: 140.0, lambda _: []))  # type: ignore[no-any-return]
 
-    path = report.write(tmp_path / "out", asked, "1h")
+    path = report.write(tmp_path / "out", query, "1h")
     page = path.read_text()
     assert "&lt;script&gt;" in page and "<script>" not in page and "<b>" not in page
     for plot in ("refusals.svg", "latency.svg"):
-        drawn = (path.parent / plot).read_text()
-        assert "<svg" in drawn and "<script" not in drawn
+        svg = (path.parent / plot).read_text()
+        assert "<svg" in svg and "<script" not in svg
     with pytest.raises(report.ReportError):
         report.write(tmp_path / "none", lambda line: ["NO there is no record"], "1h")
 
@@ -177,7 +177,7 @@
 # Traces.
 
 
-def test_a_trace_holds_the_tree_of_attempts_in_the_published_form(tmp_path: Path) -> None:
+def test_trace_holds_the_tree_of_attempts_in_the_published_format(tmp_path: Path) -> None:
     path = tmp_path / "traces.jsonl"
     tracer = spans.Tracer(PLATFORM.settings, path, spans.Sampler(0.0, 5.0, 1), "n0")
     failed = story(
@@ -212,26 +212,26 @@
     )
     assert int(root["startTimeUnixNano"]) <= int(children[0]["startTimeUnixNano"])
     assert int(children[1]["endTimeUnixNano"]) <= int(root["endTimeUnixNano"])
-    told = {each["key"]: each["value"] for each in children[1]["attributes"]}
-    assert told["cherrycove.ending"] == {"stringValue": "broken"}
+    attributes = {each["key"]: each["value"] for each in children[1]["attributes"]}
+    assert attributes["cherrycove.ending"] == {"stringValue": "broken"}
 
 
-def test_refusals_are_traced_up_to_the_rate_and_the_others_in_part() -> None:
+def test_refusals_are_traced_up_to_the_rate_and_served_requests_by_sampling() -> None:
     sampler = spans.Sampler(0.1, 3.0, 7)
-    refused = [sampler.chosen(story(f"r{n}", 10.0 + n / 100)) for n in range(200)]  # 100 a second for 2 s
+    refused = [sampler.chosen(story(f"r{n}", 10.0 + n / 100)) for n in range(200)]  # 100 per second for 2 s
     assert 3 <= sum(refused) <= 3 + 3 * 2 + 1 and sampler.passed_over == 200 - sum(refused)
     served = sum(sampler.chosen(story(f"s{n}", 20.0, "served")) for n in range(2000))
     assert 150 <= served <= 250  # a fixed seed
 
 
-def test_a_file_that_cannot_be_written_is_said_once_and_costs_traces_alone(
+def test_failing_trace_file_is_logged_once_and_loses_only_traces(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    said: list[str] = []
-    monkeypatch.setattr(events.Log, "warning", lambda self, event, **fields: said.append(event))
-    tracer = spans.Tracer(PLATFORM.settings, tmp_path, spans.Sampler(1.0, 50.0, 1), "n0")  # a folder
+    logged: list[str] = []
+    monkeypatch.setattr(events.Log, "warning", lambda self, event, **fields: logged.append(event))
+    tracer = spans.Tracer(PLATFORM.settings, tmp_path, spans.Sampler(1.0, 50.0, 1), "n0")  # a directory
     for number in range(2):
         tracer.tell(story(f"r{number}", 10.0))
         tracer._provider.force_flush()
     tracer.close()
-    assert said == ["why.spans_not_written"] and tracer.lines.dropped == 2
+    assert logged == ["why.spans_not_written"] and tracer.lines.dropped == 2
--- a/tests/test_fleet_room.py
+++ b/tests/test_fleet_room.py
@@ -1,4 +1,7 @@
-"""Room on cold nodes that hosts lend each other: never more than one bears, whatever is lost or doubled."""
+"""Capacity of nodes in slow start that brokers lend each other: rules, datagrams and sockets.
+
+The loans never exceed a node's capacity, also if datagrams are lost or duplicated.
+"""
 
 from __future__ import annotations
 
@@ -43,26 +46,28 @@
 
 @fuzz
 @given(st.integers(0, 1 << 32))
-def test_what_is_lent_never_passes_what_the_node_bears(seed: int) -> None:
-    """Random asks over a node's whole warming, with the lender killed and started anew at random: in each
-    window of the rule, what may be used of all loans stays within the part that is lent."""
-    dice = random.Random(seed)
+def test_loans_never_exceed_the_lent_fraction_of_a_nodes_capacity(seed: int) -> None:
+    """Loans are requested at random times in a node's slow start; the lender is restarted at random times.
+
+    In each window of the limit, the loans that may be used stay within the fraction that is lent.
+    """
+    rng = random.Random(seed)
     number = lender_of(NODE, 5)
-    books, started, loans = Lender(SETTINGS, number, -100.0), 0.0, list[tuple[float, float]]()
-    books.set_nodes([(NODE, started)])
+    lender, started, loans = Lender(SETTINGS, number, -100.0), 0.0, list[tuple[float, float]]()
+    lender.set_nodes([(NODE, started)])
     now = 0.0
     while now < 25.0:
-        now += dice.expovariate(8.0)
-        if dice.random() < 0.01:
-            books = Lender(SETTINGS, number, now)
-            books.set_nodes([(NODE, started)])
-        units, wait = books.lend(NODE, dice.choice([0.5, 1.0, 2.0, 8.0]), now)
+        now += rng.expovariate(8.0)
+        if rng.random() < 0.01:
+            lender = Lender(SETTINGS, number, now)
+            lender.set_nodes([(NODE, started)])
+        units, wait = lender.lend(NODE, rng.choice([0.5, 1.0, 2.0, 8.0]), now)
         assert wait >= 0 and (units > 0) != (wait > 0)
         if units:
             loans.append((now, units))
     assert loans
     for begin, _ in loans:
-        # A loan of t may be used until t + LOAN_VALID_S: these may all be used in one window of the rule.
+        # A loan granted at t may be used until t + LOAN_VALID_S: these may all be used in one window.
         window = begin + LOAN_VALID_S
         used = sum(units for at, units in loans if begin <= at <= window + SETTINGS.fall_window)
         assert (
@@ -70,42 +75,42 @@
             <= LENT_FRACTION * guaranteed_capacity(SETTINGS, window + SETTINGS.fall_window - started) + 1e-9
         )
         growth = 1 + (1 / 0.18 - 1) * min(max(begin - started, 0.0) / 17.0, 1.0)
-        assert used <= LENT_FRACTION * 4.0 * growth + 1e-6  # of what it bore when the window began
+        assert used <= LENT_FRACTION * 4.0 * growth + 1e-6  # the capacity when the window began
 
 
-def test_a_lender_lends_nothing_of_nodes_that_are_not_its_own_or_not_cold_or_right_after_its_start() -> None:
+def test_lender_lends_nothing_of_nodes_of_other_lenders_or_unlisted_nodes_or_right_after_its_start() -> None:
     number = lender_of(NODE, 5)
-    other, fresh = Lender(SETTINGS, (number + 1) % 5, 0.0), Lender(SETTINGS, number, 10.0)
-    for each in (other, fresh):
+    other, restarted = Lender(SETTINGS, (number + 1) % 5, 0.0), Lender(SETTINGS, number, 10.0)
+    for each in (other, restarted):
         each.set_nodes([(NODE, 5.0)])
-    assert other.lend(NODE, 1.0, 50.0)[0] == 0.0  # two lenders would lend it twice
-    assert fresh.lend(NODE, 1.0, 13.0)[0] == 0.0  # a former life's loans may still be used
-    assert fresh.lend(NODE, 1.0, 13.6) == (1.0, 0.0)
-    assert fresh.lend(node_key("s-2", 0.0), 1.0, 13.6)[0] == 0.0
-    fresh.set_nodes([])
-    assert fresh.lend(NODE, 1.0, 60.0)[0] == 0.0
+    assert other.lend(NODE, 1.0, 50.0)[0] == 0.0  # two lenders would lend the same capacity twice
+    assert restarted.lend(NODE, 1.0, 13.0)[0] == 0.0  # loans of an earlier process may still be used
+    assert restarted.lend(NODE, 1.0, 13.6) == (1.0, 0.0)
+    assert restarted.lend(node_key("s-2", 0.0), 1.0, 13.6)[0] == 0.0
+    restarted.set_nodes([])
+    assert restarted.lend(NODE, 1.0, 60.0)[0] == 0.0
 
 
-def test_an_answer_counts_once_and_only_from_the_host_that_was_asked() -> None:
+def test_answer_is_accepted_once_and_only_from_the_lender_that_was_asked() -> None:
     borrower = Borrower(5)
-    whom, serial = borrower.begin_request(NODE, 0.0) or pytest.fail()
-    assert borrower.begin_request(NODE, 0.1) is None  # the first has not been answered
-    assert borrower.accept_answer(whom + 1, serial, 0.0, 0.1) is None
-    assert borrower.accept_answer(whom, serial, 0.0, 0.1) == (NODE, pytest.approx(LOAN_VALID_S - 0.1))
-    assert borrower.accept_answer(whom, serial, 0.0, 0.1) is None  # the network repeated it
+    lender, serial = borrower.begin_request(NODE, 0.0) or pytest.fail()
+    assert borrower.begin_request(NODE, 0.1) is None  # the first one has not been answered
+    assert borrower.accept_answer(lender + 1, serial, 0.0, 0.1) is None
+    assert borrower.accept_answer(lender, serial, 0.0, 0.1) == (NODE, pytest.approx(LOAN_VALID_S - 0.1))
+    assert borrower.accept_answer(lender, serial, 0.0, 0.1) is None  # a duplicate
     later = (borrower.begin_request(NODE, 0.2) or pytest.fail())[1]
-    assert borrower.accept_answer(whom, later, 0.0, 0.2 + LOAN_VALID_S) is None  # too late to be used
+    assert borrower.accept_answer(lender, later, 0.0, 0.2 + LOAN_VALID_S) is None  # too late to be used
 
 
-def test_a_silent_lender_is_asked_less_and_less() -> None:
-    borrower, asked, now = Borrower(5), list[float](), 0.0
+def test_requests_to_a_lender_that_does_not_answer_become_rarer() -> None:
+    borrower, request_times, now = Borrower(5), list[float](), 0.0
     while now < 30.0:
         if borrower.begin_request(NODE, now):
-            asked.append(now)
+            request_times.append(now)
         now += 0.05
-    gaps = [b - a for a, b in zip(asked, asked[1:], strict=False)]
+    gaps = [b - a for a, b in zip(request_times, request_times[1:], strict=False)]
     assert all(b > a - 0.1 for a, b in zip(gaps, gaps[1:], strict=False))
-    assert gaps[0] < 0.5 and 3.9 < gaps[-1] < 4.2 and len(asked) < 14
+    assert gaps[0] < 0.5 and 3.9 < gaps[-1] < 4.2 and len(request_times) < 14
 
 
 @fuzz
@@ -137,40 +142,42 @@
     assert len(datagram.pack(message)) == len(data)
 
 
-def test_the_module_uses_a_loan_for_what_it_covers_and_asks_again_for_the_rest() -> None:
+def test_scheduler_uses_a_loan_for_a_request_that_it_covers() -> None:
     rig = Rig(schedulers=200, cold_units=4.0)
     rig.listed(Node("n0", 0, started=rig.now))
     rig.give(CapacityPool(LENT_FRACTION))
-    rig.scheduler.state.random.random = lambda: 1.0  # type: ignore[method-assign]  # no luck with the split part
-    waits = rig.arrive(units=2.0, budget=30.0)
-    assert waits not in rig.sent() and BorrowCapacity("n0", 2.0) in rig.said
+    rig.scheduler.state.random.random = lambda: 1.0  # type: ignore[method-assign]  # no random draw of a permit succeeds
+    first = rig.arrive(units=2.0, budget=30.0)
+    assert first not in rig.sent() and BorrowCapacity("n0", 2.0) in rig.said
     rig.give(CapacityLoan("n0", 1.0, 0.5))
-    assert waits not in rig.sent()  # it does not cover the request
+    assert first not in rig.sent()  # the loan does not cover the request
     rig.give(CapacityLoan("n0", 2.0, 0.5))
-    assert waits in rig.sent()
-    rig.end(waits)
+    assert first in rig.sent()
+    rig.end(first)
     second = rig.arrive(units=2.0, budget=30.0)
-    assert second not in rig.sent()  # the loan is spent, and an answer gives no room where room is lent
+    assert (
+        second not in rig.sent()
+    )  # the loan is used up, and an answer grants no permit where capacity is lent
 
 
-def test_brokers_lend_over_sockets_and_believe_nobody_else() -> None:
-    async def story() -> None:
+def test_brokers_lend_over_sockets_and_ignore_other_senders() -> None:
+    async def scenario() -> None:
         settings = replace(PLATFORM.settings, schedulers=2, cold_units=3.0, usual_units=2.0)
         cores = [Core(settings, 1), Core(settings, 2)]
         assert all(map(exchange.is_lending_useful, cores)) and not exchange.is_lending_useful(
             Core(PLATFORM.settings, 1)
         )
-        loop, sides = asyncio.get_running_loop(), list[exchange.CapacityExchange]()
-        places = [("127.0.0.1", 0), ("127.0.0.1", 0)]
+        loop, exchanges = asyncio.get_running_loop(), list[exchange.CapacityExchange]()
+        addresses = [("127.0.0.1", 0), ("127.0.0.1", 0)]
         for number, core in enumerate(cores):
-            side = exchange.CapacityExchange(core, number, places, seed=number)
-            await side.serve(("127.0.0.1", 0))
-            assert side._transport is not None
-            places[number] = side._transport.get_extra_info("sockname")
-            sides.append(side)
-        for side in sides:
-            side._addresses = places
-            side._lender._not_before = 0.0
+            each = exchange.CapacityExchange(core, number, addresses, seed=number)
+            await each.serve(("127.0.0.1", 0))
+            assert each._transport is not None
+            addresses[number] = each._transport.get_extra_info("sockname")
+            exchanges.append(each)
+        for each in exchanges:
+            each._addresses = addresses
+            each._lender._not_before = 0.0
         since = float(round(time.time() * 1000))
         names = {lender_of(node_key(f"n{i}", since), 2): f"n{i}" for i in range(20)}
         for core in cores:
@@ -179,12 +186,12 @@
                     1, True, tuple(Member(n, "127.0.0.1:1", i, since_ms=since) for i, n in names.items())
                 )
             )
-        lent: asyncio.Queue[tuple[str, float]] = asyncio.Queue()
-        cores[0].use_loan = lambda node, units, time: lent.put_nowait((node, units))  # type: ignore[method-assign]
-        sides[0]._ask(names[0], 1.0)  # of its own books
-        assert await lent.get() == (names[0], 1.0)
-        sides[0]._ask(names[1], 1.0)
-        assert await lent.get() == (names[1], 1.0) and sides[1].counts["lent"] == 1
+        loans: asyncio.Queue[tuple[str, float]] = asyncio.Queue()
+        cores[0].use_loan = lambda node, units, time: loans.put_nowait((node, units))  # type: ignore[method-assign]
+        exchanges[0]._borrow(names[0], 1.0)  # from its own lender
+        assert await loans.get() == (names[0], 1.0)
+        exchanges[0]._borrow(names[1], 1.0)
+        assert await loans.get() == (names[1], 1.0) and exchanges[1].counts["lent"] == 1
         stranger, _ = await loop.create_datagram_endpoint(
             asyncio.DatagramProtocol, local_addr=("127.0.0.1", 0)
         )
@@ -193,48 +200,48 @@
             b"x",
             b"x" * 300,
         ):
-            stranger.sendto(data, places[1])
-        while sum(sides[1].counts[name] for name in ("forged", "malformed")) < 3:
+            stranger.sendto(data, addresses[1])
+        while sum(exchanges[1].counts[name] for name in ("forged", "malformed")) < 3:
             await asyncio.sleep(0.001)
-        assert sides[1].counts["lent"] == 1 and sides[1].counts["forged"] == 1
+        assert exchanges[1].counts["lent"] == 1 and exchanges[1].counts["forged"] == 1
         stranger.close()
-        for side in sides:
-            side.close()
+        for each in exchanges:
+            each.close()
 
-    run(story())
+    run(scenario())
 
 
-def test_an_address_in_use_is_tried_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The process before this one may hold it for a moment; without it nothing would be lent for good."""
+def test_opening_the_socket_is_retried_while_the_address_is_in_use(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The previous process may still hold the address; without a retry this one would never lend anything."""
     monkeypatch.setattr(exchange, "SOCKET_RETRY_S", 0.01)
 
-    async def story() -> None:
+    async def scenario() -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as holder:
             holder.bind(("127.0.0.1", 0))
-            place = holder.getsockname()
-            side = exchange.CapacityExchange(
-                Core(replace(PLATFORM.settings, schedulers=2), 1), 0, [place, place], seed=1
+            address = holder.getsockname()
+            lending_exchange = exchange.CapacityExchange(
+                Core(replace(PLATFORM.settings, schedulers=2), 1), 0, [address, address], seed=1
             )
-            await side.serve(place)
-            assert side._transport is None
-        while side._transport is None:
+            await lending_exchange.serve(address)
+            assert lending_exchange._transport is None
+        while lending_exchange._transport is None:
             await asyncio.sleep(0.001)
-        side.close()
+        lending_exchange.close()
 
-    run(story())
+    run(scenario())
 
 
-def test_the_tier_is_read_where_the_settings_allow_talk() -> None:
-    whole = raw()
-    brokers = whole["settings"]["balancers"] = 3
-    whole["settings"]["me"], whole["peer_listen"] = 1, "127.0.0.1:7946"
-    whole["peers"] = [f"127.0.0.{n + 1}:7946" for n in range(brokers)]
-    whole["settings"]["limits"]["mayTell"] = True
-    tier = config.parse_platform_config(whole, {}).tier
+def test_tier_is_configured_only_if_the_settings_allow_communication() -> None:
+    raw_config = raw()
+    brokers = raw_config["settings"]["balancers"] = 3
+    raw_config["settings"]["me"], raw_config["peer_listen"] = 1, "127.0.0.1:7946"
+    raw_config["peers"] = [f"127.0.0.{n + 1}:7946" for n in range(brokers)]
+    raw_config["settings"]["limits"]["mayTell"] = True
+    tier = config.parse_platform_config(raw_config, {}).tier
     assert tier is not None and tier.number == 1 and tier.peers[0] == ("127.0.0.1", 7946)
-    whole["settings"]["limits"]["mayTell"] = False
-    assert config.parse_platform_config(whole, {}).tier is None
-    whole["settings"]["limits"]["mayTell"] = True
-    for wrong in ({"peers": ["x"]}, {"peers": whole["peers"][1:]}, {"peer_listen": "nowhere"}):
+    raw_config["settings"]["limits"]["mayTell"] = False
+    assert config.parse_platform_config(raw_config, {}).tier is None
+    raw_config["settings"]["limits"]["mayTell"] = True
+    for invalid in ({"peers": ["x"]}, {"peers": raw_config["peers"][1:]}, {"peer_listen": "nowhere"}):
         with pytest.raises(config.ConfigError, match="peer"):
-            config.parse_platform_config(whole | wrong, {})
+            config.parse_platform_config(raw_config | invalid, {})
--- a/tests/test_return.py
+++ b/tests/test_return.py
@@ -1,4 +1,4 @@
-"""Brokers that come back, as real processes behind their links; judged by the books of nodes and clients."""
+"""Restarted brokers as real processes, checked against the request records of nodes and clients."""
 
 from __future__ import annotations
 
@@ -8,54 +8,54 @@
 import pytest
 from support import RAW, message, run
 from test_many import answered, exchange
-from test_memory import kept, said, written
+from test_memory import snapshot_path, wait_for_line, wait_for_write
 
 from bench.many.rig import Process, Rig
 from cherrycove.broker.warm_restart import snapshot_file
 
 
-def nothing_twice_or_foreign(rig: Rig) -> None:
+def assert_writes_ran_once(rig: Rig) -> None:
     ran = Counter(each.id for disk in rig.disks.values() for each in disk.book if each.ran and each.write)
     assert ran and max(ran.values()) == 1 and not rig.clients.wrong and rig.clients.statuses[200]
 
 
-async def serves(broker: Process, id: str, shard: int = 0) -> bytes:
-    """Ask until it is served; what the first answer was."""
-    first = said = await exchange(broker.front.port, message(id=f"{id}0", shard=shard))
+async def request_until_served(broker: Process, id: str, shard: int = 0) -> bytes:
+    """Send requests until one is served; return the first response."""
+    first = response = await exchange(broker.front.port, message(id=f"{id}0", shard=shard))
     number = 0
-    while b" 200 " not in said:
+    while b" 200 " not in response:
         number += 1
         await asyncio.sleep(0.05)
-        said = await exchange(broker.front.port, message(id=f"{id}{number}", shard=shard))
+        response = await exchange(broker.front.port, message(id=f"{id}{number}", shard=shard))
     return first
 
 
 @pytest.mark.parametrize("memory", [False, True])
-def test_most_are_killed_and_again_while_they_return(memory: bool) -> None:
-    async def story() -> None:
+def test_brokers_killed_again_while_they_restart_run_no_write_twice(memory: bool) -> None:
+    async def scenario() -> None:
         async with Rig(4, 2, load=0.5, memory=memory) as rig:
             running = asyncio.create_task(rig.clients.run(4.0))
             await asyncio.sleep(1.0)
-            struck = rig.brokers[:3]
-            await asyncio.gather(*(broker.kill() for broker in struck))
-            returning = [asyncio.create_task(broker.start()) for broker in struck]
-            await asyncio.wait(returning, return_when=asyncio.FIRST_COMPLETED)  # the others are on their way
-            for each in returning:
+            killed = rig.brokers[:3]
+            await asyncio.gather(*(broker.kill() for broker in killed))
+            starting = [asyncio.create_task(broker.start()) for broker in killed]
+            await asyncio.wait(starting, return_when=asyncio.FIRST_COMPLETED)  # the others are still starting
+            for each in starting:
                 each.cancel()
-            await asyncio.gather(*returning, return_exceptions=True)
-            await asyncio.gather(*(broker.kill() for broker in struck))
-            await asyncio.gather(*(broker.start() for broker in struck))
+            await asyncio.gather(*starting, return_exceptions=True)
+            await asyncio.gather(*(broker.kill() for broker in killed))
+            await asyncio.gather(*(broker.start() for broker in killed))
             await running
             for broker in rig.brokers:
-                await serves(broker, f"after-{broker.name}-")
-            nothing_twice_or_foreign(rig)
+                await request_until_served(broker, f"after-{broker.name}-")
+            assert_writes_ran_once(rig)
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("fault", ["all are killed at once", "half stand still and go on together"])
-def test_what_strikes_many_at_once_is_over_with_it_and_ran_no_write_twice(fault: str) -> None:
-    async def story() -> None:
+@pytest.mark.parametrize("fault", ["all are killed at once", "half are stopped and continue together"])
+def test_brokers_serve_after_a_common_fault_and_run_no_write_twice(fault: str) -> None:
+    async def scenario() -> None:
         async with Rig(4, 2, load=0.5, memory=True) as rig:
             running = asyncio.create_task(rig.clients.run(4.0))
             await asyncio.sleep(1.0)
@@ -67,15 +67,15 @@
                 rig.stall(0.5, going=True)
             await running
             for broker in rig.brokers:
-                await serves(broker, f"after-{broker.name}-")
-            nothing_twice_or_foreign(rig)
+                await request_until_served(broker, f"after-{broker.name}-")
+            assert_writes_ran_once(rig)
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize("discovery", ["refuses", "slow", "silent"])
-def test_a_broker_serves_from_what_it_was_given_whatever_discovery_does(discovery: str) -> None:
-    async def story() -> None:
+def test_restarted_broker_serves_from_its_configured_node_list_without_discovery(discovery: str) -> None:
+    async def scenario() -> None:
         async with Rig(1, 1, memory=True) as rig:
             broker = rig.brokers[0]
             await broker.kill()
@@ -87,71 +87,72 @@
             assert b" 200 " in await exchange(broker.front.port, message(id="at-once"))
             assert discovery == "refuses" or rig.discovery.answered["n0"] == before
 
-    run(story())
+    run(scenario())
 
 
-def test_an_old_list_is_left_for_the_first_that_discovery_tells() -> None:
-    """It came back with the list of before; a node had been drained meanwhile."""
+def test_list_from_discovery_replaces_the_configured_older_one() -> None:
+    """A broker that restarts with an old node list must not send to a node that was drained meanwhile."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with Rig(1, 2, memory=True) as rig:
             broker, disk = rig.brokers[0], rig.disks["d0"]
-            await serves(broker, "before")
+            await request_until_served(broker, "before")
             old = rig.discovery.list("n0")
             await broker.kill()
             rig.discovery.tell("d0", 0, "draining")
-            sent, told = len(disk.book), rig.discovery.answered["n0"]
+            sent, answers = len(disk.book), rig.discovery.answered["n0"]
             await broker.start(old)
-            await answered(rig, "n0", told)
-            await said(broker, "nodes.listed", len(broker.lines) - 1)
+            await answered(rig, "n0", answers)
+            await wait_for_line(broker, "nodes.listed", len(broker.lines) - 1)
             for number in range(5):
                 assert b" 503 " in await exchange(broker.front.port, message(id=f"behind{number}"))
             assert len(disk.book) == sent
 
-    run(story())
+    run(scenario())
 
 
-def test_a_node_replaced_in_the_absence_is_cold_and_its_room_counts_as_used() -> None:
-    """The memory is of the node before; the room of the one that is there an earlier life may have used."""
+def test_node_replaced_during_the_absence_starts_slowly_and_its_capacity_counts_as_used() -> None:
+    """The snapshot describes the replaced node; an earlier process may have used the new node's capacity."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with Rig(1, 1, memory=True) as rig:
             broker, disk = rig.brokers[0], rig.disks["d0"]
-            await serves(broker, "before")
+            await request_until_served(broker, "before")
             for _ in range(2):
-                await written(broker)
+                await wait_for_write(broker)
             await broker.kill()
             await rig.replace("d0", 0.0)
             since, began = len(broker.lines), asyncio.get_running_loop().time()
             await broker.start()
-            await said(broker, "memory.taken_up", since)
-            assert b" 503 " in await serves(broker, "after")  # and once the rule's window is over, served
+            await wait_for_line(broker, "memory.taken_up", since)
+            # A request is served once the window of the limit has passed.
+            assert b" 503 " in await request_until_served(broker, "after")
             window = rig.raw["settings"]["guarantees"]["fallNs"] * 1e-9
             first = next(each.at for each in disk.book if each.life == 1)
             assert first >= began + window
 
-    run(story())
+    run(scenario())
 
 
-def test_lives_together_send_a_limited_volume_no_more_than_its_limit() -> None:
-    """Three lives that each began with a whole burst would have sent three."""
+def test_restarted_processes_together_send_a_volume_no_more_than_its_limit() -> None:
+    """Three processes that each begin with a full burst would send three bursts."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         began = loop.time()
         limit, burst = 40.0, 80.0
         plan = RAW["settings"]["policies"][0] | {"ceilingRate": limit, "burst": burst, "floorRate": 40.0}
         async with Rig(1, 1, memory=True, work=0.001, policies=[plan | {"nominal": 40.0}]) as rig:
             broker, disk = rig.brokers[0], rig.disks["d0"]
-            for life in range(3):
-                if life:
-                    await written(broker)
+            for restarts in range(3):
+                if restarts:
+                    await wait_for_write(broker)
                     await broker.kill()
                     await broker.start()
                 for turn in range(8):
                     await asyncio.gather(
                         *(
-                            exchange(broker.front.port, message(id=f"l{life}-{turn}-{number}"))
+                            exchange(broker.front.port, message(id=f"l{restarts}-{turn}-{number}"))
                             for number in range(20)
                         )
                     )
@@ -159,37 +160,40 @@
             sent = 2.0 * len(disk.book)
             assert 0 < sent <= burst + limit * (loop.time() - began)
 
-    run(story())
+    run(scenario())
 
 
-def test_a_memory_of_the_future_and_one_with_lies_do_no_harm() -> None:
-    """A clock set back an hour between lives; then a file that praises a node which is dead."""
+def test_snapshot_with_a_future_time_or_with_false_data_does_no_harm() -> None:
+    """The clock is set back an hour between two processes; then a file says that a dead node is fast."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with Rig(1, 2, memory=True) as rig:
             broker = rig.brokers[0]
             for shard in range(2):
-                await serves(broker, f"before{shard}-", shard)
+                await request_until_served(broker, f"before{shard}-", shard)
             for _ in range(2):
-                await written(broker)
+                await wait_for_write(broker)
             await broker.kill()
-            rows, since = snapshot_file.read(kept(broker)), len(broker.lines)
+            rows, since = snapshot_file.read(snapshot_path(broker)), len(broker.lines)
             snapshot_file.write(
-                kept(broker), snapshot_file.frame(rows | {"boot": "another", "wall": rows["wall"] + 3600.0})
+                snapshot_path(broker),
+                snapshot_file.frame(rows | {"boot": "another", "wall": rows["wall"] + 3600.0}),
             )
             await broker.start()
-            assert "set back" in await said(broker, "memory.unusable", since)
-            await serves(broker, "ahead")
+            assert "set back" in await wait_for_line(broker, "memory.unusable", since)
+            await request_until_served(broker, "ahead")
             await broker.kill()
-            praise = [[*row[:3], 1e-6, 0.0, 1e6, False, 0, 0.0, -1, 0.0, -1.0] for row in rows["nodes"]]
-            snapshot_file.write(kept(broker), snapshot_file.frame(rows | {"nodes": praise, "whole": True}))
+            false_rows = [[*row[:3], 1e-6, 0.0, 1e6, False, 0, 0.0, -1, 0.0, -1.0] for row in rows["nodes"]]
+            snapshot_file.write(
+                snapshot_path(broker), snapshot_file.frame(rows | {"nodes": false_rows, "whole": True})
+            )
             rig.disks["d1"].stop()
             since = len(broker.lines)
             await broker.start()
-            await said(broker, "memory.taken_up", since)
-            await serves(broker, "lies")
+            await wait_for_line(broker, "memory.taken_up", since)
+            await request_until_served(broker, "false")
             assert b" 503 " in await exchange(broker.front.port, message(id="dead", shard=1, ms=700))
             attempts = [line for line in broker.lines[since:] if "module.failed" in line]
             assert not attempts
 
-    run(story())
+    run(scenario())
