--- a/cherrycove/broker/process.py
+++ b/cherrycove/broker/process.py
@@ -96,7 +96,7 @@
             self.lifecycle,
             HandoverEndpoint(platform.name, platform.listen),
             lambda: self._decision_log,
-            transfers_snapshot=operator.memory is not None,
+            transfers_snapshot=operator.warm_restart is not None,
         )
         self._capacity_exchange = self._create_exchange()
         self._snapshot_store = self._create_snapshot_store()
@@ -112,7 +112,7 @@
         return exchange.CapacityExchange(self.core, tier.number, tier.peers, self.platform.seed)
 
     def _create_snapshot_store(self) -> SnapshotStore | None:
-        memory = self.operator.memory
+        memory = self.operator.warm_restart
         if memory is None:
             return None
         # Imported only where it is enabled: it takes start time and memory.
@@ -127,7 +127,7 @@
         )
 
     def _create_decision_log(self) -> None:
-        why = self.operator.why
+        why = self.operator.decision_log
         if why is None:
             return
         # Imported only where it is enabled: it takes start time and memory.
@@ -148,7 +148,9 @@
     async def start(self) -> int:
         """Start serving, in place of a predecessor if there is one; return the port for HTTP clients."""
         platform, operator = self.platform, self.operator
-        entries = await self._start_shared_map(operator.store) if operator.store is not None else None
+        entries = (
+            await self._start_shared_map(operator.shared_map) if operator.shared_map is not None else None
+        )
         inherited = await self._restore()
         if operator.consul is None:
             self._watch = self._start_task(watch(self.core, platform.discovery, platform.zones))
@@ -162,7 +164,7 @@
             self._start_consul(operator.consul, port)
         await self.handover.report_serving()
         if self._snapshot_store is not None:
-            self._start_task(self._snapshot_store.keep())
+            self._start_task(self._snapshot_store.write_periodically())
         await self.handover.await_successor()
         if platform.admin is not None:
             # Last, once the predecessor no longer accepts clients and a successor can find this process: on a
--- a/tests/golden_broker.py
+++ b/tests/golden_broker.py
@@ -655,7 +655,7 @@
             cherrycove.__main__.DEFAULT_OPERATOR_FILE,
         ],
         "magics": [snapshot_file.MAGIC.hex(), datagram.MAGIC.hex(), store.MAGIC.hex(), handover.BUSY.hex()],
-        "forms": [f"memory rows {snapshot.FORM}", f"memory file {snapshot_file.FORMAT}"],
+        "forms": [f"memory rows {snapshot.ROWS_FORMAT}", f"memory file {snapshot_file.FILE_FORMAT}"],
     }
 
 
