--- a/examples/__init__.py
+++ b/examples/__init__.py
@@ -1,1 +1,1 @@
-"""Small programs to try the project with, and the stand-ins that they and the tests share."""
+"""Example programs for trying the project, and the test doubles that they share with the tests."""
--- a/examples/nbd_copy.py
+++ b/examples/nbd_copy.py
@@ -1,4 +1,4 @@
-"""Writes one block to an NBD export, flushes, reads it back and says whether it is the same.
+"""Writes one block to an NBD export, flushes, reads it back and reports whether it is unchanged.
 
 python examples/nbd_copy.py HOST:PORT EXPORT
 """
@@ -25,7 +25,7 @@
     while (reply := await nbd.read_option_reply(reader, nbd.Option.GO))[0] == nbd.OptionReplyType.INFO:
         pass
     if reply[0] != nbd.OptionReplyType.ACK:
-        print(f"the export {export} is not to be had: {reply[0]:#x}")
+        print(f"export {export} is not available: reply type {reply[0]:#x}")
         return 1
     block = bytes(range(256)) * 16
     steps = [
@@ -33,17 +33,17 @@
         (nbd.Command.FLUSH, 0, 0, b""),
         (nbd.Command.READ, 0, len(block), b""),
     ]
-    same = False
+    is_unchanged = False
     for cookie, (command, offset, length, payload) in enumerate(steps, 1):
-        call = nbd.CommandRequest(command, 0, cookie, offset, length)
-        writer.write(call.pack() + payload)
-        done = await nbd.read_reply(reader, call, structured=True)
-        print(f"{command.name}: {'done' if not done.errno else f'error {done.errno}: {done.message}'}")
-        same = bytes(done.data) == block
+        request = nbd.CommandRequest(command, 0, cookie, offset, length)
+        writer.write(request.pack() + payload)
+        result = await nbd.read_reply(reader, request, structured=True)
+        print(f"{command.name}: {'done' if not result.errno else f'error {result.errno}: {result.message}'}")
+        is_unchanged = bytes(result.data) == block
     writer.write(nbd.CommandRequest(nbd.Command.DISC, 0, 9, 0, 0).pack())
     writer.close()
-    print("the block came back unchanged" if same else "the block did NOT come back")
-    return 0 if same else 1
+    print("the block came back unchanged" if is_unchanged else "the block did NOT come back")
+    return 0 if is_unchanged else 1
 
 
 if __name__ == "__main__":
--- a/examples/small_tier.py
+++ b/examples/small_tier.py
@@ -1,4 +1,4 @@
-"""A whole tier on loopback: real daemons, toy brokers, and a stand-in of the platform's list."""
+"""A complete tier on loopback: real daemons, toy brokers, and a fake of the platform's instance listing."""
 
 from __future__ import annotations
 
@@ -14,34 +14,34 @@
 import aiohttp
 import attrs
 
-from examples.tier_processes import ROOT, Daemon, Sizes, draw_network, lay_out
+from examples.tier_processes import ROOT, Daemon, Sizes, create_daemons, random_network
 from examples.toy_broker import ToyBroker
 from examples.toy_platform import ToyPlatform
 
 CONFIGURATION_PATH = ROOT / "examples" / "tier-configuration.json"
-SERVICE = "model"  # of that configuration
-LONGEST_WAIT_S = 20.0  # for a fact that a running tier brings about
-POLL_S = 0.05  # between two questions whether it has come about
-QUESTION_TIMEOUT_S = 1.0
+SERVICE = "model"  # name of the service in that configuration
+LONGEST_WAIT_S = 20.0  # for a condition of a running tier to become true
+POLL_S = 0.05  # between two checks of a condition
+READINESS_TIMEOUT_S = 1.0
 
 
 class TierError(Exception):
-    """The tier did not do what it was asked for."""
+    """A request to the tier failed, or a condition did not become true in time."""
 
 
 async def until(fact: str, holds: Callable[[], Awaitable[bool]], within_s: float = LONGEST_WAIT_S) -> None:
-    """Ask ``holds`` until it says yes; TierError naming ``fact`` if it does not in time."""
+    """Poll ``holds`` until it returns True; raises ``TierError`` with ``fact`` if it does not in time."""
     try:
         async with asyncio.timeout(within_s):
             while not await holds():
                 await asyncio.sleep(POLL_S)
     except TimeoutError:
-        raise TierError(f"not within {within_s:g} s: {fact}") from None
+        raise TierError(f"condition not met within {within_s:g} s: {fact}") from None
 
 
 @attrs.frozen
 class CommandOutput:
-    """What one command of the tier's command line printed."""
+    """The exit code and output of a command of the tier's command line."""
 
     exit_code: int
     out: str
@@ -50,17 +50,20 @@
 
 @attrs.define(eq=False)
 class SmallTier:
-    """Starts a tier in ``directory`` and ends it in order; an asynchronous context manager."""
+    """An asynchronous context manager that starts a tier in ``directory`` and kills it on exit.
+
+    ``stop`` shuts the tier down gracefully before that.
+    """
 
     directory: Path
     brokers: list[ToyBroker]
     sizes: Sizes = attrs.field(factory=Sizes)
-    network: str = attrs.field(factory=draw_network)
+    network: str = attrs.field(factory=random_network)
     daemons: list[Daemon] = attrs.field(init=False, factory=list)
     platform: ToyPlatform = attrs.field(init=False)
 
     def of(self, program: str) -> list[Daemon]:
-        """The daemons of one program that run."""
+        """Return the running daemons of a program."""
         return [daemon for daemon in self.daemons if daemon.program == program and daemon.running]
 
     def daemon(self, name: str) -> Daemon:
@@ -83,13 +86,13 @@
             self.daemons = self._lay_out()
             await self._start_all()
         except BaseException:
-            await self._end_all()
+            await self._kill_all()
             raise
         return self
 
     def _lay_out(self) -> list[Daemon]:
-        """The daemons to be started, in this order."""
-        return lay_out(self.directory, self.sizes, self.platform.address, self.network)
+        """Create the daemons in the order in which they are started."""
+        return create_daemons(self.directory, self.sizes, self.platform.address, self.network)
 
     async def _start_all(self) -> None:
         for daemon in self.daemons:
@@ -98,19 +101,19 @@
     async def __aexit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        await self._end_all()
+        await self._kill_all()
 
     async def stop(self) -> dict[str, int]:
-        """End all daemons in order, proxies first, keepers last; exit codes by name."""
+        """Shut down all daemons gracefully, proxies first, keepers last; returns exit codes by name."""
         codes: dict[str, int] = {}
         for program in ("proxy", "store", "keeper"):
             daemons = self.of(program)
-            ends = await asyncio.gather(*(daemon.terminate() for daemon in daemons))
-            codes.update({daemon.name: code for daemon, code in zip(daemons, ends, strict=True)})
+            exit_codes = await asyncio.gather(*(daemon.terminate() for daemon in daemons))
+            codes.update({daemon.name: code for daemon, code in zip(daemons, exit_codes, strict=True)})
         return codes
 
-    async def _end_all(self) -> None:
-        """What is still running ends at once."""
+    async def _kill_all(self) -> None:
+        """Kill all running daemons, and stop the brokers and the platform."""
         for daemon in self.daemons:
             daemon.send(signal.SIGKILL)
         await asyncio.gather(*(daemon.ended() for daemon in self.daemons))
@@ -121,7 +124,7 @@
     # The command line
 
     async def command(self, *arguments: str) -> CommandOutput:
-        """Run ``python -m cherrycove.tier`` with ``arguments``."""
+        """Run ``python -m cherrycove.tier`` with ``arguments`` and wait for its exit."""
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "cherrycove.tier", *arguments,
             cwd=ROOT, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
@@ -130,7 +133,7 @@
         return CommandOutput(process.returncode or 0, out.decode().strip(), err.decode().strip())
 
     async def put_configuration(self, path: Path = CONFIGURATION_PATH) -> str:
-        """Have the keepers take the configuration in ``path``; what the command said."""
+        """Send the configuration in ``path`` to the keepers and return the output of the command."""
         keepers = _keeper_options(self.keepers, "control_plane")
         output = await self.command("config", "put", str(path), *keepers)
         if output.exit_code:
@@ -138,7 +141,7 @@
         return output.out
 
     async def status(self) -> dict[str, Any]:
-        """The primary keeper's view of the tier."""
+        """Return the primary keeper's view of the tier."""
         output = await self.command("status", "--json", *_keeper_options(self.keepers, "internal"))
         if output.exit_code:
             raise TierError(f"status: {output.err or output.out}")
@@ -146,36 +149,36 @@
         return document
 
     async def primary(self, program: str) -> Daemon:
-        """The keeper or store that leads its group, as the keepers tell."""
+        """Return the keeper or store that is the primary of its group, according to the keepers."""
         found: list[str] = []
 
-        async def known() -> bool:
+        async def has_one_primary() -> bool:
             processes = (await self.status())["processes"]
-            leaders = [each for each in processes if each["program"] == program and each["groupPrimary"]]
-            found[:] = [each["node"] for each in leaders]
+            primaries = [each for each in processes if each["program"] == program and each["groupPrimary"]]
+            found[:] = [each["node"] for each in primaries]
             return len(found) == 1
 
-        await until(f"one {program} leads", known)
+        await until(f"one {program} is the primary", has_one_primary)
         return self.daemon(found[0])
 
     # Readiness
 
     async def ready(self) -> None:
-        """Until every proxy calls itself ready, as the platform asks it."""
+        """Wait until every proxy passes the platform's readiness check."""
         await asyncio.gather(*(self.answers_readiness(proxy, 200) for proxy in self.proxies))
 
     async def answers_readiness(self, proxy: Daemon, status: int) -> None:
-        """Until ``proxy`` answers the platform's question with ``status``."""
+        """Wait until ``proxy`` answers the platform's readiness check with ``status``."""
 
         async def answers() -> bool:
             if not proxy.running:
-                raise TierError(f"{proxy.name} has ended")
+                raise TierError(f"{proxy.name} has exited")
             return await _readiness(proxy) == status
 
         await until(f"{proxy.name} answers {status} to the readiness check", answers)
 
     def logs(self) -> str:
-        """The last log lines of all daemons."""
+        """Return the last log lines of all daemons."""
         return "\n".join(f"--- {daemon.name}\n{daemon.log_tail()}" for daemon in self.daemons)
 
 
@@ -184,12 +187,12 @@
 
 
 async def _readiness(proxy: Daemon) -> int:
-    timeout = aiohttp.ClientTimeout(total=QUESTION_TIMEOUT_S)
+    timeout = aiohttp.ClientTimeout(total=READINESS_TIMEOUT_S)
     try:
         async with (
             aiohttp.ClientSession(timeout=timeout) as session,
-            session.get(f"http://{proxy.readiness}/api/readiness") as answer,
+            session.get(f"http://{proxy.readiness}/api/readiness") as response,
         ):
-            return answer.status
+            return response.status
     except (aiohttp.ClientError, TimeoutError, OSError):
         return 0
--- a/examples/tier.py
+++ b/examples/tier.py
@@ -1,9 +1,10 @@
-"""``python -m examples.tier``: a small serving tier on loopback, one stream and one batch job through it.
+"""``python -m examples.tier``: runs a small serving tier on loopback and sends a stream and a batch job.
 
 Starts three keepers, three stores and two proxies as real processes in a temporary directory, two toy brokers
-and a stand-in of the platform's list, puts a configuration by the tier's command line, shows what came back,
-and ends all in order. Exits with 0 only if the stream and the batch job came back right. With ``--stay`` the
-tier runs on until interrupted, and the commands to look at it are printed.
+and a fake of the platform's instance listing. It then puts a configuration with the tier's command line,
+prints the results of both requests and shuts everything down gracefully. It exits with 0 only if the results
+are correct. With ``--stay`` the tier keeps running until interrupted, and commands for inspecting it are
+printed.
 """
 
 from __future__ import annotations
@@ -21,16 +22,16 @@
 from examples.tier_processes import Daemon
 from examples.toy_broker import ToyBroker, stream
 
-EVENTS = 8  # of one stream, and of one item
+EVENTS = 8  # events of a stream and of a batch item
 ITEMS = 6
-LONGEST_RUN_S = 60.0
+RUN_TIMEOUT_S = 60.0
 EXIT_INTERRUPTED = 130
 EXPECTED = [tier_client.StreamEvent(number, f"word {number}") for number in range(1, EVENTS + 1)]
 EXPECTED_TEXT = "\n".join(event.data for event in EXPECTED)
 
 
 async def show_stream(proxy: Daemon) -> None:
-    """One streaming request through ``proxy``."""
+    """Send a streaming request through ``proxy`` and print its events; raises ``TierError`` on failure."""
     async with tier_client.open_stream(proxy.frontend) as answer:
         if answer.status != 200 or not answer.signed:
             raise TierError(f"stream: status {answer.status}, signed by a broker: {answer.signed}")
@@ -38,25 +39,27 @@
     words = ", ".join(event.data for event in events)
     print(f"stream through {proxy.name}: 200, {len(events)} events: {words}")
     if events != EXPECTED:
-        raise TierError("stream: not the broker's events")
+        raise TierError("stream: events differ from those that the broker sent")
 
 
 async def show_batch_job(proxy: Daemon, other: Daemon) -> None:
-    """One batch job: handed in at ``proxy``, read at ``other``."""
+    """Submit a batch job at ``proxy`` and read its results at ``other``; raises ``TierError`` on failure."""
     job_id = tier_client.new_id()
     item_ids = [tier_client.new_id() for _ in range(ITEMS)]
     await tier_client.submit(proxy.frontend, job_id, item_ids)
     results = await tier_client.results(other.frontend, job_id)
-    whole = [each for each in results if each["state"] == "completed" and each["message"] == EXPECTED_TEXT]
+    completed = [
+        each for each in results if each["state"] == "completed" and each["message"] == EXPECTED_TEXT
+    ]
     print(f"batch job {job_id} taken by {proxy.name}, read at {other.name}: "
-          f"{len(whole)} of {ITEMS} items completed")  # fmt: skip
-    if len(whole) != ITEMS or sorted(each["instanceId"] for each in results) != sorted(item_ids):
+          f"{len(completed)} of {ITEMS} items completed")  # fmt: skip
+    if len(completed) != ITEMS or sorted(each["instanceId"] for each in results) != sorted(item_ids):
         raise TierError(f"batch job: wrong results: {results}")
     await tier_client.end(other.frontend, job_id)
 
 
 async def show(tier: SmallTier) -> None:
-    """Everything that the command shows, and judges."""
+    """Configure the tier, wait until it is ready, and show the stream and the batch job."""
     print(f"configuration: {await tier.put_configuration()}")
     await tier.ready()
     first, second = tier.proxies
@@ -66,7 +69,7 @@
 
 
 def print_commands(tier: SmallTier) -> None:
-    """How to look at the tier while it stays."""
+    """Print commands for inspecting the tier while it runs."""
     keeper = tier.keepers[0]
     command = f"{sys.executable} -m cherrycove.tier"
     print(f"  {command} status --keeper {keeper.internal}")
@@ -77,13 +80,13 @@
 
 
 async def run(directory: Path, stay: bool) -> int:
-    began = time.monotonic()
+    started_at = time.monotonic()
     brokers = [ToyBroker(instance_id=f"broker-{number}", script=stream(EVENTS)) for number in (1, 2)]
     async with SmallTier(directory, brokers) as tier:
         print(f"started: {', '.join(daemon.name for daemon in tier.daemons)}; "
               f"2 toy brokers; settings and logs in {directory}")  # fmt: skip
         try:
-            async with asyncio.timeout(LONGEST_RUN_S):
+            async with asyncio.timeout(RUN_TIMEOUT_S):
                 await show(tier)
         except (TierError, TimeoutError) as error:
             print(tier.logs(), file=sys.stderr)
@@ -91,22 +94,22 @@
             return 1
         if stay:
             print_commands(tier)
-            await interrupted()
+            await wait_for_interrupt()
         codes = await tier.stop()
-    print(f"ended: {', '.join(codes)}; {time.monotonic() - began:.1f} s in all")
+    print(f"ended: {', '.join(codes)}; {time.monotonic() - started_at:.1f} s in all")
     failed = {name: code for name, code in codes.items() if code}
     if failed:
         print(f"failed: exit codes {failed}", file=sys.stderr)
     return 1 if failed else 0
 
 
-async def interrupted() -> None:
-    """Until SIGINT or SIGTERM."""
+async def wait_for_interrupt() -> None:
+    """Wait for SIGINT or SIGTERM."""
     loop = asyncio.get_running_loop()
-    asked = asyncio.Event()
+    is_interrupted = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(number, asked.set)
-    await asked.wait()
+        loop.add_signal_handler(number, is_interrupted.set)
+    await is_interrupted.wait()
 
 
 def main() -> int:
@@ -115,7 +118,7 @@
     parser.add_argument("--stay", action="store_true", help="keep it running until interrupted")
     arguments = parser.parse_args()
     sys.stdout.reconfigure(line_buffering=True)  # type: ignore[union-attr]
-    signal.signal(signal.SIGTERM, signal.default_int_handler)  # no daemon is left behind
+    signal.signal(signal.SIGTERM, signal.default_int_handler)  # so that daemons are stopped on SIGTERM, too
     with tempfile.TemporaryDirectory(prefix="cherrycove-tier-") as directory:
         try:
             return asyncio.run(run(Path(directory), arguments.stay))
--- a/examples/tier_client.py
+++ b/examples/tier_client.py
@@ -1,4 +1,4 @@
-"""A client of a tier: one stream, or one batch job, over new connections."""
+"""A client of the tier for a stream or a batch job; it opens a new connection for each call."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 from examples.small_tier import TierError, until
 
-HOST = "tier.example"  # of the routes in tier-configuration.json
+HOST = "tier.example"  # hostname of the routes in tier-configuration.json
 CALL_TIMEOUT_S = 15.0
-WAIT_MS = 1000  # for which a read of results may be held
+WAIT_MS = 1000  # for which the server may hold a read of results open
 EVENT_END = b"\n\n"
 
 
 def new_id() -> str:
-    """An id as clients give one to each try and each item."""
+    """Return a random id, as clients assign to each attempt and each item."""
     return secrets.token_hex(8)
 
 
@@ -33,25 +33,25 @@
 
 @attrs.define
 class Stream:
-    """The answer to a streaming request, event by event."""
+    """The response to a streaming request, read event by event."""
 
     status: int
     signed: bool  # whether it carries a broker's signature
     _response: aiohttp.ClientResponse
 
     async def next(self) -> StreamEvent | None:
-        """The next event; None at the whole stream's end. Raises if it ends early."""
+        """Return the next event; None at the end of the stream. Raises ``TierError`` if it is truncated."""
         try:
             text = await self._response.content.readuntil(EVENT_END)
         except aiohttp.ClientPayloadError as error:
-            raise TierError(f"the stream was cut off: {error}") from error
+            raise TierError(f"the stream was truncated: {error}") from error
         if not text:
             return None
         fields = dict(line.split(": ", 1) for line in text.decode().strip().split("\n"))
         return StreamEvent(int(fields["id"]), fields["data"])
 
     async def rest(self) -> list[StreamEvent]:
-        """All further events, to the whole stream's end."""
+        """Return all remaining events of the stream."""
         events = []
         while (event := await self.next()) is not None:
             events.append(event)
@@ -71,20 +71,20 @@
 
 
 async def submit(frontend: str, job_id: str, item_ids: Sequence[str], path: str = "/bundle/") -> None:
-    """Hand a batch job in, again after each 503, until it is taken."""
+    """Submit a batch job; retries after 503 and 504 until it is accepted."""
     body = json.dumps({"requests": [batch_item(item_id, path) for item_id in item_ids]})
 
-    async def taken() -> bool:
+    async def is_accepted() -> bool:
         status, text = await _call("POST", f"http://{frontend}{path}{job_id}", {"Request-Id": job_id}, body)
         if status not in (202, 503, 504):
             raise TierError(f"submit: status {status} {text}")
         return status == 202
 
-    await until("the batch job is taken", taken)
+    await until("the batch job is accepted", is_accepted)
 
 
 def batch_item(item_id: str, path: str = "/bundle/") -> dict[str, Any]:
-    """One item of a batch job, as a submission lists it."""
+    """Return an item of a batch job in the form of a submission."""
     return {
         "instanceId": item_id,
         "path": f"{path}{item_id}",
@@ -95,31 +95,31 @@
 
 
 async def results(frontend: str, job_id: str) -> list[dict[str, str]]:
-    """All results of a job, in their order, once every item has one."""
-    listed: list[dict[str, str]] = []
+    """Return all results of a job in order; waits until every item has one."""
+    received: list[dict[str, str]] = []
 
-    async def complete() -> bool:
-        url = f"http://{frontend}/api/lots/{job_id}?pageCursor={len(listed)}"
+    async def is_complete() -> bool:
+        url = f"http://{frontend}/api/lots/{job_id}?pageCursor={len(received)}"
         status, text = await _call("GET", url, {"Wait-Ms": str(WAIT_MS)})
         if status != 200:
             return False
         page = json.loads(text)
-        listed.extend(page["results"])
-        return len(listed) >= int(page["total"])
+        received.extend(page["results"])
+        return len(received) >= int(page["total"])
 
-    await until("every item has a result", complete)
-    return listed
+    await until("every item has a result", is_complete)
+    return received
 
 
 async def end(frontend: str, job_id: str) -> None:
-    """End a job."""
+    """Delete a job."""
     status, text = await _call("DELETE", f"http://{frontend}/api/lots/{job_id}", {})
     if status != 200:
-        raise TierError(f"end of the job: status {status} {text}")
+        raise TierError(f"delete of the job: status {status} {text}")
 
 
 async def _call(method: str, url: str, headers: dict[str, str], body: str | None = None) -> tuple[int, str]:
-    """Status and text of one answer; 503 where none came."""
+    """Return the status and text of a response; 503 with the error if there was none."""
     try:
         async with (
             _session() as session,
--- a/examples/tier_processes.py
+++ b/examples/tier_processes.py
@@ -1,6 +1,6 @@
-"""The daemons of a small tier as real processes: settings files, start, signals, orderly end.
+"""The daemons of a small tier as real processes: settings files, start, signals and graceful shutdown.
 
-Every process has an address of its own in 127.0.0.0/8, so that all use the same ports, as on machines.
+Every process has its own address in 127.0.0.0/8, so that all use the same ports, as on separate machines.
 """
 
 from __future__ import annotations
@@ -21,31 +21,31 @@
 FRONTEND_PORT = 8161
 READINESS_PORT = 8167
 INTERNAL_PORTS = [7720, 7735]
-CLASSES = {"keeper": "core", "store": "storage", "proxy": "frontend"}
-SERVES = {"keeper": "control_plane", "store": "storage", "proxy": "frontend"}
-LAUNCHER = ("-m", "cherrycove.tier")  # what the interpreter is told to run, before the program's name
+MACHINE_CLASSES = {"keeper": "core", "store": "storage", "proxy": "frontend"}
+SERVED_ROLES = {"keeper": "control_plane", "store": "storage", "proxy": "frontend"}
+LAUNCHER = ("-m", "cherrycove.tier")  # arguments of the interpreter before the program's name
 GRACE_PERIOD_S = 2.0
-END_MARGIN_S = 5.0  # beyond the grace period, after which a process that has not ended is killed
+SHUTDOWN_MARGIN_S = 5.0  # added to the grace period before a process is killed
 MOST_SEEDS = 3
 LOG_TAIL_BYTES = 4000
 
 
-def draw_network() -> str:
-    """The first three numbers of addresses that no other tier on this machine is likely to use."""
+def random_network() -> str:
+    """Return the first three octets of addresses that are probably unused by other tiers on this machine."""
     return f"127.{secrets.randbelow(254) + 1}.{secrets.randbelow(256)}"
 
 
 @attrs.define(eq=False, kw_only=True)
 class Daemon:
-    """One process of the tier, on an address of its own."""
+    """A process of the tier with its own address."""
 
     program: str
-    number: int  # from 1, among those of its program
+    number: int  # from 1, unique within its program
     ip: str
     directory: Path
-    machine: str = ""  # its name, where several processes share one machine
+    machine: str = ""  # name of the machine, if several processes share it
     launcher: tuple[str, ...] = LAUNCHER
-    environment: dict[str, str] = attrs.field(factory=dict)  # beside that of this process
+    environment: dict[str, str] = attrs.field(factory=dict)  # added to the environment of this process
     process: asyncio.subprocess.Process | None = None
 
     @property
@@ -54,7 +54,7 @@
 
     @property
     def node_name(self) -> str:
-        """The name of its machine in the tier."""
+        """The node name of the process in the tier."""
         return self.machine or self.name
 
     @property
@@ -86,7 +86,7 @@
         return self.process is not None and self.process.returncode is None
 
     async def start(self) -> None:
-        """Start the process; it says in its log, and by what it serves, when it is up."""
+        """Start the process without waiting until it is ready, which its log and its endpoints show."""
         environment = {**os.environ, **self.environment, "CHERRYCOVE_CONFIG": str(self.settings_path)}
         with self.log_path.open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
@@ -95,40 +95,40 @@
             )  # fmt: skip
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal to this process, unless it has ended."""
+        """Send a signal to the process, unless it has exited."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
 
     async def ended(self) -> int:
-        """The exit code; killed if it does not end in time."""
+        """Wait for the process to exit and return its exit code; kills it after a timeout."""
         if self.process is None:
             return 0
         try:
-            async with asyncio.timeout(GRACE_PERIOD_S + END_MARGIN_S):
+            async with asyncio.timeout(GRACE_PERIOD_S + SHUTDOWN_MARGIN_S):
                 return await self.process.wait()
         except TimeoutError:
             self.send(signal.SIGKILL)
             return await self.process.wait()
 
     async def terminate(self) -> int:
-        """Ask it to end, and wait until it has; the exit code."""
+        """Send SIGTERM, wait until the process has exited and return its exit code."""
         self.send(signal.SIGTERM)
         return await self.ended()
 
     async def kill(self) -> None:
-        """End it at once, as a crash does."""
+        """Kill the process at once, as in a crash."""
         self.send(signal.SIGKILL)
         await self.ended()
 
     def log_tail(self) -> str:
-        """The last lines that it logged."""
+        """Return the end of its log."""
         text = self.log_path.read_bytes() if self.log_path.exists() else b""
         return text[-LOG_TAIL_BYTES:].decode("utf-8", "replace")
 
 
 @attrs.frozen(kw_only=True)
 class Sizes:
-    """How many processes of each program there are, and how many machines may be lost at once."""
+    """The number of processes per program, and of machines that may be lost at the same time."""
 
     keepers: int = 3
     stores: int = 3
@@ -136,8 +136,8 @@
     machine_failures: int = 1
 
 
-def lay_out(directory: Path, sizes: Sizes, platform: str, network: str) -> list[Daemon]:
-    """The daemons of a tier, keepers first, with their settings files written."""
+def create_daemons(directory: Path, sizes: Sizes, platform: str, network: str) -> list[Daemon]:
+    """Create the daemons of a tier, keepers first, and write their settings files."""
     daemons: list[Daemon] = []
     for program, count in (("keeper", sizes.keepers), ("store", sizes.stores), ("proxy", sizes.proxies)):
         for number in range(1, count + 1):
@@ -151,13 +151,13 @@
 
 
 def settings_of(daemon: Daemon, seeds: list[str], platform: str, sizes: Sizes) -> dict[str, Any]:
-    """The settings file of one process, as a platform would write it."""
+    """Return the content of the settings file of a process, as a platform would write it."""
     zone = f"zone-{daemon.number}"
     return {
         "nodeName": daemon.node_name,
         "role": daemon.program,
-        "machineClass": CLASSES[daemon.program],
-        "serves": [SERVES[daemon.program]],
+        "machineClass": MACHINE_CLASSES[daemon.program],
+        "serves": [SERVED_ROLES[daemon.program]],
         "ipAddress": daemon.ip,
         "zone": zone,
         "region": "region-1",
--- a/examples/toy_broker.py
+++ b/examples/toy_broker.py
@@ -1,6 +1,6 @@
-"""A model broker on loopback, for examples and tests: answers as the tier expects of a broker.
+"""A model broker on loopback, for examples and tests, that responds as the tier expects from a broker.
 
-Each answer is written by hand on a plain socket, so that a test can cut it off, garble it or add to it.
+Each response is written directly to a socket, so that a test can truncate it, corrupt it or add to it.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @attrs.define(kw_only=True)
 class Received:
-    """A request as the broker got it."""
+    """A request that the broker received."""
 
     method: str
     target: str
@@ -25,7 +25,7 @@
 
 @attrs.define(eq=False)
 class Wire:
-    """The broker's end of one connection."""
+    """The broker's side of one connection."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -42,10 +42,10 @@
         self.writer.close()
 
     async def head(self, request: Received, status: str = "200 OK", **fields: str) -> None:
-        """The head of an answer; names of ``fields`` with underscores for hyphens."""
+        """Send a response head; underscores in the names of ``fields`` become hyphens."""
         lines = [f"HTTP/1.1 {status}", f"Request-Id: {request.headers.get('request-id', '')}"]
         lines += [f"{name.replace('_', '-')}: {value}" for name, value in fields.items()]
-        if self.broker.tells_load:
+        if self.broker.reports_load:
             lines.append(f"Instance-Load: {self.broker.running},0,{self.broker.slots}")
         await self.write("\r\n".join([*lines, "", ""]).encode())
 
@@ -73,12 +73,15 @@
 
 
 async def echo(wire: Wire, request: Received) -> None:
-    """Answers with the body of the request."""
+    """Respond with the body of the request."""
     await wire.answer(request, request.body)
 
 
 def stream(events: int, breaks_after: int | None = None) -> Script:
-    """A stream of numbered events, continued after Last-Event-Id; reset after event ``breaks_after``."""
+    """Return a script that streams numbered events, starting after Last-Event-Id.
+
+    It resets the connection after event ``breaks_after``, if given.
+    """
 
     async def script(wire: Wire, request: Received) -> None:
         await wire.stream_head(request)
@@ -93,18 +96,21 @@
 
 @attrs.define(eq=False)
 class ToyBroker:
-    """Serves on loopback; ``scripts`` answer the next requests in order, then ``script`` all others."""
+    """Serves on loopback; ``scripts`` handle the next requests in order, ``script`` all others.
+
+    ``client_disconnected`` is set when a client closes the connection during a response.
+    """
 
     instance_id: str = "i-1"
     slots: int = 8
-    tells_load: bool = True
+    reports_load: bool = True
     script: Script = echo
     scripts: list[Script] = attrs.field(factory=list)
-    received: list[Received] = attrs.field(factory=list)  # only those that ran
+    received: list[Received] = attrs.field(factory=list)  # only executed requests
     rejected: int = 0
     connections: int = 0
     running: int = 0
-    gone: asyncio.Event = attrs.field(factory=asyncio.Event)  # set when a caller closed within an answer
+    client_disconnected: asyncio.Event = attrs.field(factory=asyncio.Event)
     address: str = ""
     _arrival: asyncio.Condition = attrs.field(factory=asyncio.Condition)
     _server: asyncio.Server | None = None
@@ -115,7 +121,7 @@
         self.address = f"{host}:{port}"
 
     async def wait_received(self, count: int = 1) -> None:
-        """Until ``count`` requests have run or begun to."""
+        """Wait until ``count`` requests have been accepted for execution."""
         async with self._arrival:
             await self._arrival.wait_for(lambda: len(self.received) >= count)
 
@@ -128,13 +134,13 @@
         wire = Wire(reader, writer, self)
         try:
             while (request := await _read(reader)) is not None:
-                await self._answer(wire, request)
+                await self._handle(wire, request)
         except (ConnectionError, asyncio.IncompleteReadError):
-            self.gone.set()
+            self.client_disconnected.set()
         finally:
             writer.close()
 
-    async def _answer(self, wire: Wire, request: Received) -> None:
+    async def _handle(self, wire: Wire, request: Received) -> None:
         expected = request.headers.get("expected-instance", self.instance_id)
         if expected != self.instance_id:
             self.rejected += 1
@@ -158,8 +164,8 @@
         head = await reader.readuntil(b"\r\n\r\n")
     except asyncio.IncompleteReadError:
         return None
-    first, *lines = head.decode().split("\r\n")[:-2]
-    method, target, _ = first.split(" ")
+    request_line, *lines = head.decode().split("\r\n")[:-2]
+    method, target, _ = request_line.split(" ")
     headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
     body = await reader.readexactly(int(headers.get("content-length", "0")))
     return Received(method=method, target=target, headers=headers, body=body)
--- a/examples/toy_node.py
+++ b/examples/toy_node.py
@@ -1,9 +1,9 @@
-"""A toy world to try the broker in: discovery, two disk nodes for HTTP/1.1, and the same two for NBD.
+"""A local environment for trying the broker: discovery, and two disk nodes that serve HTTP/1.1 and NBD.
 
     python examples/toy_node.py [--delay-ms N] [--drain toy-1]
 
-It listens on loopback as examples/config.json and examples/operator.toml say, keeps what is written in memory
-and prints each request that comes. It is a toy: it knows no load, no queue and no failure but a delay.
+It listens on loopback at the addresses in examples/config.json and examples/operator.toml, keeps written data
+in memory and prints each request. It models neither load nor queues, and no failure except a delay.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 from aiohttp import web
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
-from cherrycove.broker import nbd  # noqa: E402  (its codec serves both sides)
+from cherrycove.broker import nbd  # noqa: E402  (the codec works for both client and server)
 
 CONFIG = json.loads((Path(__file__).parent / "config.json").read_text())
-DISK = 1 << 20  # bytes of each NBD export
+EXPORT_BYTES = 1 << 20  # per NBD export
 
 
 class ToyNode:
     def __init__(self, name: str, delay: float) -> None:
         self.name, self.delay = name, delay
         self.objects: dict[str, bytes] = {}
-        self.disk = bytearray(DISK)
-        self.open = 0
+        self.disk = bytearray(EXPORT_BYTES)
+        self.in_flight = 0
 
     async def http(self, request: web.BaseRequest) -> web.Response:
-        self.open += 1
+        self.in_flight += 1
         await asyncio.sleep(self.delay)
         print(
             f"{self.name}: {request.method} {request.raw_path} id={request.headers.get('X-Request-Id')} "
@@ -43,12 +43,16 @@
         if request.method == "PUT":
             self.objects[request.path.partition("/")[2]] = await request.read()
         path = request.path.split("/", 2)[-1]
-        kept = [data for key, data in self.objects.items() if key.endswith(path)]
-        body = b"kept\n" if request.method == "PUT" else (kept or [f"{self.name} has nothing\n".encode()])[-1]
-        self.open -= 1
-        return web.Response(body=body, headers={"X-Load": json.dumps({"inflight": self.open})})
+        matching = [data for key, data in self.objects.items() if key.endswith(path)]
+        body = (
+            b"kept\n"
+            if request.method == "PUT"
+            else (matching or [f"{self.name} has nothing\n".encode()])[-1]
+        )
+        self.in_flight -= 1
+        return web.Response(body=body, headers={"X-Load": json.dumps({"inflight": self.in_flight})})
 
-    async def block(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_nbd(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             writer.write(nbd.pack_greeting())
             await reader.readexactly(4)
@@ -61,32 +65,34 @@
                         | nbd.TransmissionFlag.SEND_TRIM
                         | nbd.TransmissionFlag.CAN_MULTI_CONN
                     )
-                    info = struct.pack(">HQH", nbd.InfoType.EXPORT, DISK, flags)
+                    info = struct.pack(">HQH", nbd.InfoType.EXPORT, EXPORT_BYTES, flags)
                     writer.write(
                         nbd.pack_option_reply(number, nbd.OptionReplyType.INFO, info)
                         + nbd.pack_option_reply(number, nbd.OptionReplyType.ACK)
                     )
                     break
-                known = number == nbd.Option.STRUCTURED_REPLY
+                is_supported = number == nbd.Option.STRUCTURED_REPLY
                 writer.write(
                     nbd.pack_option_reply(
-                        number, nbd.OptionReplyType.ACK if known else nbd.OptionReplyType.ERR_UNSUP
+                        number, nbd.OptionReplyType.ACK if is_supported else nbd.OptionReplyType.ERR_UNSUP
                     )
                 )
             while True:
-                call = await nbd.read_command_request(reader)
-                payload = await reader.readexactly(call.length if call.command == nbd.Command.WRITE else 0)
+                request = await nbd.read_command_request(reader)
+                payload = await reader.readexactly(
+                    request.length if request.command == nbd.Command.WRITE else 0
+                )
                 await asyncio.sleep(self.delay)
-                name = nbd.Command(call.command).name
-                print(f"{self.name}: NBD {name} {call.offset}+{call.length}", flush=True)
-                end = call.offset + call.length
-                if call.command == nbd.Command.READ:
-                    data = bytes(self.disk[call.offset : end])
-                    writer.write(nbd.make_data_chunk(call.cookie, call.offset, data).pack())
+                name = nbd.Command(request.command).name
+                print(f"{self.name}: NBD {name} {request.offset}+{request.length}", flush=True)
+                end = request.offset + request.length
+                if request.command == nbd.Command.READ:
+                    data = bytes(self.disk[request.offset : end])
+                    writer.write(nbd.make_data_chunk(request.cookie, request.offset, data).pack())
                     continue
-                if call.command == nbd.Command.WRITE:
-                    self.disk[call.offset : end] = payload
-                writer.write(nbd.pack_simple_reply(call.cookie))
+                if request.command == nbd.Command.WRITE:
+                    self.disk[request.offset : end] = payload
+                writer.write(nbd.pack_simple_reply(request.cookie))
         except (EOFError, OSError, ValueError, nbd.ProtocolError):
             pass
         finally:
@@ -109,7 +115,7 @@
 
 async def main() -> None:
     parser = argparse.ArgumentParser(description=(__doc__ or "").split("\n")[0])
-    parser.add_argument("--delay-ms", type=float, default=10.0, help="time that each request takes")
+    parser.add_argument("--delay-ms", type=float, default=10.0, help="delay of each request")
     parser.add_argument(
         "--drain", action="append", default=[], metavar="NODE", help="list this node as draining"
     )
@@ -122,11 +128,11 @@
         await web.TCPSite(runner, host, int(port)).start()
 
     await serve(Discovery(options.drain).http, CONFIG["discovery"])
-    for place, entry in enumerate(CONFIG["known"]["endpoints"]):
+    for index, entry in enumerate(CONFIG["known"]["endpoints"]):
         node = ToyNode(entry["name"], options.delay_ms / 1000)
         await serve(node.http, entry["address"])
-        await asyncio.start_server(node.block, "127.0.0.1", 10810 + place)
-        print(f"{node.name}: HTTP on {entry['address']}, NBD on 127.0.0.1:{10810 + place}")
+        await asyncio.start_server(node.serve_nbd, "127.0.0.1", 10810 + index)
+        print(f"{node.name}: HTTP on {entry['address']}, NBD on 127.0.0.1:{10810 + index}")
     print(f"discovery on {CONFIG['discovery']}", flush=True)
     await asyncio.Event().wait()
 
--- a/examples/toy_platform.py
+++ b/examples/toy_platform.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's list of model brokers, on loopback."""
+"""A fake of the platform API that lists model brokers, on loopback."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @attrs.define(eq=False, kw_only=True)
 class ToyPlatform:
-    """Serves ``GET /instances``: every one of ``brokers`` as ready, in one page."""
+    """Serves ``GET /instances``, which lists all ``brokers`` as ready in a single page."""
 
     service: str
     brokers: list[ToyBroker]
--- a/tests/tier/linked_tier.py
+++ b/tests/tier/linked_tier.py
@@ -66,7 +66,7 @@
         return self
 
     async def __aexit__(self, *error: Any) -> None:
-        await self._end_all()
+        await self._kill_all()
         await self._rpc.stop()
         await self.links.stop()
 
