--- a/bench/soak/run.py
+++ b/bench/soak/run.py
@@ -146,7 +146,7 @@
     async def _check_ready(self, proxy: Daemon, within_s: float) -> None:
         try:
             async with asyncio.timeout(within_s):
-                await self._tier.answers_readiness(proxy, 200)
+                await self._tier.wait_for_readiness(proxy, 200)
         except (TimeoutError, small_tier.TierError):
             self._ledger.record_violation(
                 f"{proxy.name} is not ready {within_s} s after all processes were started"
--- a/bench/soak/tier.py
+++ b/bench/soak/tier.py
@@ -16,7 +16,7 @@
 
 from bench.soak.ledger import Ledger
 from examples.small_tier import SmallTier
-from examples.tier_processes import MOST_SEEDS, Daemon, settings_of
+from examples.tier_processes import MAX_SEEDS, Daemon, make_settings
 
 CATCH_UP_S = 4.8  # a machine counts as lost until this long after its restart
 FIRST_MACHINE = 100  # offset of the last octet of addresses of machines with disks
@@ -40,7 +40,7 @@
     _reserved: set[str] = attrs.field(factory=set)  # names of processes that an action uses; others skip them
     _stopping: set[str] = attrs.field(factory=set)  # the subset that got SIGTERM and has not exited yet
 
-    def _lay_out(self) -> list[Daemon]:
+    def _create_daemons(self) -> list[Daemon]:
         daemons = [
             self._daemon(program, number)
             for program, count in (
@@ -50,9 +50,9 @@
             )
             for number in range(1, count + 1)
         ]
-        seeds = [daemon.control_plane for daemon in daemons if daemon.program == "keeper"][:MOST_SEEDS]
+        seeds = [daemon.control_plane for daemon in daemons if daemon.program == "keeper"][:MAX_SEEDS]
         for daemon in daemons:
-            settings = settings_of(daemon, seeds, self.platform.address, self.sizes)
+            settings = make_settings(daemon, seeds, self.platform.address, self.sizes)
             settings["bounds"]["gracePeriodS"] = GRACE_PERIOD_S
             self._settings[daemon.name] = settings
             daemon.settings_path.write_text(json.dumps(settings))
@@ -100,7 +100,7 @@
         controllers = [
             each.control_plane for each in self.all_of("keeper") if not machines or each.machine in machines
         ]
-        self._seeds = self.random.sample(controllers, min(MOST_SEEDS, len(controllers)))
+        self._seeds = self.random.sample(controllers, min(MAX_SEEDS, len(controllers)))
         self._seeds_until = time.monotonic() + SEED_PERIOD_S
 
     def write_settings(self, daemon: Daemon) -> None:
--- a/bench/tier_control.py
+++ b/bench/tier_control.py
@@ -41,8 +41,8 @@
 class TracedTier(SmallTier):
     """A tier of keepers only, which record their syncs."""
 
-    def _lay_out(self) -> list[Daemon]:
-        daemons = super()._lay_out()
+    def _create_daemons(self) -> list[Daemon]:
+        daemons = super()._create_daemons()
         for daemon in daemons:
             daemon.launcher = TRACED_LAUNCHER
             daemon.environment[TRACE_VARIABLE] = str(self.trace_path(daemon))
--- a/bench/tier_proxies.py
+++ b/bench/tier_proxies.py
@@ -27,7 +27,7 @@
 from cherrycove.tier.protocol.rpc import RpcClient
 from cherrycove.tier.settings import parse_settings
 from examples.small_tier import SmallTier, until
-from examples.tier_processes import Daemon, Sizes, settings_of
+from examples.tier_processes import Daemon, Sizes, make_settings
 
 ROUTES = 6
 FIRST_ADDRESS_NUMBER = 101  # last octet of the address of the first proxy
@@ -66,7 +66,7 @@
         ip = f"{tier.network}.{FIRST_ADDRESS_NUMBER + number}"
         self._daemon = Daemon(program="proxy", number=number, ip=ip, directory=tier.directory)
         seeds = [keeper.control_plane for keeper in tier.keepers]
-        document = settings_of(self._daemon, seeds, tier.platform.address, tier.sizes)
+        document = make_settings(self._daemon, seeds, tier.platform.address, tier.sizes)
         settings = parse_settings(yaml.safe_dump(document))
         self._client = RpcClient()
         self.views = ClusterView()
--- a/examples/small_tier.py
+++ b/examples/small_tier.py
@@ -20,7 +20,7 @@
 
 CONFIGURATION_PATH = ROOT / "examples" / "tier-configuration.json"
 SERVICE = "model"  # name of the service in that configuration
-LONGEST_WAIT_S = 20.0  # for a condition of a running tier to become true
+WAIT_TIMEOUT_S = 20.0  # for a condition of a running tier to become true
 POLL_S = 0.05  # between two checks of a condition
 READINESS_TIMEOUT_S = 1.0
 
@@ -29,7 +29,7 @@
     """A request to the tier failed, or a condition did not become true in time."""
 
 
-async def until(fact: str, holds: Callable[[], Awaitable[bool]], within_s: float = LONGEST_WAIT_S) -> None:
+async def until(fact: str, holds: Callable[[], Awaitable[bool]], within_s: float = WAIT_TIMEOUT_S) -> None:
     """Poll ``holds`` until it returns True; raises ``TierError`` with ``fact`` if it does not in time."""
     try:
         async with asyncio.timeout(within_s):
@@ -62,7 +62,7 @@
     daemons: list[Daemon] = attrs.field(init=False, factory=list)
     platform: ToyPlatform = attrs.field(init=False)
 
-    def of(self, program: str) -> list[Daemon]:
+    def running_daemons(self, program: str) -> list[Daemon]:
         """Return the running daemons of a program."""
         return [daemon for daemon in self.daemons if daemon.program == program and daemon.running]
 
@@ -71,11 +71,11 @@
 
     @property
     def keepers(self) -> list[Daemon]:
-        return self.of("keeper")
+        return self.running_daemons("keeper")
 
     @property
     def proxies(self) -> list[Daemon]:
-        return self.of("proxy")
+        return self.running_daemons("proxy")
 
     async def __aenter__(self) -> SmallTier:
         self.platform = ToyPlatform(service=SERVICE, brokers=self.brokers)
@@ -83,14 +83,14 @@
             for broker in self.brokers:
                 await broker.start()
             await self.platform.start()
-            self.daemons = self._lay_out()
+            self.daemons = self._create_daemons()
             await self._start_all()
         except BaseException:
             await self._kill_all()
             raise
         return self
 
-    def _lay_out(self) -> list[Daemon]:
+    def _create_daemons(self) -> list[Daemon]:
         """Create the daemons in the order in which they are started."""
         return create_daemons(self.directory, self.sizes, self.platform.address, self.network)
 
@@ -107,7 +107,7 @@
         """Shut down all daemons gracefully, proxies first, keepers last; returns exit codes by name."""
         codes: dict[str, int] = {}
         for program in ("proxy", "store", "keeper"):
-            daemons = self.of(program)
+            daemons = self.running_daemons(program)
             exit_codes = await asyncio.gather(*(daemon.terminate() for daemon in daemons))
             codes.update({daemon.name: code for daemon, code in zip(daemons, exit_codes, strict=True)})
         return codes
@@ -165,9 +165,9 @@
 
     async def ready(self) -> None:
         """Wait until every proxy passes the platform's readiness check."""
-        await asyncio.gather(*(self.answers_readiness(proxy, 200) for proxy in self.proxies))
+        await asyncio.gather(*(self.wait_for_readiness(proxy, 200) for proxy in self.proxies))
 
-    async def answers_readiness(self, proxy: Daemon, status: int) -> None:
+    async def wait_for_readiness(self, proxy: Daemon, status: int) -> None:
         """Wait until ``proxy`` answers the platform's readiness check with ``status``."""
 
         async def answers() -> bool:
--- a/examples/tier_processes.py
+++ b/examples/tier_processes.py
@@ -26,7 +26,7 @@
 LAUNCHER = ("-m", "cherrycove.tier")  # arguments of the interpreter before the program's name
 GRACE_PERIOD_S = 2.0
 SHUTDOWN_MARGIN_S = 5.0  # added to the grace period before a process is killed
-MOST_SEEDS = 3
+MAX_SEEDS = 3
 LOG_TAIL_BYTES = 4000
 
 
@@ -143,14 +143,14 @@
         for number in range(1, count + 1):
             ip = f"{network}.{len(daemons) + 1}"
             daemons.append(Daemon(program=program, number=number, ip=ip, directory=directory))
-    seeds = [daemon.control_plane for daemon in daemons if daemon.program == "keeper"][:MOST_SEEDS]
+    seeds = [daemon.control_plane for daemon in daemons if daemon.program == "keeper"][:MAX_SEEDS]
     for daemon in daemons:
-        settings = settings_of(daemon, seeds, platform, sizes)
+        settings = make_settings(daemon, seeds, platform, sizes)
         daemon.settings_path.write_text(yaml.safe_dump(settings, sort_keys=False))
     return daemons
 
 
-def settings_of(daemon: Daemon, seeds: list[str], platform: str, sizes: Sizes) -> dict[str, Any]:
+def make_settings(daemon: Daemon, seeds: list[str], platform: str, sizes: Sizes) -> dict[str, Any]:
     """Return the content of the settings file of a process, as a platform would write it."""
     zone = f"zone-{daemon.number}"
     return {
--- a/tests/tier/linked_tier.py
+++ b/tests/tier/linked_tier.py
@@ -20,7 +20,7 @@
 from cherrycove.tier.protocol.rpc import RpcClient
 from examples import small_tier
 from examples.small_tier import CONFIGURATION_PATH, SmallTier, TierError
-from examples.tier_processes import MOST_SEEDS, Daemon, settings_of
+from examples.tier_processes import MAX_SEEDS, Daemon, make_settings
 
 LINKED_PROCESS = Path(__file__).with_name("linked_process.py")
 STATUS_TIMEOUT_S = 0.5
@@ -70,13 +70,13 @@
         await self._rpc.stop()
         await self.links.stop()
 
-    def _lay_out(self) -> list[Daemon]:
+    def _create_daemons(self) -> list[Daemon]:
         counts = (("keeper", self.sizes.keepers), ("store", self.sizes.stores), ("proxy", self.sizes.proxies))
         numbers = ((program, number) for program, count in counts for number in range(1, count + 1))
         daemons = [self._daemon(index, *each) for index, each in enumerate(numbers, 1)]
-        seeds = [daemon.control_plane for daemon in daemons if daemon.program == "keeper"][:MOST_SEEDS]
+        seeds = [daemon.control_plane for daemon in daemons if daemon.program == "keeper"][:MAX_SEEDS]
         for daemon in daemons:
-            settings = settings_of(daemon, seeds, self.platform.address, self.sizes)
+            settings = make_settings(daemon, seeds, self.platform.address, self.sizes)
             daemon.settings_path.write_text(yaml.safe_dump(settings, sort_keys=False))
         return daemons
 
@@ -169,7 +169,11 @@
         found: list[Daemon] = []
 
         def known(told: StatusReply) -> bool:
-            found[:] = [store for store in self.of("store") if _leading(told).node_name == store.node_name]
+            found[:] = [
+                store
+                for store in self.running_daemons("store")
+                if _leading(told).node_name == store.node_name
+            ]
             return bool(found)
 
         await self.until_told(await self.leader(), "one store leads", known)
--- a/tests/tier/test_links_cut.py
+++ b/tests/tier/test_links_cut.py
@@ -159,10 +159,10 @@
             await proxy.start()
             await answered.wait_passed(REFUSALS)
             assert not tier.events(proxy, "configuration_in_force")[1:]
-            await tier.answers_readiness(proxy, 503)
+            await tier.wait_for_readiness(proxy, 503)
 
             tier.links.join({lost.name, proxy.name}, far_side)
-            await tier.answers_readiness(proxy, 200)
+            await tier.wait_for_readiness(proxy, 200)
             in_force = [line["version"] for line in tier.events(proxy, "configuration_in_force")]
             assert in_force == [1, 7]
             await until_served(proxy, "/far/1")
--- a/tests/tier/test_real_processes.py
+++ b/tests/tier/test_real_processes.py
@@ -1,7 +1,7 @@
 """The whole tier as real processes on loopback: the command of ``make tier``, and processes that end.
 
 Order comes from facts that are awaited: requests that a broker received, answers of the tier. What may take
-time is bounded by ``examples.small_tier.LONGEST_WAIT_S``.
+time is bounded by ``examples.small_tier.WAIT_TIMEOUT_S``.
 """
 
 from __future__ import annotations
@@ -128,7 +128,7 @@
             async with tier_client.open_stream(proxy.frontend) as answer:
                 first = await answer.next()
                 ending = asyncio.create_task(proxy.terminate())
-                await tier.answers_readiness(proxy, 503)
+                await tier.wait_for_readiness(proxy, 503)
                 gate.set()
                 rest = await answer.rest()
             assert [event.data for event in [first, *rest] if event] == TEXT.split("\n")
@@ -152,8 +152,8 @@
 class TierOfSmallDisks(SmallTier):
     """A tier whose stores have little room for jobs."""
 
-    def _lay_out(self) -> list[Daemon]:
-        daemons = super()._lay_out()
+    def _create_daemons(self) -> list[Daemon]:
+        daemons = super()._create_daemons()
         for daemon in daemons:
             if daemon.program == "store":
                 settings = yaml.safe_load(daemon.settings_path.read_text())
@@ -195,7 +195,7 @@
             status, retry_after, reason = await hand_in_large_job(proxy, "second")
             assert (status, reason) == (503, "no room for further jobs")
             assert float(retry_after) >= 0.2
-            stores = tier.of("store")
+            stores = tier.running_daemons("store")
             for store in stores:
                 await store.kill()
             for store in stores:
