--- a/bench/admission/faults.py
+++ b/bench/admission/faults.py
@@ -10,7 +10,7 @@
 from bench.admission.network import BrokerHost, Network
 from bench.admission.site import Fault, Site
 
-UNLISTED_AFTER_S = 2.0  # from a crash until the platform removes the broker from its listing
+UNLISTED_AFTER_S = 2.0  # time from a crash until the platform removes the broker from its listing
 DRAIN_S = 5.0  # time for which a draining broker keeps serving
 RESTART_S = 1.5  # time a proxy takes to start, in addition to its downtime
 GREY_FAULTS = {"mute": EngineFault.HANGING, "hang": EngineFault.HANGING}
--- a/bench/soak/operator_client.py
+++ b/bench/soak/operator_client.py
@@ -15,7 +15,7 @@
 
 CALL_TIMEOUT_S = 3.0
 RETRY_PAUSE_S = 0.1
-CHANGE_TIMEOUT_S = 60.0  # for one change, including all retries
+CHANGE_TIMEOUT_S = 60.0  # limit for one change, including all retries
 PATH = "/api/configuration"
 
 
--- a/bench/soak/run.py
+++ b/bench/soak/run.py
@@ -25,9 +25,9 @@
 BROKERS = 3
 CLIENTS_PER_PROXY = 3
 BATCH_CLIENTS = 3
-STARTUP_TIMEOUT_S = 30.0  # for all proxies to become ready at the start
-RECOVERY_TIMEOUT_S = 15.0  # after the last action, until every proxy has to be ready
-APPLY_TIMEOUT_S = 2.5  # for every proxy to apply an acknowledged configuration
+STARTUP_TIMEOUT_S = 30.0  # time limit for all proxies to become ready at the start
+RECOVERY_TIMEOUT_S = 15.0  # time after the last action until every proxy has to be ready
+APPLY_TIMEOUT_S = 2.5  # time limit for every proxy to apply an acknowledged configuration
 READ_BACK_TIMEOUT_S = 20.0
 NON_MEMBER_SEEDS_SHARE = 0.5  # share of the runs whose last start uses seeds outside the group, if any
 ERROR_EVENTS = {"pull_failed", "controller_step_failed", "batch_maintenance_failed", "batch_exchange_failed",
--- a/examples/small_tier.py
+++ b/examples/small_tier.py
@@ -20,7 +20,7 @@
 
 CONFIGURATION_PATH = ROOT / "examples" / "tier-configuration.json"
 SERVICE = "model"  # name of the service in that configuration
-WAIT_TIMEOUT_S = 20.0  # for a condition of a running tier to become true
+WAIT_TIMEOUT_S = 20.0  # time limit for a condition of a running tier to become true
 POLL_S = 0.05  # between two checks of a condition
 READINESS_TIMEOUT_S = 1.0
 
--- a/examples/tier_client.py
+++ b/examples/tier_client.py
@@ -16,7 +16,7 @@
 
 HOST = "tier.example"  # hostname of the routes in tier-configuration.json
 CALL_TIMEOUT_S = 15.0
-WAIT_MS = 1000  # for which the server may hold a read of results open
+WAIT_MS = 1000  # time for which the server may hold a read of results open
 EVENT_END = b"\n\n"
 
 
