--- a/tests/make_golden_broker.py
+++ b/tests/make_golden_broker.py
@@ -2,8 +2,8 @@
 
 PYTHONPATH=. python tests/make_golden_broker.py [FOLDER]     # from the repository's root
 
-The committed data were written before the names in the code changed; whoever runs this again must get the
-same bytes (tests/test_golden_broker.py compares them). A difference is a change of behaviour.
+The committed data predate the renaming of identifiers in the code. Running this script again must produce the
+same bytes (tests/test_golden_broker.py compares them); a difference is a change of behaviour.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
     ]
 }
 MOMENT = {"moment": [1_700_000_000.25, "5f0c7a52-boot", 5000.5]}
-TOLD = {
+RECALLED = {
     "recalled": [
         [
             {"node_memory": ["d0", 40.0, 0.25, 98.0, 3.5, True, 2, 100.5, 7, 12.0, 99.0]},
@@ -71,18 +71,18 @@
 ENDINGS = golden.ENUMS["ending"][1].split()
 
 
-def _reason(code: int, node: str = "d1", place: str = "", **more: float) -> Plain:
-    """A reason with figures that half precision holds exactly."""
+def _reason(code: int, node: str = "d1", location: str = "", **more: float) -> Plain:
+    """Returns a reason whose numbers are exactly representable in half precision."""
     figures = {"threshold": 3.5, "out": 3, "queued": 2, "credits": -1.5, "wait": 0.25, "left": -0.125}
     figures |= {"refill": 0.75, "epoch": 70_000} | more
-    return {"reason": [f"=code.{code}", node, place, *figures.values()]}
+    return {"reason": [f"=code.{code}", node, location, *figures.values()]}
 
 
 def _attempt(code: int, node: str, at: float, ending: str | None) -> Plain:
     return {"attempt": [node, _reason(code, node), at, 0.0625, f"=ending.{ending}" if ending else None]}
 
 
-def _story(verdict: str, code: int, attempts: list[Plain], why: Plain = None, **more: Any) -> Plain:
+def _why_record(verdict: str, code: int, attempts: list[Plain], why: Plain = None, **more: Any) -> Plain:
     fields = {
         "id": "00000000000000a1",
         "volume": "00000000000000aa",
@@ -105,24 +105,26 @@
     return {"story": list(fields.values())}
 
 
-STORIES = [
-    _story("served", 64, [_attempt(1, "d0", 0.125, "served")]),
-    _story("served", 64, [_attempt(2, "d1", 0.0, "served")], front="nbd", shard=None, repeat=True),
-    _story(
+WHY_RECORDS = [
+    _why_record("served", 64, [_attempt(1, "d0", 0.125, "served")]),
+    _why_record("served", 64, [_attempt(2, "d1", 0.0, "served")], front="nbd", shard=None, repeat=True),
+    _why_record(
         "served", 64, [_attempt(1, "d2", 0.0, "node_error"), _attempt(3, "d1", 0.25, "served")], id="odd id ü"
     ),
     *(
-        _story("refused", code, [], _reason(code, place=place), object=0xDEADBEEF)
-        for code, place in zip(range(16, 32), ("lane", "queue", "") * 6, strict=False)
+        _why_record("refused", code, [], _reason(code, location=location), object=0xDEADBEEF)
+        for code, location in zip(range(16, 32), ("lane", "queue", "") * 6, strict=False)
     ),
-    _story("failed", 26, [_attempt(5, "d0", 0.0, "broken")], _reason(26), first="00000000000000a0", rivals=3),
-    _story(
+    _why_record(
+        "failed", 26, [_attempt(5, "d0", 0.0, "broken")], _reason(26), first="00000000000000a0", rivals=3
+    ),
+    _why_record(
         "gone", 65, [_attempt(4, "unnamed", 0.0, None)], **{"class": None, "plan": None, "volume": "vol/1"}
     ),
-    *(_story("failed", 67, [_attempt(1, "d0", 0.0, ending)]) for ending in ENDINGS),
-    *(_story("refused", code, []) for code in (0, 66, *range(68, 76))),
-    # What saturates: times, counts, sizes that their fields cannot hold.
-    _story(
+    *(_why_record("failed", 67, [_attempt(1, "d0", 0.0, ending)]) for ending in ENDINGS),
+    *(_why_record("refused", code, []) for code in (0, 66, *range(68, 76))),
+    # Times, counts and sizes beyond the range of their fields, which saturate.
+    _why_record(
         "refused",
         18,
         [],
@@ -154,7 +156,7 @@
     ("store_entry", {"entry": ["config/limit", 7, "n1", "ä=1"]}),
     ("store_entry", {"entry": ["node/d0", (1 << 63) - 1, "n2", None]}),
     ("store_entry", {"entry": ["node/d1", 1, "n2", ""]}),
-    *(("why_record", story) for story in STORIES),
+    *(("why_record", record) for record in WHY_RECORDS),
     *(("handover_member", member) for member in MEMBERS),
     ("nbd_call", {"nbd_call": [0, 4, 0x0123456789ABCDEF, 4096, 8192]}),
     ("nbd_call", {"nbd_call": [4, 0, 1, (1 << 63) - 512, 512]}),
@@ -202,39 +204,39 @@
         "Service": {"ID": "d1", "Address": "10.1.0.2", "Port": 7002, "Meta": {"shard": "1"}},
         "Checks": [{"Status": "passing", "CheckID": "_service_maintenance:d1"}],
     },
-    {"Service": {"ID": "d2"}, "Checks": []},  # known before, and malformed now
+    {"Service": {"ID": "d2"}, "Checks": []},  # malformed entry for a node that was listed before
     {"Service": {"ID": "stranger"}},
 ]
 
 
-def _lines(values: list[Plain]) -> str:
-    """JSON, one value a line."""
+def _json_lines(values: list[Plain]) -> str:
+    """Returns a JSON array with one value per line."""
     return "[\n" + ",\n".join(json.dumps(each, ensure_ascii=False) for each in values) + "\n]\n"
 
 
 def messages() -> str:
-    """Each message: its kind, what is written, its bytes in hex, and what is read from them."""
+    """Returns, for each message, its kind, the value to encode, the bytes in hex and the decoded value."""
     rows = []
     for kind, plain in MESSAGES:
         data = golden.MESSAGES[kind].encode(golden.from_plain(plain))
         rows.append([kind, plain, data.hex(), golden.to_plain(golden.MESSAGES[kind].decode(data))])
-    return _lines(rows)
+    return _json_lines(rows)
 
 
 def written() -> str:
-    """Messages that are only written: kind, arguments, bytes in hex."""
-    return _lines(
+    """Returns the kind, arguments and bytes in hex of each message that the broker writes but never reads."""
+    return _json_lines(
         [[kind, plain, golden.WRITTEN[kind](*golden.from_plain(plain)).hex()] for kind, plain in WRITTEN]
     )
 
 
 def memory() -> bytes:
-    told, moment, settings = (golden.from_plain(each) for each in (TOLD, MOMENT, SETTINGS))
-    return golden.write_memory(told, 100.0, moment, settings, "n1", False)
+    recalled, moment, settings = (golden.from_plain(each) for each in (RECALLED, MOMENT, SETTINGS))
+    return golden.write_memory(recalled, 100.0, moment, settings, "n1", False)
 
 
 def memory_read(data: bytes) -> str:
-    """What a process takes up of the memory 2 s later, on another clock."""
+    """Returns what a process restores from the memory file 2 s later, with a different monotonic clock."""
     later = {"moment": [1_700_000_002.25, "5f0c7a52-boot", 5002.5]}
     with tempfile.TemporaryDirectory() as folder:
         where = Path(folder) / "memory"
@@ -259,19 +261,26 @@
     return json.dumps({"answer": HEALTH, "list": golden.to_plain(found)}, indent=1) + "\n"
 
 
-OUT = {"maintenance": [{"=map": [["d2", 4.5]]}, {"=map": [["d1", [0.0, 1700000000999.5]]]}]}
+MAINTENANCE_AT_HANDOVER = {
+    "maintenance": [{"=map": [["d2", 4.5]]}, {"=map": [["d1", [0.0, 1700000000999.5]]]}]
+}
 
 
 def hand_over() -> str:
-    """What two processes of one broker say to each other, as either of them."""
+    """Returns the messages of a handover between two processes of one broker, recorded on each side."""
     with tempfile.TemporaryDirectory() as folder:
-        former = golden.hand_over(Path(folder), SETTINGS, MEMBERS[:2], OUT, STORIES[:4], MOMENT)
+        old_process_log = golden.hand_over(
+            Path(folder), SETTINGS, MEMBERS[:2], MAINTENANCE_AT_HANDOVER, WHY_RECORDS[:4], MOMENT
+        )
     state, piece = (
-        next(line[2:] for line in former if line.startswith(start)) for start in ('< {"version"', '< {"why"')
+        next(line[2:] for line in old_process_log if line.startswith(start))
+        for start in ('< {"version"', '< {"why"')
     )
     with tempfile.TemporaryDirectory() as folder:
-        fresh = golden.take_over(Path(folder), SETTINGS, state, piece)
-    return "".join(f"{line}\n" for line in ["in service", *former, "", "taking over", *fresh])
+        new_process_log = golden.take_over(Path(folder), SETTINGS, state, piece)
+    return "".join(
+        f"{line}\n" for line in ["in service", *old_process_log, "", "taking over", *new_process_log]
+    )
 
 
 # Configuration and HTTP.
@@ -402,13 +411,13 @@
         },
     },
 }
-FROM_ENVIRONMENT = {
+ENVIRONMENT = {
     "RELAY_NAME": "e1",
     "RELAY_LISTEN": "127.0.0.1:5002",
     "RELAY_ADMIN": "127.0.0.1:9102",
     "RELAY_DISCOVERY": "127.0.0.1:8502",
 }
-OPERATOR = """
+OPERATOR_CONFIGURATION = """
 [nbd]
 enabled = true
 listen = "127.0.0.1:10810"
@@ -460,7 +469,7 @@
 folder = "/var/lib/cherrycove"
 interval_ms = 1002
 """
-HEAD = {
+REQUEST_HEADERS = {
     "X-Request-Id": "r-1",
     "X-Class": "put",
     "Tier": "capped",
@@ -470,113 +479,121 @@
     "Idempotency-Key": "key-7",
     "X-Retry": "1",
 }
-CALLS = [
+OPERATOR_COMMANDS = [
     *("status", "stats", "maint-on d0", "maint-off d0", "why r-1 --json", "why --volume v --since 5m"),
     *("maint-on", "status d0", "maint-on d0 d1", "halt"),
 ]
 
 
-def operator_file() -> Plain:
-    """The operator's file, as TOML gives it."""
-    return tomllib.loads(OPERATOR)
+def operator_configuration() -> Plain:
+    """Returns the operator's configuration file as parsed TOML."""
+    return tomllib.loads(OPERATOR_CONFIGURATION)
 
 
 def configuration() -> str:
-    """What is taken of both configurations."""
+    """Returns what the broker reads from the platform's and the operator's configuration."""
     bare = {name: each for name, each in PLATFORM.items() if name in ("settings", "seed")}
     read = {
         "platform": golden.read_platform(PLATFORM, {}),
-        "platform from the environment": golden.read_platform(bare, FROM_ENVIRONMENT),
-        "operator": golden.read_operator(operator_file(), PLATFORM),
+        "platform from the environment": golden.read_platform(bare, ENVIRONMENT),
+        "operator": golden.read_operator(operator_configuration(), PLATFORM),
         "operator, empty": golden.read_operator({}, PLATFORM),
     }
     return json.dumps(read, indent=1) + "\n"
 
 
 def http() -> str:
-    """What is taken of a request's head, of discovery's list and of a node's answer."""
+    """Returns what the broker reads from request headers, a discovery list and a node's response."""
     listed = json.dumps(PLATFORM["known"])
     read = {
-        "head": golden.read_head("/put/x?y", HEAD, SETTINGS),
+        "head": golden.read_head("/put/x?y", REQUEST_HEADERS, SETTINGS),
         "list": golden.read_list(listed, {"room-a": 0, "room-b": 1}),
         "answer": golden.read_answer('{"busy_reqs": 3, "svc_ms": 1.5}', "125", "2.5"),
     }
     return json.dumps(read, indent=1) + "\n"
 
 
-def operators() -> str:
-    """What operators' calls are taken for, and what they are answered."""
-    told = {
-        "calls": {line: golden.read_call(line) for line in CALLS},
+def operator_commands() -> str:
+    """Returns how operator commands are parsed, and the responses to some of them."""
+    results = {
+        "calls": {line: golden.read_call(line) for line in OPERATOR_COMMANDS},
         "stats": golden.stats({"read": (1, 2, 3), "put": (0, 0, 4)}, {"memory_written": 9}).split("\n"),
-        "why": [golden.why_fields(story, SETTINGS, False) for story in STORIES],
-        "why, open": golden.why_fields(STORIES[0], SETTINGS, True),
+        "why": [golden.why_fields(record, SETTINGS, False) for record in WHY_RECORDS],
+        "why, open": golden.why_fields(WHY_RECORDS[0], SETTINGS, True),
     }
-    return json.dumps(told, indent=1) + "\n"
+    return json.dumps(results, indent=1) + "\n"
 
 
 # Decisions.
 
 
-class Vary:
-    """Changes the batches of one scheduler, by its own dice: times and figures in microseconds, so that the
-    data stay small, and what no day of bench/rules has."""
+class BatchMutator:
+    """Modifies the event batches of one scheduler, with a random generator of its own.
+
+    It rounds times and numbers to microseconds to keep the data small, and adds events and outcomes that no
+    simulation run of bench/rules contains.
+    """
 
     def __init__(self, seed: int, jumps: bool, evidence: bool) -> None:
-        self._dice, self._jumps, self._shift, self._last = random.Random(seed), jumps, 0.0, -inf
-        self._receiving: dict[int, int] = {}  # requests whose last byte is still to come: calls until then
-        self._evidence = Evidence(seed) if evidence else None
-
-    def __call__(self, now: float, events: list[Plain], acts: list[Plain]) -> golden.Batch:
-        dice = self._dice
-        events = [self._each(*next(iter(event.items()))) for event in events]
-        for act in acts:
-            number = act["send"][0] if "send" in act else None
+        self._rng, self._clock_jumps, self._clock_offset, self._last_time = (
+            random.Random(seed),
+            jumps,
+            0.0,
+            -inf,
+        )
+        self._receiving: dict[int, int] = {}  # calls left until each upload ends; negative if unsent
+        self._evidence_injector = EvidenceInjector(seed) if evidence else None
+
+    def __call__(self, now: float, events: list[Plain], actions: list[Plain]) -> golden.Batch:
+        rng = self._rng
+        events = [self._mutated(*next(iter(event.items()))) for event in events]
+        for action in actions:
+            number = action["send"][0] if "send" in action else None
             if number in self._receiving:
-                self._receiving[number] = dice.randint(1, 4)
+                self._receiving[number] = rng.randint(1, 4)
         for number, left in list(self._receiving.items()):
             self._receiving[number] = left - 1
             if left == 1:
                 del self._receiving[number]
                 events.append({"uploaded": [number]})
-        if dice.random() < 0.02:
-            events.append(self._rare(events))
-        if self._jumps and dice.random() < 0.004:
-            self._shift += dice.choice((0.5, 2.0, 11.0))  # the host stood still
-        self._last = max(ceil((now + self._shift) * 1e6) / 1e6, self._last)
-        if self._evidence is not None:
-            events = self._evidence.added(self._last, events)
-        return self._last, events
-
-    def _each(self, name: str, fields: list[Plain]) -> Plain:
-        if name == "arrived" and self._dice.random() < 0.1:
+        if rng.random() < 0.02:
+            events.append(self._rare_event(events))
+        if self._clock_jumps and rng.random() < 0.004:
+            self._clock_offset += rng.choice((0.5, 2.0, 11.0))  # simulates a stall of the host
+        self._last_time = max(ceil((now + self._clock_offset) * 1e6) / 1e6, self._last_time)
+        if self._evidence_injector is not None:
+            events = self._evidence_injector.inject(self._last_time, events)
+        return self._last_time, events
+
+    def _mutated(self, name: str, fields: list[Plain]) -> Plain:
+        if name == "arrived" and self._rng.random() < 0.1:
             fields = [*fields[:-1], True]
             self._receiving[fields[0]] = -1
-        if name == "attempt_ended" and self._dice.random() < 0.08:
+        if name == "attempt_ended" and self._rng.random() < 0.08:
             fields = [
                 *fields[:3],
-                self._dice.choice(("=outcome.moot", "=outcome.cancelled")),
+                self._rng.choice(("=outcome.moot", "=outcome.cancelled")),
                 False,
                 *fields[5:],
             ]
-        return {name: [self._short(each) for each in fields]}
+        return {name: [self._rounded(each) for each in fields]}
 
-    def _short(self, value: Plain) -> Plain:
+    def _rounded(self, value: Plain) -> Plain:
         if isinstance(value, dict):
-            return {name: self._short(each) for name, each in value.items()}
+            return {name: self._rounded(each) for name, each in value.items()}
         if isinstance(value, list):
-            return [self._short(each) for each in value]
+            return [self._rounded(each) for each in value]
         return round(value, 6) if isinstance(value, float) else value
 
-    def _rare(self, events: list[Plain]) -> Plain:
-        dice = self._dice
-        units = round(dice.uniform(0.0, 4.0), 3)
-        return dice.choice(
+    def _rare_event(self, events: list[Plain]) -> Plain:
+        rng = self._rng
+        units = round(rng.uniform(0.0, 4.0), 3)
+        return rng.choice(
             (
                 {"shared": [0.5, {"=map": [["s0-1", units]]}]},
                 {"shared": [1.0, {"=map": []}]},
-                {"places": [dice.choice((1, 4, 100))]},
-                {"stream_started": [dice.randrange(50), 0, "s0-1", 0.001]},
+                {"places": [rng.choice((1, 4, 100))]},
+                {"stream_started": [rng.randrange(50), 0, "s0-1", 0.001]},
                 {"probe_ended": ["s0-1", "=outcome.served", 0.001, {"=map": []}]},
                 {"arrived": [1 << 40, 0, 0, "v0", 1.0, 0, 1, 0.05, "twice", False, False]},
                 {
@@ -599,54 +616,57 @@
         )
 
 
-class Evidence:
-    """Adds what other processes may tell of listed nodes: an earlier life's figures, of any age and some
-    of them wrong, another process's sends, loans of room."""
+class EvidenceInjector:
+    """Adds information about listed nodes that other processes may provide.
+
+    This is restored state of an earlier process (of any age, some of it wrong), load sent by another process,
+    and capacity loans.
+    """
 
     def __init__(self, seed: int) -> None:
-        self._dice = random.Random(seed + 500)
+        self._rng = random.Random(seed + 500)
         self._nodes: dict[str, list[Plain]] = {}
 
-    def added(self, now: float, events: list[Plain]) -> list[Plain]:
-        """The events, with some more."""
+    def inject(self, now: float, events: list[Plain]) -> list[Plain]:
+        """Returns the events with any injected ones added."""
         first = not self._nodes
         for event in events:
             for node in event.get("nodes_listed", (0, "", ()))[2]:
                 self._nodes[node["node"][0]] = node["node"]
         if self._nodes and first:
-            return [*events, self._recalled(now)]
-        if not self._nodes or self._dice.random() > 0.05:
+            return [*events, self._recalled_event(now)]
+        if not self._nodes or self._rng.random() > 0.05:
             return events
-        name = self._dice.choice(list(self._nodes))
-        more = self._dice.choice(
+        name = self._rng.choice(list(self._nodes))
+        more = self._rng.choice(
             (
-                self._recalled(now),
-                {"shared": [0.5, {"=map": [[name, self._figure(0.0, 6.0)]]}]},
+                self._recalled_event(now),
+                {"shared": [0.5, {"=map": [[name, self._uniform(0.0, 6.0)]]}]},
                 {"shared": [1.0, {"=map": []}]},
-                {"room_lent": [name, self._figure(0.0, 8.0), self._figure(0.0, 0.5)]},
+                {"room_lent": [name, self._uniform(0.0, 8.0), self._uniform(0.0, 0.5)]},
             )
         )
         return [more, *events]
 
-    def _figure(self, least: float, most: float) -> float:
-        return round(self._dice.uniform(least, most), 6)
+    def _uniform(self, least: float, most: float) -> float:
+        return round(self._rng.uniform(least, most), 6)
 
-    def _recalled(self, now: float) -> Plain:
-        dice, figure = self._dice, self._figure
+    def _recalled_event(self, now: float) -> Plain:
+        rng, uniform = self._rng, self._uniform
         nodes = [
             {
                 "node_memory": [
                     node[0],
-                    node[4] if node[4] is None else round(node[4] + dice.choice((0.0, 0.0, 0.0005, 0.5)), 6),
-                    figure(0.001, 0.5),
-                    round(now - figure(-0.2, 8.0), 6),
-                    figure(1.0, 8.0),
-                    dice.random() < 0.5,
-                    dice.choice((0, 0, 1, 3)),
-                    round(now + figure(-7.0, 7.0), 6),
-                    dice.randint(-1, 3),
-                    dice.choice((0.0, figure(0.0, 6.0))),
-                    round(now - figure(-0.2, 3.0), 6),
+                    node[4] if node[4] is None else round(node[4] + rng.choice((0.0, 0.0, 0.0005, 0.5)), 6),
+                    uniform(0.001, 0.5),
+                    round(now - uniform(-0.2, 8.0), 6),
+                    uniform(1.0, 8.0),
+                    rng.random() < 0.5,
+                    rng.choice((0, 0, 1, 3)),
+                    round(now + uniform(-7.0, 7.0), 6),
+                    rng.randint(-1, 3),
+                    rng.choice((0.0, uniform(0.0, 6.0))),
+                    round(now - uniform(-0.2, 3.0), 6),
                 ]
             }
             for node in self._nodes.values()
@@ -655,50 +675,55 @@
             {
                 "volume_memory": [
                     f"v{number}",
-                    figure(-9.0, 9.0),
-                    round(now - figure(-0.1, 2.0), 6),
-                    dice.choice(("=-inf", round(now - figure(-0.1, 5.0), 6))),
+                    uniform(-9.0, 9.0),
+                    round(now - uniform(-0.1, 2.0), 6),
+                    rng.choice(("=-inf", round(now - uniform(-0.1, 5.0), 6))),
                 ]
             }
             for number in range(6)
         ]
-        return {"recalled": [nodes, volumes, {"=map": [[0, figure(0.0, 0.5)]]}, dice.random() < 0.7]}
+        return {"recalled": [nodes, volumes, {"=map": [[0, uniform(0.0, 0.5)]]}, rng.random() < 0.7]}
 
 
-class Day(NamedTuple):
-    """A day of bench/rules, and what is changed of it."""
+class SimulationRun(NamedTuple):
+    """A simulation run of bench/rules, with the changes made to it."""
 
     seed: int
-    crowded: bool = False  # forty schedulers, as far as each knows
-    jumps: bool = False  # the host stands still now and then
-    evidence: bool = False
-    busy: bool = False  # more volumes, for longer
-    lives: int = 2  # of schedulers that are recorded
+    crowded: bool = False  # each scheduler is configured as one of forty
+    jumps: bool = False  # the clock jumps occasionally, as after a stall of the host
+    evidence: bool = False  # adds the events of EvidenceInjector
+    busy: bool = False  # more volumes and a longer run
+    recorded_lifetimes: int = 2  # a scheduler's lifetime lasts from its start to its stop or crash
 
     def name(self) -> str:
-        """The file's."""
+        """Returns the name of the recording's file."""
         marks = [name for name in ("crowded", "jumps", "evidence", "busy") if getattr(self, name)]
         return f"decisions-{'-'.join([str(self.seed), *marks])}.txt.xz"
 
 
-def decisions(day: Day) -> str:
-    """A day as its first lives of schedulers saw it: settings, then for each call its time, its events (<)
-    and actions (>), and what the scheduler knows at the end."""
-    settings = {"schedulers": 40} if day.crowded else {}
-    drawn = {"seconds": 6.0, "volumes": 6, "gap": 0.03} if day.busy else {}
+def decisions(run: SimulationRun) -> str:
+    """Returns the recording of a simulation run, for the first ``recorded_lifetimes`` scheduler lifetimes.
+
+    It contains the scheduler's settings, then the time, the events (<) and the actions (>) of each call, and
+    the scheduler's state at the end.
+    """
+    settings = {"schedulers": 40} if run.crowded else {}
+    drawn = {"seconds": 6.0, "volumes": 6, "gap": 0.03} if run.busy else {}
     number = count()
     recordings = golden.record_day(
-        day.seed,
+        run.seed,
         drawn,
         settings,
-        lambda: Vary(1000 * day.seed + next(number), day.jumps, day.evidence),
+        lambda: BatchMutator(1000 * run.seed + next(number), run.jumps, run.evidence),
     )
     lines = []
-    for each in recordings[: day.lives]:
+    for each in recordings[: run.recorded_lifetimes]:
         lines.append(f"scheduler {each.seed} {_compact(each.settings)}")
-        for now, events, acts in each.calls:
+        for now, events, actions in each.calls:
             lines.append(f"at {now!r}")
-            lines += [f"< {_compact(event)}" for event in events] + [f"> {_compact(act)}" for act in acts]
+            lines += [f"< {_compact(event)}" for event in events] + [
+                f"> {_compact(action)}" for action in actions
+            ]
         lines.append(f"knows {_compact(each.known)}")
     return "".join(f"{line}\n" for line in lines)
 
@@ -707,22 +732,26 @@
     return json.dumps(value, separators=(",", ":"))
 
 
-# Chosen so that together they take each branch of the decision module that the days of 150 seeds take, more
-# of what crowded and quiet deployments do, and what changes where a term is taken out of the module.
-DAYS = [
-    *(Day(seed, jumps=True) for seed in (103, 42, 23, 49, 125, 126, 44, 109, 59, 33)),
-    *(Day(seed, crowded=True, jumps=True) for seed in (138, 48, 82, 39, 88, 50, 91, 32, 102)),
-    *(Day(seed) for seed in (144, 56, 140, 59, 31, 72)),
-    *(Day(seed, crowded=True) for seed in (20, 2)),
-    *(Day(seed, evidence=True, lives=1) for seed in (213, 235, 211, 225)),
-    *(Day(seed, crowded=True, evidence=True, lives=1) for seed in (205,)),
-    *(Day(seed, crowded=True, evidence=True, busy=True, lives=1) for seed in (200,)),
+# These runs together take each branch of the decision module that the runs of 150 seeds take. They also cover
+# more of the behaviour of crowded and quiet deployments, and include runs whose recordings change when a term
+# is removed from the module's formulas.
+SIMULATION_RUNS = [
+    *(SimulationRun(seed, jumps=True) for seed in (103, 42, 23, 49, 125, 126, 44, 109, 59, 33)),
+    *(SimulationRun(seed, crowded=True, jumps=True) for seed in (138, 48, 82, 39, 88, 50, 91, 32, 102)),
+    *(SimulationRun(seed) for seed in (144, 56, 140, 59, 31, 72)),
+    *(SimulationRun(seed, crowded=True) for seed in (20, 2)),
+    *(SimulationRun(seed, evidence=True, recorded_lifetimes=1) for seed in (213, 235, 211, 225)),
+    *(SimulationRun(seed, crowded=True, evidence=True, recorded_lifetimes=1) for seed in (205,)),
+    *(SimulationRun(seed, crowded=True, evidence=True, busy=True, recorded_lifetimes=1) for seed in (200,)),
 ]
 
 
-class Steady:
-    """One scheduler under a steady stream, more of it at each node than the days have: windows of many
-    answers, nodes that are cold for long, a node that is lost while another drains."""
+class SteadyLoad:
+    """One scheduler under a steady stream of requests, with more requests per node than the simulation runs.
+
+    It covers measurement windows with many responses, nodes that stay cold for long, and a node that is lost
+    while another is draining.
+    """
 
     BEGIN_S, TICK_S = 100.0, 0.002
 
@@ -731,126 +760,138 @@
         seed: int,
         changes: dict[str, Plain],
         started: float | None,
-        slowness: float = 1.0,
+        service_time_factor: float = 1.0,
         faults: bool = False,
-        tail: float = 0.0,
+        slow_share: float = 0.0,
     ) -> None:
-        self._slowness, self._faults, self._tail = slowness, faults, tail
+        self._service_time_factor, self._faults, self._slow_share = service_time_factor, faults, slow_share
         fields = dict(zip(golden.TYPES["settings"][1].split(), SETTINGS["settings"], strict=True))
         self._settings = {"settings": list((fields | changes).values())}
-        self._dice, self._decider = random.Random(seed), golden.Decider(self._settings, seed)
-        self._due: list[tuple[float, int, Plain]] = []
-        self._serial, self._started = 0, started
-        self._out: Counter[str] = Counter()
+        self._rng, self._scheduler = random.Random(seed), golden.Decider(self._settings, seed)
+        self._pending: list[tuple[float, int, Plain]] = []
+        self._sequence, self._started = 0, started
+        self._outstanding: Counter[str] = Counter()
         self._attempts: Counter[int] = Counter()
         self._lines = [f"scheduler {seed} {_compact(self._settings)}"]
 
-    def _at(self, when: float, event: Plain) -> None:
-        self._serial += 1
-        self._due.append((round(when, 6), self._serial, event))
+    def _schedule(self, when: float, event: Plain) -> None:
+        self._sequence += 1
+        self._pending.append((round(when, 6), self._sequence, event))
 
-    def _listed(self, when: float, kind: str, *nodes: tuple[str, int, float | None, str]) -> None:
+    def _schedule_listing(self, when: float, kind: str, *nodes: tuple[str, int, float | None, str]) -> None:
         entries = [{"node": [name, shard, 0, 1.0, at, f"=state.{state}"]} for name, shard, at, state in nodes]
-        self._at(when, {"nodes_listed": [int(when), f"=kind.{kind}", entries]})
+        self._schedule(when, {"nodes_listed": [int(when), f"=kind.{kind}", entries]})
 
     def play(self, requests: int, gap: float) -> str:
-        """So many requests, on average so far apart (s)."""
-        begin, dice = self.BEGIN_S, self._dice
-        self._listed(begin, "restored", ("d0", 0, self._started, "up"), ("d1", 1, self._started, "up"))
+        """Plays ``requests`` requests with a mean interval of ``gap`` seconds and returns the recording."""
+        begin, rng = self.BEGIN_S, self._rng
+        self._schedule_listing(
+            begin, "restored", ("d0", 0, self._started, "up"), ("d1", 1, self._started, "up")
+        )
         when = begin
         for number in range(requests):
-            when += dice.expovariate(1 / gap)
-            cls, shard, units = dice.choice((0, 0, 0, 1)), dice.choice((0, 1)), float(dice.randint(1, 6))
-            volume, key = number % 5, f"k{dice.randrange(40)}"
+            when += rng.expovariate(1 / gap)
+            cls, shard, units = rng.choice((0, 0, 0, 1)), rng.choice((0, 1)), float(rng.randint(1, 6))
+            volume, key = number % 5, f"k{rng.randrange(40)}"
             fields = [number, cls, volume // 4, f"v{volume}", units, shard, 1, (3.0, 4.0)[cls], key]
-            self._at(when, {"arrived": [*fields, False, False]})
+            self._schedule(when, {"arrived": [*fields, False, False]})
         lost = begin + 0.6 * (when - begin)
-        self._listed(lost, "changes", ("d0", 0, None, "gone"), ("d1", 1, self._started, "draining"))
-        self._listed(lost + 0.5, "changes", ("d1", 1, self._started, "up"), ("d2", 0, round(lost, 3), "up"))
+        self._schedule_listing(lost, "changes", ("d0", 0, None, "gone"), ("d1", 1, self._started, "draining"))
+        self._schedule_listing(
+            lost + 0.5, "changes", ("d1", 1, self._started, "up"), ("d2", 0, round(lost, 3), "up")
+        )
         if self._faults:
             for number in range(1, 24):
                 start = round(begin + 0.2 * number, 3)
-                self._listed(start, "changes", ("d1", 1, start, "up"))
+                self._schedule_listing(start, "changes", ("d1", 1, start, "up"))
         last = 0.0
-        while self._due and last < when + 2.0:
-            self._due.sort()
-            last = max(self._due[0][0], round(last + self.TICK_S, 6))
-            if self._faults and dice.random() < 0.02:
-                last = round(last + 0.05, 6)  # the host stood still
-            events = [event for at, _, event in self._due if at <= last]
-            self._due = [each for each in self._due if each[0] > last]
-            self._call(last, events)
-        self._lines.append(f"knows {_compact(self._decider.known())}")
+        while self._pending and last < when + 2.0:
+            self._pending.sort()
+            last = max(self._pending[0][0], round(last + self.TICK_S, 6))
+            if self._faults and rng.random() < 0.02:
+                last = round(last + 0.05, 6)  # simulates a stall of the host
+            events = [event for at, _, event in self._pending if at <= last]
+            self._pending = [each for each in self._pending if each[0] > last]
+            self._decide(last, events)
+        self._lines.append(f"knows {_compact(self._scheduler.known())}")
         return "".join(f"{line}\n" for line in self._lines)
 
-    def _call(self, now: float, events: list[Plain]) -> None:
+    def _decide(self, now: float, events: list[Plain]) -> None:
         for event in events:
             if "attempt_ended" in event:
-                self._out[event["attempt_ended"][2]] -= 1
-        acts = self._decider.decide(now, events)
+                self._outstanding[event["attempt_ended"][2]] -= 1
+        actions = self._scheduler.decide(now, events)
         self._lines.append(f"at {now!r}")
-        self._lines += [f"< {_compact(event)}" for event in events] + [f"> {_compact(act)}" for act in acts]
-        for act in acts:
-            if "set_timer" in act:
-                self._at(now + act["set_timer"][1] + 1e-6, {"timer_fired": [act["set_timer"][0]]})
-            elif "send" in act:
-                self._answer(now, *act["send"][:2])
-
-    def _answer(self, now: float, request: int, node: str) -> None:
-        self._out[node] += 1
-        dice = self._dice
-        took = round(0.01 + self._slowness * 0.01 * self._out[node] * dice.uniform(0.5, 2.0), 6)
-        if self._tail and dice.random() < self._tail:
-            took = round(dice.uniform(0.15, 0.45), 6)  # a few answers are far slower than the others
+        self._lines += [f"< {_compact(event)}" for event in events] + [
+            f"> {_compact(action)}" for action in actions
+        ]
+        for action in actions:
+            if "set_timer" in action:
+                self._schedule(now + action["set_timer"][1] + 1e-6, {"timer_fired": [action["set_timer"][0]]})
+            elif "send" in action:
+                self._schedule_answer(now, *action["send"][:2])
+
+    def _schedule_answer(self, now: float, request: int, node: str) -> None:
+        self._outstanding[node] += 1
+        rng = self._rng
+        took = round(
+            0.01 + self._service_time_factor * 0.01 * self._outstanding[node] * rng.uniform(0.5, 2.0), 6
+        )
+        if self._slow_share and rng.random() < self._slow_share:
+            took = round(rng.uniform(0.15, 0.45), 6)  # a few responses are far slower than the others
         attempt, self._attempts[request] = self._attempts[request], self._attempts[request] + 1
         outcome = "served"
         if self._faults:
-            outcome = dice.choices(("served", "error", "timeout", "reset", "moot"), (76, 6, 8, 3, 7))[0]
+            outcome = rng.choices(("served", "error", "timeout", "reset", "moot"), (76, 6, 8, 3, 7))[0]
             took = 0.8 if outcome == "timeout" else took
         answer = [f"=outcome.{outcome}", outcome == "served", took]
         fields = [request, attempt, node, *answer, None, 0.0, {"=map": []}]
-        self._at(now + took, {"attempt_ended": fields})
+        self._schedule(now + took, {"attempt_ended": fields})
 
 
-STEADY: dict[str, Callable[[], str]] = {
-    "decisions-steady.txt.xz": lambda: Steady(1, {}, None).play(500, 0.01),
-    "decisions-steady-cold.txt.xz": lambda: Steady(
+STEADY_RUNS: dict[str, Callable[[], str]] = {
+    "decisions-steady.txt.xz": lambda: SteadyLoad(1, {}, None).play(500, 0.01),
+    "decisions-steady-cold.txt.xz": lambda: SteadyLoad(
         2, {"schedulers": 10, "fall_window": 0.5, "warm_after": 5.0}, 99.5
     ).play(400, 0.01),
-    "decisions-steady-crowded.txt.xz": lambda: Steady(
+    "decisions-steady-crowded.txt.xz": lambda: SteadyLoad(
         3, {"schedulers": 40, "fall_window": 0.5, "warm_after": 5.0}, 99.5
     ).play(300, 0.01),
-    "decisions-steady-overload.txt.xz": lambda: Steady(
-        5, {"schedulers": 1, "max_attempts": 5}, None, slowness=8.0
+    "decisions-steady-overload.txt.xz": lambda: SteadyLoad(
+        5, {"schedulers": 1, "max_attempts": 5}, None, service_time_factor=8.0
     ).play(500, 0.01),
-    "decisions-steady-tail.txt.xz": lambda: Steady(8, {}, None, slowness=0.1, tail=0.07).play(700, 0.007),
-    "decisions-steady-faults.txt.xz": lambda: Steady(
+    "decisions-steady-tail.txt.xz": lambda: SteadyLoad(
+        8, {}, None, service_time_factor=0.1, slow_share=0.07
+    ).play(700, 0.007),
+    "decisions-steady-faults.txt.xz": lambda: SteadyLoad(
         6, {"extra_spare": None, "cold_units": 200.0}, None, faults=True
     ).play(400, 0.012),
 }
 
 
-class WireWorld:
-    """Two schedulers on the wire, disk nodes that answer, and lines that cannot be read."""
+class WireSimulation:
+    """Runs two schedulers over the text protocol, with simulated disk nodes and some invalid lines."""
 
     TICK, NODES = 1_000_000, 4  # ns
 
     def __init__(self) -> None:
-        self._dice, self._host, self._serial, self._turn = random.Random(44), golden.WireHost(), 0, 0
-        self._due: list[tuple[int, int, str]] = []  # lines to come: when, in which order
-        self._trials: dict[str, int] = {}
+        self._rng, self._host, self._sequence, self._now = random.Random(44), golden.WireHost(), 0, 0
+        self._pending: list[tuple[int, int, str]] = []  # scheduled lines: time (ns), sequence number, line
+        self._attempts_made: dict[str, int] = {}
         self.text = ""
 
     def play(self) -> str:
-        """All batches: lines in (<), and out (>)."""
+        """Returns all batches as text, with input lines (<) and output lines (>)."""
         info = json.loads(Path("examples/config.json").read_text())["settings"]
-        for who in (1, 2):
-            info["discovery"] = ("pushed", "on_request")[who - 1]
-            self._at(self.TICK, f"ENLIST schedulerId={who} entropy={who * 11} info={_compact(info)}")
-        for who in (1, 2):
-            self._at(self.TICK, f"MEMBERS schedulerId={who} rev=1 form=restored table=1")
+        for scheduler in (1, 2):
+            info["discovery"] = ("pushed", "on_request")[scheduler - 1]
+            self._schedule(
+                self.TICK, f"ENLIST schedulerId={scheduler} entropy={scheduler * 11} info={_compact(info)}"
+            )
+        for scheduler in (1, 2):
+            self._schedule(self.TICK, f"MEMBERS schedulerId={scheduler} rev=1 form=restored table=1")
             for _ in range(150):
-                self._at(self._dice.randrange(2, 2000) * self.TICK, self._arrival(who))
+                self._schedule(self._rng.randrange(2, 2000) * self.TICK, self._arrival(scheduler))
         for when, line in (
             (5, "MEMBERS schedulerId=2 form=unavailable"),
             (600, "MEMBERS schedulerId=1 rev=2 form=update table=2"),
@@ -869,34 +910,34 @@
             (1300, f"ENLIST schedulerId=2 entropy=5 info={_compact(info)}"),
             (1301, "MEMBERS schedulerId=2 rev=9 form=restored table=1"),
         ):
-            self._at(when * self.TICK, line)
-        self._say(0, [])
-        self._turn = self.TICK
-        while self._due and self._turn < 3000 * self.TICK:
-            self._due.sort()
-            self._turn = max(self._turn + self.TICK, self._due[0][0])
-            ready = [line for when, _, line in self._due if when <= self._turn]
-            self._due = [each for each in self._due if each[0] > self._turn]
-            self._say(self._turn, ready)
+            self._schedule(when * self.TICK, line)
+        self._exchange(0, [])
+        self._now = self.TICK
+        while self._pending and self._now < 3000 * self.TICK:
+            self._pending.sort()
+            self._now = max(self._now + self.TICK, self._pending[0][0])
+            ready = [line for when, _, line in self._pending if when <= self._now]
+            self._pending = [each for each in self._pending if each[0] > self._now]
+            self._exchange(self._now, ready)
         return self.text
 
-    def _at(self, when: int, line: str) -> None:
-        self._serial += 1
-        self._due.append((when, self._serial, line))
+    def _schedule(self, when: int, line: str) -> None:
+        self._sequence += 1
+        self._pending.append((when, self._sequence, line))
 
-    def _arrival(self, who: int) -> str:
-        dice = self._dice
-        self._serial += 1
-        disk, cls = dice.randrange(5), dice.randrange(3)
-        key = f" blockKey=k{dice.randrange(9)}" if dice.random() < 0.5 else ""
-        resent = " resent=1" if dice.random() < 0.1 else ""
+    def _arrival(self, scheduler: int) -> str:
+        rng = self._rng
+        self._sequence += 1
+        disk, cls = rng.randrange(5), rng.randrange(3)
+        key = f" blockKey=k{rng.randrange(9)}" if rng.random() < 0.5 else ""
+        resent = " resent=1" if rng.random() < 0.1 else ""
         return (
-            f"ARRIVAL schedulerId={who} handle={self._serial} class={cls} contract={disk % 3} disk=v{disk}"
-            f" quotaUnits={dice.randint(1, 8)} slotNo={dice.choice((0, 1, 1, -1))} hosts=1"
-            f" budgetNs={dice.choice((750, 300, 1200)) * self.TICK}{key}{resent}"
+            f"ARRIVAL schedulerId={scheduler} handle={self._sequence} class={cls} contract={disk % 3}"
+            f" disk=v{disk} quotaUnits={rng.randint(1, 8)} slotNo={rng.choice((0, 1, 1, -1))} hosts=1"
+            f" budgetNs={rng.choice((750, 300, 1200)) * self.TICK}{key}{resent}"
         )
 
-    def _sheets(self) -> list[str]:
+    def _node_tables(self) -> list[str]:
         nodes = [
             f"NODE server=d{n} pod={n % 2} site={n % 3} weight=1 sinceNs=0 condition=up" for n in range(2)
         ]
@@ -912,47 +953,48 @@
             *changed,
         ]
 
-    def _say(self, now: int, lines: list[str]) -> None:
-        lines = [f"SYNC simTimeNs={now}", *(self._sheets() if now == 0 else []), *lines]
+    def _exchange(self, now: int, lines: list[str]) -> None:
+        lines = [f"SYNC simTimeNs={now}", *(self._node_tables() if now == 0 else []), *lines]
         replies = self._host.batch(lines)
         self.text += "".join(f"< {each}\n" for each in [*lines, "END"])
         self.text += "".join(f"> {each}\n" for each in [*replies, "READY"])
         for reply in replies:
             word, _, rest = reply.partition(" ")
-            told = dict(each.partition("=")[::2] for each in rest.split(" "))
-            who = f"schedulerId={told.get('schedulerId')}"
+            fields = dict(each.partition("=")[::2] for each in rest.split(" "))
+            scheduler = f"schedulerId={fields.get('schedulerId')}"
             if word == "SLEEP":
-                self._at(now + int(told["sleepForNs"]), f"TIMER {who} nonce={told['nonce']}")
+                self._schedule(now + int(fields["sleepForNs"]), f"TIMER {scheduler} nonce={fields['nonce']}")
             elif word == "CALL_OUT":
-                self._at(*self._reply(now, who, told))
+                self._schedule(*self._reply(now, scheduler, fields))
 
-    def _reply(self, now: int, who: str, told: dict[str, str]) -> tuple[int, str]:
-        dice, handle = self._dice, told["handle"]
-        trial = self._trials[who + handle] = self._trials.get(who + handle, -1) + 1
-        code = dice.choices("SEFTCRXN", (80, 4, 4, 2, 4, 3, 1, 2))[0]
-        took = int(dice.expovariate(1 / 60)) * self.TICK if code == "S" else self.TICK
+    def _reply(self, now: int, scheduler: str, fields: dict[str, str]) -> tuple[int, str]:
+        rng, handle = self._rng, fields["handle"]
+        trial = self._attempts_made[scheduler + handle] = self._attempts_made.get(scheduler + handle, -1) + 1
+        code = rng.choices("SEFTCRXN", (80, 4, 4, 2, 4, 3, 1, 2))[0]
+        took = int(rng.expovariate(1 / 60)) * self.TICK if code == "S" else self.TICK
         done = int(code == "S")
         return now + took, (
-            f"REPLY {who} handle={handle} trial={trial} server={told['server']} code={code} complete={done}"
-            f" latencyNs={took} seenUse={dice.randrange(300)} elsewhere=0 healthInfo=busy_reqs:{trial},odd"
+            f"REPLY {scheduler} handle={handle} trial={trial} server={fields['server']} code={code}"
+            f" complete={done} latencyNs={took} seenUse={rng.randrange(300)}"
+            f" elsewhere=0 healthInfo=busy_reqs:{trial},odd"
         )
 
 
-def _recorded() -> dict[str, Callable[[], str]]:
-    made: dict[str, Callable[[], str]] = {"wirehost.txt.xz": lambda: WireWorld().play()}
-    made |= STEADY
-    for day in DAYS:
-        made[day.name()] = partial(decisions, day)
+def _recordings() -> dict[str, Callable[[], str]]:
+    made: dict[str, Callable[[], str]] = {"wirehost.txt.xz": lambda: WireSimulation().play()}
+    made |= STEADY_RUNS
+    for run in SIMULATION_RUNS:
+        made[run.name()] = partial(decisions, run)
     return made
 
 
-def read_recorded(folder: Path, name: str) -> str:
-    """What was recorded under this name."""
+def read_recording(folder: Path, name: str) -> str:
+    """Returns the decompressed recording with this file name."""
     return lzma.decompress((folder / name).read_bytes()).decode()
 
 
-# These are played again by the tests, not made again.
-RECORDED = _recorded()
+# The tests replay these recordings and do not generate them again.
+RECORDINGS = _recordings()
 FILES: dict[str, Callable[[], bytes | str]] = {
     "n1.memory": memory,
     "memory-read.json": lambda: memory_read(memory()),
@@ -964,18 +1006,18 @@
     "handover.txt": hand_over,
     "configuration.json": configuration,
     "http.json": http,
-    "operators.json": operators,
+    "operators.json": operator_commands,
     "names.json": lambda: json.dumps(golden.names(), indent=1) + "\n",
 }
 
 
 def main(folder: Path) -> None:
-    """Write all files into this folder."""
+    """Writes all golden files into this folder."""
     folder.mkdir(parents=True, exist_ok=True)
     for name, make in FILES.items():
         made = make()
         (folder / name).write_bytes(made.encode() if isinstance(made, str) else made)
-    for name, record in RECORDED.items():
+    for name, record in RECORDINGS.items():
         (folder / name).write_bytes(lzma.compress(record().encode(), preset=9))
 
 
--- a/tests/test_golden_broker.py
+++ b/tests/test_golden_broker.py
@@ -1,7 +1,7 @@
-"""What the storage broker reads, writes, sends and decides stays as it was when the golden data were written.
+"""Checks that the storage broker's files, messages and decisions match the golden data.
 
-The data were made by tests/make_golden_broker.py. They are never rewritten to make a test pass: a difference
-says that a file, a message or a decision has changed, which breaks a deployment that is upgraded in service.
+tests/make_golden_broker.py generated the data. They must never be regenerated to make a test pass: a
+difference means that a file, a message or a decision has changed, which breaks a rolling upgrade.
 """
 
 from __future__ import annotations
@@ -13,49 +13,49 @@
 from typing import Any
 
 import golden_broker as golden
-import make_golden_broker as make
+import make_golden_broker as generator
 import pytest
 
 MESSAGES = json.loads((golden.DATA / "messages.json").read_text())
 WRITTEN = json.loads((golden.DATA / "written.json").read_text())
 
 
-def test_the_golden_files_are_the_ones_that_are_tested() -> None:
-    assert {each.name for each in golden.DATA.iterdir()} == {*make.FILES, *make.RECORDED}
+def test_every_golden_file_is_covered() -> None:
+    assert {each.name for each in golden.DATA.iterdir()} == {*generator.FILES, *generator.RECORDINGS}
 
 
-@pytest.mark.parametrize("name", make.FILES)
-def test_a_golden_file_is_made_again_to_the_byte(name: str) -> None:
-    made = make.FILES[name]()
+@pytest.mark.parametrize("name", generator.FILES)
+def test_regenerated_golden_file_is_byte_identical(name: str) -> None:
+    made = generator.FILES[name]()
     assert (made.encode() if isinstance(made, str) else made) == (golden.DATA / name).read_bytes()
 
 
-@pytest.mark.parametrize("place", range(len(MESSAGES)))
-def test_a_message_is_read_and_written_as_before(place: int) -> None:
-    kind, plain, data, read = MESSAGES[place]
+@pytest.mark.parametrize("index", range(len(MESSAGES)))
+def test_message_encoding_and_decoding_are_unchanged(index: int) -> None:
+    kind, plain, data, read = MESSAGES[index]
     codec = golden.MESSAGES[kind]
     assert golden.to_plain(codec.decode(bytes.fromhex(data))) == read
     assert codec.encode(golden.from_plain(plain)).hex() == data
 
 
-def test_every_type_of_the_golden_vocabulary_has_the_fields_that_it_had() -> None:
+def test_golden_types_keep_their_field_counts() -> None:
     for name, (kind, fields) in golden.TYPES.items():
         assert len(golden.field_names(kind)) == len(fields.split()), name
 
 
-@pytest.mark.parametrize("place", range(len(WRITTEN)))
-def test_a_message_is_written_as_before(place: int) -> None:
-    kind, plain, data = WRITTEN[place]
+@pytest.mark.parametrize("index", range(len(WRITTEN)))
+def test_write_only_message_encoding_is_unchanged(index: int) -> None:
+    kind, plain, data = WRITTEN[index]
     assert golden.WRITTEN[kind](*golden.from_plain(plain)).hex() == data
 
 
-def test_the_memory_file_is_taken_up() -> None:
-    """Two seconds later on a clock that shows 7 s: all times are older by these two seconds."""
+def test_memory_file_is_restored() -> None:
+    """The file is read two seconds later, at 7 s of the new clock, so all times are two seconds older."""
     data = (golden.DATA / "n1.memory").read_bytes()
-    told, absence, aside = json.loads(make.memory_read(data))
+    restored, absence, aside = json.loads(generator.memory_read(data))
     assert (absence, aside) == (2.0, 0)
-    nodes, volumes, budgets, whole = told["recalled"]
-    # d1, heard 42 s ago, comes behind the node that failed; the one that was never heard of is not kept.
+    nodes, volumes, budgets, whole = restored["recalled"]
+    # d1, last heard from 42 s ago, comes after the node that failed. The node without any contact is dropped.
     assert nodes == [
         {"node_memory": ["d0", -55.0, 0.25, 3.0, 3.5, True, 2, 5.5, 7, 12.0, 4.0]},
         {"node_memory": ["d1", None, 0.125, -35.0, 4.0, False, 0, 5.0, -1, 0.0, "=-inf"]},
@@ -67,67 +67,70 @@
     assert budgets == {"=map": [[0, 3.0], [1, 2.5]]} and whole is False
 
 
-def test_the_maintenance_file_is_taken_up(tmp_path: Path) -> None:
+def test_maintenance_file_is_restored(tmp_path: Path) -> None:
     state = golden.read_maintenance((golden.DATA / "maintenance.json").read_bytes(), tmp_path)
-    assert golden.to_plain(state) == make.MAINTENANCE
+    assert golden.to_plain(state) == generator.MAINTENANCE
 
 
-def test_a_second_broker_has_the_map_of_the_first() -> None:
+def test_second_broker_receives_the_shared_map_of_the_first() -> None:
     lines: list[Any] = (golden.DATA / "store.txt").read_text().splitlines()
     kept = dict(line.split("=", 1) for line in lines if "=" in line)
     assert kept["config/mine"] == "kept" and kept["config/7"] == "x" * 7 and "node/d2" not in kept
     assert json.loads(kept["node/d0"]) == ["up", "127.0.0.1:7001", 0, 1700000000123.0]
 
 
-# Names.
+# Externally visible names.
 
 NAMES = json.loads((golden.DATA / "names.json").read_text())
 
 
 @pytest.mark.parametrize("kind", NAMES)
-def test_names_that_are_known_outside_stay(kind: str) -> None:
-    """Log events with their fields, settings, variables, commands and the like; each kind by itself."""
+def test_externally_visible_names_are_unchanged(kind: str) -> None:
+    """Covers log events with their fields, settings, environment variables, commands and so on, by kind."""
     assert list(golden.names()[kind]) == NAMES[kind]
 
 
-def test_the_golden_configuration_has_each_setting() -> None:
-    def paths(value: Any, place: str = "") -> set[str]:
+def test_golden_configuration_contains_every_setting() -> None:
+    def paths(value: Any, path: str = "") -> set[str]:
         if isinstance(value, list):
-            return {each for entry in value for each in paths(entry, f"{place}[]") if isinstance(entry, dict)}
+            return {each for entry in value for each in paths(entry, f"{path}[]") if isinstance(entry, dict)}
         if not isinstance(value, dict):
             return set()
-        inner = {each for key, entry in value.items() for each in paths(entry, f"{place}.{key}")}
-        return inner | {f"{place}.{key}" for key in value}
+        inner = {each for key, entry in value.items() for each in paths(entry, f"{path}.{key}")}
+        return inner | {f"{path}.{key}" for key in value}
 
-    had = {each.removeprefix(".") for each in paths(make.PLATFORM["settings"])}
-    assert had >= set(NAMES["settings read"])
-    assert set(make.PLATFORM) >= set(NAMES["platform keys"])
+    configured = {each.removeprefix(".") for each in paths(generator.PLATFORM["settings"])}
+    assert configured >= set(NAMES["settings read"])
+    assert set(generator.PLATFORM) >= set(NAMES["platform keys"])
 
 
-def _spoilt(table: dict[str, Any], place: str = "") -> Iterator[tuple[str, dict[str, Any]]]:
-    """The table with one key misspelt, for each key of it whose name is not the operator's own."""
+def _with_misspelt_key(table: dict[str, Any], path: str = "") -> Iterator[tuple[str, dict[str, Any]]]:
+    """Yields, for each key, its path and a copy of the table with that key misspelt.
+
+    Keys whose names the operator chooses are left out.
+    """
     for key, value in table.items():
-        path = f"{place}.{key}"
-        if not re.fullmatch(r"\.nbd\.nodes\..*|\.nbd\.exports\.\w+|\.store\.config\.[\w/]+", path):
-            yield path, {f"{name}_" if name == key else name: each for name, each in table.items()}
+        key_path = f"{path}.{key}"
+        if not re.fullmatch(r"\.nbd\.nodes\..*|\.nbd\.exports\.\w+|\.store\.config\.[\w/]+", key_path):
+            yield key_path, {f"{name}_" if name == key else name: each for name, each in table.items()}
         if isinstance(value, dict):
-            for inner, spoilt in _spoilt(value, path):
-                yield inner, table | {key: spoilt}
+            for inner, misspelt in _with_misspelt_key(value, key_path):
+                yield inner, table | {key: misspelt}
 
 
-def test_the_operators_file_has_these_keys_and_no_other_spelling() -> None:
-    spoilt = dict(_spoilt(make.operator_file()))
-    assert len(spoilt) > 45
-    for place, table in spoilt.items():
+def test_operator_configuration_rejects_misspelt_keys() -> None:
+    misspelt = dict(_with_misspelt_key(generator.operator_configuration()))
+    assert len(misspelt) > 45
+    for path, table in misspelt.items():
         try:
-            golden.read_operator(table, make.PLATFORM)
+            golden.read_operator(table, generator.PLATFORM)
         except golden.ConfigError:
             continue
-        pytest.fail(f"{place} may be misspelt")
+        pytest.fail(f"the misspelling of configuration key {path} was accepted")
 
 
 @pytest.mark.parametrize(
-    ("words", "code"),
+    ("arguments", "code"),
     [
         (["--help"], 0),
         (["no-such-command"], 2),
@@ -141,77 +144,80 @@
         (["completion", "bash"], 0),
     ],
 )
-def test_the_command_line_ends_with_the_code_that_it_had(words: list[str], code: int) -> None:
-    assert golden.exit_code(*words) == code
+def test_command_line_exit_codes_are_unchanged(arguments: list[str], code: int) -> None:
+    assert golden.exit_code(*arguments) == code
 
 
 # Decisions.
 
-DECISIONS = [name for name in make.RECORDED if name.startswith("decisions-")]
+DECISIONS = [name for name in generator.RECORDINGS if name.startswith("decisions-")]
 
 
-def _texts() -> list[str]:
-    return [make.read_recorded(golden.DATA, name) for name in DECISIONS]
+def _recorded_texts() -> list[str]:
+    return [generator.read_recording(golden.DATA, name) for name in DECISIONS]
 
 
-def _split(line: str) -> tuple[str, str]:
+def _split_first_word(line: str) -> tuple[str, str]:
     word, _, rest = line.partition(" ")
     return word, rest
 
 
 @pytest.mark.parametrize("name", DECISIONS)
-def test_recorded_events_lead_to_the_recorded_actions(name: str) -> None:
-    """Each call's actions, their order, reasons and figures, exactly."""
-    lines = [_split(line) for line in make.read_recorded(golden.DATA, name).splitlines()]
-    decider: golden.Decider | None = None
-    place = 0
+def test_recorded_events_produce_the_recorded_actions(name: str) -> None:
+    """Compares the actions of each call exactly, with their order, reasons and numbers."""
+    lines = [_split_first_word(line) for line in generator.read_recording(golden.DATA, name).splitlines()]
+    scheduler: golden.Decider | None = None
+    index = 0
 
     def block(mark: str) -> list[Any]:
-        nonlocal place
+        nonlocal index
         found = []
-        while place < len(lines) and lines[place][0] == mark:
-            found.append(json.loads(lines[place][1]))
-            place += 1
+        while index < len(lines) and lines[index][0] == mark:
+            found.append(json.loads(lines[index][1]))
+            index += 1
         return found
 
-    while place < len(lines):
-        number, (word, rest) = place + 1, lines[place]
-        place += 1
+    while index < len(lines):
+        number, (word, rest) = index + 1, lines[index]
+        index += 1
         if word == "scheduler":
             seed, _, settings = rest.partition(" ")
-            decider = golden.Decider(json.loads(settings), int(seed))
+            scheduler = golden.Decider(json.loads(settings), int(seed))
             continue
-        assert decider is not None
+        assert scheduler is not None
         if word == "at":
-            acts = decider.decide(float(rest), block("<"))
-            assert acts == block(">"), f"the call in line {number} at {rest} s"
+            actions = scheduler.decide(float(rest), block("<"))
+            assert actions == block(">"), f"actions differ for the call in line {number} at {rest} s"
         else:
             assert word == "knows"
-            assert decider.known() == json.loads(rest), f"what is known in line {number}"
+            assert scheduler.known() == json.loads(rest), f"scheduler state differs from line {number}"
 
 
-def test_the_recorded_decisions_have_each_event_each_action_and_each_reason() -> None:
+def test_recorded_decisions_cover_every_event_action_and_reason() -> None:
     heads = {
-        line[: line.index('":') + 1] for text in _texts() for line in text.splitlines() if line[0] in "<>"
+        line[: line.index('":') + 1]
+        for text in _recorded_texts()
+        for line in text.splitlines()
+        if line[0] in "<>"
     }
     assert heads >= {f'< {{"{event}"' for event in golden.EVENTS}
     never = {"cancel", "probe"}  # the module takes neither action
-    assert heads & {f'> {{"{act}"' for act in golden.ACTIONS} == {
-        f'> {{"{act}"' for act in golden.ACTIONS if act not in never
+    assert heads & {f'> {{"{action}"' for action in golden.ACTIONS} == {
+        f'> {{"{action}"' for action in golden.ACTIONS if action not in never
     }
-    reasons = {int(found) for text in _texts() for found in re.findall(r'"=code\.(\d+)"', text)}
+    reasons = {int(found) for text in _recorded_texts() for found in re.findall(r'"=code\.(\d+)"', text)}
     assert reasons == golden.CODES
-    outcomes = {found for text in _texts() for found in re.findall(r'"=outcome\.(\w+)"', text)}
+    outcomes = {found for text in _recorded_texts() for found in re.findall(r'"=outcome\.(\w+)"', text)}
     assert outcomes == set(golden.ENUMS["outcome"][1].split())
 
 
-def _no_wording(line: str) -> str:
-    """Why a scheduler could not start is said in words that may change."""
+def _without_error_text(line: str) -> str:
+    """Removes the reason for a failed scheduler start, as its wording may change."""
     return line.partition("noteText=")[0] if line.startswith("> BAIL_OUT") else line
 
 
-def test_recorded_lines_on_the_wire_are_answered_with_the_recorded_lines() -> None:
-    recorded = make.read_recorded(golden.DATA, "wirehost.txt.xz").splitlines()
-    said = golden.wire_run("".join(f"{line[2:]}\n" for line in recorded if line[0] == "<"))
-    told = [_no_wording(line) for line in recorded if line[0] == ">"]
-    assert [_no_wording(f"> {line}") for line in said.splitlines()] == told
+def test_recorded_wire_input_produces_the_recorded_output() -> None:
+    recorded = generator.read_recording(golden.DATA, "wirehost.txt.xz").splitlines()
+    replies = golden.wire_run("".join(f"{line[2:]}\n" for line in recorded if line[0] == "<"))
+    expected = [_without_error_text(line) for line in recorded if line[0] == ">"]
+    assert [_without_error_text(f"> {line}") for line in replies.splitlines()] == expected
