--- a/tests/tier/golden_inputs.py
+++ b/tests/tier/golden_inputs.py
@@ -1,6 +1,6 @@
-"""Fixed inputs of the files in ``tests/data/tier``, as plain data: ids, epochs, commands, results.
+"""Fixed inputs from which the files in ``tests/data/tier`` are generated, as plain data.
 
-Messages and fields have the names of the version that wrote the files; see ``golden_support``.
+Messages and fields have the names that the version which wrote the files used; see ``golden_support``.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 COMMAND, NOOP, MEMBERS = 0, 1, 2  # kinds of log entries
 
-MEMBERS_OF: dict[str, list[list[str]]] = {
+GROUP_MEMBERS: dict[str, list[list[str]]] = {
     program: [
         [f"first-10.1.0.{number}", f"core-{number}", f"10.1.0.{number}:{port}", zone]
         for number, zone in ((3, "east"), (1, "north"), (2, "south"))
@@ -20,7 +20,7 @@
 }
 EXCLUDED = ["0badd15c0badd15c", "1badd15c1badd15c"]
 
-# Of a disk: how it got its identity.
+# The arguments with which the identity of each program's disk is created.
 IDENTITY: dict[str, dict[str, Any]] = {
     "keeper": {"first_start": True, "ip": "10.1.0.1", "random_id": "00000000-0000-4000-8000-000000000000"},
     "store": {"first_start": False, "ip": "10.1.0.1", "random_id": "0123456789ab4def8123456789abcdef"},
@@ -28,7 +28,7 @@
 
 
 def configuration(version: int) -> str:
-    """A small valid configuration, as an operator sends it."""
+    """Returns a small valid configuration in the form in which an operator uploads it."""
     route = {
         "name": "refunds",
         "hostname": "shop.example",
@@ -50,7 +50,8 @@
     return {**machine, "keeper_id": keeper} if keeper else machine
 
 
-# Commands by the field of the message that holds them; a digest is that of the document.
+# Commands, keyed by the field of the command message that holds them. ``golden_support.payloads`` adds the
+# digest of the document to ``accept_configuration``.
 KEEPER_COMMANDS: list[dict[str, Any]] = [
     {"accept_configuration": {"version": 7, "document": configuration(7)}},
     {
@@ -125,27 +126,30 @@
 
 COMMANDS = {"keeper": KEEPER_COMMANDS, "store": STORE_COMMANDS}
 COMMAND_MESSAGES = {"keeper": "cherrycove.keeper.Command", "store": "cherrycove.batch.BatchCommand"}
-TAIL = 1  # commands behind the snapshot
+TAIL = 1  # number of commands after the snapshot
 
 
 def entries(payloads: list[bytes], members: bytes) -> list[list[Any]]:
-    """The log: index, epoch, kind and payload of each entry, all of them committed."""
+    """Returns the index, epoch, kind and payload of each log entry; all of them are committed."""
     kinds = [[0, MEMBERS, members], [3, NOOP, b""], *([3, COMMAND, payload] for payload in payloads)]
     return [[index, *entry] for index, entry in enumerate([*kinds, [5, NOOP, b""]], 1)]
 
 
-def writes(log: list[list[Any]]) -> list[list[list[Any]]]:
-    """The log as it is written: one frame each, at the end an entry that a newer one replaces."""
-    lost = [log[-1][0], 3, COMMAND, b"lost"]
-    return [log[:1], log[1:3], log[3:6], [*log[6:-1], lost], log[-1:]]
+def append_batches(log: list[list[Any]]) -> list[list[list[Any]]]:
+    """Returns the batches in which the log is written, one frame per batch.
 
+    The last entry of the log overwrites an entry of an older epoch.
+    """
+    overwritten = [log[-1][0], 3, COMMAND, b"lost"]
+    return [log[:1], log[1:3], log[3:6], [*log[6:-1], overwritten], log[-1:]]
 
-def promises(log: list[list[Any]]) -> list[list[Any]]:
-    """Epoch, vote and committed index, written one after the other."""
+
+def hard_states(log: list[list[Any]]) -> list[list[Any]]:
+    """Returns the successive hard states: epoch, vote and commit index."""
     return [[3, "first-10.1.0.1", 1], [4, "", 2], [5, "first-10.1.0.2", log[-1][0]]]
 
 
-# What a primary keeper publishes, and what a proxy calls at the stores.
+# The topics that a primary keeper publishes, and the calls that a proxy sends to the stores.
 MEMBER_LIST: dict[str, Any] = {
     "members": [
         {
@@ -183,22 +187,22 @@
     ]
 }
 
-_ITEMS = {"proxy": "front-1", "incarnation": "process-9", "routes": ["r-batch"]}
+_LEASE_FIELDS = {"proxy": "front-1", "incarnation": "process-9", "routes": ["r-batch"]}
 
 
 def _report(item: str, **outcome: Any) -> dict[str, Any]:
-    who = {"proxy": "front-1", "incarnation": "process-9", "epoch": 5}
-    return {**who, "reference": _reference("lot-1", item), **outcome}
+    sender = {"proxy": "front-1", "incarnation": "process-9", "epoch": 5}
+    return {**sender, "reference": _reference("lot-1", item), **outcome}
 
 
 BATCH_CALLS: list[tuple[str, str, dict[str, Any]]] = [
     ("submit", "SubmitRequest", _job("lot-1", "a", "b", "c")),
     ("submit", "SubmitRequest", _job("lot-2", "a", "a")),
-    ("lease", "LeaseRequest", {**_ITEMS, "sequence": 1, "capacity": 3}),
+    ("lease", "LeaseRequest", {**_LEASE_FIELDS, "sequence": 1, "capacity": 3}),
     (
         "lease",
         "LeaseRequest",
-        {**_ITEMS, "sequence": 2, "running": [_reference("lot-1", "a"), _reference("lot-9", "z")]},
+        {**_LEASE_FIELDS, "sequence": 2, "running": [_reference("lot-1", "a"), _reference("lot-9", "z")]},
     ),
     ("body", "BodyRequest", {"job_id": "lot-1", "item_id": "b"}),
     ("report", "ReportRequest", _report("a", failures_so_far=1)),
@@ -212,7 +216,7 @@
     ("end", "EndRequest", {"job_id": "lot-9"}),
 ]
 
-# Every key that a settings file may have, each with a value of its own.
+# Every key that a settings file may have, each with a distinct value.
 COMPLETE_SETTINGS = """\
 nodeName: core-1
 machineClass: core
@@ -280,7 +284,7 @@
 internalPortRange: [7700, 7709]
 """
 
-# Every key that a configuration may have, each with a value of its own.
+# Every key that a configuration may have, each with a distinct value.
 COMPLETE_CONFIGURATION = json.dumps(
     {
         "version": 7,
@@ -332,7 +336,7 @@
     }
 )
 
-# The platform's list of brokers.
+# The pages of the platform's list of brokers.
 PLATFORM_PAGES = [
     json.dumps(
         {
@@ -361,7 +365,7 @@
     ),
 ]
 
-# Requests of an operator and of clients: the first line, further fields, the body.
+# Requests of an operator and of clients: method and path, header fields, body.
 Requests = list[tuple[str, dict[str, str], str]]
 OPERATOR_REQUESTS: Requests = [
     ("GET /api/configuration", {}, ""),
@@ -379,7 +383,7 @@
     ("DELETE /api/retire/core-2", {}, ""),
     ("GET /api/other", {}, ""),
 ]
-_REQUESTS = {
+_JOB_DOCUMENT = {
     "requests": [
         {
             "instanceId": name,
@@ -392,8 +396,8 @@
     ]
 }
 CLIENT_REQUESTS: Requests = [
-    ("POST /jobs/1", {"Request-Id": "lot-1", "Deadline-Ms": "2000"}, json.dumps(_REQUESTS)),
-    ("POST /jobs/1", {}, json.dumps(_REQUESTS)),
+    ("POST /jobs/1", {"Request-Id": "lot-1", "Deadline-Ms": "2000"}, json.dumps(_JOB_DOCUMENT)),
+    ("POST /jobs/1", {}, json.dumps(_JOB_DOCUMENT)),
     ("GET /api/lots/lot-1?pageCursor=0", {"Wait-Ms": "0"}, ""),
     ("GET /api/lots/lot-1?pageCursor=x", {}, ""),
     ("GET /api/items/lot-1?instanceId=b", {}, ""),
@@ -408,8 +412,8 @@
     ("POST /elsewhere", {}, ""),
 ]
 
-# Commands of the command line with their arguments; DATA is the folder of the files.
-RUN = [
+# Commands of the command line with their arguments; DATA stands for the folder of golden files.
+COMMAND_LINES = [
     ("storage inspect", "DATA/disk/log/keeper"),
     ("storage inspect", "DATA/disk/snapshot/store"),
     ("storage verify", "DATA/disk/snapshot/keeper"),
@@ -426,7 +430,10 @@
 
 
 def program_settings(name: str, internal_port: int, other_port: int, directory: Path) -> str:
-    """Settings of a process that runs beside others on loopback; its keeper is at 127.0.0.2."""
+    """Returns the settings of a process that shares loopback with others; its keeper is at 127.0.0.2.
+
+    Creates ``directory`` as the data directory.
+    """
     directory.mkdir()
     document = {
         "nodeName": f"node-{name}",
@@ -449,7 +456,7 @@
 
 
 def sample(name: str, number: int, kind: str) -> Any:
-    """A value of a field, another one for each field of a message."""
+    """Returns a sample value of a field; fields of a message differ where their protobuf type allows it."""
     if kind == "string":
         return f"{name} {number}"
     if kind == "bytes":
--- a/tests/tier/golden_interfaces.py
+++ b/tests/tier/golden_interfaces.py
@@ -1,6 +1,6 @@
-"""What others see of the tier: its HTTP interfaces, the files that it reads, its commands and its log.
+"""Exercises the tier's external interfaces: HTTP, the files that it reads, its commands and its log.
 
-Like ``golden_support`` this module uses the code under the names that it has now.
+Like ``golden_support``, this module uses the current names of the code.
 """
 
 from __future__ import annotations
@@ -25,7 +25,14 @@
 import golden_support as support
 from aiohttp import web
 from cleo.testers.command_tester import CommandTester
-from golden_stories import OneReplica, Wire, announcement, control_state, jobs_state, settings
+from golden_stories import (
+    InProcessCaller,
+    SingleReplicaGroup,
+    announcement,
+    control_state,
+    jobs_state,
+    settings,
+)
 from google.protobuf.message import Message
 from loopback_ports import free_address, free_ports
 from result import Err, Ok, Result
@@ -52,7 +59,7 @@
 from cherrycove.tier.protocol.rpc import RpcClient, RpcServer
 from cherrycove.tier.settings import CloudApi, Settings, parse_settings
 
-# Names of log events, and EVENT.FIELD, that are called otherwise now.
+# Renamed log events, and renamed log fields as EVENT.FIELD: former name to current name.
 RENAMED_EVENTS: dict[str, str] = {
     "broker_entry_unreadable": "broker_entry_invalid",
     "broker_list_unread": "broker_list_read_failed",
@@ -62,35 +69,35 @@
     "retire_order_waits": "retire_order_blocked",
     "settings_unusable": "settings_invalid",
 }
-RENAMED_DETAILS: dict[str, str] = {}
+RENAMED_FIELDS: dict[str, str] = {}
 
 SOURCES = Path(__file__).resolve().parents[2] / "cherrycove" / "tier"
 LOGGER = "_log"
 LEVELS = ("debug", "info", "warning", "error", "exception", "critical")
 
-# HTTP, as it stands on the connection
+# HTTP as sent on the connection
 
 
-def _normal(text: str, address: str = "") -> str:
-    """Without what another library version, another port or another second would change."""
+def _normalized(text: str, address: str = "") -> str:
+    """Masks what depends on library versions, ports, the time or detail texts, and normalizes line ends."""
     text = re.sub(r"(?im)^(date|server|user-agent): .*?(?=\r?$)", r"\1: *", text)
     if address:
         text = text.replace(address, "HOST:PORT").replace(f":{address.rpartition(':')[2]}/", ":PORT/")
     return re.sub(r'(?s)("detail": ")[^"]*"', r'\1*"', text).replace("\r\n", "\n")
 
 
-async def ask(address: str, request: bytes) -> str:
-    """The answer to one request on a connection of its own."""
+async def exchange(address: str, request: bytes) -> str:
+    """Sends one request on a new connection and returns the normalized response."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(request)
     answer = await reader.read()
     writer.close()
-    return _normal(answer.decode("latin-1"), address)
+    return _normalized(answer.decode("latin-1"), address)
 
 
 def request(line: str, headers: dict[str, str] | None = None, body: bytes = b"") -> bytes:
-    """The bytes of a request that ends its connection."""
+    """Returns the bytes of a request with ``Connection: close``."""
     fields = {"Host": "batch.example", "Connection": "close", **(headers or {})}
     fields["Content-Length"] = str(len(body))
     head = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
@@ -98,8 +105,8 @@
 
 
 @asynccontextmanager
-async def recorder(*answers: bytes) -> AsyncIterator[tuple[str, list[bytes]]]:
-    """A server that gives these answers in turn; its address, and the requests."""
+async def recording_server(*answers: bytes) -> AsyncIterator[tuple[str, list[bytes]]]:
+    """Runs a server that sends these responses in turn; yields its address and the requests received."""
     requests: list[bytes] = []
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -128,8 +135,8 @@
 )
 
 
-async def _fail_as_told(message: Any) -> Result[Message, Failure]:
-    """Answers with the failure that the request names, else with a reply."""
+async def _fail_as_requested(message: Any) -> Result[Message, Failure]:
+    """Returns the failure that the request names, or a reply if it names none."""
     fields = support.plain(message)
     if "item_id" in fields:
         return Err(Failure(ErrorKind(fields["item_id"]), "why", "10.1.0.2:7700"))
@@ -141,14 +148,14 @@
 
 
 async def served_calls() -> list[list[str]]:
-    """Calls as they come to a server, and its answers."""
+    """Returns the responses of a server to calls."""
     server, address = RpcServer(), free_address()
     server.set_member_id_source(lambda: "disk-a")
-    server.register(ECHO, _fail_as_told)
+    server.register(ECHO, _fail_as_requested)
     await server.start(address)
     call = {"X-Call": "0123456789ab.7"}
     mine, other = {**call, "X-Receiver": "disk-a"}, {**call, "X-Receiver": "disk-b"}
-    asked = {
+    received = {
         "a call": request("POST /rpc/echo", mine, _body_request("job")),
         "for whoever is there": request("POST /rpc/echo", call, _body_request("job")),
         "for another member": request("POST /rpc/echo", other, _body_request("job")),
@@ -160,20 +167,20 @@
         },
     }
     try:
-        return [[name, _shown_answer(await ask(address, sent))] for name, sent in asked.items()]
+        return [[name, _without_error_text(await exchange(address, sent))] for name, sent in received.items()]
     finally:
         await server.stop()
 
 
-def _shown_answer(answer: str) -> str:
-    """An answer without the sentence for people in its body."""
+def _without_error_text(answer: str) -> str:
+    """Removes the human-readable error message and its length from a response."""
     head, _, body = answer.partition("\n\n")
     head = re.sub(r"(?i)content-length: \d+", "Content-Length: *", head)
     return f"{head}\n\n{body if head.startswith('HTTP/1.1 2') else '*'}"
 
 
 async def sent_calls() -> dict[str, Any]:
-    """A call as a client sends it, and what the client makes of answers."""
+    """Returns a call as a client sends it, and how the client interprets each response."""
     answers = {
         "reply": b"HTTP/1.1 200 OK\r\nX-Call: 0123456789ab.1\r\nX-Receiver: disk-b\r\n"
         b"Content-Length: 5\r\n\r\n\x0a\x03job",
@@ -188,21 +195,21 @@
 
 
 async def _sent_call(answer: bytes) -> list[Any]:
-    async with recorder(answer) as (address, requests):
+    async with recording_server(answer) as (address, requests):
         with mock.patch.object(secrets, "token_hex", return_value="0123456789ab"):
             client = RpcClient()
         await client.start()
         message = support.build_as(BodyRequest, {"job_id": "job", "item_id": "item"})
         outcome = await client.call(address, BODY, message, 5.0, "disk-b")
         await client.stop()
-    sent = [_normal(one.decode("latin-1"), address) for one in requests]
+    sent = [_normalized(one.decode("latin-1"), address) for one in requests]
     if isinstance(outcome, Ok):
         return [sent, support.plain(outcome.ok_value)]
     return [sent, [outcome.err_value.kind.value, outcome.err_value.primary]]
 
 
 def error_kinds() -> list[list[Any]]:
-    """Every kind of error with the status and the advised pause of its answer."""
+    """Returns each error kind with the HTTP status and retry delay (s) of its response."""
     return [
         [kind.value, ERROR_RESPONSES[kind].status, ERROR_RESPONSES[kind].retry_after_s] for kind in ErrorKind
     ]
@@ -212,34 +219,34 @@
 
 
 async def operator() -> dict[str, Any]:
-    """What an operator asks of a keeper that leads and of one that does not, and what was committed."""
-    group = OneReplica(control_state())
+    """Returns the responses of a primary and of a non-primary keeper, and the commands committed."""
+    group = SingleReplicaGroup(control_state())
     leading = await _operator(group)
     return {
         "leading": leading,
         "committed": [command.hex() for command in group.proposed],
-        "not leading": await _operator(OneReplica(control_state(), leads=False)),
+        "not leading": await _operator(SingleReplicaGroup(control_state(), is_primary=False)),
     }
 
 
-async def _operator(group: OneReplica) -> list[list[str]]:
-    wire, address = Wire(), free_address()
-    keeper = Controller(settings(), group, group.state, wire, wire)
+async def _operator(group: SingleReplicaGroup) -> list[list[str]]:
+    rpc, address = InProcessCaller(), free_address()
+    keeper = Controller(settings(), group, group.state, rpc, rpc)
     if group.is_confirmed_primary():
         for number in (1, 4):
             announced = {**support.plain(announcement("store", number)), "node_name": f"core-{number}"}
             pull = support.build_as(PullRequest, {"announcement": announced})
-            await wire.call("", PULL, pull, 1.0)
+            await rpc.call("", PULL, pull, 1.0)
     await keeper.operator_api.start(address)
     loop = asyncio.get_running_loop()
     now = loop.time()
     try:
-        with mock.patch.object(loop, "time", return_value=now):  # some answers depend on the age of the term
+        with mock.patch.object(loop, "time", return_value=now):  # responses may depend on the term's age
             return [
                 [
                     line,
                     *headers.values(),
-                    _shown_json(await ask(address, request(line, headers, body.encode()))),
+                    _without_content_length(await exchange(address, request(line, headers, body.encode()))),
                 ]
                 for line, headers, body in inputs.OPERATOR_REQUESTS
             ]
@@ -247,28 +254,28 @@
         await keeper.operator_api.stop()
 
 
-def _shown_json(answer: str) -> str:
-    """An answer without the sentence for people in it."""
+def _without_content_length(answer: str) -> str:
+    """Removes the content length, which depends on the human-readable message, from a response."""
     return re.sub(r"(?i)content-length: \d+", "Content-Length: *", answer)
 
 
 async def clients() -> list[list[str]]:
-    """What clients ask about batch jobs."""
-    state, wire, address = jobs_state(), Wire(), free_address()
-    BatchStoreService(settings(), OneReplica(state), state, wire)
+    """Returns the responses to clients' requests about batch jobs."""
+    state, rpc, address = jobs_state(), InProcessCaller(), free_address()
+    BatchStoreService(settings(), SingleReplicaGroup(state), state, rpc)
     configuration = parse_configuration(inputs.COMPLETE_CONFIGURATION.encode()).unwrap()
     views = ClusterView(configuration=configuration, members=(announcement("store", 1),))
-    api = BatchApi(BatchClient(wire, views, settings()), views)
+    api = BatchApi(BatchClient(rpc, views, settings()), views)
 
-    async def handle(asked: web.BaseRequest) -> web.StreamResponse:
-        route = configuration.match(asked.headers["Host"], asked.path)
-        return await api.handle(asked, await asked.read(), route)
+    async def handle(received: web.BaseRequest) -> web.StreamResponse:
+        route = configuration.match(received.headers["Host"], received.path)
+        return await api.handle(received, await received.read(), route)
 
     async with _served(web.Server(handle, access_log=None), address):
         answers = []
         for line, headers, body in inputs.CLIENT_REQUESTS:
-            answer = await ask(address, request(line, headers, body.encode()))
-            answers.append([line, _shown_answer(answer)])
+            answer = await exchange(address, request(line, headers, body.encode()))
+            answers.append([line, _without_error_text(answer)])
         return answers
 
 
@@ -285,26 +292,26 @@
 
 
 async def readiness() -> list[str]:
-    """What the platform asks a proxy: while it is ready, while it is not, and elsewhere."""
+    """Returns the readiness responses of a ready and an unready proxy, and the one for an unknown path."""
     ready, address = [True], free_address()
     server = ReadinessServer(address, lambda: ready[0], lambda: b"{}")
     await server.start()
-    answers = [await ask(address, request("GET /api/readiness"))]
+    answers = [await exchange(address, request("GET /api/readiness"))]
     ready[0] = False
-    answers.append(await ask(address, request("GET /api/readiness")))
-    answers.append(await ask(address, request("GET /other")))
+    answers.append(await exchange(address, request("GET /api/readiness")))
+    answers.append(await exchange(address, request("GET /other")))
     await server.stop()
     return answers
 
 
 async def platform_list() -> dict[str, Any]:
-    """How the platform's list of brokers is asked for, page by page, and read."""
-    async with recorder(*[_page(text) for text in inputs.PLATFORM_PAGES]) as (address, requests):
+    """Returns the requests for the pages of the platform's broker list, and the brokers parsed from it."""
+    async with recording_server(*[_page(text) for text in inputs.PLATFORM_PAGES]) as (address, requests):
         reader = BrokerDiscoveryClient(settings(cloud_api=CloudApi(address=address)))
         await reader.start()
         found = await reader.read()
         await reader.stop()
-    sent = [_normal(one.decode("latin-1"), address) for one in requests]
+    sent = [_normalized(one.decode("latin-1"), address) for one in requests]
     return {"requests": sent, "brokers": [support.plain(one) for one in found.unwrap().brokers]}
 
 
@@ -313,8 +320,8 @@
     return (head + text).encode()
 
 
-def own_answers() -> list[list[Any]]:
-    """Status and fields of answers that a proxy gives of its own."""
+def proxy_responses() -> list[list[Any]]:
+    """Returns status, header fields and body of responses that a proxy generates itself."""
     answers = [
         proxy_response(404, "no route", "", close=False),
         proxy_response(503, "later", "id-1", close=False, retry_after_s=0.5),
@@ -326,16 +333,16 @@
 
 
 def header_fields() -> list[str]:
-    """Every header field and media type that the data plane names."""
+    """Returns every header field and media type that the data plane defines, sorted."""
     return sorted(
         value for name, value in vars(header_module).items() if name.isupper() and isinstance(value, str)
     )
 
 
 def http() -> dict[str, Any]:
-    """All exchanges over HTTP."""
+    """Returns all HTTP exchanges by interface."""
 
-    async def play() -> dict[str, Any]:
+    async def run_all() -> dict[str, Any]:
         parts: dict[str, Callable[[], Awaitable[Any]]] = {
             "served calls": served_calls,
             "sent calls": sent_calls,
@@ -347,8 +354,8 @@
         return {name: await part() for name, part in parts.items()}
 
     return {
-        **asyncio.run(play()),
-        "own answers": own_answers(),
+        **asyncio.run(run_all()),
+        "own answers": proxy_responses(),
         "header fields": header_fields(),
         "error kinds": error_kinds(),
     }
@@ -357,23 +364,23 @@
 # Files that the tier reads
 
 
-def values(thing: Any) -> Any:
-    """The values of settings or of a configuration, without the names that the code has for them."""
-    if attrs.has(type(thing)):
-        return [values(getattr(thing, field.name)) for field in attrs.fields(type(thing)) if field.init]
-    if isinstance(thing, list):
-        return [values(one) for one in thing]
-    return str(thing) if thing == float("inf") else thing
+def values(value: Any) -> Any:
+    """Returns the values of settings or of a configuration without their attribute names."""
+    if attrs.has(type(value)):
+        return [values(getattr(value, field.name)) for field in attrs.fields(type(value)) if field.init]
+    if isinstance(value, list):
+        return [values(one) for one in value]
+    return str(value) if value == float("inf") else value
 
 
 def read_settings(text: str) -> Any:
-    """The values that a settings file gives."""
+    """Returns the values parsed from a settings file."""
     found: Settings = parse_settings(text)
     return values(found)
 
 
 def read_configuration(text: str) -> Any:
-    """The values that a configuration gives."""
+    """Returns the values parsed from a configuration."""
     found: Configuration = parse_configuration(text.encode()).unwrap()
     return values(found)
 
@@ -382,7 +389,7 @@
 
 
 def command_line() -> list[str]:
-    """Every command with its arguments and its own options."""
+    """Returns one line per command, with its arguments and its own options."""
     lines = []
     for name, command in sorted(create_application().all().items()):
         arguments = [one.name.upper() for one in command.definition.arguments]
@@ -393,7 +400,7 @@
 
 
 def run_command(name: str, arguments: str) -> list[Any]:
-    """Exit code and JSON document of one command."""
+    """Returns the exit code and the JSON output of one command."""
     tester = CommandTester(create_application().find(name))
     exit_code = tester.execute(f"{arguments.replace('DATA', str(support.DATA))} --json")
     document = json.loads(tester.io.fetch_output().replace(str(support.DATA), "DATA"))
@@ -401,9 +408,9 @@
 
 
 def run_status(reply: dict[str, Any]) -> list[Any]:
-    """Exit code and JSON document of ``status``, of a keeper that gives this reply."""
+    """Returns the exit code and the JSON output of ``status`` for a keeper that sends this reply."""
 
-    async def play() -> list[Any]:
+    async def run_all() -> list[Any]:
         server, address = RpcServer(), free_address()
 
         async def answer(request: StatusRequest) -> Result[StatusReply, Failure]:
@@ -416,76 +423,81 @@
         finally:
             await server.stop()
 
-    return asyncio.run(play())
+    return asyncio.run(run_all())
 
 
 def commands(data: Path) -> list[list[Any]]:
-    """Commands about the files in ``data`` and about a keeper, with exit codes and documents."""
+    """Runs commands on the files in ``data`` and on a keeper; returns their exit codes and JSON output."""
     (reply,) = support.samples(support.descriptor_of(StatusReply))
     with mock.patch.object(support, "DATA", data):
-        ran = [[name, arguments, *run_command(name, arguments)] for name, arguments in inputs.RUN]
-    ran.append(["status", "confirmed", *run_status(reply)])
-    ran.append(["status", "not confirmed", *run_status({"node_name": "core-1"})])
-    return ran
+        results = [
+            [name, arguments, *run_command(name, arguments)] for name, arguments in inputs.COMMAND_LINES
+        ]
+    results.append(["status", "confirmed", *run_status(reply)])
+    results.append(["status", "not confirmed", *run_status({"node_name": "core-1"})])
+    return results
 
 
 def run_program(program: str, variables: dict[str, str]) -> int:
-    """The exit code of a program that cannot start."""
+    """Returns the exit code of a program that cannot start."""
     environment = {key: value for key, value in os.environ.items() if key != "CHERRYCOVE_CONFIG"}
-    words = [sys.executable, "-m", "cherrycove.tier", program]
-    ended = subprocess.run(
-        words, env={**environment, **variables}, cwd=SOURCES.parents[1], capture_output=True, timeout=30
+    command = [sys.executable, "-m", "cherrycove.tier", program]
+    completed = subprocess.run(
+        command, env={**environment, **variables}, cwd=SOURCES.parents[1], capture_output=True, timeout=30
     )
-    return ended.returncode
+    return completed.returncode
 
 
-class StandIn:
-    """Answers every call as a keeper that does not lead, and keeps what each process said first."""
+class FakeKeeper:
+    """Responds to every call as a non-primary keeper, and records the first call of each program."""
 
     def __init__(self) -> None:
-        self.first: dict[str, list[Any]] = {}  # request line and announcement, by program
-        self.heard = asyncio.Event()
+        self.first_calls: dict[str, list[Any]] = {}  # request line and announcement, by program
+        self.call_received = asyncio.Event()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection."""
+        """Serves one connection."""
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode()
                 fields = dict(re.findall(r"(?m)^([\w-]+): (.*)\r$", head))
-                self._hear(head, await reader.readexactly(int(fields["Content-Length"])))
+                self._record_call(head, await reader.readexactly(int(fields["Content-Length"])))
                 call = f"X-Call: {fields['X-Call']}\r\nX-Error-Kind: not_primary\r\nContent-Length: 0\r\n\r\n"
                 writer.write(f"HTTP/1.1 503 Service Unavailable\r\n{call}".encode())
         writer.close()
 
-    def _hear(self, head: str, body: bytes) -> None:
+    def _record_call(self, head: str, body: bytes) -> None:
         pull = support.decode("cherrycove.control.PullRequest", body)
         announced = pull["announcement"]
         announced["incarnation"] = re.sub("^[0-9a-f]{12}$", "*", announced["incarnation"])
-        self.first.setdefault(announced["program"], [head.partition("\r\n")[0], pull])
-        self.heard.set()
+        self.first_calls.setdefault(announced["program"], [head.partition("\r\n")[0], pull])
+        self.call_received.set()
 
 
 async def programs(directory: Path) -> dict[str, Any]:
-    """Each program runs as a process until it has announced itself; what it said, its files, its end."""
+    """Runs each program as a process until it announces itself.
+
+    Returns its first call, the files that it created, its exit code and parts of its log.
+    """
     hosts = ["127.0.0.1", "127.0.0.2"]
     internal, others = free_ports(2, hosts, following=9)
-    stand_in = StandIn()
-    server = await asyncio.start_server(stand_in.serve, hosts[1], internal)
+    fake_keeper = FakeKeeper()
+    server = await asyncio.start_server(fake_keeper.serve, hosts[1], internal)
     running = {}
     for name in inputs.PROGRAMS:
         path = directory / f"{name}.yaml"
         path.write_text(inputs.program_settings(name, internal, others, directory / name), encoding="utf-8")
         environment = {**os.environ, "CHERRYCOVE_CONFIG": str(path)}
-        words = [sys.executable, "-m", "cherrycove.tier", name]
+        command = [sys.executable, "-m", "cherrycove.tier", name]
         running[name] = await asyncio.create_subprocess_exec(
-            *words, env=environment, cwd=SOURCES.parents[1], stdout=asyncio.subprocess.PIPE
+            *command, env=environment, cwd=SOURCES.parents[1], stdout=asyncio.subprocess.PIPE
         )
     try:
         async with asyncio.timeout(30):
-            while len(stand_in.first) < len(running):
-                stand_in.heard.clear()
-                await stand_in.heard.wait()
-            return {name: await _ended(name, one, stand_in, directory) for name, one in running.items()}
+            while len(fake_keeper.first_calls) < len(running):
+                fake_keeper.call_received.clear()
+                await fake_keeper.call_received.wait()
+            return {name: await _stop(name, one, fake_keeper, directory) for name, one in running.items()}
     finally:
         server.close()
         for one in running.values():
@@ -493,14 +505,14 @@
                 one.kill()
 
 
-async def _ended(
-    name: str, process: asyncio.subprocess.Process, stand_in: StandIn, directory: Path
+async def _stop(
+    name: str, process: asyncio.subprocess.Process, fake_keeper: FakeKeeper, directory: Path
 ) -> dict[str, Any]:
     process.terminate()
     output, _ = await process.communicate()
     lines = [json.loads(line) for line in output.splitlines()]
     return {
-        "said": stand_in.first[name],
+        "said": fake_keeper.first_calls[name],
         "files": sorted(str(path.relative_to(directory / name)) for path in (directory / name).rglob("*")),
         "exit code": process.returncode,
         "log begins": [list(lines[0])[:5], lines[0]["program"], lines[0]["node"]],
@@ -512,25 +524,25 @@
 
 
 def events() -> list[str]:
-    """A line for each event with its level and the names of its details, as the sources have them."""
+    """Returns a line for each log event in the sources, with its level and the names of its fields."""
     lines = set()
     for path in sorted(SOURCES.rglob("*.py")):
         module = ast.parse(path.read_text(encoding="utf-8"), str(path))
         for function, call in _log_calls(module):
             assert isinstance(call.func, ast.Attribute)  # a method of ``log``
-            details = _details(function, call)
+            fields = _field_names(function, call)
             for name in _event_names(module, call.args[0]):
-                lines.add(_event_line(name, call.func.attr, details))
+                lines.add(_event_line(name, call.func.attr, fields))
     return sorted(lines)
 
 
-def _event_line(present: str, level: str, details: list[str]) -> str:
+def _event_line(present: str, level: str, fields: list[str]) -> str:
     former = {new: old for old, new in RENAMED_EVENTS.items()}
     event = former.get(present, present)
     renamed = {
-        new: old.rpartition(".")[2] for old, new in RENAMED_DETAILS.items() if old.startswith(f"{event}.")
+        new: old.rpartition(".")[2] for old, new in RENAMED_FIELDS.items() if old.startswith(f"{event}.")
     }
-    return " ".join([event, level, *sorted(renamed.get(one, one) for one in details)])
+    return " ".join([event, level, *sorted(renamed.get(one, one) for one in fields)])
 
 
 def _log_calls(module: ast.Module) -> Iterator[tuple[ast.AST, ast.Call]]:
@@ -558,8 +570,8 @@
     ]
 
 
-def _details(function: ast.AST, call: ast.Call) -> list[str]:
-    """The keys of ``extra``, which stands in the call or in a variable of the function."""
+def _field_names(function: ast.AST, call: ast.Call) -> list[str]:
+    """Returns the keys of ``extra``, which is a literal in the call or a variable of the function."""
     extra = next((one.value for one in call.keywords if one.arg == "extra"), None)
     if isinstance(extra, ast.Name):
         extra = next(
--- a/tests/tier/golden_support.py
+++ b/tests/tier/golden_support.py
@@ -1,7 +1,8 @@
-"""The code that the tests of stored and sent bytes use, under the names that it has now.
+"""Helpers for the tests of stored and sent bytes; they map names of a released version to current names.
 
 ``tests/data/tier`` holds bytes that a released version wrote, and names messages, fields and calls as that
-version did. Where the code is renamed, the new names go here, and nowhere else: the files stay as they are.
+version did. When the code renames one of them, add the new name here and nowhere else: the files must not
+change.
 """
 
 from __future__ import annotations
@@ -54,8 +55,8 @@
     replication_pb2.DESCRIPTOR,
 )
 
-# What has another name now. Keys are the former names in full: PACKAGE.MESSAGE, PACKAGE.MESSAGE.FIELD,
-# PACKAGE.ENUM, PACKAGE.ENUM.VALUE. Values are the present names: of fields and enum values the last part.
+# Renamed types, fields and enum values. Keys are full former names: PACKAGE.MESSAGE, PACKAGE.MESSAGE.FIELD,
+# PACKAGE.ENUM, PACKAGE.ENUM.VALUE. Values are current names: full for types, the last part for the others.
 RENAMED_TYPES: dict[str, str] = {}
 RENAMED_FIELDS: dict[str, str] = {}
 RENAMED_VALUES: dict[str, str] = {}
@@ -64,18 +65,18 @@
 
 
 def message_class(name: str) -> type[Message]:
-    """The class of the message that was called ``name`` in full."""
+    """Returns the class of the message whose full former name is ``name``."""
     descriptor = descriptor_pool.Default().FindMessageTypeByName(RENAMED_TYPES.get(name, name))
     return message_factory.GetMessageClass(descriptor)
 
 
 def descriptor_of(message: Message | type[Message]) -> Descriptor:
-    """The descriptor of a message or of its class."""
+    """Returns the descriptor of a message or of a message class."""
     return cast(Descriptor, message.DESCRIPTOR)  # the stub names the C implementation as well; same interface
 
 
 def former_type(present: str) -> str:
-    """What a message or an enum was called in full."""
+    """Returns the full former name of the message or enum whose full current name is ``present``."""
     return next((old for old, new in RENAMED_TYPES.items() if new == present), present)
 
 
@@ -91,82 +92,82 @@
 
 
 def former_field(field: FieldDescriptor) -> str:
-    """What a field was called."""
+    """Returns the former name of a field."""
     return _former_part(_former_owner(field), field.name, RENAMED_FIELDS)
 
 
 def _former_owner(field: FieldDescriptor) -> str:
-    """What the message that has the field was called in full."""
-    assert field.containing_type is not None  # every field is in a message
+    """Returns the full former name of the message that contains the field."""
+    assert field.containing_type is not None  # every field belongs to a message
     return former_type(field.containing_type.full_name)
 
 
 def is_map(field: FieldDescriptor) -> bool:
-    """Whether the field is a map."""
+    """Returns whether the field is a map."""
     return field.message_type is not None and bool(field.message_type.GetOptions().map_entry)
 
 
-def _entry_type(field: FieldDescriptor) -> Descriptor:
-    """The message that a map has for its entries: a key and a value."""
-    assert field.message_type is not None  # ``is_map`` holds
+def _map_entry_type(field: FieldDescriptor) -> Descriptor:
+    """Returns the message type of a map's entries, which has the fields ``key`` and ``value``."""
+    assert field.message_type is not None  # a map field always has an entry type
     return field.message_type
 
 
 def build(name: str, fields: dict[str, Any]) -> Message:
-    """A message from plain data; of a field of bytes, one character stands for a byte."""
+    """Builds a message from plain data, in which each character of a bytes field's text is one byte."""
     message = message_class(name)()
     for key, value in fields.items():
         field = descriptor_of(message).fields_by_name[RENAMED_FIELDS.get(f"{name}.{key}", key)]
         if is_map(field):
             getattr(message, field.name).update(value)
         elif field.is_repeated:
-            getattr(message, field.name).extend([_built(field, one) for one in value])
+            getattr(message, field.name).extend([_build_value(field, one) for one in value])
         elif field.message_type is not None:
-            getattr(message, field.name).CopyFrom(_built(field, value))
+            getattr(message, field.name).CopyFrom(_build_value(field, value))
         else:
-            setattr(message, field.name, _built(field, value))
+            setattr(message, field.name, _build_value(field, value))
     return message
 
 
 def build_as(message_type: type[MessageT], fields: dict[str, Any]) -> MessageT:
-    """A message of ``message_type`` from plain data, as ``build`` makes it."""
+    """Builds a message of class ``message_type`` from plain data, like ``build``."""
     message = build(former_type(message_type.DESCRIPTOR.full_name), fields)
     assert isinstance(message, message_type)
     return message
 
 
-def _built(field: FieldDescriptor, value: Any) -> Any:
+def _build_value(field: FieldDescriptor, value: Any) -> Any:
     if field.message_type is not None:
         return build(former_type(field.message_type.full_name), value)
     return value.encode("latin-1") if field.type == FieldDescriptor.TYPE_BYTES else value
 
 
 def plain(message: Message) -> dict[str, Any]:
-    """The fields that are set, as ``build`` takes them."""
-    return {former_field(field): _plain(field, value) for field, value in message.ListFields()}
+    """Returns the fields that are set, in the form that ``build`` accepts."""
+    return {former_field(field): _plain_value(field, value) for field, value in message.ListFields()}
 
 
-def _plain(field: FieldDescriptor, value: Any) -> Any:
+def _plain_value(field: FieldDescriptor, value: Any) -> Any:
     if is_map(field):
         return dict(value)
     if field.is_repeated:
-        return [_plain_one(field, one) for one in value]
-    return _plain_one(field, value)
+        return [_plain_item(field, one) for one in value]
+    return _plain_item(field, value)
 
 
-def _plain_one(field: FieldDescriptor, value: Any) -> Any:
+def _plain_item(field: FieldDescriptor, value: Any) -> Any:
     if field.message_type is not None:
         return plain(value)
     return value.decode("latin-1") if field.type == FieldDescriptor.TYPE_BYTES else value
 
 
 def encode(name: str, fields: dict[str, Any]) -> bytes:
-    """The bytes of a message."""
+    """Returns the encoding of the message ``name`` with these fields."""
     return build(name, fields).SerializeToString(deterministic=True)
 
 
 def decode(name: str, data: bytes) -> dict[str, Any]:
-    """The fields of a message."""
+    """Returns the fields of the message ``name`` that ``data`` encodes."""
     return plain(message_class(name).FromString(data))
 
 
@@ -174,7 +175,7 @@
 
 
 def messages() -> Iterator[Descriptor]:
-    """Every message of the protocol; maps stand in their fields."""
+    """Yields every message of the protocol, without the entry types of maps."""
     for file in PROTOCOL_FILES:
         for message in file.message_types_by_name.values():
             assert all(nested.GetOptions().map_entry for nested in message.nested_types), message.full_name
@@ -190,19 +191,19 @@
 
 def _type_of(field: FieldDescriptor) -> str:
     if is_map(field):
-        return f"map<{', '.join(_type_of(part) for part in _entry_type(field).fields)}>"
+        return f"map<{', '.join(_type_of(part) for part in _map_entry_type(field).fields)}>"
     kind = field.message_type or field.enum_type
     return _SCALARS[field.type] if kind is None else former_type(kind.full_name)
 
 
 def _field_line(field: FieldDescriptor) -> str:
     label = "repeated" if field.is_repeated and not is_map(field) else "single"
-    choice = f" oneof {field.containing_oneof.index}" if field.containing_oneof is not None else ""
-    return f"{_former_owner(field)} {field.number} {former_field(field)} {label} {_type_of(field)}{choice}"
+    oneof = f" oneof {field.containing_oneof.index}" if field.containing_oneof is not None else ""
+    return f"{_former_owner(field)} {field.number} {former_field(field)} {label} {_type_of(field)}{oneof}"
 
 
 def schema() -> str:
-    """A line for each message, each field and each value of an enum, sorted."""
+    """Returns one line for each message, field and enum value, sorted."""
     lines = [f"{former_type(message.full_name)} message" for message in messages()]
     lines += [_field_line(field) for message in messages() for field in message.fields]
     for file in PROTOCOL_FILES:
@@ -216,19 +217,19 @@
 
 
 def samples(message: Descriptor) -> list[dict[str, Any]]:
-    """Plain data of messages with every field set, one for each choice that the message offers."""
+    """Returns plain data with every field set, once for each oneof field of the message."""
     fixed = [field for field in message.fields if field.containing_oneof is None]
-    chosen = [field for field in message.fields if field.containing_oneof is not None]
+    oneof_fields = [field for field in message.fields if field.containing_oneof is not None]
     return [
-        {former_field(field): _sample(field) for field in [*fixed, *choice]}
-        for choice in ([[field] for field in chosen] or [[]])
+        {former_field(field): _sample(field) for field in [*fixed, *alternative]}
+        for alternative in ([[field] for field in oneof_fields] or [[]])
     ]
 
 
 def _sample(field: FieldDescriptor) -> Any:
     name = former_field(field)
     if is_map(field):
-        return {f"key of {name}": _sample(_entry_type(field).fields_by_name["value"])}
+        return {f"key of {name}": _sample(_map_entry_type(field).fields_by_name["value"])}
     if field.message_type is not None:
         every = samples(field.message_type)
         return [*every, *every] if field.is_repeated else every[-1]
@@ -243,23 +244,23 @@
 
 
 def make_identity(directory: Path, *, first_start: bool, ip: str, random_id: str) -> str:
-    """The member id of a disk that is empty; ``random_id`` is what chance brings."""
+    """Creates the identity on an empty disk, with ``random_id`` as the random UUID; returns the member id."""
     with mock.patch.object(uuid, "uuid4", return_value=uuid.UUID(random_id)):
         return open_identity(directory, first_start=first_start, ip=ip)[0]
 
 
 def make_replica(
     directory: Path,
-    promises: Sequence[Sequence[Any]],
+    hard_states: Sequence[Sequence[Any]],
     appends: Sequence[Sequence[Sequence[Any]]],
     snapshot: Sequence[Any] | None = None,
     tail: Sequence[Sequence[Any]] = (),
     segment_bytes: int = 600,
 ) -> None:
-    """Write promises, then entries, then a snapshot, just as a replica does."""
+    """Writes hard states, then entries, then a snapshot, in the order in which a replica does."""
     storage = ReplicaStorage(directory, segment_bytes=segment_bytes)
     storage.recover()
-    for epoch, voted_for, committed in promises:
+    for epoch, voted_for, committed in hard_states:
         storage.write_hard_state(HardState(epoch, voted_for, committed))
     for append in appends:
         storage.append([_entry(entry) for entry in append])
@@ -274,13 +275,13 @@
 
 
 def member_list(program: str) -> bytes:
-    """The payload of an entry that names the members."""
-    members = [MemberIdentity(*member) for member in inputs.MEMBERS_OF[program]]
+    """Returns the payload of a membership entry of the log."""
+    members = [MemberIdentity(*member) for member in inputs.GROUP_MEMBERS[program]]
     return encode_members(members, inputs.EXCLUDED)
 
 
 def payloads(program: str) -> list[bytes]:
-    """The commands of ``program`` as they stand in the log."""
+    """Returns the encoded commands of ``program`` as the log stores them."""
     return [
         encode(inputs.COMMAND_MESSAGES[program], {kind: _with_digest(kind, fields)})
         for command in inputs.COMMANDS[program]
@@ -297,7 +298,7 @@
 
 
 def make_disk(program: str, data_directory: Path, *, snapshot: bool) -> None:
-    """Write the folder of ``program`` anew: identity, promise, log and, if wanted, a snapshot."""
+    """Writes a new folder for ``program``: identity, hard state, log and, on request, a snapshot."""
     directory = data_directory / program
     directory.parent.mkdir(parents=True, exist_ok=True)
     make_identity(directory, **inputs.IDENTITY[program])
@@ -307,15 +308,15 @@
     state = state_after(program, commands[: -inputs.TAIL]).snapshot()
     make_replica(
         directory,
-        inputs.promises(log),
-        inputs.writes(log),
+        inputs.hard_states(log),
+        inputs.append_batches(log),
         [last[0], last[1], members, state] if snapshot else None,
         log[-1 - inputs.TAIL :],
     )
 
 
 def state_after(program: str, commands: Sequence[bytes]) -> ControlState | JobsState:
-    """The state machine of ``program`` after ``commands``."""
+    """Returns the state machine of ``program`` after it has applied ``commands``."""
     state = STATES[program]()
     for index, command in enumerate(commands, 1):
         state.apply(index, command)
@@ -323,7 +324,7 @@
 
 
 def recover(directory: Path) -> RecoveredState:
-    """What a replica finds on its disk."""
+    """Returns what a replica recovers from its disk."""
     storage = ReplicaStorage(directory)
     try:
         return storage.recover()
@@ -331,19 +332,19 @@
         storage.close()
 
 
-def recovered(directory: Path) -> dict[str, Any]:
-    """What a replica finds on its disk, as plain data."""
+def recovered_contents(directory: Path) -> dict[str, Any]:
+    """Returns what a replica recovers from its disk, as plain data."""
     found = recover(directory)
     snapshot = found.snapshot
     return {
-        "promise": [found.hard_state.epoch, found.hard_state.voted_for, found.hard_state.commit_index],
+        "hard_state": [found.hard_state.epoch, found.hard_state.voted_for, found.hard_state.commit_index],
         "snapshot": None if snapshot is None else [snapshot.index, snapshot.epoch, len(snapshot.state)],
         "entries": [[one.index, one.epoch, int(one.kind), len(one.payload)] for one in found.entries],
     }
 
 
-def started(program: str, data_directory: Path) -> dict[str, Any]:
-    """What ``program`` knows once it has opened its disk and nobody else is there."""
+def state_after_start(program: str, data_directory: Path) -> dict[str, Any]:
+    """Returns the state of ``program`` after it has opened its disk, while no other member is running."""
 
     async def run() -> dict[str, Any]:
         state = STATES[program]()
@@ -375,7 +376,7 @@
 
 
 def describe(state: ControlState | JobsState) -> dict[str, Any]:
-    """A state machine's state as plain data."""
+    """Returns the state of a state machine as plain data."""
     return _control(state) if isinstance(state, ControlState) else _jobs(state)
 
 
--- a/tests/tier/test_golden_calls.py
+++ b/tests/tier/test_golden_calls.py
@@ -1,7 +1,7 @@
-"""What processes of the tier say to one another, played again and compared with a released version's words.
+"""Replays the messages between processes of the tier and compares them with those of a released version.
 
-Clocks and chance are fixed, so that the same inputs give the same messages. The name of a call, the type of
-its request and of its reply, every field and every byte must stay.
+Clocks and random seeds are fixed, so that the same inputs produce the same messages. Call names, request and
+reply types, every field and every byte must not change.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 import golden_support as support
 import pytest
 
-CONVERSATIONS = ("pull", "learned", "status", "store-members", "batch", "given-up", "replicate")
-SERVED = {  # name of each call, with its request
+SCENARIOS = ("pull", "learned", "status", "store-members", "batch", "given-up", "replicate")
+REQUEST_TYPES = {  # request type by call name
     "batch/body": "cherrycove.batch.BodyRequest",
     "batch/end": "cherrycove.batch.EndRequest",
     "batch/lease": "cherrycove.batch.LeaseRequest",
@@ -37,52 +37,52 @@
     return [json.loads(line) for line in lines]
 
 
-def as_read(transcript: Any) -> Any:
+def json_round_trip(transcript: Any) -> Any:
     return json.loads(json.dumps(transcript))
 
 
 @pytest.fixture(scope="module")
-def said() -> dict[str, Any]:
-    """The conversations as the code has them now."""
-    return {name: as_read(transcript) for name, transcript in stories.calls().items()}
+def transcripts() -> dict[str, Any]:
+    """Returns the transcripts that the current code produces, by scenario."""
+    return {name: json_round_trip(transcript) for name, transcript in stories.calls().items()}
 
 
-def test_the_calls_have_the_names_and_requests_that_they_had() -> None:
-    assert stories.call_names() == SERVED
-    assert json.loads((support.DATA / "call-names.json").read_text(encoding="utf-8")) == SERVED
+def test_call_names_and_request_types_are_unchanged() -> None:
+    assert stories.call_names() == REQUEST_TYPES
+    assert json.loads((support.DATA / "call-names.json").read_text(encoding="utf-8")) == REQUEST_TYPES
 
 
-@pytest.mark.parametrize("name", CONVERSATIONS)
-def test_callers_and_callees_say_what_they_said(name: str, said: dict[str, Any]) -> None:
-    assert said[name] == released(f"calls-{name}")
+@pytest.mark.parametrize("name", SCENARIOS)
+def test_calls_between_processes_are_unchanged(name: str, transcripts: dict[str, Any]) -> None:
+    assert transcripts[name] == released(f"calls-{name}")
 
 
-def test_replicas_say_what_they_said(tmp_path: Path) -> None:
-    assert as_read(stories.replicas(tmp_path)) == released("replicas")
+def test_messages_between_replicas_are_unchanged(tmp_path: Path) -> None:
+    assert json_round_trip(stories.replicas(tmp_path)) == released("replicas")
 
 
-def test_members_say_what_they_said() -> None:
-    assert as_read(stories.membership()) == released("membership")
+def test_membership_messages_are_unchanged() -> None:
+    assert json_round_trip(stories.membership()) == released("membership")
 
 
-def test_every_call_is_in_a_conversation() -> None:
-    called = {line["call"] for name in CONVERSATIONS for line in released(f"calls-{name}") if "call" in line}
+def test_scenarios_contain_every_call() -> None:
+    called = {line["call"] for name in SCENARIOS for line in released(f"calls-{name}") if "call" in line}
     exchanged = {line["kind"] for line in released("membership")} - {"datagram", "reply"}
-    assert called | exchanged == set(SERVED)
+    assert called | exchanged == set(REQUEST_TYPES)
 
 
-def test_every_kind_of_message_between_replicas_is_in_their_conversation() -> None:
+def test_replica_scenario_contains_every_message_kind() -> None:
     sent = {list(line["fields"])[-1] for line in released("replicas")}
     bodies = {"vote_request", "vote_reply", "append", "append_reply", "snapshot_chunk", "snapshot_reply"}
     assert sent == bodies | {"hand_over"}
 
 
-def test_every_kind_of_message_between_members_is_in_their_conversation() -> None:
+def test_membership_scenario_contains_every_message_kind() -> None:
     sent = {field for line in released("membership") for field in line["fields"]}
     assert {"ping", "ack", "indirect_ping", "updates", "receiver", "digests", "differing"} <= sent
 
 
-def test_topics_are_published_under_their_names_and_versions() -> None:
+def test_topics_are_published_with_their_names_and_versions() -> None:
     (first, later, refused) = released("calls-pull")
     updates = first["reply"]["fields"]["updates"]
     published = [(one["version"], [key for key in one if key != "version"]) for one in updates]
--- a/tests/tier/test_golden_disk.py
+++ b/tests/tier/test_golden_disk.py
@@ -1,7 +1,7 @@
-"""The folder of a replica: read as a released version left it, and written as that version does, to the byte.
+"""Checks that replicas read a released version's data folders and write byte-identical ones.
 
-Both programs have one with the whole log and one with a snapshot. The state that each holds stands in
-``states.json``; what of it matters is spelled out here.
+For each program there is a folder with the whole log and one with a snapshot. ``states.json`` holds the state
+that each contains; the tests below also check its important parts explicitly.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 PROGRAMS = ("keeper", "store")
 KINDS = ("log", "snapshot")
 CASES = [(program, kind) for program in PROGRAMS for kind in KINDS]
-# The bodies of listed items stand behind their job in a snapshot; before, each stood with its item. This
-# version and the one that wrote the older folder read both.
+# In a snapshot, the bodies of listed items now follow their job; in the older format, each was stored with
+# its item. Both this version and the one that wrote the older folder read both formats.
 CASES.append(("store", "snapshot-with-finished-jobs"))
-WRITTEN = {("store", "snapshot"): "snapshot-with-finished-jobs"}
+CURRENT_FORMAT = {("store", "snapshot"): "snapshot-with-finished-jobs"}
 
 MEMBERS = {
     program: [
@@ -32,12 +32,12 @@
     ]
     for program, port in (("keeper", 7700), ("store", 7701))
 }
-FOUND = {  # index, epoch and bytes of the snapshot, then index, epoch, kind and bytes of each entry behind it
+RECOVERED = {  # snapshot: index, epoch, size; then for each later entry: index, epoch, kind, payload size
     ("keeper", "snapshot"): ([14, 3, 677], [[15, 3, 0, 42], [16, 5, 1, 0]]),
     ("store", "snapshot"): ([11, 3, 658], [[12, 3, 0, 11], [13, 5, 1, 0]]),
     ("store", "snapshot-with-finished-jobs"): ([11, 3, 673], [[12, 3, 0, 11], [13, 5, 1, 0]]),
 }
-LAST = {"keeper": 16, "store": 13}
+LAST_INDEX = {"keeper": 16, "store": 13}
 
 
 def contents(directory: Path) -> dict[str, bytes]:
@@ -52,43 +52,43 @@
 
 @pytest.fixture
 def disk(case: tuple[str, str], tmp_path: Path) -> Path:
-    """A copy of the released folder."""
+    """Returns the parent of a copy of the released folder."""
     program, kind = case
     shutil.copytree(support.DATA / "disk" / kind / program, tmp_path / program)
     return tmp_path
 
 
-def test_a_folder_is_written_as_it_was(case: tuple[str, str], tmp_path: Path) -> None:
+def test_folder_contents_are_byte_identical(case: tuple[str, str], tmp_path: Path) -> None:
     program, kind = case
     support.make_disk(program, tmp_path, snapshot=kind != "log")
-    kind = WRITTEN.get((program, kind), kind)
+    kind = CURRENT_FORMAT.get((program, kind), kind)
     assert contents(tmp_path / program) == contents(support.DATA / "disk" / kind / program)
 
 
-def test_promise_snapshot_and_log_are_read(case: tuple[str, str], disk: Path) -> None:
+def test_hard_state_snapshot_and_log_are_recovered(case: tuple[str, str], disk: Path) -> None:
     program, kind = case
-    found = support.recovered(disk / program)
-    assert found["promise"] == [5, "first-10.1.0.2", LAST[program]]
+    found = support.recovered_contents(disk / program)
+    assert found["hard_state"] == [5, "first-10.1.0.2", LAST_INDEX[program]]
     if kind == "log":
         assert found["snapshot"] is None
-        assert [entry[0] for entry in found["entries"]] == list(range(1, LAST[program] + 1))
+        assert [entry[0] for entry in found["entries"]] == list(range(1, LAST_INDEX[program] + 1))
         assert found["entries"][:2] == [[1, 0, 2, 179], [2, 3, 1, 0]]
-        assert found["entries"][-1] == [LAST[program], 5, 1, 0]
+        assert found["entries"][-1] == [LAST_INDEX[program], 5, 1, 0]
     else:
-        assert (found["snapshot"], found["entries"]) == FOUND[program, kind]
+        assert (found["snapshot"], found["entries"]) == RECOVERED[program, kind]
 
 
-def test_a_program_starts_from_the_folder_and_leaves_it_as_it_is(case: tuple[str, str], disk: Path) -> None:
+def test_program_starts_from_the_folder_without_changing_it(case: tuple[str, str], disk: Path) -> None:
     program, _ = case
     before = contents(disk / program)
-    found = support.started(program, disk)
+    found = support.state_after_start(program, disk)
     assert found["member_id"] == {"keeper": "first-10.1.0.1", "store": "0123456789ab4def"}[program]
     assert (found["fresh"], found["epoch"], found["members"]) == (False, 5, MEMBERS[program])
     assert found["state"] == STATES[program]
     assert contents(disk / program) == before
 
 
-def test_the_keepers_configuration_and_orders_are_what_was_committed() -> None:
+def test_keeper_state_contains_the_committed_configuration_and_orders() -> None:
     state = STATES["keeper"]
     assert json.loads(state["configuration"]["document"]) == json.loads(inputs.configuration(9))
     assert [one["node_name"] for one in state["store_group"]["initial"]] == ["core-1", "core-2", "core-3"]
@@ -97,7 +97,7 @@
     assert state["retire_orders"]["core-2"]["store_ids"] == ["disk-2", "disk-2b"]
 
 
-def test_the_stores_jobs_are_what_was_committed() -> None:
+def test_store_state_contains_the_committed_jobs() -> None:
     state = STATES["store"]
     assert list(state) == ["lot-done", "lot-open", "lot-ended"]
     assert [(job["done"], job["ended"]) for job in state.values()] == [
--- a/tests/tier/test_golden_messages.py
+++ b/tests/tier/test_golden_messages.py
@@ -1,7 +1,7 @@
-"""The messages of the tier: their fields, and their bytes with every field set, as in a released version.
+"""Compares the tier's protobuf messages, their fields and their encoding, with those of a released version.
 
-A field keeps its number, its type and its label for good. New ones may be added: with new numbers, and then
-in files beside these.
+The number, type and label of a field must never change. New fields may be added with new numbers; their
+golden data then go into additional files.
 """
 
 from __future__ import annotations
@@ -22,25 +22,25 @@
 )
 
 
-def _id(sample: dict[str, Any]) -> str:
+def _sample_id(sample: dict[str, Any]) -> str:
     return f"{sample['message']}-{list(sample['fields'])[-1:]}"
 
 
-def test_every_message_has_the_fields_that_it_had() -> None:
+def test_message_fields_are_unchanged() -> None:
     assert sorted(support.schema().splitlines()) == sorted(SCHEMA.splitlines())
 
 
-@pytest.mark.parametrize("sample", SAMPLES, ids=_id)
-def test_a_message_is_written_as_it_was(sample: dict[str, Any]) -> None:
+@pytest.mark.parametrize("sample", SAMPLES, ids=_sample_id)
+def test_message_encoding_is_unchanged(sample: dict[str, Any]) -> None:
     assert support.encode(sample["message"], sample["fields"]).hex() == sample["bytes"]
 
 
-@pytest.mark.parametrize("sample", SAMPLES, ids=_id)
-def test_a_message_is_read_as_it_was(sample: dict[str, Any]) -> None:
+@pytest.mark.parametrize("sample", SAMPLES, ids=_sample_id)
+def test_message_decoding_is_unchanged(sample: dict[str, Any]) -> None:
     assert support.decode(sample["message"], bytes.fromhex(sample["bytes"])) == sample["fields"]
 
 
-def test_the_samples_set_every_field_of_every_message() -> None:
+def test_samples_set_every_field_of_every_message() -> None:
     named = {(sample["message"], field) for sample in SAMPLES for field in sample["fields"]}
     lines = [line.split() for line in SCHEMA.splitlines()]
     assert {
