--- a/cherrycove/broker/core/facade.py
+++ b/cherrycove/broker/core/facade.py
@@ -34,9 +34,8 @@
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings = settings
-        self.on_node_list: Callable[[NodeList], None] | None = (
-            None  # called with each update from the list's source
-        )
+        # Called with each update from the list's source.
+        self.on_node_list: Callable[[NodeList], None] | None = None
         self.source_unreachable = False  # whether the source of the node list is unreachable
         self.watch_requested = asyncio.Event()  # set whenever the scheduler asks for changes of the list
         self._loop = asyncio.get_running_loop()
--- a/cherrycove/broker/core/nodes.py
+++ b/cherrycove/broker/core/nodes.py
@@ -40,12 +40,10 @@
     restart is not reported by discovery yet.
     """
 
-    out: Mapping[str, float] = field(
-        default_factory=dict
-    )  # by name: the start time that discovery reported before
-    back: Mapping[str, tuple[float, float]] = field(
-        default_factory=dict
-    )  # by name: that start time, and the time of the return; both Unix time in ms
+    # By name: the start time that discovery reported before.
+    out: Mapping[str, float] = field(default_factory=dict)
+    # By name: that start time, and the time of the return; both Unix time in ms.
+    back: Mapping[str, tuple[float, float]] = field(default_factory=dict)
 
     def with_node_out(self, name: str, since_ms: float) -> Maintenance:
         """Return the state with this node out of service; ``since_ms`` is its reported start time."""
--- a/cherrycove/broker/decision_log/log.py
+++ b/cherrycove/broker/decision_log/log.py
@@ -134,9 +134,8 @@
         self._pending: list[Any] = []  # received but not inserted yet
         self.lost_chunks = 0  # chunks of the predecessor's log that did not arrive or were malformed
         self.predecessor_start = start  # when the predecessor's log began, if there was one
-        self.on_record: Callable[[RequestRecord], None] | None = (
-            None  # called with each record, to export traces
-        )
+        # Called with each record, to export traces.
+        self.on_record: Callable[[RequestRecord], None] | None = None
 
     def footprint(self) -> int:
         """Return an upper bound of the bytes in use: exact sizes of the arrays, and limits for the rest."""
--- a/cherrycove/broker/decision_log/queries.py
+++ b/cherrycove/broker/decision_log/queries.py
@@ -1,4 +1,4 @@
-"""Queries of the decision decision_log, and their answers in lines.
+"""Queries of the decision log, and their answers in lines.
 
 A query runs in slices, so that it blocks the event loop for at most ``SLICE_S`` at a time, and ends after
 ``ANSWER_TIMEOUT_S`` with what it has found. Every answer says what the log no longer holds.
--- a/cherrycove/broker/decision_log/sketches.py
+++ b/cherrycove/broker/decision_log/sketches.py
@@ -19,7 +19,7 @@
 MAX_LATENCY_SKETCHES = 48  # pairs of node and class per minute
 ACCURACY = 0.05  # relative error of a latency quantile
 BINS = 96  # per sketch; they cover four powers of ten at this accuracy
-OPEN_MINUTE_BYTES = 176 * 1024  # the measured size of a full open minute, and a fifth more
+OPEN_MINUTE_BYTES = 176 * 1024  # size of a full open minute, with a margin of a fifth
 PACKED_MINUTE_OVERHEAD = 128  # bytes of the objects around a packed minute
 
 
--- a/cherrycove/broker/lifecycle/shutdown_timetable.py
+++ b/cherrycove/broker/lifecycle/shutdown_timetable.py
@@ -14,9 +14,8 @@
 ABORT_MARGIN_S = 0.15  # answers still being written to clients are aborted this long before the kill
 DISCONNECT_MARGIN_S = 0.05  # all clients are disconnected this long before the kill
 NEW_CONNECTION_WINDOW_S = 0.4  # clients may open new connections for this long after the signal
-SERVICE_TIME_S = (
-    0.4  # requests are accepted up to this long before the answers are due, so they can be served
-)
+# Requests are accepted up to this long before the answers are due, so they can be served.
+SERVICE_TIME_S = 0.4
 CLOSE_LEAD_S = 0.25  # answers close their connections from this long before requests are no longer accepted
 QUIET_S = 0.8  # no more requests are expected once none has come for this long
 
--- a/cherrycove/scheduling/actions.py
+++ b/cherrycove/scheduling/actions.py
@@ -60,9 +60,8 @@
     node: str
     timeout: float | None = None  # None: until the request's budget ends
     why: Reason | None = field(default=None, compare=False)
-    write_within: float | None = (
-        None  # the last byte must be sent within this time, else nothing may be; None: no bound
-    )
+    # The last byte must be sent within this time, else nothing may be; None: no bound.
+    write_within: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
--- a/cherrycove/scheduling/events.py
+++ b/cherrycove/scheduling/events.py
@@ -83,9 +83,8 @@
     closed: bool  # the request has its final answer; otherwise one is still due
     latency: float
     use: float | None = None  # use of the volume in a past meter period, as a multiple of its usual rate
-    elsewhere: float = (
-        0.0  # units served for the volume through other schedulers since the node's last answer here
-    )
+    # Units served for the volume through other schedulers since the node's last answer here.
+    elsewhere: float = 0.0
     load: Mapping[str, float] = field(default_factory=dict)
 
 
--- a/cherrycove/scheduling/node_membership.py
+++ b/cherrycove/scheduling/node_membership.py
@@ -10,9 +10,8 @@
 from cherrycove.scheduling.scheduler_state import SchedulerState
 from cherrycove.scheduling.state import NodeQueue
 
-WATCH_RETRY_FRACTION = (
-    0.2  # of Settings.ask_within: pause before the node list is requested again after a failure
-)
+# Pause before the node list is requested again after a failure, as a fraction of Settings.ask_within.
+WATCH_RETRY_FRACTION = 0.2
 
 
 class _NodeList:
--- a/cherrycove/scheduling/scheduler_state.py
+++ b/cherrycove/scheduling/scheduler_state.py
@@ -16,9 +16,8 @@
 from cherrycove.scheduling.timer_queue import TimerQueue
 
 INITIAL_LIMIT = 4.0  # requests in flight at a node without statistics (from the design)
-FLEET_INITIAL_LIMIT = (
-    16.0  # of all schedulers together: where it is lower, each starts at its even part of it
-)
+# Limit of all schedulers together: where it is lower, each starts at its even part of it.
+FLEET_INITIAL_LIMIT = 16.0
 
 
 class SchedulerState:
--- a/cherrycove/scheduling/settings.py
+++ b/cherrycove/scheduling/settings.py
@@ -70,9 +70,8 @@
     worth: float = 1.0  # value of an answer
     late_worth: float = 0.0  # fraction of the value that a late answer earns
     group: Group = Group.ALL
-    repeat_window: float = (
-        0.0  # keyed: repeats are dropped for this time after the first attempt that may have been executed
-    )
+    # Keyed: repeats are dropped for this time after the first attempt that may have been executed.
+    repeat_window: float = 0.0
     ordered: bool = False  # requests that share a key run one at a time, in order of arrival
     writes: bool = False
 
@@ -139,9 +138,8 @@
     retry_advice: float = 0.0  # maximum retry delay that clients honor; 0: they honor none
     max_units: float = 1.0
     usual_units: float = 1.0
-    share_worth: float = (
-        0.0  # fraction of the value that units above the reserve, within the volume's share, earn
-    )
+    # Fraction of the value that units above the reserve, within the volume's share, earn.
+    share_worth: float = 0.0
     spare_worth: float = 0.0  # fraction of the value that units above reserve and share earn
     meter_period: float = 0.0  # 0: answers do not report the use of a volume
     tells_elsewhere: bool = False
--- a/cherrycove/scheduling/state.py
+++ b/cherrycove/scheduling/state.py
@@ -150,9 +150,8 @@
     last_request_at: float = -inf  # arrival time of its latest request
     epoch: int = -1  # number of the refill that its credits include
     wake_scheduled: bool = False
-    lanes: dict[int | None, deque[Request]] = field(
-        default_factory=dict
-    )  # FIFO queues of requests that wait for credit, by shard
+    # FIFO queues of requests that wait for credit, by shard.
+    lanes: dict[int | None, deque[Request]] = field(default_factory=dict)
 
     def set_limit_fraction(self, now: float, part: float) -> None:
         """Set which part of this scheduler's even part of the limit may be used from now on."""
@@ -192,9 +191,8 @@
     arrivals: int = 0
     new_due: int = 0  # arrivals that are also due before the window ends
     served: int = 0
-    waits: dict[str, deque[float]] = field(
-        default_factory=dict
-    )  # time in the queue (s), by class, of the latest sends
+    # Time in the queue (s), by class, of the latest sends.
+    waits: dict[str, deque[float]] = field(default_factory=dict)
     latencies: dict[str, list[float]] = field(default_factory=dict)  # s, by class, of served requests
 
     def mean_wait(self, cls: str) -> float:
--- a/cherrycove/tier/dataplane/admission/_deadline_feasibility.py
+++ b/cherrycove/tier/dataplane/admission/_deadline_feasibility.py
@@ -7,7 +7,7 @@
 from cherrycove.tier.dataplane.admission._admission_state import AdmissionState
 from cherrycove.tier.dataplane.admission._interface import AdmissionRequest, Reject, RejectionReason
 
-# docs/design/admission.md ("Rejections") derives these values by argument; they are not measured.
+# docs/design/admission.md ("Rejections") gives the reasons for these values.
 # Within this fraction of the target latency, a client's first request is rejected if the forecast exceeds the
 # target.
 DECISION_FRACTION = 0.22
--- a/cherrycove/tier/dataplane/connection_pool.py
+++ b/cherrycove/tier/dataplane/connection_pool.py
@@ -97,9 +97,8 @@
     def data_received(self, data: bytes) -> None:
         """Parse received bytes, and note the end of the response; called by the event loop."""
         if self._unexpected_body is not None and not self._unexpected_body.is_eof():
-            self._header_bytes = (
-                0  # these bytes belong to a body, so the limit on header bytes does not apply
-            )
+            # These bytes belong to a body, so the limit on header bytes does not apply.
+            self._header_bytes = 0
         super().data_received(data)
         if self._unexpected_body is not None and self._unexpected_body.exception() is None:
             self._unexpected_body.read_nowait()  # otherwise aiohttp stops reading at its buffer limit
--- a/cherrycove/tier/simulation/control/loop.py
+++ b/cherrycove/tier/simulation/control/loop.py
@@ -31,9 +31,8 @@
     ended: bool = False
     frozen: bool = False
     deferred: list[Handle] = attrs.field(factory=list)
-    spawned: list[Coroutine[Any, Any, Any]] = attrs.field(
-        factory=list
-    )  # kept to close those that never begin
+    # Kept to close those that never begin.
+    spawned: list[Coroutine[Any, Any, Any]] = attrs.field(factory=list)
 
 
 CURRENT_INCARNATION: ContextVar[Incarnation | None] = ContextVar("incarnation", default=None)
--- a/tests/test_bench_admission.py
+++ b/tests/test_bench_admission.py
@@ -124,9 +124,8 @@
 
 
 def test_an_experiment_sets_a_constant_of_the_program(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(
-        grant_policy, "USABLE_FRACTION", grant_policy.USABLE_FRACTION
-    )  # restores the value at the end
+    # Makes monkeypatch restore the value at the end.
+    monkeypatch.setattr(grant_policy, "USABLE_FRACTION", grant_policy.USABLE_FRACTION)
     ConstantSetting.parse("batch.leasing.grant_policy.USABLE_FRACTION=0.5").apply()
     assert grant_policy.lease_limit([100], 0) == 50
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -220,9 +220,8 @@
 
 def test_refusals_are_traced_up_to_the_rate_and_served_requests_by_sampling() -> None:
     sampler = spans.Sampler(0.1, 3.0, 7)
-    refused = [
-        sampler.sample(make_record(f"r{n}", 10.0 + n / 100)) for n in range(200)
-    ]  # 100 per second for 2 s
+    # 100 per second for 2 s.
+    refused = [sampler.sample(make_record(f"r{n}", 10.0 + n / 100)) for n in range(200)]
     assert 3 <= sum(refused) <= 3 + 3 * 2 + 1 and sampler.rate_limited == 200 - sum(refused)
     served = sum(sampler.sample(make_record(f"s{n}", 20.0, "served")) for n in range(2000))
     assert 150 <= served <= 250  # a fixed seed
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -259,9 +259,8 @@
         assert node.started == core._nodes.loop_time(now - 3000) and not core.maintenance.back
         core.set_maintenance(core.maintenance.with_node_out("d0", now - 3000))
         core.update(NodeList(4, False, (Member("d0", "here", 0, since_ms=now - 1000),)))
-        core.set_maintenance(
-            core.maintenance.with_node_back("d0", now)
-        )  # its restart was reported while it was out
+        # Its restart was reported while it was out.
+        core.set_maintenance(core.maintenance.with_node_back("d0", now))
         core.tick()
         assert node.started == core._nodes.loop_time(now - 1000)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -725,9 +725,8 @@
         await broker.serve_config()  # with the old address; the start waits for the lock
         moved = tmp_path / "moved.json"
         moved.write_text(json.dumps(broker.raw | {"discovery": await lists[1].start()}))
-        await until(
-            lambda: str(broker.start_directory / LOCK_FILE) in open_files(broker.process.pid)
-        )  # it is starting
+        # Waits until the broker is starting.
+        await until(lambda: str(broker.start_directory / LOCK_FILE) in open_files(broker.process.pid))
         os.replace(moved, broker.path)
         broker.process.send_signal(signal.SIGHUP)
         os.close(lock)
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -58,9 +58,8 @@
 
 def test_a_volume_out_of_credit_waits_behind_one_that_has_some() -> None:
     rig = Rig()
-    greedy = [
-        rig.arrive(volume="greedy") for _ in range(30)
-    ]  # 9 credits per second: five requests of 2 units
+    # 9 credits per second: five requests of 2 units.
+    greedy = [rig.arrive(volume="greedy") for _ in range(30)]
     modest = rig.arrive(cls=1, volume="modest")
     for request in greedy[:4]:
         rig.end(request)
@@ -205,9 +204,8 @@
     step(rig, node, Window(served=100, arrivals=120, max_in_flight=1, latencies=quick))
     assert node.threshold == 2.0  # never filled
     step(rig, node, Window(served=100, arrivals=120, max_in_flight=2, latencies=quick))
-    assert node.threshold == pytest.approx(
-        2.4
-    )  # E would be 6, but all pending work requires only a factor of 1.2
+    # E would be 6, but all pending work requires only a factor of 1.2.
+    assert node.threshold == pytest.approx(2.4)
 
 
 def test_fast_errors_are_no_evidence_of_speed() -> None:
@@ -615,11 +613,8 @@
 def test_credits_overdrawn_by_one_request_are_repaid_first() -> None:
     rig = Rig(schedulers=200)
     node = rig.scheduler.state.nodes[0]
-    node.threshold, node.mean_latency_s, node.last_served_at = (
-        8.0,
-        0.5,
-        rig.now,
-    )  # above the ceiling: no spare sends
+    # Above the ceiling: no spare sends.
+    node.threshold, node.mean_latency_s, node.last_served_at = 8.0, 0.5, rig.now
     seconds = 8
     for _ in range(seconds * 4):
         rig.arrive(cls=1, units=6.0, hosts=20)  # a refill is 0.9 units
@@ -637,9 +632,8 @@
     node.mean_latency_s, node.last_served_at = 0.4, rig.now  # the target is 0.6 s
     for _ in range(12):
         rig.end(rig.arrive()) if rig.scheduler.state.volumes.get("v") is None else rig.arrive()
-    assert (
-        sum(2 for _ in rig.sends) <= 9 + 2
-    )  # the credits of one refill, and the overdraft of the last request
+    # The credits of one refill, and the overdraft of the last request.
+    assert sum(2 for _ in rig.sends) <= 9 + 2
 
 
 def test_the_estimate_of_a_node_without_answers_is_the_typical_latency() -> None:
@@ -847,11 +841,8 @@
     first = rig.arrive(hosts=20)  # this host's even part: 0.9 of 18 units/s
     rig.give(AttemptEnd(first, 0, "n0", Outcome.SERVED, True, 0.05, use=0.3))  # 6 of 20 units were served
     rig.wait(1.0)
-    node.mean_latency_s, node.last_served_at, node.threshold = (
-        0.4,
-        rig.now,
-        9.0,
-    )  # above the ceiling: sends use credits only
+    # Above the ceiling: sends use credits only.
+    node.mean_latency_s, node.last_served_at, node.threshold = 0.4, rig.now, 9.0
     assert len([rig.arrive(hosts=20) for _ in range(9)]) == 9
     assert len(rig.sends) == 1 + 6  # 2 units each, from 12.9 credits less the earlier overdraft
     rig.wait(8.0)
@@ -883,11 +874,8 @@
         first = rig.arrive(hosts=20, volume=volume)
         rig.give(AttemptEnd(first, 0, "n0", Outcome.SERVED, True, 0.05, use=use))
         rig.scheduler.state.volumes[volume].credits = -9.0
-    node.mean_latency_s, node.last_served_at, node.threshold = (
-        0.25,
-        rig.now,
-        9.0,
-    )  # ceiling 0.3 s, two thirds of it 0.2 s
+    # The ceiling is 0.3 s, two thirds of it 0.2 s.
+    node.mean_latency_s, node.last_served_at, node.threshold = 0.25, rig.now, 9.0
     rig.scheduler.latency.typical = 0.25
     beyond, within = rig.arrive(volume="beyond"), rig.arrive(volume="within")
     assert within in rig.sent() and beyond not in rig.sent()
--- a/tests/test_fleet_room.py
+++ b/tests/test_fleet_room.py
@@ -155,9 +155,8 @@
     assert first in rig.sent()
     rig.end(first)
     second = rig.arrive(units=2.0, budget=30.0)
-    assert (
-        second not in rig.sent()
-    )  # the loan is used up, and an answer grants no permit where capacity is lent
+    # The loan is used up, and an answer grants no permit where capacity is lent.
+    assert second not in rig.sent()
 
 
 def test_brokers_lend_over_sockets_and_ignore_other_senders() -> None:
--- a/tests/test_nbd.py
+++ b/tests/test_nbd.py
@@ -279,12 +279,8 @@
         ("drop", NODE_FLAGS, Errno.EIO, 1),  # it may have been executed: not retried
         ("stall", NODE_FLAGS, Errno.EIO, 1),
         ("28", NODE_FLAGS, Errno.ENOSPC, 1),  # the node's error is forwarded
-        (
-            "ok",
-            NODE_FLAGS & ~nbd.TransmissionFlag.CAN_MULTI_CONN,
-            Errno.ENOMEM,
-            0,
-        ),  # no flush could cover the write: rejected, a retry is safe
+        # No flush could cover the write: rejected, a retry is safe.
+        ("ok", NODE_FLAGS & ~nbd.TransmissionFlag.CAN_MULTI_CONN, Errno.ENOMEM, 0),
     ],
 )
 def test_a_write_is_sent_at_most_once_and_gets_one_reply(
--- a/tests/test_why.py
+++ b/tests/test_why.py
@@ -339,10 +339,8 @@
     # Their retries are paired one to one in order, and the number of candidates is recorded.
     assert decision_log.match_retry(request("a2", repeat=True), 10.4) == ("a", 2)
     assert decision_log.match_retry(request("b2", repeat=True), 10.5) == ("b", 1)
-    assert decision_log.match_retry(request("c2", repeat=True), 10.6) == (
-        "",
-        0,
-    )  # no request is claimed twice
+    # No request is claimed twice.
+    assert decision_log.match_retry(request("c2", repeat=True), 10.6) == ("", 0)
 
 
 @pytest.mark.parametrize(
--- a/tests/tier/test_deploy_packages.py
+++ b/tests/tier/test_deploy_packages.py
@@ -24,11 +24,8 @@
     "cp": "coreutils",
     "python3": "python3",
 }
-PACKAGE_OF_MODULE = {
-    "pip": "python3-pip",
-    "compileall": "python3",
-    "cherrycove.tier": "",
-}  # modules run with python3 -m
+# Modules run with python3 -m.
+PACKAGE_OF_MODULE = {"pip": "python3-pip", "compileall": "python3", "cherrycove.tier": ""}
 PACKAGE_OF_LIBRARY = {
     "libc.so.6": "libc6",
     "libm.so.6": "libc6",
@@ -36,9 +33,8 @@
     "libgcc_s.so.1": "libgcc-s1",
     "libstdc++.so.6": "libstdc++6",
 }
-PACKAGES_OF_PIP = {
-    "ca-certificates"
-}  # used to access the registry over TLS; not referenced by a command or library
+# Used to access the registry over TLS; not referenced by a command or library.
+PACKAGES_OF_PIP = {"ca-certificates"}
 LIBRARY_NAME = re.compile(rb"\0(lib[\w+-]+\.so(?:\.\d+)*)(?=\0)")  # as it appears in a binary that loads it
 SHELL_OPERATORS = set("&|()")
 
