--- a/tests/data/make_tier.py
+++ b/tests/data/make_tier.py
@@ -1,8 +1,8 @@
-"""Writes the files of ``tests/data/tier``: what the serving tier stores and sends, byte for byte.
+"""Writes the files of ``tests/data/tier``: the exact bytes that the serving tier stores and sends.
 
-``python tests/data/make_tier.py DIRECTORY`` makes DIRECTORY and writes the files there. All inputs are fixed:
-see ``tests/tier/golden_inputs.py``. The committed files were written by commit 2176a1e. Later versions must
-read them and write the same bytes, so they are never written again; a new format gets files beside them.
+``python tests/data/make_tier.py DIRECTORY`` creates DIRECTORY and writes the files there. All inputs are
+fixed, see ``tests/tier/golden_inputs.py``. The committed files were written by commit 2176a1e. Later versions
+must read them and write the same bytes, so they are never regenerated; a new format gets additional files.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 def write_messages(target: Path) -> None:
-    """Each message with every field set, once for each choice that it offers."""
+    """Write samples of each message with every field set, one for each alternative of its ``oneof``."""
     samples = [
         {"message": name, "fields": fields, "bytes": support.encode(name, fields).hex()}
         for name, message in ((support.former_type(one.full_name), one) for one in support.messages())
@@ -45,7 +45,7 @@
 
 
 def write_disks(target: Path) -> None:
-    """The folders of a keeper and of a store, and the state that each holds."""
+    """Write the data folders of a keeper and of a store, and the state that each contains."""
     states = {}
     for program in support.STATES:
         for kind in ("log", "snapshot"):
@@ -55,12 +55,12 @@
 
 
 def write_lines(path: Path, entries: list[Any]) -> None:
-    """Write one JSON value a line."""
+    """Write one JSON value per line."""
     path.write_text("".join(json.dumps(entry) + "\n" for entry in entries), encoding="utf-8")
 
 
 def write_calls(target: Path) -> None:
-    """What processes of the tier say to one another."""
+    """Write the calls that processes of the tier send to each other."""
     write_json(target / "call-names.json", stories.call_names())
     for name, transcript in stories.calls().items():
         write_lines(target / f"calls-{name}.jsonl", transcript)
@@ -70,7 +70,7 @@
 
 
 def write_interfaces(target: Path) -> None:
-    """What operators, clients and the platform see."""
+    """Write the data of the interfaces to operators, clients and the platform."""
     (target / "settings.yaml").write_text(inputs.COMPLETE_SETTINGS, encoding="utf-8")
     (target / "settings-least.yaml").write_text(inputs.LEAST_SETTINGS, encoding="utf-8")
     (target / "configuration.json").write_text(inputs.COMPLETE_CONFIGURATION + "\n", encoding="utf-8")
@@ -89,7 +89,7 @@
 
 
 def main() -> None:
-    """Make the directory that the command line names, with all files."""
+    """Create the directory given on the command line, and write all files."""
     target = Path(sys.argv[1]).resolve()
     target.mkdir(parents=True)
     write_schema(target)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,7 +1,7 @@
-"""The pages name files, modules and tests that exist.
+"""Checks that the files, modules, tests and types named in the documentation exist.
 
-A page that names what is gone sends a reader on call to the wrong place. Pages of history are left out: they
-name things as they were when the entry was written.
+A page that names something that was removed misleads a reader on call. Historical pages are excluded, as they
+keep the names from the time when the entry was written.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
     for path in [*ROOT.glob("*.md"), *ROOT.glob("docs/**/*.md"), *ROOT.glob("examples/*.md")]
     if path.relative_to(ROOT).as_posix() not in HISTORY
 )
-BUILT = frozenset({"target/"})  # made by the build of deploy/system.toml, not kept
-BASES = (
+BUILD_OUTPUTS = frozenset({"target/"})  # created by the build of deploy/system.toml, not committed
+BASE_FOLDERS = (
     "",
     "docs",
     "docs/design",
@@ -42,7 +42,7 @@
 
 @functools.cache
 def tracked() -> frozenset[str]:
-    """All files of the repository and their folders, each folder with a slash at its end."""
+    """Return all files and folders of the repository; folder names end with a slash."""
     listing = subprocess.run(
         ["git", "ls-files", "--cached", "--others", "--exclude-standard"],
         cwd=ROOT,
@@ -52,12 +52,12 @@
     )
     files = {name for name in listing.stdout.splitlines() if (ROOT / name).exists()}
     folders = {f"{parent.as_posix()}/" for name in files for parent in Path(name).parents}
-    return frozenset(files | folders | BUILT)
+    return frozenset(files | folders | BUILD_OUTPUTS)
 
 
 @functools.cache
 def names_of_tests() -> frozenset[str]:
-    """Names of all test functions and test modules."""
+    """Return the names of all functions and modules below ``tests``."""
     names: set[str] = set()
     for path in (ROOT / "tests").rglob("*.py"):
         names.add(path.stem)
@@ -68,8 +68,8 @@
 
 
 def exists(name: str) -> bool:
-    """Whether ``name`` is a file or a folder below one of the places that pages name paths from."""
-    if any(f"{base}/{name}".lstrip("/") in tracked() for base in BASES):
+    """Whether ``name`` is a file or folder relative to a base folder, or the end of the path of one."""
+    if any(f"{base}/{name}".lstrip("/") in tracked() for base in BASE_FOLDERS):
         return True
     return any(known.endswith(f"/{name}") for known in tracked())
 
@@ -118,7 +118,7 @@
 
 @functools.cache
 def names_of_code() -> frozenset[str]:
-    """Every identifier in the sources and the messages of the internal protocol."""
+    """Return every identifier in the sources and in the messages of the internal protocol."""
     names: set[str] = set()
     for name in tracked():
         if name.endswith((".py", ".proto")) and not name.startswith("tests/"):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""What CI passes over: failures of listed tests, and nothing else."""
+"""Checks that CI ignores the failures of tests listed in KNOWN-RED.txt, and no others."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
         (case("test_a", "test_flaky", FAILED) + case("test_b", "test_flaky", FAILED), LISTED, 1),
         (case("test_a", "test_flaky_too", FAILED), LISTED, 1),
         (case("test_a", "test_flaky", "<error/>"), "", 1),
-        (case("test_a", "test_flaky"), LISTED, 1),  # no test failed, and yet the run did
+        (case("test_a", "test_flaky"), LISTED, 1),  # the run failed although no test did
         (None, LISTED, 1),
     ],
     ids=["listed", "with parameters", "another file", "another name", "empty list", "none", "no results"],
 )
-def test_only_failures_of_listed_tests_are_passed_over(
+def test_only_failures_of_listed_tests_are_ignored(
     tmp_path: Path, cases: str | None, listed: str, code: int
 ) -> None:
     assert exit_code(tmp_path, cases, listed) == code
--- a/tests/tier/link_replies.py
+++ b/tests/tier/link_replies.py
@@ -1,7 +1,7 @@
-"""Replies that a link gives twice, late or in place of others, as a faulty peer does.
+"""Faults that duplicate, delay or swap replies on a link, as a faulty peer does.
 
-Each of these alters the replies on one connection; they are told apart by their Content-Length. What has none
-is passed on as it comes.
+Each fault applies to the replies of one connection, which are separated by their Content-Length. A connection
+is forwarded unmodified from the first reply without that header.
 """
 
 from __future__ import annotations
@@ -11,37 +11,37 @@
 from collections.abc import Callable
 
 import attrs
-from links import Alter, unaltered
+from links import Transform, unmodified
 
 _LENGTH = re.compile(rb"\r\ncontent-length: *([0-9]+)\r\n", re.IGNORECASE)
 _HEAD_END = b"\r\n\r\n"
 
 
 @attrs.define
-class Replies:
-    """Cuts what one connection brings into whole replies, and passes on what ``alter`` makes of each."""
+class ReplyRewriter:
+    """Splits the data of one connection into complete replies and applies ``fault`` to each of them."""
 
-    alter: Callable[[bytes, bytes], list[bytes]]  # of a reply and the one before it
-    altered: int = 0
+    fault: Callable[[bytes, bytes], list[bytes]]  # maps a reply and the previous one to those to forward
+    modified: int = 0
     _buffer: bytes = b""
     _previous: bytes = b""
     _framed: bool = True
 
-    def __call__(self, piece: bytes) -> bytes:
+    def __call__(self, chunk: bytes) -> bytes:
         if not self._framed:
-            return piece
-        self._buffer += piece
-        passed = []
-        while (reply := self._whole_reply()) is not None:
-            passed += self.alter(reply, self._previous)
-            self.altered += passed[-1:] != [reply] or len(passed) > 1
+            return chunk
+        self._buffer += chunk
+        forwarded = []
+        while (reply := self._next_reply()) is not None:
+            forwarded += self.fault(reply, self._previous)
+            self.modified += forwarded[-1:] != [reply] or len(forwarded) > 1
             self._previous = reply
         if not self._framed:
-            passed.append(self._buffer)
-        return b"".join(passed)
+            forwarded.append(self._buffer)
+        return b"".join(forwarded)
 
-    def _whole_reply(self) -> bytes | None:
-        """Taken from the buffer; None while it has none."""
+    def _next_reply(self) -> bytes | None:
+        """Remove the next complete reply from the buffer and return it; None if there is none."""
         head, end, _ = self._buffer.partition(_HEAD_END)
         if not end:
             return None
@@ -56,38 +56,38 @@
         return reply
 
 
-def twice(reply: bytes, previous: bytes) -> list[bytes]:
-    """Each reply comes two times in a row."""
+def duplicate(reply: bytes, previous: bytes) -> list[bytes]:
+    """Forward each reply twice in a row."""
     return [reply, reply]
 
 
-def again_later(reply: bytes, previous: bytes) -> list[bytes]:
-    """Each reply comes once more after the next call was sent, before that one's reply."""
+def repeat_before_next(reply: bytes, previous: bytes) -> list[bytes]:
+    """Repeat each reply after the next call was sent, before the reply to that call."""
     return [previous, reply] if previous else [reply]
 
 
-def one_behind(reply: bytes, previous: bytes) -> list[bytes]:
-    """The second call and all further ones get the reply to the call before."""
+def delay_by_one(reply: bytes, previous: bytes) -> list[bytes]:
+    """Give the second call and all later ones the reply to the previous call."""
     return [previous or reply]
 
 
 @attrs.define
 class FaultyReplies:
-    """Gives each new connection of an opener the next fault, and counts what was altered."""
+    """Assigns the next fault to each new connection that ``is_faulty`` selects; counts modified replies."""
 
-    openers: Callable[[str, str], bool]  # whether connections between these two are faulty
+    is_faulty: Callable[[str, str], bool]  # called with the opener and the target of a connection
     active: bool = True
-    _made: list[Replies] = attrs.field(factory=list)
+    _rewriters: list[ReplyRewriter] = attrs.field(factory=list)
     _faults: itertools.cycle[Callable[[bytes, bytes], list[bytes]]] = attrs.field(
-        factory=lambda: itertools.cycle((twice, again_later, one_behind))
+        factory=lambda: itertools.cycle((duplicate, repeat_before_next, delay_by_one))
     )
 
     @property
-    def altered(self) -> int:
-        return sum(replies.altered for replies in self._made)
-
-    def __call__(self, opener: str, target: str) -> Alter:
-        if not (self.active and self.openers(opener, target)):
-            return unaltered
-        self._made.append(Replies(next(self._faults)))
-        return self._made[-1]
+    def modified(self) -> int:
+        return sum(rewriter.modified for rewriter in self._rewriters)
+
+    def __call__(self, opener: str, target: str) -> Transform:
+        if not (self.active and self.is_faulty(opener, target)):
+            return unmodified
+        self._rewriters.append(ReplyRewriter(next(self._faults)))
+        return self._rewriters[-1]
--- a/tests/tier/linked_operator.py
+++ b/tests/tier/linked_operator.py
@@ -1,4 +1,4 @@
-"""Operators who reach the keepers over links, and act as the page on the operator's API says."""
+"""Operators that reach the keepers over links and follow the rules of the operator API's documentation."""
 
 from __future__ import annotations
 
@@ -10,38 +10,38 @@
 from urllib.parse import urlsplit
 
 import attrs
-from links import WAIT_S, Network
+from links import WAIT_TIMEOUT_S, Network
 
 from examples.small_tier import TierError
 from examples.tier_processes import Daemon
 
-ATTEMPT_S = 2.0  # without an answer for so long, an operator turns to another keeper
-PAUSE_S = 0.05  # between two tries
-MOST_REDIRECTS = 2
-NO_ANSWER = 0
-MAY_COME_AGAIN = (NO_ANSWER, 307, 408, 409, 429)  # beside all from 500 on
+ATTEMPT_TIMEOUT_S = 2.0  # without a response for this long, an operator tries another keeper
+RETRY_PAUSE_S = 0.05
+MAX_REDIRECTS = 2
+NO_RESPONSE = 0
+RETRYABLE_STATUSES = (NO_RESPONSE, 307, 408, 409, 429)  # and all from 500
 
 
 @attrs.frozen
-class Answer:
-    """What came back of one call; status 0 if nothing did."""
+class Response:
+    """The response to one call; its status is 0 if none arrived."""
 
     status: int
     headers: dict[str, str] = attrs.field(factory=dict)
     body: bytes = b""
 
     @property
-    def clear(self) -> bool:
-        """Whether the operator may rely on it."""
-        return self.status < 500 and self.status not in MAY_COME_AGAIN
+    def conclusive(self) -> bool:
+        """Whether the response states the outcome, so that the operator does not retry."""
+        return self.status < 500 and self.status not in RETRYABLE_STATUSES
 
     def json(self) -> Any:
         return json.loads(self.body)
 
 
 @attrs.frozen
-class Order:
-    """One order, sent unchanged until there is a clear answer."""
+class Request:
+    """A request of an operator, which is sent unchanged until there is a conclusive response."""
 
     method: str
     path: str
@@ -49,111 +49,121 @@
     headers: dict[str, str] = attrs.field(factory=dict)
 
 
-def change(document: bytes, base: int) -> Order:
-    """Put ``document`` in force on top of version ``base``."""
-    return Order("PUT", "/api/configuration", document, {"If-Match": str(base)})
+def change_request(document: bytes, base: int) -> Request:
+    """Return the request that replaces version ``base`` of the configuration by ``document``."""
+    return Request("PUT", "/api/configuration", document, {"If-Match": str(base)})
 
 
-READ = Order("GET", "/api/configuration")
+READ_REQUEST = Request("GET", "/api/configuration")
 
 
-def retire(machine: str) -> Order:
-    return Order("POST", f"/api/retire/{machine}", b'{"durationS":10}')
+def retire_request(machine: str) -> Request:
+    return Request("POST", f"/api/retire/{machine}", b'{"durationS":10}')
 
 
-def retirement(machine: str) -> Order:
-    return Order("GET", f"/api/retire/{machine}")
+def retirement_request(machine: str) -> Request:
+    return Request("GET", f"/api/retire/{machine}")
 
 
 @attrs.define(eq=False)
-class Line:
-    """A connection that has come up, for one call."""
+class OperatorConnection:
+    """An established connection for one call."""
 
     address: str
     _reader: asyncio.StreamReader
     _writer: asyncio.StreamWriter
 
-    def send(self, order: Order) -> asyncio.Task[Answer]:
-        """The order is on its way; the task ends with its answer, or when the connection does."""
-        self._writer.write(_encode(self.address, order))
-        return asyncio.create_task(self.answer())
+    def send(self, request: Request) -> asyncio.Task[Response]:
+        """Send ``request``; the returned task ends with the response, or when the connection is closed."""
+        self._writer.write(_encode(self.address, request))
+        return asyncio.create_task(self.response())
 
-    async def answer(self) -> Answer:
+    async def response(self) -> Response:
+        """Read the response and close the connection."""
         try:
             return await _read(self._reader)
         except (OSError, asyncio.IncompleteReadError):
-            return Answer(NO_ANSWER)
+            return Response(NO_RESPONSE)
         finally:
             self._writer.transport.abort()
 
 
 @attrs.define(eq=False)
 class Operator:
-    """One operator; ``name`` is its machine on the network."""
+    """An operator; ``name`` is the name of its machine on the network."""
 
     name: str
     links: Network
 
-    async def line(self, keeper: Daemon) -> Line:
-        """A connection to ``keeper`` on which nothing was sent yet."""
-        return await self._line(keeper.control_plane)
+    async def connect(self, keeper: Daemon) -> OperatorConnection:
+        """Return a new connection to ``keeper``."""
+        return await self._connect(keeper.control_plane)
 
-    async def _line(self, address: str) -> Line:
-        return Line(address, *await self.links.connect(self.name, address))
+    async def _connect(self, address: str) -> OperatorConnection:
+        return OperatorConnection(address, *await self.links.connect(self.name, address))
 
-    async def ask(self, keeper: Daemon, order: Order, attempt_s: float = ATTEMPT_S) -> Answer:
-        """One try at one keeper; a redirect is returned as it is."""
-        return await self._try(keeper.control_plane, order, attempt_s)
+    async def send(
+        self, keeper: Daemon, request: Request, attempt_timeout_s: float = ATTEMPT_TIMEOUT_S
+    ) -> Response:
+        """Send ``request`` to ``keeper`` once, without following redirects."""
+        return await self._attempt(keeper.control_plane, request, attempt_timeout_s)
 
-    async def follow(self, keeper: Daemon, order: Order) -> Answer:
-        """One try at one keeper, and at those that it points to."""
-        answer = await self.ask(keeper, order)
-        for _ in range(MOST_REDIRECTS):
-            if answer.status != 307:
+    async def send_following_redirects(self, keeper: Daemon, request: Request) -> Response:
+        """Send ``request`` to ``keeper`` once and follow its redirects."""
+        response = await self.send(keeper, request)
+        for _ in range(MAX_REDIRECTS):
+            if response.status != 307:
                 break
-            answer = await self._try(urlsplit(answer.headers["location"]).netloc, order, ATTEMPT_S)
-        return answer
+            response = await self._attempt(
+                urlsplit(response.headers["location"]).netloc, request, ATTEMPT_TIMEOUT_S
+            )
+        return response
 
     async def settle(
-        self, keepers: Sequence[Daemon], order: Order, within_s: float | None = WAIT_S
-    ) -> Answer:
-        """The clear answer, asked of one keeper after the other."""
-        seen: Counter[int] = Counter()
+        self, keepers: Sequence[Daemon], request: Request, within_s: float | None = WAIT_TIMEOUT_S
+    ) -> Response:
+        """Send ``request`` to the keepers in turn until one gives a conclusive response, and return that.
+
+        Raises ``TierError`` after ``within_s`` seconds; None retries without limit.
+        """
+        status_counts: Counter[int] = Counter()
         try:
             async with asyncio.timeout(within_s):
                 while True:
                     for keeper in keepers:
-                        answer = await self.follow(keeper, order)
-                        if answer.clear:
-                            return answer
-                        seen[answer.status] += 1
-                        await asyncio.sleep(PAUSE_S)
+                        response = await self.send_following_redirects(keeper, request)
+                        if response.conclusive:
+                            return response
+                        status_counts[response.status] += 1
+                        await asyncio.sleep(RETRY_PAUSE_S)
         except TimeoutError:
-            what = f"{self.name}: {order.method} {order.path}"
-            raise TierError(f"{what} got no clear answer: {dict(seen)}") from None
+            call = f"{self.name}: {request.method} {request.path}"
+            raise TierError(
+                f"{call} got no conclusive response; number of responses by status: {dict(status_counts)}"
+            ) from None
 
-    async def _try(self, address: str, order: Order, attempt_s: float) -> Answer:
+    async def _attempt(self, address: str, request: Request, attempt_timeout_s: float) -> Response:
         try:
-            return await asyncio.wait_for(self._exchange(address, order), attempt_s)
+            return await asyncio.wait_for(self._exchange(address, request), attempt_timeout_s)
         except TimeoutError:
-            return Answer(NO_ANSWER)
+            return Response(NO_RESPONSE)
 
-    async def _exchange(self, address: str, order: Order) -> Answer:
+    async def _exchange(self, address: str, request: Request) -> Response:
         try:
-            line = await self._line(address)
+            connection = await self._connect(address)
         except OSError:
-            return Answer(NO_ANSWER)
-        return await line.send(order)
+            return Response(NO_RESPONSE)
+        return await connection.send(request)
 
 
-def _encode(address: str, order: Order) -> bytes:
-    headers = {"Host": address, "Content-Length": str(len(order.body)), **order.headers}
+def _encode(address: str, request: Request) -> bytes:
+    headers = {"Host": address, "Content-Length": str(len(request.body)), **request.headers}
     lines = [f"{name}: {value}" for name, value in headers.items()]
-    return "\r\n".join([f"{order.method} {order.path} HTTP/1.1", *lines, "", ""]).encode() + order.body
+    return "\r\n".join([f"{request.method} {request.path} HTTP/1.1", *lines, "", ""]).encode() + request.body
 
 
-async def _read(reader: asyncio.StreamReader) -> Answer:
+async def _read(reader: asyncio.StreamReader) -> Response:
     first, *lines = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")[:-2]
     headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
     body = await reader.readexactly(int(headers["content-length"]))
-    return Answer(int(first.split()[1]), headers, body)
+    return Response(int(first.split()[1]), headers, body)
--- a/tests/tier/linked_process.py
+++ b/tests/tier/linked_process.py
@@ -1,9 +1,10 @@
-"""Runs a daemon of the tier, every connection of which goes through the test's links (``links.py``).
+"""Runs a daemon of the tier whose outgoing connections all go through the links of the test (``links.py``).
 
 ``python tests/tier/linked_process.py PROGRAM``, with LINKED_MACHINE and LINKED_RELAY in the environment. The
-daemon is the tier's own, unchanged: only its event loop connects to the relay and tells it the machine's name
-and the address that was wanted. A refused connection looks refused, and one that is held does not come up.
-With LINKED_KILL_AT, the process is killed at that step of its next snapshot (``snapshot_steps.py``).
+code of the daemon is unmodified. Only its event loop connects to the relay and sends it the machine's name
+and the requested address. A refused connection raises ConnectionRefusedError, and a blocked one is not
+established. With LINKED_KILL_AT, the process is killed at that step of its next snapshot
+(``snapshot_steps.py``).
 """
 
 from __future__ import annotations
@@ -16,19 +17,19 @@
 from typing import Any
 
 MACHINE_VARIABLE = "LINKED_MACHINE"
-RELAY_VARIABLE = "LINKED_RELAY"  # its port on 127.0.0.1
+RELAY_VARIABLE = "LINKED_RELAY"  # port of the relay on 127.0.0.1
 KILL_VARIABLE = "LINKED_KILL_AT"
-ANSWER_BYTES = 1
+REPLY_BYTES = 1
 
 
 class LinkedLoop(asyncio.SelectorEventLoop):
-    """The usual event loop, connected through the relay."""
+    """The selector event loop, with connections opened through the relay."""
 
     async def sock_connect(self, sock: socket.socket, address: Any) -> None:
         await super().sock_connect(sock, ("127.0.0.1", int(os.environ[RELAY_VARIABLE])))
         host, port = address[:2]
         await self.sock_sendall(sock, f"{os.environ[MACHINE_VARIABLE]} {host} {port}\n".encode())
-        if not await self.sock_recv(sock, ANSWER_BYTES):
+        if not await self.sock_recv(sock, REPLY_BYTES):
             raise ConnectionRefusedError(f"{host}:{port}")
 
 
--- a/tests/tier/linked_tier.py
+++ b/tests/tier/linked_tier.py
@@ -1,4 +1,4 @@
-"""A tier of real processes behind links."""
+"""A tier of real processes whose connections go through links."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 import attrs
 import yaml
-from links import WAIT_S, Network
+from links import WAIT_TIMEOUT_S, Network
 from result import Ok
 
 from cherrycove.tier.protocol.control_pb2 import Announcement
@@ -24,22 +24,22 @@
 
 LINKED_PROCESS = Path(__file__).with_name("linked_process.py")
 STATUS_TIMEOUT_S = 0.5
-SHARED_FROM = 100  # last number of the addresses of shared machines
+SHARED_IP_OFFSET = 100  # added to the number of a shared machine for the last octet of its address
 
 
 async def until(fact: str, holds: Callable[[], Awaitable[bool]]) -> None:
-    """Ask ``holds`` until it says yes; TierError naming ``fact`` if it does not in time."""
-    await small_tier.until(fact, holds, WAIT_S)
+    """Poll ``holds`` until it returns True; raises ``TierError`` with ``fact`` if it does not in time."""
+    await small_tier.until(fact, holds, WAIT_TIMEOUT_S)
 
 
-def configuration(version: int, padding: int = 0, **marks: str) -> bytes:
-    """The examples' configuration as ``version``, with ``marks`` and so many bytes more that mean nothing."""
+def configuration(version: int, padding: int = 0, **fields: str) -> bytes:
+    """Return the examples' configuration as ``version``, plus ``fields`` and ``padding`` unused bytes."""
     document = json.loads(CONFIGURATION_PATH.read_text())
-    return json.dumps({**document, "version": version, **marks, "padding": "x" * padding}).encode()
+    return json.dumps({**document, "version": version, **fields, "padding": "x" * padding}).encode()
 
 
-def with_route(version: int, name: str) -> bytes:
-    """The examples' configuration as ``version`` with a route ``/NAME/`` more."""
+def configuration_with_route(version: int, name: str) -> bytes:
+    """Return the examples' configuration as ``version`` with an additional route ``/NAME/``."""
     document = json.loads(CONFIGURATION_PATH.read_text())
     route = {**document["routes"][0], "name": name, "pathPrefix": f"/{name}/"}
     return json.dumps({**document, "version": version, "routes": [*document["routes"], route]}).encode()
@@ -47,10 +47,13 @@
 
 @attrs.define(eq=False)
 class LinkedTier(SmallTier):
-    """``shared`` puts keeper 1 and store 1 on machine-1, and so on, as deployments do."""
+    """A tier whose processes connect through ``links``.
 
-    shared: bool = False
-    later: str = ""  # a machine that the test itself starts
+    ``shared_machines`` places keeper 1 and store 1 on machine-1, and so on, as deployments do.
+    """
+
+    shared_machines: bool = False
+    deferred_machine: str = ""  # a machine that is started by the test itself
     links: Network = attrs.field(factory=Network)
     _rpc: RpcClient = attrs.field(factory=RpcClient)
 
@@ -81,10 +84,10 @@
         return daemons
 
     def _daemon(self, index: int, program: str, number: int) -> Daemon:
-        shares = self.shared and program != "proxy"
-        ip = f"{self.network}.{SHARED_FROM + number if shares else index}"
-        machine = f"machine-{number}" if shares else f"{program}-{number}"
-        self.links.add(machine, ip)
+        is_shared = self.shared_machines and program != "proxy"
+        ip = f"{self.network}.{SHARED_IP_OFFSET + number if is_shared else index}"
+        machine = f"machine-{number}" if is_shared else f"{program}-{number}"
+        self.links.add_machine(machine, ip)
         return Daemon(
             program=program, number=number, ip=ip, directory=self.directory, machine=machine,
             launcher=(str(LINKED_PROCESS),),
@@ -97,21 +100,22 @@
         return [daemon for daemon in self.daemons if daemon.node_name == name]
 
     async def kill_machine(self, name: str) -> None:
-        """All processes of a machine end at once."""
+        """Kill all processes of a machine."""
         for daemon in self.on_machine(name):
             await daemon.kill()
 
     def freeze_machine(self, name: str) -> None:
-        """All processes of a machine stand still, with their connections open."""
+        """Stop all processes of a machine by SIGSTOP; their connections stay open."""
         for daemon in self.on_machine(name):
             daemon.send(signal.SIGSTOP)
 
-    def thaw_machine(self, name: str) -> None:
+    def unfreeze_machine(self, name: str) -> None:
+        """Continue the stopped processes of a machine."""
         for daemon in self.on_machine(name):
             daemon.send(signal.SIGCONT)
 
     async def lose_disks(self, name: str) -> None:
-        """A machine ends at once and loses its disks; it may be started again with empty ones."""
+        """Kill a machine and empty its disks; it can be started again."""
         await self.kill_machine(name)
         for daemon in self.on_machine(name):
             disk = self.disk(daemon)
@@ -128,112 +132,119 @@
         return daemon.directory / f"{daemon.name}.data"
 
     def member_id(self, daemon: Daemon) -> str:
-        """The name of its disk, as the group knows it."""
+        """Return the id of its disk, by which the group identifies the member; empty if it has none yet."""
         path = self.disk(daemon) / daemon.program / "identity"
         return path.read_text().partition("\n")[0] if path.exists() else ""
 
-    # What keepers tell, asked past the links
+    # Status of the keepers, requested without going through the links
 
-    async def told(self, keeper: Daemon) -> StatusReply | None:
-        """What ``keeper`` knows; None while it does not answer."""
+    async def keeper_status(self, keeper: Daemon) -> StatusReply | None:
+        """Return the status of ``keeper``; None if it does not answer."""
         outcome = await self._rpc.call(keeper.internal, STATUS, StatusRequest(), STATUS_TIMEOUT_S)
         return outcome.ok_value if isinstance(outcome, Ok) else None
 
     async def _start_all(self) -> None:
         for daemon in self.daemons:
-            if daemon.node_name != self.later:
+            if daemon.node_name != self.deferred_machine:
                 await daemon.start()
 
     async def until_up(self) -> None:
-        """Until every keeper that was started serves."""
+        """Wait until every started keeper answers."""
         for keeper in self.keepers:
-            await self.until_told(keeper, "it serves", lambda _: True)
+            await self.until_status(keeper, "it answers", lambda _: True)
+
+    async def primary_keeper(self, among: Iterable[Daemon] = (), min_version: int = 0) -> Daemon:
+        """Wait for a primary with a valid lease and at least ``min_version``, and return it.
 
-    async def leader(self, among: Iterable[Daemon] = (), least_version: int = 0) -> Daemon:
-        """The keeper of ``among``, or of all that run, that leads under a lease and has that version."""
+        Only the keepers of ``among`` are asked, or all that run if it is empty.
+        """
         found: list[Daemon] = []
 
         async def known() -> bool:
             for keeper in list(among) or self.keepers:
-                told = await self.told(keeper)
-                if told and told.confirmed and told.configuration_version >= least_version:
+                status = await self.keeper_status(keeper)
+                if status and status.confirmed and status.configuration_version >= min_version:
                     found[:] = [keeper]
                     return True
             return False
 
-        await until("one keeper leads", known)
+        await until("there is a primary keeper", known)
         return found[0]
 
-    async def store_leader(self) -> Daemon:
-        """The store that leads its group, as the primary keeper was told."""
+    async def primary_store(self) -> Daemon:
+        """Wait until the primary keeper knows the primary store, and return that store."""
         found: list[Daemon] = []
 
-        def known(told: StatusReply) -> bool:
-            found[:] = [store for store in self.of("store") if _leading(told).node_name == store.node_name]
+        def known(status: StatusReply) -> bool:
+            found[:] = [
+                store
+                for store in self.of("store")
+                if _primary_store_announcement(status).node_name == store.node_name
+            ]
             return bool(found)
 
-        await self.until_told(await self.leader(), "one store leads", known)
+        await self.until_status(await self.primary_keeper(), "there is a primary store", known)
         return found[0]
 
-    async def until_told(self, keeper: Daemon, fact: str, holds: Callable[[StatusReply], bool]) -> None:
-        """Until what ``keeper`` tells has ``fact``."""
+    async def until_status(self, keeper: Daemon, fact: str, holds: Callable[[StatusReply], bool]) -> None:
+        """Wait until ``holds`` is true for the status of ``keeper``; ``fact`` describes it in the error."""
 
         async def holds_now() -> bool:
-            told = await self.told(keeper)
-            return told is not None and holds(told)
+            status = await self.keeper_status(keeper)
+            return status is not None and holds(status)
 
         await until(f"{keeper.name}: {fact}", holds_now)
 
     async def until_version(self, version: int) -> None:
-        """Until every keeper that runs holds ``version``."""
+        """Wait until every running keeper has configuration ``version``."""
         for keeper in self.keepers:
-            await self.until_told(
-                keeper, f"version {version}", lambda told: told.configuration_version == version
+            await self.until_status(
+                keeper, f"version {version}", lambda status: status.configuration_version == version
             )
 
     async def until_members(self, daemons: Iterable[Daemon]) -> None:
-        """Until the groups consist of the disks of ``daemons``, as their primaries tell."""
-        listed = list(daemons)
-        seen: list[dict[str, set[str]]] = []
+        """Wait until the members of the groups are the disks of ``daemons``, according to their primaries."""
+        daemon_list = list(daemons)
+        last_members: list[dict[str, set[str]]] = []
 
         async def complete() -> bool:
             expected = {program: set() for program in ("keeper", "store")}  # type: dict[str, set[str]]
-            for daemon in listed:
+            for daemon in daemon_list:
                 expected[daemon.program].add(self.member_id(daemon))
             for keeper in self.keepers:
-                told = await self.told(keeper)
-                if told is not None and told.confirmed:
-                    seen[:] = [expected, _members(told)]
-                    return all(_members(told)[program] == ids for program, ids in expected.items() if ids)
+                status = await self.keeper_status(keeper)
+                if status is not None and status.confirmed:
+                    last_members[:] = [expected, _members(status)]
+                    return all(_members(status)[program] == ids for program, ids in expected.items() if ids)
             return False
 
         try:
-            await until("the groups have their members", complete)
+            await until("the groups have the expected members", complete)
         except TierError as error:
-            raise TierError(f"{error}: expected and found {seen}") from None
+            raise TierError(f"{error}: expected and actual members {last_members}") from None
 
     async def until_announced(self, machine: str) -> None:
-        """Until the primary keeper has heard of all processes of ``machine``."""
+        """Wait until all processes of ``machine`` have announced themselves to the primary keeper."""
         expected = {daemon.program for daemon in self.on_machine(machine)}
-        await self.until_told(await self.leader(), f"{machine} is there", lambda told: expected == {
-            each.program for each in told.announcements if each.node_name == machine
+        await self.until_status(await self.primary_keeper(), f"announced: {machine}", lambda s: expected == {
+            each.program for each in s.announcements if each.node_name == machine
         })  # fmt: skip
 
     def events(self, daemon: Daemon, name: str) -> list[dict[str, Any]]:
-        """Lines of one kind in a daemon's log."""
+        """Return the lines with event ``name`` in the log of ``daemon``."""
         if not daemon.log_path.exists():
             return []
         lines = [json.loads(line) for line in daemon.log_path.read_text().splitlines() if line.endswith("}")]
         return [line for line in lines if line["event"] == name]
 
 
-def _leading(told: StatusReply) -> Announcement:
-    """What the store said that leads in the newest epoch."""
-    leading = [each for each in told.announcements if each.program == "store" and each.group_primary]
-    return max(leading, key=lambda each: each.group_epoch, default=Announcement())
+def _primary_store_announcement(status: StatusReply) -> Announcement:
+    """Return the announcement of the primary store of the newest epoch; an empty one if there is none."""
+    primaries = [each for each in status.announcements if each.program == "store" and each.group_primary]
+    return max(primaries, key=lambda each: each.group_epoch, default=Announcement())
 
 
-def _members(told: StatusReply) -> dict[str, set[str]]:
-    """Ids of the members of both groups, as a primary keeper tells them."""
-    keepers = {member.member_id for member in told.members}
-    return {"keeper": keepers, "store": set(_leading(told).group_members)}
+def _members(status: StatusReply) -> dict[str, set[str]]:
+    """Return the member ids of both groups from the status of the primary keeper, by program."""
+    keepers = {member.member_id for member in status.members}
+    return {"keeper": keepers, "store": set(_primary_store_announcement(status).group_members)}
--- a/tests/tier/links.py
+++ b/tests/tier/links.py
@@ -1,9 +1,10 @@
-"""Links between the machines of a tier on loopback, which a test holds, cuts and joins by hand.
+"""Links between the machines of a tier on loopback, which a test blocks, partitions and heals.
 
-Every connection of a linked process, and of an operator of the test, goes through ``Network``: its opener
-names itself and the address that it wants (``linked_process.py``), so that both ends are known. What one
-machine sends to another is a ``Flow`` with a gate: while it is shut, bytes wait as they do in a cut network,
-and no connection comes up. A test waits for facts of a flow (``wait_held``, ``wait_passed``), not for a time.
+Every connection of a linked process, and of an operator of the test, goes through ``Network``. Its opener
+sends its own name and the requested address (``linked_process.py``), so that both endpoints are known. The
+data from one machine to another is a ``Flow``. While it is blocked, bytes wait as they do in a partitioned
+network, and no connection is established. A test waits for conditions of a flow (``wait_held``,
+``wait_forwarded``), not for a period of time.
 """
 
 from __future__ import annotations
@@ -14,83 +15,85 @@
 
 import attrs
 
-OUTSIDE = "outside"  # the machine of whatever is not named: brokers, the platform's list
-PIECE_BYTES = 65536
-CONNECTED = b"+"  # the answer to an opener whose connection came up
-WAIT_S = 60.0  # bound of every wait for a fact, on a busy machine
+OUTSIDE = (
+    "outside"  # machine of all unregistered addresses, such as brokers and the platform's instance listing
+)
+CHUNK_BYTES = 65536
+CONNECTED = b"+"  # sent to the opener when its connection is established
+WAIT_TIMEOUT_S = 60.0  # for any condition, on a busy machine
 
-Alter = Callable[[bytes], bytes]  # what is passed on instead of a piece
+Transform = Callable[[bytes], bytes]  # returns the data that is forwarded instead of a chunk
 
 
-def unaltered(piece: bytes) -> bytes:
-    return piece
+def unmodified(chunk: bytes) -> bytes:
+    return chunk
 
 
 @attrs.define(eq=False)
 class Flow:
-    """What one machine sends to another, over connections opened by either."""
+    """The data that one machine sends to another, over connections opened by either of them."""
 
     source: str
     target: str
-    held: int = 0  # pieces that have waited at the shut gate since it was shut
-    passed: int = 0  # pieces that were passed on
-    _open: asyncio.Event = attrs.field(factory=asyncio.Event)
-    _connects: asyncio.Event = attrs.field(factory=asyncio.Event)
-    _moved: asyncio.Condition = attrs.field(factory=asyncio.Condition)
+    held: int = 0  # chunks that had to wait since the flow was last blocked
+    forwarded: int = 0  # number of forwarded chunks
+    _unblocked: asyncio.Event = attrs.field(factory=asyncio.Event)
+    _connectable: asyncio.Event = attrs.field(factory=asyncio.Event)
+    _changed: asyncio.Condition = attrs.field(factory=asyncio.Condition)
 
     def __attrs_post_init__(self) -> None:
-        self.open()
+        self.unblock()
 
-    def shut(self, connects: bool = False) -> None:
-        """Hold every byte from now on, and connections that would come up, unless it still ``connects``."""
+    def block(self, allow_connects: bool = False) -> None:
+        """Hold all data from now on, and also new connections unless ``allow_connects`` is set."""
         self.held = 0
-        self._open.clear()
-        if not connects:
-            self._connects.clear()
+        self._unblocked.clear()
+        if not allow_connects:
+            self._connectable.clear()
 
-    def open(self) -> None:
-        self._open.set()
-        self._connects.set()
+    def unblock(self) -> None:
+        self._unblocked.set()
+        self._connectable.set()
 
-    async def opened(self) -> None:
-        await self._open.wait()
+    async def wait_unblocked(self) -> None:
+        await self._unblocked.wait()
 
-    async def connects(self) -> None:
-        """Until a connection may come up."""
-        await self._connects.wait()
+    async def wait_connectable(self) -> None:
+        """Wait until a connection may be established."""
+        await self._connectable.wait()
 
-    async def passes(self) -> None:
-        """One piece may pass: at once, or when the gate is opened."""
-        if not self._open.is_set():
+    async def wait_to_forward(self) -> None:
+        """Return when one chunk may be forwarded: at once, or when the flow is unblocked."""
+        if not self._unblocked.is_set():
             self.held += 1
-            await self._tell()
-            await self._open.wait()
-        self.passed += 1
-        await self._tell()
+            await self._notify()
+            await self._unblocked.wait()
+        self.forwarded += 1
+        await self._notify()
 
-    async def _tell(self) -> None:
-        async with self._moved:
-            self._moved.notify_all()
+    async def _notify(self) -> None:
+        async with self._changed:
+            self._changed.notify_all()
 
     async def wait_held(self, count: int = 1) -> None:
-        """Until ``count`` pieces wait at the gate."""
+        """Wait until ``count`` chunks have had to wait since the flow was blocked."""
         await self._wait(lambda: self.held >= count)
 
-    async def wait_passed(self, more: int = 1) -> None:
-        """Until ``more`` pieces have been passed on from now."""
-        least = self.passed + more
-        await self._wait(lambda: self.passed >= least)
+    async def wait_forwarded(self, count: int = 1) -> None:
+        """Wait until ``count`` further chunks have been forwarded."""
+        target_count = self.forwarded + count
+        await self._wait(lambda: self.forwarded >= target_count)
 
-    async def _wait(self, fact: Callable[[], bool]) -> None:
-        async with asyncio.timeout(WAIT_S), self._moved:
-            await self._moved.wait_for(fact)
+    async def _wait(self, condition: Callable[[], bool]) -> None:
+        async with asyncio.timeout(WAIT_TIMEOUT_S), self._changed:
+            await self._changed.wait_for(condition)
 
 
 @attrs.define(eq=False)
 class _Connection:
-    """One relayed connection: the streams to its opener and to the one that accepted it."""
+    """A relayed connection, with the streams to its opener and to the accepting process."""
 
-    ends: frozenset[str]
+    endpoints: frozenset[str]
     writers: list[asyncio.StreamWriter]
 
     def reset(self) -> None:
@@ -100,11 +103,12 @@
 
 @attrs.define(eq=False)
 class Network:
-    """The relay of all connections. Machines are told apart by their addresses."""
+    """The relay of all connections. Machines are identified by their addresses."""
 
     port: int = 0
-    alter_replies: Callable[[str, str], Alter] = lambda opener, target: unaltered  # for each new connection
-    _names: dict[str, str] = attrs.field(factory=dict)  # of machines, by their address
+    # Called for each new connection; returns the transformation of its replies.
+    transform_replies: Callable[[str, str], Transform] = lambda opener, target: unmodified
+    _names: dict[str, str] = attrs.field(factory=dict)  # names of machines by address
     _flows: dict[tuple[str, str], Flow] = attrs.field(factory=dict)
     _connections: set[_Connection] = attrs.field(factory=set)
     _tasks: set[asyncio.Task[None]] = attrs.field(factory=set)
@@ -121,41 +125,44 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def add(self, machine: str, ip: str) -> None:
+    def add_machine(self, machine: str, ip: str) -> None:
         self._names[ip] = machine
 
     def flow(self, source: str, target: str) -> Flow:
-        """What ``source`` sends to ``target``."""
+        """Return the flow from ``source`` to ``target``."""
         if (source, target) not in self._flows:
             self._flows[source, target] = Flow(source, target)
         return self._flows[source, target]
 
-    def cut(self, some: Iterable[str], others: Iterable[str]) -> None:
-        """Nothing passes between ``some`` and ``others`` until they are joined."""
+    def partition(self, some: Iterable[str], others: Iterable[str]) -> None:
+        """Block all data between ``some`` and ``others`` until ``heal``."""
         for flow in self._between(some, others):
-            flow.shut()
+            flow.block()
 
-    def join(self, some: Iterable[str], others: Iterable[str], reset: bool = False) -> None:
-        """Let everything pass again; with ``reset``, connections that were open are reset first."""
+    def heal(self, some: Iterable[str], others: Iterable[str], reset: bool = False) -> None:
+        """Unblock all data between ``some`` and ``others``; ``reset`` resets open connections first."""
         flows = self._between(some, others)
         if reset:
             for flow in flows:
                 self.reset(flow.source, flow.target)
         for flow in flows:
-            flow.open()
+            flow.unblock()
 
     def _between(self, some: Iterable[str], others: Iterable[str]) -> list[Flow]:
         pairs = [(one, other) for one in set(some) for other in set(others)]
         return [flow for one, other in pairs for flow in (self.flow(one, other), self.flow(other, one))]
 
     def reset(self, one: str, other: str) -> None:
-        """Reset every connection between two machines; what waited on it is lost."""
+        """Reset every connection between two machines; held data is lost."""
         for connection in list(self._connections):
-            if connection.ends == {one, other}:
+            if connection.endpoints == {one, other}:
                 connection.reset()
 
     async def connect(self, source: str, address: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """A connection of ``source``, which runs in the test itself."""
+        """Open a connection from ``source``, which runs in the test process itself.
+
+        Raises ``ConnectionRefusedError`` if it is not established.
+        """
         host, _, port = address.rpartition(":")
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         writer.write(f"{source} {host} {port}\n".encode())
@@ -178,30 +185,34 @@
         self, source: str, host: str, port: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         target = self._names.get(host, OUTSIDE)
-        there, back = self.flow(source, target), self.flow(target, source)
-        await there.connects()
-        far_reader, far_writer = await asyncio.open_connection(host, port)
-        connection = _Connection(frozenset((source, target)), [writer, far_writer])
+        outbound, inbound = self.flow(source, target), self.flow(target, source)
+        await outbound.wait_connectable()
+        target_reader, target_writer = await asyncio.open_connection(host, port)
+        connection = _Connection(frozenset((source, target)), [writer, target_writer])
         self._connections.add(connection)
         try:
-            await back.connects()
+            await inbound.wait_connectable()
             writer.write(CONNECTED)
             async with asyncio.TaskGroup() as pumps:
-                pumps.create_task(_pump(reader, far_writer, there, unaltered))
-                pumps.create_task(_pump(far_reader, writer, back, self.alter_replies(source, target)))
+                pumps.create_task(_pump(reader, target_writer, outbound, unmodified))
+                pumps.create_task(
+                    _pump(target_reader, writer, inbound, self.transform_replies(source, target))
+                )
         except* OSError:
-            pass  # one end reset it
+            pass  # one of the endpoints reset the connection
         finally:
             self._connections.discard(connection)
-            far_writer.transport.abort()
+            target_writer.transport.abort()
 
 
-async def _pump(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, flow: Flow, alter: Alter) -> None:
-    """Pass on what is read, and then its end."""
-    while piece := await reader.read(PIECE_BYTES):
-        await flow.passes()
-        writer.write(alter(piece))
+async def _pump(
+    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, flow: Flow, transform: Transform
+) -> None:
+    """Forward all data that is read, and then the end of the stream."""
+    while chunk := await reader.read(CHUNK_BYTES):
+        await flow.wait_to_forward()
+        writer.write(transform(chunk))
         await writer.drain()
-    await flow.opened()
+    await flow.wait_unblocked()
     if writer.can_write_eof():
         writer.write_eof()
--- a/tests/tier/test_control_cut_off.py
+++ b/tests/tier/test_control_cut_off.py
@@ -1,5 +1,7 @@
-"""What each keeper answers while it, or others, are cut off: approved transcripts, one for each row of the
-table in docs/design/control-safety.md."""
+"""Answers of each keeper while it, or others, are isolated.
+
+There is an approved transcript for each row of the table in docs/design/control-safety.md.
+"""
 
 from __future__ import annotations
 
@@ -19,25 +21,26 @@
 from cherrycove.tier.protocol.control_pb2 import Announcement, PullRequest
 from cherrycove.tier.protocol.keeper_pb2 import Command, FormStoreGroup, RecordMachines, Retire, StoreMachine
 
-CONFIGURATION = "/api/configuration"
-ORDER = "/api/retire/s1"
+CONFIGURATION_PATH = "/api/configuration"
+RETIRE_PATH = "/api/retire/s1"
 
 
-async def ask(world: World, keeper: int) -> str:
-    """One call of each kind to ``keeper``, all at once; the answers in order, with what a pull is told."""
+async def transcript_of_calls(world: World, keeper: int) -> str:
+    """Send a call of each kind to ``keeper`` concurrently; returns the sorted answers, the pull's last."""
     first = len(world.transcript)
-    change = world.operator(keeper, "PUT", CONFIGURATION, document(9), "3")
-    wrong = world.operator(keeper, "PUT", CONFIGURATION, b"{", "x")
-    read = world.operator(keeper, "GET", CONFIGURATION)
-    order = world.operator(keeper, "POST", ORDER, b"{}")
-    state = world.operator(keeper, "GET", ORDER)
-    calls = (change, wrong, read, order, state, pull(world, keeper))
+    change = world.operator(keeper, "PUT", CONFIGURATION_PATH, document(9), "3")
+    wrong = world.operator(keeper, "PUT", CONFIGURATION_PATH, b"{", "x")
+    read = world.operator(keeper, "GET", CONFIGURATION_PATH)
+    retire = world.operator(keeper, "POST", RETIRE_PATH, b"{}")
+    retirement = world.operator(keeper, "GET", RETIRE_PATH)
+    calls = (change, wrong, read, retire, retirement, pull(world, keeper))
     *_, pulled = await asyncio.gather(*calls)
     answers = sorted(line.partition(": ")[2] for line in world.transcript[first:])
     return "\n".join([*answers, str(pulled)])
 
 
 async def pull(world: World, keeper: int) -> str:
+    """Send a proxy's pull to ``keeper`` and return a line that describes the answer."""
     node = world.controllers[keeper]
     announcement = Announcement(node_name="f1", program="proxy", incarnation="1")
     request = PullRequest(announcement=announcement, wait_ms=0)
@@ -53,19 +56,19 @@
     return f"pull -> configuration {versions}"
 
 
-def approved(answers: str, transcript: str) -> None:
+def assert_approved(answers: str, transcript: str) -> None:
     assert answers == "\n".join(line.strip() for line in transcript.strip().splitlines())
 
 
-async def prepared(world: World) -> None:
-    """Controller 0 leads; version 3 is in force; s1 began the store group with two others."""
+async def prepare(world: World) -> None:
+    """Make controller 0 the primary, put version 3 in force and form the store group of s1, s2 and s3."""
     world.lead(0)
-    await world.operator(0, "PUT", CONFIGURATION, document(3), "0")
+    await world.operator(0, "PUT", CONFIGURATION_PATH, document(3), "0")
     formed = FormStoreGroup(initial=[replica(name) for name in ("s1", "s2", "s3")])
     await world.controllers[0].group.propose(Command(form_store_group=formed).SerializeToString(), 1.0)
 
 
-UNDECIDED = """
+NO_PRIMARY_KNOWN = """
     GET /api/configuration -> 503
     GET /api/retire/s1 -> 503
     POST /api/retire/s1 -> 503
@@ -74,7 +77,7 @@
     pull -> not_primary, points to nobody
     """
 
-POINTS_TO_KEEPER_0 = """
+REDIRECTED_TO_KEEPER_0 = """
     GET /api/configuration -> 307 keeper 0/api/configuration
     GET /api/retire/s1 -> 307 keeper 0/api/retire/s1
     POST /api/retire/s1 -> 307 keeper 0/api/retire/s1
@@ -84,15 +87,15 @@
     """
 
 
-def test_a_primary_whose_lease_ran_out_and_one_that_stepped_down() -> None:
+def test_a_primary_whose_lease_has_expired_and_one_that_stepped_down() -> None:
     async def exchange() -> None:
         async with World(2) as world:
-            await prepared(world)
+            await prepare(world)
             world.replicas.lease = False
-            approved(await ask(world, 0), UNDECIDED)
+            assert_approved(await transcript_of_calls(world, 0), NO_PRIMARY_KNOWN)
             world.replicas.lease = True
             world.controllers[0].group.is_partitioned = True
-            approved(await ask(world, 0), UNDECIDED)
+            assert_approved(await transcript_of_calls(world, 0), NO_PRIMARY_KNOWN)
             assert world.replicas.committed == 2
 
     asyncio.run(exchange())
@@ -101,15 +104,15 @@
 def test_a_primary_that_reaches_no_majority_while_its_lease_lasts() -> None:
     async def exchange() -> None:
         async with World(1) as world:
-            await prepared(world)
+            await prepare(world)
             world.replicas.next_outcomes = ["uncertain_lost"] * 4
-            await world.operator(0, "GET", CONFIGURATION)
-            await world.operator(0, "PUT", CONFIGURATION, document(9), "3")
-            await world.operator(0, "PUT", CONFIGURATION, document(9), "3")
-            await world.operator(0, "PUT", CONFIGURATION, document(8), "1")
-            await world.operator(0, "PUT", CONFIGURATION, b"{", "3")
-            await world.operator(0, "PUT", CONFIGURATION, document(8), "1")
-            approved(
+            await world.operator(0, "GET", CONFIGURATION_PATH)
+            await world.operator(0, "PUT", CONFIGURATION_PATH, document(9), "3")
+            await world.operator(0, "PUT", CONFIGURATION_PATH, document(9), "3")
+            await world.operator(0, "PUT", CONFIGURATION_PATH, document(8), "1")
+            await world.operator(0, "PUT", CONFIGURATION_PATH, b"{", "3")
+            await world.operator(0, "PUT", CONFIGURATION_PATH, document(8), "1")
+            assert_approved(
                 "\n".join(world.transcript[1:]),
                 """
                 keeper 0: GET /api/configuration -> 200
@@ -124,110 +127,112 @@
     asyncio.run(exchange())
 
 
-def test_a_backup_points_to_the_primary_until_it_forgot_it() -> None:
+def test_a_backup_redirects_to_the_primary_until_it_no_longer_knows_one() -> None:
     async def exchange() -> None:
         async with World(2) as world:
-            await prepared(world)
-            approved(await ask(world, 1), POINTS_TO_KEEPER_0)
+            await prepare(world)
+            assert_approved(await transcript_of_calls(world, 1), REDIRECTED_TO_KEEPER_0)
             world.controllers[1].group.is_partitioned = True
-            approved(await ask(world, 1), UNDECIDED)
+            assert_approved(await transcript_of_calls(world, 1), NO_PRIMARY_KNOWN)
 
     asyncio.run(exchange())
 
 
-def test_a_primary_that_reaches_the_others_and_hears_none() -> None:
-    """One way: its lease runs out, while its heartbeats still bind the others, which go on pointing to it."""
+def test_a_primary_that_reaches_the_others_and_receives_nothing_from_them() -> None:
+    """Its lease expires, while the others still receive its heartbeats and therefore redirect to it."""
 
     async def exchange() -> None:
         async with World(2) as world:
-            await prepared(world)
+            await prepare(world)
             world.replicas.lease = False
-            approved(await ask(world, 0), UNDECIDED)
-            approved(await ask(world, 1), POINTS_TO_KEEPER_0)
+            assert_approved(await transcript_of_calls(world, 0), NO_PRIMARY_KNOWN)
+            assert_approved(await transcript_of_calls(world, 1), REDIRECTED_TO_KEEPER_0)
             assert world.replicas.committed == 2
 
     asyncio.run(exchange())
 
 
-def test_a_member_whose_seeds_are_cut_off() -> None:
+def test_a_member_whose_seeds_are_unreachable() -> None:
     async def exchange() -> None:
         async with World(2) as world:
             await world.controllers[1].isolate_from_seeds()
-            await prepared(world)
-            approved(await ask(world, 1), POINTS_TO_KEEPER_0)
+            await prepare(world)
+            assert_approved(await transcript_of_calls(world, 1), REDIRECTED_TO_KEEPER_0)
 
     asyncio.run(exchange())
 
 
-def test_a_backup_does_not_point_to_a_primary_that_has_been_silent(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_backup_does_not_redirect_to_a_primary_that_has_been_silent(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def exchange() -> None:
         async with World(2) as world:
-            await prepared(world)
+            await prepare(world)
             monkeypatch.setattr(leadership_module, "HINT_MAX_AGE_S", 0.0)
-            approved(await ask(world, 1), UNDECIDED)
+            assert_approved(await transcript_of_calls(world, 1), NO_PRIMARY_KNOWN)
 
     asyncio.run(exchange())
 
 
-def test_a_keeper_outside_the_group_points_to_whom_answers_its_pulls() -> None:
+def test_a_keeper_outside_the_group_redirects_to_the_keeper_that_answers_its_pulls() -> None:
     async def exchange() -> None:
         async with World(2) as world:
             group = world.controllers[1].group
             group.is_member = False
             group.is_partitioned = True
-            await prepared(world)
+            await prepare(world)
             client = await world.client(Announcement(node_name="f2", program="proxy", incarnation="1"))
             await client.until(lambda views: any(one.node_name == "core-2" for one in views.members))
-            approved(await ask(world, 1), POINTS_TO_KEEPER_0)
+            assert_approved(await transcript_of_calls(world, 1), REDIRECTED_TO_KEEPER_0)
 
     asyncio.run(exchange())
 
 
-def test_a_keeper_outside_the_group_whose_seeds_are_cut_off() -> None:
+def test_a_keeper_outside_the_group_whose_seeds_are_unreachable() -> None:
     async def exchange() -> None:
         async with World(2) as world:
             group = world.controllers[1].group
             group.is_member = False
             group.is_partitioned = True
             await world.controllers[1].isolate_from_seeds()
-            await prepared(world)
-            approved(await ask(world, 1), UNDECIDED)
+            await prepare(world)
+            assert_approved(await transcript_of_calls(world, 1), NO_PRIMARY_KNOWN)
 
     asyncio.run(exchange())
 
 
-def test_an_operator_who_reaches_only_the_smaller_side() -> None:
+def test_an_operator_that_reaches_only_the_minority() -> None:
     async def exchange() -> None:
         async with World(3) as world:
-            await prepared(world)
+            await prepare(world)
             for cut in (world.controllers[0], world.controllers[1]):
                 await cut.isolate_from_seeds()
             world.lead(2)
             world.controllers[0].group.is_partitioned = True
             world.controllers[1].group.is_partitioned = True
-            both = await asyncio.gather(ask_quietly(world, 0), ask_quietly(world, 1))
+            both = await asyncio.gather(request_statuses(world, 0), request_statuses(world, 1))
             assert both == [{503}, {503}]
-            await world.operator(2, "PUT", CONFIGURATION, document(9), "3")
-            await world.operator(2, "PUT", CONFIGURATION, document(9, limits={}), "3")
+            await world.operator(2, "PUT", CONFIGURATION_PATH, document(9), "3")
+            await world.operator(2, "PUT", CONFIGURATION_PATH, document(9, limits={}), "3")
             assert [line.rpartition(" ")[2] for line in world.transcript[-2:]] == ["200", "412"]
 
     asyncio.run(exchange())
 
 
-async def ask_quietly(world: World, keeper: int) -> set[int]:
-    """The statuses of a change, a read and an order."""
+async def request_statuses(world: World, keeper: int) -> set[int]:
+    """Return the statuses of a configuration change, a read and a retire request."""
     answers = await asyncio.gather(
-        world.operator(keeper, "PUT", CONFIGURATION, document(9), "0"),
-        world.operator(keeper, "GET", CONFIGURATION),
+        world.operator(keeper, "PUT", CONFIGURATION_PATH, document(9), "0"),
+        world.operator(keeper, "GET", CONFIGURATION_PATH),
         world.operator(keeper, "POST", "/api/retire/unknown", b"{}"),
     )
     return {status for status, _ in answers}
 
 
-def test_a_new_primary_that_heard_no_store_refuses_no_order_for_good() -> None:
+def test_a_new_primary_without_store_announcements_rejects_no_request_permanently() -> None:
     async def exchange() -> None:
         async with World(2) as world:
-            await prepared(world)
+            await prepare(world)
             order = Retire(node_name="s2")
             await world.controllers[0].group.propose(Command(retire=order).SerializeToString(), 1.0)
             world.lead(1)
@@ -236,12 +241,12 @@
             await world.operator(1, "POST", "/api/retire/unknown", b"{}")
             await world.operator(1, "POST", "/api/retire/s2", b"{}")
             await world.operator(1, "GET", "/api/retire/s2")
-            await world.operator(1, "PUT", CONFIGURATION, document(9), "3")
+            await world.operator(1, "PUT", CONFIGURATION_PATH, document(9), "3")
             # Simulate a leadership period without a single announcement.
             world.controllers[1].controller.directory.leading_since -= 10.0
             await world.operator(1, "POST", "/api/retire/s1", b"{}")
             await world.operator(1, "POST", "/api/retire/unknown", b"{}")
-            approved(
+            assert_approved(
                 "\n".join(world.transcript[first:]),
                 """
                 keeper 1: POST /api/retire/s1 -> 503
@@ -257,10 +262,10 @@
     asyncio.run(exchange())
 
 
-def test_a_machine_that_is_recorded_and_was_not_heard_yet_is_no_reason_for_a_409() -> None:
+def test_a_recorded_machine_that_has_not_announced_itself_yet_causes_no_409() -> None:
     async def exchange() -> None:
         async with World(1) as world:
-            await prepared(world)
+            await prepare(world)
             stores = [await world.client(store(name)) for name in ("s1", "s2")]
             await stores[1].until(lambda views: len(views.stores()) == 2)
             world.controllers[0].controller.directory.leading_since -= 10.0
@@ -271,7 +276,7 @@
             assert (await world.operator(0, "POST", "/api/retire/s1", b"{}"))[0] == 503
             assert (await world.operator(0, "POST", "/api/retire/s4", b"{}"))[0] == 503
             assert (await world.operator(0, "POST", "/api/retire/s9", b"{}"))[0] == 404
-            # None of them came back in all that time.
+            # The retention period has passed without an announcement of the missing machines.
             world.controllers[0].controller.directory.leading_since -= RETENTION_S
             assert (await world.operator(0, "POST", "/api/retire/s1", b"{}"))[0] == 409
 
@@ -281,19 +286,19 @@
 def test_a_lease_that_ends_while_the_body_arrives() -> None:
     async def exchange() -> None:
         async with World(1) as world:
-            await prepared(world)
+            await prepare(world)
             assert world.http is not None
-            begun, rest = asyncio.Event(), asyncio.Event()
+            started, rest = asyncio.Event(), asyncio.Event()
 
             async def body() -> AsyncIterator[bytes]:
                 yield b"{"
-                begun.set()
+                started.set()
                 await rest.wait()
                 yield b"}"
 
-            url = f"http://{world.hosts[0]}:{world.control_port}{CONFIGURATION}"
+            url = f"http://{world.hosts[0]}:{world.control_port}{CONFIGURATION_PATH}"
             call = asyncio.create_task(world.http.put(url, data=body(), headers={"If-Match": "1"}))
-            await begun.wait()
+            await started.wait()
             world.replicas.lease = False
             rest.set()
             async with asyncio.timeout(STEP_TIMEOUT_S):
@@ -305,7 +310,7 @@
 def test_a_lease_that_ends_while_a_change_waits_for_its_turn() -> None:
     async def exchange() -> None:
         async with World(1) as world:
-            await prepared(world)
+            await prepare(world)
             node = world.controllers[0]
             decisions = ConfigurationService(
                 node.group, node.state, Leadership(node.group, node.cluster_view)
@@ -315,7 +320,7 @@
             await world.replicas.waiting.wait()
             refusable = ((b"{", 3), (document(9), 1))
             others = [asyncio.create_task(decisions.put(body, base)) for body, base in refusable]
-            await asyncio.sleep(0)  # both wait for the first now
+            await asyncio.sleep(0)  # both now wait for the first one
             world.replicas.lease = False
             world.replicas.gate.set()
             outcomes = [(await task).unwrap_err().kind for task in (first, *others)]
@@ -324,7 +329,7 @@
     asyncio.run(exchange())
 
 
-def test_a_store_is_told_to_others_only_when_its_disk_is_recorded() -> None:
+def test_a_store_is_listed_as_a_member_only_when_its_disk_is_recorded() -> None:
     async def exchange() -> None:
         async with World(1) as world:
             world.lead(0)
--- a/tests/tier/test_hostile_peers.py
+++ b/tests/tier/test_hostile_peers.py
@@ -1,7 +1,7 @@
-"""Many callers at once at peers that repeat, confuse, cut and garble what they answer, by drawn luck.
+"""Many concurrent callers of peers that duplicate, swap, truncate and corrupt replies at random.
 
-Whatever the peers do: an answer that a caller gets is its own and whole, nothing that may not be repeated
-runs twice, and what is said not to have run has not.
+Whatever the peers do, a reply that a caller gets is complete and belongs to its call, no non-idempotent call
+runs twice, and no call that is reported as not executed has run.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 from cherrycove.tier.protocol.rpc import RpcClient
 from examples.toy_broker import SIGNATURE, Received, ToyBroker, Wire
 
-TIMEOUT_S = 60.0  # of a whole test; nothing takes that long unless it fails
+TIMEOUT_S = 60.0  # for a whole test; exceeded only if it fails
 CALLERS = 8
 CALLS_EACH = 30
 EVENTS = 6
 SEEDS = (1, 2, 3)
-NAMELESS = b"HTTP/1.1 200 OK\r\nResponse-Signature: s\r\nContent-Length: 5\r\n\r\nstray"
+REPLY_WITHOUT_ID = b"HTTP/1.1 200 OK\r\nResponse-Signature: s\r\nContent-Length: 5\r\n\r\nstray"
 
 
 # Internal calls
 
 
 def reply_bytes(arrival: ReceivedRequest) -> bytes:
-    """The whole right reply to a call."""
+    """Return the complete correct reply to a call."""
     body = BodyReply(body=BodyRequest.FromString(arrival.body).job_id.encode()).SerializeToString()
     head = f"HTTP/1.1 200 OK\r\nX-Call: {arrival.headers['x-call']}\r\nContent-Length: {len(body)}\r\n\r\n"
     return head.encode() + body
@@ -42,41 +42,41 @@
 
 @attrs.define(eq=False)
 class HostileServer:
-    """Answers internal calls in ways drawn from ``rng``."""
+    """Answers internal calls correctly or with a fault, chosen by ``rng``."""
 
     rng: random.Random
     runs: Counter[str] = attrs.field(factory=Counter)
-    former: list[bytes] = attrs.field(factory=list)
+    previous_replies: list[bytes] = attrs.field(factory=list)
 
-    async def script(self, line: ServerConnection, arrival: ReceivedRequest) -> None:
+    async def script(self, connection: ServerConnection, arrival: ReceivedRequest) -> None:
         job = BodyRequest.FromString(arrival.body).job_id
-        right = reply_bytes(arrival)
-        wrong = self.rng.choice(self.former) if self.former else b""
-        way = self.rng.randrange(10)
-        if way == 0:
-            return await line.respond(
+        correct = reply_bytes(arrival)
+        wrong = self.rng.choice(self.previous_replies) if self.previous_replies else b""
+        choice = self.rng.randrange(10)
+        if choice == 0:
+            return await connection.respond(
                 b"full", "503 Full", X_Call=arrival.headers["x-call"], X_Error_Kind="overloaded"
             )
         self.runs[job] += 1
-        self.former.append(right)
-        if way == 1:
-            await line.write(wrong)
-        elif way == 2:
-            await line.write(wrong + right)
-        elif way == 3:
-            await line.write(right + wrong)
-        elif way == 4:
-            await line.write(right + b"\x00 these bytes are no reply\r\n\r\n")
-        elif way == 5:
-            await line.write(right[: self.rng.randrange(len(right))])
-            line.reset()
-        elif way == 6:
-            await line.write(right[: self.rng.randrange(len(right))])
-            await line.close()
+        self.previous_replies.append(correct)
+        if choice == 1:
+            await connection.write(wrong)
+        elif choice == 2:
+            await connection.write(wrong + correct)
+        elif choice == 3:
+            await connection.write(correct + wrong)
+        elif choice == 4:
+            await connection.write(correct + b"\x00 these bytes are no reply\r\n\r\n")
+        elif choice == 5:
+            await connection.write(correct[: self.rng.randrange(len(correct))])
+            connection.reset()
+        elif choice == 6:
+            await connection.write(correct[: self.rng.randrange(len(correct))])
+            await connection.close()
         else:
-            await line.write(right)
-        if way == 1 and not wrong:
-            await line.close()
+            await connection.write(correct)
+        if choice == 1 and not wrong:
+            await connection.close()
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -84,7 +84,7 @@
     hostile = HostileServer(random.Random(seed))
     kinds: Counter[str] = Counter()
 
-    async def story() -> None:
+    async def scenario() -> None:
         client = RpcClient()
         await client.start()
         async with ScriptedServer(hostile.script) as server:
@@ -100,17 +100,17 @@
                 if failure.had_no_effect:
                     assert hostile.runs[job] == 0
 
-            await many(call)
+            await run_many(call)
         await client.stop()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
     assert max(hostile.runs.values()) == 1
-    assert kinds["own"] > CALLERS * CALLS_EACH // 5  # four in ten on the average
+    assert kinds["own"] > CALLERS * CALLS_EACH // 5  # four in ten on average
     assert kinds[ErrorKind.UNCERTAIN.value] and kinds[ErrorKind.OVERLOADED.value]
 
 
-async def many(call: Callable[[str], Awaitable[None]]) -> None:
-    """``call`` for many names, by several callers at once."""
+async def run_many(call: Callable[[str], Awaitable[None]]) -> None:
+    """Run ``call`` with many different names, from several concurrent callers."""
 
     async def caller(number: int) -> None:
         for count in range(CALLS_EACH):
@@ -123,8 +123,8 @@
 # Requests to brokers
 
 
-def answer_bytes(request: Received) -> bytes:
-    """The whole right answer: the request's id, in one of three framings."""
+def response_bytes(request: Received) -> bytes:
+    """Return the complete correct response, whose body is the request's id."""
     identity = request.headers["request-id"]
     head = f"HTTP/1.1 200 OK\r\nRequest-Id: {identity}\r\nResponse-Signature: {SIGNATURE}\r\n"
     return f"{head}Content-Length: {len(identity)}\r\n\r\n{identity}".encode()
@@ -137,46 +137,49 @@
 
 @attrs.define(eq=False)
 class HostileBroker:
-    """Answers requests in ways drawn from ``rng``, which all brokers share."""
+    """Answers requests correctly or with a fault, chosen by ``rng``, which all brokers share.
+
+    Bodies are framed in three ways: by Content-Length, by chunks or by the end of the connection.
+    """
 
     rng: random.Random
-    former: list[bytes] = attrs.field(factory=list)
+    previous_replies: list[bytes] = attrs.field(factory=list)
 
     async def script(self, wire: Wire, request: Received) -> None:
         if "/resume/" in request.target or "/stream/" in request.target:
             return await self._stream(wire, request)
-        right = answer_bytes(request)
-        wrong = self.rng.choice(self.former) if self.former else b""
-        self.former.append(right)
-        way = self.rng.randrange(11)
-        if way == 0:
-            await wire.write(right + wrong)
-        elif way == 1:
-            await wire.write(wrong + right)
-        elif way == 2:
+        correct = response_bytes(request)
+        wrong = self.rng.choice(self.previous_replies) if self.previous_replies else b""
+        self.previous_replies.append(correct)
+        choice = self.rng.randrange(11)
+        if choice == 0:
+            await wire.write(correct + wrong)
+        elif choice == 1:
+            await wire.write(wrong + correct)
+        elif choice == 2:
             await wire.write(b"\x00 these bytes are no answer\r\n\r\n")
             wire.close()
-        elif way == 3:
-            await wire.write(right[: self.rng.randrange(len(right))])
+        elif choice == 3:
+            await wire.write(correct[: self.rng.randrange(len(correct))])
             wire.reset()
-        elif way == 4:
+        elif choice == 4:
             identity = request.headers["request-id"]
-            await wire.head(request, Response_Signature=SIGNATURE)  # its connection ends it
+            await wire.head(request, Response_Signature=SIGNATURE)  # the end of the connection ends the body
             await wire.write(identity.encode())
             wire.close()
-        elif way == 5:
+        elif choice == 5:
             await wire.head(request, Response_Signature=SIGNATURE)
             await wire.write(request.headers["request-id"].encode()[:-1])
             reset(wire.writer)
-        elif way == 6:
-            await wire.write(NAMELESS + right)
+        elif choice == 6:
+            await wire.write(REPLY_WITHOUT_ID + correct)
         else:
-            await wire.write(right)
+            await wire.write(correct)
 
     async def _stream(self, wire: Wire, request: Received) -> None:
         first = int(request.headers.get("last-event-id", "0")) + 1
         if self.rng.random() < 0.3:
-            first = 1  # whatever was asked for
+            first = 1  # regardless of the requested position
         text = b"".join(event(request, number) for number in range(first, EVENTS + 1))
         cut = self.rng.randrange(len(text)) if text and self.rng.random() < 0.3 else None
         await wire.stream_head(request)
@@ -189,34 +192,34 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_every_client_gets_its_own_whole_answer_or_none_and_nothing_runs_twice(seed: int) -> None:
+def test_every_client_gets_its_own_complete_response_or_none_and_nothing_runs_twice(seed: int) -> None:
     hostile = HostileBroker(random.Random(seed))
     brokers = [ToyBroker(f"i-{number}", script=hostile.script) for number in range(3)]
     statuses: Counter[tuple[str, int, bool]] = Counter()
 
-    async def story(world: DataPlaneHarness) -> None:
-        async def ask(identity: str) -> None:
+    async def scenario(world: DataPlaneHarness) -> None:
+        async def send_request(identity: str) -> None:
             kind = ("once", "again", "stream", "resume")[sum(identity.encode()) % 4]
             reply = await world.request(f"/{kind}/x", headers={"Request-Id": identity})
             statuses[kind, reply.status, reply.complete] += 1
             if reply.status == 200:
-                check_own(kind, identity, reply.body, reply.complete)
+                assert_own_response(kind, identity, reply.body, reply.complete)
             if reply.status == 503:
-                assert runs(brokers, identity) == 0
+                assert run_count(brokers, identity) == 0
 
-        await many(ask)
+        await run_many(send_request)
 
-    def check_own(kind: str, identity: str, body: bytes, complete: bool) -> None:
+    def assert_own_response(kind: str, identity: str, body: bytes, complete: bool) -> None:
         if kind in ("once", "again"):
             assert body == identity.encode() and complete
             return
-        asked = Received(method="", target="", headers={"request-id": identity}, body=b"")
-        whole = b"".join(event(asked, number) for number in range(1, EVENTS + 1))
-        assert body == whole if complete else whole.startswith(body)
+        own_request = Received(method="", target="", headers={"request-id": identity}, body=b"")
+        complete_body = b"".join(event(own_request, number) for number in range(1, EVENTS + 1))
+        assert body == complete_body if complete else complete_body.startswith(body)
 
     async def run() -> None:
         async with DataPlaneHarness(brokers) as world:
-            await story(world)
+            await scenario(world)
 
     asyncio.run(run())
     received = [request for broker in brokers for request in broker.received]
@@ -227,5 +230,6 @@
     assert statuses["once", 502, True] and statuses["stream", 200, False]
 
 
-def runs(brokers: list[ToyBroker], identity: str) -> int:
+def run_count(brokers: list[ToyBroker], identity: str) -> int:
+    """Return how many requests with this id the brokers have received."""
     return sum(request.headers["request-id"] == identity for each in brokers for request in each.received)
--- a/tests/tier/test_links_cut.py
+++ b/tests/tier/test_links_cut.py
@@ -1,7 +1,7 @@
-"""Real processes behind links: a primary keeper that is cut off, with operators and proxies on both sides.
+"""Real processes behind links: an isolated primary keeper, with operators and proxies on both sides.
 
-LINKED_CUT_S (seconds, 0 in CI) makes each cut last at least so long; otherwise it ends once everything that
-must come about on both sides has been seen.
+LINKED_CUT_S is the minimum duration of each partition (seconds, 0 in CI). Otherwise a partition ends once all
+expected events on both sides have been observed.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from pathlib import Path
 
 import pytest
-from linked_operator import READ, Answer, Operator, change
-from linked_tier import LinkedTier, configuration, until, with_route
+from linked_operator import READ_REQUEST, Operator, Response, change_request
+from linked_tier import LinkedTier, configuration, configuration_with_route, until
 from links import Network
 
 from examples import tier_client
@@ -21,37 +21,37 @@
 from examples.toy_broker import ToyBroker, stream
 
 CUT_S = float(os.environ.get("LINKED_CUT_S", "0"))
-READERS = 2  # at the keeper that is cut off, while the others decide
-PAUSE_S = 0.02  # of each, between two reads
-READS = 5  # of a keeper that is cut off
-IN_DOUBT = (0, 307, 502, 503, 504)  # neither confirms nor refuses for good
-REFUSALS = 2  # of pulls, by the one keeper that a proxy reaches
+READERS = 2  # concurrent readers of the isolated keeper while the others decide
+READ_PAUSE_S = 0.02  # between two reads of a reader
+READS = 5  # from an isolated keeper
+IN_DOUBT = (0, 307, 502, 503, 504)  # statuses that neither confirm a request nor reject it permanently
+REFUSALS = 2  # rejected pulls at the only keeper that a proxy reaches
 EVENTS = 2
-NEAR, FAR = "near", "far"  # the sides: with the keeper that is cut off, and with the others
+MINORITY, MAJORITY = "minority", "majority"  # the sides: with the isolated keeper, and with the others
 
 
-def both_ways(links: Network, some: set[str], others: set[str]) -> None:
-    links.cut(some, others)
+def block_both_directions(links: Network, some: set[str], others: set[str]) -> None:
+    links.partition(some, others)
 
 
-def nothing_reaches_it(links: Network, some: set[str], others: set[str]) -> None:
+def block_inbound(links: Network, some: set[str], others: set[str]) -> None:
     for other in others:
         for one in some:
-            links.flow(other, one).shut()
+            links.flow(other, one).block()
 
 
-def nothing_leaves_it(links: Network, some: set[str], others: set[str]) -> None:
-    nothing_reaches_it(links, others, some)
+def block_outbound(links: Network, some: set[str], others: set[str]) -> None:
+    block_inbound(links, others, some)
 
 
 Cut = Callable[[Network, set[str], set[str]], None]
 
 
 async def status_of(proxy: Daemon, path: str) -> int:
-    async with tier_client.open_stream(proxy.frontend, path) as answer:
-        if answer.status == 200:
-            await answer.rest()
-        return answer.status
+    async with tier_client.open_stream(proxy.frontend, path) as response:
+        if response.status == 200:
+            await response.rest()
+        return response.status
 
 
 async def until_served(proxy: Daemon, path: str) -> None:
@@ -61,110 +61,126 @@
     await until(f"{proxy.name} serves {path}", served)
 
 
-@pytest.mark.parametrize("cut", [both_ways, nothing_reaches_it, nothing_leaves_it])
-def test_a_primary_keeper_that_is_cut_off_decides_and_tells_nothing_while_the_others_go_on(
+@pytest.mark.parametrize("cut", [block_both_directions, block_inbound, block_outbound])
+def test_an_isolated_primary_keeper_decides_and_returns_nothing_while_the_others_continue(
     cut: Cut, tmp_path: Path
 ) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         sizes = Sizes(keepers=3, stores=0, proxies=2)
         async with LinkedTier(tmp_path, [ToyBroker(script=stream(EVENTS))], sizes) as tier:
-            near, far = (Operator(f"operator-{side}", tier.links) for side in (NEAR, FAR))
-            assert (await near.settle(tier.keepers, change(configuration(1), 0))).status == 200
+            minority_operator, majority_operator = (
+                Operator(f"operator-{side}", tier.links) for side in (MINORITY, MAJORITY)
+            )
+            assert (
+                await minority_operator.settle(tier.keepers, change_request(configuration(1), 0))
+            ).status == 200
             await tier.ready()
-            lost = await tier.leader(least_version=1)
-            others = [keeper for keeper in tier.keepers if keeper is not lost]
-            near_proxy, far_proxy = tier.proxies
-            near_side = {lost.name, near.name, near_proxy.name}
-            far_side = {far.name, far_proxy.name, *(keeper.name for keeper in others)}
+            isolated = await tier.primary_keeper(min_version=1)
+            others = [keeper for keeper in tier.keepers if keeper is not isolated]
+            minority_proxy, majority_proxy = tier.proxies
+            minority = {isolated.name, minority_operator.name, minority_proxy.name}
+            majority = {majority_operator.name, majority_proxy.name, *(keeper.name for keeper in others)}
             decided = asyncio.Event()
-            readers = [asyncio.create_task(keep_reading(near, lost, decided)) for _ in range(READERS)]
-            began = asyncio.get_running_loop().time()
-            cut(tier.links, near_side, far_side)
-
-            # At once, while the lease may still hold.
-            orders = {name: change(with_route(7, name), 1) for name in (NEAR, FAR)}
-            assert (await near.ask(lost, orders[NEAR])).status in IN_DOUBT
-            status = (await far.settle(others, orders[FAR])).status
+            readers = [
+                asyncio.create_task(keep_reading(minority_operator, isolated, decided))
+                for _ in range(READERS)
+            ]
+            started_at = asyncio.get_running_loop().time()
+            cut(tier.links, minority, majority)
+
+            # Sent at once, while the lease may still be valid.
+            requests = {
+                name: change_request(configuration_with_route(7, name), 1) for name in (MINORITY, MAJORITY)
+            }
+            assert (await minority_operator.send(isolated, requests[MINORITY])).status in IN_DOUBT
+            status = (await majority_operator.settle(others, requests[MAJORITY])).status
             decided.set()
-            if cut is nothing_reaches_it and status == 412:  # what was sent to them in doubt was taken
-                taken, refused = NEAR, FAR
+            if cut is block_inbound and status == 412:
+                # The request of unknown outcome reached the others and was accepted.
+                accepted, rejected = MINORITY, MAJORITY
             else:
                 assert status == 200
-                taken, refused = FAR, NEAR
-            assert (await far.settle(others, READ)).body == orders[taken].body
-            await until_served(far_proxy, f"/{taken}/1")
-
-            # The other side has decided: this one hands out nothing, and refuses nothing for good.
-            for answer in await asyncio.gather(*readers):
-                assert answer.status in IN_DOUBT, answer
-            for answer in await reads_and_orders(near, lost):
-                assert answer.status in IN_DOUBT, answer
-            assert await status_of(near_proxy, f"/{taken}/1") == 404  # it keeps what it has
-            assert await status_of(near_proxy, "/chat/1") == 200
-            told = await tier.told(lost)
-            assert told is not None and not told.confirmed and told.configuration_version == 1
-            while asyncio.get_running_loop().time() < began + CUT_S:
-                for answer in await reads_and_orders(near, lost):
-                    assert answer.status in IN_DOUBT, answer
-
-            tier.links.join(near_side, far_side)
+                accepted, rejected = MAJORITY, MINORITY
+            assert (await majority_operator.settle(others, READ_REQUEST)).body == requests[accepted].body
+            await until_served(majority_proxy, f"/{accepted}/1")
+
+            # The majority has decided: the isolated keeper returns neither a configuration nor a rejection.
+            for response in await asyncio.gather(*readers):
+                assert response.status in IN_DOUBT, response
+            for response in await send_reads_and_changes(minority_operator, isolated):
+                assert response.status in IN_DOUBT, response
+            assert await status_of(minority_proxy, f"/{accepted}/1") == 404  # it keeps its configuration
+            assert await status_of(minority_proxy, "/chat/1") == 200
+            reply = await tier.keeper_status(isolated)
+            assert reply is not None and not reply.confirmed and reply.configuration_version == 1
+            while asyncio.get_running_loop().time() < started_at + CUT_S:
+                for response in await send_reads_and_changes(minority_operator, isolated):
+                    assert response.status in IN_DOUBT, response
+
+            tier.links.heal(minority, majority)
             await tier.until_version(7)
-            await until_served(near_proxy, f"/{taken}/2")
+            await until_served(minority_proxy, f"/{accepted}/2")
             for keeper in tier.keepers:
-                assert (await near.settle([keeper], orders[refused])).status == 412
-                assert (await far.settle([keeper], orders[taken])).status == 200
-                assert (await near.settle([keeper], READ)).body == orders[taken].body
-            last = change(with_route(8, "last"), 7)
-            assert (await near.settle([lost, *others], last)).status == 200
+                assert (await minority_operator.settle([keeper], requests[rejected])).status == 412
+                assert (await majority_operator.settle([keeper], requests[accepted])).status == 200
+                assert (await minority_operator.settle([keeper], READ_REQUEST)).body == requests[
+                    accepted
+                ].body
+            last = change_request(configuration_with_route(8, "last"), 7)
+            assert (await minority_operator.settle([isolated, *others], last)).status == 200
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-async def keep_reading(operator: Operator, keeper: Daemon, decided: asyncio.Event) -> Answer:
-    """Read again and again; the answer to the first read that was sent after ``decided``."""
+async def keep_reading(operator: Operator, keeper: Daemon, decided: asyncio.Event) -> Response:
+    """Read repeatedly until a read was sent after ``decided``, and return the response to it."""
     while True:
         is_last = decided.is_set()
-        answer = await operator.ask(keeper, READ)
+        response = await operator.send(keeper, READ_REQUEST)
         if is_last:
-            return answer
-        await asyncio.sleep(PAUSE_S)
+            return response
+        await asyncio.sleep(READ_PAUSE_S)
 
 
-async def reads_and_orders(operator: Operator, keeper: Daemon) -> list[Answer]:
-    """What a keeper answers to reads, to an order on its own version, and to ones that it could refuse."""
-    orders = [
-        change(configuration(9), 1),
-        change(configuration(9), 5),
-        change(b"no configuration", 1),
+async def send_reads_and_changes(operator: Operator, keeper: Daemon) -> list[Response]:
+    """Return the responses to reads, to a change of the current version, and to changes to be rejected."""
+    requests = [
+        change_request(configuration(9), 1),
+        change_request(configuration(9), 5),
+        change_request(b"no configuration", 1),
     ]
-    return await asyncio.gather(*(operator.ask(keeper, order) for order in [*orders, *[READ] * READS]))
+    return await asyncio.gather(
+        *(operator.send(keeper, request) for request in [*requests, *[READ_REQUEST] * READS])
+    )
 
 
-def test_a_proxy_that_starts_beside_a_primary_that_is_cut_off_is_given_nothing(tmp_path: Path) -> None:
-    async def story() -> None:
+def test_a_proxy_that_starts_beside_an_isolated_primary_gets_no_configuration(tmp_path: Path) -> None:
+    async def scenario() -> None:
         sizes = Sizes(keepers=3, stores=0, proxies=1)
         async with LinkedTier(tmp_path, [ToyBroker(script=stream(EVENTS))], sizes) as tier:
             operator = Operator("operator", tier.links)
             (proxy,) = tier.proxies
-            assert (await operator.settle(tier.keepers, change(configuration(1), 0))).status == 200
+            assert (await operator.settle(tier.keepers, change_request(configuration(1), 0))).status == 200
             await tier.ready()
             await proxy.terminate()
-            lost = await tier.leader(least_version=1)
-            others = [keeper for keeper in tier.keepers if keeper is not lost]
-            far_side = {operator.name, *(keeper.name for keeper in others)}
-            tier.links.cut({lost.name, proxy.name}, far_side)
-            assert (await operator.settle(others, change(with_route(7, "far"), 1))).status == 200
-
-            answered = tier.links.flow(lost.name, proxy.name)
+            isolated = await tier.primary_keeper(min_version=1)
+            others = [keeper for keeper in tier.keepers if keeper is not isolated]
+            majority = {operator.name, *(keeper.name for keeper in others)}
+            tier.links.partition({isolated.name, proxy.name}, majority)
+            assert (
+                await operator.settle(others, change_request(configuration_with_route(7, "majority"), 1))
+            ).status == 200
+
+            answered = tier.links.flow(isolated.name, proxy.name)
             await proxy.start()
-            await answered.wait_passed(REFUSALS)
+            await answered.wait_forwarded(REFUSALS)
             assert not tier.events(proxy, "configuration_in_force")[1:]
             await tier.answers_readiness(proxy, 503)
 
-            tier.links.join({lost.name, proxy.name}, far_side)
+            tier.links.heal({isolated.name, proxy.name}, majority)
             await tier.answers_readiness(proxy, 200)
             in_force = [line["version"] for line in tier.events(proxy, "configuration_in_force")]
             assert in_force == [1, 7]
-            await until_served(proxy, "/far/1")
+            await until_served(proxy, "/majority/1")
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/tier/test_links_frozen.py
+++ b/tests/tier/test_links_frozen.py
@@ -1,77 +1,84 @@
-"""Real processes: a primary that stood still while calls waited for it; members that stand still in turn."""
+"""Real processes: a primary that is frozen while calls wait for it, and members frozen one after another."""
 
 from __future__ import annotations
 
 import asyncio
 from pathlib import Path
 
-from acknowledged import STANDBY, Acknowledged, machines, until_members_are
-from linked_operator import READ, Operator, change
+from acknowledged import STANDBY, AcknowledgedChanges, machine_names, until_machines_are_members
+from linked_operator import READ_REQUEST, Operator, change_request
 from linked_tier import LinkedTier, configuration
 from test_real_processes import held_stream
 
 from examples.tier_processes import Sizes
 from examples.toy_broker import ToyBroker
 
-IN_DOUBT = (0, 307, 412, 503, 504)  # of an order that another one has overtaken
+# Statuses allowed for a request after another one of the same base version was accepted.
+IN_DOUBT = (0, 307, 412, 503, 504)
 
 
-def test_a_primary_keeper_that_stood_still_answers_nothing_from_the_time_before(tmp_path: Path) -> None:
-    async def story() -> None:
+def test_a_primary_keeper_that_was_frozen_returns_no_outdated_answers(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with LinkedTier(tmp_path, [], Sizes(keepers=3, stores=0, proxies=0)) as tier:
             operator = Operator("operator", tier.links)
-            assert (await operator.settle(tier.keepers, change(configuration(1), 0))).status == 200
-            lost = await tier.leader(least_version=1)
-            others = [keeper for keeper in tier.keepers if keeper is not lost]
-            lines = [await operator.line(lost) for _ in range(4)]
-            tier.freeze_machine(lost.name)
-            overtaken = change(configuration(7, mark="overtaken"), 1)
-            reads = [line.send(READ) for line in lines[:2]]
-            orders = [
-                line.send(order)
-                for line, order in zip(lines[2:], (overtaken, change(configuration(8), 1)), strict=True)
+            assert (await operator.settle(tier.keepers, change_request(configuration(1), 0))).status == 200
+            frozen = await tier.primary_keeper(min_version=1)
+            others = [keeper for keeper in tier.keepers if keeper is not frozen]
+            connections = [await operator.connect(frozen) for _ in range(4)]
+            tier.freeze_machine(frozen.name)
+            superseded = change_request(configuration(7, mark="superseded"), 1)
+            reads = [connection.send(READ_REQUEST) for connection in connections[:2]]
+            requests = [
+                connection.send(request)
+                for connection, request in zip(
+                    connections[2:], (superseded, change_request(configuration(8), 1)), strict=True
+                )
             ]
-            taken = change(configuration(7, mark="taken"), 1)
-            assert (await operator.settle(others, taken)).status == 200
-            tier.thaw_machine(lost.name)
-            for answer in await asyncio.gather(*reads):
-                assert answer.status in (307, 503) or answer.body == taken.body, answer
-            for answer in await asyncio.gather(*orders):
-                assert answer.status in IN_DOUBT, answer
+            accepted = change_request(configuration(7, mark="accepted"), 1)
+            assert (await operator.settle(others, accepted)).status == 200
+            tier.unfreeze_machine(frozen.name)
+            for response in await asyncio.gather(*reads):
+                assert response.status in (307, 503) or response.body == accepted.body, response
+            for response in await asyncio.gather(*requests):
+                assert response.status in IN_DOUBT, response
             for keeper in tier.keepers:
-                assert (await operator.settle([keeper], taken)).status == 200
-                assert (await operator.settle([keeper], overtaken)).status == 412
+                assert (await operator.settle([keeper], accepted)).status == 200
+                assert (await operator.settle([keeper], superseded)).status == 412
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_two_members_are_replaced_for_standing_still_and_a_third_loses_its_disks(tmp_path: Path) -> None:
-    """The second one's place goes to the first, whose disk counts again only once it has everything."""
+def test_two_frozen_members_are_replaced_and_a_third_loses_its_disks(tmp_path: Path) -> None:
+    """The first machine replaces the second; its disk counts again only once it has all entries."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         gate = asyncio.Event()
         sizes = Sizes(keepers=4, stores=4, proxies=1)
         async with LinkedTier(
-            tmp_path, [ToyBroker(script=held_stream(gate))], sizes, shared=True, later=STANDBY
+            tmp_path,
+            [ToyBroker(script=held_stream(gate))],
+            sizes,
+            shared_machines=True,
+            deferred_machine=STANDBY,
         ) as tier:
-            confirmed = Acknowledged(tier, Operator("operator", tier.links))
-            first, second, third = members = machines(tier, STANDBY)
-            await until_members_are(tier, members)
-            await confirmed.more()
+            acknowledged = AcknowledgedChanges(tier, Operator("operator", tier.links))
+            first, second, third = members = machine_names(tier, STANDBY)
+            await until_machines_are_members(tier, members)
+            await acknowledged.acknowledge_more()
             await tier.start_machine(STANDBY)
             await tier.until_announced(STANDBY)
             tier.freeze_machine(first)
-            await until_members_are(tier, [second, third, STANDBY])
-            await confirmed.more()
-            tier.thaw_machine(first)
+            await until_machines_are_members(tier, [second, third, STANDBY])
+            await acknowledged.acknowledge_more()
+            tier.unfreeze_machine(first)
             tier.freeze_machine(second)
-            await until_members_are(tier, [first, third, STANDBY])
-            await confirmed.more()
-            tier.thaw_machine(second)
+            await until_machines_are_members(tier, [first, third, STANDBY])
+            await acknowledged.acknowledge_more()
+            tier.unfreeze_machine(second)
             await tier.lose_disks(third)
-            await confirmed.more()
+            await acknowledged.acknowledge_more()
             await tier.start_machine(third)
             gate.set()
-            await confirmed.is_there()
+            await acknowledged.assert_present()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/tier/test_links_members.py
+++ b/tests/tier/test_links_members.py
@@ -1,4 +1,4 @@
-"""Real processes: machines that lose their disks or are emptied, and the next loss right behind it."""
+"""Real processes: machines that lose their disks or are retired, directly followed by the next loss."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from pathlib import Path
 
 import pytest
-from acknowledged import STANDBY, Acknowledged, machines, until_members_are
-from linked_operator import Operator, retire, retirement
+from acknowledged import STANDBY, AcknowledgedChanges, machine_names, until_machines_are_members
+from linked_operator import Operator, retire_request, retirement_request
 from linked_tier import LinkedTier, until
 from test_real_processes import held_stream
 
@@ -15,79 +15,89 @@
 from examples.toy_broker import ToyBroker
 
 
-def test_nothing_confirmed_is_lost_while_one_machine_after_the_other_loses_its_disks(tmp_path: Path) -> None:
-    """Each loss comes as soon as both groups have confirmed something with the empty disks before it."""
+def test_nothing_acknowledged_is_lost_while_one_machine_after_the_other_loses_its_disks(
+    tmp_path: Path,
+) -> None:
+    """Each loss follows as soon as both groups have acknowledged a change with the previous empty disks."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         gate = asyncio.Event()
         sizes = Sizes(keepers=3, stores=3, proxies=1)
-        async with LinkedTier(tmp_path, [ToyBroker(script=held_stream(gate))], sizes, shared=True) as tier:
-            confirmed = Acknowledged(tier, Operator("operator", tier.links))
-            await until_members_are(tier, machines(tier))
+        async with LinkedTier(
+            tmp_path, [ToyBroker(script=held_stream(gate))], sizes, shared_machines=True
+        ) as tier:
+            acknowledged = AcknowledgedChanges(tier, Operator("operator", tier.links))
+            await until_machines_are_members(tier, machine_names(tier))
             first_disks = {tier.member_id(daemon) for daemon in tier.keepers}
-            for name in machines(tier):
-                await until_members_are(tier, machines(tier))
-                await confirmed.more()
+            for name in machine_names(tier):
+                await until_machines_are_members(tier, machine_names(tier))
+                await acknowledged.acknowledge_more()
                 await tier.lose_disks(name)
                 await tier.start_machine(name)
-            await until_members_are(tier, machines(tier))
+            await until_machines_are_members(tier, machine_names(tier))
             assert not first_disks & {tier.member_id(daemon) for daemon in tier.keepers}
-            await confirmed.more()
+            await acknowledged.acknowledge_more()
             gate.set()
-            await confirmed.is_there()
+            await acknowledged.assert_present()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-AT_COMPLETED = "as the emptied machine goes"
-AT_ORDER = "as it is ordered to be emptied"
+AT_COMPLETED = "when retirement has completed"
+AT_REQUEST = "when retirement is requested"
 
 
-@pytest.mark.parametrize(("at", "leads"), [(AT_COMPLETED, True), (AT_ORDER, True), (AT_ORDER, False)])
-def test_a_machine_is_emptied_and_another_loses_its_disks_in_the_same_moment(
-    at: str, leads: bool, tmp_path: Path
+@pytest.mark.parametrize(
+    ("moment", "is_primary"), [(AT_COMPLETED, True), (AT_REQUEST, True), (AT_REQUEST, False)]
+)
+def test_a_machine_is_retired_and_another_loses_its_disks_at_the_same_time(
+    moment: str, is_primary: bool, tmp_path: Path
 ) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         gate = asyncio.Event()
         sizes = Sizes(keepers=4, stores=4, proxies=1)
         async with LinkedTier(
-            tmp_path, [ToyBroker(script=held_stream(gate))], sizes, shared=True, later=STANDBY
+            tmp_path,
+            [ToyBroker(script=held_stream(gate))],
+            sizes,
+            shared_machines=True,
+            deferred_machine=STANDBY,
         ) as tier:
             operator = Operator("operator", tier.links)
-            confirmed = Acknowledged(tier, operator)
-            await until_members_are(tier, machines(tier, STANDBY))
+            acknowledged = AcknowledgedChanges(tier, operator)
+            await until_machines_are_members(tier, machine_names(tier, STANDBY))
             await tier.start_machine(STANDBY)
             await tier.until_announced(STANDBY)
-            await confirmed.more()
-            leader = (await tier.leader()).node_name
-            members = machines(tier, STANDBY)
-            leaving = leader if leads else next(name for name in members if name != leader)
-            lost = next(name for name in members if name not in (leader, leaving))
-            assert (await operator.settle(tier.keepers, retire(leaving))).status == 200
-            if at == AT_ORDER:
+            await acknowledged.acknowledge_more()
+            primary = (await tier.primary_keeper()).node_name
+            members = machine_names(tier, STANDBY)
+            retired = primary if is_primary else next(name for name in members if name != primary)
+            lost = next(name for name in members if name not in (primary, retired))
+            assert (await operator.settle(tier.keepers, retire_request(retired))).status == 200
+            if moment == AT_REQUEST:
                 await tier.lose_disks(lost)
-                await tier.start_machine(lost)  # with three machines in all, none could leave
-            await until_emptied(tier, operator, leaving)
-            if at == AT_COMPLETED:
-                await confirmed.more()
-                await asyncio.gather(tier.lose_disks(lost), tier.kill_machine(leaving))
+                await tier.start_machine(lost)  # a machine cannot leave while there are only three in total
+            await until_retired(tier, operator, retired)
+            if moment == AT_COMPLETED:
+                await acknowledged.acknowledge_more()
+                await asyncio.gather(tier.lose_disks(lost), tier.kill_machine(retired))
             else:
-                await tier.kill_machine(leaving)
-            await confirmed.more()
-            if at == AT_COMPLETED:
+                await tier.kill_machine(retired)
+            await acknowledged.acknowledge_more()
+            if moment == AT_COMPLETED:
                 await tier.start_machine(lost)
-            await until_members_are(tier, machines(tier, leaving))
-            await confirmed.more()
+            await until_machines_are_members(tier, machine_names(tier, retired))
+            await acknowledged.acknowledge_more()
             gate.set()
-            await confirmed.is_there()
+            await acknowledged.assert_present()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-async def until_emptied(tier: LinkedTier, operator: Operator, machine: str) -> None:
+async def until_retired(tier: LinkedTier, operator: Operator, machine: str) -> None:
     async def completed() -> bool:
-        answer = await operator.settle(tier.keepers, retirement(machine))
-        assert answer.status == 200
-        return bool(answer.json() == {"state": "completed"})
+        response = await operator.settle(tier.keepers, retirement_request(machine))
+        assert response.status == 200
+        return bool(response.json() == {"state": "completed"})
 
-    await until(f"{machine} is emptied", completed)
+    await until(f"{machine} is retired", completed)
--- a/tests/tier/test_real_processes.py
+++ b/tests/tier/test_real_processes.py
@@ -1,7 +1,7 @@
-"""The whole tier as real processes on loopback: the command of ``make tier``, and processes that end.
+"""The whole tier as real processes on loopback: the command of ``make tier``, and processes that exit.
 
-Order comes from facts that are awaited: requests that a broker received, answers of the tier. What may take
-time is bounded by ``examples.small_tier.LONGEST_WAIT_S``.
+Events are ordered by waiting for conditions: requests that a broker received, answers of the tier. The
+waiting time is bounded by ``examples.small_tier.LONGEST_WAIT_S``.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 
 EVENTS = 5
 TEXT = "\n".join(f"word {number}" for number in range(1, EVENTS + 1))
-COMMAND_TIMEOUT_S = 90  # of a busy machine; it takes a few seconds
+COMMAND_TIMEOUT_S = 90  # for a busy machine; the command usually takes a few seconds
 
 
 def held_stream(gate: asyncio.Event) -> Script:
-    """A stream whose first event comes at once, and the others once ``gate`` is set."""
+    """Return the script of a stream that sends its first event at once, the others once ``gate`` is set."""
 
     async def script(wire: Wire, request: Received) -> None:
         await wire.stream_head(request)
@@ -44,7 +44,7 @@
 
 
 def write_next_configuration(directory: Path) -> Path:
-    """A configuration on top of the examples', with one route more."""
+    """Write the successor of the examples' configuration, with one route added, and return its path."""
     document = json.loads(CONFIGURATION_PATH.read_text())
     document["version"] = 7
     document["routes"].append({**document["routes"][0], "name": "added", "pathPrefix": "/added/"})
@@ -70,30 +70,30 @@
     assert "ended: proxy-1, proxy-2, store-1, store-2, store-3, keeper-1, keeper-2, keeper-3" in ended.stdout
 
 
-def test_a_configuration_is_taken_after_the_primary_keeper_was_killed(tmp_path: Path) -> None:
-    async def story() -> None:
+def test_a_configuration_is_accepted_after_the_primary_keeper_was_killed(tmp_path: Path) -> None:
+    async def scenario() -> None:
         broker = ToyBroker(script=stream(EVENTS))
         async with SmallTier(tmp_path, [broker], Sizes(keepers=3, stores=0, proxies=1)) as tier:
             await tier.put_configuration()
             await tier.ready()
             (proxy,) = tier.proxies
             assert await status_of_stream(proxy, "/added/1") == 404
-            lost = await tier.primary("keeper")
-            await lost.kill()
-            said = await tier.put_configuration(write_next_configuration(tmp_path))
-            assert said == "version 7 is in force, on top of version 1"
+            killed = await tier.primary("keeper")
+            await killed.kill()
+            output = await tier.put_configuration(write_next_configuration(tmp_path))
+            assert output == "version 7 is in force, on top of version 1"
 
             async def serves() -> bool:
                 return await status_of_stream(proxy, "/added/2") == 200
 
             await until("the proxy serves the new route", serves)
-            assert (await tier.primary("keeper")).name != lost.name
+            assert (await tier.primary("keeper")).name != killed.name
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_a_job_completes_though_the_primary_store_is_killed_in_its_midst(tmp_path: Path) -> None:
-    async def story() -> None:
+def test_a_job_completes_though_the_primary_store_is_killed_while_it_runs(tmp_path: Path) -> None:
+    async def scenario() -> None:
         gate = asyncio.Event()
         brokers = [ToyBroker(instance_id=f"i-{number}", script=held_stream(gate)) for number in (1, 2)]
         async with SmallTier(tmp_path, brokers, Sizes(keepers=1, stores=3, proxies=2)) as tier:
@@ -102,23 +102,23 @@
             job_id, item_ids = tier_client.new_id(), [tier_client.new_id() for _ in range(8)]
             first, second = tier.proxies
             await tier_client.submit(first.frontend, job_id, item_ids)
-            begun = [asyncio.create_task(broker.wait_received()) for broker in brokers]
-            await asyncio.wait(begun, return_when=asyncio.FIRST_COMPLETED)
-            lost = await tier.primary("store")
-            await lost.kill()
+            first_requests = [asyncio.create_task(broker.wait_received()) for broker in brokers]
+            await asyncio.wait(first_requests, return_when=asyncio.FIRST_COMPLETED)
+            killed = await tier.primary("store")
+            await killed.kill()
             gate.set()
             results = await tier_client.results(second.frontend, job_id)
-            for task in begun:
+            for task in first_requests:
                 task.cancel()
         assert sorted(result["instanceId"] for result in results) == sorted(item_ids)
         assert {result["state"] for result in results} == {"completed"}
         assert {result["message"] for result in results} == {TEXT}
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_a_stream_ends_whole_though_its_proxy_is_told_to_end(tmp_path: Path) -> None:
-    async def story() -> None:
+def test_a_stream_completes_though_its_proxy_is_shut_down(tmp_path: Path) -> None:
+    async def scenario() -> None:
         gate = asyncio.Event()
         sizes = Sizes(keepers=1, stores=0, proxies=1, machine_failures=0)
         async with SmallTier(tmp_path, [ToyBroker(script=held_stream(gate))], sizes) as tier:
@@ -135,7 +135,7 @@
             assert await ending == 0
             assert log_events(proxy)[-1:] == ["dataplane_drained"]
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def log_events(daemon: Daemon) -> list[str]:
@@ -145,12 +145,12 @@
 
 SMALL_DISK_MB = 11
 LARGE_BODY_BYTES = 60_000
-LARGE_JOB_ITEMS = 25  # two jobs of so many bodies are more than a store with that disk takes
+LARGE_JOB_ITEMS = 25  # two jobs of this size exceed the disk of a store
 
 
 @attrs.define(eq=False)
-class TierOfSmallDisks(SmallTier):
-    """A tier whose stores have little room for jobs."""
+class SmallDiskTier(SmallTier):
+    """A tier whose stores have little disk space for jobs."""
 
     def _lay_out(self) -> list[Daemon]:
         daemons = super()._lay_out()
@@ -162,8 +162,8 @@
         return daemons
 
 
-async def hand_in_large_job(proxy: Daemon, job_id: str) -> tuple[int, str, str]:
-    """Submit a job once; status, Retry-After and text of the answer."""
+async def submit_large_job(proxy: Daemon, job_id: str) -> tuple[int, str, str]:
+    """Submit a job once and return the status, the Retry-After header and the text of the response."""
     items = [tier_client.batch_item(f"{job_id}-{number}") for number in range(LARGE_JOB_ITEMS)]
     for item in items:
         item["body"] = base64.b64encode(bytes(LARGE_BODY_BYTES)).decode()
@@ -177,22 +177,22 @@
         return response.status, response.headers.get("Retry-After", ""), await response.text()
 
 
-def test_a_full_store_group_keeps_its_job_through_a_kill_and_accepts_again_once_that_is_done(
+def test_a_full_store_group_keeps_its_job_through_a_kill_and_accepts_jobs_again_once_it_is_done(
     tmp_path: Path,
 ) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         gate = asyncio.Event()
         brokers = [ToyBroker(instance_id=f"i-{number}", script=held_stream(gate)) for number in (1, 2)]
-        async with TierOfSmallDisks(tmp_path, brokers, Sizes(keepers=1, stores=3, proxies=1)) as tier:
+        async with SmallDiskTier(tmp_path, brokers, Sizes(keepers=1, stores=3, proxies=1)) as tier:
             await tier.put_configuration()
             await tier.ready()
             (proxy,) = tier.proxies
 
             async def is_accepted(job_id: str) -> bool:
-                return (await hand_in_large_job(proxy, job_id))[0] == 202
+                return (await submit_large_job(proxy, job_id))[0] == 202
 
-            await until("the first job is taken", lambda: is_accepted("first"))
-            status, retry_after, reason = await hand_in_large_job(proxy, "second")
+            await until("the first job is accepted", lambda: is_accepted("first"))
+            status, retry_after, reason = await submit_large_job(proxy, "second")
             assert (status, reason) == (503, "no room for further jobs")
             assert float(retry_after) >= 0.2
             stores = tier.of("store")
@@ -204,7 +204,7 @@
             results = await tier_client.results(proxy.frontend, "first")
             assert len(results) == LARGE_JOB_ITEMS
             assert {(result["state"], result["message"]) for result in results} == {("completed", TEXT)}
-            await until("the second job is taken", lambda: is_accepted("second"))
+            await until("the second job is accepted", lambda: is_accepted("second"))
             assert len(await tier_client.results(proxy.frontend, "second")) == LARGE_JOB_ITEMS
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/tier/test_seeds_outside_group.py
+++ b/tests/tier/test_seeds_outside_group.py
@@ -1,7 +1,8 @@
-"""Starts whose seeds are all outside the controllers' group: each process finds the primary nevertheless.
+"""Starts with seeds that are all outside the controllers' group: each process must still find the primary.
 
-A started process knows the seeds of its settings. On a deployment with more controllers than members the
-seeds may all be standbys, removed members with an old log, or machines that have lost their disks.
+A process knows only the seeds in its settings when it starts. On a deployment with more controllers than
+members, the seeds may all be standbys, removed members with an old log, or machines that have lost their
+disks.
 """
 
 from __future__ import annotations
@@ -27,11 +28,12 @@
 STANDBYS = 5
 PROXIES = 3
 FORMATION_S = 4.0
-MEMBERS_KNOWN_S = CATCH_UP_S + CONTACT_S  # behind a loss of power: elections, announcements, member list
+# After a power failure, for elections, announcements and the member list.
+MEMBERS_KNOWN_S = CATCH_UP_S + CONTACT_S
 
 
 class Deployment:
-    """A world with more controllers than members, and one acknowledged configuration."""
+    """A simulated deployment with more controllers than members, and one acknowledged configuration."""
 
     def __init__(self, seed: int) -> None:
         topology = Topology(faults=FAULTS, machines=MEMBERS + STANDBYS, proxies=PROXIES, stores=True)
@@ -43,20 +45,20 @@
         acknowledge_change(self.world, self.operators, 1, Random(seed))
 
     def members(self) -> set[str]:
-        """Hosts of the controllers' group, by its primary."""
+        """Return the hosts of the controllers' group, according to its primary."""
         primary = self.cluster.primary()
         assert primary is not None
         controller = self.cluster.controller(primary)
         assert controller is not None
         return {member.address.partition(":")[0] for member in controller.group.members}
 
-    def outside(self) -> list[Machine]:
-        """Machines whose controllers are not members."""
+    def machines_outside_group(self) -> list[Machine]:
+        """Return the machines whose controllers are not members."""
         members = self.members()
         return [machine for machine in self.cluster.machines if machine.host not in members]
 
     def replace(self, machine: Machine) -> None:
-        """Switch a member off until another has its place, then on again."""
+        """Power a member off until another machine has replaced it, then on again."""
         budget = self.world.environment.fault_budget
         budget.fault_began({machine.name}, disk=False)
         self.cluster.kill(machine, power=True)
@@ -67,33 +69,36 @@
         assert machine.host not in self.members()
 
     def restart_with_seeds(self, seeds: list[Machine], *, wiped: list[Machine], proxies: bool = True) -> None:
-        """All machines, or all but the proxies, lose power, some their disks; all start with ``seeds``."""
-        struck = [*self.cluster.machines, *(self.cluster.proxies if proxies else [])]
-        names = {machine.name for machine in struck}
+        """Restart all machines, or all except the proxies, after a power failure, with ``seeds``.
+
+        The ``wiped`` machines lose their disks as well.
+        """
+        affected = [*self.cluster.machines, *(self.cluster.proxies if proxies else [])]
+        names = {machine.name for machine in affected}
         self.world.environment.fault_budget.fault_began(names, disk=False)
-        for machine in struck:
+        for machine in affected:
             self.cluster.kill(machine, power=True)
         for machine in wiped:
             self.cluster.lose_disks(machine)
         self.cluster.start_with_seeds(tuple(machine.host for machine in seeds))
         self.world.run_until(self.world.now + 1.0)
-        for machine in struck:
+        for machine in affected:
             self.cluster.power_up(machine)
         self.world.environment.fault_budget.fault_ended(names)
         self.world.run_until(self.world.now + MEMBERS_KNOWN_S)
 
     def proxy_views(self) -> list[ClusterView]:
-        """What each proxy knows."""
+        """Return the cluster view of each proxy."""
         processes = (process for proxy in self.cluster.proxies for process in proxy.running.values())
         return [process.views for process in processes if isinstance(process, ProxyProcess)]
 
     def store_views(self) -> list[ClusterView]:
-        """What each store knows."""
+        """Return the cluster view of each store."""
         processes = [machine.running[STORE_PROGRAM] for machine in self.cluster.machines]
         return [process.views for process in processes if isinstance(process, StoreProcess)]
 
-    def assert_everything_is_known(self) -> None:
-        """Every process follows the primary, and every machine announces itself there."""
+    def assert_all_follow_the_primary(self) -> None:
+        """Assert that every process follows the primary, to which every machine has announced itself."""
         assert self.cluster.primary() is not None
         views = [*self.proxy_views(), *self.store_views()]
         assert len(views) == PROXIES + MEMBERS + STANDBYS
@@ -104,24 +109,24 @@
                 assert {member.node_name for member in view.members if member.program == program} == names
 
     def close(self) -> None:
-        """End all processes."""
+        """Stop all processes."""
         self.world.close(self.operators.incarnation)
 
 
 @pytest.fixture
 def deployment(request: pytest.FixtureRequest) -> Iterator[Deployment]:
-    built = Deployment(request.param)
-    yield built
-    built.close()
+    created = Deployment(request.param)
+    yield created
+    created.close()
 
 
 def restart_with_seeds_that_were_never_members(deployment: Deployment) -> None:
-    """They have an empty log and start with everybody else."""
-    deployment.restart_with_seeds(deployment.outside()[:SEEDS], wiped=[])
+    """The seeds have an empty log and start at the same time as all other machines."""
+    deployment.restart_with_seeds(deployment.machines_outside_group()[:SEEDS], wiped=[])
 
 
 def restart_with_seeds_that_were_replaced_or_wiped(deployment: Deployment) -> None:
-    """As in the incident: two seeds left the group long ago, the third is emptied by the last fault."""
+    """As in an earlier incident: two seeds left the group long ago, and the last fault wipes the third."""
     seeds = deployment.cluster.machines[:SEEDS]
     for machine in seeds[:-1]:
         deployment.replace(machine)
@@ -133,8 +138,8 @@
 
 
 def restart_of_the_storage_machines_alone(deployment: Deployment) -> None:
-    """The proxies still know the members, but a store that announces itself to nobody is listed nowhere."""
-    deployment.restart_with_seeds(deployment.outside()[:SEEDS], wiped=[], proxies=False)
+    """The proxies still know the members, but a store that cannot announce itself is in no member list."""
+    deployment.restart_with_seeds(deployment.machines_outside_group()[:SEEDS], wiped=[], proxies=False)
 
 
 RESTARTS = [
@@ -150,4 +155,4 @@
     deployment: Deployment, restart: Callable[[Deployment], None]
 ) -> None:
     restart(deployment)
-    deployment.assert_everything_is_known()
+    deployment.assert_all_follow_the_primary()
--- a/tests/tier/test_tier_events.py
+++ b/tests/tier/test_tier_events.py
@@ -1,4 +1,4 @@
-"""The page of the tier's events against the sources: every event with its level, and no other."""
+"""Checks that docs/tier-events.md lists exactly the events that the tier logs, with their levels."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def log_calls(module: ast.Module) -> Iterator[tuple[ast.expr, str]]:
-    """First argument and level of each call that writes a line."""
+    """Yield the first argument and the level of each call that writes a log line."""
     for node in ast.walk(module):
         if not (isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute)):
             continue
@@ -33,8 +33,8 @@
             yield node.args[0], LEVELS[node.func.attr]
 
 
-def names(event: ast.expr, module: ast.Module) -> list[str]:
-    """The event as it stands, or all that the function returns which names it."""
+def event_names(event: ast.expr, module: ast.Module) -> list[str]:
+    """Return the literal event name, or all names that the called function can return."""
     if isinstance(event, ast.Constant):
         return [event.value]
     assert isinstance(event, ast.Call) and isinstance(event.func, ast.Name), ast.dump(event)
@@ -49,28 +49,28 @@
     return [value.value for value in returned if isinstance(value, ast.Constant)]
 
 
-def written() -> set[tuple[str, str]]:
+def logged_events() -> set[tuple[str, str]]:
     return {
         (name, level)
         for module in modules()
         for event, level in log_calls(module)
-        for name in names(event, module)
+        for name in event_names(event, module)
     }
 
 
-def test_the_page_has_every_event_with_its_level_and_no_other() -> None:
+def test_the_page_lists_exactly_the_logged_events_with_their_levels() -> None:
     rows = ROW.findall(PAGE.read_text(encoding="utf-8"))
     listed = [(name, level) for name, level, _, _ in rows]
     assert len(listed) == len(set(listed))
-    assert set(listed) == written()
+    assert set(listed) == logged_events()
 
 
 def test_events_are_named_in_one_style() -> None:
-    assert [name for name, _ in written() if not NAME.fullmatch(name)] == []
+    assert [name for name, _ in logged_events() if not NAME.fullmatch(name)] == []
 
 
 def test_every_logger_has_the_same_name() -> None:
-    made = [
+    logger_names = [
         target.id
         for module in modules()
         for node in ast.walk(module)
@@ -78,4 +78,4 @@
         for target in node.targets
         if isinstance(target, ast.Name)
     ]
-    assert made and set(made) == {LOGGER}
+    assert logger_names and set(logger_names) == {LOGGER}
