--- a/bench/fleet/__init__.py
+++ b/bench/fleet/__init__.py
@@ -1,4 +1,5 @@
-"""The real decision module as many hosts against modelled nodes, in virtual time: ``python -m bench.fleet``.
+"""Simulates many hosts that run the real decision module against modelled nodes: ``python -m bench.fleet``.
 
-It owns a model, not measurements. It must never be believed where the kit's benches show a thing.
+The simulation runs in virtual time. Its figures come from a model; where the platform's own benches measure
+the same quantity, their result takes precedence.
 """
