--- a/bench/rules/__init__.py
+++ b/bench/rules/__init__.py
@@ -1,1 +1,1 @@
-"""Deployments drawn from a seed, played by the decision module in virtual time, held to the wire's rules."""
+"""Simulates random deployments with the real decision module and checks the rules of the wire protocol."""
--- a/bench/rules/__main__.py
+++ b/bench/rules/__main__.py
@@ -1,9 +1,9 @@
-"""Plays deployments drawn from seeds and prints each broken rule with the seed that plays it again.
+"""Simulates random deployments and prints each rule violation with the seed that reproduces it.
 
 python -m bench.rules                         # 300 deployments, seeds 0 to 299
 python -m bench.rules --seeds 20000
-python -m bench.rules --seed 4711             # one, with its settings and all that is broken there
-python -m bench.rules --mutants               # takes guards out of the module one at a time
+python -m bench.rules --seed 4711             # one seed, with its settings and all its violations
+python -m bench.rules --mutants               # checks that each removed guard is detected
 """
 
 from __future__ import annotations
@@ -15,23 +15,23 @@
 from concurrent.futures import ProcessPoolExecutor
 
 from bench.rules.draw import draw
-from bench.rules.mutants import MUTANTS, found_by
+from bench.rules.mutants import MUTANTS, detected_by
 from bench.rules.play import Day
 
 
-def played(seed: int) -> tuple[int, list[tuple[str, str]]]:
+def run_seed(seed: int) -> tuple[int, list[tuple[str, str]]]:
     try:
         return seed, Day(draw(seed)).play()
-    except Exception as error:  # whatever the module raises is a finding of its own
+    except Exception as error:  # any exception of the module counts as a violation
         return seed, [("crash", f"{type(error).__name__}: {error}")]
 
 
-def first_broken(seeds: range) -> tuple[int, str] | None:
-    """The first of these seeds on which a rule is broken, and which."""
+def first_violation(seeds: range) -> tuple[int, str] | None:
+    """Return the first of these seeds with a violation and the rule violated, or None."""
     for seed in seeds:
-        _, broken = played(seed)
-        if broken:
-            return seed, broken[0][0]
+        _, violations = run_seed(seed)
+        if violations:
+            return seed, violations[0][0]
     return None
 
 
@@ -44,37 +44,37 @@
     parser.add_argument("--seed", type=int)
     parser.add_argument("--mutants", action="store_true")
     parser.add_argument(
-        "--until-broken", action="store_true", help="one process, to the first that breaks one"
+        "--until-broken", action="store_true", help="run in one process, stop at the first violation"
     )
-    asked = parser.parse_args()
-    seeds = range(asked.first, asked.first + asked.seeds)
-    if asked.seed is not None:
-        print(draw(asked.seed).describe())
-        _, broken = played(asked.seed)
-        for rule, words in broken:
-            print(f"{rule:10s} {words}")
-        return bool(broken)
-    if asked.until_broken:
-        found = first_broken(seeds)
-        print(f"{found[0]} {found[1]}" if found else "none")
-        return found is not None
-    if asked.mutants:
+    options = parser.parse_args()
+    seeds = range(options.first, options.first + options.seeds)
+    if options.seed is not None:
+        print(draw(options.seed).describe())
+        _, violations = run_seed(options.seed)
+        for rule, message in violations:
+            print(f"{rule:10s} {message}")
+        return bool(violations)
+    if options.until_broken:
+        violation = first_violation(seeds)
+        print(f"{violation[0]} {violation[1]}" if violation else "none")
+        return violation is not None
+    if options.mutants:
         missed = 0
         for mutant in MUTANTS:
-            said = found_by(mutant, seeds)
-            missed += said == "none"
-            print(f"{mutant.name:40s} {said}")
+            detected = detected_by(mutant, seeds)
+            missed += detected == "none"
+            print(f"{mutant.name:40s} {detected}")
         return missed > 0
     began, total = time.monotonic(), Counter[str]()
     with ProcessPoolExecutor() as pool:
-        for seed, broken in pool.map(played, seeds, chunksize=10):
-            total.update({rule for rule, _ in broken})
-            if broken:
-                rule, words = broken[0]
-                print(f"seed {seed}: {rule}: {words} ({len(broken)} in all)")
+        for seed, violations in pool.map(run_seed, seeds, chunksize=10):
+            total.update({rule for rule, _ in violations})
+            if violations:
+                rule, message = violations[0]
+                print(f"seed {seed}: {rule}: {message} ({len(violations)} violations)")
     print(
         f"{len(seeds)} deployments in {time.monotonic() - began:.1f} s; "
-        f"{sum(total.values())} broken: {dict(total)}"
+        f"{sum(total.values())} rules violated: {dict(total)}"
     )
     return total.total() > 0
 
--- a/bench/rules/mutants.py
+++ b/bench/rules/mutants.py
@@ -1,6 +1,6 @@
-"""Guards of the decision module taken out one at a time, to show that the checker would miss none of them.
+"""Removes guards of the decision module one at a time, to show that the checker detects each missing guard.
 
-It owns the list, and how a copy of the module without one is played. It must never touch the tree itself.
+It holds the list of mutants and runs each in a temporary copy of the module; the source tree is not changed.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 @dataclass(frozen=True, slots=True)
 class Mutant:
     name: str
-    file: str  # of cherrycove.scheduling
-    guard: str  # as it stands there, once
-    instead: str
-    rule: str  # that is broken without it
-    seed: int  # the first from 0 that found it, when last searched (python -m bench.rules --mutants)
+    file: str  # in cherrycove/scheduling
+    guard: str  # source text, which occurs exactly once in the file
+    replacement: str
+    rule: str  # the rule that is violated without the guard
+    seed: int  # the first seed from 0 that detected it (python -m bench.rules --mutants)
 
 
 MUTANTS = (
     Mutant(
-        "a cell is one shard's",
+        "repeats stay within their shard",
         "retry_safety.py",
         "return (node.shard, node.incarnation) == (ran.shard, ran.incarnation)",
         "return True",
@@ -36,16 +36,16 @@
         18,
     ),
     Mutant(
-        "another life is another node",
+        "a restarted node counts as another node",
         "retry_safety.py",
         "return (node.shard, node.incarnation) == (ran.shard, ran.incarnation)",
         "return node.shard == ran.shard",
         "duplicate",
         18,
     ),
-    Mutant("repeats within their window", "retry_safety.py", "or when > ran.until", "", "duplicate", 16),
+    Mutant("repeats stay within their window", "retry_safety.py", "or when > ran.until", "", "duplicate", 16),
     Mutant(
-        "repeats within their zone",
+        "repeats stay within their zone",
         "retry_safety.py",
         "return node.zone == ran.zone",
         "return True",
@@ -53,7 +53,7 @@
         27,
     ),
     Mutant(
-        "refused only where harmless",
+        "no refusal if an attempt may have run",
         "retry_safety.py",
         "return ran is None or cls.effect is Effect.SAFE or (",
         "return True or (",
@@ -61,7 +61,7 @@
         0,
     ),
     Mutant(
-        "no send once a node drains",
+        "no send to a draining node",
         "node_membership.py",
         "node.id, node.absence_reason = None, self._node_list.reason_absent(node.shard)",
         "node.absence_reason = self._node_list.reason_absent(node.shard)",
@@ -69,7 +69,7 @@
         0,
     ),
     Mutant(
-        "the limit's even part",
+        "a volume's limit is divided among hosts",
         "state.py",
         "self.plan.limit / self.hosts * part, self.plan.burst / self.hosts * part",
         "self.plan.limit, self.plan.burst",
@@ -77,16 +77,23 @@
         7,
     ),
     Mutant(
-        "the limit's store fills from the start",
+        "a volume's limit refills from the start on",
         "credits.py",
         "Volume(event.volume, plan, full, state.started, hosts)",
         "Volume(event.volume, plan, full, -1e9, hosts)",
         "limit",
         9,
     ),
-    Mutant("room on cold nodes", "slow_start.py", "if not self.is_cold(node, now):", "if True:", "cold", 17),
     Mutant(
-        "what a cold node has earned",
+        "capacity limit of cold nodes",
+        "slow_start.py",
+        "if not self.is_cold(node, now):",
+        "if True:",
+        "cold",
+        17,
+    ),
+    Mutant(
+        "capacity earned by a cold node",
         "slow_start.py",
         "SERVED_MULTIPLE_FRACTION = 0.5",
         "SERVED_MULTIPLE_FRACTION = 5.0",
@@ -94,7 +101,7 @@
         30,
     ),
     Mutant(
-        "the key's turn",
+        "requests of a key stay in order",
         "key_order.py",
         "request.waits_turn = len(chain) > 1",
         "request.waits_turn = False",
@@ -102,7 +109,7 @@
         6,
     ),
     Mutant(
-        "the budget of further attempts",
+        "retry budget",
         "retry_policy.py",
         "self._retried.total(now) + 1 <= allowed",
         "True",
@@ -110,7 +117,7 @@
         2,
     ),
     Mutant(
-        "as many attempts as may be",
+        "maximum number of attempts",
         "retry_policy.py",
         "if request.attempts >= self._state.settings.max_attempts:",
         "if False:",
@@ -118,7 +125,7 @@
         1,
     ),
     Mutant(
-        "an answer in time",
+        "answer by the deadline",
         "arrivals.py",
         "state.timers.schedule(request.deadline, self._attempts.retry, request)",
         "",
@@ -126,18 +133,21 @@
         22,
     ),
     Mutant(
-        "half of its time",
+        "answer without attempts by half of the time",
         "load_shedding.py",
         "if not request.done and not request.attempts:",
         "if False:",
-        "half",
+        "no-attempt",
         1,
     ),
 )
 
 
-def found_by(mutant: Mutant, seeds: range) -> str:
-    """The first of these seeds that finds a rule broken, and the rule; "none"."""
+def detected_by(mutant: Mutant, seeds: range) -> str:
+    """Return the first of these seeds that detects the mutant and the rule violated, or "none".
+
+    ValueError if the guard does not occur exactly once, RuntimeError if the run fails.
+    """
     with tempfile.TemporaryDirectory() as folder:
         for package in PACKAGES:
             shutil.copytree(
@@ -146,9 +156,9 @@
         file = Path(folder) / "cherrycove" / "scheduling" / mutant.file
         text = file.read_text(encoding="utf-8")
         if text.count(mutant.guard) != 1:
-            raise ValueError(f"{file.name} does not hold the guard of {mutant.name!r} just once")
-        file.write_text(text.replace(mutant.guard, mutant.instead), encoding="utf-8")
-        done = subprocess.run(
+            raise ValueError(f"{file.name} does not contain the guard of {mutant.name!r} exactly once")
+        file.write_text(text.replace(mutant.guard, mutant.replacement), encoding="utf-8")
+        completed = subprocess.run(
             [
                 sys.executable,
                 "-m",
@@ -163,6 +173,6 @@
             capture_output=True,
             text=True,
         )
-        if done.returncode not in (0, 1) or not done.stdout:
-            raise RuntimeError(done.stderr)
-        return done.stdout.strip()
+        if completed.returncode not in (0, 1) or not completed.stdout:
+            raise RuntimeError(completed.stderr)
+        return completed.stdout.strip()
--- a/bench/rules/play.py
+++ b/bench/rules/play.py
@@ -1,7 +1,7 @@
-"""Plays a drawn deployment: hosts with the real decision module, nodes that answer, err, die and come back.
+"""Simulates a random deployment: hosts with the real decision module, nodes that answer, fail and restart.
 
-It owns the world of one day in virtual time. It must never give a scheduler anything but its events, nor
-judge what one does: that is the checker's.
+It models everything outside the schedulers in virtual time. A scheduler receives nothing but its events; its
+actions are checked by the checker alone.
 """
 
 from __future__ import annotations
@@ -17,22 +17,22 @@
 from cherrycove.scheduling.scheduler import Scheduler
 from cherrycove.scheduling.state import SlidingWindowSum
 
-HOP = 0.0005  # s to a node and back
-DOWN = (0.02, 0.5)  # s that a dead node or host is away
-KINDS = (
+NETWORK_DELAY = 0.0005  # s to a node and back
+DOWNTIME = (0.02, 0.5)  # s until a failed node or host comes back
+OUTCOMES = (
     api.Outcome.SERVED,
     api.Outcome.ERROR,
     api.Outcome.FULL,
     api.Outcome.CONNECT_FAILED,
     api.Outcome.RESET,
     None,
-)  # None: silence
-AT_ONCE = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED)
+)  # None: no answer
+IMMEDIATE = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED)
 
 
 @dataclass(slots=True, eq=False)
-class Machine:
-    """One disk node, as it is; hosts hear of it later."""
+class SimulatedNode:
+    """Holds the true state of one disk node; hosts learn of a change later."""
 
     entry: api.Node
     up: bool = True
@@ -40,129 +40,150 @@
 
 
 class Host:
-    """One scheduler, its batches, timers and attempts, for one life."""
+    """Runs one scheduler from its start to its crash: batches, timers and attempts."""
 
-    def __init__(self, day: Day, number: int, recalled: api.RestartState | None = None) -> None:
+    def __init__(self, day: Day, number: int, restart_state: api.RestartState | None = None) -> None:
         self.day, self.number, self.clock = day, number, day.clock
-        self.scheduler = Scheduler(day.settings, day.dice.getrandbits(32))
+        self.scheduler = Scheduler(day.settings, day.rng.getrandbits(32))
         self.events: list[api.Event] = []
-        self.last, self.waking, self.up, self.subscribed = -inf, False, True, not day.settings.list_on_request
-        self.told_at = 0.0  # news comes in its order
+        self.last_tick, self.tick_scheduled, self.up, self.subscribed = (
+            -inf,
+            False,
+            True,
+            not day.settings.list_on_request,
+        )
+        self.last_update_at = 0.0  # delivery time of the latest node list update; updates arrive in order
         self.open: dict[int, api.RequestArrival] = {}
-        self.tries: dict[int, int] = {}  # attempts made, by request
-        self.out: dict[tuple[int, int], str] = {}
-        if day.of.lent:
-            self.push(api.CapacityPool(day.of.lent))
-        self.noted: api.RestartState | None = None  # what this life took down at some time
-        if recalled is not None:
-            self.push(recalled)
-        self.listed(api.ListKind.RESTORED)
+        self.attempt_counts: dict[int, int] = {}  # attempts made, by request
+        self.in_flight: dict[tuple[int, int], str] = {}
+        if day.deployment.lent_fraction:
+            self.push(api.CapacityPool(day.deployment.lent_fraction))
+        self.earlier_state: api.RestartState | None = None  # a restart state exported at an earlier time
+        if restart_state is not None:
+            self.push(restart_state)
+        self.push_node_list(api.ListKind.RESTORED)
 
     def push(self, event: api.Event) -> None:
         if not self.up:
             return
         self.events.append(event)
-        if not self.waking:
-            self.waking = True
-            self.clock.at(self.last + self.day.settings.tick, self.turn)
+        if not self.tick_scheduled:
+            self.tick_scheduled = True
+            self.clock.at(self.last_tick + self.day.settings.tick, self.tick)
 
-    def turn(self) -> None:
+    def tick(self) -> None:
         if not self.up:
             return
-        now = self.last = self.clock.now
-        self.waking, events, self.events = False, self.events, []
-        if self.day.memory_dice.random() < 0.05:
-            self.noted = self.scheduler.export_restart_state()
+        now = self.last_tick = self.clock.now
+        self.tick_scheduled, events, self.events = False, self.events, []
+        if self.day.restart_rng.random() < 0.05:
+            self.earlier_state = self.scheduler.export_restart_state()
         for event in events:
             if isinstance(event, api.NodeListUpdate):
-                self.day.checker.listed(self.number, now, event)
+                self.day.checker.on_node_list(self.number, now, event)
             elif isinstance(event, api.RequestArrival):
-                self.day.checker.arrived(self.number, now, event)
+                self.day.checker.on_arrival(self.number, now, event)
             elif isinstance(event, api.ClientDeparture):
-                self.day.checker.left(self.number, now, event.request)
+                self.day.checker.on_client_departure(self.number, now, event.request)
         for action in self.scheduler.handle(now, events):
-            node = self.day.checker.did(self.number, now, action)
-            self.act(action, node)
+            node = self.day.checker.check_action(self.number, now, action)
+            self.perform(action, node)
 
-    def act(self, action: api.Action, node: api.Node | None) -> None:
+    def perform(self, action: api.Action, node: api.Node | None) -> None:
         match action:
             case api.Send(request) if node is not None:
                 self.send(request, node)
             case api.Refuse(request, after):
-                self.answered(request, True, after)
+                self.on_answer(request, True, after)
             case api.Fail(request):
-                self.answered(request, False, 0.0)
+                self.on_answer(request, False, 0.0)
             case api.SetTimer(token, delay):
                 self.clock.at(self.clock.now + delay, self.push, api.TimerExpiry(token))
             case api.WatchNodes():
-                self.watch()
+                self.subscribe()
             case api.BorrowCapacity(name, units):
                 self.day.lend(self, name, units)
 
-    def watch(self) -> None:
-        self.clock.at(self.clock.now + self.day.dice.uniform(0.001, 0.2), self.watched)
+    def subscribe(self) -> None:
+        self.clock.at(self.clock.now + self.day.rng.uniform(0.001, 0.2), self.on_subscribed)
 
-    def watched(self) -> None:
-        self.subscribed = self.day.dice.random() < 0.7
+    def on_subscribed(self) -> None:
+        self.subscribed = self.day.rng.random() < 0.7
         if self.subscribed:
-            self.listed(api.ListKind.FULL)
-            self.clock.at(self.clock.now + self.day.dice.expovariate(0.5), self.unsubscribed)
+            self.push_node_list(api.ListKind.FULL)
+            self.clock.at(self.clock.now + self.day.rng.expovariate(0.5), self.on_unsubscribed)
         else:
             self.push(api.NodeListFailure())
 
-    def unsubscribed(self) -> None:
+    def on_unsubscribed(self) -> None:
         if self.subscribed:
             self.subscribed = False
             self.push(api.NodeListFailure())
 
-    def listed(self, kind: api.ListKind) -> None:
-        self.push(api.NodeListUpdate(self.day.version, kind, tuple(self.day.list.values())))
+    def push_node_list(self, kind: api.ListKind) -> None:
+        self.push(api.NodeListUpdate(self.day.version, kind, tuple(self.day.listed_nodes.values())))
 
-    def hear(self, news: api.NodeListUpdate) -> None:
-        """News that discovery has now; here it comes later, and never ahead of what came before."""
+    def on_node_update(self, update: api.NodeListUpdate) -> None:
+        """Deliver a node list update after a random delay, never ahead of an earlier update."""
         if self.subscribed:
-            late = self.day.dice.uniform(0.0, self.day.of.late_list)
-            self.told_at = max(self.told_at, self.clock.now + late)
-            self.clock.at(self.told_at, self.push, news)
+            late = self.day.rng.uniform(0.0, self.day.deployment.max_list_delay)
+            self.last_update_at = max(self.last_update_at, self.clock.now + late)
+            self.clock.at(self.last_update_at, self.push, update)
 
-    def take(self, event: api.RequestArrival) -> None:
+    def accept(self, event: api.RequestArrival) -> None:
         self.open[event.request] = event
         self.push(event)
-        if self.day.dice.random() < 0.02:
-            self.clock.at(self.clock.now + event.budget * self.day.dice.random(), self.leave, event.request)
+        if self.day.rng.random() < 0.02:
+            self.clock.at(
+                self.clock.now + event.budget * self.day.rng.random(), self.disconnect, event.request
+            )
 
-    def leave(self, request: int) -> None:
-        """The client goes before its answer."""
+    def disconnect(self, request: int) -> None:
+        """Disconnect the client if its request has no answer yet."""
         if self.up and self.open.pop(request, None) is not None:
             self.push(api.ClientDeparture(request))
 
-    def answered(self, request: int, refused: bool, after: float) -> None:
+    def on_answer(self, request: int, refused: bool, after: float) -> None:
         event = self.open.pop(request, None)
         if event is not None and refused:
-            self.day.again(event, self.number, after)
+            self.day.retry(event, self.number, after)
 
     def send(self, request: int, node: api.Node) -> None:
-        dice, now, number = self.day.dice, self.clock.now, self.tries.get(request, 0)
-        self.tries[request] = number + 1
-        self.out[request, number] = node.id
-        machine, sent = self.day.machines.get(node.id), now
+        rng, now, number = self.day.rng, self.clock.now, self.attempt_counts.get(request, 0)
+        self.attempt_counts[request] = number + 1
+        self.in_flight[request, number] = node.id
+        target, sent = self.day.nodes.get(node.id), now
         event = self.open.get(request)
-        until = self.day.ends.get((self.number, request), now)
-        self.clock.at(until, self.end, request, number, api.Outcome.TIMEOUT, sent, 0.0)
-        if machine is None or not machine.up:
-            return self.clock.at(now + HOP, self.end, request, number, api.Outcome.CONNECT_FAILED, sent, 0.0)
-        if machine.silent:
+        until = self.day.deadlines.get((self.number, request), now)
+        self.clock.at(until, self.on_attempt_end, request, number, api.Outcome.TIMEOUT, sent, 0.0)
+        if target is None or not target.up:
+            return self.clock.at(
+                now + NETWORK_DELAY,
+                self.on_attempt_end,
+                request,
+                number,
+                api.Outcome.CONNECT_FAILED,
+                sent,
+                0.0,
+            )
+        if target.silent:
             return
-        outcome = dice.choices(KINDS, self.day.of.answers)[0]
+        outcome = rng.choices(OUTCOMES, self.day.deployment.outcome_weights)[0]
         if event is not None and event.shard not in (None, node.shard):
             outcome = api.Outcome.NOT_EXECUTED
         if outcome is not None:
-            took = HOP if outcome in AT_ONCE else HOP + dice.expovariate(1 / self.day.of.work)
+            took = (
+                NETWORK_DELAY
+                if outcome in IMMEDIATE
+                else NETWORK_DELAY + rng.expovariate(1 / self.day.deployment.service_time)
+            )
             units = event.units if event is not None else 0.0
-            self.clock.at(now + took, self.end, request, number, outcome, sent, units)
+            self.clock.at(now + took, self.on_attempt_end, request, number, outcome, sent, units)
 
-    def end(self, request: int, number: int, outcome: api.Outcome, sent: float, units: float) -> None:
-        name = self.out.pop((request, number), None)
+    def on_attempt_end(
+        self, request: int, number: int, outcome: api.Outcome, sent: float, units: float
+    ) -> None:
+        name = self.in_flight.pop((request, number), None)
         if name is None or not self.up:
             return
         day, s = self.day, self.day.settings
@@ -174,195 +195,229 @@
             outcome,
             closed,
             self.clock.now - sent,
-            day.dice.uniform(0.0, 2.0) if s.meter_period and day.dice.random() < 0.5 else None,
-            units * day.dice.random() if s.tells_elsewhere else 0.0,
+            day.rng.uniform(0.0, 2.0) if s.meter_period and day.rng.random() < 0.5 else None,
+            units * day.rng.random() if s.tells_elsewhere else 0.0,
             # Some answers lack the report that the settings promise.
-            {each: day.dice.uniform(0.0, 1.0) for each in s.load_names} if request % 5 else {},
+            {each: day.rng.uniform(0.0, 1.0) for each in s.load_names} if request % 5 else {},
         )
-        day.checker.ended(self.number, self.clock.now, event)
+        day.checker.on_attempt_end(self.number, self.clock.now, event)
         if outcome is api.Outcome.SERVED:
             self.open.pop(request, None)
         self.push(event)
 
-    def broke(self, name: str) -> None:
-        """A node has died: whatever is out at it is reset."""
-        for (request, number), at in list(self.out.items()):
+    def on_node_crash(self, name: str) -> None:
+        """Reset the attempts that are in flight at a crashed node."""
+        for (request, number), at in list(self.in_flight.items()):
             if at == name:
-                self.end(request, number, api.Outcome.RESET, self.clock.now, 0.0)
+                self.on_attempt_end(request, number, api.Outcome.RESET, self.clock.now, 0.0)
 
-    def die(self) -> None:
+    def crash(self) -> None:
         self.up = False
-        self.day.checker.died(self.number)
-        self.clock.at(self.clock.now + self.day.dice.uniform(*DOWN), self.day.start, self.number, self.left())
-
-    def left(self) -> api.RestartState | None:
-        """What the next life finds: all that this one knew, something older, a lie, or nothing."""
-        dice = self.day.memory_dice
-        whole, older = dice.random() < 0.4, dice.random() < 0.7
-        if whole:
+        self.day.checker.on_host_crash(self.number)
+        self.clock.at(
+            self.clock.now + self.day.rng.uniform(*DOWNTIME),
+            self.day.restart_host,
+            self.number,
+            self.next_restart_state(),
+        )
+
+    def next_restart_state(self) -> api.RestartState | None:
+        """Return the restart state for the next start: current, older, falsified or None."""
+        rng = self.day.restart_rng
+        current, older = rng.random() < 0.4, rng.random() < 0.7
+        if current:
             return replace(self.scheduler.export_restart_state(), whole=True)
-        if not older or self.noted is None:
+        if not older or self.earlier_state is None:
             return None
-        if dice.random() < 0.5:
-            return self.noted
+        if rng.random() < 0.5:
+            return self.earlier_state
         return replace(
-            self.noted,
+            self.earlier_state,
             nodes=tuple(
                 replace(node, threshold=1000.0, sent=0.0, mean_latency_s=1e-6, draw_window=-1)
-                for node in self.noted.nodes
+                for node in self.earlier_state.nodes
             ),
-            volumes=tuple(replace(each, credits=1000.0) for each in self.noted.volumes),
+            volumes=tuple(replace(each, credits=1000.0) for each in self.earlier_state.volumes),
         )
 
 
 class Day:
-    """One deployment, played to its end."""
-
-    def __init__(self, of: Deployment) -> None:
-        self.of, self.settings, self.dice, self.clock = of, of.settings, random.Random(of.seed), Clock()
-        self.memory_dice = random.Random(of.seed + 1)  # of its own: the days stay as they were
-        self.clock.now = self.dice.choice((0.0, 1e5))
-        self.until = self.clock.now + of.seconds
-        self.checker = Checker(of.settings, of.lent)
-        self.version, self.serial, self.births = 1, 0, 0
-        self.ends: dict[tuple[int, int], float] = {}
+    """Simulates one deployment to its end."""
+
+    def __init__(self, deployment: Deployment) -> None:
+        self.deployment, self.settings, self.rng, self.clock = (
+            deployment,
+            deployment.settings,
+            random.Random(deployment.seed),
+            Clock(),
+        )
+        # A separate generator, so that its draws do not change the rest of a simulation.
+        self.restart_rng = random.Random(deployment.seed + 1)
+        self.clock.now = self.rng.choice((0.0, 1e5))
+        self.until = self.clock.now + deployment.seconds
+        self.checker = Checker(deployment.settings, deployment.lent_fraction)
+        self.version, self.serial, self.created_nodes = 1, 0, 0
+        self.deadlines: dict[tuple[int, int], float] = {}
         self.loans: dict[str, SlidingWindowSum] = {}
-        self.machines: dict[str, Machine] = {}
-        self.list: dict[str, api.Node] = {}
-        for shard in range(of.nodes):
-            for _ in range(2 if of.twins and shard % 2 else 1):
-                self._born(shard, None)
-        self.homes = [[self.dice.randrange(of.nodes) for _ in range(3)] for _ in range(of.volumes)]
-        self.sets = [
-            self.dice.sample(
-                range(of.settings.schedulers), self.dice.randint(1, min(3, of.settings.schedulers))
+        self.nodes: dict[str, SimulatedNode] = {}
+        self.listed_nodes: dict[str, api.Node] = {}
+        for shard in range(deployment.shards):
+            for _ in range(2 if deployment.paired_nodes and shard % 2 else 1):
+                self._add_node(shard, None)
+        self.volume_shards = [
+            [self.rng.randrange(deployment.shards) for _ in range(3)] for _ in range(deployment.volumes)
+        ]
+        self.volume_hosts = [
+            self.rng.sample(
+                range(deployment.settings.schedulers),
+                self.rng.randint(1, min(3, deployment.settings.schedulers)),
             )
-            for _ in range(of.volumes)
+            for _ in range(deployment.volumes)
         ]
-        self.hosts = [Host(self, number) for number in range(of.settings.schedulers)]
+        self.hosts = [Host(self, number) for number in range(deployment.settings.schedulers)]
 
     def play(self) -> list[tuple[str, str]]:
-        for volume in range(self.of.volumes):
-            self.clock.at(self.clock.now + self.dice.expovariate(1 / self.of.gap), self.ask, volume)
-        for rate, what in ((self.of.crashes, self.crash), (self.of.deaths, self.kill)):
+        for volume in range(self.deployment.volumes):
+            self.clock.at(
+                self.clock.now + self.rng.expovariate(1 / self.deployment.gap), self.send_requests, volume
+            )
+        for rate, callback in (
+            (self.deployment.crashes, self.fail_node),
+            (self.deployment.host_crashes, self.crash_host),
+        ):
             if rate:
-                self.clock.at(self.clock.now + self.dice.expovariate(rate), what)
+                self.clock.at(self.clock.now + self.rng.expovariate(rate), callback)
         longest = max(cls.deadline for cls in self.settings.classes)
-        end = self.until + 3 * longest + 1.0  # the last repeat begins a whole time behind the last request
+        # The last retry may start a whole deadline after the last request.
+        end = self.until + 3 * longest + 1.0
         self.clock.run(end)
-        self.checker.over(end)
-        return self.checker.broken
-
-    def _born(self, shard: int, started: float | None) -> api.Node:
-        self.births += 1
-        node = api.Node(f"s{shard}-{self.births}", shard, shard % self.of.zones, 1.0, started)
-        self.machines[node.id] = Machine(node)
-        self.list[node.id] = node
+        self.checker.finish(end)
+        return self.checker.violations
+
+    def _add_node(self, shard: int, started: float | None) -> api.Node:
+        self.created_nodes += 1
+        node = api.Node(f"s{shard}-{self.created_nodes}", shard, shard % self.deployment.zones, 1.0, started)
+        self.nodes[node.id] = SimulatedNode(node)
+        self.listed_nodes[node.id] = node
         return node
 
-    def ask(self, volume: int) -> None:
+    def send_requests(self, volume: int) -> None:
         if self.clock.now > self.until:
             return
-        dice, s = self.dice, self.settings
-        cls = dice.randrange(len(s.classes))
-        shard = None if dice.random() < 0.25 else dice.choice(self.homes[volume])
-        for number in range(dice.choice((1, 1, 1, 4))):
-            units = float(dice.randint(1, int(s.max_units)))
-            key = f"{volume}-{dice.randrange(4)}" if dice.random() < 0.8 else None
-            budget = s.classes[cls].deadline * dice.choice((1.0, 1.0, 1.0, dice.random()))
+        rng, s = self.rng, self.settings
+        cls = rng.randrange(len(s.classes))
+        shard = None if rng.random() < 0.25 else rng.choice(self.volume_shards[volume])
+        for number in range(rng.choice((1, 1, 1, 4))):
+            units = float(rng.randint(1, int(s.max_units)))
+            key = f"{volume}-{rng.randrange(4)}" if rng.random() < 0.8 else None
+            budget = s.classes[cls].deadline * rng.choice((1.0, 1.0, 1.0, rng.random()))
             event = api.RequestArrival(
-                0, cls, volume % len(s.plans), f"v{volume}", units, shard, len(self.sets[volume]), budget, key
+                0,
+                cls,
+                volume % len(s.plans),
+                f"v{volume}",
+                units,
+                shard,
+                len(self.volume_hosts[volume]),
+                budget,
+                key,
+            )
+            self.clock.at(
+                self.clock.now + 0.002 * number, self.deliver, event, rng.choice(self.volume_hosts[volume])
             )
-            self.clock.at(self.clock.now + 0.002 * number, self.bring, event, dice.choice(self.sets[volume]))
-        self.clock.at(self.clock.now + dice.expovariate(1 / self.of.gap), self.ask, volume)
+        self.clock.at(self.clock.now + rng.expovariate(1 / self.deployment.gap), self.send_requests, volume)
 
-    def bring(self, event: api.RequestArrival, host: int) -> None:
+    def deliver(self, event: api.RequestArrival, host: int) -> None:
         if self.hosts[host].up:
             self.serial += 1
             event = replace(event, request=self.serial)
-            # The module's turn is a tick later at most, and its client's time runs from then on.
-            self.ends[host, event.request] = self.clock.now + event.budget
-            self.hosts[host].take(event)
+            # The module handles the request at most one tick later, and the client's time runs from then on.
+            self.deadlines[host, event.request] = self.clock.now + event.budget
+            self.hosts[host].accept(event)
 
-    def again(self, event: api.RequestArrival, host: int, after: float) -> None:
-        """A refused client's repeat: a new request with what is left of its time."""
+    def retry(self, event: api.RequestArrival, host: int, after: float) -> None:
+        """Maybe retry a refused request, as a new request with the remaining time."""
         left = event.budget - after - 0.05
-        if left > 0.02 and self.dice.random() < self.of.retries:
+        if left > 0.02 and self.rng.random() < self.deployment.retry_fraction:
             self.clock.at(
-                self.clock.now + max(after, 0.01), self.bring, replace(event, budget=left, repeat=True), host
+                self.clock.now + max(after, 0.01),
+                self.deliver,
+                replace(event, budget=left, repeat=True),
+                host,
             )
 
     def lend(self, host: Host, name: str, units: float) -> None:
-        """What peers lend of a node's room within the rule's window, by datagrams of which some are lost."""
+        """Lend a host part of a cold node's capacity per window; some requests and answers are lost."""
         s, now = self.settings, self.clock.now
-        book = self.loans.setdefault(
-            name, SlidingWindowSum(2 * s.fall_window)
-        )  # a loan, and what is sent on it
-        if self.dice.random() < 0.1 or book.total(now) + units > self.of.lent * s.cold_units:
+        # The period covers a loan and what is sent on it.
+        book = self.loans.setdefault(name, SlidingWindowSum(2 * s.fall_window))
+        if self.rng.random() < 0.1 or book.total(now) + units > self.deployment.lent_fraction * s.cold_units:
             return
         book.add(now, units)
-        if self.dice.random() >= 0.1:
+        if self.rng.random() >= 0.1:
             self.clock.at(
-                now + self.dice.uniform(0.001, 0.02),
+                now + self.rng.uniform(0.001, 0.02),
                 host.push,
                 api.CapacityLoan(name, units, s.fall_window / 2),
             )
 
-    def news(self, *nodes: api.Node) -> None:
+    def publish(self, *nodes: api.Node) -> None:
         self.version += 1
         for node in nodes:
             if node.state is api.NodeState.GONE:
-                self.list.pop(node.id, None)
+                self.listed_nodes.pop(node.id, None)
             else:
-                self.list[node.id] = node
-        told = api.NodeListUpdate(self.version, api.ListKind.CHANGES, nodes)
+                self.listed_nodes[node.id] = node
+        update = api.NodeListUpdate(self.version, api.ListKind.CHANGES, nodes)
         for host in self.hosts:
             if host.up:
-                host.hear(told)
+                host.on_node_update(update)
 
-    def crash(self) -> None:
-        """A node dies, falls silent, or is drained; later it, or another in its place, comes back cold."""
-        dice, now = self.dice, self.clock.now
+    def fail_node(self) -> None:
+        """Crash, silence or drain a node; later it, or a replacement, comes back cold."""
+        rng, now = self.rng, self.clock.now
         if now < self.until:
-            self.clock.at(now + dice.expovariate(self.of.crashes), self.crash)
-        up = [machine for machine in self.machines.values() if machine.up and not machine.silent]
+            self.clock.at(now + rng.expovariate(self.deployment.crashes), self.fail_node)
+        up = [node for node in self.nodes.values() if node.up and not node.silent]
         if not up:
             return
-        victim, how = dice.choice(up), dice.choice(("dies", "silent", "drains"))
+        victim, how = rng.choice(up), rng.choice(("dies", "silent", "drains"))
         if how == "drains":
-            self.news(replace(victim.entry, state=api.NodeState.DRAINING))
+            self.publish(replace(victim.entry, state=api.NodeState.DRAINING))
         elif how == "silent":
             victim.silent = True
         else:
-            self.down(victim)
-        self.clock.at(now + dice.uniform(*DOWN), self.back, victim, dice.random() < 0.5)
+            self.stop_node(victim)
+        self.clock.at(now + rng.uniform(*DOWNTIME), self.restore_node, victim, rng.random() < 0.5)
 
-    def down(self, victim: Machine) -> None:
+    def stop_node(self, victim: SimulatedNode) -> None:
         victim.up = False
         for host in self.hosts:
-            host.broke(victim.entry.id)
+            host.on_node_crash(victim.entry.id)
 
-    def back(self, victim: Machine, same: bool) -> None:
-        if victim.entry.id not in self.machines:
-            return  # another took its place meanwhile
+    def restore_node(self, victim: SimulatedNode, same: bool) -> None:
+        if victim.entry.id not in self.nodes:
+            return  # it has been replaced meanwhile
         now, gone = self.clock.now, replace(victim.entry, state=api.NodeState.GONE)
         if victim.up:
-            self.down(victim)
+            self.stop_node(victim)
         if same:
             victim.entry = replace(victim.entry, started=max(now, 1e-6))
             victim.up, victim.silent = True, False
-            self.news(victim.entry)
+            self.publish(victim.entry)
         else:
-            del self.machines[victim.entry.id]
-            self.list.pop(victim.entry.id, None)
-            self.news(gone, self._born(victim.entry.shard, max(now, 1e-6)))
+            del self.nodes[victim.entry.id]
+            self.listed_nodes.pop(victim.entry.id, None)
+            self.publish(gone, self._add_node(victim.entry.shard, max(now, 1e-6)))
 
-    def kill(self) -> None:
+    def crash_host(self) -> None:
         if self.clock.now < self.until:
-            self.clock.at(self.clock.now + self.dice.expovariate(self.of.deaths), self.kill)
+            self.clock.at(
+                self.clock.now + self.rng.expovariate(self.deployment.host_crashes), self.crash_host
+            )
         up = [host for host in self.hosts if host.up]
         if up:
-            self.dice.choice(up).die()
+            self.rng.choice(up).crash()
 
-    def start(self, number: int, recalled: api.RestartState | None) -> None:
-        self.hosts[number] = Host(self, number, recalled)
+    def restart_host(self, number: int, restart_state: api.RestartState | None) -> None:
+        self.hosts[number] = Host(self, number, restart_state)
