--- a/bench/rules/__main__.py
+++ b/bench/rules/__main__.py
@@ -16,12 +16,12 @@
 
 from bench.rules.draw import draw
 from bench.rules.mutants import MUTANTS, detected_by
-from bench.rules.play import Day
+from bench.rules.simulation import Simulation
 
 
 def run_seed(seed: int) -> tuple[int, list[tuple[str, str]]]:
     try:
-        return seed, Day(draw(seed)).play()
+        return seed, Simulation(draw(seed)).run()
     except Exception as error:  # any exception of the module counts as a violation
         return seed, [("crash", f"{type(error).__name__}: {error}")]
 
--- a/bench/rules/play.py
+++ b/bench/rules/simulation.py
@@ -42,22 +42,24 @@
 class Host:
     """Runs one scheduler from its start to its crash: batches, timers and attempts."""
 
-    def __init__(self, day: Day, number: int, restart_state: api.RestartState | None = None) -> None:
-        self.day, self.number, self.clock = day, number, day.clock
-        self.scheduler = Scheduler(day.settings, day.rng.getrandbits(32))
+    def __init__(
+        self, simulation: Simulation, number: int, restart_state: api.RestartState | None = None
+    ) -> None:
+        self.simulation, self.number, self.clock = simulation, number, simulation.clock
+        self.scheduler = Scheduler(simulation.settings, simulation.rng.getrandbits(32))
         self.events: list[api.Event] = []
         self.last_tick, self.tick_scheduled, self.up, self.subscribed = (
             -inf,
             False,
             True,
-            not day.settings.list_on_request,
+            not simulation.settings.list_on_request,
         )
         self.last_update_at = 0.0  # delivery time of the latest node list update; updates arrive in order
         self.open: dict[int, api.RequestArrival] = {}
         self.attempt_counts: dict[int, int] = {}  # attempts made, by request
         self.in_flight: dict[tuple[int, int], str] = {}
-        if day.deployment.lent_fraction:
-            self.push(api.CapacityPool(day.deployment.lent_fraction))
+        if simulation.deployment.lent_fraction:
+            self.push(api.CapacityPool(simulation.deployment.lent_fraction))
         self.earlier_state: api.RestartState | None = None  # a restart state exported at an earlier time
         if restart_state is not None:
             self.push(restart_state)
@@ -69,24 +71,24 @@
         self.events.append(event)
         if not self.tick_scheduled:
             self.tick_scheduled = True
-            self.clock.at(self.last_tick + self.day.settings.tick, self.tick)
+            self.clock.at(self.last_tick + self.simulation.settings.tick, self.tick)
 
     def tick(self) -> None:
         if not self.up:
             return
         now = self.last_tick = self.clock.now
         self.tick_scheduled, events, self.events = False, self.events, []
-        if self.day.restart_rng.random() < 0.05:
+        if self.simulation.restart_rng.random() < 0.05:
             self.earlier_state = self.scheduler.export_restart_state()
         for event in events:
             if isinstance(event, api.NodeListUpdate):
-                self.day.checker.on_node_list(self.number, now, event)
+                self.simulation.checker.on_node_list(self.number, now, event)
             elif isinstance(event, api.RequestArrival):
-                self.day.checker.on_arrival(self.number, now, event)
+                self.simulation.checker.on_arrival(self.number, now, event)
             elif isinstance(event, api.ClientDeparture):
-                self.day.checker.on_client_departure(self.number, now, event.request)
+                self.simulation.checker.on_client_departure(self.number, now, event.request)
         for action in self.scheduler.handle(now, events):
-            node = self.day.checker.check_action(self.number, now, action)
+            node = self.simulation.checker.check_action(self.number, now, action)
             self.perform(action, node)
 
     def perform(self, action: api.Action, node: api.Node | None) -> None:
@@ -102,16 +104,16 @@
             case api.WatchNodes():
                 self.subscribe()
             case api.BorrowCapacity(name, units):
-                self.day.lend(self, name, units)
+                self.simulation.lend(self, name, units)
 
     def subscribe(self) -> None:
-        self.clock.at(self.clock.now + self.day.rng.uniform(0.001, 0.2), self.on_subscribed)
+        self.clock.at(self.clock.now + self.simulation.rng.uniform(0.001, 0.2), self.on_subscribed)
 
     def on_subscribed(self) -> None:
-        self.subscribed = self.day.rng.random() < 0.7
+        self.subscribed = self.simulation.rng.random() < 0.7
         if self.subscribed:
             self.push_node_list(api.ListKind.FULL)
-            self.clock.at(self.clock.now + self.day.rng.expovariate(0.5), self.on_unsubscribed)
+            self.clock.at(self.clock.now + self.simulation.rng.expovariate(0.5), self.on_unsubscribed)
         else:
             self.push(api.NodeListFailure())
 
@@ -121,21 +123,23 @@
             self.push(api.NodeListFailure())
 
     def push_node_list(self, kind: api.ListKind) -> None:
-        self.push(api.NodeListUpdate(self.day.version, kind, tuple(self.day.listed_nodes.values())))
+        self.push(
+            api.NodeListUpdate(self.simulation.version, kind, tuple(self.simulation.listed_nodes.values()))
+        )
 
     def on_node_update(self, update: api.NodeListUpdate) -> None:
         """Deliver a node list update after a random delay, never ahead of an earlier update."""
         if self.subscribed:
-            late = self.day.rng.uniform(0.0, self.day.deployment.max_list_delay)
+            late = self.simulation.rng.uniform(0.0, self.simulation.deployment.max_list_delay)
             self.last_update_at = max(self.last_update_at, self.clock.now + late)
             self.clock.at(self.last_update_at, self.push, update)
 
     def accept(self, event: api.RequestArrival) -> None:
         self.open[event.request] = event
         self.push(event)
-        if self.day.rng.random() < 0.02:
+        if self.simulation.rng.random() < 0.02:
             self.clock.at(
-                self.clock.now + event.budget * self.day.rng.random(), self.disconnect, event.request
+                self.clock.now + event.budget * self.simulation.rng.random(), self.disconnect, event.request
             )
 
     def disconnect(self, request: int) -> None:
@@ -146,15 +150,15 @@
     def on_answer(self, request: int, refused: bool, after: float) -> None:
         event = self.open.pop(request, None)
         if event is not None and refused:
-            self.day.retry(event, self.number, after)
+            self.simulation.retry(event, self.number, after)
 
     def send(self, request: int, node: api.Node) -> None:
-        rng, now, number = self.day.rng, self.clock.now, self.attempt_counts.get(request, 0)
+        rng, now, number = self.simulation.rng, self.clock.now, self.attempt_counts.get(request, 0)
         self.attempt_counts[request] = number + 1
         self.in_flight[request, number] = node.id
-        target, sent = self.day.nodes.get(node.id), now
+        target, sent = self.simulation.nodes.get(node.id), now
         event = self.open.get(request)
-        until = self.day.deadlines.get((self.number, request), now)
+        until = self.simulation.deadlines.get((self.number, request), now)
         self.clock.at(until, self.on_attempt_end, request, number, api.Outcome.TIMEOUT, sent, 0.0)
         if target is None or not target.up:
             return self.clock.at(
@@ -168,14 +172,14 @@
             )
         if target.silent:
             return
-        outcome = rng.choices(OUTCOMES, self.day.deployment.outcome_weights)[0]
+        outcome = rng.choices(OUTCOMES, self.simulation.deployment.outcome_weights)[0]
         if event is not None and event.shard not in (None, node.shard):
             outcome = api.Outcome.NOT_EXECUTED
         if outcome is not None:
             took = (
                 NETWORK_DELAY
                 if outcome in IMMEDIATE
-                else NETWORK_DELAY + rng.expovariate(1 / self.day.deployment.service_time)
+                else NETWORK_DELAY + rng.expovariate(1 / self.simulation.deployment.service_time)
             )
             units = event.units if event is not None else 0.0
             self.clock.at(now + took, self.on_attempt_end, request, number, outcome, sent, units)
@@ -186,7 +190,7 @@
         name = self.in_flight.pop((request, number), None)
         if name is None or not self.up:
             return
-        day, s = self.day, self.day.settings
+        simulation, s = self.simulation, self.simulation.settings
         closed = request not in self.open or outcome is api.Outcome.SERVED
         event = api.AttemptEnd(
             request,
@@ -195,12 +199,12 @@
             outcome,
             closed,
             self.clock.now - sent,
-            day.rng.uniform(0.0, 2.0) if s.meter_period and day.rng.random() < 0.5 else None,
-            units * day.rng.random() if s.tells_elsewhere else 0.0,
+            simulation.rng.uniform(0.0, 2.0) if s.meter_period and simulation.rng.random() < 0.5 else None,
+            units * simulation.rng.random() if s.tells_elsewhere else 0.0,
             # Some answers lack the report that the settings promise.
-            {each: day.rng.uniform(0.0, 1.0) for each in s.load_names} if request % 5 else {},
+            {each: simulation.rng.uniform(0.0, 1.0) for each in s.load_names} if request % 5 else {},
         )
-        day.checker.on_attempt_end(self.number, self.clock.now, event)
+        simulation.checker.on_attempt_end(self.number, self.clock.now, event)
         if outcome is api.Outcome.SERVED:
             self.open.pop(request, None)
         self.push(event)
@@ -213,17 +217,17 @@
 
     def crash(self) -> None:
         self.up = False
-        self.day.checker.on_host_crash(self.number)
+        self.simulation.checker.on_host_crash(self.number)
         self.clock.at(
-            self.clock.now + self.day.rng.uniform(*DOWNTIME),
-            self.day.restart_host,
+            self.clock.now + self.simulation.rng.uniform(*DOWNTIME),
+            self.simulation.restart_host,
             self.number,
             self.next_restart_state(),
         )
 
     def next_restart_state(self) -> api.RestartState | None:
         """Return the restart state for the next start: current, older, falsified or None."""
-        rng = self.day.restart_rng
+        rng = self.simulation.restart_rng
         current, older = rng.random() < 0.4, rng.random() < 0.7
         if current:
             return replace(self.scheduler.export_restart_state(), whole=True)
@@ -241,7 +245,7 @@
         )
 
 
-class Day:
+class Simulation:
     """Simulates one deployment to its end."""
 
     def __init__(self, deployment: Deployment) -> None:
@@ -276,7 +280,7 @@
         ]
         self.hosts = [Host(self, number) for number in range(deployment.settings.schedulers)]
 
-    def play(self) -> list[tuple[str, str]]:
+    def run(self) -> list[tuple[str, str]]:
         for volume in range(self.deployment.volumes):
             self.clock.at(
                 self.clock.now + self.rng.expovariate(1 / self.deployment.gap), self.send_requests, volume
--- a/tests/golden_broker.py
+++ b/tests/golden_broker.py
@@ -27,7 +27,7 @@
 import click.testing
 
 import cherrycove.__main__
-from bench.rules import draw, play
+from bench.rules import draw, simulation
 from cherrycove.broker import admin, config, consul, core, nbd
 from cherrycove.broker import local_codes as codes
 from cherrycove.broker import shared_map as store
@@ -409,8 +409,8 @@
             self.recording.calls.append((now, plain, self.said))
             return acts
 
-    with mock.patch.object(play, "Scheduler", Recorded):
-        play.Day(dataclasses.replace(draw.draw(seed), **day)).play()  # type: ignore[arg-type]  # ``day`` names its fields
+    with mock.patch.object(simulation, "Scheduler", Recorded):
+        simulation.Simulation(dataclasses.replace(draw.draw(seed), **day)).run()  # type: ignore[arg-type]  # ``day`` names its fields
     for recording, scheduler in recordings:
         recording.known = to_plain(
             [
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -19,7 +19,7 @@
 from support import RAW, ROOT, Node, answer, message, run
 
 from bench.rules.draw import draw
-from bench.rules.play import Day
+from bench.rules.simulation import Simulation
 from cherrycove.broker import config
 from cherrycove.scheduling import settings_check as known
 
@@ -118,7 +118,7 @@
                 for plan in whole.plans
             ),
         )
-        if words := Day(replace(day, settings=theirs)).play():
+        if words := Simulation(replace(day, settings=theirs)).run():
             broken[seed] = words
     assert not broken
 
