--- a/bench/many/__init__.py
+++ b/bench/many/__init__.py
@@ -1,1 +1,1 @@
-"""Many real brokers on loopback, with links and faults between them, measured from outside."""
+"""Runs many real brokers on loopback behind proxies that inject faults, and measures them from outside."""
--- a/bench/many/stands.py
+++ b/bench/many/fakes.py
@@ -1,6 +1,6 @@
-"""Stand-ins for the parties round the brokers: disk nodes, discovery and clients, by the platform's protocol.
+"""Fakes of the parties around the brokers: disk nodes, discovery and clients, with the platform's protocol.
 
-It owns their books, from which alone a run is judged. It must never take a broker's word for anything.
+A run is judged by what they record alone, never by what a broker reports.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 
 Writer = asyncio.StreamWriter
 Headers = dict[str, str]
-USUAL_UNITS = 2.06  # of a request, in the mean
+USUAL_UNITS = 2.06  # mean units of a request
 
 
-async def head(reader: asyncio.StreamReader) -> tuple[str, Headers]:
-    """A message's first line and its headers; EOFError where the other side has ended."""
+async def read_head(reader: asyncio.StreamReader) -> tuple[str, Headers]:
+    """Return a message's first line and its headers; EOFError if the peer closes the connection first."""
     lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     return lines[0], {k.lower(): v for k, _, v in (line.partition(": ") for line in lines[1:] if line)}
 
 
 @dataclass(slots=True)
-class Sent:
-    """One request as it reached a node."""
+class NodeRequest:
+    """Records one request as a node received it."""
 
     at: float
     node: str
@@ -40,26 +40,26 @@
 
 
 class DiskNode:
-    """A node with so many cores, a queue and a cold start; every request that reaches it is in its book."""
+    """A node with ``cores`` cores, a bounded queue and a cold start; ``book`` lists the requests received."""
 
     def __init__(
         self,
         name: str,
         shard: int,
-        dice: random.Random,
+        rng: random.Random,
         work: float,
         cores: int = 2,
-        places: int = 64,
+        queue_limit: int = 64,
         cold: float = 0.2,
         warm_after: float = 8.0,
     ) -> None:
-        self.name, self.shard, self.cores, self.places = name, shard, cores, places
+        self.name, self.shard, self.cores, self.queue_limit = name, shard, cores, queue_limit
         self.work, self.cold, self.warm_after = work, cold, warm_after
-        self.life, self.started = 0, -inf  # of its last start, on the loop's clock
-        self.slower = 1.0  # times, for a machine that is sick
-        self.book: list[Sent] = []
+        self.life, self.started = 0, -inf  # ``started``: time of the last restart, on the loop's clock
+        self.slowdown = 1.0  # factor by which a degraded node is slower
+        self.book: list[NodeRequest] = []
         self.port = 0
-        self._dice = dice
+        self._rng = rng
         self._busy = 0
         self._queue: deque[asyncio.Future[None]] = deque()
         self._server: asyncio.Server | None = None
@@ -71,7 +71,7 @@
         return self
 
     def stop(self) -> None:
-        """The process dies: connections break, new ones are refused."""
+        """Stop the node: open connections are aborted and new ones refused."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._writers):
@@ -80,8 +80,8 @@
             waiter.cancel()
         self._queue.clear()
 
-    async def come_back(self) -> None:
-        """It starts anew, cold."""
+    async def restart(self) -> None:
+        """Start the node again, cold."""
         self.life += 1
         self._busy = 0
         self.started = asyncio.get_running_loop().time()
@@ -89,19 +89,19 @@
 
     def speed(self) -> float:
         age = asyncio.get_running_loop().time() - self.started
-        return min(self.cold + (1 - self.cold) * age / self.warm_after, 1.0) / self.slower
+        return min(self.cold + (1 - self.cold) * age / self.warm_after, 1.0) / self.slowdown
 
     async def _serve(self, reader: asyncio.StreamReader, writer: Writer) -> None:
         self._writers.add(writer)
         loop, life = asyncio.get_running_loop(), self.life
         try:
             while True:
-                first, headers = await head(reader)
+                first, headers = await read_head(reader)
                 await reader.readexactly(int(headers.get("content-length", 0)))
                 id = headers.get("x-request-id", "")
-                full = len(self._queue) >= self.places
+                full = len(self._queue) >= self.queue_limit
                 self.book.append(
-                    Sent(
+                    NodeRequest(
                         loop.time(),
                         self.name,
                         life,
@@ -114,8 +114,8 @@
                 if full:
                     writer.write(b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
                     continue
-                asked = first.partition("?units=")[2].split(" ")[0]  # told in the target
-                await self._run(life, float(asked or USUAL_UNITS) / USUAL_UNITS)
+                units = first.partition("?units=")[2].split(" ")[0]  # sent in the request target
+                await self._run(life, float(units or USUAL_UNITS) / USUAL_UNITS)
                 data = f"data of {id}".encode()
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(data) + data)
                 await writer.drain()
@@ -125,16 +125,16 @@
             self._writers.discard(writer)
             writer.close()
 
-    async def _run(self, life: int, heavy: float) -> None:
-        """Wait for a core, then use it. What runs as the node dies is over with it."""
+    async def _run(self, life: int, relative_work: float) -> None:
+        """Wait for a core, then use it. Work in progress does not outlive a stop of the node."""
         if self._busy >= self.cores:
             waiter = asyncio.get_running_loop().create_future()
             self._queue.append(waiter)
-            await waiter  # the core is handed over
+            await waiter  # the previous request passes its core on
         else:
             self._busy += 1
         try:
-            await asyncio.sleep(self._dice.uniform(0.5, 1.5) * self.work * heavy / self.speed())
+            await asyncio.sleep(self._rng.uniform(0.5, 1.5) * self.work * relative_work / self.speed())
         finally:
             if life == self.life:
                 if self._queue:
@@ -144,18 +144,18 @@
 
 
 class Discovery:
-    """Tells each broker the list with its own links' addresses; admits so many calls a second."""
+    """Serves each broker the node list with the addresses of its own links; limits the calls per second."""
 
-    def __init__(self, calls_a_second: float = inf) -> None:
-        self.most = calls_a_second
+    def __init__(self, max_calls_per_second: float = inf) -> None:
+        self.most = max_calls_per_second
         self.silent = False
-        self.slow = 0.0  # s that each answer takes
+        self.slow = 0.0  # s by which each answer is delayed
         self.calls: list[tuple[float, str, int]] = []  # time, broker, status
-        self.answered: Counter[str] = Counter()  # answers written, by broker
+        self.answered: Counter[str] = Counter()  # answers sent, by broker
         self.index = 1
         self._entries: dict[str, dict[str, Any]] = {}
-        self._told: dict[str, int] = {}  # the version in which each entry last changed
-        self._news = asyncio.Event()
+        self._changed_at: dict[str, int] = {}  # the index at which each entry last changed
+        self._list_changed = asyncio.Event()
         self._recent: deque[float] = deque()
         self.address: Callable[[str, str], str] = lambda broker, node: ""
         self._servers: list[asyncio.Server] = []
@@ -171,26 +171,26 @@
             "weight": 1.0,
             "since_ms": since_ms,
         }
-        self._told[name] = self.index
-        self._news.set()
-        self._news = asyncio.Event()
+        self._changed_at[name] = self.index
+        self._list_changed.set()
+        self._list_changed = asyncio.Event()
 
     def list(self, broker: str, since: int = 0) -> dict[str, Any]:
-        """What a broker is told that knows the list as it was at ``since``; 0: the whole of it."""
+        """Return the list for a broker: the changes after index ``since``, or a full snapshot if it is 0."""
         entries = [
             entry | {"address": self.address(broker, name)}
             for name, entry in self._entries.items()
-            if self._told[name] > since and (since or entry["status"] != "removed")
+            if self._changed_at[name] > since and (since or entry["status"] != "removed")
         ]
         return {"index": self.index, "snapshot": not since, "endpoints": entries}
 
     async def listen(self, broker: str) -> int:
-        """An address for this broker alone; its port."""
+        """Open a listener for this broker alone; return its port."""
 
         async def serve(reader: asyncio.StreamReader, writer: Writer) -> None:
             with contextlib.suppress(EOFError, OSError, asyncio.CancelledError):
                 while True:
-                    first, _ = await head(reader)
+                    first, _ = await read_head(reader)
                     await self._answer(broker, first.split(" ")[1], writer)
             writer.close()
 
@@ -209,12 +209,12 @@
         if self.silent:
             await asyncio.Event().wait()
         await asyncio.sleep(self.slow)
-        asked = dict(part.partition("=")[::2] for part in target.partition("?")[2].split("&"))
-        since = int(asked.get("since") or 0)
+        query = dict(part.partition("=")[::2] for part in target.partition("?")[2].split("&"))
+        since = int(query.get("since") or 0)
         if status == 200 and since >= self.index:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(int(asked.get("timeout_ms") or 0) / 1000):
-                    await self._news.wait()
+                async with asyncio.timeout(int(query.get("timeout_ms") or 0) / 1000):
+                    await self._list_changed.wait()
         body = json.dumps(self.list(broker, since)).encode() if status == 200 else b""
         writer.write(b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n" % (status, len(body)) + body)
         await writer.drain()
@@ -227,33 +227,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Volume:
-    """Through which brokers it comes, the first of them most, and on which shards its data lies."""
+    """Describes a volume: the brokers that its requests use, mostly the first, and the shards of its data."""
 
     name: str
     plan: str
     brokers: tuple[int, ...]
     shards: tuple[int, ...]
-    rate: float  # units a second
+    rate: float  # units per second
 
 
-def volumes(settings: dict[str, Any], brokers: int, shards: int, dice: random.Random) -> list[Volume]:
-    """Six for each shard: three in five on the first plan, most of the others on the second; a quarter of
-    them ask for up to three times the rate that they are sized for."""
+def volumes(settings: dict[str, Any], brokers: int, shards: int, rng: random.Random) -> list[Volume]:
+    """Return six random volumes per shard.
+
+    60% are on the first plan and 28% on the second. A quarter of them request 1.5 to 3 times the rate that
+    they are sized for.
+    """
     plans, made = settings["policies"], []
     for number in range(6 * shards):
-        plan = plans[dice.choices(range(len(plans)), [0.6, 0.28, 0.12][: len(plans)])[0]]
-        greedy = dice.uniform(1.5, 3.0) if dice.random() < 0.25 else 1.0
-        through = dice.sample(range(brokers), min(dice.randint(1, 3), brokers))
-        at = dice.sample(range(shards), min(dice.randint(2, 6), shards))
+        plan = plans[rng.choices(range(len(plans)), [0.6, 0.28, 0.12][: len(plans)])[0]]
+        greedy = rng.uniform(1.5, 3.0) if rng.random() < 0.25 else 1.0
+        chosen_brokers = rng.sample(range(brokers), min(rng.randint(1, 3), brokers))
+        at = rng.sample(range(shards), min(rng.randint(2, 6), shards))
         made.append(
-            Volume(f"{number:016x}", plan["name"], tuple(through), tuple(at), plan["nominal"] * greedy)
+            Volume(f"{number:016x}", plan["name"], tuple(chosen_brokers), tuple(at), plan["nominal"] * greedy)
         )
     return made
 
 
 @dataclass(slots=True)
-class Asked:
-    """One client's request with all its tries, as the client saw it."""
+class ClientRequest:
+    """Records one request with all its attempts, as the client saw it."""
 
     at: float
     cls: str
@@ -261,26 +264,29 @@
     shard: int
     volume: Volume
     units: int
-    tries: int = 0
-    status: int = 0  # of the last answer; 0: none
-    took: float = inf
+    attempts: int = 0
+    status: int = 0  # of the last answer; 0: no answer
+    latency: float = inf
 
 
 @dataclass(slots=True, eq=False)
 class Clients:
-    """Open-loop clients: requests come at their times, whatever the brokers do. Each broker has its own
-    connections; a refused one comes again as ``retries`` and ``backoff`` say."""
+    """Open-loop clients: requests start at their times, however fast the brokers answer.
+
+    Connections are kept per broker. A refused request is retried up to ``retries`` times, after ``backoff``
+    seconds at least.
+    """
 
     settings: dict[str, Any]
-    ports: list[int]  # of the brokers, in order; a link's, where one stands between
-    dice: random.Random
+    ports: list[int]  # of the brokers, in order, or of the links in front of them
+    rng: random.Random
     volumes: list[Volume]
-    load: float = 1.0  # of what the volumes ask for
+    load: float = 1.0  # multiple of the rates of the volumes
     retries: int = 1
     backoff: float = 0.1
-    book: list[Asked] = field(default_factory=list)
+    requests: list[ClientRequest] = field(default_factory=list)
     statuses: Counter[int] = field(default_factory=Counter)
-    wrong: int = 0  # answers 200 with another body than a node made for that request
+    wrong: int = 0  # answers 200 whose body is not the one that a node made for the request
     _idle: dict[int, list[tuple[asyncio.StreamReader, Writer]]] = field(default_factory=dict)
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
     _serial: int = 0
@@ -290,82 +296,82 @@
         due, until = loop.time(), loop.time() + seconds
         rate = self.load * sum(each.rate for each in self.volumes) / USUAL_UNITS
         while due < until:
-            due += self.dice.expovariate(rate)
+            due += self.rng.expovariate(rate)
             await asyncio.sleep(max(due - loop.time(), 0.0))
-            self._ask()
+            self._start_request()
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=10.0)
 
-    def _ask(self) -> None:
-        cls = self.dice.choices(self.settings["classes"], [0.6, 0.3, 0.1][: len(self.settings["classes"])])[0]
-        volume = self.dice.choices(self.volumes, [each.rate for each in self.volumes])[0]
-        broker = volume.brokers[0] if self.dice.random() < 0.7 else self.dice.choice(volume.brokers)
-        units = min(1 + int(self.dice.expovariate(1 / 1.3)), self.settings["familyInfo"]["maxUnits"])
-        asked = Asked(
+    def _start_request(self) -> None:
+        cls = self.rng.choices(self.settings["classes"], [0.6, 0.3, 0.1][: len(self.settings["classes"])])[0]
+        volume = self.rng.choices(self.volumes, [each.rate for each in self.volumes])[0]
+        broker = volume.brokers[0] if self.rng.random() < 0.7 else self.rng.choice(volume.brokers)
+        units = min(1 + int(self.rng.expovariate(1 / 1.3)), self.settings["familyInfo"]["maxUnits"])
+        request = ClientRequest(
             asyncio.get_running_loop().time(),
             cls["name"],
             broker,
-            self.dice.choice(volume.shards),
+            self.rng.choice(volume.shards),
             volume,
             units,
         )
-        self.book.append(asked)
-        task = asyncio.create_task(self._see_through(asked, cls))
+        self.requests.append(request)
+        task = asyncio.create_task(self._run_request(request, cls))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _see_through(self, asked: Asked, cls: dict[str, Any]) -> None:
-        loop, deadline = asyncio.get_running_loop(), asked.at + cls["deadlineNs"] * 1e-9
-        while asked.tries <= self.retries and loop.time() < deadline:
-            asked.tries += 1
-            after = await self._try(asked, cls, deadline)
-            if asked.status == 200:
-                asked.took = loop.time() - asked.at
+    async def _run_request(self, request: ClientRequest, cls: dict[str, Any]) -> None:
+        loop, deadline = asyncio.get_running_loop(), request.at + cls["deadlineNs"] * 1e-9
+        while request.attempts <= self.retries and loop.time() < deadline:
+            request.attempts += 1
+            after = await self._attempt(request, cls, deadline)
+            if request.status == 200:
+                request.latency = loop.time() - request.at
                 return
             safe = cls["idempotency"] == "pure"
-            if asked.status not in (0, 429, 503) and not safe:
+            if request.status not in (0, 429, 503) and not safe:
                 return
             await asyncio.sleep(max(after, self.backoff))
 
-    async def _try(self, asked: Asked, cls: dict[str, Any], deadline: float) -> float:
-        """One try; what the broker advised (s), and ``status``: 0 where no answer came."""
-        loop, asked.status = asyncio.get_running_loop(), 0
+    async def _attempt(self, request: ClientRequest, cls: dict[str, Any], deadline: float) -> float:
+        """Make one attempt; set ``status`` (0: no answer) and return Retry-After in seconds, or 0."""
+        loop, request.status = asyncio.get_running_loop(), 0
         self._serial += 1
         body = b"b" * 200 if cls["idempotency"] != "pure" else b""
         fields = {
             "Host": "service.internal",
             "X-Request-Id": f"{self._serial:016x}",
             "X-Class": cls["name"],
-            "Tier": asked.volume.plan,
+            "Tier": request.volume.plan,
             "Cookie": f"object={self._serial % 997:016x}",
             "X-Deadline-Ms": str(max(int((deadline - loop.time()) * 1000), 1)),
-            "IO-Info": f"volume={asked.volume.name},units={asked.units},shard={asked.shard},"
-            f"hosts={len(asked.volume.brokers)}",
+            "IO-Info": f"volume={request.volume.name},units={request.units},shard={request.shard},"
+            f"hosts={len(request.volume.brokers)}",
         }
         if cls["idempotency"] == "token":
-            fields["Idempotency-Key"] = f"k{id(asked):x}"
+            fields["Idempotency-Key"] = f"k{id(request):x}"
         if body:
             fields["Content-Length"] = str(len(body))
         lines = "".join(f"{name}: {value}\r\n" for name, value in fields.items())
-        target = f"{'PUT' if body else 'GET'} /{cls['name']}/x?units={asked.units}"
+        target = f"{'PUT' if body else 'GET'} /{cls['name']}/x?units={request.units}"
         text = f"{target} HTTP/1.1\r\n{lines}\r\n".encode() + body
         writer: Writer | None = None
         try:
             async with asyncio.timeout_at(deadline):
-                idle = self._idle.setdefault(asked.broker, [])
+                idle = self._idle.setdefault(request.broker, [])
                 reader, writer = (
                     idle.pop()
                     if idle
-                    else await asyncio.open_connection("127.0.0.1", self.ports[asked.broker])
+                    else await asyncio.open_connection("127.0.0.1", self.ports[request.broker])
                 )
                 writer.write(text)
-                first, headers = await head(reader)
+                first, headers = await read_head(reader)
                 data = await reader.readexactly(int(headers.get("content-length", 0)))
-            asked.status = int(first.split(" ")[1])
-            self.statuses[asked.status] += 1
-            self.wrong += asked.status == 200 and data != f"data of {fields['X-Request-Id']}".encode()
+            request.status = int(first.split(" ")[1])
+            self.statuses[request.status] += 1
+            self.wrong += request.status == 200 and data != f"data of {fields['X-Request-Id']}".encode()
             if headers.get("connection", "").lower() != "close":
-                self._idle[asked.broker].append((reader, writer))
+                self._idle[request.broker].append((reader, writer))
                 writer = None
             return float(headers.get("retry-after", 0.0))
         except (OSError, EOFError, ValueError, TimeoutError):
@@ -375,16 +381,20 @@
             if writer is not None:
                 writer.close()
 
-    def service(self, first: float, last: float) -> float:
-        """Part of the requests that came within these times and were served within their aim."""
+    def served_fraction(self, first: float, last: float) -> float:
+        """Return the fraction of the requests started in [first, last) that were served within their aim."""
         aims = {cls["name"]: cls["aimNs"] * 1e-9 for cls in self.settings["classes"]}
-        came = [asked for asked in self.book if first <= asked.at < last]
-        return sum(asked.took <= aims[asked.cls] for asked in came) / len(came) if came else 0.0
+        started = [request for request in self.requests if first <= request.at < last]
+        return (
+            sum(request.latency <= aims[request.cls] for request in started) / len(started)
+            if started
+            else 0.0
+        )
 
-    def refused(self, first: float, last: float) -> float:
-        """Part of the requests that came within these times and were refused at their last try."""
-        came = [asked for asked in self.book if first <= asked.at < last]
-        return sum(asked.status in (429, 503) for asked in came) / len(came) if came else 0.0
+    def refused_fraction(self, first: float, last: float) -> float:
+        """Return the fraction of the requests started in [first, last) whose last attempt was refused."""
+        started = [request for request in self.requests if first <= request.at < last]
+        return sum(request.status in (429, 503) for request in started) / len(started) if started else 0.0
 
     def close(self) -> None:
         for idle in self._idle.values():
--- a/bench/many/links.py
+++ b/bench/many/links.py
@@ -1,6 +1,6 @@
-"""Links: relays between two parties that can be cut, delayed, slowed, reset, or made to lose datagrams.
+"""Proxies between two parties that can block, delay, throttle and reset streams, or lose datagrams.
 
-It owns every byte between the parties of a rig. It must never read or change one, and never make up one.
+All traffic between the parties of a rig passes through them. They do not interpret, change or add bytes.
 """
 
 from __future__ import annotations
@@ -13,34 +13,34 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-PIECE = 16 * 1024
-LINGER = struct.pack("ii", 1, 0)  # a close with this set is a reset
+CHUNK_SIZE = 16 * 1024
+LINGER = struct.pack("ii", 1, 0)  # SO_LINGER with timeout 0: close sends a reset
 
 
 @dataclass(slots=True)
-class Way:
-    """One direction of a link. Times are seconds."""
+class Direction:
+    """Holds the settings of one direction of a link. Times are seconds."""
 
-    open: bool = True  # False: bytes are kept until it is open again
+    open: bool = True  # False: bytes are held back until it is open again
     delay: float = 0.0
-    rate: float = 0.0  # bytes a second; 0: any
-    lost: float = 0.0  # part of datagrams that never come
-    twice: float = 0.0  # part that come twice
-    late: float = 0.0  # the longest that one is held back by itself, so that others overtake it
+    rate: float = 0.0  # bytes per second; 0: unlimited
+    loss: float = 0.0  # fraction of datagrams that are lost
+    duplication: float = 0.0  # fraction that are delivered twice
+    jitter: float = 0.0  # longest random delay of one datagram, which reorders them
 
 
 @dataclass(slots=True, eq=False)
 class Link:
-    """A stream between ``name`` and where it leads. New connections find it as it is then."""
+    """A TCP proxy; each new connection is connected to what ``target`` returns then."""
 
     name: str
     target: Callable[[], tuple[str, int]]
-    there: Way = field(default_factory=Way)
-    back: Way = field(default_factory=Way)
+    forward: Direction = field(default_factory=Direction)
+    backward: Direction = field(default_factory=Direction)
     refuses: bool = False  # new connections are reset at once
     port: int = 0
-    opened: int = 0  # connections, since the start
-    at: list[float] = field(default_factory=list)  # when each was opened, on the loop's clock
+    opened: int = 0  # connections accepted since the start
+    opened_at: list[float] = field(default_factory=list)  # time of each, on the loop's clock
     _server: asyncio.Server | None = None
     _open: set[asyncio.StreamWriter] = field(default_factory=set)
     _changed: asyncio.Event = field(default_factory=asyncio.Event)
@@ -52,18 +52,18 @@
 
     def set(self, **changes: object) -> None:
         """Change both directions, for example ``set(open=False)``."""
-        for way in (self.there, self.back):
+        for direction in (self.forward, self.backward):
             for name, value in changes.items():
-                setattr(way, name, value)
+                setattr(direction, name, value)
         self.changed()
 
     def changed(self) -> None:
-        """To be called once a direction has been changed by hand."""
+        """Wake up waiting streams; call it after setting an attribute of a direction directly."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     def reset(self) -> None:
-        """Break every open connection."""
+        """Reset every open connection."""
         for writer in list(self._open):
             _reset(writer)
 
@@ -74,11 +74,11 @@
 
     async def _relay(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.opened += 1
-        self.at.append(asyncio.get_running_loop().time())
+        self.opened_at.append(asyncio.get_running_loop().time())
         if self.refuses:
             return _reset(writer)
         try:
-            while not self.there.open:
+            while not self.forward.open:
                 await self._changed.wait()
             far_reader, far_writer = await asyncio.open_connection(*self.target())
         except (OSError, asyncio.CancelledError):
@@ -86,27 +86,29 @@
         self._open |= {writer, far_writer}
         try:
             await asyncio.gather(
-                self._pump(reader, far_writer, self.there), self._pump(far_reader, writer, self.back)
+                self._pump(reader, far_writer, self.forward), self._pump(far_reader, writer, self.backward)
             )
         except OSError:
             _reset(writer)
             _reset(far_writer)
         except asyncio.CancelledError:
-            pass  # the rig ends; the library would report it as a fault
+            pass  # the rig is closing; asyncio would log the cancellation as an error
         finally:
             self._open -= {writer, far_writer}
             writer.close()
             far_writer.close()
 
-    async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: Way) -> None:
-        while piece := await reader.read(PIECE):
-            if way.delay:
-                await asyncio.sleep(way.delay)
-            if way.rate:
-                await asyncio.sleep(len(piece) / way.rate)
-            while not way.open:
+    async def _pump(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, direction: Direction
+    ) -> None:
+        while chunk := await reader.read(CHUNK_SIZE):
+            if direction.delay:
+                await asyncio.sleep(direction.delay)
+            if direction.rate:
+                await asyncio.sleep(len(chunk) / direction.rate)
+            while not direction.open:
                 await self._changed.wait()
-            writer.write(piece)
+            writer.write(chunk)
             await writer.drain()
         with contextlib.suppress(OSError):
             writer.write_eof()
@@ -119,16 +121,16 @@
     writer.transport.abort()
 
 
-class Datagrams(asyncio.DatagramProtocol):
-    """A relay for datagrams from one party to another; loss, doubling and order come from a seed."""
+class DatagramProxy(asyncio.DatagramProtocol):
+    """Forwards datagrams in one direction; ``rng`` decides on loss, duplication and reordering."""
 
-    def __init__(self, target: tuple[str, int], way: Way, dice: random.Random) -> None:
-        self._target, self.way, self._dice = target, way, dice
-        self.passed = self.dropped = 0
+    def __init__(self, target: tuple[str, int], direction: Direction, rng: random.Random) -> None:
+        self._target, self.direction, self._rng = target, direction, rng
+        self.forwarded = self.dropped = 0
         self._transport: asyncio.DatagramTransport | None = None
         self.port = 0
 
-    async def start(self) -> Datagrams:
+    async def start(self) -> DatagramProxy:
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=("127.0.0.1", 0))
         self._transport = transport
@@ -136,17 +138,17 @@
         return self
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        way, dice = self.way, self._dice
-        if not way.open or dice.random() < way.lost:
+        direction, rng = self.direction, self._rng
+        if not direction.open or rng.random() < direction.loss:
             self.dropped += 1
             return
         loop = asyncio.get_running_loop()
-        for _ in range(2 if dice.random() < way.twice else 1):
-            loop.call_later(way.delay + dice.uniform(0.0, way.late), self._send, data)
+        for _ in range(2 if rng.random() < direction.duplication else 1):
+            loop.call_later(direction.delay + rng.uniform(0.0, direction.jitter), self._send, data)
 
     def _send(self, data: bytes) -> None:
         if self._transport is not None and not self._transport.is_closing():
-            self.passed += 1
+            self.forwarded += 1
             self._transport.sendto(data, self._target)
 
     def close(self) -> None:
--- a/bench/many/rig.py
+++ b/bench/many/rig.py
@@ -1,6 +1,6 @@
-"""A rig: brokers as real processes, every stream between them and the others a link, faults on both.
+"""A test rig: real broker processes, with a link on every stream to clients and nodes, and fault injection.
 
-It owns the processes it starts and ends them, also when it is cut off. It must never signal any other.
+It signals only the processes that it has started, and ends them, also when the rig itself is killed.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 from pathlib import Path
 from typing import Any
 
+from bench.many.fakes import Clients, Discovery, DiskNode, volumes
 from bench.many.links import Link
-from bench.many.stands import Clients, Discovery, DiskNode, volumes
 
 ROOT = Path(__file__).parent.parent.parent
-READY_TIME = 30.0  # s that a broker's start may take
+READY_TIME = 30.0  # s within which a broker must be ready to serve
 PR_SET_PDEATHSIG = 1
 
 
 def _with_parent() -> None:
-    """Guard: a rig that is killed must leave no broker behind."""
+    """Have the kernel kill the broker when the rig's process ends, so that none is left running."""
     if sys.platform == "linux":
         ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
-def _stretch(settings: dict[str, Any], by: float) -> None:
-    """Work, aims and rates as the platform scales them where each broker has little traffic."""
+def _scale_settings(settings: dict[str, Any], by: float) -> None:
+    """Multiply times and divide rates by ``by``, as the platform does where brokers have little traffic."""
     for cls in settings["classes"]:
         cls["aimNs"], cls["deadlineNs"] = int(cls["aimNs"] * by), int(cls["deadlineNs"] * by)
     for plan in settings["policies"]:
@@ -45,7 +45,7 @@
 
 
 class Process:
-    """One broker: its configuration, its present process, and what that said."""
+    """Holds one broker: its configuration, its current process and the lines that it logged."""
 
     def __init__(self, rig: Rig, number: int, discovery: int) -> None:
         self.rig, self.number, self.name = rig, number, f"n{number}"
@@ -65,17 +65,17 @@
         }
         self.front = Link(f"clients to {self.name}", lambda: ("127.0.0.1", self.port))
         self.nodes: dict[str, Link] = {}
-        self.port = 1  # where nobody listens, until it serves
+        self.port = 1  # a port on which nothing listens, until the broker serves
         self.lines: list[str] = []
-        self.ready_at: list[float] = []  # of each start, on the loop's clock
+        self.ready_at: list[float] = []  # when each start was ready, on the loop's clock
         self._process: asyncio.subprocess.Process | None = None
         self._reading: asyncio.Task[None] | None = None
-        self._serves = asyncio.Event()
+        self._ready = asyncio.Event()
 
     async def start(self, known: dict[str, Any] | None = None) -> None:
-        """Start it, with the list as discovery tells it now, or with an older one; returns once it serves."""
+        """Start the broker with discovery's present node list, or with ``known``; return once it serves."""
         self.path.write_text(json.dumps(self.raw | {"known": known or self.rig.discovery.list(self.name)}))
-        self._serves.clear()
+        self._ready.clear()
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -93,17 +93,17 @@
         )
         self._reading = asyncio.create_task(self._read(self._process))
         async with asyncio.timeout(READY_TIME):
-            await self._serves.wait()
+            await self._ready.wait()
 
     async def _read(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr is not None
-        while read := await process.stderr.readline():  # Guard: a blank line is no end
+        while read := await process.stderr.readline():  # an empty line of the log is not the end
             line = read.decode("utf-8", "replace").rstrip()
             self.lines.append(line)
             if "broker.serves " in line:
                 self.port = int(line.rpartition("port=")[2].split()[0])
                 self.ready_at.append(asyncio.get_running_loop().time())
-                self._serves.set()
+                self._ready.set()
 
     def signal(self, number: int) -> None:
         if self._process is not None and self._process.returncode is None:
@@ -115,7 +115,7 @@
         await self.ended()
 
     async def ended(self) -> int:
-        """Wait for its end; its status."""
+        """Wait for the process to end; return its exit status."""
         assert self._process is not None and self._reading is not None
         status = await self._process.wait()
         await self._reading
@@ -124,7 +124,7 @@
 
 
 class Rig:
-    """``async with Rig(...) as rig``: everything started, all brokers ready."""
+    """Runs a cluster; ``async with Rig(...) as rig`` starts it and waits until all brokers are ready."""
 
     def __init__(
         self,
@@ -134,25 +134,27 @@
         load: float = 1.0,
         stretch: float = 1.0,
         work: float = 0.02,
-        calls_a_second: float = float("inf"),
+        max_calls_per_second: float = float("inf"),
         memory: bool = False,
         **settings: Any,
     ) -> None:
-        self.memory = memory  # whether each broker has a folder that lasts, and keeps what it learned there
-        self.seed, self.dice = seed, random.Random(seed)
+        self.memory = memory  # whether each broker keeps what it learned in a folder over restarts
+        self.seed, self.rng = seed, random.Random(seed)
         self.raw = json.loads((ROOT / "examples/config.json").read_text(encoding="utf-8"))
         del self.raw["admin"]
         self.raw["settings"] |= {"balancers": brokers} | settings
         self.raw["settings"]["familyInfo"]["nShards"] = nodes
-        _stretch(self.raw["settings"], stretch)
+        _scale_settings(self.raw["settings"], stretch)
         self.disks = {
             f"d{n}": DiskNode(f"d{n}", n, random.Random(seed * 100 + n), work * stretch) for n in range(nodes)
         }
-        self.discovery = Discovery(calls_a_second)
-        self.discovery.address = lambda broker, node: f"127.0.0.1:{self._of[broker].nodes[node].port}"
+        self.discovery = Discovery(max_calls_per_second)
+        self.discovery.address = lambda broker, node: (
+            f"127.0.0.1:{self._broker_by_name[broker].nodes[node].port}"
+        )
         self.brokers: list[Process] = []
-        self._count, self._load = brokers, load
-        self._of: dict[str, Process] = {}
+        self._broker_count, self._load = brokers, load
+        self._broker_by_name: dict[str, Process] = {}
         self.clients: Clients
 
     async def __aenter__(self) -> Rig:
@@ -165,10 +167,10 @@
             for disk in self.disks.values():
                 await disk.start()
                 self.discovery.tell(disk.name, disk.shard, "up")
-            for number in range(self._count):
+            for number in range(self._broker_count):
                 broker = Process(self, number, await self.discovery.listen(f"n{number}"))
                 self.brokers.append(broker)
-                self._of[broker.name] = broker
+                self._broker_by_name[broker.name] = broker
                 await broker.front.start()
                 for disk in self.disks.values():
                     link = Link(f"{broker.name} to {disk.name}", self._target(disk))
@@ -177,8 +179,8 @@
             self.clients = Clients(
                 self.raw["settings"],
                 [broker.front.port for broker in self.brokers],
-                self.dice,
-                volumes(self.raw["settings"], self._count, len(self.disks), self.dice),
+                self.rng,
+                volumes(self.raw["settings"], self._broker_count, len(self.disks), self.rng),
                 self._load,
             )
         except BaseException:
@@ -207,32 +209,32 @@
         self._folder.cleanup()
 
     async def replace(self, name: str, down: float) -> None:
-        """A node dies, and comes back cold after so many seconds; discovery tells of both at once."""
+        """Stop a node and start it cold after ``down`` seconds; discovery announces both at once."""
         disk = self.disks[name]
         self.discovery.tell(name, disk.shard, "draining")
         disk.stop()
         await asyncio.sleep(down)
-        await disk.come_back()
+        await disk.restart()
         self.discovery.tell(name, disk.shard, "up", since_ms=time.time() * 1000)
 
     async def herd(self, part: float, away: float) -> list[Process]:
-        """Kill this part of the brokers at once; each starts again after so many seconds, all within one."""
-        struck = self.brokers[: round(part * len(self.brokers))]
-        await asyncio.gather(*(broker.kill() for broker in struck))
+        """Kill this fraction of the brokers at once, and start them all together ``away`` seconds later."""
+        affected = self.brokers[: round(part * len(self.brokers))]
+        await asyncio.gather(*(broker.kill() for broker in affected))
         await asyncio.sleep(away)
-        await asyncio.gather(*(broker.start() for broker in struck))
-        return struck
+        await asyncio.gather(*(broker.start() for broker in affected))
+        return affected
 
-    def sicken(self, part: float, times: float) -> list[str]:
-        """This part of the nodes, at least one, is so many times slower from now on; 1: well again."""
+    def slow_down(self, part: float, times: float) -> list[str]:
+        """Slow down this fraction of the nodes, at least one, by the factor ``times``; 1 undoes it."""
         names = list(self.disks)[-max(round(part * len(self.disks)), 1) :]
         for name in names:
-            self.disks[name].slower = times
+            self.disks[name].slowdown = times
         return names
 
     def stall(self, part: float, going: bool) -> list[Process]:
-        """Stop this part of the brokers where they stand, or let them go on."""
-        struck = self.brokers[: round(part * len(self.brokers))]
-        for broker in struck:
+        """Suspend this fraction of the brokers with SIGSTOP, or resume them with SIGCONT."""
+        affected = self.brokers[: round(part * len(self.brokers))]
+        for broker in affected:
             broker.signal(signal.SIGCONT if going else signal.SIGSTOP)
-        return struck
+        return affected
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -1,4 +1,4 @@
-"""The rig of many processes: its links do what they say, and brokers behind them keep their word."""
+"""Tests of the rig with many processes: its links inject the set faults, and brokers behind them behave."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 from support import message, run
 
-from bench.many.links import Datagrams, Link, Way
+from bench.many.links import DatagramProxy, Direction, Link
 from bench.many.rig import Rig
 
 
@@ -30,22 +30,22 @@
 
 async def echo() -> tuple[asyncio.Server, int]:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        while piece := await reader.read(1 << 16):
-            writer.write(piece)
+        while chunk := await reader.read(1 << 16):
+            writer.write(chunk)
         writer.close()
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     return server, server.sockets[0].getsockname()[1]
 
 
-def test_a_link_that_is_cut_one_way_keeps_what_was_sent_until_it_is_open_again() -> None:
-    async def story() -> None:
+def test_a_link_blocked_in_one_direction_holds_data_until_it_is_open_again() -> None:
+    async def scenario() -> None:
         server, port = await echo()
         link = await Link("l", lambda: ("127.0.0.1", port)).start()
         reader, writer = await asyncio.open_connection("127.0.0.1", link.port)
         writer.write(b"one")
         assert await reader.readexactly(3) == b"one"
-        link.back.open = False
+        link.backward.open = False
         writer.write(b"two")
         waiting = asyncio.create_task(reader.readexactly(3))
         done, _ = await asyncio.wait({waiting}, timeout=0.05)
@@ -63,13 +63,13 @@
         await link.close()
         server.close()
 
-    run(story())
+    run(scenario())
 
 
 def test_a_stream_passes_a_slow_link_unchanged() -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         server, port = await echo()
-        link = await Link("l", lambda: ("127.0.0.1", port), there=Way(delay=0.001, rate=5e6)).start()
+        link = await Link("l", lambda: ("127.0.0.1", port), forward=Direction(delay=0.001, rate=5e6)).start()
         reader, writer = await asyncio.open_connection("127.0.0.1", link.port)
         data = random.Random(1).randbytes(200_000)
         writer.write(data)
@@ -78,49 +78,49 @@
         await link.close()
         server.close()
 
-    run(story())
+    run(scenario())
 
 
-def test_datagrams_are_lost_doubled_and_overtaken_as_the_seed_says() -> None:
-    class Far(asyncio.DatagramProtocol):
+def test_datagrams_are_lost_duplicated_and_reordered() -> None:
+    class Receiver(asyncio.DatagramProtocol):
         def __init__(self) -> None:
             self.got: list[bytes] = []
-            self.came = asyncio.Event()
+            self.received = asyncio.Event()
 
         def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
             self.got.append(data)
-            self.came.set()
+            self.received.set()
 
-    async def story() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        transport, far = await loop.create_datagram_endpoint(Far, local_addr=("127.0.0.1", 0))
-        way = Way(lost=0.2, twice=0.2, late=0.05)
-        relay = await Datagrams(transport.get_extra_info("sockname"), way, random.Random(3)).start()
-        near, _ = await loop.create_datagram_endpoint(
-            asyncio.DatagramProtocol, remote_addr=("127.0.0.1", relay.port)
+        transport, receiver = await loop.create_datagram_endpoint(Receiver, local_addr=("127.0.0.1", 0))
+        direction = Direction(loss=0.2, duplication=0.2, jitter=0.05)
+        proxy = await DatagramProxy(transport.get_extra_info("sockname"), direction, random.Random(3)).start()
+        sender, _ = await loop.create_datagram_endpoint(
+            asyncio.DatagramProtocol, remote_addr=("127.0.0.1", proxy.port)
         )
         for number in range(200):
-            near.sendto(b"%d" % number)
+            sender.sendto(b"%d" % number)
             await asyncio.sleep(0)
-        while relay.dropped + len(set(far.got)) < 200:
-            far.came.clear()
-            await far.came.wait()
-        assert 0 < relay.dropped < 100 and len(far.got) > len(set(far.got))
-        assert far.got != sorted(far.got, key=int)
-        for each in (transport, near):
+        while proxy.dropped + len(set(receiver.got)) < 200:
+            receiver.received.clear()
+            await receiver.received.wait()
+        assert 0 < proxy.dropped < 100 and len(receiver.got) > len(set(receiver.got))
+        assert receiver.got != sorted(receiver.got, key=int)
+        for each in (transport, sender):
             each.close()
-        relay.close()
+        proxy.close()
 
-    run(story())
+    run(scenario())
 
 
-def test_brokers_that_are_killed_come_back_behind_their_links_and_no_write_ran_twice() -> None:
-    async def story() -> None:
+def test_killed_brokers_serve_after_a_restart_and_no_write_runs_twice() -> None:
+    async def scenario() -> None:
         async with Rig(3, 2, load=0.5) as rig:
             running = asyncio.create_task(rig.clients.run(3.0))
             await asyncio.sleep(1.0)
-            struck = await rig.herd(0.67, 0.0)
-            assert [len(broker.ready_at) for broker in rig.brokers] == [2, 2, 1] and len(struck) == 2
+            affected = await rig.herd(0.67, 0.0)
+            assert [len(broker.ready_at) for broker in rig.brokers] == [2, 2, 1] and len(affected) == 2
             await running
             writes = [each.id for disk in rig.disks.values() for each in disk.book if each.ran and each.write]
             assert writes and len(writes) == len(set(writes))
@@ -128,20 +128,20 @@
             for broker in rig.brokers:
                 assert b" 200 " in await exchange(broker.front.port, message(id=f"after-{broker.name}"))
 
-    run(story())
+    run(scenario())
 
 
 async def answered(rig: Rig, broker: str, more_than: int) -> None:
-    """Until discovery has written it another answer, which then lies in its socket."""
+    """Wait until discovery has sent the broker another answer, which then waits in its socket."""
     while rig.discovery.answered[broker] <= more_than:
         await asyncio.sleep(0.005)
 
 
 @pytest.mark.parametrize("requests", [1, 30])
-def test_a_broker_that_stood_still_sends_nothing_to_a_node_drained_meanwhile(requests: int) -> None:
-    """What its clients sent while it stood still lies before it together with the news."""
+def test_a_resumed_broker_sends_nothing_to_a_node_drained_while_it_was_suspended(requests: int) -> None:
+    """On its resumption the broker finds its clients' requests and the node list update waiting together."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with Rig(1, 2) as rig:
             broker, disk = rig.brokers[0], rig.disks["d0"]
             assert b" 200 " in await exchange(broker.front.port, message(id="before"))
@@ -164,11 +164,11 @@
             assert b" 503 " in await exchange(broker.front.port, message(id="behind"))
             assert len(disk.book) == sent
 
-    run(story())
+    run(scenario())
 
 
-def test_a_link_to_a_node_that_resets_makes_no_write_run_twice() -> None:
-    async def story() -> None:
+def test_a_reset_of_the_link_to_a_node_makes_no_write_run_twice() -> None:
+    async def scenario() -> None:
         async with Rig(1, 1, work=0.05, stretch=4.0) as rig:
             broker, disk = rig.brokers[0], rig.disks["d0"]
             link = broker.nodes["d0"]
@@ -181,4 +181,4 @@
             broker.signal(signal.SIGTERM)
             assert await broker.ended() == 0
 
-    run(story())
+    run(scenario())
