--- a/bench/many/__main__.py
+++ b/bench/many/__main__.py
@@ -26,17 +26,17 @@
 
 
 async def _restart_most(rig: Rig) -> None:
-    await rig.herd(0.7, 0.3)
+    await rig.kill_and_restart(0.7, 0.3)
 
 
 async def _restart_all(rig: Rig) -> None:
-    await rig.herd(1.0, 0.3)
+    await rig.kill_and_restart(1.0, 0.3)
 
 
 async def _stall_half(rig: Rig) -> None:
-    rig.stall(0.5, going=False)
+    rig.stall(0.5, resume=False)
     await asyncio.sleep(3.0)
-    rig.stall(0.5, going=True)
+    rig.stall(0.5, resume=True)
 
 
 async def _replace_nodes(rig: Rig) -> None:
@@ -46,9 +46,9 @@
 
 async def _restart_without_discovery(rig: Rig) -> None:
     """Restart brokers as in the scenario "herd", while discovery refuses every call."""
-    rig.discovery.most = 0
-    await rig.herd(0.7, 0.3)
-    rig.discovery.most = float("inf")
+    rig.discovery.max_calls_per_second = 0
+    await rig.kill_and_restart(0.7, 0.3)
+    rig.discovery.max_calls_per_second = float("inf")
 
 
 SCENARIOS = {
@@ -112,10 +112,14 @@
             ),
             None,
         )
-        sent_to = [each for disk in rig.disks.values() for each in disk.book]
-        sent = [each.at for disk in rig.disks.values() for each in disk.book]
-        handshakes = [at for broker in rig.brokers for link in broker.nodes.values() for at in link.opened_at]
-        ran = Counter(each.id for disk in rig.disks.values() for each in disk.book if each.ran and each.write)
+        sent_to = [each for disk in rig.disks.values() for each in disk.received]
+        sent = [each.at for disk in rig.disks.values() for each in disk.received]
+        handshakes = [
+            at for broker in rig.brokers for link in broker.node_links.values() for at in link.opened_at
+        ]
+        ran = Counter(
+            each.id for disk in rig.disks.values() for each in disk.received if each.ran and each.write
+        )
         return {
             "day": day,
             "brokers": brokers,
--- a/bench/many/fakes.py
+++ b/bench/many/fakes.py
@@ -32,7 +32,7 @@
 
     at: float
     node: str
-    life: int
+    incarnation: int
     id: str
     key: str
     write: bool
@@ -40,7 +40,7 @@
 
 
 class DiskNode:
-    """A node with ``cores`` cores, a bounded queue and a cold start; ``book`` lists the requests received."""
+    """A node with ``cores`` cores, a bounded queue and a cold start; ``received`` lists its requests."""
 
     def __init__(
         self,
@@ -55,9 +55,9 @@
     ) -> None:
         self.name, self.shard, self.cores, self.queue_limit = name, shard, cores, queue_limit
         self.work, self.cold, self.warm_after = work, cold, warm_after
-        self.life, self.started = 0, -inf  # ``started``: time of the last restart, on the loop's clock
+        self.incarnation, self.started = 0, -inf  # ``started``: time of the last restart, on the loop's clock
         self.slowdown = 1.0  # factor by which a degraded node is slower
-        self.book: list[NodeRequest] = []
+        self.received: list[NodeRequest] = []
         self.port = 0
         self._rng = rng
         self._busy = 0
@@ -82,7 +82,7 @@
 
     async def restart(self) -> None:
         """Start the node again, cold."""
-        self.life += 1
+        self.incarnation += 1
         self._busy = 0
         self.started = asyncio.get_running_loop().time()
         await self.start()
@@ -93,18 +93,18 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: Writer) -> None:
         self._writers.add(writer)
-        loop, life = asyncio.get_running_loop(), self.life
+        loop, incarnation = asyncio.get_running_loop(), self.incarnation
         try:
             while True:
                 first, headers = await read_head(reader)
                 await reader.readexactly(int(headers.get("content-length", 0)))
                 id = headers.get("x-request-id", "")
                 full = len(self._queue) >= self.queue_limit
-                self.book.append(
+                self.received.append(
                     NodeRequest(
                         loop.time(),
                         self.name,
-                        life,
+                        incarnation,
                         id,
                         headers.get("idempotency-key", ""),
                         first.startswith("PUT"),
@@ -115,7 +115,7 @@
                     writer.write(b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
                     continue
                 units = first.partition("?units=")[2].split(" ")[0]  # sent in the request target
-                await self._run(life, float(units or USUAL_UNITS) / USUAL_UNITS)
+                await self._run(incarnation, float(units or USUAL_UNITS) / USUAL_UNITS)
                 data = f"data of {id}".encode()
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(data) + data)
                 await writer.drain()
@@ -125,7 +125,7 @@
             self._writers.discard(writer)
             writer.close()
 
-    async def _run(self, life: int, relative_work: float) -> None:
+    async def _run(self, incarnation: int, relative_work: float) -> None:
         """Wait for a core, then use it. Work in progress does not outlive a stop of the node."""
         if self._busy >= self.cores:
             waiter = asyncio.get_running_loop().create_future()
@@ -136,7 +136,7 @@
         try:
             await asyncio.sleep(self._rng.uniform(0.5, 1.5) * self.work * relative_work / self.speed())
         finally:
-            if life == self.life:
+            if incarnation == self.incarnation:
                 if self._queue:
                     self._queue.popleft().set_result(None)
                 else:
@@ -147,11 +147,11 @@
     """Serves each broker the node list with the addresses of its own links; limits the calls per second."""
 
     def __init__(self, max_calls_per_second: float = inf) -> None:
-        self.most = max_calls_per_second
+        self.max_calls_per_second = max_calls_per_second
         self.silent = False
-        self.slow = 0.0  # s by which each answer is delayed
+        self.answer_delay = 0.0  # s by which each answer is delayed
         self.calls: list[tuple[float, str, int]] = []  # time, broker, status
-        self.answered: Counter[str] = Counter()  # answers sent, by broker
+        self.answers_sent: Counter[str] = Counter()  # answers sent, by broker
         self.index = 1
         self._entries: dict[str, dict[str, Any]] = {}
         self._changed_at: dict[str, int] = {}  # the index at which each entry last changed
@@ -160,7 +160,7 @@
         self.address: Callable[[str, str], str] = lambda broker, node: ""
         self._servers: list[asyncio.Server] = []
 
-    def tell(self, name: str, shard: int, status: str, since_ms: float = 0.0) -> None:
+    def set_status(self, name: str, shard: int, status: str, since_ms: float = 0.0) -> None:
         self.index += 1
         self._entries[name] = {
             "name": name,
@@ -203,12 +203,12 @@
         loop = asyncio.get_running_loop()
         while self._recent and self._recent[0] < loop.time() - 1.0:
             self._recent.popleft()
-        status = 503 if len(self._recent) >= self.most else 200
+        status = 503 if len(self._recent) >= self.max_calls_per_second else 200
         self.calls.append((loop.time(), broker, status))
         self._recent.append(loop.time())
         if self.silent:
             await asyncio.Event().wait()
-        await asyncio.sleep(self.slow)
+        await asyncio.sleep(self.answer_delay)
         query = dict(part.partition("=")[::2] for part in target.partition("?")[2].split("&"))
         since = int(query.get("since") or 0)
         if status == 200 and since >= self.index:
@@ -218,7 +218,7 @@
         body = json.dumps(self.list(broker, since)).encode() if status == 200 else b""
         writer.write(b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n" % (status, len(body)) + body)
         await writer.drain()
-        self.answered[broker] += 1
+        self.answers_sent[broker] += 1
 
     def close(self) -> None:
         for server in self._servers:
@@ -286,7 +286,7 @@
     backoff: float = 0.1
     requests: list[ClientRequest] = field(default_factory=list)
     statuses: Counter[int] = field(default_factory=Counter)
-    wrong: int = 0  # answers 200 whose body is not the one that a node made for the request
+    wrong_answers: int = 0  # answers 200 whose body is not the one that a node made for the request
     _idle: dict[int, list[tuple[asyncio.StreamReader, Writer]]] = field(default_factory=dict)
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
     _serial: int = 0
@@ -369,7 +369,9 @@
                 data = await reader.readexactly(int(headers.get("content-length", 0)))
             request.status = int(first.split(" ")[1])
             self.statuses[request.status] += 1
-            self.wrong += request.status == 200 and data != f"data of {fields['X-Request-Id']}".encode()
+            self.wrong_answers += (
+                request.status == 200 and data != f"data of {fields['X-Request-Id']}".encode()
+            )
             if headers.get("connection", "").lower() != "close":
                 self._idle[request.broker].append((reader, writer))
                 writer = None
--- a/bench/many/rig.py
+++ b/bench/many/rig.py
@@ -28,7 +28,7 @@
 PR_SET_PDEATHSIG = 1
 
 
-def _with_parent() -> None:
+def _end_with_parent() -> None:
     """Have the kernel kill the broker when the rig's process ends, so that none is left running."""
     if sys.platform == "linux":
         ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
@@ -44,7 +44,7 @@
     settings["familyInfo"]["coldBears"] /= by
 
 
-class Process:
+class BrokerProcess:
     """Holds one broker: its configuration, its current process and the lines that it logged."""
 
     def __init__(self, rig: Rig, number: int, discovery: int) -> None:
@@ -64,7 +64,7 @@
             "discovery": f"127.0.0.1:{discovery}",
         }
         self.front = Link(f"clients to {self.name}", lambda: ("127.0.0.1", self.port))
-        self.nodes: dict[str, Link] = {}
+        self.node_links: dict[str, Link] = {}
         self.port = 1  # a port on which nothing listens, until the broker serves
         self.lines: list[str] = []
         self.ready_at: list[float] = []  # when each start was ready, on the loop's clock
@@ -83,7 +83,7 @@
             cwd=ROOT,
             stdout=asyncio.subprocess.DEVNULL,
             stderr=asyncio.subprocess.PIPE,
-            preexec_fn=_with_parent,
+            preexec_fn=_end_with_parent,
             env=os.environ
             | {
                 "RELAY_CONFIG": str(self.path),
@@ -150,11 +150,11 @@
         }
         self.discovery = Discovery(max_calls_per_second)
         self.discovery.address = lambda broker, node: (
-            f"127.0.0.1:{self._broker_by_name[broker].nodes[node].port}"
+            f"127.0.0.1:{self._broker_by_name[broker].node_links[node].port}"
         )
-        self.brokers: list[Process] = []
+        self.brokers: list[BrokerProcess] = []
         self._broker_count, self._load = brokers, load
-        self._broker_by_name: dict[str, Process] = {}
+        self._broker_by_name: dict[str, BrokerProcess] = {}
         self.clients: Clients
 
     async def __aenter__(self) -> Rig:
@@ -166,15 +166,15 @@
         try:
             for disk in self.disks.values():
                 await disk.start()
-                self.discovery.tell(disk.name, disk.shard, "up")
+                self.discovery.set_status(disk.name, disk.shard, "up")
             for number in range(self._broker_count):
-                broker = Process(self, number, await self.discovery.listen(f"n{number}"))
+                broker = BrokerProcess(self, number, await self.discovery.listen(f"n{number}"))
                 self.brokers.append(broker)
                 self._broker_by_name[broker.name] = broker
                 await broker.front.start()
                 for disk in self.disks.values():
                     link = Link(f"{broker.name} to {disk.name}", self._target(disk))
-                    broker.nodes[disk.name] = await link.start()
+                    broker.node_links[disk.name] = await link.start()
             await asyncio.gather(*(broker.start() for broker in self.brokers))
             self.clients = Clients(
                 self.raw["settings"],
@@ -199,7 +199,7 @@
         for broker in self.brokers:
             if broker._process is not None:
                 await broker.ended()
-            for link in (broker.front, *broker.nodes.values()):
+            for link in (broker.front, *broker.node_links.values()):
                 await link.close()
         if hasattr(self, "clients"):
             self.clients.close()
@@ -211,13 +211,13 @@
     async def replace(self, name: str, down: float) -> None:
         """Stop a node and start it cold after ``down`` seconds; discovery announces both at once."""
         disk = self.disks[name]
-        self.discovery.tell(name, disk.shard, "draining")
+        self.discovery.set_status(name, disk.shard, "draining")
         disk.stop()
         await asyncio.sleep(down)
         await disk.restart()
-        self.discovery.tell(name, disk.shard, "up", since_ms=time.time() * 1000)
+        self.discovery.set_status(name, disk.shard, "up", since_ms=time.time() * 1000)
 
-    async def herd(self, part: float, away: float) -> list[Process]:
+    async def kill_and_restart(self, part: float, away: float) -> list[BrokerProcess]:
         """Kill this fraction of the brokers at once, and start them all together ``away`` seconds later."""
         affected = self.brokers[: round(part * len(self.brokers))]
         await asyncio.gather(*(broker.kill() for broker in affected))
@@ -232,9 +232,9 @@
             self.disks[name].slowdown = times
         return names
 
-    def stall(self, part: float, going: bool) -> list[Process]:
+    def stall(self, part: float, resume: bool) -> list[BrokerProcess]:
         """Suspend this fraction of the brokers with SIGSTOP, or resume them with SIGCONT."""
         affected = self.brokers[: round(part * len(self.brokers))]
         for broker in affected:
-            broker.signal(signal.SIGCONT if going else signal.SIGSTOP)
+            broker.signal(signal.SIGCONT if resume else signal.SIGSTOP)
         return affected
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -28,7 +28,7 @@
 from support import PLATFORM, RAW, ROOT, Discovery, Node, World, answer, message, raw, run
 from test_nbd import BLOCK, BlockNode, Client, setup
 
-from bench.many.rig import _with_parent
+from bench.many.rig import _end_with_parent
 from cherrycove.broker import config, nbd
 from cherrycove.broker.core import Attempt, Ending, Member, NodeList
 from cherrycove.broker.http1 import body, server, upstream, watch
@@ -641,7 +641,7 @@
             "cherrycove",
             cwd=ROOT,
             stderr=asyncio.subprocess.PIPE,
-            preexec_fn=_with_parent,
+            preexec_fn=_end_with_parent,
             env=os.environ
             | {
                 "RELAY_CONFIG": str(self.path),
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -119,10 +119,12 @@
         async with Rig(3, 2, load=0.5) as rig:
             running = asyncio.create_task(rig.clients.run(3.0))
             await asyncio.sleep(1.0)
-            affected = await rig.herd(0.67, 0.0)
+            affected = await rig.kill_and_restart(0.67, 0.0)
             assert [len(broker.ready_at) for broker in rig.brokers] == [2, 2, 1] and len(affected) == 2
             await running
-            writes = [each.id for disk in rig.disks.values() for each in disk.book if each.ran and each.write]
+            writes = [
+                each.id for disk in rig.disks.values() for each in disk.received if each.ran and each.write
+            ]
             assert writes and len(writes) == len(set(writes))
             assert rig.clients.statuses[200] > 0
             for broker in rig.brokers:
@@ -131,9 +133,9 @@
     run(scenario())
 
 
-async def answered(rig: Rig, broker: str, more_than: int) -> None:
+async def wait_for_discovery_answer(rig: Rig, broker: str, more_than: int) -> None:
     """Wait until discovery has sent the broker another answer, which then waits in its socket."""
-    while rig.discovery.answered[broker] <= more_than:
+    while rig.discovery.answers_sent[broker] <= more_than:
         await asyncio.sleep(0.005)
 
 
@@ -151,18 +153,18 @@
             for number, (reader, writer) in enumerate(open_now):
                 writer.write(message(id=f"first{number}"))
                 assert b" 200 " in await answer(reader)
-            sent, told = len(disk.book), rig.discovery.answered["n0"]
-            rig.stall(1.0, going=False)
+            sent, told = len(disk.received), rig.discovery.answers_sent["n0"]
+            rig.stall(1.0, resume=False)
             for number, (_, writer) in enumerate(open_now):
                 writer.write(message(id=f"meanwhile{number}"))
-            rig.discovery.tell("d0", 0, "draining")
-            await answered(rig, "n0", told)
-            rig.stall(1.0, going=True)
+            rig.discovery.set_status("d0", 0, "draining")
+            await wait_for_discovery_answer(rig, "n0", told)
+            rig.stall(1.0, resume=True)
             for reader, writer in open_now:
                 assert b" 503 " in await answer(reader)
                 writer.close()
             assert b" 503 " in await exchange(broker.front.port, message(id="behind"))
-            assert len(disk.book) == sent
+            assert len(disk.received) == sent
 
     run(scenario())
 
@@ -171,13 +173,13 @@
     async def scenario() -> None:
         async with Rig(1, 1, work=0.05, stretch=4.0) as rig:
             broker, disk = rig.brokers[0], rig.disks["d0"]
-            link = broker.nodes["d0"]
+            link = broker.node_links["d0"]
             write = message("claim-write", "PUT", body=b"b", id="w")
             asking = asyncio.create_task(exchange(broker.front.port, write))
-            while not disk.book:
+            while not disk.received:
                 await asyncio.sleep(0.005)
             link.reset()
-            assert b" 500 " in await asking and [each.id for each in disk.book] == ["w"]
+            assert b" 500 " in await asking and [each.id for each in disk.received] == ["w"]
             broker.signal(signal.SIGTERM)
             assert await broker.ended() == 0
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -24,7 +24,7 @@
 from support import ROOT, fuzz, message, run
 from test_many import exchange
 
-from bench.many.rig import Process
+from bench.many.rig import BrokerProcess
 from bench.many.rig import Rig as Fleet
 from cherrycove.broker.cli.commands import main
 from cherrycove.broker.warm_restart import snapshot, snapshot_file
@@ -371,18 +371,18 @@
 # Processes.
 
 
-def kept(broker: Process) -> Path:
+def kept(broker: BrokerProcess) -> Path:
     return broker.folder / "kept" / f"{broker.name}.memory"
 
 
-async def written(broker: Process) -> None:
+async def written(broker: BrokerProcess) -> None:
     """Until the memory has been written once more."""
     before = kept(broker).stat().st_mtime_ns if kept(broker).exists() else 0
     while not kept(broker).exists() or kept(broker).stat().st_mtime_ns == before:
         await asyncio.sleep(0.01)
 
 
-async def said(broker: Process, event: str, since: int = 0) -> str:
+async def said(broker: BrokerProcess, event: str, since: int = 0) -> str:
     while not (found := [line for line in broker.lines[since:] if event in line]):
         await asyncio.sleep(0.01)
     return found[0]
--- a/tests/test_return.py
+++ b/tests/test_return.py
@@ -7,19 +7,19 @@
 
 import pytest
 from support import RAW, message, run
-from test_many import answered, exchange
+from test_many import exchange, wait_for_discovery_answer
 from test_memory import kept, said, written
 
-from bench.many.rig import Process, Rig
+from bench.many.rig import BrokerProcess, Rig
 from cherrycove.broker.warm_restart import snapshot_file
 
 
 def nothing_twice_or_foreign(rig: Rig) -> None:
-    ran = Counter(each.id for disk in rig.disks.values() for each in disk.book if each.ran and each.write)
-    assert ran and max(ran.values()) == 1 and not rig.clients.wrong and rig.clients.statuses[200]
+    ran = Counter(each.id for disk in rig.disks.values() for each in disk.received if each.ran and each.write)
+    assert ran and max(ran.values()) == 1 and not rig.clients.wrong_answers and rig.clients.statuses[200]
 
 
-async def serves(broker: Process, id: str, shard: int = 0) -> bytes:
+async def serves(broker: BrokerProcess, id: str, shard: int = 0) -> bytes:
     """Ask until it is served; what the first answer was."""
     first = said = await exchange(broker.front.port, message(id=f"{id}0", shard=shard))
     number = 0
@@ -60,11 +60,11 @@
             running = asyncio.create_task(rig.clients.run(4.0))
             await asyncio.sleep(1.0)
             if fault.startswith("all"):
-                await rig.herd(1.0, 0.0)
+                await rig.kill_and_restart(1.0, 0.0)
             else:
-                rig.stall(0.5, going=False)
+                rig.stall(0.5, resume=False)
                 await asyncio.sleep(1.5)
-                rig.stall(0.5, going=True)
+                rig.stall(0.5, resume=True)
             await running
             for broker in rig.brokers:
                 await serves(broker, f"after-{broker.name}-")
@@ -79,13 +79,13 @@
         async with Rig(1, 1, memory=True) as rig:
             broker = rig.brokers[0]
             await broker.kill()
-            rig.discovery.most = 0 if discovery == "refuses" else float("inf")
-            rig.discovery.slow = 30.0 if discovery == "slow" else 0.0
+            rig.discovery.max_calls_per_second = 0 if discovery == "refuses" else float("inf")
+            rig.discovery.answer_delay = 30.0 if discovery == "slow" else 0.0
             rig.discovery.silent = discovery == "silent"
-            before = rig.discovery.answered["n0"]
+            before = rig.discovery.answers_sent["n0"]
             await broker.start()
             assert b" 200 " in await exchange(broker.front.port, message(id="at-once"))
-            assert discovery == "refuses" or rig.discovery.answered["n0"] == before
+            assert discovery == "refuses" or rig.discovery.answers_sent["n0"] == before
 
     run(story())
 
@@ -99,14 +99,14 @@
             await serves(broker, "before")
             old = rig.discovery.list("n0")
             await broker.kill()
-            rig.discovery.tell("d0", 0, "draining")
-            sent, told = len(disk.book), rig.discovery.answered["n0"]
+            rig.discovery.set_status("d0", 0, "draining")
+            sent, told = len(disk.received), rig.discovery.answers_sent["n0"]
             await broker.start(old)
-            await answered(rig, "n0", told)
+            await wait_for_discovery_answer(rig, "n0", told)
             await said(broker, "nodes.listed", len(broker.lines) - 1)
             for number in range(5):
                 assert b" 503 " in await exchange(broker.front.port, message(id=f"behind{number}"))
-            assert len(disk.book) == sent
+            assert len(disk.received) == sent
 
     run(story())
 
@@ -127,7 +127,7 @@
             await said(broker, "memory.taken_up", since)
             assert b" 503 " in await serves(broker, "after")  # and once the rule's window is over, served
             window = rig.raw["settings"]["guarantees"]["fallNs"] * 1e-9
-            first = next(each.at for each in disk.book if each.life == 1)
+            first = next(each.at for each in disk.received if each.incarnation == 1)
             assert first >= began + window
 
     run(story())
@@ -156,7 +156,7 @@
                         )
                     )
                     await asyncio.sleep(0.1)
-            sent = 2.0 * len(disk.book)
+            sent = 2.0 * len(disk.received)
             assert 0 < sent <= burst + limit * (loop.time() - began)
 
     run(story())
