--- a/bench/fleet/__main__.py
+++ b/bench/fleet/__main__.py
@@ -61,14 +61,14 @@
             node.speed *= 0.3
 
 
-SCENARIOS = {day.__name__: day for day in (calm, herd, join, split, zone)}
+SCENARIOS = {scenario.__name__: scenario for scenario in (calm, herd, join, split, zone)}
 
 
-def simulate(day: str, seed: int, hosts: int, load: float, stretch: float) -> dict[str, object]:
-    result: dict[str, object] = {"day": day, "hosts": hosts}
+def simulate(scenario: str, seed: int, hosts: int, load: float, stretch: float) -> dict[str, object]:
+    result: dict[str, object] = {"day": scenario, "hosts": hosts}
     for name, fleet_type in (("module", Fleet), ("oracle", Dispatcher)):
         fleet = fleet_type(seed, hosts, hosts, load, stretch, SECONDS)
-        SCENARIOS[day](fleet)
+        SCENARIOS[scenario](fleet)
         began = time.process_time()
         fleet.clock.run(SECONDS + 30.0)
         result[name] = fleet.service_ratio()
@@ -99,12 +99,12 @@
     parser.add_argument("--reasons", action="store_true")
     parser.add_argument("--plot", type=Path)
     options = parser.parse_args()
-    days, sizes = options.day or list(SCENARIOS), [int(size) for size in options.hosts.split(",")]
+    scenarios, sizes = options.day or list(SCENARIOS), [int(size) for size in options.hosts.split(",")]
     rows: dict[tuple[str, int], list[dict[str, object]]] = {}
     with ProcessPoolExecutor() as pool:
         runs = [
-            pool.submit(simulate, day, seed, size, options.load, options.stretch)
-            for day in days
+            pool.submit(simulate, scenario, seed, size, options.load, options.stretch)
+            for scenario in scenarios
             for size in sizes
             for seed in range(1, options.seeds + 1)
         ]
@@ -112,14 +112,14 @@
             result = run.result()
             rows.setdefault((str(result["day"]), int(str(result["hosts"]))), []).append(result)
     print("day    hosts  module (each seed)  oracle      crashed  att/req  handsh/req  msg/req  us/req")
-    for (day, size), each in rows.items():
+    for (scenario, size), each in rows.items():
 
         def mean(key: str, each: list[dict[str, object]] = each) -> float:
             return statistics.mean(float(str(one[key])) for one in each)
 
         seeds = " ".join(f"{float(str(one['module'])):.3f}" for one in each)
         print(
-            f"{day:6s} {size:5d}  {mean('module'):.3f} ({seeds})  {mean('oracle'):.3f}  "
+            f"{scenario:6s} {size:5d}  {mean('module'):.3f} ({seeds})  {mean('oracle'):.3f}  "
             f"{mean('module crashed'):.1f}  {mean('attempts'):.2f}  {mean('handshakes'):.2f}  "
             f"{mean('messages'):.2f}  "
             f"{mean('cpu'):.0f}"
@@ -147,21 +147,23 @@
                 )
             )
     if options.plot:
-        draw(rows, options.plot)
+        plot_results(rows, options.plot)
 
 
-def draw(rows: dict[tuple[str, int], list[dict[str, object]]], path: Path) -> None:
+def plot_results(rows: dict[tuple[str, int], list[dict[str, object]]], path: Path) -> None:
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(7, 4))
-    for day in sorted({day for day, _ in rows}):
-        sizes = sorted(size for other, size in rows if other == day)
+    for scenario in sorted({scenario for scenario, _ in rows}):
+        sizes = sorted(size for other, size in rows if other == scenario)
         for name, form in (("module", "-o"), ("oracle", ":x")):
-            served = [statistics.mean(float(str(one[name])) for one in rows[day, size]) for size in sizes]
-            axes.plot(sizes, served, form, label=f"{day}, {name}")
+            served = [
+                statistics.mean(float(str(one[name])) for one in rows[scenario, size]) for size in sizes
+            ]
+            axes.plot(sizes, served, form, label=f"{scenario}, {name}")
     axes.set_xscale("log")
     axes.set_xlabel("hosts, as many nodes")
     axes.set_ylabel("worth served of that requested")
--- a/bench/many/__main__.py
+++ b/bench/many/__main__.py
@@ -72,7 +72,7 @@
 
 
 async def run_scenario(
-    day: str, brokers: int, nodes: int, seed: int, load: float, stretch: float, memory: bool = False
+    scenario: str, brokers: int, nodes: int, seed: int, load: float, stretch: float, memory: bool = False
 ) -> dict[str, Any]:
     loop = asyncio.get_running_loop()
     async with Rig(brokers, nodes, seed, load, stretch, memory=memory) as rig:
@@ -89,10 +89,10 @@
         start = loop.time()
         running = asyncio.create_task(rig.clients.run(WARM_UP + BEFORE + AFTER))
         await asyncio.sleep(WARM_UP + BEFORE - SLOW_NODE_LEAD)
-        slow_nodes = rig.slow_down(0.125, 10.0) if day == "sick" else []
+        slow_nodes = rig.slow_down(0.125, 10.0) if scenario == "sick" else []
         await asyncio.sleep(SLOW_NODE_LEAD)
         fault = loop.time()
-        await SCENARIOS[day](rig)
+        await SCENARIOS[scenario](rig)
         fault_end = loop.time()
         await running
         lateness_task.cancel()
@@ -121,7 +121,7 @@
             each.id for disk in rig.disks.values() for each in disk.received if each.ran and each.write
         )
         return {
-            "day": day,
+            "day": scenario,
             "brokers": brokers,
             "nodes": nodes,
             "seed": seed,
@@ -203,14 +203,16 @@
     parser.add_argument("--plot", type=Path)
     options = parser.parse_args()
     results = []
-    for day in options.day or sorted(SCENARIOS):
+    for scenario in options.day or sorted(SCENARIOS):
         for seed, memory in itertools.product(options.seed or [1], MEMORY_MODES[options.memory]):
             each = asyncio.run(
-                run_scenario(day, options.brokers, options.nodes, seed, options.load, options.stretch, memory)
+                run_scenario(
+                    scenario, options.brokers, options.nodes, seed, options.load, options.stretch, memory
+                )
             )
             results.append(each)
             print(
-                f"{day:8s} seed {seed}{' with memory' * memory}: {each['before']:.3f} before, "
+                f"{scenario:8s} seed {seed}{' with memory' * memory}: {each['before']:.3f} before, "
                 f"fault {each['fault_s']:.1f} s, "
                 f"last ready {each['ready_s']:.1f} s, back {each['back_s']} s; "
                 f"refused {each['refused'][0]:.2f}, {each['refused'][1]:.2f}; "
--- a/bench/rules/simulation.py
+++ b/bench/rules/simulation.py
@@ -354,10 +354,10 @@
         """Lend a host part of a cold node's capacity per window; some requests and answers are lost."""
         s, now = self.settings, self.clock.now
         # The period covers a loan and what is sent on it.
-        book = self.loans.setdefault(name, SlidingWindowSum(2 * s.fall_window))
-        if self.rng.random() < 0.1 or book.total(now) + units > self.deployment.lent_fraction * s.cold_units:
+        loans = self.loans.setdefault(name, SlidingWindowSum(2 * s.fall_window))
+        if self.rng.random() < 0.1 or loans.total(now) + units > self.deployment.lent_fraction * s.cold_units:
             return
-        book.add(now, units)
+        loans.add(now, units)
         if self.rng.random() >= 0.1:
             self.clock.at(
                 now + self.rng.uniform(0.001, 0.02),
--- a/bench/why.py
+++ b/bench/why.py
@@ -99,15 +99,23 @@
         "7f3a9c21e0b4d655",
         id=record.id,
     )
-    came = record.ended - record.took
+    arrived_at = record.ended - record.took
     tries = [
         Attempt(
-            0, 0, each.node, "", 0.0, came + each.at, why=each.why, duration_s=each.took, ending=each.ending
+            0,
+            0,
+            each.node,
+            "",
+            0.0,
+            arrived_at + each.at,
+            why=each.why,
+            duration_s=each.took,
+            ending=each.ending,
         )
         for each in record.tries
     ]
     verdict = Verdict.SERVED if record.verdict == "served" else Verdict.REFUSED
-    return RequestSummary(came, record.ended, verdict, why=record.why, request=request, attempts=tries)
+    return RequestSummary(arrived_at, record.ended, verdict, why=record.why, request=request, attempts=tries)
 
 
 class PlainLog:
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -153,12 +153,12 @@
             for number, (reader, writer) in enumerate(open_now):
                 writer.write(message(id=f"first{number}"))
                 assert b" 200 " in await answer(reader)
-            sent, told = len(disk.received), rig.discovery.answers_sent["n0"]
+            sent, answers_before = len(disk.received), rig.discovery.answers_sent["n0"]
             rig.stall(1.0, resume=False)
             for number, (_, writer) in enumerate(open_now):
                 writer.write(message(id=f"meanwhile{number}"))
             rig.discovery.set_status("d0", 0, "draining")
-            await wait_for_discovery_answer(rig, "n0", told)
+            await wait_for_discovery_answer(rig, "n0", answers_before)
             rig.stall(1.0, resume=True)
             for reader, writer in open_now:
                 assert b" 503 " in await answer(reader)
