--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -24,7 +24,7 @@
 from support import ROOT, fuzz, message, run
 from test_many import exchange
 
-from bench.many.rig import Process
+from bench.many.rig import BrokerProcess
 from bench.many.rig import Rig as Fleet
 from cherrycove.broker.cli.commands import main
 from cherrycove.broker.warm_restart import snapshot, snapshot_file
@@ -387,18 +387,18 @@
 # Broker processes.
 
 
-def snapshot_path(broker: Process) -> Path:
+def snapshot_path(broker: BrokerProcess) -> Path:
     return broker.folder / "kept" / f"{broker.name}.memory"
 
 
-async def wait_for_write(broker: Process) -> None:
+async def wait_for_write(broker: BrokerProcess) -> None:
     """Return once the snapshot file has been written again."""
     before = snapshot_path(broker).stat().st_mtime_ns if snapshot_path(broker).exists() else 0
     while not snapshot_path(broker).exists() or snapshot_path(broker).stat().st_mtime_ns == before:
         await asyncio.sleep(0.01)
 
 
-async def wait_for_line(broker: Process, event: str, since: int = 0) -> str:
+async def wait_for_line(broker: BrokerProcess, event: str, since: int = 0) -> str:
     """Return the first log line with ``event`` from index ``since`` on; waits until there is one."""
     while not (found := [line for line in broker.lines[since:] if event in line]):
         await asyncio.sleep(0.01)
